--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -7,9 +7,9 @@
 use snafu::{ResultExt as _, Snafu};
 
 /// Time for a connection to come about.
-const CONNECT_TIME: time::Duration = time::Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 /// Largest document.
-const MAX_DOCUMENT: usize = 8 << 20;
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
 /// Why a call for a document failed.
 #[derive(Debug, Snafu)]
@@ -42,14 +42,14 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct DocumentAnswer {
+pub struct DocumentResponse {
     /// Its head.
     pub head: http::response::Parts,
     /// Its body.
     pub body: Bytes,
 }
 
-impl DocumentAnswer {
+impl DocumentResponse {
     /// The body of a good answer.
     pub fn into_body(self) -> Result<Bytes, CallError> {
         let status = self.head.status.as_u16();
@@ -94,25 +94,25 @@
         body: Bytes,
         limit: time::Duration,
     ) -> Result<Bytes, CallError> {
-        self.call_whole(method, path, body, limit).await?.into_body()
+        self.call_any_status(method, path, body, limit).await?.into_body()
     }
 
     /// Sends a document and reads the answer, whatever its status.
-    pub async fn call_whole(
+    pub async fn call_any_status(
         &mut self,
         method: &str,
         path: &str,
         body: Bytes,
         limit: time::Duration,
-    ) -> Result<DocumentAnswer, CallError> {
+    ) -> Result<DocumentResponse, CallError> {
         let mut open = self.open.take();
-        let work = exchange(&mut open, self.address, method, path, body);
-        let answered = monoio::time::timeout(limit, work).await;
-        let Ok(answered) = answered else {
+        let exchange_future = exchange(&mut open, self.address, method, path, body);
+        let outcome = monoio::time::timeout(limit, exchange_future).await;
+        let Ok(outcome) = outcome else {
             return SilentSnafu { limit }.fail();
         };
-        let (answer, keep) = answered?;
-        self.open = open.filter(|_| keep);
+        let (answer, reusable) = outcome?;
+        self.open = open.filter(|_| reusable);
         Ok(answer)
     }
 }
@@ -121,9 +121,9 @@
     address: net::SocketAddr,
 ) -> Result<(h1::MessageReader, h1::MessageWriter), CallError> {
     let connecting = monoio::net::TcpStream::connect_addr(address);
-    let connected = monoio::time::timeout(CONNECT_TIME, connecting).await;
+    let connected = monoio::time::timeout(CONNECT_TIMEOUT, connecting).await;
     let Ok(connected) = connected else {
-        return SilentSnafu { limit: CONNECT_TIME }.fail();
+        return SilentSnafu { limit: CONNECT_TIMEOUT }.fail();
     };
     Ok(h1::split(connected.context(ConnectSnafu)?))
 }
@@ -134,26 +134,27 @@
     method: &str,
     path: &str,
     body: Bytes,
-) -> Result<(DocumentAnswer, bool), CallError> {
+) -> Result<(DocumentResponse, bool), CallError> {
     if open.is_none() {
         *open = Some(connect(address).await?);
     }
     let Some((reader, writer)) = open.as_mut() else {
-        return SilentSnafu { limit: CONNECT_TIME }.fail();
+        return SilentSnafu { limit: CONNECT_TIMEOUT }.fail();
     };
-    let mut text = format!("{method} {path} HTTP/1.1\r\nhost: {address}\r\n").into_bytes();
+    let mut request = format!("{method} {path} HTTP/1.1\r\nhost: {address}\r\n").into_bytes();
     if !body.is_empty() {
         let head = format!("content-type: application/json\r\ncontent-length: {}\r\n", body.len());
-        text.extend_from_slice(head.as_bytes());
+        request.extend_from_slice(head.as_bytes());
     }
-    text.extend_from_slice(b"\r\n");
-    text.extend_from_slice(&body);
-    writer.write(text).await.context(MessageSnafu)?;
+    request.extend_from_slice(b"\r\n");
+    request.extend_from_slice(&body);
+    writer.write(request).await.context(MessageSnafu)?;
     let head = reader.answer_head().await.context(MessageSnafu)?;
     let mut framing = h1::BodyFraming::of_answer(&head).context(MessageSnafu)?;
     let until_close = framing == h1::BodyFraming::UntilClose;
-    let body = reader.whole_body(&mut framing, MAX_DOCUMENT).await.context(MessageSnafu)?;
-    let keep = !until_close && !h1::closes(head.version, &head.headers) && !reader.has_surplus();
+    let body = reader.whole_body(&mut framing, MAX_DOCUMENT_BYTES).await.context(MessageSnafu)?;
+    let reusable =
+        !until_close && !h1::closes(head.version, &head.headers) && !reader.has_surplus();
     reader.rest();
-    Ok((DocumentAnswer { head, body }, keep))
+    Ok((DocumentResponse { head, body }, reusable))
 }
--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -93,7 +93,7 @@
     let _pass = upstream_gate::pass(context, &to.engine, kind, permits).map_err(denied)?;
     let asked_at = context.now();
     let left = limit.saturating_sub(asked_at.since(started));
-    let answer = connection.call_whole(method, path, body, left).await.map_err(failed)?;
+    let answer = connection.call_any_status(method, path, body, left).await.map_err(failed)?;
     // What it says in passing is heard also where it refuses.
     let source = match kind {
         send_gate::SendKind::Report => upstream_notice::NoticeSource::Report,
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{ids, route_table, store_revision, units, upstream_list};
 
-use crate::{border, packed_bytes, raw_state, routes_history};
+use crate::{border, compressed_bytes, raw_state, routes_history};
 
 /// An outage's end this long ago explains no changes any more, milliseconds.
 const RECENT_RETURN_MS: u64 = 3_000;
@@ -22,15 +22,15 @@
     /// What the two were read from.
     pub(crate) raw: raw_state::RawState,
     /// Whether a list of upstreams was ever read.
-    pub(crate) listed: bool,
+    pub(crate) has_list: bool,
     /// When the store came back from its last outage.
-    returned: Option<units::MonoTime>,
+    returned_at: Option<units::MonoTime>,
     /// Where the list in force comes from.
     pub(crate) origin: ListOrigin,
     /// Lists and changes that were dropped as older than the list in force.
     pub(crate) dropped: u64,
     /// Whether changes of a member did not lead to the member's list.
-    pub(crate) differs: bool,
+    pub(crate) diverged: bool,
 }
 
 /// Where a list comes from, and since when it has been in force.
@@ -50,11 +50,11 @@
             routes: rc::Rc::new(route_table::RouteTable::default()),
             list: upstream_list::UpstreamList::default(),
             raw: raw_state::RawState::default(),
-            listed: false,
-            returned: None,
+            has_list: false,
+            returned_at: None,
             origin: ListOrigin { source: "".into(), since: units::MonoTime::default() },
             dropped: 0,
-            differs: false,
+            diverged: false,
         }
     }
 
@@ -70,12 +70,12 @@
 
     /// Whether requests can be served.
     pub fn is_known(&self) -> bool {
-        self.routes.version.0 > 0 && self.listed
+        self.routes.version.0 > 0 && self.has_list
     }
 
     /// Whether a list of upstreams is known.
-    pub fn is_listed(&self) -> bool {
-        self.listed
+    pub fn has_list(&self) -> bool {
+        self.has_list
     }
 
     /// Revision of the store that was read last.
@@ -85,7 +85,7 @@
 
     /// Revision from which on changes of the list are wanted of members; none where only the whole list helps.
     pub fn wanted_from(&self) -> store_revision::StoreRevision {
-        if self.differs { store_revision::StoreRevision::default() } else { self.list.revision() }
+        if self.diverged { store_revision::StoreRevision::default() } else { self.list.revision() }
     }
 
     /// What a member that has these versions does not know yet; of the list nothing where it asks for routes only.
@@ -102,7 +102,7 @@
         let Some(list) = list else {
             return border::RawDocuments { routes, returned_ms, ..Default::default() };
         };
-        let whole = !self.raw.leads_from(list);
+        let whole = !self.raw.has_changes_since(list);
         let changes = self.raw.changes.iter().filter(|(revision, _, _)| *revision > list);
         let changes = changes.map(|(_, name, text)| (name.clone(), text.clone()));
         let crosses = !whole && list.era < self.raw.revision.era;
@@ -121,15 +121,15 @@
 
     /// Ages reported to members: of the store's return, and of its era.
     pub(crate) fn reported_ages(&self, now: units::MonoTime) -> (Option<u64>, Option<u64>) {
-        let returned = self.returned.map(|returned| rounded_age(now.since(returned)));
-        let returned = returned.filter(|millis| *millis < RECENT_RETURN_MS);
-        let era = self.list.recovering_since().map(|since| rounded_age(now.since(since)));
-        (returned, era)
+        let return_age = self.returned_at.map(|returned_at| rounded_age(now.since(returned_at)));
+        let return_age = return_age.filter(|millis| *millis < RECENT_RETURN_MS);
+        let era_age = self.list.recovering_since().map(|since| rounded_age(now.since(since)));
+        (return_age, era_age)
     }
 
     /// Notes that the store answers again after an outage.
     pub fn source_returned(&mut self, now: units::MonoTime) {
-        self.returned = Some(now);
+        self.returned_at = Some(now);
         self.list.source_returned(now);
     }
 
@@ -140,17 +140,17 @@
         now: units::MonoTime,
         documents: border::RawDocuments,
         source: &str,
-    ) -> Result<(), packed_bytes::PackError> {
+    ) -> Result<(), compressed_bytes::CompressionError> {
         let copied = documents.routes.as_ref().map(|copy| self.adopt_routes(copy, source));
-        let listed = self.adopt_list(now, documents, source);
-        copied.unwrap_or(Ok(())).and(listed)
+        let has_list = self.adopt_list(now, documents, source);
+        copied.unwrap_or(Ok(())).and(has_list)
     }
 
     fn adopt_routes(
         &mut self,
         copy: &routes_history::RoutesCopy,
         source: &str,
-    ) -> Result<(), packed_bytes::PackError> {
+    ) -> Result<(), compressed_bytes::CompressionError> {
         let version = self.routes.version.0;
         let text = self.raw.routes.as_deref().unwrap_or_default();
         let (text, changes) = copy.apply(version, text)?;
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod border;
 pub mod caller_connection;
 mod cell_search;
+pub mod compressed_bytes;
 pub mod context;
 pub mod document_answers;
 pub mod document_call;
@@ -32,7 +33,6 @@
 mod member_gossip;
 pub mod memory_hold;
 pub mod model_request;
-pub mod packed_bytes;
 pub mod peer_message;
 pub mod peers;
 mod permit_request;
--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use slipturn_core::{ids, list_recovery, store_revision, units, upstream_notice};
 
-use crate::{border, fleet_state, packed_bytes, peer_message, raw_state};
+use crate::{border, compressed_bytes, fleet_state, peer_message, raw_state};
 
 /// What an instance tells another of its recovery.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,19 +23,19 @@
 }
 
 /// Age told of a recovery that has ended.
-const ENDED_AGE: time::Duration = time::Duration::from_secs(3_600);
+const ENDED_RECOVERY_AGE: time::Duration = time::Duration::from_secs(3_600);
 
 impl RecoveryReport {
     /// Of a list that no recovery belongs to any more.
     pub(crate) fn ended() -> Self {
-        Self { age_ms: units::whole_millis(ENDED_AGE), ..Self::default() }
+        Self { age_ms: units::whole_millis(ENDED_RECOVERY_AGE), ..Self::default() }
     }
 }
 
 impl fleet_state::FleetState {
     /// Whether a revision belongs to a later era than the list in force.
     pub(crate) fn is_later_era(&self, revision: store_revision::StoreRevision) -> bool {
-        self.is_listed() && self.list.revision().era < revision.era
+        self.has_list() && self.list.revision().era < revision.era
     }
 
     /// The recovery in progress, for another member.
@@ -67,7 +67,7 @@
     pub(crate) fn upstreams_of_era(
         &self,
         documents: &mut border::RawDocuments,
-    ) -> Result<collections::BTreeMap<String, String>, packed_bytes::PackError> {
+    ) -> Result<collections::BTreeMap<String, String>, compressed_bytes::CompressionError> {
         if let Some(upstreams) = documents.upstreams.take() {
             return Ok(upstreams);
         }
@@ -75,7 +75,7 @@
         let found = raw_state::digest(&upstreams);
         match documents.digest {
             Some(expected) if expected != found => {
-                packed_bytes::DigestSnafu { expected, found }.fail()
+                compressed_bytes::DigestSnafu { expected, found }.fail()
             }
             _ => Ok(upstreams),
         }
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -4,10 +4,10 @@
 
 use slipturn_core::{ids, store_revision, units, upstream_list, upstream_notice};
 
-use crate::{border, fleet_state, list_recovery, packed_bytes};
+use crate::{border, compressed_bytes, fleet_state, list_recovery};
 
 /// Characters of a name or error from outside that a log line shows.
-const MAX_LOGGED: usize = 160;
+const MAX_LOGGED_CHARS: usize = 160;
 
 /// All upstreams and evacuations at a revision of the store.
 struct StoreList {
@@ -27,15 +27,15 @@
         now: units::MonoTime,
         mut documents: border::RawDocuments,
         source: &str,
-    ) -> Result<(), packed_bytes::PackError> {
+    ) -> Result<(), compressed_bytes::CompressionError> {
         let revision = documents.revision;
-        if revision.is_none() || (revision <= self.raw.revision && self.listed) {
+        if revision.is_none() || (revision <= self.raw.revision && self.has_list) {
             return Ok(());
         }
         let later_era = self.is_later_era(revision);
         if later_era {
             let upstreams = self.upstreams_of_era(&mut documents);
-            self.differs = upstreams.is_err();
+            self.diverged = upstreams.is_err();
             documents.upstreams = Some(upstreams?);
         }
         if let Some(millis) = documents.returned_ms {
@@ -51,14 +51,14 @@
         let unconfirmed = recovery.as_ref().map(|report| report.evacuated.clone());
         let unconfirmed = unconfirmed.unwrap_or_default();
         if let Some(upstreams) = documents.upstreams {
-            self.differs = false;
+            self.diverged = false;
             let evacuated = documents.evacuated;
             let list = StoreList { upstreams, evacuated, unconfirmed, revision };
             // Within an era this process knows itself what it keeps.
-            let recovery = recovery.filter(|_| later_era || !self.listed);
+            let recovery = recovery.filter(|_| later_era || !self.has_list);
             self.replace_all(now, list, recovery, source);
-        } else if self.listed {
-            self.take_evacuations(now, documents.evacuated, &unconfirmed, revision, source);
+        } else if self.has_list {
+            self.adopt_evacuations(now, documents.evacuated, &unconfirmed, revision, source);
             if documents.skipped {
                 self.raw.note_gap(revision);
             }
@@ -77,7 +77,7 @@
         source: &str,
     ) {
         if revision < self.list.revision() {
-            self.drop_older(revision, source);
+            self.reject_older(revision, source);
             return;
         }
         // Of a key that is there twice the last one holds.
@@ -97,8 +97,8 @@
         let StoreList { upstreams: mut documents, evacuated, unconfirmed, revision } = list;
         let before = self.list.revision();
         let later_era = self.is_later_era(revision);
-        self.note_origin(now, source);
-        self.take_evacuations(now, evacuated, &unconfirmed, revision, source);
+        self.record_origin(now, source);
+        self.adopt_evacuations(now, evacuated, &unconfirmed, revision, source);
         let mut entries = Vec::new();
         let mut unreadable = Vec::new();
         for (name, text) in &mut documents {
@@ -106,7 +106,8 @@
                 Some(entry) => entries.push(entry),
                 None => {
                     text.clear();
-                    unreadable.extend(read_name(name).map(upstream_list::ListChange::Unreadable));
+                    unreadable
+                        .extend(parse_upstream_id(name).map(upstream_list::ListChange::Unreadable));
                 }
             }
         }
@@ -118,9 +119,9 @@
         if self.list.apply(now, unreadable, revision) || replaced {
             log::info!(source, revision:%, upstreams = count; "list.replaced");
         }
-        let known = self.listed;
+        let known = self.has_list;
         let upstreams_before = self.raw.replace(documents, revision, known);
-        self.listed = true;
+        self.has_list = true;
         match recovery {
             Some(recovery) => self.adopt_recovery(now, recovery),
             None if later_era => self.keep_documents(&upstreams_before),
@@ -132,7 +133,7 @@
     }
 
     /// Takes over the data centres under evacuation, and holds those that the list of a later era lacks.
-    fn take_evacuations(
+    fn adopt_evacuations(
         &mut self,
         now: units::MonoTime,
         evacuated: collections::BTreeSet<ids::DataCenterId>,
@@ -192,7 +193,9 @@
             match change {
                 border::StoreChange::Put(item) => match self.border.key(&item.key) {
                     border::StoreKey::Routes => self.put_routes_item(item, "store"),
-                    border::StoreKey::Upstream(name) => upstreams.push((name, Some(text_of(item)))),
+                    border::StoreKey::Upstream(name) => {
+                        upstreams.push((name, Some(item_text(item))))
+                    }
                     border::StoreKey::Evacuation(data_center) => {
                         if revision >= self.list.revision() {
                             self.list.confirm_evacuation(&data_center);
@@ -223,10 +226,10 @@
     ) {
         if revision < self.list.revision() {
             // A late answer; its content must not go to other members as news.
-            self.drop_older(revision, source);
+            self.reject_older(revision, source);
             return;
         }
-        self.note_origin(now, source);
+        self.record_origin(now, source);
         // What members have sent already may come again, with older changes: only the last change of
         // each counts, or a start that is long over would seem to be the next one for a moment.
         let mut last_changes = collections::BTreeMap::new();
@@ -237,17 +240,17 @@
                 // What cannot be read is passed on as that, not as it is: it may be of any size.
                 text.as_mut().map(String::clear);
             }
-            let untold = matches!(&change, Some(upstream_list::ListChange::Present(entry))
+            let without_start = matches!(&change, Some(upstream_list::ListChange::Present(entry))
                 if entry.name.start().is_none());
             let before = last_changes.insert(name.clone(), change).flatten();
             // An upstream without a start may be listed after one that did only if that one had gone.
             let gone = before.filter(|before| matches!(before, upstream_list::ListChange::Gone(_)));
-            list_changes.extend(gone.filter(|_| untold));
+            list_changes.extend(gone.filter(|_| without_start));
             self.raw.change(name, text, revision);
         }
         list_changes.extend(last_changes.into_values().flatten());
         self.list.apply(now, list_changes, revision);
-        self.raw.settle(revision);
+        self.raw.advance_to(revision);
     }
 
     /// One change as the list takes it; `None` where its name is none.
@@ -260,11 +263,11 @@
         revision: store_revision::StoreRevision,
     ) -> Option<upstream_list::ListChange> {
         let Some(text) = text else {
-            log::info!(upstream = bounded(name), revision:%; "upstream.unlisted");
-            return read_name(name).map(upstream_list::ListChange::Gone);
+            log::info!(upstream = truncated(name), revision:%; "upstream.unlisted");
+            return parse_upstream_id(name).map(upstream_list::ListChange::Gone);
         };
         let Some(entry) = self.read_entry(name, text) else {
-            return read_name(name).map(upstream_list::ListChange::Unreadable);
+            return parse_upstream_id(name).map(upstream_list::ListChange::Unreadable);
         };
         if self.list.entry(&entry.name) != Some(&entry) {
             log::info!(
@@ -282,19 +285,19 @@
         read.inspect_err(|error| {
             if !known {
                 let error = error.to_string();
-                log::error!(upstream = bounded(name), error = bounded(&error); "upstream.rejected");
+                log::error!(upstream = truncated(name), error = truncated(&error); "upstream.rejected");
             }
         })
         .ok()
     }
 
-    fn drop_older(&mut self, revision: store_revision::StoreRevision, source: &str) {
+    fn reject_older(&mut self, revision: store_revision::StoreRevision, source: &str) {
         let known = self.list.revision();
         log::info!(source, revision:%, known:%; "list.older");
         self.dropped += 1;
     }
 
-    fn note_origin(&mut self, now: units::MonoTime, source: &str) {
+    fn record_origin(&mut self, now: units::MonoTime, source: &str) {
         if *self.origin.source != *source {
             self.origin.source = source.into();
         }
@@ -303,20 +306,20 @@
 }
 
 /// The upstream that a key of the store names; `None` where it names none.
-fn read_name(name: &str) -> Option<ids::UpstreamId> {
+fn parse_upstream_id(name: &str) -> Option<ids::UpstreamId> {
     ids::UpstreamId::of_identifier(name).ok()
 }
 
 /// An item's text; empty, which no entry is, where it cannot be read.
-pub(crate) fn text_of(item: border::StoreItem) -> String {
+pub(crate) fn item_text(item: border::StoreItem) -> String {
     let reject = |error: &border::FormatError| {
-        log::debug!(key = bounded(&item.key), error:%; "store.item_unreadable");
+        log::debug!(key = truncated(&item.key), error:%; "store.item_unreadable");
     };
     item.value.inspect_err(reject).unwrap_or_default()
 }
 
 /// The beginning of a text that may be of any length.
-fn bounded(text: &str) -> &str {
-    let end = text.char_indices().nth(MAX_LOGGED).map_or(text.len(), |(end, _)| end);
+fn truncated(text: &str) -> &str {
+    let end = text.char_indices().nth(MAX_LOGGED_CHARS).map_or(text.len(), |(end, _)| end);
     &text[..end]
 }
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -6,7 +6,7 @@
 use slipturn_core::{document_source, ids, member_beat, units};
 
 use crate::{
-    context, document_answers, document_call, heartbeats, packed_bytes, store_read, store_sight,
+    compressed_bytes, context, document_answers, document_call, heartbeats, store_read, store_sight,
 };
 
 /// Time for a member's routes: 100 KB, packed, take 0.04 s on a link of 20 Mbit/s, eight at once 0.3 s.
@@ -32,7 +32,7 @@
     loop {
         monoio::time::sleep(store_sight::look_interval(&context)).await;
         // At a start one call brings both documents.
-        if store_sight::own_watch_leads(&context) || !context.fleet.borrow().is_listed() {
+        if store_sight::own_watch_leads(&context) || !context.fleet.borrow().has_list() {
             continue;
         }
         let Some((member, address)) = routes_source(&context, failing.as_ref()) else {
@@ -105,7 +105,7 @@
         if store_sight::own_watch_leads(&context) {
             continue;
         }
-        let listed = context.fleet.borrow().is_listed();
+        let listed = context.fleet.borrow().has_list();
         let source = if listed { list_source(&context) } else { any_source(&context) };
         let Some((member, address)) = source else {
             continue;
@@ -152,7 +152,7 @@
     context: &context::InstanceContext,
     body: &[u8],
     member: &ids::InstanceId,
-) -> Result<(), packed_bytes::PackError> {
+) -> Result<(), compressed_bytes::CompressionError> {
     let documents = document_answers::decode(body)?;
     context.fleet.borrow_mut().adopt(context.now(), documents, member.as_str())
 }
--- a/crates/instance/src/raw_state.rs
+++ b/crates/instance/src/raw_state.rs
@@ -26,7 +26,7 @@
     pub(crate) changes:
         collections::VecDeque<(store_revision::StoreRevision, String, Option<String>)>,
     /// Changes up to this revision are not remembered.
-    pub(crate) floor: store_revision::StoreRevision,
+    pub(crate) history_start: store_revision::StoreRevision,
     /// Revision of the store that was read last.
     pub(crate) revision: store_revision::StoreRevision,
     /// Spans that were skipped, oldest first: of what changed within one, only what differs between its ends is known.
@@ -58,10 +58,10 @@
                 }
             }
         } else {
-            self.floor = revision;
+            self.history_start = revision;
         }
         self.upstreams = upstreams;
-        self.settle(revision);
+        self.advance_to(revision);
         before
     }
 
@@ -83,13 +83,15 @@
         self.gaps.push_back((self.revision, next));
         if self.gaps.len() > MAX_GAPS {
             self.gaps.pop_front();
-            self.floor = self.floor.max(self.gaps.front().map_or(next, |(start, _)| *start));
+            self.history_start =
+                self.history_start.max(self.gaps.front().map_or(next, |(start, _)| *start));
         }
     }
 
     /// Whether the changes that are remembered lead from the list of a revision to the present one.
-    pub(crate) fn leads_from(&self, list: store_revision::StoreRevision) -> bool {
-        list >= self.floor && !self.gaps.iter().any(|(start, end)| *start < list && list < *end)
+    pub(crate) fn has_changes_since(&self, list: store_revision::StoreRevision) -> bool {
+        list >= self.history_start
+            && !self.gaps.iter().any(|(start, end)| *start < list && list < *end)
     }
 
     /// Whether something was skipped since the list of a revision.
@@ -113,10 +115,10 @@
     }
 
     /// Notes that all changes up to `revision` are in, and forgets the oldest.
-    pub(crate) fn settle(&mut self, revision: store_revision::StoreRevision) {
+    pub(crate) fn advance_to(&mut self, revision: store_revision::StoreRevision) {
         let most = MIN_CHANGES.max((self.upstreams.len() as f64 * CHANGES_SHARE) as usize);
         while self.changes.len() > most {
-            self.floor = self.changes.pop_front().map_or(revision, |(oldest, _, _)| oldest);
+            self.history_start = self.changes.pop_front().map_or(revision, |(oldest, _, _)| oldest);
         }
         self.revision = self.revision.max(revision);
     }
--- a/crates/instance/src/routes_history.rs
+++ b/crates/instance/src/routes_history.rs
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::packed_bytes;
+use crate::compressed_bytes;
 
 /// Changes remembered: a member that missed more than a storm of them takes the whole.
-const MAX_CHANGES: usize = 16;
+const MAX_CACHED_CHANGES: usize = 16;
 /// Bytes of changes remembered; a change of one route takes some 50.
-const MAX_BYTES: usize = 64 * 1024;
+const MAX_CACHED_CHANGE_BYTES: usize = 64 * 1024;
 
 /// One change of the routes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,14 +22,14 @@
     /// Version after it; newer.
     pub to: u64,
     /// The newer text as what differs from the older.
-    text: packed_bytes::PackedBytes,
+    text: compressed_bytes::CompressedBytes,
 }
 
 /// What a member gives another of its routes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RoutesCopy {
     /// All of them.
-    Whole(packed_bytes::PackedBytes),
+    Whole(compressed_bytes::CompressedBytes),
     /// The changes from the other's version on, oldest first, each from the one before.
     Changes(Vec<RoutesChange>),
 }
@@ -40,9 +40,9 @@
         &self,
         version: u64,
         text: &str,
-    ) -> Result<(String, Vec<RoutesChange>), packed_bytes::PackError> {
+    ) -> Result<(String, Vec<RoutesChange>), compressed_bytes::CompressionError> {
         let changes = match self {
-            Self::Whole(packed) => return Ok((read(packed, "")?, Vec::new())),
+            Self::Whole(packed) => return Ok((decompress_text(packed, "")?, Vec::new())),
             Self::Changes(changes) => changes,
         };
         // Its own watch may have brought some of them meanwhile. A gap shows itself: what differs from
@@ -51,7 +51,7 @@
             changes.iter().skip_while(|change| change.to <= version).cloned().collect();
         let mut text = text.to_owned();
         for change in &missing {
-            text = read(&change.text, &text)?;
+            text = decompress_text(&change.text, &text)?;
         }
         Ok((text, missing))
     }
@@ -63,21 +63,21 @@
     /// Oldest first, each from the one before.
     changes: collections::VecDeque<RoutesChange>,
     /// The whole, once somebody has asked for it; of the newest version.
-    whole: Option<packed_bytes::PackedBytes>,
+    whole: Option<compressed_bytes::CompressedBytes>,
 }
 
 impl RoutesHistory {
     /// Takes in that routes of `from` were replaced by those of `to`.
     pub fn replace(&mut self, from: (u64, &str), to: (u64, &str)) {
         if from.0 == 0 {
-            self.forget();
+            self.clear();
             return;
         }
-        match packed_bytes::PackedBytes::pack(to.1.as_bytes(), from.1.as_bytes()) {
+        match compressed_bytes::CompressedBytes::compress(to.1.as_bytes(), from.1.as_bytes()) {
             Ok(text) => self.push(RoutesChange { from: from.0, to: to.0, text }),
             Err(error) => {
                 log::warn!(version = to.0, error:%; "routes.unpackable");
-                self.forget();
+                self.clear();
             }
         }
     }
@@ -85,7 +85,7 @@
     /// Takes in changes that came from a member; none where that gave the whole.
     pub fn extend(&mut self, changes: Vec<RoutesChange>) {
         if changes.is_empty() {
-            self.forget();
+            self.clear();
         }
         changes.into_iter().for_each(|change| self.push(change));
     }
@@ -99,12 +99,14 @@
         let size = |changes: &collections::VecDeque<RoutesChange>| {
             changes.iter().map(|change| change.text.size()).sum::<usize>()
         };
-        while self.changes.len() > MAX_CHANGES || size(&self.changes) > MAX_BYTES {
+        while self.changes.len() > MAX_CACHED_CHANGES
+            || size(&self.changes) > MAX_CACHED_CHANGE_BYTES
+        {
             self.changes.pop_front();
         }
     }
 
-    fn forget(&mut self) {
+    fn clear(&mut self) {
         self.changes.clear();
         self.whole = None;
     }
@@ -117,7 +119,7 @@
             return Some(RoutesCopy::Changes(self.changes.range(start..).cloned().collect()));
         }
         if self.whole.is_none() {
-            let packed = packed_bytes::PackedBytes::pack(text.as_bytes(), &[]);
+            let packed = compressed_bytes::CompressedBytes::compress(text.as_bytes(), &[]);
             self.whole = packed.inspect_err(|error| log::warn!(error:%; "routes.unpackable")).ok();
         }
         self.whole.clone().map(RoutesCopy::Whole)
@@ -125,7 +127,10 @@
 }
 
 /// The text that was packed against `base`.
-fn read(packed: &packed_bytes::PackedBytes, base: &str) -> Result<String, packed_bytes::PackError> {
-    let bytes = packed.unpack(base.as_bytes())?;
-    String::from_utf8(bytes).map_err(packed_bytes::PackError::code)
+fn decompress_text(
+    packed: &compressed_bytes::CompressedBytes,
+    base: &str,
+) -> Result<String, compressed_bytes::CompressionError> {
+    let bytes = packed.decompress(base.as_bytes())?;
+    String::from_utf8(bytes).map_err(compressed_bytes::CompressionError::code)
 }
--- a/crates/instance/src/small_server.rs
+++ b/crates/instance/src/small_server.rs
@@ -83,7 +83,7 @@
     status: u16,
     body: Bytes,
     /// Held until it is sent, where it is one of a bounded number.
-    guard: Option<document_answers::LargeGuard>,
+    guard: Option<document_answers::LargeAnswerGuard>,
 }
 
 impl SmallAnswer {
--- a/crates/instance/src/store_call.rs
+++ b/crates/instance/src/store_call.rs
@@ -66,7 +66,7 @@
     path: &str,
     limit: time::Duration,
 ) -> Result<StoreAnswer, StoreError> {
-    let answer = connection.call_whole("GET", path, Bytes::new(), limit).await;
+    let answer = connection.call_any_status("GET", path, Bytes::new(), limit).await;
     let answer = answer.context(CallSnafu)?;
     let era = context.border.store_era(&answer.head).context(EraSnafu)?;
     let known = known_era(context);
--- a/crates/instance/src/store_read.rs
+++ b/crates/instance/src/store_read.rs
@@ -34,7 +34,7 @@
     // Pages are not a snapshot: changes since the first page are watched again.
     let revision = upstreams.revision;
     let documents = upstreams.items.into_iter().filter_map(|item| match border.key(&item.key) {
-        border::StoreKey::Upstream(name) => Some((name, list_update::text_of(item))),
+        border::StoreKey::Upstream(name) => Some((name, list_update::item_text(item))),
         _ => None,
     });
     let documents = documents.collect();
--- a/crates/instance/tests/routes_history.rs
+++ b/crates/instance/tests/routes_history.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use slipturn_instance::{
-    packed_bytes::{PackError, PackedBytes},
+    compressed_bytes::{CompressedBytes, CompressionError},
     routes_history::{RoutesCopy, RoutesHistory},
 };
 
@@ -82,7 +82,7 @@
     let other = routes(3, 0).replace("r12", "r99");
     let outcome = copy.apply(3, &other);
     assert!(
-        matches!(outcome, Err(PackError::Digest { .. } | PackError::Code { .. })),
+        matches!(outcome, Err(CompressionError::Digest { .. } | CompressionError::Codec { .. })),
         "{outcome:?}"
     );
 }
@@ -108,7 +108,7 @@
 #[test]
 fn a_large_configuration_is_a_tenth_on_its_way() {
     let text = routes(1, 1_400);
-    let packed = PackedBytes::pack(text.as_bytes(), &[]).expect("packed");
+    let packed = CompressedBytes::compress(text.as_bytes(), &[]).expect("packed");
     println!("{} of {} bytes", packed.size(), text.len());
     assert!(packed.size() * 5 < text.len(), "{} of {} bytes", packed.size(), text.len());
 }
@@ -117,13 +117,13 @@
     #[test]
     fn damage_is_found_out_and_nothing_panics(at in any::<prop::sample::Index>(), with in 1_u8..=255) {
         let text = routes(4, 0);
-        let packed = PackedBytes::pack(text.as_bytes(), &[]).expect("packed");
+        let packed = CompressedBytes::compress(text.as_bytes(), &[]).expect("packed");
         let mut bytes = postcard::to_stdvec(&packed).expect("coded");
         let at = at.index(bytes.len());
         bytes[at] ^= with;
-        if let Ok(damaged) = postcard::from_bytes::<PackedBytes>(&bytes) {
+        if let Ok(damaged) = postcard::from_bytes::<CompressedBytes>(&bytes) {
             // A flag of the packed form that changes nothing may differ.
-            prop_assert!(damaged.unpack(&[]).map_or(true, |found| found == text.as_bytes()));
+            prop_assert!(damaged.decompress(&[]).map_or(true, |found| found == text.as_bytes()));
         }
     }
 }
