--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -1,7 +1,7 @@
-//! What members are given of the store's documents, coded once for all who lack the same.
+//! Encoded answers to members that request the store's documents.
 //!
-//! At a start and after each change many members lack the same at the same moment. Coded apart for each, a long list
-//! would stand in the memory of the one who has it first once for each that asks.
+//! At a start and after each change many members request the same documents at the same time. Each answer is encoded once
+//! and shared: otherwise the first member to have a long list would hold one copy of it in memory for each requester.
 
 use std::rc;
 
@@ -10,39 +10,39 @@
 
 use crate::{border, compressed_bytes, context};
 
-/// Answers kept: of one version of routes and list, for those who lack the routes, the list, or both.
+/// Most cached answers: those of one version of routes and list, for requesters that lack the routes, the list, or both.
 const MAX_CACHED_ANSWERS: usize = 4;
-/// Answers of at least this size, bytes, count as large: on a link of 20 Mbit/s one takes 7 ms.
+/// Size in bytes from which an answer counts as large: sending it takes 7 ms on a link of 20 Mbit/s.
 const MIN_LARGE_ANSWER_BYTES: usize = 16 * 1024;
-/// Bytes of large answers sent at once; 0.2 s on such a link. A member that is refused asks another one, and more have
-/// the documents by then.
+/// Most bytes of large answers in flight at once: 0.2 s on a link of 20 Mbit/s. A refused member asks another one; more
+/// members have the documents by then.
 const MAX_LARGE_BYTES_IN_FLIGHT: usize = 480 * 1024;
-/// Large answers always sent at once.
+/// Number of large answers that may be in flight whatever their size.
 const MIN_LARGE_IN_FLIGHT: usize = 8;
 
-/// What an answer was made for, and of.
+/// Key of a cached answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct AnswerKey {
-    /// Versions of routes and list that the other has.
+    /// Versions of routes and list that the requester has.
     requester_has: (u64, Option<store_revision::StoreRevision>),
-    /// Versions of routes and list here.
+    /// Versions of routes and list that this process has.
     current: (u64, store_revision::StoreRevision),
-    /// Ages reported in it; they grow while it is cached.
+    /// Ages reported in the answer: once they have grown, it is encoded again.
     ages: (Option<u64>, Option<u64>),
 }
 
-/// Answers to members, and how many large ones are on their way.
+/// Cached answers to members, and the number and size of large ones in flight.
 #[derive(Debug, Default)]
 pub struct DocumentAnswers {
-    /// Newest last.
+    /// Cached answers, oldest first.
     cached: Vec<(AnswerKey, Bytes)>,
-    /// Large answers on their way.
+    /// Number of large answers in flight.
     large_in_flight: usize,
-    /// Bytes of these.
+    /// Total size of large answers in flight.
     large_bytes_in_flight: usize,
 }
 
-/// Counts a large answer as on its way for as long as it lives.
+/// Counts a large answer as in flight until it is dropped.
 pub(crate) struct LargeAnswerGuard {
     context: rc::Rc<context::InstanceContext>,
     bytes: usize,
@@ -56,17 +56,18 @@
     }
 }
 
-/// An answer to a member, or why there is none.
+/// An answer to a member's request for documents, or the reason that there is none.
 pub(crate) enum DocumentAnswer {
-    /// What it lacks; held until it is sent.
+    /// The encoded documents; the guard of a large answer is held until the answer is sent.
     Ready(Bytes, Option<LargeAnswerGuard>),
-    /// Too many large ones are on their way.
+    /// Too many large answers are in flight.
     Busy,
-    /// It cannot be coded.
+    /// The documents could not be encoded.
     Failed(compressed_bytes::CompressionError),
 }
 
-/// What a member that has these versions of routes and list lacks.
+/// Returns the documents that a member with these versions of routes and list lacks; without a version of the list, the
+/// routes alone.
 pub(crate) fn answer(
     context: &rc::Rc<context::InstanceContext>,
     routes: u64,
@@ -91,6 +92,7 @@
     DocumentAnswer::Ready(bytes, Some(guard))
 }
 
+/// Returns the answer from the cache, or encodes and caches it.
 fn cached_or_encoded(
     context: &context::InstanceContext,
     routes: u64,
@@ -117,24 +119,24 @@
     Ok(bytes)
 }
 
-/// Whether an answer is one of those that are bounded.
+/// Whether an answer counts towards the bounds on large answers.
 pub(crate) fn is_large(answer: &[u8]) -> bool {
     answer.len() >= MIN_LARGE_ANSWER_BYTES
 }
 
-/// Codes documents for another member.
+/// Encodes and compresses documents for another member.
 pub fn encode(
     documents: &border::RawDocuments,
 ) -> Result<Vec<u8>, compressed_bytes::CompressionError> {
     let plain = postcard::to_stdvec(documents).map_err(compressed_bytes::CompressionError::code)?;
-    let packed = compressed_bytes::CompressedBytes::compress(&plain, &[])?;
-    postcard::to_stdvec(&packed).map_err(compressed_bytes::CompressionError::code)
+    let compressed = compressed_bytes::CompressedBytes::compress(&plain, &[])?;
+    postcard::to_stdvec(&compressed).map_err(compressed_bytes::CompressionError::code)
 }
 
-/// Reads documents of another member.
+/// Decodes the documents that [`encode`] produced at another member.
 pub fn decode(bytes: &[u8]) -> Result<border::RawDocuments, compressed_bytes::CompressionError> {
-    let packed: compressed_bytes::CompressedBytes =
+    let compressed: compressed_bytes::CompressedBytes =
         postcard::from_bytes(bytes).map_err(compressed_bytes::CompressionError::code)?;
-    let plain = packed.decompress(&[])?;
+    let plain = compressed.decompress(&[])?;
     postcard::from_bytes(&plain).map_err(compressed_bytes::CompressionError::code)
 }
