--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -1,4 +1,4 @@
-//! Small HTTP calls for documents: from the store, from members, from engines.
+//! HTTP calls that fetch small documents from the store, from members and from engines.
 
 use std::{net, time};
 
@@ -6,70 +6,70 @@
 use slipturn_net::h1;
 use snafu::{ResultExt as _, Snafu};
 
-/// Time for a connection to come about.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
-/// Largest document.
+/// Largest body of a response, in bytes.
 const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// Why a call for a document failed.
+/// Why a document call failed.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection.
+    /// The connection could not be opened.
     #[snafu(display("cannot connect: {source}"))]
     Connect {
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Nothing came in time.
+    /// The call timed out.
     #[snafu(display("no answer within {limit:?}"))]
     Silent {
-        /// The time allowed.
+        /// The timeout.
         limit: time::Duration,
     },
-    /// The connection or the message failed.
+    /// The connection failed, or the response is malformed.
     #[snafu(display("{source}"))]
     Message {
-        /// What went wrong.
+        /// The error of the HTTP layer.
         source: h1::MessageError,
     },
-    /// Another status than 200.
+    /// The response has a status other than 200.
     #[snafu(display("status {status}"))]
     Status {
-        /// The status.
+        /// Status code of the response.
         status: u16,
     },
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Debug)]
 pub struct DocumentResponse {
-    /// Its head.
+    /// Status line and headers.
     pub head: http::response::Parts,
-    /// Its body.
+    /// The body, at most `MAX_DOCUMENT_BYTES` long.
     pub body: Bytes,
 }
 
 impl DocumentResponse {
-    /// The body of a good answer.
+    /// Returns the body, or an error if the status is not 200.
     pub fn into_body(self) -> Result<Bytes, CallError> {
         let status = self.head.status.as_u16();
         if status == 200 { Ok(self.body) } else { StatusSnafu { status }.fail() }
     }
 }
 
-/// A connection for one document call after the other.
+/// A persistent connection for consecutive document calls; reopened after a failure.
 pub struct DocumentConnection {
     address: net::SocketAddr,
     open: Option<(h1::MessageReader, h1::MessageWriter)>,
 }
 
 impl DocumentConnection {
-    /// A connection that opens at the first call.
+    /// Creates a connection that is opened by the first call.
     pub fn new(address: net::SocketAddr) -> Self {
         Self { address, open: None }
     }
 
-    /// Opens it ahead of a call, where it is not open.
+    /// Opens the connection ahead of a call, unless it is open already.
     pub async fn open(&mut self, limit: time::Duration) -> Result<(), CallError> {
         if self.open.is_none() {
             let connected = monoio::time::timeout(limit, connect(self.address)).await;
@@ -81,12 +81,12 @@
         Ok(())
     }
 
-    /// Reads a document; after any failure the connection is closed.
+    /// Fetches a document. A timeout or a failed exchange closes the connection.
     pub async fn get(&mut self, path: &str, limit: time::Duration) -> Result<Bytes, CallError> {
         self.call("GET", path, Bytes::new(), limit).await
     }
 
-    /// Sends a document and reads the answer.
+    /// Sends a request and returns the body of the response, or an error if its status is not 200.
     pub async fn call(
         &mut self,
         method: &str,
@@ -97,7 +97,7 @@
         self.call_any_status(method, path, body, limit).await?.into_body()
     }
 
-    /// Sends a document and reads the answer, whatever its status.
+    /// Sends a request and returns the response, whatever its status.
     pub async fn call_any_status(
         &mut self,
         method: &str,
@@ -128,6 +128,7 @@
     Ok(h1::split(connected.context(ConnectSnafu)?))
 }
 
+/// Sends a request and reads its response; returns also whether the connection can be reused.
 async fn exchange(
     open: &mut Option<(h1::MessageReader, h1::MessageWriter)>,
     address: net::SocketAddr,
