--- a/crates/instance/src/failure_watch.rs
+++ b/crates/instance/src/failure_watch.rs
@@ -6,16 +6,16 @@
 
 use crate::{context, heartbeats, peer_message};
 
-/// Interval between two calls of the detector.
+/// Interval between two calls of the failure detector.
 const TICK: time::Duration = time::Duration::from_millis(100);
-/// Interval between two updates of its ring.
+/// Interval between two updates of the detector's probe ring.
 const RING_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Least interval between two denials of a suspicion.
 const DENIAL_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Most reports in one message; each takes some twelve bytes.
+/// Most suspicion reports in one message; each takes some twelve bytes.
 const MAX_REPORTS: usize = 200;
 
-/// Runs the detector where heartbeats alone are too slow.
+/// Runs the failure detector while heartbeats are too far apart to show a silent member in time.
 pub async fn run(context: rc::Rc<context::InstanceContext>) {
     let mut ring_at = units::MonoTime::default();
     loop {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Handles a probe or its answer.
+/// Handles a probe or the reply to one.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     from: net::SocketAddrV4,
@@ -65,12 +65,12 @@
     }
 }
 
-/// Handles ends of suspicions broadcast by another member.
+/// Handles withdrawn suspicions broadcast by another member.
 pub(crate) fn receive_restored(context: &context::InstanceContext, boots: &[u64]) {
     boots.iter().for_each(|boot| restore(context, *boot));
 }
 
-/// Handles a sign of life of a member.
+/// Withdraws the suspicion of a member that has shown a sign of life.
 pub(crate) fn restore(context: &context::InstanceContext, boot: u64) {
     let now = context.now();
     if context.detector.borrow_mut().restore(now, boot) {
@@ -87,12 +87,12 @@
         context.stats.borrow_mut().count("members", "suspected");
         log::info!(boot = report.boot, silent_ms = report.silent_ms; "member.suspected");
     } else {
-        // There was a later sign of life here.
+        // The member is unknown, or has been heard from since the report was made.
         context.detector.borrow_mut().restore(now, report.boot);
     }
 }
 
-/// Denies a suspicion of this process with heartbeats to all.
+/// Refutes a suspicion of this process by broadcasting its heartbeat to all members.
 fn deny(context: &context::InstanceContext) {
     let now = context.now();
     if context.denied.get().is_none_or(|last| now.since(last) >= DENIAL_INTERVAL) {
