--- a/crates/instance/src/failure_watch.rs
+++ b/crates/instance/src/failure_watch.rs
@@ -7,11 +7,11 @@
 use crate::{context, heartbeats, peer_message};
 
 /// Interval between two calls of the failure detector.
-const TICK: time::Duration = time::Duration::from_millis(100);
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// Interval between two updates of the detector's probe ring.
 const RING_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Least interval between two denials of a suspicion.
-const DENIAL_INTERVAL: time::Duration = time::Duration::from_secs(1);
+const REFUTATION_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Most suspicion reports in one message; each takes some twelve bytes.
 const MAX_REPORTS: usize = 200;
 
@@ -19,7 +19,7 @@
 pub async fn run(context: rc::Rc<context::InstanceContext>) {
     let mut ring_at = units::MonoTime::default();
     loop {
-        monoio::time::sleep(TICK).await;
+        monoio::time::sleep(TICK_INTERVAL).await;
         let now = context.now();
         let members = context.members.borrow();
         if !members.needs_probes() || !members.is_settled(now) {
@@ -31,7 +31,7 @@
         }
         drop(members);
         let actions = context.detector.borrow_mut().tick(now, &mut rand::rng());
-        act(&context, actions);
+        apply_actions(&context, actions);
     }
 }
 
@@ -43,7 +43,7 @@
 ) {
     let now = context.now();
     let actions = context.detector.borrow_mut().receive(now, from, message);
-    act(context, actions);
+    apply_actions(context, actions);
 }
 
 /// Handles suspicions broadcast by another member.
@@ -53,15 +53,15 @@
 ) {
     for report in reports {
         if report.boot == context.boot {
-            deny(context);
+            refute(context);
             continue;
         }
-        let heard = context.detector.borrow_mut().receive_suspect(context.now(), report);
-        let (news, actions) = heard;
+        let outcome = context.detector.borrow_mut().receive_suspect(context.now(), report);
+        let (news, actions) = outcome;
         if news {
             suspect(context, report);
         }
-        act(context, actions);
+        apply_actions(context, actions);
     }
 }
 
@@ -93,16 +93,19 @@
 }
 
 /// Refutes a suspicion of this process by broadcasting its heartbeat to all members.
-fn deny(context: &context::InstanceContext) {
+fn refute(context: &context::InstanceContext) {
     let now = context.now();
-    if context.denied.get().is_none_or(|last| now.since(last) >= DENIAL_INTERVAL) {
+    if context.denied.get().is_none_or(|last| now.since(last) >= REFUTATION_INTERVAL) {
         context.denied.set(Some(now));
         log::warn!("process.suspected");
         heartbeats::broadcast(context);
     }
 }
 
-fn act(context: &context::InstanceContext, actions: Vec<failure_detector::DetectorAction>) {
+fn apply_actions(
+    context: &context::InstanceContext,
+    actions: Vec<failure_detector::DetectorAction>,
+) {
     use failure_detector::DetectorAction;
     let (mut suspects, mut restored) = (Vec::new(), Vec::new());
     for action in actions {
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -9,7 +9,7 @@
 
 /// Time between two questions to a member that left calls unanswered: while it is silent two members may
 /// plan for the same engines. A question and its answer are some 60 bytes, to one or two members.
-const SILENT_INTERVAL: time::Duration = time::Duration::from_millis(300);
+const SILENT_PROBE_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
 /// Handles a heartbeat. A member that has just started is answered at once, and the members it names are
 /// greeted: with periodic heartbeats alone, the members of a large fleet would meet only after many seconds.
@@ -77,9 +77,9 @@
 }
 
 /// Asks members that left calls unanswered whether they are back.
-pub async fn ask_silent(context: rc::Rc<context::InstanceContext>) {
+pub async fn probe_silent(context: rc::Rc<context::InstanceContext>) {
     loop {
-        monoio::time::sleep(SILENT_INTERVAL).await;
+        monoio::time::sleep(SILENT_PROBE_INTERVAL).await;
         let silent = context.members.borrow().silent();
         for to in silent {
             context.send_to(to, peer_message::PeerMessage::Who);
@@ -111,17 +111,17 @@
 
 /// Tells the members of this data centre at once that there is something new to fetch.
 pub fn announce(context: &context::InstanceContext) {
-    send_beat(context, near_members(context));
+    send_beat(context, members_of_data_center(context));
 }
 
 /// Sends to a random choice of them.
-pub(crate) fn announce_to_some(context: &context::InstanceContext, count: usize) {
-    let near = near_members(context);
-    let drawn = near.sample(&mut rand::rng(), count).copied().collect();
-    send_beat(context, drawn);
+pub(crate) fn announce_to_sample(context: &context::InstanceContext, count: usize) {
+    let members = members_of_data_center(context);
+    let sample = members.sample(&mut rand::rng(), count).copied().collect();
+    send_beat(context, sample);
 }
 
-fn near_members(context: &context::InstanceContext) -> Vec<net::SocketAddrV4> {
+fn members_of_data_center(context: &context::InstanceContext) -> Vec<net::SocketAddrV4> {
     let data_center = context.settings().data_center.clone();
     let members = context.members.borrow();
     let alive = members.alive(context.now());
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -11,16 +11,16 @@
 
 /// Time for a member's routes: 100 KB, packed, take 0.04 s on a link of 20 Mbit/s, eight at once 0.3 s.
 /// One that is silent must leave time for others and the store.
-const ROUTES_TIME: time::Duration = time::Duration::from_millis(600);
+const ROUTES_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 /// Time for a member's list.
-const LIST_TIME: time::Duration = time::Duration::from_millis(1_500);
+const LIST_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 /// Timeout for both at a start, when other members have them as well.
-const START_TIME: time::Duration = time::Duration::from_millis(500);
+const START_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Pause after a member that is busy giving documents to others, with its spread.
-const BUSY_PAUSE: std::ops::Range<f64> = 0.05..0.15;
+const BUSY_PAUSE_S: std::ops::Range<f64> = 0.05..0.15;
 /// Members informed by one that has received a large document from another: enough that the number of those who
 /// are known to have it grows as fast as it can be sent.
-const TOLD_MEMBERS: usize = 3;
+const ANNOUNCED_MEMBERS: usize = 3;
 /// Path of a member's documents.
 pub const DOCUMENTS_PATH: &str = "/documents";
 
@@ -28,25 +28,25 @@
 pub async fn follow_routes(context: rc::Rc<context::InstanceContext>) {
     let mut source = document_source::DocumentSource::new(rand::random());
     // A member that did not give them when it was last asked.
-    let mut failing = None;
+    let mut last_failed = None;
     loop {
         monoio::time::sleep(store_sight::look_interval(&context)).await;
         // At a start one call brings both documents.
         if store_sight::own_watch_leads(&context) || !context.fleet.borrow().has_list() {
             continue;
         }
-        let Some((member, address)) = routes_source(&context, failing.as_ref()) else {
+        let Some((member, address)) = routes_source(&context, last_failed.as_ref()) else {
             source.note_whole();
             continue;
         };
         let now = context.now();
         match source.choose(now) {
             document_source::SourceChoice::Member => {
-                let copied = adopt_routes(&context, &member, address).await;
-                failing = (copied != CopyOutcome::Taken).then_some(member);
-                match copied {
+                let outcome = adopt_routes(&context, &member, address).await;
+                last_failed = (outcome != CopyOutcome::Adopted).then_some(member);
+                match outcome {
                     // In a storm of changes the next may be missing already.
-                    CopyOutcome::Taken => source.note_whole(),
+                    CopyOutcome::Adopted => source.note_whole(),
                     CopyOutcome::Missing => {}
                     CopyOutcome::Damaged => source.note_damage(),
                 }
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CopyOutcome {
     /// Its documents are taken over, as far as they are newer.
-    Taken,
+    Adopted,
     /// It did not give them.
     Missing,
     /// What it gave is of no use.
@@ -90,9 +90,9 @@
 ) -> CopyOutcome {
     let known = context.fleet.borrow().routes.version;
     let path = format!("{DOCUMENTS_PATH}?routes={known}");
-    let copied = adopt_from(context, member, address, &path, ROUTES_TIME).await;
+    let outcome = adopt_from(context, member, address, &path, ROUTES_TIMEOUT).await;
     let newer = context.fleet.borrow().routes.version > known;
-    if copied == CopyOutcome::Taken && !newer { CopyOutcome::Missing } else { copied }
+    if outcome == CopyOutcome::Adopted && !newer { CopyOutcome::Missing } else { outcome }
 }
 
 /// Follows the list of upstreams through members while others watch the store, or while it is
@@ -113,7 +113,7 @@
         let routes = if listed { u64::MAX } else { context.versions().routes };
         let list = context.fleet.borrow().wanted_from();
         let path = format!("{DOCUMENTS_PATH}?routes={routes}&list={list}");
-        let limit = if listed { LIST_TIME } else { START_TIME };
+        let limit = if listed { LIST_TIMEOUT } else { START_TIMEOUT };
         adopt_from(&context, &member, address, &path, limit).await;
     }
 }
@@ -132,7 +132,7 @@
         Err(error) => {
             log::info!(member:%, error:%; "member.documents_failed");
             if matches!(error, document_call::CallError::Status { status: 503 }) {
-                let pause = rand::rng().random_range(BUSY_PAUSE);
+                let pause = rand::rng().random_range(BUSY_PAUSE_S);
                 monoio::time::sleep(time::Duration::from_secs_f64(pause)).await;
             }
             return CopyOutcome::Missing;
@@ -143,9 +143,9 @@
         return CopyOutcome::Damaged;
     }
     if document_answers::is_large(&body) {
-        heartbeats::announce_to_some(context, TOLD_MEMBERS);
+        heartbeats::announce_to_sample(context, ANNOUNCED_MEMBERS);
     }
-    CopyOutcome::Taken
+    CopyOutcome::Adopted
 }
 
 fn adopt(
@@ -157,17 +157,17 @@
     context.fleet.borrow_mut().adopt(context.now(), documents, member.as_str())
 }
 
-/// A member, drawn, that has newer routes; another than `failing`, if there is one.
+/// A member, drawn, that has newer routes; another than `last_failed`, if there is one.
 fn routes_source(
     context: &context::InstanceContext,
-    failing: Option<&ids::InstanceId>,
+    last_failed: Option<&ids::InstanceId>,
 ) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
     let known = context.belief.borrow().known(context.versions()).routes;
     let members = context.members.borrow();
     let mut sources = members.routes_sources(context.now(), known, &settings.data_center);
     if sources.len() > 1 {
-        sources.retain(|member| Some(&member.name) != failing);
+        sources.retain(|member| Some(&member.name) != last_failed);
     }
     pick_source(&sources, settings.listen.members.port())
 }
@@ -192,8 +192,8 @@
     sources: &[&member_beat::MemberBeat],
     port: u16,
 ) -> Option<(ids::InstanceId, net::SocketAddr)> {
-    let drawn = rand::rng().random_range(0..sources.len().max(1));
-    let member = sources.get(drawn)?;
+    let index = rand::rng().random_range(0..sources.len().max(1));
+    let member = sources.get(index)?;
     let address = net::SocketAddrV4::new(*member.address.ip(), port);
     Some((member.name.clone(), net::SocketAddr::V4(address)))
 }
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -28,39 +28,42 @@
 
 /// Requests the state of a few members, after something may have been missed.
 pub(crate) fn request(context: &context::InstanceContext) {
-    for to in drawn(context, gossip::GossipCause::Woke) {
+    for to in random_targets(context, gossip::GossipCause::Woke) {
         context.send_to(to, peer_message::PeerMessage::RequestGossip);
     }
 }
 
 /// Broadcasts a change.
 pub(crate) fn broadcast(context: &context::InstanceContext, message: &peer_message::PeerMessage) {
-    for to in drawn(context, gossip::GossipCause::Found) {
+    for to in random_targets(context, gossip::GossipCause::Found) {
         context.send_to(to, message.clone());
     }
 }
 
 /// Runs periodic rounds, and requests state after a pause.
 pub(crate) async fn repeat(context: rc::Rc<context::InstanceContext>) {
-    let mut woken = context.woke.get();
+    let mut last_wake = context.woke.get();
     loop {
         monoio::time::sleep(gossip::REPEAT_INTERVAL).await;
-        if context.woke.get() != woken {
-            woken = context.woke.get();
+        if context.woke.get() != last_wake {
+            last_wake = context.woke.get();
             request(&context);
         }
-        let told = drawn(&context, gossip::GossipCause::Repeat);
-        for to in &told {
+        let targets = random_targets(&context, gossip::GossipCause::Repeat);
+        for to in &targets {
             upstream_signals::send_leaving(&context, *to);
             limit_gossip::send_to(&context, *to);
         }
         // Evidence of the quarantine is larger and only needed for future sends.
-        told.first().into_iter().for_each(|to| quarantine_gossip::send_held(&context, *to));
+        targets.first().into_iter().for_each(|to| quarantine_gossip::send_held(&context, *to));
     }
 }
 
 /// Targets of a round.
-fn drawn(context: &context::InstanceContext, cause: gossip::GossipCause) -> Vec<net::SocketAddrV4> {
+fn random_targets(
+    context: &context::InstanceContext,
+    cause: gossip::GossipCause,
+) -> Vec<net::SocketAddrV4> {
     let members = context.members.borrow();
     let alive = members.alive(context.now()).map(|beat| beat.address);
     gossip::targets(cause, alive, &mut rand::rng())
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -64,7 +64,7 @@
     /// Upstreams have named limits, or ended them.
     Limits(Vec<LimitReport>),
     /// Requests a permit from the coordinator of a quota.
-    RequestPermit(Box<PermitQuestion>),
+    RequestPermit(Box<PermitRequestMessage>),
     /// The response to the request of this number.
     Permit(u64, quota_permit::PermitResponse),
     /// A probe of the failure detector, or its answer.
@@ -90,7 +90,7 @@
 
 /// A question for leave.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PermitQuestion {
+pub struct PermitRequestMessage {
     /// Number of the question at its member.
     pub number: u64,
     /// Start of the member.
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -14,11 +14,11 @@
 /// Time between two looks at requests that wait, while any does.
 const PLAN_INTERVAL: time::Duration = time::Duration::from_millis(10);
 /// Time between two looks while none waits.
-const REST_INTERVAL: time::Duration = time::Duration::from_millis(50);
+const IDLE_INTERVAL: time::Duration = time::Duration::from_millis(50);
 /// Time between two log lines on what a planner believes.
-const STATE_INTERVAL: time::Duration = time::Duration::from_secs(1);
+const STATE_LOG_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Time between two timers' ends beyond which the process must have been paused.
-const PAUSE_SIGN: time::Duration = time::Duration::from_millis(700);
+const MIN_PAUSE: time::Duration = time::Duration::from_millis(700);
 
 /// Sends what other tasks say.
 pub async fn send_all(
@@ -121,7 +121,7 @@
         PeerMessage::Leaving(reports) => upstream_signals::receive_members(context, reports),
         PeerMessage::Limits(reports) => limit_gossip::receive_members(context, reports),
         PeerMessage::RequestPermit(question) => {
-            quota_coordinator::receive_ask(context, from, *question);
+            quota_coordinator::receive_request(context, from, *question);
         }
         PeerMessage::Permit(number, answer) => permit_request::receive(context, number, answer),
         PeerMessage::Probe(message) => failure_watch::receive(context, from, message),
@@ -157,18 +157,18 @@
 pub async fn plan(context: rc::Rc<context::InstanceContext>) {
     let mut last = context.now();
     let mut logged = last;
-    let mut told = heartbeats::AnnouncedState::default();
+    let mut announced = heartbeats::AnnouncedState::default();
     loop {
         let state = heartbeats::AnnouncedState::of(&context.own_beat());
-        if state != told {
-            heartbeats::broadcast_state(&context, state, told);
-            told = state;
+        if state != announced {
+            heartbeats::broadcast_state(&context, state, announced);
+            announced = state;
         }
         // A process that has just started announces at once when it has routes.
-        let busy = context.planners.borrow().waiting() > 0 || !told.has_routes;
-        monoio::time::sleep(if busy { PLAN_INTERVAL } else { REST_INTERVAL }).await;
+        let busy = context.planners.borrow().waiting() > 0 || !announced.has_routes;
+        monoio::time::sleep(if busy { PLAN_INTERVAL } else { IDLE_INTERVAL }).await;
         let now = context.now();
-        if now.since(last) > PAUSE_SIGN {
+        if now.since(last) > MIN_PAUSE {
             log::warn!(paused_ms = now.since(last).as_millis() as u64; "process.woke");
             context.woke.set(now);
             quota_coordinator::begin_anew(&context);
@@ -182,7 +182,7 @@
         let answers = {
             let mut planners = context.planners.borrow_mut();
             planners.sync(now, &context.fleet.borrow());
-            if now.since(logged) > STATE_INTERVAL {
+            if now.since(logged) > STATE_LOG_INTERVAL {
                 logged = now;
                 planners.log_state(now);
             }
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -135,7 +135,7 @@
     };
     let (number, reply) = context.quotas.asks.note(subject, context.now());
     let (subject, boot) = (subject.clone(), context.boot);
-    let question = peer_message::PermitQuestion { number, boot, subject, ask, known };
+    let question = peer_message::PermitRequestMessage { number, boot, subject, ask, known };
     context
         .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(question)));
     match monoio::time::timeout(REPLY_TIME, reply).await {
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -121,7 +121,7 @@
     monoio::spawn(peers::send_all(rc::Rc::clone(&socket), queue));
     monoio::spawn(peers::receive_all(share(), socket));
     monoio::spawn(heartbeats::repeat(share()));
-    monoio::spawn(heartbeats::ask_silent(share()));
+    monoio::spawn(heartbeats::probe_silent(share()));
     monoio::spawn(failure_watch::run(share()));
     monoio::spawn(peers::plan(share()));
     monoio::spawn(lease_renewal::repeat(share()));
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -11,12 +11,12 @@
 use crate::{context, peer_message, upstream_ends};
 
 /// Members that keep the evidence against one request: with four of them gone or cut off, one is left.
-const KEEPERS: usize = 5;
+const EVIDENCE_KEEPERS: usize = 5;
 /// Members up to which all keep it: a small fleet needs no choice, and who serves a request knows then
 /// that it is a suspect.
-const SMALL_FLEET: usize = 12;
+const SMALL_FLEET_MEMBERS: usize = 12;
 /// Digests that a log line names in full; more are counted.
-const MAX_LOGGED: usize = 16;
+const MAX_LOGGED_DIGESTS: usize = 16;
 
 /// Takes in runs of this process under which an upstream ended.
 pub(crate) fn report(context: &context::InstanceContext, runs: &[upstream_ends::BrokenRun]) {
@@ -26,12 +26,12 @@
         sent: run.sent,
         ended: run.broke,
     };
-    hold_new(context, runs.iter().map(ended).collect());
+    record_evidence(context, runs.iter().map(ended).collect());
     let now = context.now();
-    for (keeper, digests) in members_for(context, runs.iter().map(|run| run.digest)) {
+    for (keeper, digests) in keepers_of(context, runs.iter().map(|run| run.digest)) {
         // All that is known here of these requests, so that the times fit each other.
         let ends = ends_of(context, &digests);
-        for reports in reports(now, &ends) {
+        for reports in report_batches(now, &ends) {
             context.send_to(keeper, peer_message::PeerMessage::Ends(reports));
         }
     }
@@ -42,7 +42,7 @@
     context: &context::InstanceContext,
     reports: Vec<peer_message::EndReport>,
 ) {
-    hold_new(context, ended_runs(context.now(), reports));
+    record_evidence(context, ended_runs(context.now(), reports));
 }
 
 /// Takes in evidence against requests that another member holds back.
@@ -53,7 +53,7 @@
 ) {
     let now = context.now();
     let ends = ended_runs(now, reports);
-    tell_answered(context, from, &ends);
+    report_cleared(context, from, &ends);
     let held = context.quarantine.borrow_mut().note_ends(now, ends);
     log_held(context, &held, "member");
 }
@@ -72,7 +72,7 @@
 pub(crate) fn send_held(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
     let held = context.quarantine.borrow().held_at(now);
-    for reports in reports(now, &ends_of(context, &held)) {
+    for reports in report_batches(now, &ends_of(context, &held)) {
         context.send_to(to, peer_message::PeerMessage::Held(reports));
     }
 }
@@ -103,7 +103,7 @@
     let told: Vec<_> = if held {
         context.members.borrow().targets(context.settings().member_address)
     } else {
-        members_for(context, [digest].into_iter()).into_iter().map(|(to, _)| to).collect()
+        keepers_of(context, [digest].into_iter()).into_iter().map(|(to, _)| to).collect()
     };
     for to in told {
         context.send_to(to, peer_message::PeerMessage::Cleared(digest, 0));
@@ -115,23 +115,23 @@
 }
 
 /// Adds evidence, and informs all members of new quarantines.
-fn hold_new(context: &context::InstanceContext, ends: Vec<quarantine::EndedRun>) {
+fn record_evidence(context: &context::InstanceContext, ends: Vec<quarantine::EndedRun>) {
     let now = context.now();
     let held = context.quarantine.borrow_mut().note_ends(now, ends);
     if held.is_empty() {
         return;
     }
     log_held(context, &held, "evidence");
-    let against = ends_of(context, &held);
+    let evidence = ends_of(context, &held);
     for to in context.members.borrow().targets(context.settings().member_address) {
-        for reports in reports(now, &against) {
+        for reports in report_batches(now, &evidence) {
             context.send_to(to, peer_message::PeerMessage::Held(reports));
         }
     }
 }
 
 /// Tells a member that holds back what was answered here since.
-fn tell_answered(
+fn report_cleared(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
     ends: &[quarantine::EndedRun],
@@ -162,7 +162,7 @@
 }
 
 /// Members that keep the evidence against these requests, each with its part of them.
-fn members_for(
+fn keepers_of(
     context: &context::InstanceContext,
     digests: impl Iterator<Item = request_digest::RequestDigest>,
 ) -> Vec<(net::SocketAddrV4, Vec<request_digest::RequestDigest>)> {
@@ -175,7 +175,7 @@
     for digest in digests {
         let subject = digest.to_string();
         let ranked = rendezvous::ranked(&subject, alive.iter(), |beat| beat.name.as_str());
-        let count = if alive.len() <= SMALL_FLEET { alive.len() } else { KEEPERS };
+        let count = if alive.len() <= SMALL_FLEET_MEMBERS { alive.len() } else { EVIDENCE_KEEPERS };
         for keeper in ranked.into_iter().take(count) {
             keepers.entry(keeper.address).or_default().push(digest);
         }
@@ -184,7 +184,7 @@
 }
 
 /// Messages' worth of reports.
-fn reports(
+fn report_batches(
     now: units::MonoTime,
     ends: &[quarantine::EndedRun],
 ) -> Vec<Vec<peer_message::EndReport>> {
@@ -223,7 +223,7 @@
     source: &str,
 ) {
     let table = context.quarantine.borrow();
-    for digest in held.iter().take(MAX_LOGGED) {
+    for digest in held.iter().take(MAX_LOGGED_DIGESTS) {
         let Some(verdict) = table.verdict(context.now(), *digest) else {
             continue;
         };
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -214,10 +214,10 @@
 }
 
 /// Handles a member's request, with the limit that it knows.
-pub(crate) fn receive_ask(
+pub(crate) fn receive_request(
     context: &context::InstanceContext,
     from: std::net::SocketAddrV4,
-    asked: peer_message::PermitQuestion,
+    asked: peer_message::PermitRequestMessage,
 ) {
     limit_gossip::receive_members(context, asked.known.into_iter().collect());
     let answer = answer(context, asked.boot, &asked.subject, &asked.ask);
--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -12,7 +12,7 @@
 };
 use slipturn_instance::peer_message::{
     LeavingReport, LimitReport, MAX_DATAGRAM, MAX_LEASES, MAX_LEAVING, MAX_LIMITS, MAX_RENEWED,
-    PeerMessage, PermitQuestion, RenewedJob,
+    PeerMessage, PermitRequestMessage, RenewedJob,
 };
 
 fn name(text: &str) -> slipturn_core::ids::UpstreamId {
@@ -148,9 +148,9 @@
     let ask = PermitRequest { wanted: 9, patience_ms: 300 };
     let subject = QuotaSubject::Upstream(upstream);
     let (number, boot) = (90_000, u64::MAX);
-    let question = PermitQuestion { number, boot, subject, ask, known: Some(known.clone()) };
+    let question = PermitRequestMessage { number, boot, subject, ask, known: Some(known.clone()) };
     let subject = QuotaSubject::Retries("plain".parse().expect("a name"), RetryNeed::Early);
-    let retry = PermitQuestion { number, boot, subject, ask, known: None };
+    let retry = PermitRequestMessage { number, boot, subject, ask, known: None };
     let given = PermitResponse::Granted { count: 1, wait_ms: 200 };
     let messages = [
         (PeerMessage::Limits(vec![known]), 64),
