--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -1,4 +1,4 @@
-//! What this process believes of routes and upstreams, and the raw documents it passes on.
+//! Routes and upstreams in force in this process, and the raw documents that it passes on to members.
 
 use std::{net, rc, time};
 
@@ -6,44 +6,45 @@
 
 use crate::{border, compressed_bytes, raw_state, routes_history};
 
-/// An outage's end this long ago explains no changes any more, milliseconds.
+/// Age in milliseconds from which the end of a store outage is not reported to members any more: it no longer explains
+/// changes of the list.
 const RECENT_RETURN_MS: u64 = 3_000;
 
-/// Ages reported to members are rounded up to this, so that one answer serves many of them, milliseconds.
+/// Step in milliseconds to which ages reported to members are rounded up, so that one cached answer serves many of them.
 const AGE_STEP_MS: u64 = 250;
 
-/// Routes and upstreams in force in this process. Versions only ever go up.
+/// Routes and upstreams in force in this process. Versions never go down.
 pub struct FleetState {
     pub(crate) border: rc::Rc<dyn border::PlatformBorder>,
-    /// Routes in force; version 0 until the first is known.
+    /// Routes in force; version 0 until the first routes are known.
     pub routes: rc::Rc<route_table::RouteTable>,
-    /// Upstreams.
+    /// Upstreams and evacuations in force.
     pub list: upstream_list::UpstreamList,
-    /// What the two were read from.
+    /// Documents from which routes and list were read.
     pub(crate) raw: raw_state::RawState,
-    /// Whether a list of upstreams was ever read.
+    /// Whether a list of upstreams has ever been read.
     pub(crate) has_list: bool,
-    /// When the store came back from its last outage.
+    /// When the last outage of the store ended.
     returned_at: Option<units::MonoTime>,
-    /// Where the list in force comes from.
+    /// Origin of the list in force.
     pub(crate) origin: ListOrigin,
-    /// Lists and changes that were dropped as older than the list in force.
+    /// Number of lists and changes dropped because they were older than the list in force.
     pub(crate) dropped: u64,
-    /// Whether changes of a member did not lead to the member's list.
+    /// Whether applying a member's changes did not result in the member's list, so that a whole list is needed.
     pub(crate) diverged: bool,
 }
 
-/// Where a list comes from, and since when it has been in force.
+/// Origin of the list in force.
 #[derive(Debug, Clone)]
 pub struct ListOrigin {
-    /// The store, or the member that passed it on; empty before the first list.
+    /// `store`, or the name of the member that passed the list on; empty before the first list.
     pub source: rc::Rc<str>,
-    /// When its last change was taken over.
+    /// When the last change of the list was applied.
     pub since: units::MonoTime,
 }
 
 impl FleetState {
-    /// A process that knows nothing yet.
+    /// Creates the state of a process that has not read any documents.
     pub fn new(border: rc::Rc<dyn border::PlatformBorder>) -> Self {
         Self {
             border,
@@ -58,17 +59,17 @@
         }
     }
 
-    /// Where the list in force comes from.
+    /// Origin of the list in force.
     pub fn origin(&self) -> &ListOrigin {
         &self.origin
     }
 
-    /// Lists and changes that were dropped as older than the list in force.
+    /// Number of lists and changes dropped because they were older than the list in force.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Whether requests can be served.
+    /// Whether routes and a list of upstreams are known, so that requests can be served.
     pub fn is_known(&self) -> bool {
         self.routes.version.0 > 0 && self.has_list
     }
@@ -78,17 +79,17 @@
         self.has_list
     }
 
-    /// Revision of the store that was read last.
+    /// Latest revision of the store that this process has read or received from a member.
     pub fn revision(&self) -> store_revision::StoreRevision {
         self.raw.revision
     }
 
-    /// Revision from which on changes of the list are wanted of members; none where only the whole list helps.
+    /// Revision after which changes of the list are requested from members; the empty revision if a whole list is needed.
     pub fn wanted_from(&self) -> store_revision::StoreRevision {
         if self.diverged { store_revision::StoreRevision::default() } else { self.list.revision() }
     }
 
-    /// What a member that has these versions does not know yet; of the list nothing where it asks for routes only.
+    /// Documents that a member with these versions lacks; the routes alone where it gives no revision of the list.
     pub fn documents(
         &mut self,
         now: units::MonoTime,
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Ages reported to members: of the store's return, and of its era.
+    /// Ages in milliseconds reported to members: of the end of the last outage, if that is recent, and of the era, if
+    /// a recovery is in progress.
     pub(crate) fn reported_ages(&self, now: units::MonoTime) -> (Option<u64>, Option<u64>) {
         let return_age = self.returned_at.map(|returned_at| rounded_age(now.since(returned_at)));
         let return_age = return_age.filter(|millis| *millis < RECENT_RETURN_MS);
@@ -127,14 +129,16 @@
         (return_age, era_age)
     }
 
-    /// Notes that the store answers again after an outage.
+    /// Records that the store answers again after an outage.
     pub fn source_returned(&mut self, now: units::MonoTime) {
         self.returned_at = Some(now);
         self.list.source_returned(now);
     }
 
-    /// Takes over documents of another member, each only where it is newer. Fails where its copy of the
-    /// routes is damaged, or made for others than these; the list is taken over all the same.
+    /// Adopts those documents of another member that are newer than the ones in force.
+    ///
+    /// Fails if the copy of the routes is damaged or was made against other routes than those in force; the list is
+    /// adopted all the same.
     pub fn adopt(
         &mut self,
         now: units::MonoTime,
@@ -160,7 +164,7 @@
         Ok(())
     }
 
-    /// Takes over routes as they lie in the store, if they can be read and are newer.
+    /// Adopts a routes item of the store, if it is readable and newer.
     pub fn put_routes_item(&mut self, item: border::StoreItem, source: &str) {
         match item.value {
             Ok(text) => self.put_routes(text, source),
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Takes over routes that the store has, if they are newer.
+    /// Adopts the routes in the store, if they are newer.
     pub fn put_routes(&mut self, text: String, source: &str) {
         if let Some((version, before)) = self.replace_routes(text, source) {
             let text = self.raw.routes.as_deref().unwrap_or_default();
@@ -176,31 +180,31 @@
         }
     }
 
-    /// Brings routes into force, if they are newer; the version and text before.
+    /// Puts routes into force, if they are valid and newer; returns the version and text that they replace.
     fn replace_routes(&mut self, text: String, source: &str) -> Option<(u64, String)> {
-        let read = match self.border.read_routes(&text) {
-            Ok(read) => read,
+        let routes = match self.border.read_routes(&text) {
+            Ok(routes) => routes,
             Err(error) => {
                 log::error!(source, error:%; "routes.rejected");
                 return None;
             }
         };
-        if read.version <= self.routes.version {
+        if routes.version <= self.routes.version {
             return None;
         }
         log::info!(
-            version = read.version.0, before = self.routes.version.0, routes = read.route_count(),
+            version = routes.version.0, before = self.routes.version.0, routes = routes.route_count(),
             source; "routes.adopted"
         );
-        self.list.set_cold_policies(read.cold_policies());
-        let before = std::mem::replace(&mut self.routes, rc::Rc::new(read));
+        self.list.set_cold_policies(routes.cold_policies());
+        let before = std::mem::replace(&mut self.routes, rc::Rc::new(routes));
         let text = self.raw.routes.replace(text).unwrap_or_default();
         Some((before.version.0, text))
     }
 
-    /// Takes in which start answers at an address, asked at `asked`.
+    /// Records which start of an upstream answered at an address a request that was sent at `asked`.
     ///
-    /// An address at which two upstreams are listed identifies neither.
+    /// An address at which two upstreams are listed identifies neither, so the report is ignored.
     pub fn receive_start(
         &mut self,
         now: units::MonoTime,
@@ -214,7 +218,7 @@
     }
 }
 
-/// An age in milliseconds, as reported to members.
+/// Age in milliseconds, rounded up as it is reported to members.
 pub(crate) fn rounded_age(age: time::Duration) -> u64 {
     units::whole_millis(age).next_multiple_of(AGE_STEP_MS)
 }
