--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: said to all again and again, at once where something has changed, and heard.
+//! Heartbeats of members: sent to all periodically, and at once after a change of state.
 
 use std::{net, rc, time};
 
@@ -7,12 +7,15 @@
 
 use crate::{context, failure_watch, member_gossip, peer_message};
 
-/// Time between two questions to a member that left calls unanswered: while it is silent two members may
-/// plan for the same engines. A question and its answer are some 60 bytes, to one or two members.
+/// Interval between two probes of a member that left calls unanswered: until its return is noticed, two members may
+/// plan for the same engines. A probe and its reply take some 60 bytes, and go to one or two members.
 const SILENT_PROBE_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
-/// Handles a heartbeat. A member that has just started is answered at once, and the members it names are
-/// greeted: with periodic heartbeats alone, the members of a large fleet would meet only after many seconds.
+/// Handles a heartbeat.
+///
+/// A member that has just joined is answered at once, with the addresses of all members if it knows only few. Unknown
+/// members that a heartbeat names are sent one at once. With periodic heartbeats alone, the members of a large fleet
+/// would discover each other only after many seconds.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     now: units::MonoTime,
@@ -44,7 +47,7 @@
     }
 }
 
-/// Says to these members what this process says of itself.
+/// Sends this process's heartbeat to `targets`: whole when that is due and to unknown members, else in its short form.
 fn send_beat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
     let beat = context.next_beat();
     for to in targets {
@@ -57,7 +60,7 @@
     }
 }
 
-/// Repeats this process's heartbeat to the others and forgets silent ones.
+/// Broadcasts this process's heartbeat periodically, and forgets silent members.
 pub async fn repeat(context: rc::Rc<context::InstanceContext>) {
     let mut clock = beat_clock::BeatClock::default();
     loop {
@@ -76,7 +79,7 @@
     }
 }
 
-/// Asks members that left calls unanswered whether they are back.
+/// Probes members that left calls unanswered, to notice their return.
 pub async fn probe_silent(context: rc::Rc<context::InstanceContext>) {
     loop {
         monoio::time::sleep(SILENT_PROBE_INTERVAL).await;
@@ -87,7 +90,8 @@
     }
 }
 
-/// Broadcasts a change of state: to all where it affects the choice of planners, else to this data centre.
+/// Broadcasts a change of state: to all members if it may affect the choice of planners, else to those of this data
+/// centre.
 pub(crate) fn broadcast_state(
     context: &context::InstanceContext,
     state: AnnouncedState,
@@ -103,18 +107,19 @@
     }
 }
 
+/// Sends this process's heartbeat to all members.
 pub(crate) fn broadcast(context: &context::InstanceContext) {
     let own = context.settings().member_address;
     let targets = context.members.borrow().targets(own);
     send_beat(context, targets);
 }
 
-/// Tells the members of this data centre at once that there is something new to fetch.
+/// Sends this process's heartbeat to the members of this data centre, so that they learn of its new documents or state.
 pub fn announce(context: &context::InstanceContext) {
     send_beat(context, members_of_data_center(context));
 }
 
-/// Sends to a random choice of them.
+/// Sends this process's heartbeat to `count` random members of this data centre.
 pub(crate) fn announce_to_sample(context: &context::InstanceContext, count: usize) {
     let members = members_of_data_center(context);
     let sample = members.sample(&mut rand::rng(), count).copied().collect();
@@ -128,17 +133,17 @@
     alive.filter(|other| other.data_center == data_center).map(|other| other.address).collect()
 }
 
-/// What the others must know at once, as it decides who plans.
+/// State that other members must learn at once, as the choice of planners depends on it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AnnouncedState {
     plans: bool,
     leaving: bool,
-    /// Whether it knows any routes.
+    /// Whether the process knows any routes.
     pub(crate) has_routes: bool,
 }
 
 impl AnnouncedState {
-    /// Of a heartbeat that would be sent now.
+    /// State that a heartbeat announces.
     pub(crate) fn of(beat: &member_beat::MemberBeat) -> Self {
         Self { plans: beat.plans, leaving: beat.leaving, has_routes: beat.routes > 0 }
     }
