--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -107,11 +107,11 @@
     ) -> Result<DocumentResponse, CallError> {
         let mut open = self.open.take();
         let exchange_future = exchange(&mut open, self.address, method, path, body);
-        let outcome = monoio::time::timeout(limit, exchange_future).await;
-        let Ok(outcome) = outcome else {
+        let result = monoio::time::timeout(limit, exchange_future).await;
+        let Ok(result) = result else {
             return SilentSnafu { limit }.fail();
         };
-        let (answer, reusable) = outcome?;
+        let (answer, reusable) = result?;
         self.open = open.filter(|_| reusable);
         Ok(answer)
     }
--- a/crates/instance/src/instance_settings.rs
+++ b/crates/instance/src/instance_settings.rs
@@ -72,7 +72,7 @@
 
 /// Part of [`FleetBounds::memory_idle`] after which an attempt is given up that has not begun; the
 /// rest is for orders on their way and for the release.
-const UNUSED_PART: f64 = 0.8;
+const UNUSED_SHARE: f64 = 0.8;
 
 fn default_memory_idle() -> units::TimeSpan {
     units::TimeSpan(time::Duration::from_secs(9))
@@ -81,7 +81,7 @@
 impl FleetBounds {
     /// Time from setting memory aside by which the answer must have begun.
     pub fn unused_time(&self) -> time::Duration {
-        self.memory_idle.0.mul_f64(UNUSED_PART)
+        self.memory_idle.0.mul_f64(UNUSED_SHARE)
     }
 
     /// The bound on retries.
@@ -128,9 +128,9 @@
 }
 
 /// Missed heartbeats after which the entry of an upstream goes.
-const LAPSE_HEARTBEATS: u32 = 3;
+const EXPIRY_HEARTBEATS: u32 = 3;
 /// Time in which upstreams reach a store that has returned.
-const REACH_TIME: time::Duration = time::Duration::from_secs(2);
+const RECONNECT_TIME: time::Duration = time::Duration::from_secs(2);
 
 fn default_upstream_heartbeat() -> units::TimeSpan {
     units::TimeSpan(time::Duration::from_millis(1_200))
@@ -145,28 +145,28 @@
     pub fn load(path: &path::Path) -> Result<Self, InstanceSettingsError> {
         let text = fs::read_to_string(path).context(UnreadableSnafu { path })?;
         let settings: Self = settings::parse_yaml(&text).context(InvalidSnafu { path })?;
-        let range = |option, found: f64, expected| {
+        let range_error = |option, found: f64, expected| {
             RangeSnafu { path, option, found: found.to_string(), expected }.fail()
         };
         if settings.cpu_share.is_nan() || settings.cpu_share <= 0.0 {
-            return range("cpu_share", settings.cpu_share, "more than 0");
+            return range_error("cpu_share", settings.cpu_share, "more than 0");
         }
         if settings.upstream_heartbeat.0.is_zero() {
-            return range("upstream_heartbeat", 0.0, "more than 0");
+            return range_error("upstream_heartbeat", 0.0, "more than 0");
         }
         let bounds = &settings.bounds;
         if bounds.retry_ratio.is_nan() || bounds.retry_ratio < 0.0 {
-            return range("bounds.retry_ratio", bounds.retry_ratio, "0 or more");
+            return range_error("bounds.retry_ratio", bounds.retry_ratio, "0 or more");
         }
         if bounds.retry_extra.is_nan() || bounds.retry_extra < 0.0 {
-            return range("bounds.retry_extra", bounds.retry_extra, "0 or more");
+            return range_error("bounds.retry_extra", bounds.retry_extra, "0 or more");
         }
         Ok(settings)
     }
 
     /// Time after the store's return from an older copy after which an entry that still stands has been renewed.
     pub fn rewrite_time(&self) -> time::Duration {
-        self.upstream_heartbeat.0 * LAPSE_HEARTBEATS + REACH_TIME
+        self.upstream_heartbeat.0 * EXPIRY_HEARTBEATS + RECONNECT_TIME
     }
 
     /// Whether others begin to ask at this instance.
--- a/crates/instance/src/instance_stats.rs
+++ b/crates/instance/src/instance_stats.rs
@@ -19,12 +19,12 @@
 
 impl LatencySeries {
     /// Bound of the bucket below which this share lies; `None` above the last one.
-    fn bound_of(&self, share: f64) -> Option<u64> {
-        let wanted = (self.count as f64 * share).ceil() as u64;
+    fn quantile_bound(&self, share: f64) -> Option<u64> {
+        let rank = (self.count as f64 * share).ceil() as u64;
         let mut below = 0;
         BUCKETS_MS.iter().zip(self.buckets).find_map(|(bound, count)| {
             below += count;
-            (below >= wanted).then_some(*bound)
+            (below >= rank).then_some(*bound)
         })
     }
 }
@@ -57,13 +57,13 @@
 impl InstanceStats {
     /// Counts one event.
     pub fn count(&mut self, metric: &'static str, label: &str) {
-        let key = bounded(&self.counters, metric, label);
+        let key = bounded_key(&self.counters, metric, label);
         *self.counters.entry(key).or_default() += 1;
     }
 
     /// Notes a latency.
     pub fn time(&mut self, metric: &'static str, label: &str, span: time::Duration) {
-        let key = bounded(&self.latencies, metric, label);
+        let key = bounded_key(&self.latencies, metric, label);
         let series = self.latencies.entry(key).or_default();
         let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
         series.count += 1;
@@ -81,8 +81,8 @@
                 series: label.clone(),
                 count: series.count,
                 mean_ms: series.total_ms / series.count.max(1),
-                p50_below_ms: series.bound_of(0.5),
-                p95_below_ms: series.bound_of(0.95),
+                p50_below_ms: series.quantile_bound(0.5),
+                p95_below_ms: series.quantile_bound(0.95),
             };
         self.latencies.iter().map(row).collect()
     }
@@ -115,13 +115,14 @@
     }
 }
 
-fn bounded<T>(
+fn bounded_key<T>(
     series: &collections::BTreeMap<(&'static str, String), T>,
     metric: &'static str,
     label: &str,
 ) -> (&'static str, String) {
-    let clean: String = label.chars().filter(|sign| !matches!(sign, '"' | '\\' | '\n')).collect();
-    let key = (metric, clean);
+    let label: String =
+        label.chars().filter(|character| !matches!(character, '"' | '\\' | '\n')).collect();
+    let key = (metric, label);
     if series.len() < MAX_SERIES || series.contains_key(&key) {
         return key;
     }
--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -64,7 +64,7 @@
     }
 
     /// All upstreams after the documents of another member, which lead into a later era.
-    pub(crate) fn upstreams_of_era(
+    pub(crate) fn upstreams_after(
         &self,
         documents: &mut border::RawDocuments,
     ) -> Result<collections::BTreeMap<String, String>, compressed_bytes::CompressionError> {
@@ -123,7 +123,7 @@
     }
 
     /// Logs that the list of a later era is in force.
-    pub(crate) fn log_recovery(&self, before: store_revision::StoreRevision, source: &str) {
+    pub(crate) fn log_era_change(&self, before: store_revision::StoreRevision, source: &str) {
         let state = self.list.recovery().unwrap_or_default();
         log::warn!(
             source, before:%, revision:% = self.list.revision(), kept = state.kept.len(),
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -34,7 +34,7 @@
         }
         let later_era = self.is_later_era(revision);
         if later_era {
-            let upstreams = self.upstreams_of_era(&mut documents);
+            let upstreams = self.upstreams_after(&mut documents);
             self.diverged = upstreams.is_err();
             documents.upstreams = Some(upstreams?);
         }
@@ -128,7 +128,7 @@
             None => {}
         }
         if later_era {
-            self.log_recovery(before, source);
+            self.log_era_change(before, source);
         }
     }
 
