--- a/crates/instance/src/instance_settings.rs
+++ b/crates/instance/src/instance_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one instance: a YAML file of its own, laid by the platform at every start.
+//! Settings of one instance, read from a YAML file that the platform writes at every start.
 
 use std::{fs, net, path, time};
 
@@ -6,72 +6,72 @@
 use slipturn_core::{fleet_budget, ids, planner, settings, units};
 use snafu::{ResultExt as _, Snafu};
 
-/// Why the settings could not be used.
+/// Why a settings file was rejected.
 #[derive(Debug, Snafu)]
 pub enum InstanceSettingsError {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: path::PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Its content is not valid.
+    /// The file is not valid YAML, or does not match the settings' format.
     #[snafu(display("{}: {source}", path.display()))]
     Invalid {
-        /// The file.
+        /// Path of the settings file.
         path: path::PathBuf,
-        /// What is wrong.
+        /// The error of the parser.
         source: settings::SettingsError,
     },
-    /// A value is out of its range.
+    /// A value is out of range.
     #[snafu(display("{}: {option}: found {found}, expected {expected}", path.display()))]
     Range {
-        /// The file.
+        /// Path of the settings file.
         path: path::PathBuf,
-        /// The option.
+        /// Full name of the option, with dots between its parts.
         option: &'static str,
-        /// Its value.
+        /// The rejected value.
         found: String,
-        /// What would be valid.
+        /// The range of valid values.
         expected: &'static str,
     },
 }
 
-/// Where an instance listens.
+/// Addresses on which an instance accepts connections.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenAddresses {
-    /// Callers' requests.
+    /// For requests of callers.
     pub callers: net::SocketAddr,
-    /// The balancer's question whether it is ready.
+    /// For readiness checks of the load balancer.
     pub health: net::SocketAddr,
-    /// Other instances' calls for documents.
+    /// For document calls of other instances.
     pub members: net::SocketAddr,
 }
 
-/// Bounds that the operators set for the whole fleet.
+/// Limits that operators set for the whole fleet.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetBounds {
-    /// Time within which a leaving upstream gets no more work.
+    /// Time within which all instances must stop sending requests to a leaving upstream.
     pub leave: units::TimeSpan,
     /// Time from SIGTERM to SIGKILL.
     pub grace: units::TimeSpan,
-    /// Retries for each request, of all instances together.
+    /// Retries per request, over all instances.
     pub retry_ratio: f64,
-    /// Retries beyond that in a window.
+    /// Retries that all instances may send in each window in addition to `retry_ratio`.
     pub retry_extra: f64,
-    /// Length of that window.
+    /// Length of the window for `retry_extra`.
     pub retry_window: units::TimeSpan,
-    /// Time for which memory set aside on engines may lie unused.
+    /// Time for which memory reserved on engines may stay unused.
     #[serde(default = "default_memory_idle")]
     pub memory_idle: units::TimeSpan,
 }
 
-/// Part of [`FleetBounds::memory_idle`] after which an attempt is given up that has not begun; the
-/// rest is for orders on their way and for the release.
+/// Share of [`FleetBounds::memory_idle`] after which an attempt is given up whose answer has not begun; the rest is for
+/// orders in flight and for releasing the memory.
 const UNUSED_SHARE: f64 = 0.8;
 
 fn default_memory_idle() -> units::TimeSpan {
@@ -79,12 +79,12 @@
 }
 
 impl FleetBounds {
-    /// Time from setting memory aside by which the answer must have begun.
+    /// Time after a reservation of memory within which the answer must have begun.
     pub fn unused_time(&self) -> time::Duration {
         self.memory_idle.0.mul_f64(UNUSED_SHARE)
     }
 
-    /// The bound on retries.
+    /// Bound on the retries of all instances.
     pub fn retry_bound(&self) -> fleet_budget::RetryBound {
         fleet_budget::RetryBound {
             ratio: self.retry_ratio,
@@ -98,38 +98,38 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
-    /// Its name.
+    /// Unique name of the instance.
     pub name: ids::InstanceId,
-    /// Its data centre.
+    /// Data centre in which the instance runs.
     pub data_center: ids::DataCenterId,
-    /// Where it listens.
+    /// Addresses on which the instance accepts connections.
     pub listen: ListenAddresses,
-    /// Address for other instances' heartbeats; the port is the same on all.
+    /// UDP address for messages of other instances; the port is the same on all instances.
     pub member_address: net::SocketAddrV4,
-    /// Where operators read metrics, status and explanations.
+    /// Address for operators: metrics, status and records of requests.
     pub operator_address: net::SocketAddr,
-    /// Instances to ask first; may be stale.
+    /// Document addresses of instances to contact first; may be stale.
     pub seeds: Vec<net::SocketAddrV4>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: net::SocketAddr,
-    /// How engines are chosen; all but the default are there to compare with.
+    /// How engines are chosen; values other than the default serve for comparisons.
     #[serde(default = "default_routing")]
     pub routing: settings::RoutingKind,
-    /// Ways of decisions, for experiments; all but the defaults are there to compare with.
+    /// Variants of decision rules; values other than the defaults serve for comparisons.
     #[serde(default)]
     pub experiments: planner::ways::PlannerWays,
-    /// Share of a core.
+    /// CPU share of the instance, in cores.
     pub cpu_share: f64,
-    /// Bounds that hold for the fleet.
+    /// Limits for the whole fleet.
     pub bounds: FleetBounds,
-    /// Time between two writes of an upstream's entry in the store.
+    /// Interval at which an upstream renews its entry in the store.
     #[serde(default = "default_upstream_heartbeat")]
     pub upstream_heartbeat: units::TimeSpan,
 }
 
-/// Missed heartbeats after which the entry of an upstream goes.
+/// Missed renewals after which the store drops the entry of an upstream.
 const EXPIRY_HEARTBEATS: u32 = 3;
-/// Time in which upstreams reach a store that has returned.
+/// Time within which upstreams reconnect to a store after an outage.
 const RECONNECT_TIME: time::Duration = time::Duration::from_secs(2);
 
 fn default_upstream_heartbeat() -> units::TimeSpan {
@@ -141,7 +141,7 @@
 }
 
 impl InstanceSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn load(path: &path::Path) -> Result<Self, InstanceSettingsError> {
         let text = fs::read_to_string(path).context(UnreadableSnafu { path })?;
         let settings: Self = settings::parse_yaml(&text).context(InvalidSnafu { path })?;
@@ -164,17 +164,17 @@
         Ok(settings)
     }
 
-    /// Time after the store's return from an older copy after which an entry that still stands has been renewed.
+    /// Time after the store's return from an older copy from which an entry still present has been renewed since.
     pub fn rewrite_time(&self) -> time::Duration {
         self.upstream_heartbeat.0 * EXPIRY_HEARTBEATS + RECONNECT_TIME
     }
 
-    /// Whether others begin to ask at this instance.
+    /// Whether this instance is one of the seeds.
     pub fn is_seed(&self) -> bool {
         self.member_seeds().contains(&self.member_address)
     }
 
-    /// Where other instances' heartbeats are heard, for those named by their document address.
+    /// UDP addresses of the seeds, which the settings name by their document addresses.
     pub fn member_seeds(&self) -> Vec<net::SocketAddrV4> {
         let port = self.member_address.port();
         self.seeds.iter().map(|seed| net::SocketAddrV4::new(*seed.ip(), port)).collect()
