--- a/crates/instance/src/instance_stats.rs
+++ b/crates/instance/src/instance_stats.rs
@@ -1,13 +1,13 @@
-//! Counters and histograms of one instance, as text for a metrics collector.
+//! Counters and latency histograms of one instance, rendered in the Prometheus text format.
 
 use std::{collections, fmt::Write as _, time};
 
 use serde::Serialize;
 
-/// Upper bounds of the latency buckets, milliseconds.
+/// Upper bounds of the latency buckets, in milliseconds.
 const BUCKETS_MS: [u64; 14] =
     [5, 10, 25, 50, 100, 200, 300, 500, 800, 1_500, 3_000, 5_000, 10_000, 20_000];
-/// Series of one metric; what comes later is counted under `other`.
+/// Most series of counters, and of latencies; values of further series are counted under the label `other`.
 const MAX_SERIES: usize = 200;
 
 #[derive(Debug, Default, Clone)]
@@ -18,7 +18,7 @@
 }
 
 impl LatencySeries {
-    /// Bound of the bucket below which this share lies; `None` above the last one.
+    /// Upper bound of the bucket that contains the quantile `share`; `None` if it lies above the largest bucket.
     fn quantile_bound(&self, share: f64) -> Option<u64> {
         let rank = (self.count as f64 * share).ceil() as u64;
         let mut below = 0;
@@ -29,39 +29,39 @@
     }
 }
 
-/// One series of latencies, for operators.
+/// Summary of one latency series, for operators.
 #[derive(Debug, Serialize)]
 pub struct LatencyRow {
-    /// What is measured.
+    /// Name of the metric.
     pub measure: &'static str,
-    /// Of which route or customer.
+    /// Label of the series within the metric, such as a route or a customer.
     pub series: String,
-    /// Values counted.
+    /// Number of measurements.
     pub count: u64,
-    /// Mean.
+    /// Mean latency in milliseconds, rounded down.
     pub mean_ms: u64,
-    /// Bound below which half lie; absent above the largest bucket.
+    /// Upper bound in milliseconds of the bucket that contains the median; absent above the largest bucket.
     pub p50_below_ms: Option<u64>,
-    /// Bound below which 95% lie; absent above the largest bucket.
+    /// Upper bound in milliseconds of the bucket that contains the 95th percentile; absent above the largest bucket.
     pub p95_below_ms: Option<u64>,
 }
 
-/// Counters and latencies; bounded in number.
+/// Counters and latency histograms, with a bounded number of series.
 #[derive(Debug, Default)]
 pub struct InstanceStats {
-    /// By metric name and label.
+    /// Counters by metric name and label.
     counters: collections::BTreeMap<(&'static str, String), u64>,
     latencies: collections::BTreeMap<(&'static str, String), LatencySeries>,
 }
 
 impl InstanceStats {
-    /// Counts one event.
+    /// Increments a counter.
     pub fn count(&mut self, metric: &'static str, label: &str) {
         let key = bounded_key(&self.counters, metric, label);
         *self.counters.entry(key).or_default() += 1;
     }
 
-    /// Notes a latency.
+    /// Records a latency.
     pub fn time(&mut self, metric: &'static str, label: &str, span: time::Duration) {
         let key = bounded_key(&self.latencies, metric, label);
         let series = self.latencies.entry(key).or_default();
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Latencies as rows: mean, and the bounds below which half and 95% lie.
+    /// Summaries of all latency series.
     pub fn rows(&self) -> Vec<LatencyRow> {
         let row =
             |((metric, label), series): (&(&'static str, String), &LatencySeries)| LatencyRow {
@@ -87,11 +87,11 @@
         self.latencies.iter().map(row).collect()
     }
 
-    /// All figures, in the text form that collectors read.
+    /// All counters and histograms, in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for ((metric, label), value) in &self.counters {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(text, "slipturn_{metric}_total{{of=\"{label}\"}} {value}");
         }
         for ((metric, label), series) in &self.latencies {
@@ -115,6 +115,9 @@
     }
 }
 
+/// Returns the key of a series, or that of `other` if the series would be one too many.
+///
+/// Characters that would need escaping in a label are dropped.
 fn bounded_key<T>(
     series: &collections::BTreeMap<(&'static str, String), T>,
     metric: &'static str,
