--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -1,10 +1,16 @@
-//! One slipturn instance: callers in front, engines and services as upstreams, other instances as members.
+//! One slipturn instance: it takes requests of callers, sends them to engines and services (its upstreams), and
+//! coordinates with other instances (its members).
 //!
-//! Layout by life span: `incoming_call`, `model_request`, `service_request`, `plan_client`,
-//! `memory_hold`, `long_answer`, `stream_policy`, `stream_state`, `silence_watch`, `upstream_attempt`,
-//! `event_stream`, `engine_fault`, `upstream_silence` and `request_record` live for a request;
-//! `caller_connection`, `document_call` and `upstream_pool` for a connection; `fleet_state`,
-//! `list_update`, `list_recovery` and `raw_state` for a version; the rest for the process. What the outside looks like is behind `border`.
+//! The modules by the lifetime of their state:
+//!
+//! - a request: `incoming_call`, `model_request`, `service_request`, `plan_client`, `memory_hold`, `long_answer`,
+//!   `stream_policy`, `stream_state`, `silence_watch`, `upstream_attempt`, `event_stream`, `engine_fault`,
+//!   `upstream_silence` and `request_record`;
+//! - a connection: `caller_connection`, `document_call` and `upstream_pool`;
+//! - a version of routes or list: `fleet_state`, `list_update`, `list_recovery` and `raw_state`;
+//! - the process: all others.
+//!
+//! The traits in `border` separate the crate from the formats of one platform.
 
 pub mod border;
 pub mod caller_connection;
