--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -1,6 +1,7 @@
 //! Limits of upstreams, read from their answers and exchanged between members.
 //!
-//! That a limit exists concerns all members, its value only the coordinator. Gossip rounds repair lost messages.
+//! All members are informed when a limit begins or ends; changes of its value are sent to the coordinator of its quota
+//! alone. Gossip rounds make up for lost messages.
 
 use std::{collections, net, time};
 
@@ -8,13 +9,14 @@
 
 use crate::{border, context, member_gossip, peer_message, quota_coordinator, upstream_signals};
 
-/// Least time between two log lines on one upstream's limit.
+/// Minimum interval between two log lines on changes of one upstream's limit.
 const CHANGE_LOG_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// When each upstream's limit was last logged.
+/// Time of the last logged change of each upstream's limit.
 pub(crate) type LimitLog = collections::BTreeMap<ids::UpstreamId, units::MonoTime>;
 
-/// Handles the limit in an answer. Its absence counts in answers to requests only, as other answers need not carry it.
+/// Handles the limit that an answer states. A missing limit ends the known one only in answers to requests, as other
+/// answers need not state it.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -77,7 +79,7 @@
     }
 }
 
-/// Sends the coordinator of an upstream's limit what is known here.
+/// Sends the limit of an upstream, as known here, to its coordinator.
 pub(crate) fn notify_coordinator(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
     let subject = quota_permit::QuotaSubject::Upstream(upstream.clone());
     let coordinator = quota_coordinator::coordinator_of(context, &subject);
@@ -86,7 +88,7 @@
     }
 }
 
-/// The known limit of an upstream, for other members.
+/// Report of an upstream's limit for other members; `None` if none is known.
 pub(crate) fn report(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
