--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -1,4 +1,7 @@
-//! Lists of a later era of the store: what they replace, and what stays in force beside them.
+//! Recovery of the list after the store has returned from an older copy, which begins a new era.
+//!
+//! The first list of an era lacks the last changes of the era before. Until their writers have repeated them, upstreams
+//! and evacuations that the copy lacks stay in force, and starts that had been removed stay out of use.
 
 use std::{collections, time};
 
@@ -7,38 +10,38 @@
 
 use crate::{border, compressed_bytes, fleet_state, peer_message, raw_state};
 
-/// What an instance tells another of its recovery.
+/// State of a recovery, as one instance reports it to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryReport {
-    /// How long ago the era became known, milliseconds.
+    /// Time in milliseconds since the era became known.
     pub age_ms: u64,
-    /// Upstreams in use that the copy lacks, with their documents.
+    /// Names and documents of upstreams in use that the copy lacks.
     pub kept: Vec<(String, String)>,
-    /// Starts that the copy lists and that are not in use.
+    /// Starts that the copy lists and that are not used, as they had been removed.
     pub withheld: Vec<ids::UpstreamId>,
     /// Evacuated data centres that the copy does not list.
     pub evacuated: Vec<ids::DataCenterId>,
-    /// Upstreams that leave and that the copy does not list as leaving.
+    /// Leaving upstreams that the copy does not list as leaving.
     pub leaving: Vec<peer_message::LeavingReport>,
 }
 
-/// Age told of a recovery that has ended.
+/// Age reported for a recovery that has ended.
 const ENDED_RECOVERY_AGE: time::Duration = time::Duration::from_secs(3_600);
 
 impl RecoveryReport {
-    /// Of a list that no recovery belongs to any more.
+    /// Report for a list whose recovery has ended.
     pub(crate) fn ended() -> Self {
         Self { age_ms: units::whole_millis(ENDED_RECOVERY_AGE), ..Self::default() }
     }
 }
 
 impl fleet_state::FleetState {
-    /// Whether a revision belongs to a later era than the list in force.
+    /// Whether `revision` belongs to a later era than the list in force.
     pub(crate) fn is_later_era(&self, revision: store_revision::StoreRevision) -> bool {
         self.has_list() && self.list.revision().era < revision.era
     }
 
-    /// The recovery in progress, for another member.
+    /// Report of the recovery in progress, for another member.
     pub(crate) fn recovery_report(&self, now: units::MonoTime) -> Option<RecoveryReport> {
         let state = self.list.recovery()?;
         let document = |identifier: &std::sync::Arc<str>| {
@@ -54,7 +57,7 @@
         })
     }
 
-    /// Upstreams that leave and that the list does not name as leaving, for another member.
+    /// Reports of leaving upstreams that the list does not show as leaving, for another member.
     pub(crate) fn leaving_reports(&self, now: units::MonoTime) -> Vec<peer_message::LeavingReport> {
         let report = |(upstream, notice): (&ids::UpstreamId, upstream_notice::LeavingNotice)| {
             let age_ms = units::whole_millis(now.since(notice.since));
@@ -63,7 +66,9 @@
         self.list.relisted_leaving().map(report).collect()
     }
 
-    /// All upstreams after the documents of another member, which lead into a later era.
+    /// All upstreams that result from the documents of another member, whose list is of a later era.
+    ///
+    /// Fails if applying the member's changes does not result in its list.
     pub(crate) fn upstreams_after(
         &self,
         documents: &mut border::RawDocuments,
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Takes over what another member keeps in force of the era before.
+    /// Adopts what another member keeps in force of the era before.
     pub(crate) fn adopt_recovery(&mut self, now: units::MonoTime, report: RecoveryReport) {
         let identifiers = report.kept.iter().map(|(name, _)| name.as_str().into());
         let state = list_recovery::RecoveryState {
@@ -94,7 +99,7 @@
         self.raw.kept = report.kept.into_iter().collect();
     }
 
-    /// Remembers the documents of upstreams that stay in use although the copy lacks them.
+    /// Stores the documents of upstreams that stay in use although the copy lacks them.
     pub(crate) fn keep_documents(&mut self, before: &collections::BTreeMap<String, String>) {
         let kept = self.list.recovery().map(|state| state.kept).unwrap_or_default();
         let document = |name: &std::sync::Arc<str>| {
@@ -104,7 +109,8 @@
         self.raw.kept = kept.iter().filter_map(document).collect();
     }
 
-    /// Ends what is due: doubts of upstreams that vanished, and the recovery.
+    /// Applies the changes of the list that are due, such as the removal of upstreams that stayed missing, and logs the
+    /// end of the recovery.
     pub fn tick(&mut self, now: units::MonoTime) {
         let recovering = self.list.is_recovering();
         let evacuated: Vec<_> = self.list.evacuated().filter(|_| recovering).cloned().collect();
@@ -122,7 +128,7 @@
         }
     }
 
-    /// Logs that the list of a later era is in force.
+    /// Logs that the list of a later era has been put into force.
     pub(crate) fn log_era_change(&self, before: store_revision::StoreRevision, source: &str) {
         let state = self.list.recovery().unwrap_or_default();
         log::warn!(
