--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams and evacuations: what the store and members tell of it.
+//! Updates of the list of upstreams and evacuations, from the store and from members.
 
 use std::{collections, time};
 
@@ -6,22 +6,23 @@
 
 use crate::{border, compressed_bytes, fleet_state, list_recovery};
 
-/// Characters of a name or error from outside that a log line shows.
+/// Most characters that a log line shows of a name or error from outside.
 const MAX_LOGGED_CHARS: usize = 160;
 
-/// All upstreams and evacuations at a revision of the store.
+/// Complete list of upstreams and evacuations at one revision of the store.
 struct StoreList {
-    /// Upstreams by name.
+    /// Documents of upstreams by name.
     upstreams: collections::BTreeMap<String, String>,
     /// Evacuated data centres.
     evacuated: collections::BTreeSet<ids::DataCenterId>,
-    /// Those of them that another member keeps although its first list of the era lacked them.
+    /// Those of `evacuated` that another member keeps in force although the first list of the era lacks them.
     unconfirmed: Vec<ids::DataCenterId>,
-    /// The revision.
+    /// Revision of the store that the list belongs to.
     revision: store_revision::StoreRevision,
 }
 
 impl fleet_state::FleetState {
+    /// Adopts the list, or the changes of it, in the documents of another member, if they are newer.
     pub(crate) fn adopt_list(
         &mut self,
         now: units::MonoTime,
@@ -54,7 +55,7 @@
             self.diverged = false;
             let evacuated = documents.evacuated;
             let list = StoreList { upstreams, evacuated, unconfirmed, revision };
-            // Within an era this process knows itself what it keeps.
+            // Within an era this process knows by itself what it keeps in force.
             let recovery = recovery.filter(|_| later_era || !self.has_list);
             self.replace_all(now, list, recovery, source);
         } else if self.has_list {
@@ -67,7 +68,7 @@
         Ok(())
     }
 
-    /// Takes over all upstreams and evacuations, as the store has them.
+    /// Replaces the list with all upstreams and evacuations in the store.
     pub fn replace_list(
         &mut self,
         now: units::MonoTime,
@@ -80,13 +81,13 @@
             self.reject_older(revision, source);
             return;
         }
-        // Of a key that is there twice the last one holds.
+        // If a key occurs twice, the last value counts.
         let upstreams = documents.into_iter().collect();
         let list = StoreList { upstreams, evacuated, unconfirmed: Vec::new(), revision };
         self.replace_all(now, list, None, source);
     }
 
-    /// Takes over all upstreams, and what another member keeps in force beside them.
+    /// Replaces the list, and adopts what another member keeps in force besides it.
     fn replace_all(
         &mut self,
         now: units::MonoTime,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Takes over the data centres under evacuation, and holds those that the list of a later era lacks.
+    /// Adopts the evacuated data centres, and keeps those evacuated that the first list of a later era lacks.
     fn adopt_evacuations(
         &mut self,
         now: units::MonoTime,
@@ -145,7 +146,7 @@
         self.replace_evacuations(now, &in_force, revision, source);
     }
 
-    /// Replaces the data centres under evacuation.
+    /// Replaces the set of evacuated data centres.
     fn replace_evacuations(
         &mut self,
         now: units::MonoTime,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Applies changes of the store.
+    /// Applies changes read from the store.
     pub fn apply(
         &mut self,
         now: units::MonoTime,
@@ -225,25 +226,25 @@
         source: &str,
     ) {
         if revision < self.list.revision() {
-            // A late answer; its content must not go to other members as news.
+            // A late answer, whose content must not be passed on to other members as a change.
             self.reject_older(revision, source);
             return;
         }
         self.record_origin(now, source);
-        // What members have sent already may come again, with older changes: only the last change of
-        // each counts, or a start that is long over would seem to be the next one for a moment.
+        // Members may resend changes that were applied before, older ones first. Only the last change of each upstream
+        // counts: otherwise a start that ended long ago would briefly count as the next one.
         let mut last_changes = collections::BTreeMap::new();
         let mut list_changes = Vec::new();
         for (name, mut text) in changes {
             let change = self.read_change(&name, text.as_deref(), revision);
             if matches!(change, None | Some(upstream_list::ListChange::Unreadable(_))) {
-                // What cannot be read is passed on as that, not as it is: it may be of any size.
+                // An unreadable document may be of any size, so it is passed on to members as an empty one.
                 text.as_mut().map(String::clear);
             }
             let without_start = matches!(&change, Some(upstream_list::ListChange::Present(entry))
                 if entry.name.start().is_none());
             let before = last_changes.insert(name.clone(), change).flatten();
-            // An upstream without a start may be listed after one that did only if that one had gone.
+            // An entry without a start may follow an entry with one only if that one had been removed in between.
             let gone = before.filter(|before| matches!(before, upstream_list::ListChange::Gone(_)));
             list_changes.extend(gone.filter(|_| without_start));
             self.raw.change(name, text, revision);
@@ -253,9 +254,9 @@
         self.raw.advance_to(revision);
     }
 
-    /// One change as the list takes it; `None` where its name is none.
+    /// Converts a change of a document to a change of the list; `None` if its name is invalid.
     ///
-    /// An entry that cannot be read names no upstream to use, also where a good one stood before.
+    /// An unreadable entry takes its upstream out of use, even if a valid entry was listed before.
     fn read_change(
         &self,
         name: &str,
@@ -279,7 +280,7 @@
     }
 
     fn read_entry(&self, name: &str, text: &str) -> Option<upstream_list::UpstreamEntry> {
-        // One line for each time that such an entry is written, not for each time that it is read.
+        // An unreadable entry is logged once for each time it is written, not each time it is read.
         let known = self.raw.upstreams.get(name).is_some_and(String::is_empty);
         let read = self.border.read_upstream(name, text);
         read.inspect_err(|error| {
@@ -305,12 +306,12 @@
     }
 }
 
-/// The upstream that a key of the store names; `None` where it names none.
+/// Parses the name of an upstream in a key of the store; `None` if it is invalid.
 fn parse_upstream_id(name: &str) -> Option<ids::UpstreamId> {
     ids::UpstreamId::of_identifier(name).ok()
 }
 
-/// An item's text; empty, which no entry is, where it cannot be read.
+/// The text of an item; empty, which no valid entry is, if it cannot be decoded.
 pub(crate) fn item_text(item: border::StoreItem) -> String {
     let reject = |error: &border::FormatError| {
         log::debug!(key = truncated(&item.key), error:%; "store.item_unreadable");
@@ -318,7 +319,7 @@
     item.value.inspect_err(reject).unwrap_or_default()
 }
 
-/// The beginning of a text that may be of any length.
+/// Truncates a text of unknown length for the log.
 fn truncated(text: &str) -> &str {
     let end = text.char_indices().nth(MAX_LOGGED_CHARS).map_or(text.len(), |(end, _)| end);
     &text[..end]
