--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -1,4 +1,4 @@
-//! Routes and the list of upstreams from members that know newer ones.
+//! Fetches newer routes and lists of upstreams from other members.
 
 use std::{net, rc, time};
 
@@ -9,29 +9,29 @@
     compressed_bytes, context, document_answers, document_call, heartbeats, store_read, store_sight,
 };
 
-/// Time for a member's routes: 100 KB, packed, take 0.04 s on a link of 20 Mbit/s, eight at once 0.3 s.
-/// One that is silent must leave time for others and the store.
+/// Timeout for fetching routes from a member: 100 KB, compressed, take 0.04 s on a link of 20 Mbit/s, and eight such
+/// answers at once 0.3 s. A silent member must leave time to ask other members and the store.
 const ROUTES_TIMEOUT: time::Duration = time::Duration::from_millis(600);
-/// Time for a member's list.
+/// Timeout for fetching the list from a member.
 const LIST_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
-/// Timeout for both at a start, when other members have them as well.
+/// Timeout for fetching both documents at the start of the process, when other members can provide them as well.
 const START_TIMEOUT: time::Duration = time::Duration::from_millis(500);
-/// Pause after a member that is busy giving documents to others, with its spread.
+/// Range, in seconds, of the random pause after a member has refused because it is sending documents to others.
 const BUSY_PAUSE_S: std::ops::Range<f64> = 0.05..0.15;
-/// Members informed by one that has received a large document from another: enough that the number of those who
-/// are known to have it grows as fast as it can be sent.
+/// Number of members informed by one that has received a large document: enough that the number of members known to have
+/// it grows as fast as it can be sent.
 const ANNOUNCED_MEMBERS: usize = 3;
-/// Path of a member's documents.
+/// Path at which a member serves its documents.
 pub const DOCUMENTS_PATH: &str = "/documents";
 
-/// Follows newer routes that a member knows of: from members that have them, or from the store.
+/// Fetches the routes whenever a member has newer ones: from such a member, or from the store.
 pub async fn follow_routes(context: rc::Rc<context::InstanceContext>) {
     let mut source = document_source::DocumentSource::new(rand::random());
-    // A member that did not give them when it was last asked.
+    // The member that was asked last, if it did not provide the routes.
     let mut last_failed = None;
     loop {
         monoio::time::sleep(store_sight::look_interval(&context)).await;
-        // At a start one call brings both documents.
+        // At the start of the process `follow_list` fetches both documents with one call.
         if store_sight::own_watch_leads(&context) || !context.fleet.borrow().has_list() {
             continue;
         }
@@ -45,7 +45,7 @@
                 let outcome = adopt_routes(&context, &member, address).await;
                 last_failed = (outcome != CopyOutcome::Adopted).then_some(member);
                 match outcome {
-                    // In a storm of changes the next may be missing already.
+                    // If changes follow each other quickly, the next one may be missing already.
                     CopyOutcome::Adopted => source.note_whole(),
                     CopyOutcome::Missing => {}
                     CopyOutcome::Damaged => source.note_damage(),
@@ -65,24 +65,24 @@
     }
 }
 
-/// Takes in that the store, asked at `asked`, has no newer routes than this process.
+/// Records that the store, asked at `asked`, had no newer routes than this process has now.
 fn refute_routes(context: &context::InstanceContext, asked: units::MonoTime) {
     let own = context.versions().routes;
     context.belief.borrow_mut().refute_routes(own, asked);
 }
 
-/// What came of asking a member for what it has.
+/// Outcome of fetching documents from a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CopyOutcome {
-    /// Its documents are taken over, as far as they are newer.
+    /// The documents were adopted where they are newer.
     Adopted,
-    /// It did not give them.
+    /// The member did not provide them.
     Missing,
-    /// What it gave is of no use.
+    /// The documents are damaged, or do not apply to those in force.
     Damaged,
 }
 
-/// Takes over a member's routes.
+/// Fetches and adopts a member's routes.
 async fn adopt_routes(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
@@ -95,8 +95,7 @@
     if outcome == CopyOutcome::Adopted && !newer { CopyOutcome::Missing } else { outcome }
 }
 
-/// Follows the list of upstreams through members while others watch the store, or while it is
-/// silent.
+/// Fetches the list from members while other members watch the store for this one, or while the store is silent.
 pub async fn follow_list(context: rc::Rc<context::InstanceContext>) {
     let mut behind_since = None;
     loop {
@@ -118,7 +117,7 @@
     }
 }
 
-/// Takes over what a member knows.
+/// Fetches and adopts documents of a member.
 async fn adopt_from(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
@@ -148,6 +147,7 @@
     CopyOutcome::Adopted
 }
 
+/// Decodes and adopts documents of a member.
 fn adopt(
     context: &context::InstanceContext,
     body: &[u8],
@@ -157,7 +157,7 @@
     context.fleet.borrow_mut().adopt(context.now(), documents, member.as_str())
 }
 
-/// A member, drawn, that has newer routes; another than `last_failed`, if there is one.
+/// A random member with newer routes; another one than `last_failed`, if there are several.
 fn routes_source(
     context: &context::InstanceContext,
     last_failed: Option<&ids::InstanceId>,
@@ -172,6 +172,7 @@
     pick_source(&sources, settings.listen.members.port())
 }
 
+/// A random member with a newer list.
 fn list_source(context: &context::InstanceContext) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
     let known = context.belief.borrow().known(context.versions()).list;
@@ -180,7 +181,7 @@
     pick_source(&sources, settings.listen.members.port())
 }
 
-/// A random member that has both documents, for a starting process.
+/// A random member that has both documents, for a process that has just started.
 fn any_source(context: &context::InstanceContext) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
     let members = context.members.borrow();
@@ -188,6 +189,7 @@
     pick_source(&sources, settings.listen.members.port())
 }
 
+/// Picks one of `sources` at random; returns its name and the address of its documents.
 fn pick_source(
     sources: &[&member_beat::MemberBeat],
     port: u16,
