--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -1,6 +1,6 @@
 //! Gossip between members: quarantined requests, leaving upstreams and limits.
 //!
-//! Targets and intervals: `slipturn_core::gossip`.
+//! `slipturn_core::gossip` defines the targets and intervals.
 
 use std::{net, rc};
 
@@ -8,14 +8,14 @@
 
 use crate::{context, limit_gossip, peer_message, quarantine_gossip, upstream_signals};
 
-/// Sends a member the state known here.
+/// Sends a member all state known here that is exchanged by gossip.
 pub(crate) fn send_to(context: &context::InstanceContext, to: net::SocketAddrV4) {
     quarantine_gossip::send_held(context, to);
     upstream_signals::send_leaving(context, to);
     limit_gossip::send_to(context, to);
 }
 
-/// Requests the state of a newly met member, within a bound for each second.
+/// Requests the state of a member that has just joined, up to a number of requests per second.
 pub(crate) fn request_from_met(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let second = context.now().since(units::MonoTime::default()).as_secs();
     let (last, count) = context.gossip_requests.get();
@@ -26,21 +26,21 @@
     }
 }
 
-/// Requests the state of a few members, after something may have been missed.
+/// Requests the state of a few random members, after this process may have missed messages.
 pub(crate) fn request(context: &context::InstanceContext) {
-    for to in random_targets(context, gossip::GossipCause::Woke) {
+    for to in targets_for(context, gossip::GossipCause::Woke) {
         context.send_to(to, peer_message::PeerMessage::RequestGossip);
     }
 }
 
-/// Broadcasts a change.
+/// Broadcasts a change that this process has found to all live members.
 pub(crate) fn broadcast(context: &context::InstanceContext, message: &peer_message::PeerMessage) {
-    for to in random_targets(context, gossip::GossipCause::Found) {
+    for to in targets_for(context, gossip::GossipCause::Found) {
         context.send_to(to, message.clone());
     }
 }
 
-/// Runs periodic rounds, and requests state after a pause.
+/// Runs periodic gossip rounds, and requests state after the process has been paused.
 pub(crate) async fn repeat(context: rc::Rc<context::InstanceContext>) {
     let mut last_wake = context.woke.get();
     loop {
@@ -49,18 +49,18 @@
             last_wake = context.woke.get();
             request(&context);
         }
-        let targets = random_targets(&context, gossip::GossipCause::Repeat);
+        let targets = targets_for(&context, gossip::GossipCause::Repeat);
         for to in &targets {
             upstream_signals::send_leaving(&context, *to);
             limit_gossip::send_to(&context, *to);
         }
-        // Evidence of the quarantine is larger and only needed for future sends.
+        // Evidence of the quarantine is larger and only needed for future requests, so one member is enough.
         targets.first().into_iter().for_each(|to| quarantine_gossip::send_held(&context, *to));
     }
 }
 
-/// Targets of a round.
-fn random_targets(
+/// Live members that a message for `cause` is sent to.
+fn targets_for(
     context: &context::InstanceContext,
     cause: gossip::GossipCause,
 ) -> Vec<net::SocketAddrV4> {
