--- a/crates/instance/src/compressed_bytes.rs
+++ b/crates/instance/src/compressed_bytes.rs
@@ -1,66 +1,65 @@
-//! Bytes packed for their way between members: by themselves, or as what differs from others that the
-//! receiver has.
+//! Bytes compressed for transfer between members, alone or as a delta against a base that the receiver has.
 
 use serde::{Deserialize, Serialize};
 use slipturn_core::rendezvous;
 use snafu::{ResultExt as _, Snafu, ensure};
 
-/// Speed of packing against size. The fastest: half a megabyte of routes takes some 2 ms and comes to
-/// a tenth; a slower level saves a tenth of that for thrice the time.
+/// zstd level, the fastest: half a megabyte of routes takes some 2 ms and shrinks to a tenth. A slower level saves a tenth
+/// of that size in three times the time.
 const COMPRESSION_LEVEL: i32 = 1;
-/// Smallest and largest distance, as a power of two, over which what repeats is found: bytes and base
-/// are to lie within it, and its tables cost memory while something is packed.
+/// Smallest and largest binary logarithm of the match window. The window should span the bytes and their base, and its
+/// tables take memory during compression.
 const WINDOW_LOGS: std::ops::RangeInclusive<u32> = 10..=23;
-/// Most bytes that are unpacked: what a member says of their number is not believed beyond it.
+/// Most bytes that are decompressed, whatever length a member claims.
 pub const MAX_DECOMPRESSED_BYTES: usize = 8 << 20;
 
-/// Why bytes could not be packed, or are not what they should be.
+/// Why bytes could not be compressed or decompressed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CompressionError {
-    /// The coder failed, or the bytes are damaged.
-    #[snafu(display("packed bytes: {source}"))]
+    /// The codec failed, or the bytes are damaged.
+    #[snafu(display("compressed bytes: {source}"))]
     Codec {
-        /// What the coder said.
+        /// The error of the codec.
         source: std::io::Error,
     },
-    /// They claim to be more than anything that is passed on.
-    #[snafu(display("{length} packed bytes; at most {MAX_DECOMPRESSED_BYTES} are taken"))]
+    /// The claimed length exceeds [`MAX_DECOMPRESSED_BYTES`].
+    #[snafu(display(
+        "claimed length of {length} bytes exceeds the limit of {MAX_DECOMPRESSED_BYTES}"
+    ))]
     TooLarge {
-        /// What they claim.
+        /// Claimed length of the decompressed bytes.
         length: u32,
     },
-    /// They are others than their sender had.
-    #[snafu(display(
-        "unpacked bytes have digest {found:016x}, and their sender's {expected:016x}"
-    ))]
+    /// The decompressed bytes differ from those that the sender compressed.
+    #[snafu(display("digest of decompressed bytes is {found:016x}, expected {expected:016x}"))]
     Digest {
-        /// The sender's.
+        /// Digest that the sender stated.
         expected: u64,
-        /// That of what was unpacked.
+        /// Digest of the decompressed bytes.
         found: u64,
     },
 }
 
 impl CompressionError {
-    /// Of bytes that unpack and do not mean anything.
+    /// An error for bytes that decompress but cannot be decoded, or that could not be encoded.
     pub(crate) fn code(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
         Self::Codec { source: std::io::Error::other(error) }
     }
 }
 
-/// Packed bytes.
+/// Compressed bytes, with the length and digest of the original ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompressedBytes {
     packed: Vec<u8>,
-    /// Number of bytes that were packed.
+    /// Length of the original bytes.
     length: u32,
-    /// Digest of them: guards against a base that differs and against damage on the way.
+    /// Digest of the original bytes: detects a different base and damage in transfer.
     digest: u64,
 }
 
 impl CompressedBytes {
-    /// Packs bytes as what differs from `base`, which may be empty.
+    /// Compresses bytes as a delta against `base`, which may be empty.
     pub fn compress(bytes: &[u8], base: &[u8]) -> Result<Self, CompressionError> {
         let mut codec =
             zstd::bulk::Compressor::with_dictionary(COMPRESSION_LEVEL, base).context(CodecSnafu)?;
@@ -73,7 +72,7 @@
         Ok(Self { packed, length, digest: rendezvous::stable_digest(bytes) })
     }
 
-    /// The bytes, with the `base` that they were packed against.
+    /// Decompresses the bytes, given the `base` that they were compressed against.
     pub fn decompress(&self, base: &[u8]) -> Result<Vec<u8>, CompressionError> {
         let length = self.length;
         ensure!(length as usize <= MAX_DECOMPRESSED_BYTES, TooLargeSnafu { length });
@@ -84,7 +83,7 @@
         Ok(bytes)
     }
 
-    /// Bytes that they take on their way.
+    /// Number of compressed bytes.
     pub fn size(&self) -> usize {
         self.packed.len()
     }
