--- a/crates/instance/src/compressed_bytes.rs
+++ b/crates/instance/src/compressed_bytes.rs
@@ -43,7 +43,7 @@
 
 impl CompressionError {
     /// An error for bytes that decompress but cannot be decoded, or that could not be encoded.
-    pub(crate) fn code(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
+    pub(crate) fn codec(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
         Self::Codec { source: std::io::Error::other(error) }
     }
 }
--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -128,15 +128,15 @@
 pub fn encode(
     documents: &border::RawDocuments,
 ) -> Result<Vec<u8>, compressed_bytes::CompressionError> {
-    let plain = postcard::to_stdvec(documents).map_err(compressed_bytes::CompressionError::code)?;
+    let plain = postcard::to_stdvec(documents).map_err(compressed_bytes::CompressionError::codec)?;
     let compressed = compressed_bytes::CompressedBytes::compress(&plain, &[])?;
-    postcard::to_stdvec(&compressed).map_err(compressed_bytes::CompressionError::code)
+    postcard::to_stdvec(&compressed).map_err(compressed_bytes::CompressionError::codec)
 }
 
 /// Decodes the documents that [`encode`] produced at another member.
 pub fn decode(bytes: &[u8]) -> Result<border::RawDocuments, compressed_bytes::CompressionError> {
     let compressed: compressed_bytes::CompressedBytes =
-        postcard::from_bytes(bytes).map_err(compressed_bytes::CompressionError::code)?;
+        postcard::from_bytes(bytes).map_err(compressed_bytes::CompressionError::codec)?;
     let plain = compressed.decompress(&[])?;
-    postcard::from_bytes(&plain).map_err(compressed_bytes::CompressionError::code)
+    postcard::from_bytes(&plain).map_err(compressed_bytes::CompressionError::codec)
 }
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -120,8 +120,8 @@
         PeerMessage::RequestGossip => member_gossip::send_to(context, from),
         PeerMessage::Leaving(reports) => upstream_signals::receive_members(context, reports),
         PeerMessage::Limits(reports) => limit_gossip::receive_members(context, reports),
-        PeerMessage::RequestPermit(question) => {
-            quota_coordinator::receive_request(context, from, *question);
+        PeerMessage::RequestPermit(request) => {
+            quota_coordinator::receive_request(context, from, *request);
         }
         PeerMessage::Permit(number, answer) => permit_request::receive(context, number, answer),
         PeerMessage::Probe(message) => failure_watch::receive(context, from, message),
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -135,9 +135,9 @@
     };
     let (number, reply) = context.quotas.asks.note(subject, context.now());
     let (subject, boot) = (subject.clone(), context.boot);
-    let question = peer_message::PermitRequestMessage { number, boot, subject, ask, known };
+    let request = peer_message::PermitRequestMessage { number, boot, subject, ask, known };
     context
-        .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(question)));
+        .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(request)));
     match monoio::time::timeout(REPLY_TIME, reply).await {
         Ok(answer) => {
             context.members.borrow_mut().answered(context.now(), &coordinator.name);
--- a/crates/instance/src/routes_history.rs
+++ b/crates/instance/src/routes_history.rs
@@ -132,5 +132,5 @@
     base: &str,
 ) -> Result<String, compressed_bytes::CompressionError> {
     let bytes = packed.decompress(base.as_bytes())?;
-    String::from_utf8(bytes).map_err(compressed_bytes::CompressionError::code)
+    String::from_utf8(bytes).map_err(compressed_bytes::CompressionError::codec)
 }
