--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -1,4 +1,6 @@
-//! What instances say to each other: datagrams, coded by `postcard`.
+//! Messages between instances: UDP datagrams, encoded by `postcard`.
+//!
+//! `postcard` encodes variants and fields by their position, so their order must not change.
 
 use futures::channel::mpsc;
 use serde::{Deserialize, Serialize};
@@ -7,153 +9,153 @@
     units,
 };
 
-/// Largest datagram; larger messages are split by their sender.
+/// Size of the largest datagram, in bytes. Senders keep to the limits below, so that each message fits.
 pub const MAX_DATAGRAM: usize = 16 * 1024;
 /// Most leases in one message.
 pub const MAX_LEASES: usize = 24;
 /// Most jobs renewed by one message; each takes some four bytes.
 pub const MAX_RENEWED: usize = 256;
 
-/// Most upstreams in one message that leave; each takes some 25 bytes.
+/// Most leaving upstreams in one message; each takes some 25 bytes.
 pub const MAX_LEAVING: usize = 200;
 
 /// Most limits in one message; each takes some 45 bytes.
 pub const MAX_LIMITS: usize = 200;
 
-/// Most end reports in one message; each takes some 60 bytes.
+/// Most [`EndReport`]s in one message; each takes some 60 bytes.
 pub const MAX_ENDS: usize = 200;
 
-/// One message.
+/// A message between two instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A whole heartbeat.
+    /// A complete heartbeat.
     Beat(Box<member_beat::MemberBeat>),
-    /// A heartbeat for those who have heard a whole one.
+    /// A short heartbeat for members that have received a complete one.
     Alive(member_beat::AliveBeat),
-    /// Asks for a whole heartbeat: the member is not known.
+    /// Requests a complete heartbeat, from an unknown member or to probe a silent one.
     Who,
-    /// Asks a planner for a place.
+    /// Requests a place on an engine from a planner.
     Ask(planner_key::PlannerKey, Box<engine_place::PlaceAsk>),
-    /// Gives a place, or refuses one.
+    /// Grants or refuses a place.
     Answer(Box<engine_place::PlaceAnswer>),
-    /// The request waits for a place; the answer follows.
+    /// The planner has queued the request; a [`Self::Answer`] follows.
     Queued(engine_place::JobId),
-    /// What has become of a place, or of an engine.
+    /// Informs a planner of a change to a place, or of an engine's failure.
     Note(planner_key::PlannerKey, engine_place::PlaceNote),
-    /// Places still in use by jobs of the start of a member.
+    /// Renews the places that are in use by jobs of a member; the number identifies the start of that member.
     Renew(planner_key::PlannerKey, u64, Vec<RenewedJob>),
-    /// Asks for the leases of jobs that this planner does not know, by their numbers.
+    /// Requests the leases of jobs that a planner does not know, by their sequence numbers.
     Unknown(planner_key::PlannerKey, Vec<u64>),
-    /// Leases in use, for a planner that does not know them.
+    /// Leases in use, in answer to [`Self::Unknown`] or [`Self::Census`].
     Leases(planner_key::PlannerKey, Vec<engine_place::PlaceLease>),
-    /// Asks for all leases of a planner's key, of one that has just begun to plan.
+    /// Requests all leases of a key, for a planner that has just taken it over.
     Census(planner_key::PlannerKey),
-    /// An upstream is gone from its address: another one answered there.
+    /// An upstream has gone from its address: another one answered there.
     Gone(ids::UpstreamId),
-    /// Runs under which upstreams ended, for a member that keeps the evidence against their requests.
+    /// Runs during which their upstream ended, for a member that keeps the evidence against the requests.
     Ends(Vec<EndReport>),
-    /// The evidence against requests that are held back, for all.
+    /// Evidence against quarantined requests, for all members.
     Held(Vec<EndReport>),
-    /// A request that upstreams had ended under was answered to the end so many microseconds ago, or an
-    /// operator lets it go.
+    /// Clears a request of the evidence against it: it was answered completely that many microseconds ago, or an operator
+    /// has released it.
     Cleared(request_digest::RequestDigest, u64),
-    /// Asks what is held back and which upstreams leave, of a member that may know more.
+    /// Requests quarantined requests, leaving upstreams and limits from a member that may know more.
     RequestGossip,
-    /// Upstreams have said that they leave.
+    /// Upstreams that have announced that they are leaving.
     Leaving(Vec<LeavingReport>),
-    /// Upstreams have named limits, or ended them.
+    /// Request limits that upstreams have announced or ended.
     Limits(Vec<LimitReport>),
     /// Requests a permit from the coordinator of a quota.
     RequestPermit(Box<PermitRequestMessage>),
-    /// The response to the request of this number.
+    /// The coordinator's response to the [`Self::RequestPermit`] with this number.
     Permit(u64, quota_permit::PermitResponse),
-    /// A probe of the failure detector, or its answer.
+    /// A probe of the failure detector, or the reply to one.
     Probe(failure_detector::ProbeMessage),
-    /// Members that do not answer.
+    /// Members suspected to have failed.
     Suspects(Vec<failure_detector::SuspectReport>),
-    /// Starts of members that answer again.
+    /// Starts of members that are no longer suspected.
     Restored(Vec<u64>),
 }
 
-/// What an upstream has said of its limit. Times are microseconds ago, as members' clocks differ.
+/// A request limit that an upstream announced. Times are given as ages, as members' clocks differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// The start of the upstream.
     pub upstream: ids::UpstreamId,
-    /// The limit; `None` where it has ended it.
+    /// The limit; `None` if the upstream has ended it.
     pub rate: Option<units::RequestRate>,
-    /// When it was asked.
+    /// Age in microseconds of the request that the upstream answered.
     pub asked_us: u64,
-    /// When its answer was heard.
+    /// Age in microseconds of the arrival of its answer.
     pub heard_us: u64,
 }
 
-/// A question for leave.
+/// A request for permits to send under a quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequestMessage {
-    /// Number of the question at its member.
+    /// Number of the request, unique within a start of its member.
     pub number: u64,
-    /// Start of the member.
+    /// Start of the requesting member.
     pub boot: u64,
-    /// What it is about.
+    /// The quota.
     pub subject: quota_permit::QuotaSubject,
-    /// What is asked.
+    /// Number of permits, and how long the member can wait for them.
     pub ask: quota_permit::PermitRequest,
-    /// What the member knows of an upstream's limit: the coordinator may have missed it.
+    /// The upstream's limit as the member knows it; the coordinator may have missed it.
     pub known: Option<LimitReport>,
 }
 
-/// That an upstream has said that it leaves.
+/// An upstream's announcement that it is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingReport {
     /// The start of the upstream.
     pub upstream: ids::UpstreamId,
-    /// How long ago it said so first, milliseconds.
+    /// Age of its first announcement, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A run under which an upstream ended. Times are microseconds ago, as members' clocks differ; those of
-/// one message fit each other.
+/// A run during which its upstream ended. Times are given as ages, as members' clocks differ; those of one message are
+/// relative to the same moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndReport {
-    /// The request.
+    /// Digest of the request.
     pub digest: request_digest::RequestDigest,
     /// The start of the upstream.
     pub upstream: ids::UpstreamId,
-    /// When the request was sent.
+    /// Age in microseconds of the sending of the request.
     pub sent_us: u64,
-    /// When the run ended.
+    /// Age in microseconds of the end of the run.
     pub ended_us: u64,
 }
 
 /// A place that is still in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewedJob {
-    /// Number of the attempt at its member.
+    /// Sequence number of the attempt at its member.
     pub sequence: u64,
-    /// Whether its prompt is still being read.
+    /// Whether the engine is still reading the prompt.
     pub reading: bool,
 }
 
-/// Messages to a request that waits for its place.
+/// Message to a request of this process that waits for a place.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanReply {
-    /// It has a place, or gets none.
+    /// The planner's grant or refusal.
     Answer(Box<engine_place::PlaceAnswer>),
-    /// It waits in the planner.
+    /// The planner has queued the request.
     Queued,
 }
 
-/// Where replies to one request go.
+/// Channel for the planner's replies to one request.
 pub type ReplySender = mpsc::UnboundedSender<PlanReply>;
 
 impl PeerMessage {
-    /// The message as a datagram.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_stdvec(self)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
