--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between instances, sent and received; and the planners' clock.
+//! Sends and receives datagrams between instances, and runs the planners of this process.
 
 use std::{net, rc, time};
 
@@ -11,16 +11,16 @@
     upstream_starts,
 };
 
-/// Time between two looks at requests that wait, while any does.
+/// Interval between two runs of the planners while requests wait.
 const PLAN_INTERVAL: time::Duration = time::Duration::from_millis(10);
-/// Time between two looks while none waits.
+/// Interval between two runs of the planners while no request waits.
 const IDLE_INTERVAL: time::Duration = time::Duration::from_millis(50);
-/// Time between two log lines on what a planner believes.
+/// Interval between two log lines on the state of the planners.
 const STATE_LOG_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Time between two timers' ends beyond which the process must have been paused.
+/// Time between two runs of the planners beyond which the process must have been paused.
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(700);
 
-/// Sends what other tasks say.
+/// Sends the messages that other tasks have queued.
 pub async fn send_all(
     socket: rc::Rc<monoio::net::udp::UdpSocket>,
     mut outgoing: mpsc::UnboundedReceiver<context::Outgoing>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Receives what other members say.
+/// Receives and handles messages of other members.
 pub async fn receive_all(
     context: rc::Rc<context::InstanceContext>,
     socket: rc::Rc<monoio::net::udp::UdpSocket>,
@@ -53,7 +53,7 @@
             Ok((_, net::SocketAddr::V4(from))) => from,
             Ok(_) => continue,
             Err(error) => {
-                // A dead peer's refusal shows up here.
+                // The refusal of an earlier datagram by a dead peer is reported here.
                 log::debug!(error:%; "peer.receive_failed");
                 continue;
             }
@@ -65,6 +65,7 @@
     }
 }
 
+/// Passes a message to the module that handles it.
 fn receive(
     context: &rc::Rc<context::InstanceContext>,
     from: net::SocketAddrV4,
@@ -141,19 +142,19 @@
     }
 }
 
-/// Hands a reply to the request that waits for it.
+/// Passes a planner's reply to the request that waits for it.
 fn reply(
     context: &context::InstanceContext,
     job: engine_place::JobId,
     reply: peer_message::PlanReply,
 ) {
     if let Some(sender) = context.grants.borrow().get(&job) {
-        // A request that has ended in between needs no reply.
+        // The request may have ended in the meantime; it needs no reply then.
         let _ = sender.unbounded_send(reply);
     }
 }
 
-/// Gives places to requests that wait, and notices that the process had been paused.
+/// Runs the planners periodically, and detects that the process has been paused.
 pub async fn plan(context: rc::Rc<context::InstanceContext>) {
     let mut last = context.now();
     let mut logged = last;
@@ -172,7 +173,7 @@
             log::warn!(paused_ms = now.since(last).as_millis() as u64; "process.woke");
             context.woke.set(now);
             quota_coordinator::begin_anew(&context);
-            // Others may suspect it by now.
+            // Other members may suspect this process by now.
             heartbeats::broadcast(&context);
         }
         last = now;
@@ -202,7 +203,7 @@
     }
 }
 
-/// The other member that runs a planner; `None` when that is this process.
+/// The member that runs the planner of `key`; `None` if it is this process.
 pub fn planner_of(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
@@ -211,13 +212,13 @@
     context.members.borrow().planner(context.now(), key, &own)
 }
 
-/// Tells a planner what has become of a place, wherever it runs.
+/// Informs the planner of `key`, wherever it runs, of a change to a place.
 pub fn notify_planner(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
     note: engine_place::PlaceNote,
 ) {
-    // This process's own planner may hold the job too, from a time when no other was in reach.
+    // The planner of this process may hold the job as well, from a time when no other one was reachable.
     if let Some(planner) = context.planners.borrow_mut().planner(key) {
         planner.note(context.now(), &note);
     }
