--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -128,7 +128,8 @@
 pub fn encode(
     documents: &border::RawDocuments,
 ) -> Result<Vec<u8>, compressed_bytes::CompressionError> {
-    let plain = postcard::to_stdvec(documents).map_err(compressed_bytes::CompressionError::codec)?;
+    let plain =
+        postcard::to_stdvec(documents).map_err(compressed_bytes::CompressionError::codec)?;
     let compressed = compressed_bytes::CompressedBytes::compress(&plain, &[])?;
     postcard::to_stdvec(&compressed).map_err(compressed_bytes::CompressionError::codec)
 }
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -61,7 +61,7 @@
         } else if self.has_list {
             self.adopt_evacuations(now, documents.evacuated, &unconfirmed, revision, source);
             if documents.skipped {
-                self.raw.note_gap(revision);
+                self.raw.record_gap(revision);
             }
             self.change_upstreams(now, documents.changes, revision, source);
         }
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -8,11 +8,11 @@
 use crate::{context, limit_gossip, peer_message, quota_coordinator};
 
 /// Timeout of a coordinator's response; within a region it takes a millisecond or two.
-const REPLY_TIME: time::Duration = time::Duration::from_millis(25);
+const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 /// Backoff after a coordinator has not responded.
-const SILENCE_PAUSE: time::Duration = time::Duration::from_millis(100);
+const SILENCE_BACKOFF: time::Duration = time::Duration::from_millis(100);
 /// Most pending requests whose responses are accepted.
-const MAX_ASKS: usize = 1_024;
+const MAX_PENDING: usize = 1_024;
 
 /// A request that was sent.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 /// Requests of this process by number.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
-    asks: cell::RefCell<collections::BTreeMap<u64, PendingRequest>>,
+    by_number: cell::RefCell<collections::BTreeMap<u64, PendingRequest>>,
     number: cell::Cell<u64>,
 }
 
@@ -88,8 +88,8 @@
         permit_cache::PermitStep::Ask(ask) => {
             let Some(answer) = request_coordinator(context, subject, ask).await else {
                 let mut cache = context.quotas.cache.borrow_mut();
-                cache.note_silence(context.now(), subject, SILENCE_PAUSE);
-                return Err(NoPermit(SILENCE_PAUSE));
+                cache.note_silence(context.now(), subject, SILENCE_BACKOFF);
+                return Err(NoPermit(SILENCE_BACKOFF));
             };
             let mut cache = context.quotas.cache.borrow_mut();
             cache.receive(context.now(), subject, now, answer).map_err(NoPermit)?
@@ -105,14 +105,14 @@
     number: u64,
     answer: quota_permit::PermitResponse,
 ) {
-    let Some(sent) = context.quotas.asks.asks.borrow_mut().remove(&number) else {
+    let Some(sent) = context.quotas.pending.by_number.borrow_mut().remove(&number) else {
         return;
     };
-    let unheard = match sent.reply {
+    let undelivered = match sent.reply {
         Some(reply) => reply.send(answer).err(),
         None => Some(answer),
     };
-    if let Some(answer) = unheard {
+    if let Some(answer) = undelivered {
         // The request has ended; the permit serves another one.
         let mut cache = context.quotas.cache.borrow_mut();
         if let Ok(term) = cache.receive(context.now(), &sent.subject, sent.at, answer) {
@@ -133,12 +133,12 @@
         quota_permit::QuotaSubject::Upstream(upstream) => limit_gossip::report(context, upstream),
         quota_permit::QuotaSubject::Retries(..) => None,
     };
-    let (number, reply) = context.quotas.asks.note(subject, context.now());
+    let (number, reply) = context.quotas.pending.note(subject, context.now());
     let (subject, boot) = (subject.clone(), context.boot);
     let request = peer_message::PermitRequestMessage { number, boot, subject, ask, known };
     context
         .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(request)));
-    match monoio::time::timeout(REPLY_TIME, reply).await {
+    match monoio::time::timeout(REPLY_TIMEOUT, reply).await {
         Ok(answer) => {
             context.members.borrow_mut().answered(context.now(), &coordinator.name);
             answer.ok()
@@ -161,10 +161,11 @@
         let number = self.number.get() + 1;
         self.number.set(number);
         let (sender, receiver) = oneshot::channel();
-        let mut asks = self.asks.borrow_mut();
-        asks.insert(number, PendingRequest { subject: subject.clone(), at, reply: Some(sender) });
-        while asks.len() > MAX_ASKS {
-            asks.pop_first();
+        let mut pending = self.by_number.borrow_mut();
+        pending
+            .insert(number, PendingRequest { subject: subject.clone(), at, reply: Some(sender) });
+        while pending.len() > MAX_PENDING {
+            pending.pop_first();
         }
         (number, receiver)
     }
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -20,12 +20,12 @@
 };
 
 /// Time between two looks at whether a stop or a reload was asked for.
-const SIGNAL_POLL: time::Duration = time::Duration::from_millis(100);
+const SIGNAL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// Looks for signals between two looks at the settings file.
-const FILE_POLLS: u32 = 20;
+const POLLS_PER_FILE_CHECK: u32 = 20;
 /// After SIGTERM, connections are still taken for this long: the balancer asks every second and
 /// looks away after two misses.
-const UNREADY_TIME: time::Duration = time::Duration::from_millis(2_600);
+const NOT_READY_TIME: time::Duration = time::Duration::from_millis(2_600);
 /// The process ends by itself this long before it would be killed; on a slow machine its last
 /// steps take some hundred milliseconds.
 const GRACE_MARGIN: time::Duration = time::Duration::from_millis(900);
@@ -63,8 +63,9 @@
         command_line::ParsedLine::Run(matches) => matches,
         command_line::ParsedLine::Leave(code) => return std_process::ExitCode::from(code),
     };
-    let named = matches.opt_str("settings").or_else(|| std::env::var(settings_variable).ok());
-    let Some(file) = named else {
+    let settings_file =
+        matches.opt_str("settings").or_else(|| std::env::var(settings_variable).ok());
+    let Some(file) = settings_file else {
         eprintln!("{}: -s FILE or {settings_variable} is needed", info.name);
         return std_process::ExitCode::from(command_line::EXIT_USAGE);
     };
@@ -110,8 +111,9 @@
     let (runs, run_news) = mpsc::unbounded();
     let grace = settings.bounds.grace.0;
     let stopping = stop.clone();
-    let parts = context::ContextParts { settings, border, stop: stopping, closing, outgoing, runs };
-    let context = rc::Rc::new(context::InstanceContext::new(parts));
+    let context_parts =
+        context::ContextParts { settings, border, stop: stopping, closing, outgoing, runs };
+    let context = rc::Rc::new(context::InstanceContext::new(context_parts));
     log::info!(instance:% = context.settings().name, boot = context.boot,
         seed = context.settings().is_seed(),
         version = env!("CARGO_PKG_VERSION"), ways:% = context.settings().experiments;
@@ -139,7 +141,7 @@
     monoio::spawn(accept_callers(share(), callers));
 
     wait_for_stop(&context, &reload, &path).await;
-    finish(&context, closing_sender, grace).await;
+    shut_down(&context, closing_sender, grace).await;
     Ok(())
 }
 
@@ -173,27 +175,31 @@
 }
 
 async fn wait_for_stop(context: &context::InstanceContext, reload: &AtomicBool, path: &path::Path) {
-    let mut changed = modified(path);
+    let mut last_modified = modified_at(path);
     let mut polls = 0_u32;
     while !context.stop.asked() {
         polls += 1;
         // The file may change without a signal.
-        let found = if polls.is_multiple_of(FILE_POLLS) { modified(path) } else { changed };
-        if reload.swap(false, atomic::Ordering::SeqCst) || found != changed {
-            changed = found;
-            load_again(context, path);
+        let found = if polls.is_multiple_of(POLLS_PER_FILE_CHECK) {
+            modified_at(path)
+        } else {
+            last_modified
+        };
+        if reload.swap(false, atomic::Ordering::SeqCst) || found != last_modified {
+            last_modified = found;
+            reload_settings(context, path);
         }
-        monoio::time::sleep(SIGNAL_POLL).await;
+        monoio::time::sleep(SIGNAL_POLL_INTERVAL).await;
     }
 }
 
 /// When a file was last written; `None` where that cannot be told.
-fn modified(path: &path::Path) -> Option<time::SystemTime> {
-    std::fs::metadata(path).and_then(|data| data.modified()).ok()
+fn modified_at(path: &path::Path) -> Option<time::SystemTime> {
+    std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
 
 /// Takes over what may change while the process runs; a bad file changes nothing.
-fn load_again(context: &context::InstanceContext, path: &path::Path) {
+fn reload_settings(context: &context::InstanceContext, path: &path::Path) {
     match instance_settings::InstanceSettings::load(path) {
         Ok(settings) => {
             log::info!(seeds = settings.seeds.len(); "settings.reloaded");
@@ -204,19 +210,19 @@
     }
 }
 
-async fn finish(
+async fn shut_down(
     context: &context::InstanceContext,
     closing: oneshot::Sender<()>,
     grace: time::Duration,
 ) {
     let begun = context.now();
-    let last = grace.saturating_sub(GRACE_MARGIN);
-    context.places_until.set(Some(begun + last.saturating_sub(PLACE_MARGIN)));
+    let stop_time = grace.saturating_sub(GRACE_MARGIN);
+    context.places_until.set(Some(begun + stop_time.saturating_sub(PLACE_MARGIN)));
     log::info!(busy = context.busy.get(); "process.stopping");
-    monoio::time::sleep(UNREADY_TIME.min(grace / 2)).await;
+    monoio::time::sleep(NOT_READY_TIME.min(grace / 2)).await;
     // Nobody may wait for it any more.
     let _ = closing.send(());
-    while context.busy.get() > 0 && context.now().since(begun) < last {
+    while context.busy.get() > 0 && context.now().since(begun) < stop_time {
         monoio::time::sleep(time::Duration::from_millis(20)).await;
     }
     log::info!(busy = context.busy.get(); "process.stopped");
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -15,13 +15,13 @@
 use crate::{context, fleet_state, limit_gossip, peer_message, peers, permit_request, planner_set};
 
 /// Time between two checks of which quotas this process coordinates.
-const LOOK_INTERVAL: time::Duration = time::Duration::from_millis(250);
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
 /// Time between two checks of whether the members are known.
-const SETTLE_LOOK: time::Duration = time::Duration::from_millis(20);
+const SETTLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Backoff of a member that requested permits from the wrong coordinator.
-const NOT_KEPT_PAUSE: time::Duration = time::Duration::from_millis(100);
+const WRONG_COORDINATOR_BACKOFF: time::Duration = time::Duration::from_millis(100);
 /// Timeout of a probe of a coordinator that others report as silent.
-const PROBE_TIME: time::Duration = time::Duration::from_millis(25);
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 
 /// Quotas that this process coordinates, and permits that it holds.
 #[derive(Debug, Default)]
@@ -31,27 +31,27 @@
     /// Permits for this process's own requests.
     pub(crate) cache: cell::RefCell<permit_cache::PermitCache<quota_permit::QuotaSubject>>,
     /// Pending requests for permits.
-    pub(crate) asks: permit_request::PendingRequests,
+    pub(crate) pending: permit_request::PendingRequests,
     /// Retry-After times by service.
     pub(crate) returns:
         cell::RefCell<collections::HashMap<ids::ServiceId, return_line::ReturnLine>>,
     /// When changes of limits were last logged.
     pub(crate) limit_log: cell::RefCell<limit_gossip::LimitLog>,
     /// Inputs and time of the last check.
-    looked: cell::Cell<(LookedState, units::MonoTime)>,
+    last_check: cell::Cell<(CheckedState, units::MonoTime)>,
     /// A coordinator reported as silent, and when it was probed.
     probe: cell::RefCell<Option<(ids::InstanceId, units::MonoTime)>>,
 }
 
 /// Inputs of a check; it is repeated at once when they change.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-struct LookedState {
+struct CheckedState {
     limit_changes: u64,
     routes: u64,
     settled: bool,
 }
 
-impl LookedState {
+impl CheckedState {
     fn of(context: &context::InstanceContext) -> Self {
         let fleet = context.fleet.borrow();
         Self {
@@ -64,9 +64,9 @@
 
 /// Checks periodically which quotas this process coordinates.
 pub(crate) fn tick(context: &context::InstanceContext) {
-    let (seen, last) = context.quotas.looked.get();
-    let is_due = context.now().since(last) >= LOOK_INTERVAL;
-    if is_due || seen != LookedState::of(context) {
+    let (seen, last) = context.quotas.last_check.get();
+    let is_due = context.now().since(last) >= CHECK_INTERVAL;
+    if is_due || seen != CheckedState::of(context) {
         refresh(context);
     }
 }
@@ -74,7 +74,7 @@
 /// Waits until the members are known.
 pub(crate) async fn until_settled(context: &context::InstanceContext) {
     while !is_settled(context) {
-        monoio::time::sleep(SETTLE_LOOK).await;
+        monoio::time::sleep(SETTLE_CHECK_INTERVAL).await;
     }
     tick(context);
 }
@@ -84,8 +84,8 @@
     let now = context.now();
     let fleet = context.fleet.borrow();
     let part = context.members.borrow().seen_part(now);
-    context.quotas.looked.set((LookedState::of(context), now));
-    let mut kept = kept_retries(context, &fleet, part);
+    context.quotas.last_check.set((CheckedState::of(context), now));
+    let mut kept = coordinated_retries(context, &fleet, part);
     let mut planned = collections::BTreeMap::<_, planner_set::EngineLimits>::new();
     // All engines of a cell have one coordinator.
     let mut own_keys = collections::BTreeMap::new();
@@ -127,7 +127,7 @@
 }
 
 /// Retry quotas that this process coordinates.
-fn kept_retries(
+fn coordinated_retries(
     context: &context::InstanceContext,
     fleet: &fleet_state::FleetState,
     part: f64,
@@ -181,7 +181,7 @@
     if let Some(coordinator) = coordinator_of(context, subject) {
         probe(context, &coordinator);
         context.stats.borrow_mut().count("leaves", "kept_elsewhere");
-        return not_kept();
+        return wrong_coordinator();
     }
     if let quota_permit::QuotaSubject::Upstream(upstream) = subject
         && context.fleet.borrow().list.limit(upstream).is_none()
@@ -200,7 +200,7 @@
             ledger.request_reserving(now, &subject.sum(), asker, ask, subject.reserved_part())
         }
     };
-    let answer = answer.unwrap_or_else(not_kept);
+    let answer = answer.unwrap_or_else(wrong_coordinator);
     let word = match answer {
         quota_permit::PermitResponse::Granted { .. } => "given",
         quota_permit::PermitResponse::Refused { .. } => "refused",
@@ -262,7 +262,7 @@
     let now = context.now();
     let last = context.quotas.probe.take().filter(|(name, _)| *name == coordinator.name);
     if let Some((name, at)) = &last {
-        if now.since(*at) < PROBE_TIME {
+        if now.since(*at) < PROBE_TIMEOUT {
             context.quotas.probe.replace(last);
             return;
         }
@@ -275,8 +275,8 @@
     context.send_to(coordinator.address, peer_message::PeerMessage::Who);
 }
 
-fn not_kept() -> quota_permit::PermitResponse {
-    quota_permit::PermitResponse::Refused { back_ms: NOT_KEPT_PAUSE.as_millis() as u32 }
+fn wrong_coordinator() -> quota_permit::PermitResponse {
+    quota_permit::PermitResponse::Refused { back_ms: WRONG_COORDINATOR_BACKOFF.as_millis() as u32 }
 }
 
 /// The planner that coordinates the limit of an engine; `None` for other quotas.
--- a/crates/instance/src/raw_state.rs
+++ b/crates/instance/src/raw_state.rs
@@ -7,9 +7,9 @@
 use crate::routes_history;
 
 /// Changes to upstreams that are remembered for other members, at least.
-const MIN_CHANGES: usize = 256;
+const MIN_REMEMBERED_CHANGES: usize = 256;
 /// The same in shares of the list: with more changes than that, the whole list costs less.
-const CHANGES_SHARE: f64 = 0.5;
+const REMEMBERED_CHANGES_SHARE: f64 = 0.5;
 
 /// Gaps that are remembered.
 const MAX_GAPS: usize = 8;
@@ -46,7 +46,7 @@
     ) -> collections::BTreeMap<String, String> {
         let before = std::mem::take(&mut self.upstreams);
         if known {
-            self.note_gap(revision);
+            self.record_gap(revision);
             let gone = before.keys().filter(|name| !upstreams.contains_key(*name));
             let gone: Vec<_> = gone.cloned().collect();
             for name in gone {
@@ -79,7 +79,7 @@
     }
 
     /// Notes that changes since the present revision and before the next one are skipped.
-    pub(crate) fn note_gap(&mut self, next: store_revision::StoreRevision) {
+    pub(crate) fn record_gap(&mut self, next: store_revision::StoreRevision) {
         self.gaps.push_back((self.revision, next));
         if self.gaps.len() > MAX_GAPS {
             self.gaps.pop_front();
@@ -116,8 +116,9 @@
 
     /// Notes that all changes up to `revision` are in, and forgets the oldest.
     pub(crate) fn advance_to(&mut self, revision: store_revision::StoreRevision) {
-        let most = MIN_CHANGES.max((self.upstreams.len() as f64 * CHANGES_SHARE) as usize);
-        while self.changes.len() > most {
+        let limit = MIN_REMEMBERED_CHANGES
+            .max((self.upstreams.len() as f64 * REMEMBERED_CHANGES_SHARE) as usize);
+        while self.changes.len() > limit {
             self.history_start = self.changes.pop_front().map_or(revision, |(oldest, _, _)| oldest);
         }
         self.revision = self.revision.max(revision);
