--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -7,34 +7,34 @@
 
 use crate::{context, limit_gossip, peer_message, quota_coordinator};
 
-/// Timeout of a coordinator's response; within a region it takes a millisecond or two.
+/// Timeout for a coordinator's response, which takes a millisecond or two within a region.
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
-/// Backoff after a coordinator has not responded.
+/// Backoff after a coordinator has failed to respond.
 const SILENCE_BACKOFF: time::Duration = time::Duration::from_millis(100);
-/// Most pending requests whose responses are accepted.
+/// Most pending requests; beyond that the oldest are forgotten, and their responses ignored.
 const MAX_PENDING: usize = 1_024;
 
-/// A request that was sent.
+/// A request for permits that was sent to a coordinator.
 #[derive(Debug)]
 struct PendingRequest {
     subject: quota_permit::QuotaSubject,
     at: units::MonoTime,
-    /// Receiver of the response while a task waits for it.
+    /// Channel to the task that waits for the response.
     reply: Option<oneshot::Sender<quota_permit::PermitResponse>>,
 }
 
-/// Requests of this process by number.
+/// Requests of this process that await a response.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     by_number: cell::RefCell<collections::BTreeMap<u64, PendingRequest>>,
     number: cell::Cell<u64>,
 }
 
-/// No permit is available; the backoff before the next request.
+/// No permit is available; holds the backoff before the next request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct NoPermit(pub(crate) time::Duration);
 
-/// Backoff before permits for an upstream may be requested; zero without a limit.
+/// Backoff before permits for an upstream may be requested; zero if the upstream has no limit.
 pub(crate) fn closed(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -46,7 +46,7 @@
     context.quotas.cache.borrow().closed(context.now(), &subject)
 }
 
-/// Acquires a permit for one request to an upstream within `patience`; `None` when it has no limit.
+/// Acquires a permit for one request to an upstream within `patience`; `None` if the upstream has no limit.
 pub(crate) async fn obtain(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -75,6 +75,7 @@
     obtain_term(context, &subject, time::Duration::ZERO).await.is_ok()
 }
 
+/// Acquires a permit under a quota, from the cache or from the coordinator, and waits until it is valid.
 async fn obtain_term(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
@@ -113,7 +114,7 @@
         None => Some(answer),
     };
     if let Some(answer) = undelivered {
-        // The request has ended; the permit serves another one.
+        // The task that waited has ended; another one can use the permit.
         let mut cache = context.quotas.cache.borrow_mut();
         if let Ok(term) = cache.receive(context.now(), &sent.subject, sent.at, answer) {
             cache.put_back(&sent.subject, term);
@@ -121,6 +122,7 @@
     }
 }
 
+/// Requests permits from the coordinator of a quota, which may be this process; `None` if it does not respond in time.
 async fn request_coordinator(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
@@ -153,6 +155,7 @@
 }
 
 impl PendingRequests {
+    /// Adds a request; returns its number and the channel on which its response arrives.
     fn note(
         &self,
         subject: &quota_permit::QuotaSubject,
@@ -171,7 +174,7 @@
     }
 }
 
-/// A permit whose request may end before its validity starts.
+/// A permit that is not valid yet; returned to the cache if its request ends before.
 struct UnusedPermit<'a> {
     context: &'a context::InstanceContext,
     subject: &'a quota_permit::QuotaSubject,
@@ -179,13 +182,14 @@
 }
 
 impl UnusedPermit<'_> {
+    /// Waits until the permit is valid.
     async fn when_due(mut self) -> quota_permit::PermitTerm {
         let from = self.term.map_or_else(units::MonoTime::default, |term| term.from);
         let wait = from.since(self.context.now());
         if !wait.is_zero() {
             monoio::time::sleep(wait).await;
         }
-        self.term.take().expect("it is taken here alone")
+        self.term.take().expect("only this method takes the permit")
     }
 }
 
