--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -1,4 +1,4 @@
-//! The running instance: its listeners, its tasks, its start, reload and planned stop.
+//! The process of an instance: command line, listeners, tasks, reload of settings and graceful shutdown.
 
 use std::{
     path, process as std_process, rc,
@@ -19,41 +19,41 @@
     store_feed, upstream_ends,
 };
 
-/// Time between two looks at whether a stop or a reload was asked for.
+/// Interval between two checks for a signal to stop or to reload.
 const SIGNAL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
-/// Looks for signals between two looks at the settings file.
+/// Number of signal checks for each check of the settings file.
 const POLLS_PER_FILE_CHECK: u32 = 20;
-/// After SIGTERM, connections are still taken for this long: the balancer asks every second and
-/// looks away after two misses.
+/// Time after SIGTERM for which connections are still accepted: the load balancer checks readiness every second and
+/// removes the instance after two failures.
 const NOT_READY_TIME: time::Duration = time::Duration::from_millis(2_600);
-/// The process ends by itself this long before it would be killed; on a slow machine its last
-/// steps take some hundred milliseconds.
+/// Time before SIGKILL at which the process exits by itself: on a slow machine its last steps take some hundred
+/// milliseconds.
 const GRACE_MARGIN: time::Duration = time::Duration::from_millis(900);
-/// A request that has no place so long before the process ends gets none: its answer would be cut.
+/// Time before the exit from which requests are not granted places any more, as their answers would be cut off.
 const PLACE_MARGIN: time::Duration = time::Duration::from_secs(1);
-/// Time between two clean-ups of resting connections.
+/// Interval between two clean-ups of idle connections and of state about upstreams that are gone.
 const PRUNE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Why an instance could not run.
+/// Why an instance could not start.
 #[derive(Debug, Snafu)]
 pub enum ProgramError {
-    /// An address is not to be had.
+    /// An address could not be bound.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The signal handlers could not be installed.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs the program: command line, settings, logs, event loop.
+/// Entry point of the program: parses the command line, loads the settings, and runs the instance.
 pub fn main(
     info: command_line::ProgramInfo,
     settings_variable: &str,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Runs an instance until a stop is asked for and its requests are done.
+/// Runs an instance until it is asked to stop and its requests have ended.
 pub async fn run(
     settings: instance_settings::InstanceSettings,
     path: path::PathBuf,
@@ -164,6 +164,7 @@
     }
 }
 
+/// Periodically closes idle connections, and forgets state about upstreams that are gone.
 async fn prune(context: rc::Rc<context::InstanceContext>) {
     loop {
         monoio::time::sleep(PRUNE_INTERVAL).await;
@@ -174,12 +175,13 @@
     }
 }
 
+/// Reloads the settings on SIGHUP and when their file changes, until a stop is requested.
 async fn wait_for_stop(context: &context::InstanceContext, reload: &AtomicBool, path: &path::Path) {
     let mut last_modified = modified_at(path);
     let mut polls = 0_u32;
     while !context.stop.asked() {
         polls += 1;
-        // The file may change without a signal.
+        // The file may be changed without a signal.
         let found = if polls.is_multiple_of(POLLS_PER_FILE_CHECK) {
             modified_at(path)
         } else {
@@ -193,12 +195,12 @@
     }
 }
 
-/// When a file was last written; `None` where that cannot be told.
+/// Modification time of a file; `None` if it is not available.
 fn modified_at(path: &path::Path) -> Option<time::SystemTime> {
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
 
-/// Takes over what may change while the process runs; a bad file changes nothing.
+/// Reloads the settings; an invalid file is rejected, and the settings in force stay.
 fn reload_settings(context: &context::InstanceContext, path: &path::Path) {
     match instance_settings::InstanceSettings::load(path) {
         Ok(settings) => {
@@ -210,6 +212,7 @@
     }
 }
 
+/// Shuts down gracefully: lets the load balancer notice, closes idle connections, and waits for requests in progress.
 async fn shut_down(
     context: &context::InstanceContext,
     closing: oneshot::Sender<()>,
@@ -220,13 +223,13 @@
     context.places_until.set(Some(begun + stop_time.saturating_sub(PLACE_MARGIN)));
     log::info!(busy = context.busy.get(); "process.stopping");
     monoio::time::sleep(NOT_READY_TIME.min(grace / 2)).await;
-    // Nobody may wait for it any more.
+    // Fails only if the receiver has been dropped; nothing is left to be closed then.
     let _ = closing.send(());
     while context.busy.get() > 0 && context.now().since(begun) < stop_time {
         monoio::time::sleep(time::Duration::from_millis(20)).await;
     }
     log::info!(busy = context.busy.get(); "process.stopped");
-    // Answers, closed connections and the last line leave before the process does.
+    // Lets the last answers, closed connections and log lines go out before the process exits.
     monoio::time::sleep(time::Duration::from_millis(50)).await;
 }
 
