--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -1,8 +1,8 @@
-//! What members tell each other of requests that upstreams end under.
+//! Exchange of evidence against requests during whose runs upstreams ended.
 //!
-//! Evidence goes to a few members, found by hashing the request's digest over those that are alive:
-//! a storm of crashes costs each member some datagrams, however many there are. Who sees there that a
-//! request is quarantined informs all.
+//! The evidence against a request is kept by a few live members, which rendezvous hashing of the request's digest selects:
+//! a series of crashes costs each member some datagrams, however large the fleet is. A keeper that finds that a request is
+//! quarantined informs all members.
 
 use std::{net, time};
 
@@ -10,15 +10,15 @@
 
 use crate::{context, peer_message, upstream_ends};
 
-/// Members that keep the evidence against one request: with four of them gone or cut off, one is left.
+/// Number of members that keep the evidence against one request: with four of them gone or unreachable, one is left.
 const EVIDENCE_KEEPERS: usize = 5;
-/// Members up to which all keep it: a small fleet needs no choice, and who serves a request knows then
-/// that it is a suspect.
+/// Number of members up to which all of them keep all evidence: the member that serves a request then knows by itself that
+/// the request is suspected.
 const SMALL_FLEET_MEMBERS: usize = 12;
-/// Digests that a log line names in full; more are counted.
+/// Most quarantined requests that are logged one by one; all are counted.
 const MAX_LOGGED_DIGESTS: usize = 16;
 
-/// Takes in runs of this process under which an upstream ended.
+/// Handles runs of this process during which their upstream ended.
 pub(crate) fn report(context: &context::InstanceContext, runs: &[upstream_ends::BrokenRun]) {
     let ended = |run: &upstream_ends::BrokenRun| quarantine::EndedRun {
         digest: run.digest,
@@ -29,7 +29,7 @@
     record_evidence(context, runs.iter().map(ended).collect());
     let now = context.now();
     for (keeper, digests) in keepers_of(context, runs.iter().map(|run| run.digest)) {
-        // All that is known here of these requests, so that the times fit each other.
+        // All evidence known here against these requests, so that their times are relative to the same moment.
         let ends = ends_of(context, &digests);
         for reports in report_batches(now, &ends) {
             context.send_to(keeper, peer_message::PeerMessage::Ends(reports));
@@ -37,7 +37,7 @@
     }
 }
 
-/// Takes in evidence that this member is to keep.
+/// Handles evidence that this member is to keep.
 pub(crate) fn receive_ends(
     context: &context::InstanceContext,
     reports: Vec<peer_message::EndReport>,
@@ -45,7 +45,7 @@
     record_evidence(context, ended_runs(context.now(), reports));
 }
 
-/// Takes in evidence against requests that another member holds back.
+/// Handles evidence against requests that another member has quarantined.
 pub(crate) fn receive_held(
     context: &context::InstanceContext,
     from: net::SocketAddrV4,
@@ -58,7 +58,7 @@
     log_held(context, &held, "member");
 }
 
-/// Takes in that a request is not the cause of ends before.
+/// Clears a request of the evidence that is older than `micros_ago`, in microseconds.
 pub(crate) fn receive_cleared(
     context: &context::InstanceContext,
     digest: request_digest::RequestDigest,
@@ -68,7 +68,7 @@
     context.quarantine.borrow_mut().clear(digest, context.now().earlier_by(age));
 }
 
-/// Tells a member what is held back here.
+/// Sends a member the evidence against all requests that are quarantined here.
 pub(crate) fn send_held(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
     let held = context.quarantine.borrow().held_at(now);
@@ -77,8 +77,8 @@
     }
 }
 
-/// Records that an upstream has answered a request to the end, where crashes are evidence against it; `digest` is
-/// asked for only then.
+/// Clears a suspected request, as an upstream has answered it completely. `digest` is computed only if there is evidence
+/// against any request.
 pub(crate) fn answered(
     context: &context::InstanceContext,
     digest: impl FnOnce() -> request_digest::RequestDigest,
@@ -92,7 +92,8 @@
     }
 }
 
-/// Lets a request go, here and at all members; whether anything was known of it.
+/// Clears a request of the evidence against it, here and at the members that keep it or hold it quarantined; returns
+/// whether there was any evidence.
 pub(crate) fn clear(
     context: &context::InstanceContext,
     digest: request_digest::RequestDigest,
@@ -114,7 +115,7 @@
     known
 }
 
-/// Adds evidence, and informs all members of new quarantines.
+/// Records evidence, and informs all members of requests that are quarantined by it.
 fn record_evidence(context: &context::InstanceContext, ends: Vec<quarantine::EndedRun>) {
     let now = context.now();
     let held = context.quarantine.borrow_mut().note_ends(now, ends);
@@ -130,7 +131,7 @@
     }
 }
 
-/// Tells a member that holds back what was answered here since.
+/// Tells a member which of its quarantined requests have been answered here since the ends of upstreams that it reports.
 fn report_cleared(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
@@ -152,7 +153,7 @@
     }
 }
 
-/// The evidence against these requests.
+/// Evidence known here against these requests.
 fn ends_of(
     context: &context::InstanceContext,
     digests: &[request_digest::RequestDigest],
@@ -161,7 +162,7 @@
     digests.iter().flat_map(|digest| table.ends(*digest).to_vec()).collect()
 }
 
-/// Members that keep the evidence against these requests, each with its part of them.
+/// Members that keep the evidence against these requests, each with the requests that it keeps evidence against.
 fn keepers_of(
     context: &context::InstanceContext,
     digests: impl Iterator<Item = request_digest::RequestDigest>,
@@ -183,7 +184,7 @@
     keepers.into_iter().collect()
 }
 
-/// Messages' worth of reports.
+/// Reports of these runs, split so that each part fits a message.
 fn report_batches(
     now: units::MonoTime,
     ends: &[quarantine::EndedRun],
@@ -198,7 +199,7 @@
     ends.chunks(peer_message::MAX_ENDS).map(message).collect()
 }
 
-/// Runs with their times by this process's clock; those before its start lie at its start.
+/// Converts reports to runs with times of this process's clock; times before its start become its start.
 fn ended_runs(
     now: units::MonoTime,
     reports: Vec<peer_message::EndReport>,
@@ -217,6 +218,7 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
+/// Logs and counts requests that have just been quarantined, and signals the verdict to requests in progress.
 fn log_held(
     context: &context::InstanceContext,
     held: &[request_digest::RequestDigest],
