--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -14,9 +14,9 @@
 
 use crate::{context, fleet_state, limit_gossip, peer_message, peers, permit_request, planner_set};
 
-/// Time between two checks of which quotas this process coordinates.
+/// Interval between two checks of which quotas this process coordinates.
 const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
-/// Time between two checks of whether the members are known.
+/// Interval between two checks of whether the members are known.
 const SETTLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Backoff of a member that requested permits from the wrong coordinator.
 const WRONG_COORDINATOR_BACKOFF: time::Duration = time::Duration::from_millis(100);
@@ -26,7 +26,7 @@
 /// Quotas that this process coordinates, and permits that it holds.
 #[derive(Debug, Default)]
 pub struct QuotaState {
-    /// Quotas coordinated here, but for those of the engines that it plans for.
+    /// Quotas coordinated here, except those of engines that this process plans for.
     ledger: cell::RefCell<quota_ledger::QuotaLedger<quota_permit::QuotaSubject>>,
     /// Permits for this process's own requests.
     pub(crate) cache: cell::RefCell<permit_cache::PermitCache<quota_permit::QuotaSubject>>,
@@ -37,13 +37,13 @@
         cell::RefCell<collections::HashMap<ids::ServiceId, return_line::ReturnLine>>,
     /// When changes of limits were last logged.
     pub(crate) limit_log: cell::RefCell<limit_gossip::LimitLog>,
-    /// Inputs and time of the last check.
+    /// Inputs and time of the last check of which quotas are coordinated here.
     last_check: cell::Cell<(CheckedState, units::MonoTime)>,
     /// A coordinator reported as silent, and when it was probed.
     probe: cell::RefCell<Option<(ids::InstanceId, units::MonoTime)>>,
 }
 
-/// Inputs of a check; it is repeated at once when they change.
+/// Inputs of a check of which quotas are coordinated here; the check is repeated at once when they change.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 struct CheckedState {
     limit_changes: u64,
@@ -122,6 +122,7 @@
     context.planners.borrow_mut().set_limits(now, planned);
 }
 
+/// Whether the members are known.
 fn is_settled(context: &context::InstanceContext) -> bool {
     context.members.borrow().is_settled(context.now())
 }
@@ -170,7 +171,7 @@
     peers::planner_of(context, &key)
 }
 
-/// Responds to a request of a member or of this process.
+/// Responds to a request for permits of a member or of this process.
 pub(crate) fn answer(
     context: &context::InstanceContext,
     asker: u64,
@@ -213,7 +214,7 @@
     answer
 }
 
-/// Handles a member's request, with the limit that it knows.
+/// Handles a member's request for permits, and the upstream's limit that the request states.
 pub(crate) fn receive_request(
     context: &context::InstanceContext,
     from: std::net::SocketAddrV4,
@@ -275,6 +276,7 @@
     context.send_to(coordinator.address, peer_message::PeerMessage::Who);
 }
 
+/// Response to a request for permits under a quota that this process does not coordinate.
 fn wrong_coordinator() -> quota_permit::PermitResponse {
     quota_permit::PermitResponse::Refused { back_ms: WRONG_COORDINATOR_BACKOFF.as_millis() as u32 }
 }
