--- a/crates/instance/src/raw_state.rs
+++ b/crates/instance/src/raw_state.rs
@@ -1,4 +1,4 @@
-//! The store's documents as they were read, for members that know less.
+//! Raw documents of the store and their recent changes, for members with older ones.
 
 use std::collections;
 
@@ -6,38 +6,42 @@
 
 use crate::routes_history;
 
-/// Changes to upstreams that are remembered for other members, at least.
+/// Number of changes to upstreams that are always remembered for other members.
 const MIN_REMEMBERED_CHANGES: usize = 256;
-/// The same in shares of the list: with more changes than that, the whole list costs less.
+/// Number of remembered changes as a share of the list's length: with more changes than that, the whole list is cheaper
+/// to send.
 const REMEMBERED_CHANGES_SHARE: f64 = 0.5;
 
-/// Gaps that are remembered.
+/// Most remembered gaps; beyond that the oldest is dropped, and changes before the next one with it.
 const MAX_GAPS: usize = 8;
 
-/// What was read, as it was written.
+/// Documents as they were written to the store, and their recent changes.
 #[derive(Default)]
 pub(crate) struct RawState {
+    /// Routes in force; `None` until the first are read.
     pub(crate) routes: Option<String>,
-    /// Their last changes.
+    /// Last changes of the routes.
     pub(crate) history: routes_history::RoutesHistory,
-    /// Documents by name; empty where they cannot be read.
+    /// Documents of upstreams by name; empty for those that are unreadable.
     pub(crate) upstreams: collections::BTreeMap<String, String>,
-    /// Revision, name and document of the last changes, oldest first.
+    /// Last changes of upstreams, oldest first: the revision, the name, and the document or `None` after a removal.
     pub(crate) changes:
         collections::VecDeque<(store_revision::StoreRevision, String, Option<String>)>,
-    /// Changes up to this revision are not remembered.
+    /// Revision up to which changes are not remembered.
     pub(crate) history_start: store_revision::StoreRevision,
-    /// Revision of the store that was read last.
+    /// Latest revision of the store that was read or received from a member.
     pub(crate) revision: store_revision::StoreRevision,
-    /// Spans that were skipped, oldest first: of what changed within one, only what differs between its ends is known.
+    /// Spans of revisions whose single changes are unknown, oldest first: only the difference between the two ends is known.
     gaps: collections::VecDeque<(store_revision::StoreRevision, store_revision::StoreRevision)>,
-    /// Documents in force that the first list of the present era lacked.
+    /// Documents of upstreams in use that the first list of the present era lacked.
     pub(crate) kept: collections::BTreeMap<String, String>,
 }
 
 impl RawState {
-    /// Replaces the upstreams, and returns those before. Where they were `known` before, what differs is remembered as
-    /// changes: members that are a little behind then need not read the whole list, all at once.
+    /// Replaces the upstreams, and returns the former ones.
+    ///
+    /// If the former list was `known`, the differences are remembered as changes, so that members that are slightly behind
+    /// need not all fetch the whole list at once.
     pub(crate) fn replace(
         &mut self,
         upstreams: collections::BTreeMap<String, String>,
@@ -65,6 +69,7 @@
         before
     }
 
+    /// Applies and remembers a change of one upstream; `None` removes it.
     pub(crate) fn change(
         &mut self,
         name: String,
@@ -78,7 +83,7 @@
         self.changes.push_back((revision, name, text));
     }
 
-    /// Notes that changes since the present revision and before the next one are skipped.
+    /// Records that single changes between the present revision and `next` are unknown.
     pub(crate) fn record_gap(&mut self, next: store_revision::StoreRevision) {
         self.gaps.push_back((self.revision, next));
         if self.gaps.len() > MAX_GAPS {
@@ -88,18 +93,18 @@
         }
     }
 
-    /// Whether the changes that are remembered lead from the list of a revision to the present one.
+    /// Whether the remembered changes lead from the list of revision `list` to the present one.
     pub(crate) fn has_changes_since(&self, list: store_revision::StoreRevision) -> bool {
         list >= self.history_start
             && !self.gaps.iter().any(|(start, end)| *start < list && list < *end)
     }
 
-    /// Whether something was skipped since the list of a revision.
+    /// Whether single changes after revision `list` are unknown.
     pub(crate) fn has_gap_since(&self, list: store_revision::StoreRevision) -> bool {
         self.gaps.iter().any(|(_, end)| *end > list)
     }
 
-    /// The upstreams as they are after changes.
+    /// The upstreams that result from applying `changes`, which are not stored.
     pub(crate) fn changed_upstreams(
         &self,
         changes: Vec<(String, Option<String>)>,
@@ -114,7 +119,7 @@
         upstreams
     }
 
-    /// Notes that all changes up to `revision` are in, and forgets the oldest.
+    /// Records that all changes up to `revision` have been applied, and forgets the oldest ones.
     pub(crate) fn advance_to(&mut self, revision: store_revision::StoreRevision) {
         let limit = MIN_REMEMBERED_CHANGES
             .max((self.upstreams.len() as f64 * REMEMBERED_CHANGES_SHARE) as usize);
@@ -125,7 +130,7 @@
     }
 }
 
-/// Distinguishes lists of upstreams.
+/// Digest of a list of upstreams, by which two members compare their lists.
 pub(crate) fn digest(upstreams: &collections::BTreeMap<String, String>) -> u64 {
     let parts = upstreams.iter().flat_map(|(name, text)| [name.as_str(), text.as_str()]);
     rendezvous::stable_hash(&parts.collect::<Vec<_>>())
