--- a/crates/instance/src/routes_history.rs
+++ b/crates/instance/src/routes_history.rs
@@ -1,7 +1,7 @@
-//! The routes as members pass them on: the last changes as they were made, or the whole.
+//! Routes in the form in which members pass them on: as recent changes, or as a whole.
 //!
-//! A change is computed once, by the member that reads new routes from the store, and then passed on unchanged.
-//! Whoever follows change by change hands on what it got.
+//! A change is computed once, by the member that reads new routes from the store. Members that receive it pass it on
+//! unchanged.
 
 use std::collections;
 
@@ -9,33 +9,33 @@
 
 use crate::compressed_bytes;
 
-/// Changes remembered: a member that missed more than a storm of them takes the whole.
+/// Most remembered changes; a member that has missed more of them receives the whole routes.
 const MAX_CACHED_CHANGES: usize = 16;
-/// Bytes of changes remembered; a change of one route takes some 50.
+/// Most compressed bytes of remembered changes; a change of one route takes some 50.
 const MAX_CACHED_CHANGE_BYTES: usize = 64 * 1024;
 
-/// One change of the routes.
+/// A change from one version of the routes to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesChange {
-    /// Version that it changes.
+    /// Version before the change.
     pub from: u64,
-    /// Version after it; newer.
+    /// Version after the change; newer than `from`.
     pub to: u64,
-    /// The newer text as what differs from the older.
+    /// The newer text, compressed against the older one.
     text: compressed_bytes::CompressedBytes,
 }
 
-/// What a member gives another of its routes.
+/// Routes as one member sends them to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RoutesCopy {
-    /// All of them.
+    /// The whole text.
     Whole(compressed_bytes::CompressedBytes),
-    /// The changes from the other's version on, oldest first, each from the one before.
+    /// The changes from the receiver's version on, oldest first, each based on the one before.
     Changes(Vec<RoutesChange>),
 }
 
 impl RoutesCopy {
-    /// The resulting text for a member that has `text` of `version`, and the changes applied.
+    /// Applies the copy to `text` of `version`; returns the resulting text, and the changes that were applied.
     pub fn apply(
         &self,
         version: u64,
@@ -45,8 +45,8 @@
             Self::Whole(packed) => return Ok((decompress_text(packed, "")?, Vec::new())),
             Self::Changes(changes) => changes,
         };
-        // Its own watch may have brought some of them meanwhile. A gap shows itself: what differs from
-        // another text has another digest.
+        // The receiver's own watch may have brought some of the changes in the meantime. If one is missing, the digest of
+        // the next one does not match.
         let missing: Vec<_> =
             changes.iter().skip_while(|change| change.to <= version).cloned().collect();
         let mut text = text.to_owned();
@@ -57,17 +57,17 @@
     }
 }
 
-/// The last changes of the routes.
+/// The last changes of the routes, for members with older ones.
 #[derive(Debug, Default)]
 pub struct RoutesHistory {
-    /// Oldest first, each from the one before.
+    /// The changes, oldest first, each based on the one before.
     changes: collections::VecDeque<RoutesChange>,
-    /// The whole, once somebody has asked for it; of the newest version.
+    /// The whole text of the newest version, compressed when a member first needs it.
     whole: Option<compressed_bytes::CompressedBytes>,
 }
 
 impl RoutesHistory {
-    /// Takes in that routes of `from` were replaced by those of `to`.
+    /// Records that the routes `from` were replaced by the routes `to`, each a version and a text.
     pub fn replace(&mut self, from: (u64, &str), to: (u64, &str)) {
         if from.0 == 0 {
             self.clear();
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes in changes that came from a member; none where that gave the whole.
+    /// Records changes that a member sent; without any, as after a whole copy, the history is cleared.
     pub fn extend(&mut self, changes: Vec<RoutesChange>) {
         if changes.is_empty() {
             self.clear();
@@ -111,8 +111,7 @@
         self.whole = None;
     }
 
-    /// What a member with routes of `version` lacks of `text`, the newest; nothing where that cannot be
-    /// packed.
+    /// The copy of the newest `text` for a member with routes of `version`; `None` if it cannot be compressed.
     pub fn copy_for(&mut self, version: u64, text: &str) -> Option<RoutesCopy> {
         let start = self.changes.iter().position(|change| change.from == version);
         if let Some(start) = start {
@@ -126,7 +125,7 @@
     }
 }
 
-/// The text that was packed against `base`.
+/// Decompresses a text that was compressed against `base`.
 fn decompress_text(
     packed: &compressed_bytes::CompressedBytes,
     base: &str,
