--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -1,4 +1,4 @@
-//! Small HTTP answers apart from callers' requests: readiness, members' documents, operators.
+//! HTTP server for everything but callers' requests: readiness checks, documents for members, and operators' pages.
 
 use std::{rc, time};
 
@@ -8,33 +8,33 @@
 
 use crate::{context, document_answers, member_feed, quarantine_gossip, upstream_rows};
 
-/// Requests that are held back.
+/// Path of the quarantined requests.
 const QUARANTINE_PATH: &str = "/v1/quarantine";
 
-/// Upstreams, and what they have said.
+/// Path of the upstreams' page.
 const UPSTREAMS_PATH: &str = "/v1/upstreams";
 
-/// Largest head of such a request.
+/// Largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest rest of such a connection.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// Time after a caller could not be let in during which the process is not ready; while one waits,
-/// it is tried again far more often.
+/// Time after a failure to accept a caller's connection for which the process is not ready. While callers wait, accepting
+/// is retried far more often.
 const ACCEPT_FAILURE_TIME: time::Duration = time::Duration::from_secs(1);
 
-/// Whom a listener answers.
+/// Kind of clients that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerRole {
-    /// The balancer.
+    /// The load balancer, which checks readiness.
     Health,
-    /// Other instances.
+    /// Other instances, which fetch documents.
     Members,
-    /// Operators.
+    /// Operators, and the collector of metrics.
     Operators,
 }
 
-/// Answers connections of one role for ever.
+/// Accepts and serves connections of one role; never returns.
 pub async fn accept_all(
     context: rc::Rc<context::InstanceContext>,
     listener: monoio::net::TcpListener,
@@ -78,11 +78,11 @@
     }
 }
 
-/// A small answer.
+/// Response of this server.
 struct ServerAnswer {
     status: u16,
     body: Bytes,
-    /// Held until it is sent, where it is one of a bounded number.
+    /// Guard of a large answer, held until the response has been sent.
     guard: Option<document_answers::LargeAnswerGuard>,
 }
 
@@ -99,7 +99,7 @@
         let status = http::StatusCode::from_u16(self.status).unwrap_or_default();
         let headers = http::HeaderMap::new();
         let head = h1::answer_bytes(status, &headers, Some(self.body.len()), close);
-        // The body is shared with others who get the same.
+        // Written separately, as the body is shared with responses to other members.
         writer.write(head).await?;
         writer.write(self.body).await?;
         drop(self.guard);
@@ -116,7 +116,7 @@
     }
 }
 
-/// Whether new connections should come here.
+/// Whether this instance should receive new connections.
 pub fn is_ready(context: &context::InstanceContext) -> bool {
     let now = context.now();
     let failed_lately =
@@ -124,6 +124,7 @@
     context.fleet.borrow().is_known() && !context.stop.asked() && !failed_lately
 }
 
+/// Serves the documents that a member requests.
 fn documents(context: &rc::Rc<context::InstanceContext>, uri: &http::Uri) -> ServerAnswer {
     let failed = |status, text: &str| ServerAnswer::text((status, status_body(text)));
     if uri.path() != member_feed::DOCUMENTS_PATH {
@@ -137,7 +138,7 @@
         pairs.filter_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')).next()
     };
     let routes = value("routes").and_then(|text| text.parse().ok()).unwrap_or(0);
-    // Without a list that can be read, all of it is sent.
+    // For an invalid revision the whole list is sent.
     let list = value("list").map(|text| text.parse().unwrap_or_default());
     match document_answers::answer(context, routes, list) {
         document_answers::DocumentAnswer::Ready(body, guard) => {
@@ -148,7 +149,7 @@
     }
 }
 
-/// The paths that `slipturnctl` asks, and the metrics page.
+/// Serves the paths that `slipturnctl` requests, and the metrics.
 fn operators(
     context: &context::InstanceContext,
     method: &http::Method,
@@ -190,7 +191,7 @@
     }
 }
 
-/// The quarantine, and its release by an operator.
+/// Lists the quarantined requests, and lets an operator release one.
 fn quarantine(
     context: &context::InstanceContext,
     method: &http::Method,
@@ -231,7 +232,7 @@
     }
 }
 
-/// A short answer to an operator, in the shape that `slipturnctl` shows.
+/// Body with a short text, in the JSON format that `slipturnctl` shows.
 fn status_body(text: &str) -> String {
     serde_json::json!({ "status": text }).to_string()
 }
@@ -259,8 +260,8 @@
     serde_json::json!({ "version": fleet.routes.version, "routes": rows })
 }
 
-/// How old what this process knows may be: a watch on which nothing is heard any more looks like one
-/// on which nothing has changed, but for these.
+/// Gauges of how old the documents of this process may be. They alone distinguish a watch that has fallen silent from one
+/// without changes.
 fn source_gauges(context: &context::InstanceContext) -> String {
     let lags = context.lags();
     let belief = context.belief.borrow();
@@ -276,13 +277,13 @@
     )
 }
 
-/// How many requests are held back.
+/// Gauge of quarantined requests.
 fn held_gauge(context: &context::InstanceContext) -> String {
     let held = context.quarantine.borrow().held_at(context.now()).len();
     format!("slipturn_requests_held {held}\n")
 }
 
-/// How many upstreams leave, rest and have a limit, as far as this process knows.
+/// Gauges of evacuated data centres, and of upstreams that are leaving, resting, limited, or affected by a recovery.
 fn notice_gauges(context: &context::InstanceContext) -> String {
     let now = context.now();
     let fleet = context.fleet.borrow();
@@ -300,7 +301,7 @@
     )
 }
 
-/// The ways of decisions in force, for comparisons.
+/// Gauge labelled with the variants of decision rules in force, for comparisons.
 fn ways_gauge(context: &context::InstanceContext) -> String {
     format!("slipturn_ways{{ways=\"{}\"}} 1\n", context.settings().experiments)
 }
