--- a/crates/instance/src/store_read.rs
+++ b/crates/instance/src/store_read.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform's store: all that an instance must know, or the routes alone.
+//! Reads from the platform's store: routes, evacuations and upstreams together, or the routes alone.
 
 use std::{collections, time};
 
@@ -6,18 +6,18 @@
 
 use crate::{border, context, document_call, list_update, store_call};
 
-/// Time for the store's answer to a read.
+/// Timeout of a read.
 const READ_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
-/// Most pages of one range read at once.
+/// Most pages read of one range.
 const MAX_PAGES: usize = 64;
 
-/// Items of a range of keys, with the revision of the store at its first page.
+/// Items of a range of keys, and the revision of the store when the first page was read.
 struct RangeRead {
     items: Vec<border::StoreItem>,
     revision: store_revision::StoreRevision,
 }
 
-/// Reads routes, evacuations and upstreams; the revision of the store that they belong to.
+/// Reads routes, evacuations and upstreams; returns the revision of the store from which to watch for changes.
 pub(crate) async fn read_all(
     context: &context::InstanceContext,
     connection: &mut document_call::DocumentConnection,
@@ -31,7 +31,7 @@
             published.revision
         ));
     }
-    // Pages are not a snapshot: changes since the first page are watched again.
+    // Pages are not a snapshot: the watch starts at the first page, and repeats changes that later pages contain.
     let revision = upstreams.revision;
     let documents = upstreams.items.into_iter().filter_map(|item| match border.key(&item.key) {
         border::StoreKey::Upstream(name) => Some((name, list_update::item_text(item))),
@@ -54,7 +54,7 @@
     Ok(revision)
 }
 
-/// Reads all pages of a range, whose paths follow from the key after which a page starts.
+/// Reads all pages of a range; `path` returns the path of the page that starts after a key.
 async fn read_range(
     context: &context::InstanceContext,
     connection: &mut document_call::DocumentConnection,
@@ -82,7 +82,7 @@
     Ok(RangeRead { items, revision: first_revision.unwrap_or_default() })
 }
 
-/// Reads the routes from the store.
+/// Reads the routes alone from the store, and adopts them if they are newer.
 pub(crate) async fn read_routes(context: &context::InstanceContext) -> Result<(), String> {
     let mut connection = document_call::DocumentConnection::new(context.settings().store);
     let path = context.border.routes_path();
