--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -1,4 +1,4 @@
-//! What changes in the belief about the store say to the log and to other members.
+//! Contact with the store: records its loss and return, logs them, and informs other members.
 
 use std::time;
 
@@ -6,34 +6,34 @@
 
 use crate::{context, heartbeats};
 
-/// Time between two looks at whether a member knows more.
+/// Interval between two checks of whether a member has newer documents.
 pub(crate) const POLL_INTERVAL: time::Duration = time::Duration::from_millis(150);
-/// The same while this process knows nothing.
+/// Interval between two such checks while this process has no documents.
 const START_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
-/// Time that the own watch has to bring what a member knows before it is doubted, and the member
-/// asked: a change does not reach all watches at one moment, and later where others came just before it.
+/// Time that this process may lag behind a member before its own watch is doubted and the member asked. A change does not
+/// reach all watches at the same time, and arrives later if another change preceded it.
 pub(crate) const MAX_WATCH_LAG: time::Duration = time::Duration::from_millis(500);
 
-/// Time between two looks at what members know; short while this one knows nothing.
+/// Interval between two checks of what members have; short while this process has no documents.
 pub(crate) fn poll_interval(context: &context::InstanceContext) -> time::Duration {
     if context.fleet.borrow().is_known() { POLL_INTERVAL } else { START_POLL_INTERVAL }
 }
 
-/// Whether the own watch is expected to bring what members know already.
+/// Whether this process's own watch can be expected to bring the changes that members already have.
 ///
-/// That a watch is open is no reason: its connection may have fallen silent. Members that have had
-/// something for [`MAX_WATCH_LAG`] are believed rather than the own watch.
+/// An open watch is not sufficient, as its connection may have fallen silent: once a member has had a change for
+/// [`MAX_WATCH_LAG`], the member is trusted instead.
 pub(crate) fn trusts_own_watch(context: &context::InstanceContext) -> bool {
     let answers = context.belief.borrow().answers();
     answers && !is_behind(context)
 }
 
-/// Whether a member has had newer routes, or a newer list, for longer than the own watch needs.
+/// Whether a member has had newer routes or a newer list for at least [`MAX_WATCH_LAG`].
 pub(crate) fn is_behind(context: &context::InstanceContext) -> bool {
     context.lags().longest() >= MAX_WATCH_LAG
 }
 
-/// Notes that the store does not answer; whether that is new.
+/// Records that the store does not answer; returns whether that is a change.
 pub(crate) fn mark_lost(context: &context::InstanceContext, error: &str) -> bool {
     let lost = context.belief.borrow_mut().lose(context.now());
     if lost {
@@ -43,7 +43,7 @@
     lost
 }
 
-/// Notes an answer of the store.
+/// Records an answer of the store.
 pub(crate) fn mark_answered(context: &context::InstanceContext) {
     let now = context.now();
     let heard = context.belief.borrow_mut().receive(now);
@@ -52,12 +52,12 @@
         context.fleet.borrow_mut().source_returned(now);
     }
     if heard.watches_again {
-        // The others count on this one from now on.
+        // From now on other members can rely on this one's watch.
         heartbeats::announce(context);
     }
 }
 
-/// Logs that this process has fallen behind other members, and that it has caught up.
+/// Logs when this process falls behind other members and when it has caught up; `behind_since` is kept between calls.
 pub(crate) fn log_lag(
     context: &context::InstanceContext,
     behind_since: &mut Option<units::MonoTime>,
