--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! One watch of the store, whose silence is not taken for "nothing has changed".
+//! A single watch of the store. Its silence is not taken as a sign that nothing has changed.
 
 use std::{pin, time};
 
@@ -7,33 +7,33 @@
 
 use crate::{context, document_call, store_call, store_contact};
 
-/// Longest wait of one watch, as a share of the time within which a leaving upstream gets no more
-/// work. A connection may fall silent for good without a sign, so a change is heard at the latest
-/// when the wait, [`MAX_DELAY`] and a read are over: before the platform holds a struck instance to its bounds
-/// again.
+/// Longest wait of one watch, as a share of the time within which requests to a leaving upstream must stop.
+///
+/// A connection may fall silent without an error. A change is then received after the wait, [`MAX_DELAY`] and one read:
+/// before the platform again requires an instance that had a fault to keep its bounds.
 const WAIT_SHARE: f64 = 0.75;
-/// Wait of a watch that only asks whether the store is there: it returns at once.
+/// Wait of a probe, a watch that only checks whether the store answers: it returns at once.
 const PROBE_WAIT: time::Duration = time::Duration::from_millis(1);
-/// Time after a watch's wait after which its connection is doubted. A store that is fifty times
-/// slower than usual answers in 200 ms.
+/// Time after the end of a watch's wait from which its connection is doubted. A store that is fifty times slower than
+/// usual answers in 200 ms.
 const MAX_DELAY: time::Duration = time::Duration::from_millis(500);
-/// Time for the answer to a watch that returns at once, before another is sent concurrently.
+/// Time for the answer to a probe before another probe is sent concurrently.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
-/// Such watches at once, each on a connection of its own: a store that is as late as all of them is
-/// taken for away. With one alone, a store that is later than its wait is never heard.
+/// Most concurrent probes, each on its own connection; the store counts as unreachable if none is answered. With a single
+/// probe, answers of a store slower than [`PROBE_TIMEOUT`] would never be received.
 const MAX_PROBES: u32 = 3;
-/// Shortest wait of a watch, whatever the settings say, so that quiet ones do not follow at once.
+/// Shortest wait of a watch, whatever the settings say, so that watches without changes do not follow each other at once.
 const MIN_WAIT: time::Duration = time::Duration::from_millis(250);
 
-/// Watches once from a revision on; the answer may come over another connection, which then
-/// replaces the one given.
+/// Watches the store once for changes after `revision`. If the answer arrives on another connection, that one replaces
+/// `connection`.
 pub(crate) async fn watch(
     context: &context::InstanceContext,
     connection: &mut document_call::DocumentConnection,
     revision: store_revision::StoreRevision,
 ) -> Result<store_call::StoreAnswer, store_call::StoreError> {
     if !context.belief.borrow().answers() {
-        // After an outage the store's return is to be noticed.
+        // After an outage the store's return must be noticed soon.
         return probe(context, connection, revision).await;
     }
     let wait = context.settings().bounds.leave.0.mul_f64(WAIT_SHARE).max(MIN_WAIT);
@@ -46,8 +46,8 @@
             return answered;
         }
         context.belief.borrow_mut().doubt();
-        // The store may be slow, or the connection silent while new ones work: who answers first
-        // tells. Waiting for the one watch alone kept changes from instances for half a minute.
+        // Either the store is slow, or this connection is silent while new ones work: the first answer decides. Waiting
+        // for the watch alone delayed changes by half a minute.
         match future::select(waiting, pin::pin!(probe(context, &mut probe_connection, revision)))
             .await
         {
@@ -63,8 +63,8 @@
     answered
 }
 
-/// Asks for changes without waiting for any. While an answer is late, others are asked for concurrently with
-/// it: the store may be back for new connections, or just slow.
+/// Requests changes without waiting for any. While an answer is late, further probes are sent concurrently: the store may
+/// answer on new connections alone, or just be slow.
 async fn probe(
     context: &context::InstanceContext,
     connection: &mut document_call::DocumentConnection,
@@ -83,7 +83,7 @@
         let Ok(Some((new_connection, answered))) =
             monoio::time::timeout(PROBE_TIMEOUT, probes.next()).await
         else {
-            // Entries may lapse from now on: its return is the end of an outage.
+            // Entries may expire from now on, so the store's return counts as the end of an outage.
             store_contact::mark_lost(context, "no answer on a new connection");
             continue;
         };
@@ -94,8 +94,8 @@
     Err(store_call::StoreError::Call { source })
 }
 
-/// Waits for a watch's answer; `None` once it is overdue, or members have known for some time what
-/// it should have brought.
+/// Waits for the answer to a watch; `None` once it is overdue, or once members have had changes for some time that it
+/// should have brought.
 async fn until_doubted<T>(
     context: &context::InstanceContext,
     mut waiting: pin::Pin<&mut impl Future<Output = T>>,
