--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -117,7 +117,7 @@
     /// Messages to other members.
     pub outgoing: mpsc::UnboundedSender<Outgoing>,
     /// News of runs at upstreams.
-    runs: mpsc::UnboundedSender<upstream_ends::RunNews>,
+    runs: mpsc::UnboundedSender<upstream_ends::RunEvent>,
     sequence: cell::Cell<u64>,
 }
 
@@ -134,7 +134,7 @@
     /// Messages to other members.
     pub outgoing: mpsc::UnboundedSender<Outgoing>,
     /// News of runs at upstreams.
-    pub runs: mpsc::UnboundedSender<upstream_ends::RunNews>,
+    pub runs: mpsc::UnboundedSender<upstream_ends::RunEvent>,
 }
 
 impl InstanceContext {
@@ -223,7 +223,7 @@
     }
 
     /// Reports the end of a run.
-    pub(crate) fn report_run(&self, news: upstream_ends::RunNews) {
+    pub(crate) fn report_run(&self, news: upstream_ends::RunEvent) {
         // The receiver lives as long as the process.
         let _ = self.runs.unbounded_send(news);
     }
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -69,13 +69,13 @@
 /// Sends a member all limits known here, and those that ended recently.
 pub(crate) fn send_to(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
-    let told: Vec<_> = {
+    let reports: Vec<_> = {
         let fleet = context.fleet.borrow();
-        let words = fleet.list.notices().limit_readings();
-        words.map(|(upstream, reading)| report_of(now, upstream, &reading)).collect()
+        let readings = fleet.list.notices().limit_readings();
+        readings.map(|(upstream, reading)| report_of(now, upstream, &reading)).collect()
     };
-    for reports in told.chunks(peer_message::MAX_LIMITS) {
-        context.send_to(to, peer_message::PeerMessage::Limits(reports.to_vec()));
+    for part in reports.chunks(peer_message::MAX_LIMITS) {
+        context.send_to(to, peer_message::PeerMessage::Limits(part.to_vec()));
     }
 }
 
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -253,7 +253,7 @@
     let life = rc::Rc::clone(&connection.life);
     let left = call.left(context.now());
     let run = upstream_ends::RunGuard::begin(context, call, &target.upstream, target.address);
-    let mut over = pin::pin!(context.starts.until_over(&target.upstream));
+    let mut over = pin::pin!(context.starts.until_ended(&target.upstream));
     let mut sending = pin::pin!(upstream_attempt::exchange(context, call, &target, connection));
     let unused_time = context.settings().bounds.unused_time();
     let mut watch = silence_watch::SilenceWatch {
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -178,7 +178,7 @@
         }
         last = now;
         context.fleet.borrow_mut().tick(now);
-        upstream_starts::settle(&context);
+        upstream_starts::handle_ended(&context);
         quota_coordinator::tick(&context);
         let answers = {
             let mut planners = context.planners.borrow_mut();
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -108,7 +108,7 @@
     let socket = rc::Rc::new(socket);
     let (closing_sender, closing) = oneshot::channel();
     let (outgoing, queue) = mpsc::unbounded();
-    let (runs, run_news) = mpsc::unbounded();
+    let (runs, run_events) = mpsc::unbounded();
     let grace = settings.bounds.grace.0;
     let stopping = stop.clone();
     let context_parts =
@@ -132,7 +132,7 @@
     monoio::spawn(member_feed::follow_list(share()));
     monoio::spawn(engine_reports::poll(share()));
     monoio::spawn(prune(share()));
-    monoio::spawn(upstream_ends::judge_runs(share(), run_news));
+    monoio::spawn(upstream_ends::find_ended_upstreams(share(), run_events));
     monoio::spawn(member_gossip::repeat(share()));
     let small = internal_server::accept_all;
     monoio::spawn(small(share(), health, internal_server::ServerRole::Health));
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -224,7 +224,7 @@
     start: AttemptStart<'_>,
     give_up: impl AsyncFnMut(upstream_attempt::RetryReach) -> bool,
 ) -> Result<UpstreamReply<'a>, upstream_attempt::AttemptFault> {
-    let over = pin::pin!(context.starts.until_over(&start.entry.name));
+    let over = pin::pin!(context.starts.until_ended(&start.entry.name));
     let work = pin::pin!(call_upstream(context, call, start, give_up));
     match future::select(work, over).await {
         future::Either::Left((result, _)) => result,
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -197,7 +197,7 @@
     let not_connected = retry::AttemptFailure::NotConnected;
     opened.map_err(|error| {
         if error.nobody_listens() {
-            context.report_run(upstream_ends::RunNews::Refused(target.upstream.clone()));
+            context.report_run(upstream_ends::RunEvent::Refused(target.upstream.clone()));
         }
         AttemptFault::new(not_connected, error)
     })
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -13,37 +13,37 @@
 
 /// Time after a break after which a connection is tried: a process that has ended refuses at once, but
 /// its connections may be reset a moment before its listener is. One connection only: each costs the upstream one.
-const BREAK_CHECK: time::Duration = time::Duration::from_millis(15);
+const BREAK_CHECK_DELAY: time::Duration = time::Duration::from_millis(15);
 /// The same after a run that its caller has left: its engine begins it a moment later, or drops it.
-const LEFT_CHECK: time::Duration = time::Duration::from_millis(250);
+const LEFT_CHECK_DELAY: time::Duration = time::Duration::from_millis(250);
 /// How long a broken run waits for proof. The list drops an upstream that crashed after three missed
 /// heartbeats of 1.2 s, and may be some seconds late itself.
-const PROOF_TIME: time::Duration = time::Duration::from_secs(10);
+const PROOF_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 /// Time between two looks at the list while runs wait for proof.
-const LIST_INTERVAL: time::Duration = time::Duration::from_millis(100);
+const LIST_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// Broken runs that wait for proof at most; each takes some 100 bytes.
-const MAX_WAITING: usize = 256;
+const MAX_UNPROVEN: usize = 256;
 /// Requests that a log line names at most.
-const MAX_LOGGED: usize = 16;
+const MAX_LOGGED_REQUESTS: usize = 16;
 
 /// Messages about runs.
 #[derive(Debug)]
-pub enum RunNews {
+pub enum RunEvent {
     /// A run broke, or was left by its caller: its upstream may have ended under it.
     Broke(BrokenRun),
     /// Nobody listens at an upstream's address.
     Refused(ids::UpstreamId),
     /// Its address has been tried.
-    Checked(ids::UpstreamId, CheckResult),
+    Checked(ids::UpstreamId, ProbeResult),
 }
 
 /// What a connection to an upstream that broke a run showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CheckResult {
+pub enum ProbeResult {
     /// Nobody listens there.
-    Refuses,
+    ConnectionRefused,
     /// Somebody does: the run's connection has broken, not its upstream.
-    Lives,
+    Accepts,
     /// Nothing: the way there may be cut, or the machine be dark.
     Silent,
 }
@@ -132,7 +132,7 @@
 
 impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
-        if self.ended || !is_live(self.context, &self.upstream) {
+        if self.ended || !is_expected_to_run(self.context, &self.upstream) {
             return;
         }
         let run = BrokenRun {
@@ -143,13 +143,13 @@
             broke: self.context.now(),
             left: !self.broke,
         };
-        self.context.report_run(RunNews::Broke(run));
+        self.context.report_run(RunEvent::Broke(run));
     }
 }
 
 /// Whether the list names this start and it is not known to leave: one that leaves ends by plan, whatever
 /// it runs.
-fn is_live(context: &context::InstanceContext, name: &ids::UpstreamId) -> bool {
+fn is_expected_to_run(context: &context::InstanceContext, name: &ids::UpstreamId) -> bool {
     let fleet = context.fleet.borrow();
     let leaving = fleet.list.notices().leaving(name).is_some();
     !leaving && fleet.list.entry(name).is_some_and(|entry| entry.name == *name)
@@ -157,24 +157,24 @@
 
 /// Broken runs that wait for proof.
 #[derive(Default)]
-struct WaitingRuns {
+struct UnprovenRuns {
     runs: collections::VecDeque<BrokenRun>,
     /// Upstreams at whose address somebody takes connections. It may be a proxy: their runs wait on for
     /// another start in the list; that it names none any more would show no end.
-    alive: collections::BTreeSet<ids::UpstreamId>,
+    accepting: collections::BTreeSet<ids::UpstreamId>,
     /// Upstreams that are tried after a broken connection.
-    checked: collections::BTreeSet<ids::UpstreamId>,
+    being_checked: collections::BTreeSet<ids::UpstreamId>,
 }
 
-impl WaitingRuns {
+impl UnprovenRuns {
     /// Remembers a run; returns whether its upstream is to be checked.
     fn push(&mut self, run: BrokenRun) -> bool {
-        let unchecked = run.left || self.checked.insert(run.upstream.clone());
-        if self.runs.len() >= MAX_WAITING {
+        let needs_check = run.left || self.being_checked.insert(run.upstream.clone());
+        if self.runs.len() >= MAX_UNPROVEN {
             self.runs.pop_front();
         }
         self.runs.push_back(run);
-        unchecked
+        needs_check
     }
 
     /// The runs at an upstream, which need no more proof.
@@ -185,10 +185,10 @@
         taken.into()
     }
 
-    fn forget_old(&mut self, now: units::MonoTime) {
-        self.runs.retain(|run| now.since(run.broke) < PROOF_TIME);
+    fn forget_expired(&mut self, now: units::MonoTime) {
+        self.runs.retain(|run| now.since(run.broke) < PROOF_TIMEOUT);
         let runs = &self.runs;
-        self.alive.retain(|upstream| runs.iter().any(|run| run.upstream == *upstream));
+        self.accepting.retain(|upstream| runs.iter().any(|run| run.upstream == *upstream));
     }
 
     /// Upstreams of which the list shows that they have ended.
@@ -196,48 +196,53 @@
         let fleet = context.fleet.borrow();
         let ended = |upstream: &&ids::UpstreamId| match fleet.list.entry(upstream) {
             Some(entry) => entry.name != **upstream,
-            None => !self.alive.contains(*upstream),
+            None => !self.accepting.contains(*upstream),
         };
         self.runs.iter().map(|run| &run.upstream).filter(ended).cloned().collect()
     }
 }
 
 /// Finds out under which runs upstreams have ended.
-pub async fn judge_runs(
+pub async fn find_ended_upstreams(
     context: rc::Rc<context::InstanceContext>,
-    mut news: mpsc::UnboundedReceiver<RunNews>,
+    mut events: mpsc::UnboundedReceiver<RunEvent>,
 ) {
-    let mut waiting = WaitingRuns::default();
+    let mut unproven = UnprovenRuns::default();
     loop {
-        let pause = if waiting.runs.is_empty() { PROOF_TIME } else { LIST_INTERVAL };
-        match monoio::time::timeout(pause, news.next()).await {
-            Ok(Some(RunNews::Broke(run))) => {
+        let pause = if unproven.runs.is_empty() { PROOF_TIMEOUT } else { LIST_CHECK_INTERVAL };
+        match monoio::time::timeout(pause, events.next()).await {
+            Ok(Some(RunEvent::Broke(run))) => {
                 let (upstream, address) = (run.upstream.clone(), run.address);
-                let delay = if run.left { LEFT_CHECK } else { BREAK_CHECK };
-                if waiting.push(run) {
+                let delay = if run.left { LEFT_CHECK_DELAY } else { BREAK_CHECK_DELAY };
+                if unproven.push(run) {
                     monoio::spawn(check(rc::Rc::clone(&context), upstream, address, delay));
                 }
             }
-            Ok(Some(RunNews::Refused(upstream))) => {
-                end(&context, &upstream, waiting.take(&upstream), EndProof::Refused);
+            Ok(Some(RunEvent::Refused(upstream))) => {
+                report_ended(&context, &upstream, unproven.take(&upstream), EndProof::Refused);
             }
-            Ok(Some(RunNews::Checked(upstream, seen))) => {
-                waiting.checked.remove(&upstream);
-                match seen {
-                    CheckResult::Refuses => {
-                        end(&context, &upstream, waiting.take(&upstream), EndProof::Refused);
+            Ok(Some(RunEvent::Checked(upstream, result))) => {
+                unproven.being_checked.remove(&upstream);
+                match result {
+                    ProbeResult::ConnectionRefused => {
+                        report_ended(
+                            &context,
+                            &upstream,
+                            unproven.take(&upstream),
+                            EndProof::Refused,
+                        );
                     }
-                    CheckResult::Lives => _ = waiting.alive.insert(upstream),
-                    CheckResult::Silent => {}
+                    ProbeResult::Accepts => _ = unproven.accepting.insert(upstream),
+                    ProbeResult::Silent => {}
                 }
             }
             Ok(None) => return,
             Err(_) => {}
         }
         let now = context.now();
-        waiting.forget_old(now);
-        for upstream in waiting.ended(&context) {
-            end(&context, &upstream, waiting.take(&upstream), EndProof::List);
+        unproven.forget_expired(now);
+        for upstream in unproven.ended(&context) {
+            report_ended(&context, &upstream, unproven.take(&upstream), EndProof::List);
         }
     }
 }
@@ -251,19 +256,19 @@
 ) {
     monoio::time::sleep(delay).await;
     if upstream_gate::look(&context, &upstream, send_gate::SendKind::Check, &[]).is_err() {
-        context.report_run(RunNews::Checked(upstream, CheckResult::Silent));
+        context.report_run(RunEvent::Checked(upstream, ProbeResult::Silent));
         return;
     }
-    let seen = match context.pool.open(address).await {
-        Ok(_) => CheckResult::Lives,
-        Err(error) if error.nobody_listens() => CheckResult::Refuses,
-        Err(_) => CheckResult::Silent,
+    let result = match context.pool.open(address).await {
+        Ok(_) => ProbeResult::Accepts,
+        Err(error) if error.nobody_listens() => ProbeResult::ConnectionRefused,
+        Err(_) => ProbeResult::Silent,
     };
-    context.report_run(RunNews::Checked(upstream, seen));
+    context.report_run(RunEvent::Checked(upstream, result));
 }
 
 /// Draws the conclusions of an upstream's end.
-fn end(
+fn report_ended(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     runs: Vec<BrokenRun>,
@@ -276,7 +281,7 @@
     requests.sort();
     requests.dedup();
     let count = requests.len();
-    requests.truncate(MAX_LOGGED);
+    requests.truncate(MAX_LOGGED_REQUESTS);
     log::warn!(
         upstream:%, proof = proof.label(), runs = runs.len(), requests = count,
         digests = requests.join(" "); "upstream.ended"
--- a/crates/instance/src/upstream_rows.rs
+++ b/crates/instance/src/upstream_rows.rs
@@ -11,7 +11,7 @@
 pub(crate) fn upstreams(context: &context::InstanceContext) -> Vec<serde_json::Value> {
     let now = context.now();
     let fleet = context.fleet.borrow();
-    let sums = service_sums(context, &fleet);
+    let sums = sent_by_service(context, &fleet);
     let row = |entry: &upstream_list::UpstreamEntry| {
         serde_json::json!({
             "upstream": entry.name.to_string(),
@@ -53,7 +53,7 @@
 }
 
 /// Requests that this process sent lately, by service.
-fn service_sums(
+fn sent_by_service(
     context: &context::InstanceContext,
     fleet: &fleet_state::FleetState,
 ) -> collections::HashMap<ids::ServiceId, u32> {
@@ -72,13 +72,13 @@
 ) -> String {
     let count = context.sent.borrow().lately(context.now(), &entry.name);
     let sum = sums.get(&entry.service).copied().unwrap_or(0).max(1);
-    let part = f64::from(count) / f64::from(sum);
+    let share = f64::from(count) / f64::from(sum);
     let span = send_counts::COUNT_TIME.as_secs();
-    format!("{count} in {span} s, {part:.2} of its service's")
+    format!("{count} in {span} s, {share:.2} of its service's")
 }
 
 fn connections(context: &context::InstanceContext, entry: &upstream_list::UpstreamEntry) -> String {
     let held = context.pool.held(entry.address);
-    let most = context.resting_share(&entry.name);
-    format!("{} open, {} of {most} at rest", held.open, held.resting)
+    let max_idle = context.resting_share(&entry.name);
+    format!("{} open, {} of {max_idle} at rest", held.open, held.resting)
 }
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -28,8 +28,8 @@
         receive_leaving(context, upstream, source);
     }
     limit_gossip::receive(context, upstream, said, asked);
-    let turned_away = [http::StatusCode::SERVICE_UNAVAILABLE, http::StatusCode::TOO_MANY_REQUESTS];
-    if turned_away.contains(&status) {
+    let refusals = [http::StatusCode::SERVICE_UNAVAILABLE, http::StatusCode::TOO_MANY_REQUESTS];
+    if refusals.contains(&status) {
         if let Some(rest) = &said.rest {
             receive_rest(context, upstream, rest);
         }
@@ -80,9 +80,9 @@
         return;
     }
     // Otherwise the list informs the others.
-    let told = context.fleet.borrow().leaving_reports(context.now());
-    for reports in told.chunks(peer_message::MAX_LEAVING) {
-        context.send_to(to, peer_message::PeerMessage::Leaving(reports.to_vec()));
+    let reports = context.fleet.borrow().leaving_reports(context.now());
+    for part in reports.chunks(peer_message::MAX_LEAVING) {
+        context.send_to(to, peer_message::PeerMessage::Leaving(part.to_vec()));
     }
 }
 
--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -13,7 +13,7 @@
 /// Attempts that wait for one start of an upstream.
 #[derive(Debug, Default)]
 pub struct StartWaiters {
-    waiting: cell::RefCell<collections::HashMap<ids::UpstreamId, Vec<oneshot::Sender<()>>>>,
+    waiters: cell::RefCell<collections::HashMap<ids::UpstreamId, Vec<oneshot::Sender<()>>>>,
 }
 
 impl StartWaiters {
@@ -21,18 +21,18 @@
     ///
     /// Whatever ran there is lost then, and nothing comes over its connections any more: a call is answered with the
     /// news, and need not wait for the limit of a silence.
-    pub fn until_over(&self, name: &ids::UpstreamId) -> impl Future<Output = ()> + use<> {
-        let over = name.start().map(|_| {
-            let (sender, over) = oneshot::channel();
-            let mut waiting = self.waiting.borrow_mut();
-            let waiters = waiting.entry(name.clone()).or_default();
+    pub fn until_ended(&self, name: &ids::UpstreamId) -> impl Future<Output = ()> + use<> {
+        let receiver = name.start().map(|_| {
+            let (sender, receiver) = oneshot::channel();
+            let mut waiters = self.waiters.borrow_mut();
+            let waiters = waiters.entry(name.clone()).or_default();
             waiters.retain(|waiter| !waiter.is_canceled());
             waiters.push(sender);
-            over
+            receiver
         });
         async move {
-            let ended = match over {
-                Some(over) => over.await.is_ok(),
+            let ended = match receiver {
+                Some(receiver) => receiver.await.is_ok(),
                 None => false,
             };
             if !ended {
@@ -42,13 +42,13 @@
     }
 
     fn end(&self, name: &ids::UpstreamId) -> usize {
-        let waiters = self.waiting.borrow_mut().remove(name).unwrap_or_default();
+        let waiters = self.waiters.borrow_mut().remove(name).unwrap_or_default();
         // Some attempts have ended meanwhile.
         waiters.into_iter().filter_map(|waiter| waiter.send(()).ok()).count()
     }
 
     fn retain(&self, present: impl Fn(&ids::UpstreamId) -> bool) {
-        self.waiting.borrow_mut().retain(|name, waiters| {
+        self.waiters.borrow_mut().retain(|name, waiters| {
             waiters.retain(|waiter| !waiter.is_canceled());
             !waiters.is_empty() || present(name)
         });
@@ -56,7 +56,7 @@
 }
 
 /// Draws the conclusions of starts that were found to be over.
-pub(crate) fn settle(context: &context::InstanceContext) {
+pub(crate) fn handle_ended(context: &context::InstanceContext) {
     let ended = context.fleet.borrow_mut().list.take_ended();
     if ended.is_empty() {
         return;
