--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -1,8 +1,8 @@
-//! Runs that broke, and whether their upstream ended under them.
+//! Detection of upstreams that ended while they ran a request.
 //!
-//! A connection that breaks may have been reset while the upstream lives on. What shows an end is
-//! that no process listens at its address any more, or that the list names another start, or none, of
-//! an upstream that was not leaving.
+//! A broken connection alone is no proof, as it may have been reset while the upstream keeps running. An upstream has ended
+//! if no process listens at its address any more, or if the list names another start of it, or none, although it was not
+//! leaving.
 
 use std::{collections, net, rc, time};
 
@@ -11,61 +11,63 @@
 
 use crate::{context, incoming_call, quarantine_gossip, upstream_attempt, upstream_gate};
 
-/// Time after a break after which a connection is tried: a process that has ended refuses at once, but
-/// its connections may be reset a moment before its listener is. One connection only: each costs the upstream one.
+/// Delay between a broken run and a test connection to its upstream. A process that has ended refuses at once, but its
+/// connections may be reset a moment before its listener is closed. Only one test connection at a time is opened for the
+/// broken runs of an upstream, as it takes up one of the upstream's connections.
 const BREAK_CHECK_DELAY: time::Duration = time::Duration::from_millis(15);
-/// The same after a run that its caller has left: its engine begins it a moment later, or drops it.
+/// Delay between a run abandoned by its caller and a test connection to its upstream: the engine may begin such a run a
+/// moment later, or drop it.
 const LEFT_CHECK_DELAY: time::Duration = time::Duration::from_millis(250);
-/// How long a broken run waits for proof. The list drops an upstream that crashed after three missed
-/// heartbeats of 1.2 s, and may be some seconds late itself.
+/// Time after which a broken run without proof is forgotten. The list drops a crashed upstream after three missed
+/// heartbeats of 1.2 s, and may be late by some seconds itself.
 const PROOF_TIMEOUT: time::Duration = time::Duration::from_secs(10);
-/// Time between two looks at the list while runs wait for proof.
+/// Interval between two checks of the list while broken runs wait for proof.
 const LIST_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
-/// Broken runs that wait for proof at most; each takes some 100 bytes.
+/// Most broken runs that wait for proof; each takes some 100 bytes.
 const MAX_UNPROVEN: usize = 256;
-/// Requests that a log line names at most.
+/// Most requests that a log line names.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// Messages about runs.
+/// Events that show or suggest the end of an upstream.
 #[derive(Debug)]
 pub enum RunEvent {
-    /// A run broke, or was left by its caller: its upstream may have ended under it.
+    /// A run broke or was abandoned: its upstream may have ended.
     Broke(BrokenRun),
-    /// Nobody listens at an upstream's address.
+    /// No process listens at an upstream's address.
     Refused(ids::UpstreamId),
-    /// Its address has been tried.
+    /// A test connection to an upstream has had this result.
     Checked(ids::UpstreamId, ProbeResult),
 }
 
-/// What a connection to an upstream that broke a run showed.
+/// Result of a test connection to the upstream of a broken run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// Nobody listens there.
+    /// No process listens at the address: the upstream has ended.
     ConnectionRefused,
-    /// Somebody does: the run's connection has broken, not its upstream.
+    /// The connection was accepted: only the run's connection broke.
     Accepts,
-    /// Nothing: the way there may be cut, or the machine be dark.
+    /// Nothing is known: the network or the upstream's machine may have failed.
     Silent,
 }
 
-/// A run without an end that the upstream gave it.
+/// A run that its upstream did not complete.
 #[derive(Debug, Clone)]
 pub struct BrokenRun {
-    /// The upstream.
+    /// Start of the upstream that ran the request.
     pub upstream: ids::UpstreamId,
-    /// Where it took the request.
+    /// Address that the request was sent to.
     pub address: net::SocketAddrV4,
-    /// The request.
+    /// Digest of the request.
     pub digest: request_digest::RequestDigest,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: units::MonoTime,
-    /// When it broke.
+    /// When the run broke or was abandoned.
     pub broke: units::MonoTime,
-    /// Whether nothing broke: its caller has left, or it was given up.
+    /// Whether the run was abandoned by its caller or by this process, rather than broken.
     pub left: bool,
 }
 
-/// What showed that an upstream had ended.
+/// Proof that an upstream has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndProof {
     Refused,
@@ -81,7 +83,8 @@
     }
 }
 
-/// Watches one run from its sending on; one that is dropped before its upstream has ended it is broken.
+/// Guard of one run, from the sending of its request; reports the run as broken if it is dropped before the upstream has
+/// completed it.
 pub(crate) struct RunGuard<'a> {
     context: &'a context::InstanceContext,
     call: &'a incoming_call::IncomingCall,
@@ -93,7 +96,7 @@
 }
 
 impl<'a> RunGuard<'a> {
-    /// Begins just before the first byte is sent.
+    /// Creates a guard; to be called just before the first byte is sent.
     pub(crate) fn begin(
         context: &'a context::InstanceContext,
         call: &'a incoming_call::IncomingCall,
@@ -112,18 +115,18 @@
         }
     }
 
-    /// It failed: unless the upstream surely did not run it, its connection has broken.
+    /// Records that the run failed; it counts as broken unless the upstream certainly did not run the request.
     pub(crate) fn failed(mut self, fault: &upstream_attempt::AttemptFault) {
         self.ended = fault.failure.surely_not_run();
         self.broke = !self.ended;
     }
 
-    /// Its connection has broken.
+    /// Records that the connection of the run broke.
     pub(crate) fn broke(mut self) {
         self.broke = true;
     }
 
-    /// The upstream has answered to the end, whatever it answered: it outlives such a run.
+    /// Records that the upstream has answered completely, whatever the answer: the request does not crash it.
     pub(crate) fn answered(mut self) {
         self.ended = true;
         quarantine_gossip::answered(self.context, || self.call.digest());
@@ -147,8 +150,7 @@
     }
 }
 
-/// Whether the list names this start and it is not known to leave: one that leaves ends by plan, whatever
-/// it runs.
+/// Whether the list names this start of an upstream and it is not leaving: a leaving one ends as planned, whatever it runs.
 fn is_expected_to_run(context: &context::InstanceContext, name: &ids::UpstreamId) -> bool {
     let fleet = context.fleet.borrow();
     let leaving = fleet.list.notices().leaving(name).is_some();
@@ -159,15 +161,15 @@
 #[derive(Default)]
 struct UnprovenRuns {
     runs: collections::VecDeque<BrokenRun>,
-    /// Upstreams at whose address somebody takes connections. It may be a proxy: their runs wait on for
-    /// another start in the list; that it names none any more would show no end.
+    /// Upstreams at whose address connections are accepted, perhaps by a proxy. Their runs keep waiting for another start
+    /// in the list; that the list names none any more is no proof for them.
     accepting: collections::BTreeSet<ids::UpstreamId>,
-    /// Upstreams that are tried after a broken connection.
+    /// Upstreams with a test connection in progress after a broken run.
     being_checked: collections::BTreeSet<ids::UpstreamId>,
 }
 
 impl UnprovenRuns {
-    /// Remembers a run; returns whether its upstream is to be checked.
+    /// Adds a run; returns whether its upstream needs a test connection.
     fn push(&mut self, run: BrokenRun) -> bool {
         let needs_check = run.left || self.being_checked.insert(run.upstream.clone());
         if self.runs.len() >= MAX_UNPROVEN {
@@ -177,7 +179,7 @@
         needs_check
     }
 
-    /// The runs at an upstream, which need no more proof.
+    /// Removes and returns the runs of an upstream that has been proven to have ended.
     fn take(&mut self, upstream: &ids::UpstreamId) -> Vec<BrokenRun> {
         let (taken, left) =
             self.runs.drain(..).partition(|run: &BrokenRun| run.upstream == *upstream);
@@ -185,13 +187,14 @@
         taken.into()
     }
 
+    /// Forgets runs that have waited for [`PROOF_TIMEOUT`].
     fn forget_expired(&mut self, now: units::MonoTime) {
         self.runs.retain(|run| now.since(run.broke) < PROOF_TIMEOUT);
         let runs = &self.runs;
         self.accepting.retain(|upstream| runs.iter().any(|run| run.upstream == *upstream));
     }
 
-    /// Upstreams of which the list shows that they have ended.
+    /// Upstreams of waiting runs that have ended according to the list.
     fn ended(&self, context: &context::InstanceContext) -> collections::BTreeSet<ids::UpstreamId> {
         let fleet = context.fleet.borrow();
         let ended = |upstream: &&ids::UpstreamId| match fleet.list.entry(upstream) {
@@ -202,7 +205,7 @@
     }
 }
 
-/// Finds out under which runs upstreams have ended.
+/// Collects broken runs, and reports those whose upstream is proven to have ended.
 pub async fn find_ended_upstreams(
     context: rc::Rc<context::InstanceContext>,
     mut events: mpsc::UnboundedReceiver<RunEvent>,
@@ -247,7 +250,7 @@
     }
 }
 
-/// Tries whether anybody listens at an upstream's address.
+/// Opens a test connection to an upstream after `delay`, and reports its result.
 async fn check(
     context: rc::Rc<context::InstanceContext>,
     upstream: ids::UpstreamId,
@@ -267,7 +270,7 @@
     context.report_run(RunEvent::Checked(upstream, result));
 }
 
-/// Draws the conclusions of an upstream's end.
+/// Logs the end of an upstream, and reports its runs as evidence against their requests.
 fn report_ended(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
