--- a/crates/instance/src/upstream_rows.rs
+++ b/crates/instance/src/upstream_rows.rs
@@ -1,5 +1,5 @@
-//! Upstreams as operators see them: what the list and they themselves say, what this process sends there, and who keeps
-//! what all members may do together.
+//! Rows on upstreams and services for operators: listed state, notices of upstreams, requests sent by this process, and
+//! coordinators of shared quotas.
 
 use std::collections;
 
@@ -7,7 +7,7 @@
 
 use crate::{context, fleet_state, quota_coordinator};
 
-/// A row for each upstream.
+/// Returns a row for each listed upstream.
 pub(crate) fn upstreams(context: &context::InstanceContext) -> Vec<serde_json::Value> {
     let now = context.now();
     let fleet = context.fleet.borrow();
@@ -29,7 +29,7 @@
     fleet.list.entries().map(row).collect()
 }
 
-/// A row for each service: who keeps the retries that all members share, and to whom they were given.
+/// Returns a row for each service: the coordinator of its retry quota, and the recent grants.
 pub(crate) fn retries(context: &context::InstanceContext) -> Vec<serde_json::Value> {
     let services: Vec<_> = context.fleet.borrow().routes.services.keys().cloned().collect();
     let row = |service: ids::ServiceId| {
@@ -40,6 +40,7 @@
     services.into_iter().map(row).collect()
 }
 
+/// Coordinator and recent grants of an upstream's limit; empty if it has none.
 fn limit(
     context: &context::InstanceContext,
     fleet: &fleet_state::FleetState,
@@ -52,7 +53,7 @@
     quota_coordinator::summary(context, &subject).unwrap_or_default()
 }
 
-/// Requests that this process sent lately, by service.
+/// Numbers of requests that this process has sent recently, by service.
 fn sent_by_service(
     context: &context::InstanceContext,
     fleet: &fleet_state::FleetState,
@@ -65,6 +66,7 @@
     })
 }
 
+/// Number of requests sent recently to an upstream, and its share of those sent to the whole service.
 fn sent(
     context: &context::InstanceContext,
     entry: &upstream_list::UpstreamEntry,
@@ -77,6 +79,7 @@
     format!("{count} in {span} s, {share:.2} of its service's")
 }
 
+/// Open and idle connections to an upstream, and the most that may stay idle.
 fn connections(context: &context::InstanceContext, entry: &upstream_list::UpstreamEntry) -> String {
     let held = context.pool.held(entry.address);
     let max_idle = context.resting_share(&entry.name);
