--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -6,12 +6,12 @@
 
 use crate::{border, context, limit_gossip, member_gossip, peer_message};
 
-/// Origin of a signal.
+/// Origin of a signal: the request whose answer carried it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SignalOrigin {
     /// When the request was sent.
     pub(crate) at: units::MonoTime,
-    /// Kind of the answer.
+    /// Kind of answer that carried the signal.
     pub(crate) source: upstream_notice::NoticeSource,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// The notices of an upstream, for the record of a request.
+/// Describes the notices of an upstream in force, for the record of a request.
 pub(crate) fn known(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -79,7 +79,7 @@
     if context.settings().experiments.leaving_news == ways::LeavingNewsWay::Heard {
         return;
     }
-    // Otherwise the list informs the others.
+    // Of other leaving upstreams members learn from the list.
     let reports = context.fleet.borrow().leaving_reports(context.now());
     for part in reports.chunks(peer_message::MAX_LEAVING) {
         context.send_to(to, peer_message::PeerMessage::Leaving(part.to_vec()));
@@ -114,7 +114,7 @@
         log::info!(upstream:%, source:%, age_ms; "upstream.leaves");
         context.stats.borrow_mut().count("upstream_leaves", &source.to_string());
         if let Some(entry) = fleet.list.entry(upstream) {
-            // No more requests use them.
+            // No more requests will use its idle connections.
             context.pool.forget(entry.address);
         }
     }
