--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -1,4 +1,4 @@
-//! What ends with a start of an upstream: attempts under way there, and connections that rest.
+//! End of a start of an upstream, with which attempts in progress there and idle connections end.
 
 use std::{cell, collections};
 
@@ -7,20 +7,20 @@
 
 use crate::{border, context};
 
-/// What a request's record says of an attempt whose upstream has started again.
+/// Outcome, in the record of a request, of an attempt whose upstream has restarted.
 pub(crate) const RESTARTED: &str = "the upstream has started again";
 
-/// Attempts that wait for one start of an upstream.
+/// Attempts in progress, by the start of the upstream that they depend on.
 #[derive(Debug, Default)]
 pub struct StartWaiters {
     waiters: cell::RefCell<collections::HashMap<ids::UpstreamId, Vec<oneshot::Sender<()>>>>,
 }
 
 impl StartWaiters {
-    /// Ends once a start is known to be over; never where the upstream does not tell its starts.
+    /// Completes once a start of an upstream is known to have ended; never if the upstream does not report its starts.
     ///
-    /// Whatever ran there is lost then, and nothing comes over its connections any more: a call is answered with the
-    /// news, and need not wait for the limit of a silence.
+    /// Everything that ran there is lost then, and its connections stay silent: the attempt can fail at once, without
+    /// waiting for the silence limit.
     pub fn until_ended(&self, name: &ids::UpstreamId) -> impl Future<Output = ()> + use<> {
         let receiver = name.start().map(|_| {
             let (sender, receiver) = oneshot::channel();
@@ -41,12 +41,14 @@
         }
     }
 
+    /// Notifies the attempts of a start that it has ended; returns their number.
     fn end(&self, name: &ids::UpstreamId) -> usize {
         let waiters = self.waiters.borrow_mut().remove(name).unwrap_or_default();
-        // Some attempts have ended meanwhile.
+        // Some attempts may have ended in the meantime.
         waiters.into_iter().filter_map(|waiter| waiter.send(()).ok()).count()
     }
 
+    /// Forgets attempts that have ended, and starts that have no attempts and are no longer present.
     fn retain(&self, present: impl Fn(&ids::UpstreamId) -> bool) {
         self.waiters.borrow_mut().retain(|name, waiters| {
             waiters.retain(|waiter| !waiter.is_canceled());
@@ -55,7 +57,7 @@
     }
 }
 
-/// Draws the conclusions of starts that were found to be over.
+/// Fails the attempts and closes the idle connections of starts that have been found to have ended.
 pub(crate) fn handle_ended(context: &context::InstanceContext) {
     let ended = context.fleet.borrow_mut().list.take_ended();
     if ended.is_empty() {
@@ -73,7 +75,7 @@
     context.starts.retain(|name| fleet.list.is_present(name));
 }
 
-/// Records which start of an upstream sent this, if reported.
+/// Records the start of an upstream that an answer reports, if it does.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     address: std::net::SocketAddrV4,
@@ -85,7 +87,7 @@
     }
 }
 
-/// The same of an engine's answer to an order.
+/// Records, and returns, the start that an engine reports in its answer to a memory order.
 pub(crate) fn receive_order(
     context: &context::InstanceContext,
     address: std::net::SocketAddrV4,
