--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -64,7 +64,7 @@
     /// When the run broke or was abandoned.
     pub broke: units::MonoTime,
     /// Whether the run was abandoned by its caller or by this process, rather than broken.
-    pub left: bool,
+    pub abandoned: bool,
 }
 
 /// Proof that an upstream has ended.
@@ -144,7 +144,7 @@
             digest: self.call.digest(),
             sent: self.sent,
             broke: self.context.now(),
-            left: !self.broke,
+            abandoned: !self.broke,
         };
         self.context.report_run(RunEvent::Broke(run));
     }
@@ -171,7 +171,7 @@
 impl UnprovenRuns {
     /// Adds a run; returns whether its upstream needs a test connection.
     fn push(&mut self, run: BrokenRun) -> bool {
-        let needs_check = run.left || self.being_checked.insert(run.upstream.clone());
+        let needs_check = run.abandoned || self.being_checked.insert(run.upstream.clone());
         if self.runs.len() >= MAX_UNPROVEN {
             self.runs.pop_front();
         }
@@ -181,9 +181,9 @@
 
     /// Removes and returns the runs of an upstream that has been proven to have ended.
     fn take(&mut self, upstream: &ids::UpstreamId) -> Vec<BrokenRun> {
-        let (taken, left) =
+        let (taken, rest) =
             self.runs.drain(..).partition(|run: &BrokenRun| run.upstream == *upstream);
-        self.runs = left;
+        self.runs = rest;
         taken.into()
     }
 
@@ -216,7 +216,7 @@
         match monoio::time::timeout(pause, events.next()).await {
             Ok(Some(RunEvent::Broke(run))) => {
                 let (upstream, address) = (run.upstream.clone(), run.address);
-                let delay = if run.left { LEFT_CHECK_DELAY } else { BREAK_CHECK_DELAY };
+                let delay = if run.abandoned { LEFT_CHECK_DELAY } else { BREAK_CHECK_DELAY };
                 if unproven.push(run) {
                     monoio::spawn(check(rc::Rc::clone(&context), upstream, address, delay));
                 }
--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn messages_arrive_as_they_were_said() {
+fn messages_survive_encoding_and_decoding() {
     let service = key();
     let job = JobId { boot: 1, sequence: 2 };
     let messages = [
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_largest_message_fits_a_datagram() {
+fn the_largest_lease_and_renewal_messages_fit_a_datagram() {
     let service = key();
     let leases = (0..MAX_LEASES as u64).map(lease).collect();
     let bytes = PeerMessage::Leases(service, leases).encode().expect("it can be coded");
@@ -82,15 +82,16 @@
 
 proptest! {
     #[test]
-    fn garbage_is_an_error_and_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn decoding_random_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         // Whether it happens to be a message does not matter; that it returns does.
         let _ = PeerMessage::decode(&bytes);
     }
 }
 
 #[test]
-fn what_each_request_says_is_small() {
-    let short = PlaceAsk { prompt: 5_000, output: 1_700, excluded: Vec::new(), ..lease(7).ask };
+fn messages_sent_for_each_request_are_small() {
+    let short_request =
+        PlaceAsk { prompt: 5_000, output: 1_700, excluded: Vec::new(), ..lease(7).ask };
     let grant = PlaceGrant { helpers: Vec::new(), ..lease(7).grant };
     let answer = PlaceAnswer::Grant(grant);
     let job = lease(7).ask.job;
@@ -106,16 +107,16 @@
         list: 100_000.into(),
     };
     let messages = [
-        (PeerMessage::Ask(key(), Box::new(short)), 96),
+        (PeerMessage::Ask(key(), Box::new(short_request)), 96),
         (PeerMessage::Answer(Box::new(answer)), 64),
         (PeerMessage::Alive(alive), 24),
         (PeerMessage::Renew(key(), u64::MAX, vec![renewed; 10]), 64),
         (PeerMessage::Note(key(), PlaceNote::FirstToken(job, Some(12))), 32),
         (PeerMessage::Note(key(), PlaceNote::Ended(job, PlaceEnd::Done)), 32),
     ];
-    for (message, most) in messages {
+    for (message, limit) in messages {
         let bytes = message.encode().expect("it can be coded");
-        assert!(bytes.len() <= most, "{} bytes: {message:?}", bytes.len());
+        assert!(bytes.len() <= limit, "{} bytes: {message:?}", bytes.len());
         println!("{} bytes", bytes.len());
     }
 }
@@ -123,45 +124,50 @@
 /// Members' largest words on upstreams: a whole cell of engines that one must not use, and a message full of
 /// engines that leave, with starts that are told.
 #[test]
-fn words_on_upstreams_fit_a_datagram() {
-    let named = name("i-0123456789ab@1764633600000");
-    let ask = PlaceAsk { excluded: vec![named.clone(); 140], ..lease(1).ask };
-    let asked = PeerMessage::Ask(key(), Box::new(ask)).encode().expect("it can be coded");
-    let report = LeavingReport { upstream: named, age_ms: 9_999_999 };
-    let full = PeerMessage::Leaving(vec![report.clone(); MAX_LEAVING]);
-    let full = full.encode().expect("it can be coded");
-    let one = PeerMessage::Leaving(vec![report]).encode().expect("it can be coded");
-    println!("{} bytes asked, {} and {} bytes of leaving", asked.len(), one.len(), full.len());
-    assert!(asked.len() < MAX_DATAGRAM && full.len() < MAX_DATAGRAM);
-    assert!(one.len() <= 40);
+fn messages_about_many_upstreams_fit_a_datagram() {
+    let upstream = name("i-0123456789ab@1764633600000");
+    let ask = PlaceAsk { excluded: vec![upstream.clone(); 140], ..lease(1).ask };
+    let request = PeerMessage::Ask(key(), Box::new(ask)).encode().expect("it can be coded");
+    let report = LeavingReport { upstream, age_ms: 9_999_999 };
+    let full_message = PeerMessage::Leaving(vec![report.clone(); MAX_LEAVING]);
+    let full_message = full_message.encode().expect("it can be coded");
+    let single_message = PeerMessage::Leaving(vec![report]).encode().expect("it can be coded");
+    println!(
+        "{} bytes asked, {} and {} bytes of leaving",
+        request.len(),
+        single_message.len(),
+        full_message.len()
+    );
+    assert!(request.len() < MAX_DATAGRAM && full_message.len() < MAX_DATAGRAM);
+    assert!(single_message.len() <= 40);
 }
 
 /// Limits, questions for leave and their answers: few bytes each, and a message full of limits fits.
 #[test]
-fn words_on_limits_are_small() {
+fn messages_about_limits_are_small() {
     let upstream = name("i-0123456789ab@1764633600000");
     let rate = Some("2.6".parse().expect("a rate"));
     let (asked_us, heard_us) = (9_999_999, 9_999_998);
-    let known = LimitReport { upstream: upstream.clone(), rate, asked_us, heard_us };
-    let full = PeerMessage::Limits(vec![known.clone(); MAX_LIMITS]);
-    assert!(full.encode().expect("it can be coded").len() < MAX_DATAGRAM);
+    let report = LimitReport { upstream: upstream.clone(), rate, asked_us, heard_us };
+    let full_message = PeerMessage::Limits(vec![report.clone(); MAX_LIMITS]);
+    assert!(full_message.encode().expect("it can be coded").len() < MAX_DATAGRAM);
     let ask = PermitRequest { wanted: 9, patience_ms: 300 };
     let subject = QuotaSubject::Upstream(upstream);
     let (number, boot) = (90_000, u64::MAX);
-    let question = PermitRequestMessage { number, boot, subject, ask, known: Some(known.clone()) };
+    let question = PermitRequestMessage { number, boot, subject, ask, known: Some(report.clone()) };
     let subject = QuotaSubject::Retries("plain".parse().expect("a name"), RetryNeed::Early);
     let retry = PermitRequestMessage { number, boot, subject, ask, known: None };
-    let given = PermitResponse::Granted { count: 1, wait_ms: 200 };
+    let granted = PermitResponse::Granted { count: 1, wait_ms: 200 };
     let messages = [
-        (PeerMessage::Limits(vec![known]), 64),
+        (PeerMessage::Limits(vec![report]), 64),
         (PeerMessage::RequestPermit(Box::new(question)), 112),
         (PeerMessage::RequestPermit(Box::new(retry)), 48),
-        (PeerMessage::Permit(90_000, given), 16),
+        (PeerMessage::Permit(90_000, granted), 16),
     ];
-    for (message, most) in messages {
+    for (message, limit) in messages {
         let bytes = message.encode().expect("it can be coded");
         println!("{} bytes", bytes.len());
-        assert!(bytes.len() <= most, "{} bytes: {message:?}", bytes.len());
+        assert!(bytes.len() <= limit, "{} bytes: {message:?}", bytes.len());
         assert_eq!(PeerMessage::decode(&bytes).expect("it can be read"), message);
     }
 }
--- a/crates/instance/tests/routes_history.rs
+++ b/crates/instance/tests/routes_history.rs
@@ -7,13 +7,13 @@
 };
 
 /// Routes of a version as an operator publishes them: many alike, some keys that are not.
-fn routes(version: u64, extra: usize) -> String {
+fn routes(version: u64, extra_routes: usize) -> String {
     let route = |number: usize| {
         let timeout = if number == 7 { 100 * version } else { 800 };
         format!(r#"{{"name":"r{number}","path_prefix":"/p{number}/","timeout_ms":{timeout}}}"#)
     };
     let key = |number: u64| format!(r#""k{:016x}""#, number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    let routes: Vec<_> = (0..40 + extra).map(route).collect();
+    let routes: Vec<_> = (0..40 + extra_routes).map(route).collect();
     let keys: Vec<_> = (0..400).map(key).collect();
     format!(
         r#"{{"version":{version},"routes":[{}],"keys":[{}]}}"#,
@@ -39,18 +39,18 @@
 }
 
 #[test]
-fn only_what_changed_travels() {
+fn a_copy_for_a_known_version_holds_only_the_changes() {
     let (mut history, text) = follower(&[3, 5, 9]);
     let copy = history.copy_for(3, &text).expect("a copy");
     assert!(matches!(&copy, RoutesCopy::Changes(changes) if changes.len() == 2), "{copy:?}");
     assert!(size(&copy) < 400, "{} of {} bytes", size(&copy), text.len());
-    let (found, changes) = copy.apply(3, &routes(3, 0)).expect("a good copy");
-    assert_eq!(found, text);
+    let (result, changes) = copy.apply(3, &routes(3, 0)).expect("a good copy");
+    assert_eq!(result, text);
     assert_eq!(changes.len(), 2, "handed on as they are");
 }
 
 #[test]
-fn changes_go_from_member_to_member_as_they_were_made() {
+fn members_pass_changes_on_unmodified() {
     let (mut first, text) = follower(&[3, 5, 9]);
     let copy = first.copy_for(3, &text).expect("a copy");
     let mut second = RoutesHistory::default();
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn who_knows_another_version_or_none_gets_the_whole() {
+fn a_member_with_an_unknown_version_gets_the_whole_text() {
     let (mut history, text) = follower(&[3, 5, 9]);
     for version in [0, 2, 4] {
         let copy = history.copy_for(version, &text).expect("a copy");
         assert!(matches!(copy, RoutesCopy::Whole(_)), "{version}: {copy:?}");
-        let (found, changes) = copy.apply(version, "what it had").expect("a good copy");
-        assert_eq!((found, changes.len()), (text.clone(), 0));
+        let (result, changes) = copy.apply(version, "what it had").expect("a good copy");
+        assert_eq!((result, changes.len()), (text.clone(), 0));
     }
     // Behind the whole nothing is known of what was before.
     let mut receiver = RoutesHistory::default();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_change_of_another_text_is_found_out() {
+fn a_change_applied_to_another_text_is_an_error() {
     let (mut history, text) = follower(&[3, 5]);
     let copy = history.copy_for(3, &text).expect("a copy");
     let other = routes(3, 0).replace("r12", "r99");
@@ -88,17 +88,17 @@
 }
 
 #[test]
-fn what_the_own_watch_brought_meanwhile_is_passed_over() {
+fn changes_that_the_receiver_has_already_are_skipped() {
     let (mut history, text) = follower(&[3, 5, 9]);
     let copy = history.copy_for(3, &text).expect("a copy");
-    let (found, changes) = copy.apply(5, &routes(5, 0)).expect("a good copy");
-    assert_eq!((found, changes.len()), (text.clone(), 1));
-    let (found, changes) = copy.apply(9, &text).expect("a good copy");
-    assert_eq!((found, changes.len()), (text, 0));
+    let (result, changes) = copy.apply(5, &routes(5, 0)).expect("a good copy");
+    assert_eq!((result, changes.len()), (text.clone(), 1));
+    let (result, changes) = copy.apply(9, &text).expect("a good copy");
+    assert_eq!((result, changes.len()), (text, 0));
 }
 
 #[test]
-fn a_storm_of_changes_is_remembered_within_bounds() {
+fn the_number_of_remembered_changes_is_bounded() {
     let versions: Vec<_> = (1..200).collect();
     let (mut history, text) = follower(&versions);
     assert!(matches!(history.copy_for(190, &text), Some(RoutesCopy::Changes(_))));
@@ -106,24 +106,24 @@
 }
 
 #[test]
-fn a_large_configuration_is_a_tenth_on_its_way() {
+fn large_routes_shrink_to_less_than_a_fifth() {
     let text = routes(1, 1_400);
-    let packed = CompressedBytes::compress(text.as_bytes(), &[]).expect("packed");
-    println!("{} of {} bytes", packed.size(), text.len());
-    assert!(packed.size() * 5 < text.len(), "{} of {} bytes", packed.size(), text.len());
+    let compressed = CompressedBytes::compress(text.as_bytes(), &[]).expect("packed");
+    println!("{} of {} bytes", compressed.size(), text.len());
+    assert!(compressed.size() * 5 < text.len(), "{} of {} bytes", compressed.size(), text.len());
 }
 
 proptest! {
     #[test]
-    fn damage_is_found_out_and_nothing_panics(at in any::<prop::sample::Index>(), with in 1_u8..=255) {
+    fn damaged_bytes_are_an_error_and_do_not_panic(at in any::<prop::sample::Index>(), mask in 1_u8..=255) {
         let text = routes(4, 0);
-        let packed = CompressedBytes::compress(text.as_bytes(), &[]).expect("packed");
-        let mut bytes = postcard::to_stdvec(&packed).expect("coded");
+        let compressed = CompressedBytes::compress(text.as_bytes(), &[]).expect("packed");
+        let mut bytes = postcard::to_stdvec(&compressed).expect("coded");
         let at = at.index(bytes.len());
-        bytes[at] ^= with;
+        bytes[at] ^= mask;
         if let Ok(damaged) = postcard::from_bytes::<CompressedBytes>(&bytes) {
             // A flag of the packed form that changes nothing may differ.
-            prop_assert!(damaged.decompress(&[]).map_or(true, |found| found == text.as_bytes()));
+            prop_assert!(damaged.decompress(&[]).map_or(true, |result| result == text.as_bytes()));
         }
     }
 }
--- a/crates/instance/tests/settings_cases.rs
+++ b/crates/instance/tests/settings_cases.rs
@@ -6,14 +6,14 @@
 
 fn check(input: &path::Path) -> datatest_stable::Result<()> {
     let expected = fs::read_to_string(input.with_file_name("expected"))?;
-    let said = match InstanceSettings::load(input) {
+    let outcome = match InstanceSettings::load(input) {
         Ok(_) => "valid".to_owned(),
         Err(error) => error.to_string(),
     };
-    if said.contains(expected.trim()) {
+    if outcome.contains(expected.trim()) {
         return Ok(());
     }
-    Err(format!("expected {:?} in {said:?}", expected.trim()).into())
+    Err(format!("expected {:?} in {outcome:?}", expected.trim()).into())
 }
 
 datatest_stable::harness! {
