--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -1,4 +1,4 @@
-//! Datagrams between instances: what is said arrives, and garbage is an error.
+//! Encoding of messages between instances: round trips, malformed datagrams, and sizes.
 
 use proptest::prelude::*;
 use slipturn_core::engine_place::{
@@ -64,8 +64,8 @@
         PeerMessage::Ask(service, Box::new(lease(3).ask)),
     ];
     for message in messages {
-        let bytes = message.encode().expect("it can be coded");
-        assert_eq!(PeerMessage::decode(&bytes).expect("it can be read"), message);
+        let bytes = message.encode().expect("a message that can be encoded");
+        assert_eq!(PeerMessage::decode(&bytes).expect("a valid message"), message);
     }
 }
 
@@ -73,17 +73,18 @@
 fn the_largest_lease_and_renewal_messages_fit_a_datagram() {
     let service = key();
     let leases = (0..MAX_LEASES as u64).map(lease).collect();
-    let bytes = PeerMessage::Leases(service, leases).encode().expect("it can be coded");
+    let bytes =
+        PeerMessage::Leases(service, leases).encode().expect("a message that can be encoded");
     assert!(bytes.len() <= MAX_DATAGRAM, "{} bytes", bytes.len());
     let jobs = vec![RenewedJob { sequence: u64::MAX, reading: true }; MAX_RENEWED];
-    let bytes = PeerMessage::Renew(key(), 1, jobs).encode().expect("it can be coded");
+    let bytes = PeerMessage::Renew(key(), 1, jobs).encode().expect("a message that can be encoded");
     assert!(bytes.len() <= MAX_DATAGRAM, "{} bytes", bytes.len());
 }
 
 proptest! {
     #[test]
     fn decoding_random_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        // Whether it happens to be a message does not matter; that it returns does.
+        // Random bytes may happen to be a valid message, so only a panic is a failure.
         let _ = PeerMessage::decode(&bytes);
     }
 }
@@ -115,23 +116,25 @@
         (PeerMessage::Note(key(), PlaceNote::Ended(job, PlaceEnd::Done)), 32),
     ];
     for (message, limit) in messages {
-        let bytes = message.encode().expect("it can be coded");
+        let bytes = message.encode().expect("a message that can be encoded");
         assert!(bytes.len() <= limit, "{} bytes: {message:?}", bytes.len());
         println!("{} bytes", bytes.len());
     }
 }
 
-/// Members' largest words on upstreams: a whole cell of engines that one must not use, and a message full of
-/// engines that leave, with starts that are told.
+/// The largest messages about upstreams, with the longest names: a request that excludes a whole cell of engines, and a
+/// full message of leaving ones.
 #[test]
 fn messages_about_many_upstreams_fit_a_datagram() {
     let upstream = name("i-0123456789ab@1764633600000");
     let ask = PlaceAsk { excluded: vec![upstream.clone(); 140], ..lease(1).ask };
-    let request = PeerMessage::Ask(key(), Box::new(ask)).encode().expect("it can be coded");
+    let request =
+        PeerMessage::Ask(key(), Box::new(ask)).encode().expect("a message that can be encoded");
     let report = LeavingReport { upstream, age_ms: 9_999_999 };
     let full_message = PeerMessage::Leaving(vec![report.clone(); MAX_LEAVING]);
-    let full_message = full_message.encode().expect("it can be coded");
-    let single_message = PeerMessage::Leaving(vec![report]).encode().expect("it can be coded");
+    let full_message = full_message.encode().expect("a message that can be encoded");
+    let single_message =
+        PeerMessage::Leaving(vec![report]).encode().expect("a message that can be encoded");
     println!(
         "{} bytes asked, {} and {} bytes of leaving",
         request.len(),
@@ -142,7 +145,7 @@
     assert!(single_message.len() <= 40);
 }
 
-/// Limits, questions for leave and their answers: few bytes each, and a message full of limits fits.
+/// Limits, requests for permits and their responses take few bytes each, and a full message of limits fits a datagram.
 #[test]
 fn messages_about_limits_are_small() {
     let upstream = name("i-0123456789ab@1764633600000");
@@ -150,7 +153,7 @@
     let (asked_us, heard_us) = (9_999_999, 9_999_998);
     let report = LimitReport { upstream: upstream.clone(), rate, asked_us, heard_us };
     let full_message = PeerMessage::Limits(vec![report.clone(); MAX_LIMITS]);
-    assert!(full_message.encode().expect("it can be coded").len() < MAX_DATAGRAM);
+    assert!(full_message.encode().expect("a message that can be encoded").len() < MAX_DATAGRAM);
     let ask = PermitRequest { wanted: 9, patience_ms: 300 };
     let subject = QuotaSubject::Upstream(upstream);
     let (number, boot) = (90_000, u64::MAX);
@@ -165,9 +168,9 @@
         (PeerMessage::Permit(90_000, granted), 16),
     ];
     for (message, limit) in messages {
-        let bytes = message.encode().expect("it can be coded");
+        let bytes = message.encode().expect("a message that can be encoded");
         println!("{} bytes", bytes.len());
         assert!(bytes.len() <= limit, "{} bytes: {message:?}", bytes.len());
-        assert_eq!(PeerMessage::decode(&bytes).expect("it can be read"), message);
+        assert_eq!(PeerMessage::decode(&bytes).expect("a valid message"), message);
     }
 }
