--- a/crates/instance/tests/routes_history.rs
+++ b/crates/instance/tests/routes_history.rs
@@ -1,4 +1,4 @@
-//! Routes as members pass them on: changes, the whole, and copies that are of no use.
+//! Routes as members pass them on: changes, whole copies, and copies that are damaged or do not apply.
 
 use proptest::prelude::*;
 use slipturn_instance::{
@@ -6,7 +6,7 @@
     routes_history::{RoutesCopy, RoutesHistory},
 };
 
-/// Routes of a version as an operator publishes them: many alike, some keys that are not.
+/// Routes of a version as an operator publishes them: many similar routes, and some keys without similarity.
 fn routes(version: u64, extra_routes: usize) -> String {
     let route = |number: usize| {
         let timeout = if number == 7 { 100 * version } else { 800 };
@@ -22,7 +22,7 @@
     )
 }
 
-/// A member that has followed these versions one by one from the store.
+/// History and text of a member that has read these versions one by one from the store.
 fn follower(versions: &[u64]) -> (RoutesHistory, String) {
     let mut history = RoutesHistory::default();
     let mut before = (0, String::new());
@@ -35,7 +35,7 @@
 }
 
 fn size(copy: &RoutesCopy) -> usize {
-    postcard::to_stdvec(copy).expect("it can be coded").len()
+    postcard::to_stdvec(copy).expect("a copy that can be encoded").len()
 }
 
 #[test]
@@ -44,9 +44,9 @@
     let copy = history.copy_for(3, &text).expect("a copy");
     assert!(matches!(&copy, RoutesCopy::Changes(changes) if changes.len() == 2), "{copy:?}");
     assert!(size(&copy) < 400, "{} of {} bytes", size(&copy), text.len());
-    let (result, changes) = copy.apply(3, &routes(3, 0)).expect("a good copy");
+    let (result, changes) = copy.apply(3, &routes(3, 0)).expect("a valid copy");
     assert_eq!(result, text);
-    assert_eq!(changes.len(), 2, "handed on as they are");
+    assert_eq!(changes.len(), 2, "changes must be passed on unmodified");
 }
 
 #[test]
@@ -54,10 +54,10 @@
     let (mut first, text) = follower(&[3, 5, 9]);
     let copy = first.copy_for(3, &text).expect("a copy");
     let mut second = RoutesHistory::default();
-    second.extend(copy.apply(3, &routes(3, 0)).expect("a good copy").1);
+    second.extend(copy.apply(3, &routes(3, 0)).expect("a valid copy").1);
     assert_eq!(second.copy_for(3, &text), Some(copy));
     let last = second.copy_for(5, &text).expect("a copy");
-    assert_eq!(last.apply(5, &routes(5, 0)).expect("a good copy").0, text);
+    assert_eq!(last.apply(5, &routes(5, 0)).expect("a valid copy").0, text);
 }
 
 #[test]
@@ -66,10 +66,10 @@
     for version in [0, 2, 4] {
         let copy = history.copy_for(version, &text).expect("a copy");
         assert!(matches!(copy, RoutesCopy::Whole(_)), "{version}: {copy:?}");
-        let (result, changes) = copy.apply(version, "what it had").expect("a good copy");
+        let (result, changes) = copy.apply(version, "what it had").expect("a valid copy");
         assert_eq!((result, changes.len()), (text.clone(), 0));
     }
-    // Behind the whole nothing is known of what was before.
+    // After a whole copy no earlier changes are known.
     let mut receiver = RoutesHistory::default();
     receiver.extend(Vec::new());
     assert!(matches!(receiver.copy_for(5, &text), Some(RoutesCopy::Whole(_))));
@@ -91,9 +91,9 @@
 fn changes_that_the_receiver_has_already_are_skipped() {
     let (mut history, text) = follower(&[3, 5, 9]);
     let copy = history.copy_for(3, &text).expect("a copy");
-    let (result, changes) = copy.apply(5, &routes(5, 0)).expect("a good copy");
+    let (result, changes) = copy.apply(5, &routes(5, 0)).expect("a valid copy");
     assert_eq!((result, changes.len()), (text.clone(), 1));
-    let (result, changes) = copy.apply(9, &text).expect("a good copy");
+    let (result, changes) = copy.apply(9, &text).expect("a valid copy");
     assert_eq!((result, changes.len()), (text, 0));
 }
 
@@ -108,7 +108,7 @@
 #[test]
 fn large_routes_shrink_to_less_than_a_fifth() {
     let text = routes(1, 1_400);
-    let compressed = CompressedBytes::compress(text.as_bytes(), &[]).expect("packed");
+    let compressed = CompressedBytes::compress(text.as_bytes(), &[]).expect("compressed bytes");
     println!("{} of {} bytes", compressed.size(), text.len());
     assert!(compressed.size() * 5 < text.len(), "{} of {} bytes", compressed.size(), text.len());
 }
@@ -117,12 +117,12 @@
     #[test]
     fn damaged_bytes_are_an_error_and_do_not_panic(at in any::<prop::sample::Index>(), mask in 1_u8..=255) {
         let text = routes(4, 0);
-        let compressed = CompressedBytes::compress(text.as_bytes(), &[]).expect("packed");
-        let mut bytes = postcard::to_stdvec(&compressed).expect("coded");
+        let compressed = CompressedBytes::compress(text.as_bytes(), &[]).expect("compressed bytes");
+        let mut bytes = postcard::to_stdvec(&compressed).expect("encoded bytes");
         let at = at.index(bytes.len());
         bytes[at] ^= mask;
         if let Ok(damaged) = postcard::from_bytes::<CompressedBytes>(&bytes) {
-            // A flag of the packed form that changes nothing may differ.
+            // Damage to a flag without effect on the decompressed bytes need not be detected.
             prop_assert!(damaged.decompress(&[]).map_or(true, |result| result == text.as_bytes()));
         }
     }
