--- a/crates/instance/tests/settings_cases.rs
+++ b/crates/instance/tests/settings_cases.rs
@@ -1,4 +1,5 @@
-//! Instances' settings files, a folder a case: `input.yaml` and what is said of it.
+//! Settings files of instances. Each case is a folder with `input.yaml` and a part of the expected outcome: `valid`, or the
+//! error message.
 
 use std::{fs, path};
 
