--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -20,22 +20,22 @@
 pub(crate) fn receive(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
-    said: &border::UpstreamAnswer,
-    asked: upstream_signals::SignalOrigin,
+    answer: &border::UpstreamAnswer,
+    origin: upstream_signals::SignalOrigin,
 ) {
-    let rate = match &said.limit {
+    let rate = match &answer.limit {
         Some(Ok(rate)) => Some(*rate),
         Some(Err(error)) => {
             log::info!(upstream:%, error:%; "upstream.limit_unreadable");
             context.stats.borrow_mut().count("upstream_limits", "unreadable");
             return;
         }
-        None if asked.source == upstream_notice::NoticeSource::Answer => None,
+        None if origin.source == upstream_notice::NoticeSource::Answer => None,
         None => return,
     };
-    let (heard, source) = (context.now(), asked.source);
-    let reading = upstream_limit::LimitReading { rate, asked: asked.at, heard, source };
-    match note(context, upstream, reading) {
+    let (heard, source) = (context.now(), origin.source);
+    let reading = upstream_limit::LimitReading { rate, asked: origin.at, heard, source };
+    match apply_reading(context, upstream, reading) {
         upstream_limit::LimitNews::Known => {}
         upstream_limit::LimitNews::Changed(..) => notify_coordinator(context, upstream),
         upstream_limit::LimitNews::Begun(_) | upstream_limit::LimitNews::Ended => {
@@ -62,7 +62,7 @@
             heard,
             source: upstream_notice::NoticeSource::Member,
         };
-        note(context, &report.upstream, reading);
+        apply_reading(context, &report.upstream, reading);
     }
 }
 
@@ -113,7 +113,7 @@
 }
 
 /// Applies a reading of an upstream's limit.
-fn note(
+fn apply_reading(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     reading: upstream_limit::LimitReading,
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -101,12 +101,12 @@
     let now = context.now();
     let held = context.quarantine.borrow().verdict(now, digest).is_some();
     let known = context.quarantine.borrow_mut().clear(digest, now);
-    let told: Vec<_> = if held {
+    let recipients: Vec<_> = if held {
         context.members.borrow().targets(context.settings().member_address)
     } else {
         keepers_of(context, [digest].into_iter()).into_iter().map(|(to, _)| to).collect()
     };
-    for to in told {
+    for to in recipients {
         context.send_to(to, peer_message::PeerMessage::Cleared(digest, 0));
     }
     if held {
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -240,7 +240,7 @@
     if let Some(coordinator) = coordinator_of(context, subject) {
         return Some(format!("kept by {}", coordinator.name));
     }
-    let given = match planned_engine(context, subject) {
+    let grants = match planned_engine(context, subject) {
         Some((key, engine)) => {
             let mut planners = context.planners.borrow_mut();
             planners.planner(&key).and_then(|planner| planner.permits().given(now, &engine))
@@ -252,9 +252,9 @@
         let named = members.name_of_boot(boot).map(ToString::to_string);
         named.unwrap_or_else(|| if boot == context.boot { "itself" } else { "gone" }.to_owned())
     };
-    let given = given?;
+    let grants = grants?;
     let rows: Vec<_> =
-        given.iter().map(|(boot, count)| format!("{} {count}", name(*boot))).collect();
+        grants.iter().map(|(boot, count)| format!("{} {count}", name(*boot))).collect();
     Some(format!("kept here; given in 4 s: {}", rows.join(", ")))
 }
 
--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -46,12 +46,12 @@
 /// Records an answer of the store.
 pub(crate) fn mark_answered(context: &context::InstanceContext) {
     let now = context.now();
-    let heard = context.belief.borrow_mut().receive(now);
-    if let Some(away) = heard.away {
+    let contact_change = context.belief.borrow_mut().receive(now);
+    if let Some(away) = contact_change.away {
         log::info!(away_ms = units::whole_millis(away); "store.regained");
         context.fleet.borrow_mut().source_returned(now);
     }
-    if heard.watches_again {
+    if contact_change.watches_again {
         // From now on other members can rely on this one's watch.
         heartbeats::announce(context);
     }
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -20,17 +20,17 @@
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     status: http::StatusCode,
-    said: &border::UpstreamAnswer,
-    asked: SignalOrigin,
+    answer: &border::UpstreamAnswer,
+    origin: SignalOrigin,
 ) {
-    let source = asked.source;
-    if said.leaving {
+    let source = origin.source;
+    if answer.leaving {
         receive_leaving(context, upstream, source);
     }
-    limit_gossip::receive(context, upstream, said, asked);
+    limit_gossip::receive(context, upstream, answer, origin);
     let refusals = [http::StatusCode::SERVICE_UNAVAILABLE, http::StatusCode::TOO_MANY_REQUESTS];
     if refusals.contains(&status) {
-        if let Some(rest) = &said.rest {
+        if let Some(rest) = &answer.rest {
             receive_rest(context, upstream, rest);
         }
     } else if source == upstream_notice::NoticeSource::Answer {
@@ -43,15 +43,15 @@
     context: &context::InstanceContext,
     address: net::SocketAddrV4,
     head: &http::response::Parts,
-    asked: SignalOrigin,
+    origin: SignalOrigin,
 ) {
-    let said = border::UpstreamBorder::read_answer(&*context.border, head);
-    if said.misdirected || !(said.leaving || said.rest.is_some() || said.limit.is_some()) {
+    let answer = border::UpstreamBorder::read_answer(&*context.border, head);
+    if answer.misdirected || !(answer.leaving || answer.rest.is_some() || answer.limit.is_some()) {
         return;
     }
     let name = context.fleet.borrow().list.name_at(address).cloned();
     if let Some(name) = name {
-        receive(context, &name, head.status, &said, asked);
+        receive(context, &name, head.status, &answer, origin);
     }
 }
 
