--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -160,6 +160,7 @@
         self.change_evacuations(now, began.chain(ended).collect(), revision, source);
     }
 
+    /// Applies beginnings and ends of evacuations, and logs those that are new.
     fn change_evacuations(
         &mut self,
         now: units::MonoTime,
@@ -188,15 +189,13 @@
         changes: Vec<border::StoreChange>,
         revision: store_revision::StoreRevision,
     ) {
-        let mut upstreams = Vec::new();
+        let mut entries = Vec::new();
         let mut evacuations = Vec::new();
         for change in changes {
             match change {
                 border::StoreChange::Put(item) => match self.border.key(&item.key) {
                     border::StoreKey::Routes => self.put_routes_item(item, "store"),
-                    border::StoreKey::Upstream(name) => {
-                        upstreams.push((name, Some(item_text(item))))
-                    }
+                    border::StoreKey::Upstream(name) => entries.push((name, Some(item_text(item)))),
                     border::StoreKey::Evacuation(data_center) => {
                         if revision >= self.list.revision() {
                             self.list.confirm_evacuation(&data_center);
@@ -206,7 +205,7 @@
                     border::StoreKey::Other => {}
                 },
                 border::StoreChange::Gone(key) => match self.border.key(&key) {
-                    border::StoreKey::Upstream(name) => upstreams.push((name, None)),
+                    border::StoreKey::Upstream(name) => entries.push((name, None)),
                     border::StoreKey::Evacuation(data_center) => {
                         evacuations.push(upstream_list::ListChange::Restored(data_center));
                     }
@@ -215,9 +214,10 @@
             }
         }
         self.change_evacuations(now, evacuations, revision, "store");
-        self.change_upstreams(now, upstreams, revision, "store");
+        self.change_upstreams(now, entries, revision, "store");
     }
 
+    /// Applies changes of upstreams, each a name and a document or `None` after a removal, up to `revision`.
     fn change_upstreams(
         &mut self,
         now: units::MonoTime,
@@ -279,12 +279,13 @@
         Some(upstream_list::ListChange::Present(entry))
     }
 
+    /// Parses the document of an upstream; logs and drops an invalid one.
     fn read_entry(&self, name: &str, text: &str) -> Option<upstream_list::UpstreamEntry> {
         // An unreadable entry is logged once for each time it is written, not each time it is read.
-        let known = self.raw.upstreams.get(name).is_some_and(String::is_empty);
-        let read = self.border.read_upstream(name, text);
-        read.inspect_err(|error| {
-            if !known {
+        let already_rejected = self.raw.upstreams.get(name).is_some_and(String::is_empty);
+        let parsed = self.border.read_upstream(name, text);
+        parsed.inspect_err(|error| {
+            if !already_rejected {
                 let error = error.to_string();
                 log::error!(upstream = truncated(name), error = truncated(&error); "upstream.rejected");
             }
@@ -292,12 +293,14 @@
         .ok()
     }
 
+    /// Logs and counts a list or changes that are older than the list in force.
     fn reject_older(&mut self, revision: store_revision::StoreRevision, source: &str) {
         let known = self.list.revision();
         log::info!(source, revision:%, known:%; "list.older");
         self.dropped += 1;
     }
 
+    /// Records the source and time of the latest change of the list.
     fn record_origin(&mut self, now: units::MonoTime, source: &str) {
         if *self.origin.source != *source {
             self.origin.source = source.into();
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -21,7 +21,7 @@
 const BUSY_PAUSE_S: std::ops::Range<f64> = 0.05..0.15;
 /// Number of members informed by one that has received a large document: enough that the number of members known to have
 /// it grows as fast as it can be sent.
-const ANNOUNCED_MEMBERS: usize = 3;
+const INFORMED_MEMBERS: usize = 3;
 /// Path at which a member serves its documents.
 pub const DOCUMENTS_PATH: &str = "/documents";
 
@@ -105,15 +105,15 @@
         if store_contact::trusts_own_watch(&context) {
             continue;
         }
-        let listed = context.fleet.borrow().has_list();
-        let source = if listed { list_source(&context) } else { any_source(&context) };
+        let has_list = context.fleet.borrow().has_list();
+        let source = if has_list { list_source(&context) } else { any_source(&context) };
         let Some((member, address)) = source else {
             continue;
         };
-        let routes = if listed { u64::MAX } else { context.versions().routes };
+        let routes = if has_list { u64::MAX } else { context.versions().routes };
         let list = context.fleet.borrow().wanted_from();
         let path = format!("{DOCUMENTS_PATH}?routes={routes}&list={list}");
-        let limit = if listed { LIST_TIMEOUT } else { START_TIMEOUT };
+        let limit = if has_list { LIST_TIMEOUT } else { START_TIMEOUT };
         adopt_from(&context, &member, address, &path, limit).await;
     }
 }
@@ -143,7 +143,7 @@
         return CopyOutcome::Damaged;
     }
     if document_answers::is_large(&body) {
-        heartbeats::announce_to_sample(context, ANNOUNCED_MEMBERS);
+        heartbeats::announce_to_sample(context, INFORMED_MEMBERS);
     }
     CopyOutcome::Adopted
 }
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -17,7 +17,7 @@
 const BREAK_CHECK_DELAY: time::Duration = time::Duration::from_millis(15);
 /// Delay between a run abandoned by its caller and a test connection to its upstream: the engine may begin such a run a
 /// moment later, or drop it.
-const LEFT_CHECK_DELAY: time::Duration = time::Duration::from_millis(250);
+const ABANDONED_CHECK_DELAY: time::Duration = time::Duration::from_millis(250);
 /// Time after which a broken run without proof is forgotten. The list drops a crashed upstream after three missed
 /// heartbeats of 1.2 s, and may be late by some seconds itself.
 const PROOF_TIMEOUT: time::Duration = time::Duration::from_secs(10);
@@ -216,7 +216,7 @@
         match monoio::time::timeout(pause, events.next()).await {
             Ok(Some(RunEvent::Broke(run))) => {
                 let (upstream, address) = (run.upstream.clone(), run.address);
-                let delay = if run.abandoned { LEFT_CHECK_DELAY } else { BREAK_CHECK_DELAY };
+                let delay = if run.abandoned { ABANDONED_CHECK_DELAY } else { BREAK_CHECK_DELAY };
                 if unproven.push(run) {
                     monoio::spawn(check(rc::Rc::clone(&context), upstream, address, delay));
                 }
--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -157,13 +157,13 @@
     let ask = PermitRequest { wanted: 9, patience_ms: 300 };
     let subject = QuotaSubject::Upstream(upstream);
     let (number, boot) = (90_000, u64::MAX);
-    let question = PermitRequestMessage { number, boot, subject, ask, known: Some(report.clone()) };
+    let request = PermitRequestMessage { number, boot, subject, ask, known: Some(report.clone()) };
     let subject = QuotaSubject::Retries("plain".parse().expect("a name"), RetryNeed::Early);
     let retry = PermitRequestMessage { number, boot, subject, ask, known: None };
     let granted = PermitResponse::Granted { count: 1, wait_ms: 200 };
     let messages = [
         (PeerMessage::Limits(vec![report]), 64),
-        (PeerMessage::RequestPermit(Box::new(question)), 112),
+        (PeerMessage::RequestPermit(Box::new(request)), 112),
         (PeerMessage::RequestPermit(Box::new(retry)), 48),
         (PeerMessage::Permit(90_000, granted), 16),
     ];
