--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -18,6 +18,7 @@
 #[derive(Debug)]
 struct PendingRequest {
     subject: quota_permit::QuotaSubject,
+    /// When the request was sent.
     at: units::MonoTime,
     /// Channel to the task that waits for the response.
     reply: Option<oneshot::Sender<quota_permit::PermitResponse>>,
@@ -27,6 +28,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     by_number: cell::RefCell<collections::BTreeMap<u64, PendingRequest>>,
+    /// Number of the last request.
     number: cell::Cell<u64>,
 }
 
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// Clears a request of the evidence against it, here and at the members that keep it or hold it quarantined; returns
-/// whether there was any evidence.
+/// Clears a request of the evidence against it, here and at the members that keep such evidence, or at all members if it
+/// is quarantined. Returns whether there was any evidence.
 pub(crate) fn clear(
     context: &context::InstanceContext,
     digest: request_digest::RequestDigest,
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -123,8 +123,8 @@
         let asked = context.now();
         let answer = match store_watch::watch(context, connection, revision).await {
             Ok(answer) if answer.era == revision.era => answer,
-            // The store's era has changed. The answer does not show that changes between its copy and the watched revision
-            // are missing, so everything is read again.
+            // The store's era has changed. Changes between its copy and the watched revision are missing in the answer
+            // without an error.
             Ok(answer) => {
                 revision = read_again(context, connection, answer.era).await?;
                 continue;
