--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -1,78 +1,79 @@
-//! What members are given of the store's documents, coded once for all who lack the same.
+//! Encoded answers to members that request the store's documents.
 //!
-//! At a start and after each change many members lack the same at the same moment. Coded apart for each, a long list
-//! would stand in the memory of the one who has it first once for each that asks.
+//! At a start and after each change many members request the same documents at the same time. Each answer is encoded once
+//! and shared: otherwise the first member to have a long list would hold one copy of it in memory for each requester.
 
 use std::rc;
 
 use bytes::Bytes;
 use slipturn_core::store_revision;
 
-use crate::{border, context, packed_bytes};
+use crate::{border, compressed_bytes, context};
 
-/// Answers kept: of one version of routes and list, for those who lack the routes, the list, or both.
-const MAX_ANSWERS: usize = 4;
-/// Answers of at least this size, bytes, count as large: on a link of 20 Mbit/s one takes 7 ms.
-const LARGE_ANSWER: usize = 16 * 1024;
-/// Bytes of large answers sent at once; 0.2 s on such a link. A member that is refused asks another one, and more have
-/// the documents by then.
-const MAX_LARGE_BYTES: usize = 480 * 1024;
-/// Large answers always sent at once.
-const MIN_LARGE: usize = 8;
+/// Most cached answers: those of one version of routes and list, for requesters that lack the routes, the list, or both.
+const MAX_CACHED_ANSWERS: usize = 4;
+/// Size in bytes from which an answer counts as large: sending it takes 7 ms on a link of 20 Mbit/s.
+const MIN_LARGE_ANSWER_BYTES: usize = 16 * 1024;
+/// Most bytes of large answers in flight at once: 0.2 s on a link of 20 Mbit/s. A refused member asks another one; more
+/// members have the documents by then.
+const MAX_LARGE_BYTES_IN_FLIGHT: usize = 480 * 1024;
+/// Number of large answers that may be in flight whatever their size.
+const MIN_LARGE_IN_FLIGHT: usize = 8;
 
-/// What an answer was made for, and of.
+/// Key of a cached answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct AnswerKey {
-    /// Versions of routes and list that the other has.
-    lacking: (u64, Option<store_revision::StoreRevision>),
-    /// Versions of routes and list here.
-    known: (u64, store_revision::StoreRevision),
-    /// Ages reported in it; they grow while it is cached.
+    /// Versions of routes and list that the requester has.
+    requester_has: (u64, Option<store_revision::StoreRevision>),
+    /// Versions of routes and list that this process has.
+    current: (u64, store_revision::StoreRevision),
+    /// Ages reported in the answer: once they have grown, it is encoded again.
     ages: (Option<u64>, Option<u64>),
 }
 
-/// Answers to members, and how many large ones are on their way.
+/// Cached answers to members, and the number and size of large ones in flight.
 #[derive(Debug, Default)]
 pub struct DocumentAnswers {
-    /// Newest last.
-    kept: Vec<(AnswerKey, Bytes)>,
-    /// Large answers on their way.
-    large: usize,
-    /// Bytes of these.
-    large_bytes: usize,
+    /// Cached answers, oldest first.
+    cached: Vec<(AnswerKey, Bytes)>,
+    /// Number of large answers in flight.
+    large_in_flight: usize,
+    /// Total size of large answers in flight.
+    large_bytes_in_flight: usize,
 }
 
-/// Counts a large answer as on its way for as long as it lives.
-pub(crate) struct LargeGuard {
+/// Counts a large answer as in flight until it is dropped.
+pub(crate) struct LargeAnswerGuard {
     context: rc::Rc<context::InstanceContext>,
     bytes: usize,
 }
 
-impl Drop for LargeGuard {
+impl Drop for LargeAnswerGuard {
     fn drop(&mut self) {
         let mut answers = self.context.answers.borrow_mut();
-        answers.large -= 1;
-        answers.large_bytes -= self.bytes;
+        answers.large_in_flight -= 1;
+        answers.large_bytes_in_flight -= self.bytes;
     }
 }
 
-/// An answer to a member, or why there is none.
+/// An answer to a member's request for documents, or the reason that there is none.
 pub(crate) enum DocumentAnswer {
-    /// What it lacks; held until it is sent.
-    Ready(Bytes, Option<LargeGuard>),
-    /// Too many large ones are on their way.
+    /// The encoded documents; the guard of a large answer is held until the answer is sent.
+    Ready(Bytes, Option<LargeAnswerGuard>),
+    /// Too many large answers are in flight.
     Busy,
-    /// It cannot be coded.
-    Failed(packed_bytes::PackError),
+    /// The documents could not be encoded.
+    Failed(compressed_bytes::CompressionError),
 }
 
-/// What a member that has these versions of routes and list lacks.
+/// Returns the documents that a member with these versions of routes and list lacks; without a version of the list, the
+/// routes alone.
 pub(crate) fn answer(
     context: &rc::Rc<context::InstanceContext>,
     routes: u64,
     list: Option<store_revision::StoreRevision>,
 ) -> DocumentAnswer {
-    let bytes = match coded(context, routes, list) {
+    let bytes = match cached_or_encoded(context, routes, list) {
         Ok(bytes) => bytes,
         Err(error) => return DocumentAnswer::Failed(error),
     };
@@ -80,54 +81,63 @@
         return DocumentAnswer::Ready(bytes, None);
     }
     let mut answers = context.answers.borrow_mut();
-    if answers.large >= MIN_LARGE && answers.large_bytes + bytes.len() > MAX_LARGE_BYTES {
+    if answers.large_in_flight >= MIN_LARGE_IN_FLIGHT
+        && answers.large_bytes_in_flight + bytes.len() > MAX_LARGE_BYTES_IN_FLIGHT
+    {
         return DocumentAnswer::Busy;
     }
-    answers.large += 1;
-    answers.large_bytes += bytes.len();
-    let guard = LargeGuard { context: rc::Rc::clone(context), bytes: bytes.len() };
+    answers.large_in_flight += 1;
+    answers.large_bytes_in_flight += bytes.len();
+    let guard = LargeAnswerGuard { context: rc::Rc::clone(context), bytes: bytes.len() };
     DocumentAnswer::Ready(bytes, Some(guard))
 }
 
-fn coded(
+/// Returns the answer from the cache, or encodes and caches it.
+fn cached_or_encoded(
     context: &context::InstanceContext,
     routes: u64,
     list: Option<store_revision::StoreRevision>,
-) -> Result<Bytes, packed_bytes::PackError> {
+) -> Result<Bytes, compressed_bytes::CompressionError> {
     let mut fleet = context.fleet.borrow_mut();
-    let known = (fleet.routes.version.0, fleet.revision());
-    let key =
-        AnswerKey { lacking: (routes, list), known, ages: fleet.reported_ages(context.now()) };
+    let current = (fleet.routes.version.0, fleet.revision());
+    let key = AnswerKey {
+        requester_has: (routes, list),
+        current,
+        ages: fleet.reported_ages(context.now()),
+    };
     let mut answers = context.answers.borrow_mut();
-    if let Some((_, bytes)) = answers.kept.iter().find(|(kept, _)| *kept == key) {
+    if let Some((_, bytes)) = answers.cached.iter().find(|(cached, _)| *cached == key) {
         return Ok(bytes.clone());
     }
     let documents = fleet.documents(context.now(), routes, list);
     let bytes = Bytes::from(encode(&documents)?);
-    answers.kept.retain(|(kept, _)| kept.known == known && kept.ages == key.ages);
-    if answers.kept.len() >= MAX_ANSWERS {
-        answers.kept.remove(0);
+    answers.cached.retain(|(cached, _)| cached.current == current && cached.ages == key.ages);
+    if answers.cached.len() >= MAX_CACHED_ANSWERS {
+        answers.cached.remove(0);
     }
-    answers.kept.push((key, bytes.clone()));
+    answers.cached.push((key, bytes.clone()));
     Ok(bytes)
 }
 
-/// Whether an answer is one of those that are bounded.
+/// Whether an answer counts towards the bounds on large answers.
 pub(crate) fn is_large(answer: &[u8]) -> bool {
-    answer.len() >= LARGE_ANSWER
+    answer.len() >= MIN_LARGE_ANSWER_BYTES
 }
 
-/// Codes documents for another member.
-pub fn encode(documents: &border::RawDocuments) -> Result<Vec<u8>, packed_bytes::PackError> {
-    let plain = postcard::to_stdvec(documents).map_err(packed_bytes::PackError::code)?;
-    let packed = packed_bytes::PackedBytes::pack(&plain, &[])?;
-    postcard::to_stdvec(&packed).map_err(packed_bytes::PackError::code)
+/// Encodes and compresses documents for another member.
+pub fn encode(
+    documents: &border::RawDocuments,
+) -> Result<Vec<u8>, compressed_bytes::CompressionError> {
+    let plain =
+        postcard::to_stdvec(documents).map_err(compressed_bytes::CompressionError::codec)?;
+    let compressed = compressed_bytes::CompressedBytes::compress(&plain, &[])?;
+    postcard::to_stdvec(&compressed).map_err(compressed_bytes::CompressionError::codec)
 }
 
-/// Reads documents of another member.
-pub fn decode(bytes: &[u8]) -> Result<border::RawDocuments, packed_bytes::PackError> {
-    let packed: packed_bytes::PackedBytes =
-        postcard::from_bytes(bytes).map_err(packed_bytes::PackError::code)?;
-    let plain = packed.unpack(&[])?;
-    postcard::from_bytes(&plain).map_err(packed_bytes::PackError::code)
+/// Decodes the documents that [`encode`] produced at another member.
+pub fn decode(bytes: &[u8]) -> Result<border::RawDocuments, compressed_bytes::CompressionError> {
+    let compressed: compressed_bytes::CompressedBytes =
+        postcard::from_bytes(bytes).map_err(compressed_bytes::CompressionError::codec)?;
+    let plain = compressed.decompress(&[])?;
+    postcard::from_bytes(&plain).map_err(compressed_bytes::CompressionError::codec)
 }
--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -1,4 +1,4 @@
-//! Small HTTP calls for documents: from the store, from members, from engines.
+//! HTTP calls that fetch small documents from the store, from members and from engines.
 
 use std::{net, time};
 
@@ -6,70 +6,70 @@
 use slipturn_net::h1;
 use snafu::{ResultExt as _, Snafu};
 
-/// Time for a connection to come about.
-const CONNECT_TIME: time::Duration = time::Duration::from_millis(1_000);
-/// Largest document.
-const MAX_DOCUMENT: usize = 8 << 20;
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
+/// Largest body of a response, in bytes.
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// Why a call for a document failed.
+/// Why a document call failed.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection.
+    /// The connection could not be opened.
     #[snafu(display("cannot connect: {source}"))]
     Connect {
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Nothing came in time.
+    /// The call timed out.
     #[snafu(display("no answer within {limit:?}"))]
     Silent {
-        /// The time allowed.
+        /// The timeout.
         limit: time::Duration,
     },
-    /// The connection or the message failed.
+    /// The connection failed, or the response is malformed.
     #[snafu(display("{source}"))]
     Message {
-        /// What went wrong.
+        /// The error of the HTTP layer.
         source: h1::MessageError,
     },
-    /// Another status than 200.
+    /// The response has a status other than 200.
     #[snafu(display("status {status}"))]
     Status {
-        /// The status.
+        /// Status code of the response.
         status: u16,
     },
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Debug)]
-pub struct DocumentAnswer {
-    /// Its head.
+pub struct DocumentResponse {
+    /// Status line and headers.
     pub head: http::response::Parts,
-    /// Its body.
+    /// The body, at most `MAX_DOCUMENT_BYTES` long.
     pub body: Bytes,
 }
 
-impl DocumentAnswer {
-    /// The body of a good answer.
+impl DocumentResponse {
+    /// Returns the body, or an error if the status is not 200.
     pub fn into_body(self) -> Result<Bytes, CallError> {
         let status = self.head.status.as_u16();
         if status == 200 { Ok(self.body) } else { StatusSnafu { status }.fail() }
     }
 }
 
-/// A connection for one document call after the other.
+/// A persistent connection for consecutive document calls; reopened after a failure.
 pub struct DocumentConnection {
     address: net::SocketAddr,
     open: Option<(h1::MessageReader, h1::MessageWriter)>,
 }
 
 impl DocumentConnection {
-    /// A connection that opens at the first call.
+    /// Creates a connection that is opened by the first call.
     pub fn new(address: net::SocketAddr) -> Self {
         Self { address, open: None }
     }
 
-    /// Opens it ahead of a call, where it is not open.
+    /// Opens the connection ahead of a call, unless it is open already.
     pub async fn open(&mut self, limit: time::Duration) -> Result<(), CallError> {
         if self.open.is_none() {
             let connected = monoio::time::timeout(limit, connect(self.address)).await;
@@ -81,12 +81,12 @@
         Ok(())
     }
 
-    /// Reads a document; after any failure the connection is closed.
+    /// Fetches a document. A timeout or a failed exchange closes the connection.
     pub async fn get(&mut self, path: &str, limit: time::Duration) -> Result<Bytes, CallError> {
         self.call("GET", path, Bytes::new(), limit).await
     }
 
-    /// Sends a document and reads the answer.
+    /// Sends a request and returns the body of the response, or an error if its status is not 200.
     pub async fn call(
         &mut self,
         method: &str,
@@ -94,25 +94,25 @@
         body: Bytes,
         limit: time::Duration,
     ) -> Result<Bytes, CallError> {
-        self.call_whole(method, path, body, limit).await?.into_body()
+        self.call_any_status(method, path, body, limit).await?.into_body()
     }
 
-    /// Sends a document and reads the answer, whatever its status.
-    pub async fn call_whole(
+    /// Sends a request and returns the response, whatever its status.
+    pub async fn call_any_status(
         &mut self,
         method: &str,
         path: &str,
         body: Bytes,
         limit: time::Duration,
-    ) -> Result<DocumentAnswer, CallError> {
+    ) -> Result<DocumentResponse, CallError> {
         let mut open = self.open.take();
-        let work = exchange(&mut open, self.address, method, path, body);
-        let answered = monoio::time::timeout(limit, work).await;
-        let Ok(answered) = answered else {
+        let exchange_future = exchange(&mut open, self.address, method, path, body);
+        let result = monoio::time::timeout(limit, exchange_future).await;
+        let Ok(result) = result else {
             return SilentSnafu { limit }.fail();
         };
-        let (answer, keep) = answered?;
-        self.open = open.filter(|_| keep);
+        let (answer, reusable) = result?;
+        self.open = open.filter(|_| reusable);
         Ok(answer)
     }
 }
@@ -121,39 +121,41 @@
     address: net::SocketAddr,
 ) -> Result<(h1::MessageReader, h1::MessageWriter), CallError> {
     let connecting = monoio::net::TcpStream::connect_addr(address);
-    let connected = monoio::time::timeout(CONNECT_TIME, connecting).await;
+    let connected = monoio::time::timeout(CONNECT_TIMEOUT, connecting).await;
     let Ok(connected) = connected else {
-        return SilentSnafu { limit: CONNECT_TIME }.fail();
+        return SilentSnafu { limit: CONNECT_TIMEOUT }.fail();
     };
     Ok(h1::split(connected.context(ConnectSnafu)?))
 }
 
+/// Sends a request and reads its response; returns also whether the connection can be reused.
 async fn exchange(
     open: &mut Option<(h1::MessageReader, h1::MessageWriter)>,
     address: net::SocketAddr,
     method: &str,
     path: &str,
     body: Bytes,
-) -> Result<(DocumentAnswer, bool), CallError> {
+) -> Result<(DocumentResponse, bool), CallError> {
     if open.is_none() {
         *open = Some(connect(address).await?);
     }
     let Some((reader, writer)) = open.as_mut() else {
-        return SilentSnafu { limit: CONNECT_TIME }.fail();
+        return SilentSnafu { limit: CONNECT_TIMEOUT }.fail();
     };
-    let mut text = format!("{method} {path} HTTP/1.1\r\nhost: {address}\r\n").into_bytes();
+    let mut request = format!("{method} {path} HTTP/1.1\r\nhost: {address}\r\n").into_bytes();
     if !body.is_empty() {
         let head = format!("content-type: application/json\r\ncontent-length: {}\r\n", body.len());
-        text.extend_from_slice(head.as_bytes());
+        request.extend_from_slice(head.as_bytes());
     }
-    text.extend_from_slice(b"\r\n");
-    text.extend_from_slice(&body);
-    writer.write(text).await.context(MessageSnafu)?;
+    request.extend_from_slice(b"\r\n");
+    request.extend_from_slice(&body);
+    writer.write(request).await.context(MessageSnafu)?;
     let head = reader.answer_head().await.context(MessageSnafu)?;
     let mut framing = h1::BodyFraming::of_answer(&head).context(MessageSnafu)?;
     let until_close = framing == h1::BodyFraming::UntilClose;
-    let body = reader.whole_body(&mut framing, MAX_DOCUMENT).await.context(MessageSnafu)?;
-    let keep = !until_close && !h1::closes(head.version, &head.headers) && !reader.has_surplus();
+    let body = reader.whole_body(&mut framing, MAX_DOCUMENT_BYTES).await.context(MessageSnafu)?;
+    let reusable =
+        !until_close && !h1::closes(head.version, &head.headers) && !reader.has_surplus();
     reader.rest();
-    Ok((DocumentAnswer { head, body }, keep))
+    Ok((DocumentResponse { head, body }, reusable))
 }
--- a/crates/instance/src/small_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -1,4 +1,4 @@
-//! Small HTTP answers apart from callers' requests: readiness, members' documents, operators.
+//! HTTP server for everything but callers' requests: readiness checks, documents for members, and operators' pages.
 
 use std::{rc, time};
 
@@ -8,37 +8,37 @@
 
 use crate::{context, document_answers, member_feed, quarantine_gossip, upstream_rows};
 
-/// Requests that are held back.
+/// Path of the quarantined requests.
 const QUARANTINE_PATH: &str = "/v1/quarantine";
 
-/// Upstreams, and what they have said.
+/// Path of the upstreams' page.
 const UPSTREAMS_PATH: &str = "/v1/upstreams";
 
-/// Largest head of such a request.
-const MAX_HEAD: usize = 8 * 1024;
-/// Longest rest of such a connection.
-const REST_TIME: time::Duration = time::Duration::from_secs(10);
+/// Largest request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// Time after a caller could not be let in during which the process is not ready; while one waits,
-/// it is tried again far more often.
-const SHUT_TIME: time::Duration = time::Duration::from_secs(1);
+/// Time after a failure to accept a caller's connection for which the process is not ready. While callers wait, accepting
+/// is retried far more often.
+const ACCEPT_FAILURE_TIME: time::Duration = time::Duration::from_secs(1);
 
-/// Whom a listener answers.
+/// Kind of clients that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SmallRole {
-    /// The balancer.
+pub enum ServerRole {
+    /// The load balancer, which checks readiness.
     Health,
-    /// Other instances.
+    /// Other instances, which fetch documents.
     Members,
-    /// Operators.
+    /// Operators, and the collector of metrics.
     Operators,
 }
 
-/// Answers connections of one role for ever.
+/// Accepts and serves connections of one role; never returns.
 pub async fn accept_all(
     context: rc::Rc<context::InstanceContext>,
     listener: monoio::net::TcpListener,
-    role: SmallRole,
+    role: ServerRole,
 ) {
     loop {
         match listener.accept().await {
@@ -56,19 +56,19 @@
 async fn serve(
     context: rc::Rc<context::InstanceContext>,
     stream: monoio::net::TcpStream,
-    role: SmallRole,
+    role: ServerRole,
 ) {
     let (mut reader, mut writer) = h1::split(stream);
     loop {
-        let next = monoio::time::timeout(REST_TIME, reader.request_head(MAX_HEAD)).await;
+        let next = monoio::time::timeout(IDLE_TIMEOUT, reader.request_head(MAX_HEAD_BYTES)).await;
         let Ok(Ok(Some(head))) = next else {
             return;
         };
         let path = head.uri.path();
         let answer = match role {
-            SmallRole::Health => SmallAnswer::text(health(&context, path)),
-            SmallRole::Members => documents(&context, &head.uri),
-            SmallRole::Operators => SmallAnswer::text(operators(&context, &head.method, path)),
+            ServerRole::Health => ServerAnswer::text(health(&context, path)),
+            ServerRole::Members => documents(&context, &head.uri),
+            ServerRole::Operators => ServerAnswer::text(operators(&context, &head.method, path)),
         };
         let close = h1::closes(head.version, &head.headers);
         if answer.send(&mut writer, close).await.is_err() || close {
@@ -78,15 +78,15 @@
     }
 }
 
-/// A small answer.
-struct SmallAnswer {
+/// Response of this server.
+struct ServerAnswer {
     status: u16,
     body: Bytes,
-    /// Held until it is sent, where it is one of a bounded number.
-    guard: Option<document_answers::LargeGuard>,
+    /// Guard of a large answer, held until the response has been sent.
+    guard: Option<document_answers::LargeAnswerGuard>,
 }
 
-impl SmallAnswer {
+impl ServerAnswer {
     fn text((status, text): (u16, String)) -> Self {
         Self { status, body: Bytes::from(text), guard: None }
     }
@@ -99,7 +99,7 @@
         let status = http::StatusCode::from_u16(self.status).unwrap_or_default();
         let headers = http::HeaderMap::new();
         let head = h1::answer_bytes(status, &headers, Some(self.body.len()), close);
-        // The body is shared with others who get the same.
+        // Written separately, as the body is shared with responses to other members.
         writer.write(head).await?;
         writer.write(self.body).await?;
         drop(self.guard);
@@ -116,38 +116,40 @@
     }
 }
 
-/// Whether new connections should come here.
+/// Whether this instance should receive new connections.
 pub fn is_ready(context: &context::InstanceContext) -> bool {
     let now = context.now();
-    let shut = context.not_let_in.get().is_some_and(|since| now.since(since) < SHUT_TIME);
-    context.fleet.borrow().is_known() && !context.stop.asked() && !shut
+    let failed_lately =
+        context.not_let_in.get().is_some_and(|since| now.since(since) < ACCEPT_FAILURE_TIME);
+    context.fleet.borrow().is_known() && !context.stop.asked() && !failed_lately
 }
 
-fn documents(context: &rc::Rc<context::InstanceContext>, uri: &http::Uri) -> SmallAnswer {
-    let refused = |status, text: &str| SmallAnswer::text((status, said(text)));
+/// Serves the documents that a member requests.
+fn documents(context: &rc::Rc<context::InstanceContext>, uri: &http::Uri) -> ServerAnswer {
+    let failed = |status, text: &str| ServerAnswer::text((status, status_body(text)));
     if uri.path() != member_feed::DOCUMENTS_PATH {
-        return refused(404, "not a path of members");
+        return failed(404, "not a path of members");
     }
     if !context.fleet.borrow().is_known() {
-        return refused(503, "nothing is known yet");
+        return failed(503, "nothing is known yet");
     }
     let value = |name: &str| {
         let pairs = uri.query().unwrap_or_default().split('&');
         pairs.filter_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')).next()
     };
     let routes = value("routes").and_then(|text| text.parse().ok()).unwrap_or(0);
-    // Without a list that can be read, all of it is sent.
+    // For an invalid revision the whole list is sent.
     let list = value("list").map(|text| text.parse().unwrap_or_default());
     match document_answers::answer(context, routes, list) {
         document_answers::DocumentAnswer::Ready(body, guard) => {
-            SmallAnswer { status: 200, body, guard }
+            ServerAnswer { status: 200, body, guard }
         }
-        document_answers::DocumentAnswer::Busy => refused(503, "others are given documents"),
-        document_answers::DocumentAnswer::Failed(error) => refused(500, &error.to_string()),
+        document_answers::DocumentAnswer::Busy => failed(503, "others are given documents"),
+        document_answers::DocumentAnswer::Failed(error) => failed(500, &error.to_string()),
     }
 }
 
-/// The paths that `slipturnctl` asks, and the metrics page.
+/// Serves the paths that `slipturnctl` requests, and the metrics.
 fn operators(
     context: &context::InstanceContext,
     method: &http::Method,
@@ -156,11 +158,11 @@
     if let Some(id) = path.strip_prefix("/v1/decisions/") {
         return match context.records.borrow().find(id) {
             Some(record) => json(record),
-            None => (404, said("not among the last requests of this instance")),
+            None => (404, status_body("not among the last requests of this instance")),
         };
     }
-    if let Some(named) = path.strip_prefix(QUARANTINE_PATH) {
-        return quarantine(context, method, named);
+    if let Some(path_rest) = path.strip_prefix(QUARANTINE_PATH) {
+        return quarantine(context, method, path_rest);
     }
     match (method.as_str(), path) {
         ("GET", "/metrics") => (
@@ -178,32 +180,32 @@
         ("POST", "/v1/drain") => {
             log::info!("drain.asked");
             context.stop.ask();
-            (200, said("draining"))
+            (200, status_body("draining"))
         }
         _ => (
             404,
-            said(
+            status_body(
                 "try /metrics, /v1/status, /v1/settings, /v1/histograms, /v1/decisions/ID, /v1/quarantine, /v1/upstreams",
             ),
         ),
     }
 }
 
-/// The quarantine, and its release by an operator.
+/// Lists the quarantined requests, and lets an operator release one.
 fn quarantine(
     context: &context::InstanceContext,
     method: &http::Method,
-    named: &str,
+    path_rest: &str,
 ) -> (u16, String) {
-    let release = named.strip_prefix('/').and_then(|rest| rest.strip_suffix("/release"));
-    match (method.as_str(), named, release.map(str::parse)) {
+    let release = path_rest.strip_prefix('/').and_then(|rest| rest.strip_suffix("/release"));
+    match (method.as_str(), path_rest, release.map(str::parse)) {
         ("GET", "", _) => json(&held_rows(context)),
         ("POST", _, Some(Ok(digest))) if quarantine_gossip::clear(context, digest) => {
-            (200, said("released"))
+            (200, status_body("released"))
         }
-        ("POST", _, Some(Ok(_))) => (404, said("no upstream has ended under this request")),
-        ("POST", _, Some(Err(error))) => (400, said(&error.to_string())),
-        _ => (404, said("try GET /v1/quarantine, POST /v1/quarantine/DIGEST/release")),
+        ("POST", _, Some(Ok(_))) => (404, status_body("no upstream has ended under this request")),
+        ("POST", _, Some(Err(error))) => (400, status_body(&error.to_string())),
+        _ => (404, status_body("try GET /v1/quarantine, POST /v1/quarantine/DIGEST/release")),
     }
 }
 
@@ -226,12 +228,12 @@
 fn json(value: &impl serde::Serialize) -> (u16, String) {
     match serde_json::to_string(value) {
         Ok(text) => (200, text),
-        Err(error) => (500, said(&error.to_string())),
+        Err(error) => (500, status_body(&error.to_string())),
     }
 }
 
-/// A short answer to an operator, in the shape that `slipturnctl` shows.
-fn said(text: &str) -> String {
+/// Body with a short text, in the JSON format that `slipturnctl` shows.
+fn status_body(text: &str) -> String {
     serde_json::json!({ "status": text }).to_string()
 }
 
@@ -258,8 +260,8 @@
     serde_json::json!({ "version": fleet.routes.version, "routes": rows })
 }
 
-/// How old what this process knows may be: a watch on which nothing is heard any more looks like one
-/// on which nothing has changed, but for these.
+/// Gauges of how old the documents of this process may be. They alone distinguish a watch that has fallen silent from one
+/// without changes.
 fn source_gauges(context: &context::InstanceContext) -> String {
     let lags = context.lags();
     let belief = context.belief.borrow();
@@ -275,13 +277,13 @@
     )
 }
 
-/// How many requests are held back.
+/// Gauge of quarantined requests.
 fn held_gauge(context: &context::InstanceContext) -> String {
     let held = context.quarantine.borrow().held_at(context.now()).len();
     format!("slipturn_requests_held {held}\n")
 }
 
-/// How many upstreams leave, rest and have a limit, as far as this process knows.
+/// Gauges of evacuated data centres, and of upstreams that are leaving, resting, limited, or affected by a recovery.
 fn notice_gauges(context: &context::InstanceContext) -> String {
     let now = context.now();
     let fleet = context.fleet.borrow();
@@ -299,7 +301,7 @@
     )
 }
 
-/// The ways of decisions in force, for comparisons.
+/// Gauge labelled with the variants of decision rules in force, for comparisons.
 fn ways_gauge(context: &context::InstanceContext) -> String {
     format!("slipturn_ways{{ways=\"{}\"}} 1\n", context.settings().experiments)
 }
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -1,14 +1,21 @@
-//! One slipturn instance: callers in front, engines and services as upstreams, other instances as members.
+//! One slipturn instance: it takes requests of callers, sends them to engines and services (its upstreams), and
+//! coordinates with other instances (its members).
 //!
-//! Layout by life span: `incoming_call`, `model_request`, `service_request`, `plan_client`,
-//! `memory_hold`, `long_answer`, `stream_policy`, `stream_state`, `silence_watch`, `upstream_attempt`,
-//! `event_stream`, `engine_fault`, `upstream_silence` and `request_record` live for a request;
-//! `caller_connection`, `document_call` and `upstream_pool` for a connection; `fleet_state`,
-//! `list_update`, `list_recovery` and `raw_state` for a version; the rest for the process. What the outside looks like is behind `border`.
+//! The modules by the lifetime of their state:
+//!
+//! - a request: `incoming_call`, `model_request`, `service_request`, `plan_client`, `memory_hold`, `long_answer`,
+//!   `stream_policy`, `stream_state`, `silence_watch`, `upstream_attempt`, `event_stream`, `engine_fault`,
+//!   `upstream_silence` and `request_record`;
+//! - a connection: `caller_connection`, `document_call` and `upstream_pool`;
+//! - a version of routes or list: `fleet_state`, `list_update`, `list_recovery` and `raw_state`;
+//! - the process: all others.
+//!
+//! The traits in `border` separate the crate from the formats of one platform.
 
 pub mod border;
 pub mod caller_connection;
 mod cell_search;
+pub mod compressed_bytes;
 pub mod context;
 pub mod document_answers;
 pub mod document_call;
@@ -22,6 +29,7 @@
 pub mod incoming_call;
 pub mod instance_settings;
 pub mod instance_stats;
+pub mod internal_server;
 pub mod lease_renewal;
 mod limit_gossip;
 pub mod list_recovery;
@@ -32,7 +40,6 @@
 mod member_gossip;
 pub mod memory_hold;
 pub mod model_request;
-pub mod packed_bytes;
 pub mod peer_message;
 pub mod peers;
 mod permit_request;
@@ -48,11 +55,10 @@
 mod service_choice;
 pub mod service_request;
 pub mod silence_watch;
-pub mod small_server;
 mod store_call;
+mod store_contact;
 pub mod store_feed;
 mod store_read;
-mod store_sight;
 mod store_watch;
 mod stream_policy;
 mod stream_state;
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -1,6 +1,7 @@
 //! Limits of upstreams, read from their answers and exchanged between members.
 //!
-//! That a limit exists concerns all members, its value only the coordinator. Gossip rounds repair lost messages.
+//! All members are informed when a limit begins or ends; changes of its value are sent to the coordinator of its quota
+//! alone. Gossip rounds make up for lost messages.
 
 use std::{collections, net, time};
 
@@ -8,32 +9,33 @@
 
 use crate::{border, context, member_gossip, peer_message, quota_coordinator, upstream_signals};
 
-/// Least time between two log lines on one upstream's limit.
+/// Minimum interval between two log lines on changes of one upstream's limit.
 const CHANGE_LOG_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// When each upstream's limit was last logged.
+/// Time of the last logged change of each upstream's limit.
 pub(crate) type LimitLog = collections::BTreeMap<ids::UpstreamId, units::MonoTime>;
 
-/// Handles the limit in an answer. Its absence counts in answers to requests only, as other answers need not carry it.
+/// Handles the limit that an answer states. A missing limit ends the known one only in answers to requests, as other
+/// answers need not state it.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
-    said: &border::UpstreamAnswer,
-    asked: upstream_signals::SignalOrigin,
+    answer: &border::UpstreamAnswer,
+    origin: upstream_signals::SignalOrigin,
 ) {
-    let rate = match &said.limit {
+    let rate = match &answer.limit {
         Some(Ok(rate)) => Some(*rate),
         Some(Err(error)) => {
             log::info!(upstream:%, error:%; "upstream.limit_unreadable");
             context.stats.borrow_mut().count("upstream_limits", "unreadable");
             return;
         }
-        None if asked.source == upstream_notice::NoticeSource::Answer => None,
+        None if origin.source == upstream_notice::NoticeSource::Answer => None,
         None => return,
     };
-    let (heard, source) = (context.now(), asked.source);
-    let reading = upstream_limit::LimitReading { rate, asked: asked.at, heard, source };
-    match note(context, upstream, reading) {
+    let (heard, source) = (context.now(), origin.source);
+    let reading = upstream_limit::LimitReading { rate, asked: origin.at, heard, source };
+    match apply_reading(context, upstream, reading) {
         upstream_limit::LimitNews::Known => {}
         upstream_limit::LimitNews::Changed(..) => notify_coordinator(context, upstream),
         upstream_limit::LimitNews::Begun(_) | upstream_limit::LimitNews::Ended => {
@@ -60,24 +62,24 @@
             heard,
             source: upstream_notice::NoticeSource::Member,
         };
-        note(context, &report.upstream, reading);
+        apply_reading(context, &report.upstream, reading);
     }
 }
 
 /// Sends a member all limits known here, and those that ended recently.
 pub(crate) fn send_to(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
-    let told: Vec<_> = {
+    let reports: Vec<_> = {
         let fleet = context.fleet.borrow();
-        let words = fleet.list.notices().limit_readings();
-        words.map(|(upstream, reading)| report_of(now, upstream, &reading)).collect()
+        let readings = fleet.list.notices().limit_readings();
+        readings.map(|(upstream, reading)| report_of(now, upstream, &reading)).collect()
     };
-    for reports in told.chunks(peer_message::MAX_LIMITS) {
-        context.send_to(to, peer_message::PeerMessage::Limits(reports.to_vec()));
+    for part in reports.chunks(peer_message::MAX_LIMITS) {
+        context.send_to(to, peer_message::PeerMessage::Limits(part.to_vec()));
     }
 }
 
-/// Sends the coordinator of an upstream's limit what is known here.
+/// Sends the limit of an upstream, as known here, to its coordinator.
 pub(crate) fn notify_coordinator(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
     let subject = quota_permit::QuotaSubject::Upstream(upstream.clone());
     let coordinator = quota_coordinator::coordinator_of(context, &subject);
@@ -86,7 +88,7 @@
     }
 }
 
-/// The known limit of an upstream, for other members.
+/// Report of an upstream's limit for other members; `None` if none is known.
 pub(crate) fn report(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -111,7 +113,7 @@
 }
 
 /// Applies a reading of an upstream's limit.
-fn note(
+fn apply_reading(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     reading: upstream_limit::LimitReading,
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -1,41 +1,42 @@
-//! The list of upstreams and evacuations: what the store and members tell of it.
+//! Updates of the list of upstreams and evacuations, from the store and from members.
 
 use std::{collections, time};
 
 use slipturn_core::{ids, store_revision, units, upstream_list, upstream_notice};
 
-use crate::{border, fleet_state, list_recovery, packed_bytes};
+use crate::{border, compressed_bytes, fleet_state, list_recovery};
 
-/// Characters of a name or error from outside that a log line shows.
-const MAX_LOGGED: usize = 160;
+/// Most characters that a log line shows of a name or error from outside.
+const MAX_LOGGED_CHARS: usize = 160;
 
-/// All upstreams and evacuations at a revision of the store.
+/// Complete list of upstreams and evacuations at one revision of the store.
 struct StoreList {
-    /// Upstreams by name.
+    /// Documents of upstreams by name.
     upstreams: collections::BTreeMap<String, String>,
     /// Evacuated data centres.
     evacuated: collections::BTreeSet<ids::DataCenterId>,
-    /// Those of them that another member keeps although its first list of the era lacked them.
+    /// Those of `evacuated` that another member keeps in force although the first list of the era lacks them.
     unconfirmed: Vec<ids::DataCenterId>,
-    /// The revision.
+    /// Revision of the store that the list belongs to.
     revision: store_revision::StoreRevision,
 }
 
 impl fleet_state::FleetState {
+    /// Adopts the list, or the changes of it, in the documents of another member, if they are newer.
     pub(crate) fn adopt_list(
         &mut self,
         now: units::MonoTime,
         mut documents: border::RawDocuments,
         source: &str,
-    ) -> Result<(), packed_bytes::PackError> {
+    ) -> Result<(), compressed_bytes::CompressionError> {
         let revision = documents.revision;
-        if revision.is_none() || (revision <= self.raw.revision && self.listed) {
+        if revision.is_none() || (revision <= self.raw.revision && self.has_list) {
             return Ok(());
         }
         let later_era = self.is_later_era(revision);
         if later_era {
-            let upstreams = self.upstreams_of_era(&mut documents);
-            self.differs = upstreams.is_err();
+            let upstreams = self.upstreams_after(&mut documents);
+            self.diverged = upstreams.is_err();
             documents.upstreams = Some(upstreams?);
         }
         if let Some(millis) = documents.returned_ms {
@@ -51,23 +52,23 @@
         let unconfirmed = recovery.as_ref().map(|report| report.evacuated.clone());
         let unconfirmed = unconfirmed.unwrap_or_default();
         if let Some(upstreams) = documents.upstreams {
-            self.differs = false;
+            self.diverged = false;
             let evacuated = documents.evacuated;
             let list = StoreList { upstreams, evacuated, unconfirmed, revision };
-            // Within an era this process knows itself what it keeps.
-            let recovery = recovery.filter(|_| later_era || !self.listed);
+            // Within an era this process knows by itself what it keeps in force.
+            let recovery = recovery.filter(|_| later_era || !self.has_list);
             self.replace_all(now, list, recovery, source);
-        } else if self.listed {
-            self.take_evacuations(now, documents.evacuated, &unconfirmed, revision, source);
+        } else if self.has_list {
+            self.adopt_evacuations(now, documents.evacuated, &unconfirmed, revision, source);
             if documents.skipped {
-                self.raw.note_gap(revision);
+                self.raw.record_gap(revision);
             }
             self.change_upstreams(now, documents.changes, revision, source);
         }
         Ok(())
     }
 
-    /// Takes over all upstreams and evacuations, as the store has them.
+    /// Replaces the list with all upstreams and evacuations in the store.
     pub fn replace_list(
         &mut self,
         now: units::MonoTime,
@@ -77,16 +78,16 @@
         source: &str,
     ) {
         if revision < self.list.revision() {
-            self.drop_older(revision, source);
+            self.reject_older(revision, source);
             return;
         }
-        // Of a key that is there twice the last one holds.
+        // If a key occurs twice, the last value counts.
         let upstreams = documents.into_iter().collect();
         let list = StoreList { upstreams, evacuated, unconfirmed: Vec::new(), revision };
         self.replace_all(now, list, None, source);
     }
 
-    /// Takes over all upstreams, and what another member keeps in force beside them.
+    /// Replaces the list, and adopts what another member keeps in force besides it.
     fn replace_all(
         &mut self,
         now: units::MonoTime,
@@ -97,8 +98,8 @@
         let StoreList { upstreams: mut documents, evacuated, unconfirmed, revision } = list;
         let before = self.list.revision();
         let later_era = self.is_later_era(revision);
-        self.note_origin(now, source);
-        self.take_evacuations(now, evacuated, &unconfirmed, revision, source);
+        self.record_origin(now, source);
+        self.adopt_evacuations(now, evacuated, &unconfirmed, revision, source);
         let mut entries = Vec::new();
         let mut unreadable = Vec::new();
         for (name, text) in &mut documents {
@@ -106,7 +107,8 @@
                 Some(entry) => entries.push(entry),
                 None => {
                     text.clear();
-                    unreadable.extend(read_name(name).map(upstream_list::ListChange::Unreadable));
+                    unreadable
+                        .extend(parse_upstream_id(name).map(upstream_list::ListChange::Unreadable));
                 }
             }
         }
@@ -118,21 +120,21 @@
         if self.list.apply(now, unreadable, revision) || replaced {
             log::info!(source, revision:%, upstreams = count; "list.replaced");
         }
-        let known = self.listed;
+        let known = self.has_list;
         let upstreams_before = self.raw.replace(documents, revision, known);
-        self.listed = true;
+        self.has_list = true;
         match recovery {
             Some(recovery) => self.adopt_recovery(now, recovery),
             None if later_era => self.keep_documents(&upstreams_before),
             None => {}
         }
         if later_era {
-            self.log_recovery(before, source);
+            self.log_era_change(before, source);
         }
     }
 
-    /// Takes over the data centres under evacuation, and holds those that the list of a later era lacks.
-    fn take_evacuations(
+    /// Adopts the evacuated data centres, and keeps those evacuated that the first list of a later era lacks.
+    fn adopt_evacuations(
         &mut self,
         now: units::MonoTime,
         evacuated: collections::BTreeSet<ids::DataCenterId>,
@@ -144,7 +146,7 @@
         self.replace_evacuations(now, &in_force, revision, source);
     }
 
-    /// Replaces the data centres under evacuation.
+    /// Replaces the set of evacuated data centres.
     fn replace_evacuations(
         &mut self,
         now: units::MonoTime,
@@ -158,6 +160,7 @@
         self.change_evacuations(now, began.chain(ended).collect(), revision, source);
     }
 
+    /// Applies beginnings and ends of evacuations, and logs those that are new.
     fn change_evacuations(
         &mut self,
         now: units::MonoTime,
@@ -179,20 +182,20 @@
         }
     }
 
-    /// Applies changes of the store.
+    /// Applies changes read from the store.
     pub fn apply(
         &mut self,
         now: units::MonoTime,
         changes: Vec<border::StoreChange>,
         revision: store_revision::StoreRevision,
     ) {
-        let mut upstreams = Vec::new();
+        let mut entries = Vec::new();
         let mut evacuations = Vec::new();
         for change in changes {
             match change {
                 border::StoreChange::Put(item) => match self.border.key(&item.key) {
                     border::StoreKey::Routes => self.put_routes_item(item, "store"),
-                    border::StoreKey::Upstream(name) => upstreams.push((name, Some(text_of(item)))),
+                    border::StoreKey::Upstream(name) => entries.push((name, Some(item_text(item)))),
                     border::StoreKey::Evacuation(data_center) => {
                         if revision >= self.list.revision() {
                             self.list.confirm_evacuation(&data_center);
@@ -202,7 +205,7 @@
                     border::StoreKey::Other => {}
                 },
                 border::StoreChange::Gone(key) => match self.border.key(&key) {
-                    border::StoreKey::Upstream(name) => upstreams.push((name, None)),
+                    border::StoreKey::Upstream(name) => entries.push((name, None)),
                     border::StoreKey::Evacuation(data_center) => {
                         evacuations.push(upstream_list::ListChange::Restored(data_center));
                     }
@@ -211,9 +214,10 @@
             }
         }
         self.change_evacuations(now, evacuations, revision, "store");
-        self.change_upstreams(now, upstreams, revision, "store");
+        self.change_upstreams(now, entries, revision, "store");
     }
 
+    /// Applies changes of upstreams, each a name and a document or `None` after a removal, up to `revision`.
     fn change_upstreams(
         &mut self,
         now: units::MonoTime,
@@ -222,37 +226,37 @@
         source: &str,
     ) {
         if revision < self.list.revision() {
-            // A late answer; its content must not go to other members as news.
-            self.drop_older(revision, source);
+            // A late answer, whose content must not be passed on to other members as a change.
+            self.reject_older(revision, source);
             return;
         }
-        self.note_origin(now, source);
-        // What members have sent already may come again, with older changes: only the last change of
-        // each counts, or a start that is long over would seem to be the next one for a moment.
+        self.record_origin(now, source);
+        // Members may resend changes that were applied before, older ones first. Only the last change of each upstream
+        // counts: otherwise a start that ended long ago would briefly count as the next one.
         let mut last_changes = collections::BTreeMap::new();
         let mut list_changes = Vec::new();
         for (name, mut text) in changes {
             let change = self.read_change(&name, text.as_deref(), revision);
             if matches!(change, None | Some(upstream_list::ListChange::Unreadable(_))) {
-                // What cannot be read is passed on as that, not as it is: it may be of any size.
+                // An unreadable document may be of any size, so it is passed on to members as an empty one.
                 text.as_mut().map(String::clear);
             }
-            let untold = matches!(&change, Some(upstream_list::ListChange::Present(entry))
+            let without_start = matches!(&change, Some(upstream_list::ListChange::Present(entry))
                 if entry.name.start().is_none());
             let before = last_changes.insert(name.clone(), change).flatten();
-            // An upstream without a start may be listed after one that did only if that one had gone.
+            // An entry without a start may follow an entry with one only if that one had been removed in between.
             let gone = before.filter(|before| matches!(before, upstream_list::ListChange::Gone(_)));
-            list_changes.extend(gone.filter(|_| untold));
+            list_changes.extend(gone.filter(|_| without_start));
             self.raw.change(name, text, revision);
         }
         list_changes.extend(last_changes.into_values().flatten());
         self.list.apply(now, list_changes, revision);
-        self.raw.settle(revision);
+        self.raw.advance_to(revision);
     }
 
-    /// One change as the list takes it; `None` where its name is none.
+    /// Converts a change of a document to a change of the list; `None` if its name is invalid.
     ///
-    /// An entry that cannot be read names no upstream to use, also where a good one stood before.
+    /// An unreadable entry takes its upstream out of use, even if a valid entry was listed before.
     fn read_change(
         &self,
         name: &str,
@@ -260,11 +264,11 @@
         revision: store_revision::StoreRevision,
     ) -> Option<upstream_list::ListChange> {
         let Some(text) = text else {
-            log::info!(upstream = bounded(name), revision:%; "upstream.unlisted");
-            return read_name(name).map(upstream_list::ListChange::Gone);
+            log::info!(upstream = truncated(name), revision:%; "upstream.unlisted");
+            return parse_upstream_id(name).map(upstream_list::ListChange::Gone);
         };
         let Some(entry) = self.read_entry(name, text) else {
-            return read_name(name).map(upstream_list::ListChange::Unreadable);
+            return parse_upstream_id(name).map(upstream_list::ListChange::Unreadable);
         };
         if self.list.entry(&entry.name) != Some(&entry) {
             log::info!(
@@ -275,26 +279,29 @@
         Some(upstream_list::ListChange::Present(entry))
     }
 
+    /// Parses the document of an upstream; logs and drops an invalid one.
     fn read_entry(&self, name: &str, text: &str) -> Option<upstream_list::UpstreamEntry> {
-        // One line for each time that such an entry is written, not for each time that it is read.
-        let known = self.raw.upstreams.get(name).is_some_and(String::is_empty);
-        let read = self.border.read_upstream(name, text);
-        read.inspect_err(|error| {
-            if !known {
+        // An unreadable entry is logged once for each time it is written, not each time it is read.
+        let already_rejected = self.raw.upstreams.get(name).is_some_and(String::is_empty);
+        let parsed = self.border.read_upstream(name, text);
+        parsed.inspect_err(|error| {
+            if !already_rejected {
                 let error = error.to_string();
-                log::error!(upstream = bounded(name), error = bounded(&error); "upstream.rejected");
+                log::error!(upstream = truncated(name), error = truncated(&error); "upstream.rejected");
             }
         })
         .ok()
     }
 
-    fn drop_older(&mut self, revision: store_revision::StoreRevision, source: &str) {
+    /// Logs and counts a list or changes that are older than the list in force.
+    fn reject_older(&mut self, revision: store_revision::StoreRevision, source: &str) {
         let known = self.list.revision();
         log::info!(source, revision:%, known:%; "list.older");
         self.dropped += 1;
     }
 
-    fn note_origin(&mut self, now: units::MonoTime, source: &str) {
+    /// Records the source and time of the latest change of the list.
+    fn record_origin(&mut self, now: units::MonoTime, source: &str) {
         if *self.origin.source != *source {
             self.origin.source = source.into();
         }
@@ -302,21 +309,21 @@
     }
 }
 
-/// The upstream that a key of the store names; `None` where it names none.
-fn read_name(name: &str) -> Option<ids::UpstreamId> {
+/// Parses the name of an upstream in a key of the store; `None` if it is invalid.
+fn parse_upstream_id(name: &str) -> Option<ids::UpstreamId> {
     ids::UpstreamId::of_identifier(name).ok()
 }
 
-/// An item's text; empty, which no entry is, where it cannot be read.
-pub(crate) fn text_of(item: border::StoreItem) -> String {
+/// The text of an item; empty, which no valid entry is, if it cannot be decoded.
+pub(crate) fn item_text(item: border::StoreItem) -> String {
     let reject = |error: &border::FormatError| {
-        log::debug!(key = bounded(&item.key), error:%; "store.item_unreadable");
+        log::debug!(key = truncated(&item.key), error:%; "store.item_unreadable");
     };
     item.value.inspect_err(reject).unwrap_or_default()
 }
 
-/// The beginning of a text that may be of any length.
-fn bounded(text: &str) -> &str {
-    let end = text.char_indices().nth(MAX_LOGGED).map_or(text.len(), |(end, _)| end);
+/// Truncates a text of unknown length for the log.
+fn truncated(text: &str) -> &str {
+    let end = text.char_indices().nth(MAX_LOGGED_CHARS).map_or(text.len(), |(end, _)| end);
     &text[..end]
 }
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -1,4 +1,4 @@
-//! Routes and the list of upstreams from members that know newer ones.
+//! Fetches newer routes and lists of upstreams from other members.
 
 use std::{net, rc, time};
 
@@ -6,47 +6,48 @@
 use slipturn_core::{document_source, ids, member_beat, units};
 
 use crate::{
-    context, document_answers, document_call, heartbeats, packed_bytes, store_read, store_sight,
+    compressed_bytes, context, document_answers, document_call, heartbeats, store_contact,
+    store_read,
 };
 
-/// Time for a member's routes: 100 KB, packed, take 0.04 s on a link of 20 Mbit/s, eight at once 0.3 s.
-/// One that is silent must leave time for others and the store.
-const ROUTES_TIME: time::Duration = time::Duration::from_millis(600);
-/// Time for a member's list.
-const LIST_TIME: time::Duration = time::Duration::from_millis(1_500);
-/// Timeout for both at a start, when other members have them as well.
-const START_TIME: time::Duration = time::Duration::from_millis(500);
-/// Pause after a member that is busy giving documents to others, with its spread.
-const BUSY_PAUSE: std::ops::Range<f64> = 0.05..0.15;
-/// Members informed by one that has received a large document from another: enough that the number of those who
-/// are known to have it grows as fast as it can be sent.
-const TOLD_MEMBERS: usize = 3;
-/// Path of a member's documents.
+/// Timeout for fetching routes from a member: 100 KB, compressed, take 0.04 s on a link of 20 Mbit/s, and eight such
+/// answers at once 0.3 s. A silent member must leave time to ask other members and the store.
+const ROUTES_TIMEOUT: time::Duration = time::Duration::from_millis(600);
+/// Timeout for fetching the list from a member.
+const LIST_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
+/// Timeout for fetching both documents at the start of the process, when other members can provide them as well.
+const START_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Range, in seconds, of the random pause after a member has refused because it is sending documents to others.
+const BUSY_PAUSE_S: std::ops::Range<f64> = 0.05..0.15;
+/// Number of members informed by one that has received a large document: enough that the number of members known to have
+/// it grows as fast as it can be sent.
+const INFORMED_MEMBERS: usize = 3;
+/// Path at which a member serves its documents.
 pub const DOCUMENTS_PATH: &str = "/documents";
 
-/// Follows newer routes that a member knows of: from members that have them, or from the store.
+/// Fetches the routes whenever a member has newer ones: from such a member, or from the store.
 pub async fn follow_routes(context: rc::Rc<context::InstanceContext>) {
     let mut source = document_source::DocumentSource::new(rand::random());
-    // A member that did not give them when it was last asked.
-    let mut failing = None;
+    // The member that was asked last, if it did not provide the routes.
+    let mut last_failed = None;
     loop {
-        monoio::time::sleep(store_sight::look_interval(&context)).await;
-        // At a start one call brings both documents.
-        if store_sight::own_watch_leads(&context) || !context.fleet.borrow().is_listed() {
+        monoio::time::sleep(store_contact::poll_interval(&context)).await;
+        // At the start of the process `follow_list` fetches both documents with one call.
+        if store_contact::trusts_own_watch(&context) || !context.fleet.borrow().has_list() {
             continue;
         }
-        let Some((member, address)) = routes_source(&context, failing.as_ref()) else {
+        let Some((member, address)) = routes_source(&context, last_failed.as_ref()) else {
             source.note_whole();
             continue;
         };
         let now = context.now();
         match source.choose(now) {
             document_source::SourceChoice::Member => {
-                let copied = adopt_routes(&context, &member, address).await;
-                failing = (copied != CopyOutcome::Taken).then_some(member);
-                match copied {
-                    // In a storm of changes the next may be missing already.
-                    CopyOutcome::Taken => source.note_whole(),
+                let outcome = adopt_routes(&context, &member, address).await;
+                last_failed = (outcome != CopyOutcome::Adopted).then_some(member);
+                match outcome {
+                    // If changes follow each other quickly, the next one may be missing already.
+                    CopyOutcome::Adopted => source.note_whole(),
                     CopyOutcome::Missing => {}
                     CopyOutcome::Damaged => source.note_damage(),
                 }
@@ -65,24 +66,24 @@
     }
 }
 
-/// Takes in that the store, asked at `asked`, has no newer routes than this process.
+/// Records that the store, asked at `asked`, had no newer routes than this process has now.
 fn refute_routes(context: &context::InstanceContext, asked: units::MonoTime) {
     let own = context.versions().routes;
     context.belief.borrow_mut().refute_routes(own, asked);
 }
 
-/// What came of asking a member for what it has.
+/// Outcome of fetching documents from a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CopyOutcome {
-    /// Its documents are taken over, as far as they are newer.
-    Taken,
-    /// It did not give them.
+    /// The documents were adopted where they are newer.
+    Adopted,
+    /// The member did not provide them.
     Missing,
-    /// What it gave is of no use.
+    /// The documents are damaged, or do not apply to those in force.
     Damaged,
 }
 
-/// Takes over a member's routes.
+/// Fetches and adopts a member's routes.
 async fn adopt_routes(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
@@ -90,35 +91,34 @@
 ) -> CopyOutcome {
     let known = context.fleet.borrow().routes.version;
     let path = format!("{DOCUMENTS_PATH}?routes={known}");
-    let copied = adopt_from(context, member, address, &path, ROUTES_TIME).await;
+    let outcome = adopt_from(context, member, address, &path, ROUTES_TIMEOUT).await;
     let newer = context.fleet.borrow().routes.version > known;
-    if copied == CopyOutcome::Taken && !newer { CopyOutcome::Missing } else { copied }
+    if outcome == CopyOutcome::Adopted && !newer { CopyOutcome::Missing } else { outcome }
 }
 
-/// Follows the list of upstreams through members while others watch the store, or while it is
-/// silent.
+/// Fetches the list from members while other members watch the store for this one, or while the store is silent.
 pub async fn follow_list(context: rc::Rc<context::InstanceContext>) {
     let mut behind_since = None;
     loop {
-        monoio::time::sleep(store_sight::look_interval(&context)).await;
-        store_sight::note_lag(&context, &mut behind_since);
-        if store_sight::own_watch_leads(&context) {
+        monoio::time::sleep(store_contact::poll_interval(&context)).await;
+        store_contact::log_lag(&context, &mut behind_since);
+        if store_contact::trusts_own_watch(&context) {
             continue;
         }
-        let listed = context.fleet.borrow().is_listed();
-        let source = if listed { list_source(&context) } else { any_source(&context) };
+        let has_list = context.fleet.borrow().has_list();
+        let source = if has_list { list_source(&context) } else { any_source(&context) };
         let Some((member, address)) = source else {
             continue;
         };
-        let routes = if listed { u64::MAX } else { context.versions().routes };
+        let routes = if has_list { u64::MAX } else { context.versions().routes };
         let list = context.fleet.borrow().wanted_from();
         let path = format!("{DOCUMENTS_PATH}?routes={routes}&list={list}");
-        let limit = if listed { LIST_TIME } else { START_TIME };
+        let limit = if has_list { LIST_TIMEOUT } else { START_TIMEOUT };
         adopt_from(&context, &member, address, &path, limit).await;
     }
 }
 
-/// Takes over what a member knows.
+/// Fetches and adopts documents of a member.
 async fn adopt_from(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
@@ -132,7 +132,7 @@
         Err(error) => {
             log::info!(member:%, error:%; "member.documents_failed");
             if matches!(error, document_call::CallError::Status { status: 503 }) {
-                let pause = rand::rng().random_range(BUSY_PAUSE);
+                let pause = rand::rng().random_range(BUSY_PAUSE_S);
                 monoio::time::sleep(time::Duration::from_secs_f64(pause)).await;
             }
             return CopyOutcome::Missing;
@@ -143,35 +143,37 @@
         return CopyOutcome::Damaged;
     }
     if document_answers::is_large(&body) {
-        heartbeats::announce_to_some(context, TOLD_MEMBERS);
+        heartbeats::announce_to_sample(context, INFORMED_MEMBERS);
     }
-    CopyOutcome::Taken
+    CopyOutcome::Adopted
 }
 
+/// Decodes and adopts documents of a member.
 fn adopt(
     context: &context::InstanceContext,
     body: &[u8],
     member: &ids::InstanceId,
-) -> Result<(), packed_bytes::PackError> {
+) -> Result<(), compressed_bytes::CompressionError> {
     let documents = document_answers::decode(body)?;
     context.fleet.borrow_mut().adopt(context.now(), documents, member.as_str())
 }
 
-/// A member, drawn, that has newer routes; another than `failing`, if there is one.
+/// A random member with newer routes; another one than `last_failed`, if there are several.
 fn routes_source(
     context: &context::InstanceContext,
-    failing: Option<&ids::InstanceId>,
+    last_failed: Option<&ids::InstanceId>,
 ) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
     let known = context.belief.borrow().known(context.versions()).routes;
     let members = context.members.borrow();
     let mut sources = members.routes_sources(context.now(), known, &settings.data_center);
     if sources.len() > 1 {
-        sources.retain(|member| Some(&member.name) != failing);
+        sources.retain(|member| Some(&member.name) != last_failed);
     }
     pick_source(&sources, settings.listen.members.port())
 }
 
+/// A random member with a newer list.
 fn list_source(context: &context::InstanceContext) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
     let known = context.belief.borrow().known(context.versions()).list;
@@ -180,7 +182,7 @@
     pick_source(&sources, settings.listen.members.port())
 }
 
-/// A random member that has both documents, for a starting process.
+/// A random member that has both documents, for a process that has just started.
 fn any_source(context: &context::InstanceContext) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
     let members = context.members.borrow();
@@ -188,12 +190,13 @@
     pick_source(&sources, settings.listen.members.port())
 }
 
+/// Picks one of `sources` at random; returns its name and the address of its documents.
 fn pick_source(
     sources: &[&member_beat::MemberBeat],
     port: u16,
 ) -> Option<(ids::InstanceId, net::SocketAddr)> {
-    let drawn = rand::rng().random_range(0..sources.len().max(1));
-    let member = sources.get(drawn)?;
+    let index = rand::rng().random_range(0..sources.len().max(1));
+    let member = sources.get(index)?;
     let address = net::SocketAddrV4::new(*member.address.ip(), port);
     Some((member.name.clone(), net::SocketAddr::V4(address)))
 }
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between instances, sent and received; and the planners' clock.
+//! Sends and receives datagrams between instances, and runs the planners of this process.
 
 use std::{net, rc, time};
 
@@ -11,16 +11,16 @@
     upstream_starts,
 };
 
-/// Time between two looks at requests that wait, while any does.
+/// Interval between two runs of the planners while requests wait.
 const PLAN_INTERVAL: time::Duration = time::Duration::from_millis(10);
-/// Time between two looks while none waits.
-const REST_INTERVAL: time::Duration = time::Duration::from_millis(50);
-/// Time between two log lines on what a planner believes.
-const STATE_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Time between two timers' ends beyond which the process must have been paused.
-const PAUSE_SIGN: time::Duration = time::Duration::from_millis(700);
+/// Interval between two runs of the planners while no request waits.
+const IDLE_INTERVAL: time::Duration = time::Duration::from_millis(50);
+/// Interval between two log lines on the state of the planners.
+const STATE_LOG_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Time between two runs of the planners beyond which the process must have been paused.
+const MIN_PAUSE: time::Duration = time::Duration::from_millis(700);
 
-/// Sends what other tasks say.
+/// Sends the messages that other tasks have queued.
 pub async fn send_all(
     socket: rc::Rc<monoio::net::udp::UdpSocket>,
     mut outgoing: mpsc::UnboundedReceiver<context::Outgoing>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Receives what other members say.
+/// Receives and handles messages of other members.
 pub async fn receive_all(
     context: rc::Rc<context::InstanceContext>,
     socket: rc::Rc<monoio::net::udp::UdpSocket>,
@@ -53,7 +53,7 @@
             Ok((_, net::SocketAddr::V4(from))) => from,
             Ok(_) => continue,
             Err(error) => {
-                // A dead peer's refusal shows up here.
+                // The refusal of an earlier datagram by a dead peer is reported here.
                 log::debug!(error:%; "peer.receive_failed");
                 continue;
             }
@@ -65,6 +65,7 @@
     }
 }
 
+/// Passes a message to the module that handles it.
 fn receive(
     context: &rc::Rc<context::InstanceContext>,
     from: net::SocketAddrV4,
@@ -120,8 +121,8 @@
         PeerMessage::RequestGossip => member_gossip::send_to(context, from),
         PeerMessage::Leaving(reports) => upstream_signals::receive_members(context, reports),
         PeerMessage::Limits(reports) => limit_gossip::receive_members(context, reports),
-        PeerMessage::RequestPermit(question) => {
-            quota_coordinator::receive_ask(context, from, *question);
+        PeerMessage::RequestPermit(request) => {
+            quota_coordinator::receive_request(context, from, *request);
         }
         PeerMessage::Permit(number, answer) => permit_request::receive(context, number, answer),
         PeerMessage::Probe(message) => failure_watch::receive(context, from, message),
@@ -141,48 +142,48 @@
     }
 }
 
-/// Hands a reply to the request that waits for it.
+/// Passes a planner's reply to the request that waits for it.
 fn reply(
     context: &context::InstanceContext,
     job: engine_place::JobId,
     reply: peer_message::PlanReply,
 ) {
     if let Some(sender) = context.grants.borrow().get(&job) {
-        // A request that has ended in between needs no reply.
+        // The request may have ended in the meantime; it needs no reply then.
         let _ = sender.unbounded_send(reply);
     }
 }
 
-/// Gives places to requests that wait, and notices that the process had been paused.
+/// Runs the planners periodically, and detects that the process has been paused.
 pub async fn plan(context: rc::Rc<context::InstanceContext>) {
     let mut last = context.now();
     let mut logged = last;
-    let mut told = heartbeats::AnnouncedState::default();
+    let mut announced = heartbeats::AnnouncedState::default();
     loop {
         let state = heartbeats::AnnouncedState::of(&context.own_beat());
-        if state != told {
-            heartbeats::broadcast_state(&context, state, told);
-            told = state;
+        if state != announced {
+            heartbeats::broadcast_state(&context, state, announced);
+            announced = state;
         }
         // A process that has just started announces at once when it has routes.
-        let busy = context.planners.borrow().waiting() > 0 || !told.has_routes;
-        monoio::time::sleep(if busy { PLAN_INTERVAL } else { REST_INTERVAL }).await;
+        let busy = context.planners.borrow().waiting() > 0 || !announced.has_routes;
+        monoio::time::sleep(if busy { PLAN_INTERVAL } else { IDLE_INTERVAL }).await;
         let now = context.now();
-        if now.since(last) > PAUSE_SIGN {
+        if now.since(last) > MIN_PAUSE {
             log::warn!(paused_ms = now.since(last).as_millis() as u64; "process.woke");
             context.woke.set(now);
             quota_coordinator::begin_anew(&context);
-            // Others may suspect it by now.
+            // Other members may suspect this process by now.
             heartbeats::broadcast(&context);
         }
         last = now;
         context.fleet.borrow_mut().tick(now);
-        upstream_starts::settle(&context);
+        upstream_starts::handle_ended(&context);
         quota_coordinator::tick(&context);
         let answers = {
             let mut planners = context.planners.borrow_mut();
             planners.sync(now, &context.fleet.borrow());
-            if now.since(logged) > STATE_INTERVAL {
+            if now.since(logged) > STATE_LOG_INTERVAL {
                 logged = now;
                 planners.log_state(now);
             }
@@ -202,7 +203,7 @@
     }
 }
 
-/// The other member that runs a planner; `None` when that is this process.
+/// The member that runs the planner of `key`; `None` if it is this process.
 pub fn planner_of(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
@@ -211,13 +212,13 @@
     context.members.borrow().planner(context.now(), key, &own)
 }
 
-/// Tells a planner what has become of a place, wherever it runs.
+/// Informs the planner of `key`, wherever it runs, of a change to a place.
 pub fn notify_planner(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
     note: engine_place::PlaceNote,
 ) {
-    // This process's own planner may hold the job too, from a time when no other was in reach.
+    // The planner of this process may hold the job as well, from a time when no other one was reachable.
     if let Some(planner) = context.planners.borrow_mut().planner(key) {
         planner.note(context.now(), &note);
     }
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -7,34 +7,36 @@
 
 use crate::{context, limit_gossip, peer_message, quota_coordinator};
 
-/// Timeout of a coordinator's response; within a region it takes a millisecond or two.
-const REPLY_TIME: time::Duration = time::Duration::from_millis(25);
-/// Backoff after a coordinator has not responded.
-const SILENCE_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// Most pending requests whose responses are accepted.
-const MAX_ASKS: usize = 1_024;
-
-/// A request that was sent.
+/// Timeout for a coordinator's response, which takes a millisecond or two within a region.
+const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
+/// Backoff after a coordinator has failed to respond.
+const SILENCE_BACKOFF: time::Duration = time::Duration::from_millis(100);
+/// Most pending requests; beyond that the oldest are forgotten, and their responses ignored.
+const MAX_PENDING: usize = 1_024;
+
+/// A request for permits that was sent to a coordinator.
 #[derive(Debug)]
 struct PendingRequest {
     subject: quota_permit::QuotaSubject,
+    /// When the request was sent.
     at: units::MonoTime,
-    /// Receiver of the response while a task waits for it.
+    /// Channel to the task that waits for the response.
     reply: Option<oneshot::Sender<quota_permit::PermitResponse>>,
 }
 
-/// Requests of this process by number.
+/// Requests of this process that await a response.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
-    asks: cell::RefCell<collections::BTreeMap<u64, PendingRequest>>,
+    by_number: cell::RefCell<collections::BTreeMap<u64, PendingRequest>>,
+    /// Number of the last request.
     number: cell::Cell<u64>,
 }
 
-/// No permit is available; the backoff before the next request.
+/// No permit is available; holds the backoff before the next request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct NoPermit(pub(crate) time::Duration);
 
-/// Backoff before permits for an upstream may be requested; zero without a limit.
+/// Backoff before permits for an upstream may be requested; zero if the upstream has no limit.
 pub(crate) fn closed(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -46,7 +48,7 @@
     context.quotas.cache.borrow().closed(context.now(), &subject)
 }
 
-/// Acquires a permit for one request to an upstream within `patience`; `None` when it has no limit.
+/// Acquires a permit for one request to an upstream within `patience`; `None` if the upstream has no limit.
 pub(crate) async fn obtain(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -75,6 +77,7 @@
     obtain_term(context, &subject, time::Duration::ZERO).await.is_ok()
 }
 
+/// Acquires a permit under a quota, from the cache or from the coordinator, and waits until it is valid.
 async fn obtain_term(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
@@ -88,8 +91,8 @@
         permit_cache::PermitStep::Ask(ask) => {
             let Some(answer) = request_coordinator(context, subject, ask).await else {
                 let mut cache = context.quotas.cache.borrow_mut();
-                cache.note_silence(context.now(), subject, SILENCE_PAUSE);
-                return Err(NoPermit(SILENCE_PAUSE));
+                cache.note_silence(context.now(), subject, SILENCE_BACKOFF);
+                return Err(NoPermit(SILENCE_BACKOFF));
             };
             let mut cache = context.quotas.cache.borrow_mut();
             cache.receive(context.now(), subject, now, answer).map_err(NoPermit)?
@@ -105,15 +108,15 @@
     number: u64,
     answer: quota_permit::PermitResponse,
 ) {
-    let Some(sent) = context.quotas.asks.asks.borrow_mut().remove(&number) else {
+    let Some(sent) = context.quotas.pending.by_number.borrow_mut().remove(&number) else {
         return;
     };
-    let unheard = match sent.reply {
+    let undelivered = match sent.reply {
         Some(reply) => reply.send(answer).err(),
         None => Some(answer),
     };
-    if let Some(answer) = unheard {
-        // The request has ended; the permit serves another one.
+    if let Some(answer) = undelivered {
+        // The task that waited has ended; another one can use the permit.
         let mut cache = context.quotas.cache.borrow_mut();
         if let Ok(term) = cache.receive(context.now(), &sent.subject, sent.at, answer) {
             cache.put_back(&sent.subject, term);
@@ -121,6 +124,7 @@
     }
 }
 
+/// Requests permits from the coordinator of a quota, which may be this process; `None` if it does not respond in time.
 async fn request_coordinator(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
@@ -133,12 +137,12 @@
         quota_permit::QuotaSubject::Upstream(upstream) => limit_gossip::report(context, upstream),
         quota_permit::QuotaSubject::Retries(..) => None,
     };
-    let (number, reply) = context.quotas.asks.note(subject, context.now());
+    let (number, reply) = context.quotas.pending.note(subject, context.now());
     let (subject, boot) = (subject.clone(), context.boot);
-    let question = peer_message::PermitQuestion { number, boot, subject, ask, known };
+    let request = peer_message::PermitRequestMessage { number, boot, subject, ask, known };
     context
-        .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(question)));
-    match monoio::time::timeout(REPLY_TIME, reply).await {
+        .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(request)));
+    match monoio::time::timeout(REPLY_TIMEOUT, reply).await {
         Ok(answer) => {
             context.members.borrow_mut().answered(context.now(), &coordinator.name);
             answer.ok()
@@ -153,6 +157,7 @@
 }
 
 impl PendingRequests {
+    /// Adds a request; returns its number and the channel on which its response arrives.
     fn note(
         &self,
         subject: &quota_permit::QuotaSubject,
@@ -161,16 +166,17 @@
         let number = self.number.get() + 1;
         self.number.set(number);
         let (sender, receiver) = oneshot::channel();
-        let mut asks = self.asks.borrow_mut();
-        asks.insert(number, PendingRequest { subject: subject.clone(), at, reply: Some(sender) });
-        while asks.len() > MAX_ASKS {
-            asks.pop_first();
+        let mut pending = self.by_number.borrow_mut();
+        pending
+            .insert(number, PendingRequest { subject: subject.clone(), at, reply: Some(sender) });
+        while pending.len() > MAX_PENDING {
+            pending.pop_first();
         }
         (number, receiver)
     }
 }
 
-/// A permit whose request may end before its validity starts.
+/// A permit that is not valid yet; returned to the cache if its request ends before.
 struct UnusedPermit<'a> {
     context: &'a context::InstanceContext,
     subject: &'a quota_permit::QuotaSubject,
@@ -178,13 +184,14 @@
 }
 
 impl UnusedPermit<'_> {
+    /// Waits until the permit is valid.
     async fn when_due(mut self) -> quota_permit::PermitTerm {
         let from = self.term.map_or_else(units::MonoTime::default, |term| term.from);
         let wait = from.since(self.context.now());
         if !wait.is_zero() {
             monoio::time::sleep(wait).await;
         }
-        self.term.take().expect("it is taken here alone")
+        self.term.take().expect("only this method takes the permit")
     }
 }
 
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -1,4 +1,4 @@
-//! The running instance: its listeners, its tasks, its start, reload and planned stop.
+//! The process of an instance: command line, listeners, tasks, reload of settings and graceful shutdown.
 
 use std::{
     path, process as std_process, rc,
@@ -15,45 +15,45 @@
 
 use crate::{
     border, caller_connection, context, engine_reports, failure_watch, heartbeats,
-    instance_settings, lease_renewal, log_sink, member_feed, member_gossip, peers, small_server,
+    instance_settings, internal_server, lease_renewal, log_sink, member_feed, member_gossip, peers,
     store_feed, upstream_ends,
 };
 
-/// Time between two looks at whether a stop or a reload was asked for.
-const SIGNAL_POLL: time::Duration = time::Duration::from_millis(100);
-/// Looks for signals between two looks at the settings file.
-const FILE_POLLS: u32 = 20;
-/// After SIGTERM, connections are still taken for this long: the balancer asks every second and
-/// looks away after two misses.
-const UNREADY_TIME: time::Duration = time::Duration::from_millis(2_600);
-/// The process ends by itself this long before it would be killed; on a slow machine its last
-/// steps take some hundred milliseconds.
+/// Interval between two checks for a signal to stop or to reload.
+const SIGNAL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// Number of signal checks for each check of the settings file.
+const POLLS_PER_FILE_CHECK: u32 = 20;
+/// Time after SIGTERM for which connections are still accepted: the load balancer checks readiness every second and
+/// removes the instance after two failures.
+const NOT_READY_TIME: time::Duration = time::Duration::from_millis(2_600);
+/// Time before SIGKILL at which the process exits by itself: on a slow machine its last steps take some hundred
+/// milliseconds.
 const GRACE_MARGIN: time::Duration = time::Duration::from_millis(900);
-/// A request that has no place so long before the process ends gets none: its answer would be cut.
+/// Time before the exit from which requests are not granted places any more, as their answers would be cut off.
 const PLACE_MARGIN: time::Duration = time::Duration::from_secs(1);
-/// Time between two clean-ups of resting connections.
+/// Interval between two clean-ups of idle connections and of state about upstreams that are gone.
 const PRUNE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Why an instance could not run.
+/// Why an instance could not start.
 #[derive(Debug, Snafu)]
 pub enum ProgramError {
-    /// An address is not to be had.
+    /// An address could not be bound.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The signal handlers could not be installed.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs the program: command line, settings, logs, event loop.
+/// Entry point of the program: parses the command line, loads the settings, and runs the instance.
 pub fn main(
     info: command_line::ProgramInfo,
     settings_variable: &str,
@@ -63,8 +63,9 @@
         command_line::ParsedLine::Run(matches) => matches,
         command_line::ParsedLine::Leave(code) => return std_process::ExitCode::from(code),
     };
-    let named = matches.opt_str("settings").or_else(|| std::env::var(settings_variable).ok());
-    let Some(file) = named else {
+    let settings_file =
+        matches.opt_str("settings").or_else(|| std::env::var(settings_variable).ok());
+    let Some(file) = settings_file else {
         eprintln!("{}: -s FILE or {settings_variable} is needed", info.name);
         return std_process::ExitCode::from(command_line::EXIT_USAGE);
     };
@@ -87,7 +88,7 @@
     }
 }
 
-/// Runs an instance until a stop is asked for and its requests are done.
+/// Runs an instance until it is asked to stop and its requests have ended.
 pub async fn run(
     settings: instance_settings::InstanceSettings,
     path: path::PathBuf,
@@ -107,11 +108,12 @@
     let socket = rc::Rc::new(socket);
     let (closing_sender, closing) = oneshot::channel();
     let (outgoing, queue) = mpsc::unbounded();
-    let (runs, run_news) = mpsc::unbounded();
+    let (runs, run_events) = mpsc::unbounded();
     let grace = settings.bounds.grace.0;
     let stopping = stop.clone();
-    let parts = context::ContextParts { settings, border, stop: stopping, closing, outgoing, runs };
-    let context = rc::Rc::new(context::InstanceContext::new(parts));
+    let context_parts =
+        context::ContextParts { settings, border, stop: stopping, closing, outgoing, runs };
+    let context = rc::Rc::new(context::InstanceContext::new(context_parts));
     log::info!(instance:% = context.settings().name, boot = context.boot,
         seed = context.settings().is_seed(),
         version = env!("CARGO_PKG_VERSION"), ways:% = context.settings().experiments;
@@ -121,7 +123,7 @@
     monoio::spawn(peers::send_all(rc::Rc::clone(&socket), queue));
     monoio::spawn(peers::receive_all(share(), socket));
     monoio::spawn(heartbeats::repeat(share()));
-    monoio::spawn(heartbeats::ask_silent(share()));
+    monoio::spawn(heartbeats::probe_silent(share()));
     monoio::spawn(failure_watch::run(share()));
     monoio::spawn(peers::plan(share()));
     monoio::spawn(lease_renewal::repeat(share()));
@@ -130,16 +132,16 @@
     monoio::spawn(member_feed::follow_list(share()));
     monoio::spawn(engine_reports::poll(share()));
     monoio::spawn(prune(share()));
-    monoio::spawn(upstream_ends::judge_runs(share(), run_news));
+    monoio::spawn(upstream_ends::find_ended_upstreams(share(), run_events));
     monoio::spawn(member_gossip::repeat(share()));
-    let small = small_server::accept_all;
-    monoio::spawn(small(share(), health, small_server::SmallRole::Health));
-    monoio::spawn(small(share(), members, small_server::SmallRole::Members));
-    monoio::spawn(small(share(), operators, small_server::SmallRole::Operators));
+    let small = internal_server::accept_all;
+    monoio::spawn(small(share(), health, internal_server::ServerRole::Health));
+    monoio::spawn(small(share(), members, internal_server::ServerRole::Members));
+    monoio::spawn(small(share(), operators, internal_server::ServerRole::Operators));
     monoio::spawn(accept_callers(share(), callers));
 
     wait_for_stop(&context, &reload, &path).await;
-    finish(&context, closing_sender, grace).await;
+    shut_down(&context, closing_sender, grace).await;
     Ok(())
 }
 
@@ -162,6 +164,7 @@
     }
 }
 
+/// Periodically closes idle connections, and forgets state about upstreams that are gone.
 async fn prune(context: rc::Rc<context::InstanceContext>) {
     loop {
         monoio::time::sleep(PRUNE_INTERVAL).await;
@@ -172,28 +175,33 @@
     }
 }
 
+/// Reloads the settings on SIGHUP and when their file changes, until a stop is requested.
 async fn wait_for_stop(context: &context::InstanceContext, reload: &AtomicBool, path: &path::Path) {
-    let mut changed = modified(path);
+    let mut last_modified = modified_at(path);
     let mut polls = 0_u32;
     while !context.stop.asked() {
         polls += 1;
-        // The file may change without a signal.
-        let found = if polls.is_multiple_of(FILE_POLLS) { modified(path) } else { changed };
-        if reload.swap(false, atomic::Ordering::SeqCst) || found != changed {
-            changed = found;
-            load_again(context, path);
+        // The file may be changed without a signal.
+        let found = if polls.is_multiple_of(POLLS_PER_FILE_CHECK) {
+            modified_at(path)
+        } else {
+            last_modified
+        };
+        if reload.swap(false, atomic::Ordering::SeqCst) || found != last_modified {
+            last_modified = found;
+            reload_settings(context, path);
         }
-        monoio::time::sleep(SIGNAL_POLL).await;
+        monoio::time::sleep(SIGNAL_POLL_INTERVAL).await;
     }
 }
 
-/// When a file was last written; `None` where that cannot be told.
-fn modified(path: &path::Path) -> Option<time::SystemTime> {
-    std::fs::metadata(path).and_then(|data| data.modified()).ok()
+/// Modification time of a file; `None` if it is not available.
+fn modified_at(path: &path::Path) -> Option<time::SystemTime> {
+    std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
 
-/// Takes over what may change while the process runs; a bad file changes nothing.
-fn load_again(context: &context::InstanceContext, path: &path::Path) {
+/// Reloads the settings; an invalid file is rejected, and the settings in force stay.
+fn reload_settings(context: &context::InstanceContext, path: &path::Path) {
     match instance_settings::InstanceSettings::load(path) {
         Ok(settings) => {
             log::info!(seeds = settings.seeds.len(); "settings.reloaded");
@@ -204,23 +212,24 @@
     }
 }
 
-async fn finish(
+/// Shuts down gracefully: lets the load balancer notice, closes idle connections, and waits for requests in progress.
+async fn shut_down(
     context: &context::InstanceContext,
     closing: oneshot::Sender<()>,
     grace: time::Duration,
 ) {
     let begun = context.now();
-    let last = grace.saturating_sub(GRACE_MARGIN);
-    context.places_until.set(Some(begun + last.saturating_sub(PLACE_MARGIN)));
+    let stop_time = grace.saturating_sub(GRACE_MARGIN);
+    context.places_until.set(Some(begun + stop_time.saturating_sub(PLACE_MARGIN)));
     log::info!(busy = context.busy.get(); "process.stopping");
-    monoio::time::sleep(UNREADY_TIME.min(grace / 2)).await;
-    // Nobody may wait for it any more.
+    monoio::time::sleep(NOT_READY_TIME.min(grace / 2)).await;
+    // Fails only if the receiver has been dropped; nothing is left to be closed then.
     let _ = closing.send(());
-    while context.busy.get() > 0 && context.now().since(begun) < last {
+    while context.busy.get() > 0 && context.now().since(begun) < stop_time {
         monoio::time::sleep(time::Duration::from_millis(20)).await;
     }
     log::info!(busy = context.busy.get(); "process.stopped");
-    // Answers, closed connections and the last line leave before the process does.
+    // Lets the last answers, closed connections and log lines go out before the process exits.
     monoio::time::sleep(time::Duration::from_millis(50)).await;
 }
 
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -1,8 +1,8 @@
-//! What members tell each other of requests that upstreams end under.
+//! Exchange of evidence against requests during whose runs upstreams ended.
 //!
-//! Evidence goes to a few members, found by hashing the request's digest over those that are alive:
-//! a storm of crashes costs each member some datagrams, however many there are. Who sees there that a
-//! request is quarantined informs all.
+//! The evidence against a request is kept by a few live members, which rendezvous hashing of the request's digest selects:
+//! a series of crashes costs each member some datagrams, however large the fleet is. A keeper that finds that a request is
+//! quarantined informs all members.
 
 use std::{net, time};
 
@@ -10,15 +10,15 @@
 
 use crate::{context, peer_message, upstream_ends};
 
-/// Members that keep the evidence against one request: with four of them gone or cut off, one is left.
-const KEEPERS: usize = 5;
-/// Members up to which all keep it: a small fleet needs no choice, and who serves a request knows then
-/// that it is a suspect.
-const SMALL_FLEET: usize = 12;
-/// Digests that a log line names in full; more are counted.
-const MAX_LOGGED: usize = 16;
+/// Number of members that keep the evidence against one request: with four of them gone or unreachable, one is left.
+const EVIDENCE_KEEPERS: usize = 5;
+/// Number of members up to which all of them keep all evidence: the member that serves a request then knows by itself that
+/// the request is suspected.
+const SMALL_FLEET_MEMBERS: usize = 12;
+/// Most quarantined requests that are logged one by one; all are counted.
+const MAX_LOGGED_DIGESTS: usize = 16;
 
-/// Takes in runs of this process under which an upstream ended.
+/// Handles runs of this process during which their upstream ended.
 pub(crate) fn report(context: &context::InstanceContext, runs: &[upstream_ends::BrokenRun]) {
     let ended = |run: &upstream_ends::BrokenRun| quarantine::EndedRun {
         digest: run.digest,
@@ -26,26 +26,26 @@
         sent: run.sent,
         ended: run.broke,
     };
-    hold_new(context, runs.iter().map(ended).collect());
+    record_evidence(context, runs.iter().map(ended).collect());
     let now = context.now();
-    for (keeper, digests) in members_for(context, runs.iter().map(|run| run.digest)) {
-        // All that is known here of these requests, so that the times fit each other.
+    for (keeper, digests) in keepers_of(context, runs.iter().map(|run| run.digest)) {
+        // All evidence known here against these requests, so that their times are relative to the same moment.
         let ends = ends_of(context, &digests);
-        for reports in reports(now, &ends) {
+        for reports in report_batches(now, &ends) {
             context.send_to(keeper, peer_message::PeerMessage::Ends(reports));
         }
     }
 }
 
-/// Takes in evidence that this member is to keep.
+/// Handles evidence that this member is to keep.
 pub(crate) fn receive_ends(
     context: &context::InstanceContext,
     reports: Vec<peer_message::EndReport>,
 ) {
-    hold_new(context, ended_runs(context.now(), reports));
+    record_evidence(context, ended_runs(context.now(), reports));
 }
 
-/// Takes in evidence against requests that another member holds back.
+/// Handles evidence against requests that another member has quarantined.
 pub(crate) fn receive_held(
     context: &context::InstanceContext,
     from: net::SocketAddrV4,
@@ -53,12 +53,12 @@
 ) {
     let now = context.now();
     let ends = ended_runs(now, reports);
-    tell_answered(context, from, &ends);
+    report_cleared(context, from, &ends);
     let held = context.quarantine.borrow_mut().note_ends(now, ends);
     log_held(context, &held, "member");
 }
 
-/// Takes in that a request is not the cause of ends before.
+/// Clears a request of the evidence that is older than `micros_ago`, in microseconds.
 pub(crate) fn receive_cleared(
     context: &context::InstanceContext,
     digest: request_digest::RequestDigest,
@@ -68,17 +68,17 @@
     context.quarantine.borrow_mut().clear(digest, context.now().earlier_by(age));
 }
 
-/// Tells a member what is held back here.
+/// Sends a member the evidence against all requests that are quarantined here.
 pub(crate) fn send_held(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
     let held = context.quarantine.borrow().held_at(now);
-    for reports in reports(now, &ends_of(context, &held)) {
+    for reports in report_batches(now, &ends_of(context, &held)) {
         context.send_to(to, peer_message::PeerMessage::Held(reports));
     }
 }
 
-/// Records that an upstream has answered a request to the end, where crashes are evidence against it; `digest` is
-/// asked for only then.
+/// Clears a suspected request, as an upstream has answered it completely. `digest` is computed only if there is evidence
+/// against any request.
 pub(crate) fn answered(
     context: &context::InstanceContext,
     digest: impl FnOnce() -> request_digest::RequestDigest,
@@ -92,7 +92,8 @@
     }
 }
 
-/// Lets a request go, here and at all members; whether anything was known of it.
+/// Clears a request of the evidence against it, here and at the members that keep such evidence, or at all members if it
+/// is quarantined. Returns whether there was any evidence.
 pub(crate) fn clear(
     context: &context::InstanceContext,
     digest: request_digest::RequestDigest,
@@ -100,12 +101,12 @@
     let now = context.now();
     let held = context.quarantine.borrow().verdict(now, digest).is_some();
     let known = context.quarantine.borrow_mut().clear(digest, now);
-    let told: Vec<_> = if held {
+    let recipients: Vec<_> = if held {
         context.members.borrow().targets(context.settings().member_address)
     } else {
-        members_for(context, [digest].into_iter()).into_iter().map(|(to, _)| to).collect()
+        keepers_of(context, [digest].into_iter()).into_iter().map(|(to, _)| to).collect()
     };
-    for to in told {
+    for to in recipients {
         context.send_to(to, peer_message::PeerMessage::Cleared(digest, 0));
     }
     if held {
@@ -114,24 +115,24 @@
     known
 }
 
-/// Adds evidence, and informs all members of new quarantines.
-fn hold_new(context: &context::InstanceContext, ends: Vec<quarantine::EndedRun>) {
+/// Records evidence, and informs all members of requests that are quarantined by it.
+fn record_evidence(context: &context::InstanceContext, ends: Vec<quarantine::EndedRun>) {
     let now = context.now();
     let held = context.quarantine.borrow_mut().note_ends(now, ends);
     if held.is_empty() {
         return;
     }
     log_held(context, &held, "evidence");
-    let against = ends_of(context, &held);
+    let evidence = ends_of(context, &held);
     for to in context.members.borrow().targets(context.settings().member_address) {
-        for reports in reports(now, &against) {
+        for reports in report_batches(now, &evidence) {
             context.send_to(to, peer_message::PeerMessage::Held(reports));
         }
     }
 }
 
-/// Tells a member that holds back what was answered here since.
-fn tell_answered(
+/// Tells a member which of its quarantined requests have been answered here since the ends of upstreams that it reports.
+fn report_cleared(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
     ends: &[quarantine::EndedRun],
@@ -152,7 +153,7 @@
     }
 }
 
-/// The evidence against these requests.
+/// Evidence known here against these requests.
 fn ends_of(
     context: &context::InstanceContext,
     digests: &[request_digest::RequestDigest],
@@ -161,8 +162,8 @@
     digests.iter().flat_map(|digest| table.ends(*digest).to_vec()).collect()
 }
 
-/// Members that keep the evidence against these requests, each with its part of them.
-fn members_for(
+/// Members that keep the evidence against these requests, each with the requests that it keeps evidence against.
+fn keepers_of(
     context: &context::InstanceContext,
     digests: impl Iterator<Item = request_digest::RequestDigest>,
 ) -> Vec<(net::SocketAddrV4, Vec<request_digest::RequestDigest>)> {
@@ -175,7 +176,7 @@
     for digest in digests {
         let subject = digest.to_string();
         let ranked = rendezvous::ranked(&subject, alive.iter(), |beat| beat.name.as_str());
-        let count = if alive.len() <= SMALL_FLEET { alive.len() } else { KEEPERS };
+        let count = if alive.len() <= SMALL_FLEET_MEMBERS { alive.len() } else { EVIDENCE_KEEPERS };
         for keeper in ranked.into_iter().take(count) {
             keepers.entry(keeper.address).or_default().push(digest);
         }
@@ -183,8 +184,8 @@
     keepers.into_iter().collect()
 }
 
-/// Messages' worth of reports.
-fn reports(
+/// Reports of these runs, split so that each part fits a message.
+fn report_batches(
     now: units::MonoTime,
     ends: &[quarantine::EndedRun],
 ) -> Vec<Vec<peer_message::EndReport>> {
@@ -198,7 +199,7 @@
     ends.chunks(peer_message::MAX_ENDS).map(message).collect()
 }
 
-/// Runs with their times by this process's clock; those before its start lie at its start.
+/// Converts reports to runs with times of this process's clock; times before its start become its start.
 fn ended_runs(
     now: units::MonoTime,
     reports: Vec<peer_message::EndReport>,
@@ -217,13 +218,14 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
+/// Logs and counts requests that have just been quarantined, and signals the verdict to requests in progress.
 fn log_held(
     context: &context::InstanceContext,
     held: &[request_digest::RequestDigest],
     source: &str,
 ) {
     let table = context.quarantine.borrow();
-    for digest in held.iter().take(MAX_LOGGED) {
+    for digest in held.iter().take(MAX_LOGGED_DIGESTS) {
         let Some(verdict) = table.verdict(context.now(), *digest) else {
             continue;
         };
--- a/crates/instance/src/routes_history.rs
+++ b/crates/instance/src/routes_history.rs
@@ -1,91 +1,91 @@
-//! The routes as members pass them on: the last changes as they were made, or the whole.
+//! Routes in the form in which members pass them on: as recent changes, or as a whole.
 //!
-//! A change is computed once, by the member that reads new routes from the store, and then passed on unchanged.
-//! Whoever follows change by change hands on what it got.
+//! A change is computed once, by the member that reads new routes from the store. Members that receive it pass it on
+//! unchanged.
 
 use std::collections;
 
 use serde::{Deserialize, Serialize};
 
-use crate::packed_bytes;
+use crate::compressed_bytes;
 
-/// Changes remembered: a member that missed more than a storm of them takes the whole.
-const MAX_CHANGES: usize = 16;
-/// Bytes of changes remembered; a change of one route takes some 50.
-const MAX_BYTES: usize = 64 * 1024;
+/// Most remembered changes; a member that has missed more of them receives the whole routes.
+const MAX_REMEMBERED_CHANGES: usize = 16;
+/// Most compressed bytes of remembered changes; a change of one route takes some 50.
+const MAX_REMEMBERED_BYTES: usize = 64 * 1024;
 
-/// One change of the routes.
+/// A change from one version of the routes to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesChange {
-    /// Version that it changes.
+    /// Version before the change.
     pub from: u64,
-    /// Version after it; newer.
+    /// Version after the change; newer than `from`.
     pub to: u64,
-    /// The newer text as what differs from the older.
-    text: packed_bytes::PackedBytes,
+    /// The newer text, compressed against the older one.
+    text: compressed_bytes::CompressedBytes,
 }
 
-/// What a member gives another of its routes.
+/// Routes as one member sends them to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RoutesCopy {
-    /// All of them.
-    Whole(packed_bytes::PackedBytes),
-    /// The changes from the other's version on, oldest first, each from the one before.
+    /// The whole text.
+    Whole(compressed_bytes::CompressedBytes),
+    /// The changes from the receiver's version on, oldest first, each based on the one before.
     Changes(Vec<RoutesChange>),
 }
 
 impl RoutesCopy {
-    /// The resulting text for a member that has `text` of `version`, and the changes applied.
+    /// Applies the copy to `text` of `version`; returns the resulting text, and the changes that were applied.
     pub fn apply(
         &self,
         version: u64,
         text: &str,
-    ) -> Result<(String, Vec<RoutesChange>), packed_bytes::PackError> {
+    ) -> Result<(String, Vec<RoutesChange>), compressed_bytes::CompressionError> {
         let changes = match self {
-            Self::Whole(packed) => return Ok((read(packed, "")?, Vec::new())),
+            Self::Whole(compressed) => return Ok((decompress_text(compressed, "")?, Vec::new())),
             Self::Changes(changes) => changes,
         };
-        // Its own watch may have brought some of them meanwhile. A gap shows itself: what differs from
-        // another text has another digest.
+        // The receiver's own watch may have brought some of the changes in the meantime. If one is missing, the digest of
+        // the next one does not match.
         let missing: Vec<_> =
             changes.iter().skip_while(|change| change.to <= version).cloned().collect();
         let mut text = text.to_owned();
         for change in &missing {
-            text = read(&change.text, &text)?;
+            text = decompress_text(&change.text, &text)?;
         }
         Ok((text, missing))
     }
 }
 
-/// The last changes of the routes.
+/// The last changes of the routes, for members with older ones.
 #[derive(Debug, Default)]
 pub struct RoutesHistory {
-    /// Oldest first, each from the one before.
+    /// The changes, oldest first, each based on the one before.
     changes: collections::VecDeque<RoutesChange>,
-    /// The whole, once somebody has asked for it; of the newest version.
-    whole: Option<packed_bytes::PackedBytes>,
+    /// The whole text of the newest version, compressed when a member first needs it.
+    whole: Option<compressed_bytes::CompressedBytes>,
 }
 
 impl RoutesHistory {
-    /// Takes in that routes of `from` were replaced by those of `to`.
+    /// Records that the routes `from` were replaced by the routes `to`, each a version and a text.
     pub fn replace(&mut self, from: (u64, &str), to: (u64, &str)) {
         if from.0 == 0 {
-            self.forget();
+            self.clear();
             return;
         }
-        match packed_bytes::PackedBytes::pack(to.1.as_bytes(), from.1.as_bytes()) {
+        match compressed_bytes::CompressedBytes::compress(to.1.as_bytes(), from.1.as_bytes()) {
             Ok(text) => self.push(RoutesChange { from: from.0, to: to.0, text }),
             Err(error) => {
                 log::warn!(version = to.0, error:%; "routes.unpackable");
-                self.forget();
+                self.clear();
             }
         }
     }
 
-    /// Takes in changes that came from a member; none where that gave the whole.
+    /// Records changes that a member sent; without any, as after a whole copy, the history is cleared.
     pub fn extend(&mut self, changes: Vec<RoutesChange>) {
         if changes.is_empty() {
-            self.forget();
+            self.clear();
         }
         changes.into_iter().for_each(|change| self.push(change));
     }
@@ -99,33 +99,38 @@
         let size = |changes: &collections::VecDeque<RoutesChange>| {
             changes.iter().map(|change| change.text.size()).sum::<usize>()
         };
-        while self.changes.len() > MAX_CHANGES || size(&self.changes) > MAX_BYTES {
+        while self.changes.len() > MAX_REMEMBERED_CHANGES
+            || size(&self.changes) > MAX_REMEMBERED_BYTES
+        {
             self.changes.pop_front();
         }
     }
 
-    fn forget(&mut self) {
+    fn clear(&mut self) {
         self.changes.clear();
         self.whole = None;
     }
 
-    /// What a member with routes of `version` lacks of `text`, the newest; nothing where that cannot be
-    /// packed.
+    /// The copy of the newest `text` for a member with routes of `version`; `None` if it cannot be compressed.
     pub fn copy_for(&mut self, version: u64, text: &str) -> Option<RoutesCopy> {
         let start = self.changes.iter().position(|change| change.from == version);
         if let Some(start) = start {
             return Some(RoutesCopy::Changes(self.changes.range(start..).cloned().collect()));
         }
         if self.whole.is_none() {
-            let packed = packed_bytes::PackedBytes::pack(text.as_bytes(), &[]);
-            self.whole = packed.inspect_err(|error| log::warn!(error:%; "routes.unpackable")).ok();
+            let compressed = compressed_bytes::CompressedBytes::compress(text.as_bytes(), &[]);
+            self.whole =
+                compressed.inspect_err(|error| log::warn!(error:%; "routes.unpackable")).ok();
         }
         self.whole.clone().map(RoutesCopy::Whole)
     }
 }
 
-/// The text that was packed against `base`.
-fn read(packed: &packed_bytes::PackedBytes, base: &str) -> Result<String, packed_bytes::PackError> {
-    let bytes = packed.unpack(base.as_bytes())?;
-    String::from_utf8(bytes).map_err(packed_bytes::PackError::code)
+/// Decompresses a text that was compressed against `base`.
+fn decompress_text(
+    compressed: &compressed_bytes::CompressedBytes,
+    base: &str,
+) -> Result<String, compressed_bytes::CompressionError> {
+    let bytes = compressed.decompress(base.as_bytes())?;
+    String::from_utf8(bytes).map_err(compressed_bytes::CompressionError::codec)
 }
--- a/crates/instance/src/upstream_rows.rs
+++ b/crates/instance/src/upstream_rows.rs
@@ -1,5 +1,5 @@
-//! Upstreams as operators see them: what the list and they themselves say, what this process sends there, and who keeps
-//! what all members may do together.
+//! Rows on upstreams and services for operators: listed state, notices of upstreams, requests sent by this process, and
+//! coordinators of shared quotas.
 
 use std::collections;
 
@@ -7,11 +7,11 @@
 
 use crate::{context, fleet_state, quota_coordinator};
 
-/// A row for each upstream.
+/// Returns a row for each listed upstream.
 pub(crate) fn upstreams(context: &context::InstanceContext) -> Vec<serde_json::Value> {
     let now = context.now();
     let fleet = context.fleet.borrow();
-    let sums = service_sums(context, &fleet);
+    let sums = sent_by_service(context, &fleet);
     let row = |entry: &upstream_list::UpstreamEntry| {
         serde_json::json!({
             "upstream": entry.name.to_string(),
@@ -29,7 +29,7 @@
     fleet.list.entries().map(row).collect()
 }
 
-/// A row for each service: who keeps the retries that all members share, and to whom they were given.
+/// Returns a row for each service: the coordinator of its retry quota, and the recent grants.
 pub(crate) fn retries(context: &context::InstanceContext) -> Vec<serde_json::Value> {
     let services: Vec<_> = context.fleet.borrow().routes.services.keys().cloned().collect();
     let row = |service: ids::ServiceId| {
@@ -40,6 +40,7 @@
     services.into_iter().map(row).collect()
 }
 
+/// Coordinator and recent grants of an upstream's limit; empty if it has none.
 fn limit(
     context: &context::InstanceContext,
     fleet: &fleet_state::FleetState,
@@ -52,8 +53,8 @@
     quota_coordinator::summary(context, &subject).unwrap_or_default()
 }
 
-/// Requests that this process sent lately, by service.
-fn service_sums(
+/// Numbers of requests that this process has sent recently, by service.
+fn sent_by_service(
     context: &context::InstanceContext,
     fleet: &fleet_state::FleetState,
 ) -> collections::HashMap<ids::ServiceId, u32> {
@@ -65,6 +66,7 @@
     })
 }
 
+/// Number of requests sent recently to an upstream, and its share of those sent to the whole service.
 fn sent(
     context: &context::InstanceContext,
     entry: &upstream_list::UpstreamEntry,
@@ -72,13 +74,14 @@
 ) -> String {
     let count = context.sent.borrow().lately(context.now(), &entry.name);
     let sum = sums.get(&entry.service).copied().unwrap_or(0).max(1);
-    let part = f64::from(count) / f64::from(sum);
+    let share = f64::from(count) / f64::from(sum);
     let span = send_counts::COUNT_TIME.as_secs();
-    format!("{count} in {span} s, {part:.2} of its service's")
+    format!("{count} in {span} s, {share:.2} of its service's")
 }
 
+/// Open and idle connections to an upstream, and the most that may stay idle.
 fn connections(context: &context::InstanceContext, entry: &upstream_list::UpstreamEntry) -> String {
     let held = context.pool.held(entry.address);
-    let most = context.resting_share(&entry.name);
-    format!("{} open, {} of {most} at rest", held.open, held.resting)
+    let max_idle = context.resting_share(&entry.name);
+    format!("{} open, {} of {max_idle} at rest", held.open, held.resting)
 }
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -6,12 +6,12 @@
 
 use crate::{border, context, limit_gossip, member_gossip, peer_message};
 
-/// Origin of a signal.
+/// Origin of a signal: the request whose answer carried it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SignalOrigin {
     /// When the request was sent.
     pub(crate) at: units::MonoTime,
-    /// Kind of the answer.
+    /// Kind of answer that carried the signal.
     pub(crate) source: upstream_notice::NoticeSource,
 }
 
@@ -20,17 +20,17 @@
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     status: http::StatusCode,
-    said: &border::UpstreamAnswer,
-    asked: SignalOrigin,
+    answer: &border::UpstreamAnswer,
+    origin: SignalOrigin,
 ) {
-    let source = asked.source;
-    if said.leaving {
+    let source = origin.source;
+    if answer.leaving {
         receive_leaving(context, upstream, source);
     }
-    limit_gossip::receive(context, upstream, said, asked);
-    let turned_away = [http::StatusCode::SERVICE_UNAVAILABLE, http::StatusCode::TOO_MANY_REQUESTS];
-    if turned_away.contains(&status) {
-        if let Some(rest) = &said.rest {
+    limit_gossip::receive(context, upstream, answer, origin);
+    let refusals = [http::StatusCode::SERVICE_UNAVAILABLE, http::StatusCode::TOO_MANY_REQUESTS];
+    if refusals.contains(&status) {
+        if let Some(rest) = &answer.rest {
             receive_rest(context, upstream, rest);
         }
     } else if source == upstream_notice::NoticeSource::Answer {
@@ -43,19 +43,19 @@
     context: &context::InstanceContext,
     address: net::SocketAddrV4,
     head: &http::response::Parts,
-    asked: SignalOrigin,
+    origin: SignalOrigin,
 ) {
-    let said = border::UpstreamBorder::read_answer(&*context.border, head);
-    if said.misdirected || !(said.leaving || said.rest.is_some() || said.limit.is_some()) {
+    let answer = border::UpstreamBorder::read_answer(&*context.border, head);
+    if answer.misdirected || !(answer.leaving || answer.rest.is_some() || answer.limit.is_some()) {
         return;
     }
     let name = context.fleet.borrow().list.name_at(address).cloned();
     if let Some(name) = name {
-        receive(context, &name, head.status, &said, asked);
+        receive(context, &name, head.status, &answer, origin);
     }
 }
 
-/// The notices of an upstream, for the record of a request.
+/// Describes the notices of an upstream in force, for the record of a request.
 pub(crate) fn known(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -79,10 +79,10 @@
     if context.settings().experiments.leaving_news == ways::LeavingNewsWay::Heard {
         return;
     }
-    // Otherwise the list informs the others.
-    let told = context.fleet.borrow().leaving_reports(context.now());
-    for reports in told.chunks(peer_message::MAX_LEAVING) {
-        context.send_to(to, peer_message::PeerMessage::Leaving(reports.to_vec()));
+    // Of other leaving upstreams members learn from the list.
+    let reports = context.fleet.borrow().leaving_reports(context.now());
+    for part in reports.chunks(peer_message::MAX_LEAVING) {
+        context.send_to(to, peer_message::PeerMessage::Leaving(part.to_vec()));
     }
 }
 
@@ -114,7 +114,7 @@
         log::info!(upstream:%, source:%, age_ms; "upstream.leaves");
         context.stats.borrow_mut().count("upstream_leaves", &source.to_string());
         if let Some(entry) = fleet.list.entry(upstream) {
-            // No more requests use them.
+            // No more requests will use its idle connections.
             context.pool.forget(entry.address);
         }
     }
