--- a/crates/instance/src/border.rs
+++ b/crates/instance/src/adapter.rs
@@ -70,7 +70,7 @@
     /// The id of the request it answers.
     pub id: Option<String>,
     /// Whether it carries the upstream's signature.
-    pub sealed: bool,
+    pub signed: bool,
     /// Whether the upstream says that it did not run the request.
     pub not_run: bool,
     /// Whether it says that it is not the one that was meant.
@@ -150,7 +150,7 @@
 }
 
 /// The callers' side.
-pub trait CallerBorder {
+pub trait CallerAdapter {
     /// Reads a request's head.
     fn read_request(&self, head: &http::request::Parts) -> Result<CallerRequest, FormatError>;
     /// Headers of an answer of the instance's own.
@@ -160,7 +160,7 @@
 }
 
 /// The upstreams' side.
-pub trait UpstreamBorder {
+pub trait UpstreamAdapter {
     /// The head of a request to an upstream; the length is added after it.
     fn call_head(&self, call: &UpstreamCall<'_>) -> http::request::Parts;
     /// Reads an answer's head.
@@ -244,7 +244,7 @@
 }
 
 /// The platform's store.
-pub trait SourceBorder {
+pub trait StoreAdapter {
     /// Path that reads a page of the upstreams, after a key.
     fn upstreams_path(&self, after: Option<&str>) -> String;
     /// Path that reads the routes.
@@ -275,4 +275,4 @@
 }
 
 /// All borders of one platform.
-pub trait PlatformBorder: CallerBorder + UpstreamBorder + SourceBorder {}
+pub trait InstanceAdapter: CallerAdapter + UpstreamAdapter + StoreAdapter {}
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -11,14 +11,14 @@
 };
 
 /// Bytes that a caller may send ahead of its answer.
-const MAX_AHEAD: usize = 64 * 1024;
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 /// Time for reading what a refused caller still sends, so that it can read its answer.
-const LINGER_TIME: time::Duration = time::Duration::from_millis(500);
+const LINGER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Age before which members that started at the same moment may not agree on who plans; each
 /// would plan alone then, and give away the same engines.
 const SETTLE_TIME: time::Duration = time::Duration::from_millis(150);
 /// Time between two looks at whether they are known.
-const KNOWN_POLL: time::Duration = time::Duration::from_millis(10);
+const READY_POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
 /// What becomes of the connection after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -119,7 +119,7 @@
         self.begun = true;
         let status = http::StatusCode::from_u16(refusal.code.status())
             .unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
-        let mut headers = self.context.border.answer_headers(id, refusal.retry_after);
+        let mut headers = self.context.adapter.answer_headers(id, refusal.retry_after);
         let kind = http::HeaderValue::from_static("application/json");
         headers.insert(http::header::CONTENT_TYPE, kind);
         let body = serde_json::json!({"error": {
@@ -183,7 +183,7 @@
     let head = match head {
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return Ok(ConnectionNext::Close),
-        Ok(Err(error)) => return refuse_bytes(&mut reply, "", error).await,
+        Ok(Err(error)) => return refuse_malformed(&mut reply, "", error).await,
         Err(_) => {
             let text = "the head of the request did not arrive in time";
             let code = refusal::RefusalCode::BodyTimeout;
@@ -202,11 +202,11 @@
     head: http::request::Parts,
     limits: slipturn_core::route_table::CallerLimits,
 ) -> Result<ConnectionNext, h1::MessageError> {
-    let request = context.border.read_request(&head);
+    let request = context.adapter.read_request(&head);
     let id = request.as_ref().map(|request| request.id.clone()).unwrap_or_default();
     let mut framing = match h1::BodyFraming::of_request(&head) {
         Ok(framing) => framing,
-        Err(error) => return refuse_bytes(reply, &id, error).await,
+        Err(error) => return refuse_malformed(reply, &id, error).await,
     };
     let expects = head.headers.contains_key(http::header::EXPECT);
     if expects && !framing.ended() {
@@ -215,7 +215,7 @@
     let reading = reader.whole_body(&mut framing, limits.body_bytes);
     let body = match monoio::time::timeout(limits.arrival, reading).await {
         Ok(Ok(body)) => body,
-        Ok(Err(error)) => return refuse_bytes(reply, &id, error).await,
+        Ok(Err(error)) => return refuse_malformed(reply, &id, error).await,
         Err(_) => {
             let text = "the body of the request did not arrive in time";
             let code = refusal::RefusalCode::BodyTimeout;
@@ -225,7 +225,8 @@
     };
     let arrived = context.now();
     let patience = request.as_ref().ok().and_then(|request| request.patience);
-    wait_until_known(context, arrived, patience.unwrap_or(incoming_call::USUAL_PATIENCE)).await;
+    wait_until_ready(context, arrived, patience.unwrap_or(incoming_call::DEFAULT_CALLER_TIMEOUT))
+        .await;
     let mut call = match incoming_call::admit(context, head, request, arrived) {
         Ok(call) => call,
         Err(refusal) => {
@@ -256,7 +257,7 @@
 
 /// Waits while this process has just started and knows neither routes nor upstreams nor who plans:
 /// it learns them within a moment, and many callers come back only once.
-async fn wait_until_known(
+async fn wait_until_ready(
     context: &context::InstanceContext,
     arrived: units::MonoTime,
     patience: time::Duration,
@@ -272,7 +273,7 @@
         if !start_wait::goes_on(contact, age, now.since(arrived), patience) {
             return;
         }
-        monoio::time::sleep(KNOWN_POLL).await;
+        monoio::time::sleep(READY_POLL_INTERVAL).await;
     }
 }
 
@@ -306,13 +307,13 @@
     };
     let next = match quarantine_gate::pass(context, call, work).await {
         Ok(next) => next?,
-        Err(verdict) => hold_back(context, call, reply, record, &verdict).await?,
+        Err(verdict) => refuse_quarantined(context, call, reply, record, &verdict).await?,
     };
     Ok(if reply.closing() { ConnectionNext::Close } else { next })
 }
 
 /// Answers a request that is held back.
-async fn hold_back(
+async fn refuse_quarantined(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     reply: &mut CallerReply<'_>,
@@ -362,7 +363,7 @@
 /// Ends when the caller has closed its connection; what it sends ahead stays for later.
 async fn watch_caller(reader: &mut h1::MessageReader) {
     loop {
-        if reader.buffered() > MAX_AHEAD {
+        if reader.buffered() > MAX_PIPELINED_BYTES {
             return future::pending().await;
         }
         if !matches!(reader.fill().await, Ok(count) if count > 0) {
@@ -371,7 +372,7 @@
     }
 }
 
-async fn refuse_bytes(
+async fn refuse_malformed(
     reply: &mut CallerReply<'_>,
     id: &str,
     error: h1::MessageError,
@@ -396,5 +397,5 @@
         while let Ok(Some(_)) = reader.next_piece(&mut framing).await {}
     };
     // A caller that takes longer has had its answer for as long.
-    let _ = monoio::time::timeout(LINGER_TIME, dropping).await;
+    let _ = monoio::time::timeout(LINGER_TIMEOUT, dropping).await;
 }
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -11,13 +11,13 @@
 use slipturn_net::process;
 
 use crate::{
-    border, document_answers, fleet_state, instance_settings, instance_stats, peer_message,
+    adapter, document_answers, fleet_state, instance_settings, instance_stats, peer_message,
     planner_set, quarantine_gate, quota_coordinator, upstream_ends, upstream_load, upstream_pool,
     upstream_silence, upstream_starts,
 };
 
 /// Age at which a process knows how many members there are; heartbeats are a second apart at most.
-const SURE_AGE: time::Duration = time::Duration::from_secs(3);
+const MEMBER_COUNT_MIN_AGE: time::Duration = time::Duration::from_secs(3);
 
 /// Shortest time in which a place is looked for, also after a long first attempt.
 pub(crate) const MIN_PLACE_TIME: time::Duration = time::Duration::from_millis(200);
@@ -45,7 +45,7 @@
     /// Settings as of now; replaced by a reload.
     pub settings: cell::RefCell<rc::Rc<instance_settings::InstanceSettings>>,
     /// The outside.
-    pub border: rc::Rc<dyn border::PlatformBorder>,
+    pub adapter: rc::Rc<dyn adapter::InstanceAdapter>,
     /// Time since the start.
     pub clock: process::ProcessClock,
     /// This start of the process.
@@ -61,7 +61,7 @@
     /// The failure detector of the members.
     pub detector: cell::RefCell<failure_detector::FailureDetector>,
     /// When this process last denied a suspicion of itself.
-    pub denied: cell::Cell<Option<units::MonoTime>>,
+    pub last_refuted: cell::Cell<Option<units::MonoTime>>,
     /// What requests of each class are worth.
     pub classes: cell::RefCell<class_worth::ClassWorth>,
     /// Planners of services that this process plans for.
@@ -107,13 +107,13 @@
     /// Members that joined since the last heartbeat, for the log.
     pub joined: cell::Cell<usize>,
     /// Heartbeats sent so far.
-    pub beats: cell::Cell<u64>,
+    pub heartbeats_sent: cell::Cell<u64>,
     /// When this process noticed that it had been paused; it plans for no one shortly after.
-    pub woke: cell::Cell<units::MonoTime>,
+    pub resumed_at: cell::Cell<units::MonoTime>,
     /// Until when requests wait for places, once a planned stop has begun.
     pub places_until: cell::Cell<Option<units::MonoTime>>,
     /// When the last caller could not be let in; nothing once one was.
-    pub not_let_in: cell::Cell<Option<units::MonoTime>>,
+    pub accept_failed_at: cell::Cell<Option<units::MonoTime>>,
     /// Messages to other members.
     pub outgoing: mpsc::UnboundedSender<Outgoing>,
     /// News of runs at upstreams.
@@ -126,7 +126,7 @@
     /// Settings.
     pub settings: instance_settings::InstanceSettings,
     /// The outside.
-    pub border: rc::Rc<dyn border::PlatformBorder>,
+    pub adapter: rc::Rc<dyn adapter::InstanceAdapter>,
     /// Planned stop.
     pub stop: process::StopSignal,
     /// Ends when resting connections are to be closed.
@@ -152,12 +152,12 @@
         let detector = failure_detector::FailureDetector::new(place);
         let load_choice = parts.settings.experiments.load_choice;
         let loads = upstream_load::UpstreamLoads::new(load_choice, own.as_str());
-        let mut fleet = fleet_state::FleetState::new(rc::Rc::clone(&parts.border));
+        let mut fleet = fleet_state::FleetState::new(rc::Rc::clone(&parts.adapter));
         fleet.list.notices_mut().set_return(parts.settings.experiments.rest_return);
         fleet.list.set_rewrite_time(parts.settings.rewrite_time());
         fleet.list.set_cold_way(parts.settings.experiments.cold_upstreams);
         Self {
-            border: parts.border,
+            adapter: parts.adapter,
             clock: process::ProcessClock::start(),
             boot: rand::random(),
             stop: parts.stop,
@@ -165,7 +165,7 @@
             fleet: cell::RefCell::new(fleet),
             members: cell::RefCell::new(members),
             detector: cell::RefCell::new(detector),
-            denied: cell::Cell::new(None),
+            last_refuted: cell::Cell::new(None),
             planners: cell::RefCell::new(planner_set::PlannerSet::new(own, options)),
             classes: cell::RefCell::default(),
             leases: cell::RefCell::default(),
@@ -188,10 +188,10 @@
             busy: cell::Cell::new(0),
             belief: cell::RefCell::default(),
             joined: cell::Cell::new(0),
-            beats: cell::Cell::new(0),
-            woke: cell::Cell::new(units::MonoTime::default()),
+            heartbeats_sent: cell::Cell::new(0),
+            resumed_at: cell::Cell::new(units::MonoTime::default()),
             places_until: cell::Cell::new(None),
-            not_let_in: cell::Cell::new(None),
+            accept_failed_at: cell::Cell::new(None),
             outgoing: parts.outgoing,
             runs: parts.runs,
             sequence: cell::Cell::new(0),
@@ -229,26 +229,26 @@
     }
 
     /// The next heartbeat.
-    pub fn next_beat(&self) -> member_beat::MemberBeat {
-        let sequence = self.beats.get() + 1;
-        self.beats.set(sequence);
+    pub fn next_heartbeat(&self) -> member_beat::MemberBeat {
+        let sequence = self.heartbeats_sent.get() + 1;
+        self.heartbeats_sent.set(sequence);
         let others = self.members.borrow().named(sequence);
-        member_beat::MemberBeat { sequence, others, ..self.own_beat() }
+        member_beat::MemberBeat { sequence, others, ..self.own_heartbeat() }
     }
 
     /// What this process says of itself, as of its last heartbeat's number and naming no others.
-    pub fn own_beat(&self) -> member_beat::MemberBeat {
+    pub fn own_heartbeat(&self) -> member_beat::MemberBeat {
         let settings = self.settings();
         let fleet = self.fleet.borrow();
         let now = self.now();
-        let awake = self.woke.get() == units::MonoTime::default()
-            || membership::MemberView::old_enough(now.since(self.woke.get()));
+        let awake = self.resumed_at.get() == units::MonoTime::default()
+            || membership::MemberView::old_enough(now.since(self.resumed_at.get()));
         let age = now.since(units::MonoTime::default());
         let plans = fleet.is_known() && awake && membership::MemberView::old_enough(age);
         member_beat::MemberBeat {
             name: settings.name.clone(),
             boot: self.boot,
-            sequence: self.beats.get(),
+            sequence: self.heartbeats_sent.get(),
             address: settings.member_address,
             data_center: settings.data_center.clone(),
             cpu: (settings.cpu_share * 1_000.0) as u32,
@@ -280,7 +280,7 @@
         let age = self.now().since(units::MonoTime::default());
         let members = self.members.borrow();
         let alone = members.alive(self.now()).next().is_none();
-        (age > SURE_AGE && !alone).then(|| members.size())
+        (age > MEMBER_COUNT_MIN_AGE && !alone).then(|| members.size())
     }
 
     /// The planner that a request for a service asks, of one of its cells; nothing where all have
@@ -323,14 +323,14 @@
     }
 
     /// Connections to an upstream that this process keeps at rest, at most.
-    pub fn resting_share(&self, upstream: &ids::UpstreamId) -> usize {
+    pub fn idle_connection_limit(&self, upstream: &ids::UpstreamId) -> usize {
         let fleet = self.fleet.borrow();
         let service = fleet.list.entry(upstream).map(|entry| &entry.service);
         let service = service.and_then(|service| fleet.routes.services.get(service));
         let limit = service.map_or(usize::MAX, |service| service.connection_limit);
         let members = self.members.borrow().size();
         let share = connection_share::resting(limit, members, &self.settings().name, upstream);
-        share.min(upstream_pool::MAX_RESTING)
+        share.min(upstream_pool::MAX_IDLE_CONNECTIONS)
     }
 
     /// Counts a request for a service.
--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use slipturn_core::store_revision;
 
-use crate::{border, context, packed_bytes};
+use crate::{adapter, context, packed_bytes};
 
 /// Answers kept: of one version of routes and list, for those who lack the routes, the list, or both.
 const MAX_ANSWERS: usize = 4;
@@ -118,14 +118,14 @@
 }
 
 /// Codes documents for another member.
-pub fn encode(documents: &border::RawDocuments) -> Result<Vec<u8>, packed_bytes::PackError> {
+pub fn encode(documents: &adapter::RawDocuments) -> Result<Vec<u8>, packed_bytes::PackError> {
     let plain = postcard::to_stdvec(documents).map_err(packed_bytes::PackError::code)?;
     let packed = packed_bytes::PackedBytes::pack(&plain, &[])?;
     postcard::to_stdvec(&packed).map_err(packed_bytes::PackError::code)
 }
 
 /// Reads documents of another member.
-pub fn decode(bytes: &[u8]) -> Result<border::RawDocuments, packed_bytes::PackError> {
+pub fn decode(bytes: &[u8]) -> Result<adapter::RawDocuments, packed_bytes::PackError> {
     let packed: packed_bytes::PackedBytes =
         postcard::from_bytes(bytes).map_err(packed_bytes::PackError::code)?;
     let plain = packed.unpack(&[])?;
--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -6,7 +6,7 @@
 use slipturn_core::{ids, quota_permit, send_gate, upstream_notice};
 use snafu::Snafu;
 
-use crate::{border, context, document_call, upstream_gate, upstream_signals};
+use crate::{adapter, context, document_call, upstream_gate, upstream_signals};
 
 /// Why an engine gave no good answer.
 #[derive(Debug, Snafu)]
@@ -47,7 +47,7 @@
 /// An order about an engine's memory.
 pub(crate) struct EngineOrder<'a> {
     /// What is ordered.
-    pub(crate) order: &'a border::MemoryOrder,
+    pub(crate) order: &'a adapter::MemoryOrder,
     /// What it is sent for.
     pub(crate) kind: send_gate::SendKind,
     /// Leaves by which it is sent, where it begins work at an engine with a limit.
@@ -60,7 +60,7 @@
     to: &EngineAddress,
     limit: time::Duration,
 ) -> Result<Bytes, EngineCallError> {
-    let path = border::UpstreamBorder::report_path(&*context.border);
+    let path = adapter::UpstreamAdapter::report_path(&*context.adapter);
     let kind = send_gate::SendKind::Report;
     send(context, to, (kind, &[]), ("GET", &path, Bytes::new()), limit).await
 }
@@ -72,7 +72,7 @@
     given: &EngineOrder<'_>,
     limit: time::Duration,
 ) -> Result<Bytes, EngineCallError> {
-    let (path, body) = context.border.memory_order(given.order);
+    let (path, body) = context.adapter.memory_order(given.order);
     send(context, to, (given.kind, given.permits), ("POST", &path, body), limit).await
 }
 
@@ -85,7 +85,7 @@
 ) -> Result<Bytes, EngineCallError> {
     let denied = |reason| EngineCallError::Denied { reason };
     let failed = |source| EngineCallError::Call { source };
-    upstream_gate::look(context, &to.engine, kind, permits).map_err(denied)?;
+    upstream_gate::check_send(context, &to.engine, kind, permits).map_err(denied)?;
     let started = context.now();
     let mut connection = document_call::DocumentConnection::new(to.address.into());
     connection.open(limit).await.map_err(failed)?;
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -27,7 +27,7 @@
 }
 
 /// Leaves the engine that was the cause alone.
-pub(crate) fn blame(
+pub(crate) fn exclude_at_fault(
     context: &context::InstanceContext,
     state: &mut stream_state::StreamState,
     hold: &plan_client::PlaceHold,
@@ -52,7 +52,7 @@
     // new one.
     let silent = hold.end == engine_place::PlaceEnd::Silent;
     let known = state.excluded.contains(&cause);
-    if known || (silent && is_last(context, state, hold)) {
+    if known || (silent && is_only_engine_left(context, state, hold)) {
         return;
     }
     state.excluded.push(cause);
@@ -78,7 +78,7 @@
 }
 
 /// Whether no other engine is left for a request than the one of its last attempt.
-fn is_last(
+fn is_only_engine_left(
     context: &context::InstanceContext,
     state: &stream_state::StreamState,
     hold: &plan_client::PlaceHold,
@@ -90,7 +90,7 @@
 
 /// Draws the conclusions of a wait, begun at `since`, that is given up; returns what it says in the
 /// request's record.
-pub(crate) fn note_wait(
+pub(crate) fn record_silence(
     context: &context::InstanceContext,
     hold: &mut plan_client::PlaceHold,
     life: &upstream_pool::ConnectionLife,
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -9,9 +9,9 @@
 /// Time between two reports of one engine.
 const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(2_000);
 /// Time between two looks at who plans.
-const LOOK_INTERVAL: time::Duration = time::Duration::from_millis(250);
+const IDLE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 /// Time for a report; within a region it takes a few milliseconds.
-const REPORT_TIME: time::Duration = time::Duration::from_millis(400);
+const REPORT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// An engine with a limit that has answered within this time is not asked: it is in need, and its answers tell enough.
 const LIMITED_INTERVAL: time::Duration = time::Duration::from_secs(10);
 /// A slower engine than this is noted in the log.
@@ -22,7 +22,7 @@
     loop {
         let engines = planned_engines(&context);
         if engines.is_empty() {
-            monoio::time::sleep(LOOK_INTERVAL).await;
+            monoio::time::sleep(IDLE_POLL_INTERVAL).await;
             continue;
         }
         let pause = REPORT_INTERVAL / u32::try_from(engines.len()).unwrap_or(u32::MAX);
@@ -31,7 +31,7 @@
             if context.planners.borrow_mut().take_report_due(now, &engine.name) {
                 monoio::spawn(report(rc::Rc::clone(&context), engine));
             }
-            ask_suspects(&context);
+            poll_suspects(&context);
             monoio::time::sleep(pause).await;
         }
     }
@@ -60,7 +60,7 @@
 }
 
 /// Asks engines at once that were silent for a request.
-fn ask_suspects(context: &rc::Rc<context::InstanceContext>) {
+fn poll_suspects(context: &rc::Rc<context::InstanceContext>) {
     let suspects = context.planners.borrow_mut().take_suspects();
     let fleet = context.fleet.borrow();
     for engine in suspects.iter().filter_map(|name| fleet.list.entry(name)) {
@@ -71,7 +71,7 @@
 async fn report(context: rc::Rc<context::InstanceContext>, engine: upstream_list::UpstreamEntry) {
     let asked = context.now();
     let to = engine_call::EngineAddress { engine: engine.name.clone(), address: engine.address };
-    let body = match engine_call::report(&context, &to, REPORT_TIME).await {
+    let body = match engine_call::report(&context, &to, REPORT_TIMEOUT).await {
         Ok(body) => body,
         // It wants rest; that says nothing of whether it answers.
         Err(engine_call::EngineCallError::Denied { .. }) => return,
@@ -81,7 +81,7 @@
             return;
         }
     };
-    match context.border.read_report(&body) {
+    match context.adapter.read_report(&body) {
         Ok(report) => {
             if report.pace > SLOW_PACE {
                 log::info!(engine:% = engine.name, pace = report.pace; "engine.slow");
--- a/crates/instance/src/event_stream.rs
+++ b/crates/instance/src/event_stream.rs
@@ -15,7 +15,7 @@
     }
 
     /// Takes the whole events out; empty when there is none.
-    pub fn take_whole(&mut self) -> BytesMut {
+    pub fn take_complete(&mut self) -> BytesMut {
         let end = event_ends(&self.bytes).last();
         end.map_or_else(BytesMut::new, |end| self.bytes.split_to(end))
     }
--- a/crates/instance/src/failure_watch.rs
+++ b/crates/instance/src/failure_watch.rs
@@ -95,8 +95,8 @@
 /// Denies a suspicion of this process with heartbeats to all.
 fn deny(context: &context::InstanceContext) {
     let now = context.now();
-    if context.denied.get().is_none_or(|last| now.since(last) >= DENIAL_INTERVAL) {
-        context.denied.set(Some(now));
+    if context.last_refuted.get().is_none_or(|last| now.since(last) >= DENIAL_INTERVAL) {
+        context.last_refuted.set(Some(now));
         log::warn!("process.suspected");
         heartbeats::broadcast(context);
     }
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{ids, route_table, store_revision, units, upstream_list};
 
-use crate::{border, packed_bytes, raw_state, routes_history};
+use crate::{adapter, packed_bytes, raw_state, routes_history};
 
 /// An outage's end this long ago explains no changes any more, milliseconds.
 const RECENT_RETURN_MS: u64 = 3_000;
@@ -14,7 +14,7 @@
 
 /// Routes and upstreams in force in this process. Versions only ever go up.
 pub struct FleetState {
-    pub(crate) border: rc::Rc<dyn border::PlatformBorder>,
+    pub(crate) adapter: rc::Rc<dyn adapter::InstanceAdapter>,
     /// Routes in force; version 0 until the first is known.
     pub routes: rc::Rc<route_table::RouteTable>,
     /// Upstreams.
@@ -44,9 +44,9 @@
 
 impl FleetState {
     /// A process that knows nothing yet.
-    pub fn new(border: rc::Rc<dyn border::PlatformBorder>) -> Self {
+    pub fn new(adapter: rc::Rc<dyn adapter::InstanceAdapter>) -> Self {
         Self {
-            border,
+            adapter,
             routes: rc::Rc::new(route_table::RouteTable::default()),
             list: upstream_list::UpstreamList::default(),
             raw: raw_state::RawState::default(),
@@ -94,19 +94,19 @@
         now: units::MonoTime,
         routes: u64,
         list: Option<store_revision::StoreRevision>,
-    ) -> border::RawDocuments {
+    ) -> adapter::RawDocuments {
         let newer = self.routes.version.0 > routes;
         let text = self.raw.routes.as_deref().filter(|_| newer);
         let routes = text.and_then(|text| self.raw.history.copy_for(routes, text));
         let (returned_ms, _) = self.reported_ages(now);
         let Some(list) = list else {
-            return border::RawDocuments { routes, returned_ms, ..Default::default() };
+            return adapter::RawDocuments { routes, returned_ms, ..Default::default() };
         };
         let whole = !self.raw.leads_from(list);
         let changes = self.raw.changes.iter().filter(|(revision, _, _)| *revision > list);
         let changes = changes.map(|(_, name, text)| (name.clone(), text.clone()));
         let crosses = !whole && list.era < self.raw.revision.era;
-        border::RawDocuments {
+        adapter::RawDocuments {
             routes,
             upstreams: whole.then(|| self.raw.upstreams.clone()),
             changes: if whole { Vec::new() } else { changes.collect() },
@@ -138,7 +138,7 @@
     pub fn adopt(
         &mut self,
         now: units::MonoTime,
-        documents: border::RawDocuments,
+        documents: adapter::RawDocuments,
         source: &str,
     ) -> Result<(), packed_bytes::PackError> {
         let copied = documents.routes.as_ref().map(|copy| self.adopt_routes(copy, source));
@@ -161,7 +161,7 @@
     }
 
     /// Takes over routes as they lie in the store, if they can be read and are newer.
-    pub fn put_routes_item(&mut self, item: border::StoreItem, source: &str) {
+    pub fn put_routes_item(&mut self, item: adapter::StoreItem, source: &str) {
         match item.value {
             Ok(text) => self.put_routes(text, source),
             Err(error) => log::error!(source, error:%; "routes.rejected"),
@@ -178,7 +178,7 @@
 
     /// Brings routes into force, if they are newer; the version and text before.
     fn replace_routes(&mut self, text: String, source: &str) -> Option<(u64, String)> {
-        let read = match self.border.read_routes(&text) {
+        let read = match self.adapter.read_routes(&text) {
             Ok(read) => read,
             Err(error) => {
                 log::error!(source, error:%; "routes.rejected");
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -30,7 +30,7 @@
     if joined {
         context.joined.set(context.joined.get() + 1);
         member_gossip::request_from_met(context, from);
-        let beat = context.next_beat();
+        let beat = context.next_heartbeat();
         if welcome.is_empty() {
             context.send_to(from, peer_message::PeerMessage::Beat(Box::new(beat.clone())));
         }
@@ -46,7 +46,7 @@
 
 /// Says to these members what this process says of itself.
 fn send_beat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
-    let beat = context.next_beat();
+    let beat = context.next_heartbeat();
     for to in targets {
         let message = if beat.is_whole() || !context.members.borrow().knows(to) {
             peer_message::PeerMessage::Beat(Box::new(beat.clone()))
@@ -94,7 +94,7 @@
     before: AnnouncedState,
 ) {
     let now = context.now();
-    let cpu = context.own_beat().cpu;
+    let cpu = context.own_heartbeat().cpu;
     let may_plan = context.members.borrow().is_largest(now, cpu);
     if may_plan || state.leaving != before.leaving {
         broadcast(context);
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -5,13 +5,13 @@
 use bytes::Bytes;
 use slipturn_core::{ids, refusal, request_digest, route_table, units};
 
-use crate::{border, context, request_record};
+use crate::{adapter, context, request_record};
 
 /// Time kept back for the way of an answer to the caller.
 const ANSWER_MARGIN: time::Duration = time::Duration::from_millis(15);
 
 /// What a caller of a process that knows no routes yet is taken to wait, where it does not say.
-pub(crate) const USUAL_PATIENCE: time::Duration = time::Duration::from_secs(10);
+pub(crate) const DEFAULT_CALLER_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// An admitted request.
 pub struct IncomingCall {
@@ -20,7 +20,7 @@
     /// Its whole body.
     pub body: Bytes,
     /// What its head says.
-    pub request: border::CallerRequest,
+    pub request: adapter::CallerRequest,
     /// Its route.
     pub route: rc::Rc<route_table::RoutePolicy>,
     /// Its customer, where it needs one.
@@ -55,7 +55,7 @@
     }
 
     /// The refusal once the time that it had, `limit`, is over.
-    pub fn out_of_time(
+    pub fn timeout_refusal(
         &self,
         limit: time::Duration,
         back_after: time::Duration,
@@ -98,7 +98,7 @@
 pub fn admit(
     context: &context::InstanceContext,
     head: http::request::Parts,
-    request: Result<border::CallerRequest, border::FormatError>,
+    request: Result<adapter::CallerRequest, adapter::FormatError>,
     arrived: units::MonoTime,
 ) -> Result<IncomingCall, refusal::RequestRefusal> {
     let fleet = context.fleet.borrow();
@@ -107,7 +107,7 @@
         let refusal = refusal::RequestRefusal::not_run(refusal::RefusalCode::NotReady, text);
         let patience = request.ok().and_then(|request| request.patience);
         let away = arrived.since(units::MonoTime::default());
-        let back_after = refusal::outage_return(away, patience.unwrap_or(USUAL_PATIENCE));
+        let back_after = refusal::outage_return(away, patience.unwrap_or(DEFAULT_CALLER_TIMEOUT));
         return Err(refusal.retry_after(back_after));
     }
     let host = host_of(&head);
--- a/crates/instance/src/lease_renewal.rs
+++ b/crates/instance/src/lease_renewal.rs
@@ -8,7 +8,7 @@
 use crate::{context, peer_message, peers, planner_set};
 
 /// Time between two repetitions of the leases in use; a planner gives them up after five missed.
-const RENEW_INTERVAL: time::Duration = time::Duration::from_millis(500);
+const RENEWAL_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// Renews places in this process's planner, and asks for those that it does not know.
 pub(crate) fn receive(
@@ -104,7 +104,7 @@
 /// Renews at the planners the leases of places still in use.
 pub async fn repeat(context: rc::Rc<context::InstanceContext>) {
     loop {
-        monoio::time::sleep(RENEW_INTERVAL).await;
+        monoio::time::sleep(RENEWAL_INTERVAL).await;
         let mut by_key: collections::BTreeMap<planner_key::PlannerKey, Vec<_>> =
             collections::BTreeMap::new();
         for (job, held) in context.leases.borrow().iter() {
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -4,9 +4,9 @@
 //! `memory_hold`, `long_answer`, `stream_policy`, `stream_state`, `silence_watch`, `upstream_attempt`,
 //! `event_stream`, `engine_fault`, `upstream_silence` and `request_record` live for a request;
 //! `caller_connection`, `document_call` and `upstream_pool` for a connection; `fleet_state`,
-//! `list_update`, `list_recovery` and `raw_state` for a version; the rest for the process. What the outside looks like is behind `border`.
+//! `list_update`, `list_recovery` and `raw_state` for a version; the rest for the process. What the outside looks like is behind `adapter`.
 
-pub mod border;
+pub mod adapter;
 pub mod caller_connection;
 mod cell_search;
 pub mod context;
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -6,7 +6,7 @@
 
 use slipturn_core::{ids, quota_permit, units, upstream_limit, upstream_notice};
 
-use crate::{border, context, member_gossip, peer_message, quota_coordinator, upstream_signals};
+use crate::{adapter, context, member_gossip, peer_message, quota_coordinator, upstream_signals};
 
 /// Least time between two log lines on one upstream's limit.
 const CHANGE_LOG_INTERVAL: time::Duration = time::Duration::from_secs(1);
@@ -18,7 +18,7 @@
 pub(crate) fn receive(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
-    said: &border::UpstreamAnswer,
+    said: &adapter::UpstreamAnswer,
     asked: upstream_signals::SignalOrigin,
 ) {
     let rate = match &said.limit {
--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use slipturn_core::{ids, list_recovery, store_revision, units, upstream_notice};
 
-use crate::{border, fleet_state, packed_bytes, peer_message, raw_state};
+use crate::{adapter, fleet_state, packed_bytes, peer_message, raw_state};
 
 /// What an instance tells another of its recovery.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
     /// All upstreams after the documents of another member, which lead into a later era.
     pub(crate) fn upstreams_of_era(
         &self,
-        documents: &mut border::RawDocuments,
+        documents: &mut adapter::RawDocuments,
     ) -> Result<collections::BTreeMap<String, String>, packed_bytes::PackError> {
         if let Some(upstreams) = documents.upstreams.take() {
             return Ok(upstreams);
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{ids, store_revision, units, upstream_list, upstream_notice};
 
-use crate::{border, fleet_state, list_recovery, packed_bytes};
+use crate::{adapter, fleet_state, list_recovery, packed_bytes};
 
 /// Characters of a name or error from outside that a log line shows.
 const MAX_LOGGED: usize = 160;
@@ -25,7 +25,7 @@
     pub(crate) fn adopt_list(
         &mut self,
         now: units::MonoTime,
-        mut documents: border::RawDocuments,
+        mut documents: adapter::RawDocuments,
         source: &str,
     ) -> Result<(), packed_bytes::PackError> {
         let revision = documents.revision;
@@ -183,30 +183,32 @@
     pub fn apply(
         &mut self,
         now: units::MonoTime,
-        changes: Vec<border::StoreChange>,
+        changes: Vec<adapter::StoreChange>,
         revision: store_revision::StoreRevision,
     ) {
         let mut upstreams = Vec::new();
         let mut evacuations = Vec::new();
         for change in changes {
             match change {
-                border::StoreChange::Put(item) => match self.border.key(&item.key) {
-                    border::StoreKey::Routes => self.put_routes_item(item, "store"),
-                    border::StoreKey::Upstream(name) => upstreams.push((name, Some(text_of(item)))),
-                    border::StoreKey::Evacuation(data_center) => {
+                adapter::StoreChange::Put(item) => match self.adapter.key(&item.key) {
+                    adapter::StoreKey::Routes => self.put_routes_item(item, "store"),
+                    adapter::StoreKey::Upstream(name) => {
+                        upstreams.push((name, Some(text_of(item))))
+                    }
+                    adapter::StoreKey::Evacuation(data_center) => {
                         if revision >= self.list.revision() {
                             self.list.confirm_evacuation(&data_center);
                         }
                         evacuations.push(upstream_list::ListChange::Evacuated(data_center));
                     }
-                    border::StoreKey::Other => {}
+                    adapter::StoreKey::Other => {}
                 },
-                border::StoreChange::Gone(key) => match self.border.key(&key) {
-                    border::StoreKey::Upstream(name) => upstreams.push((name, None)),
-                    border::StoreKey::Evacuation(data_center) => {
+                adapter::StoreChange::Gone(key) => match self.adapter.key(&key) {
+                    adapter::StoreKey::Upstream(name) => upstreams.push((name, None)),
+                    adapter::StoreKey::Evacuation(data_center) => {
                         evacuations.push(upstream_list::ListChange::Restored(data_center));
                     }
-                    border::StoreKey::Routes | border::StoreKey::Other => {}
+                    adapter::StoreKey::Routes | adapter::StoreKey::Other => {}
                 },
             }
         }
@@ -278,7 +280,7 @@
     fn read_entry(&self, name: &str, text: &str) -> Option<upstream_list::UpstreamEntry> {
         // One line for each time that such an entry is written, not for each time that it is read.
         let known = self.raw.upstreams.get(name).is_some_and(String::is_empty);
-        let read = self.border.read_upstream(name, text);
+        let read = self.adapter.read_upstream(name, text);
         read.inspect_err(|error| {
             if !known {
                 let error = error.to_string();
@@ -308,8 +310,8 @@
 }
 
 /// An item's text; empty, which no entry is, where it cannot be read.
-pub(crate) fn text_of(item: border::StoreItem) -> String {
-    let reject = |error: &border::FormatError| {
+pub(crate) fn text_of(item: adapter::StoreItem) -> String {
+    let reject = |error: &adapter::FormatError| {
         log::debug!(key = bounded(&item.key), error:%; "store.item_unreadable");
     };
     item.value.inspect_err(reject).unwrap_or_default()
--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -19,12 +19,12 @@
 use log4rs::{append, config};
 
 /// Lines that may wait to be written; a line has some 500 bytes.
-const QUEUE_LINES: usize = 512;
+const QUEUE_CAPACITY: usize = 512;
 /// Lines that may be taken a second: ten times what an instance of a large fleet writes at its
 /// peak, some 13 requests a second, three times over.
-const SECOND_LINES: usize = 400;
+const MAX_LINES_PER_SECOND: usize = 400;
 /// Part of both that only warnings and errors may use.
-const KEPT_PART: f64 = 0.25;
+const RESERVED_FRACTION: f64 = 0.25;
 
 /// Starts logging; lines below `level` are left out.
 pub fn install(level: log::LevelFilter) -> Result<(), String> {
@@ -59,7 +59,7 @@
 impl LineAppender {
     /// Starts the thread that writes to `output`.
     pub fn start(output: Box<dyn io::Write + Send>) -> Self {
-        let (lines, queue) = mpsc::sync_channel::<String>(QUEUE_LINES);
+        let (lines, queue) = mpsc::sync_channel::<String>(QUEUE_CAPACITY);
         let waiting = sync::Arc::new(AtomicUsize::new(0));
         let dropped = sync::Arc::new(AtomicU64::new(0));
         let counts = (sync::Arc::clone(&waiting), sync::Arc::clone(&dropped));
@@ -86,9 +86,9 @@
     }
 
     fn has_room(&self, level: log::Level) -> bool {
-        let kept = if level <= log::Level::Warn { 0.0 } else { KEPT_PART };
+        let kept = if level <= log::Level::Warn { 0.0 } else { RESERVED_FRACTION };
         let limit = |lines: usize| (lines as f64 * (1.0 - kept)) as usize;
-        if self.waiting.load(atomic::Ordering::Relaxed) >= limit(QUEUE_LINES) {
+        if self.waiting.load(atomic::Ordering::Relaxed) >= limit(QUEUE_CAPACITY) {
             return false;
         }
         let second = self.started.elapsed().as_secs();
@@ -96,7 +96,7 @@
         if rate.second != second {
             *rate = LineRate { second, taken: 0 };
         }
-        let room = rate.taken < limit(SECOND_LINES);
+        let room = rate.taken < limit(MAX_LINES_PER_SECOND);
         rate.taken += usize::from(room);
         room
     }
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -10,7 +10,7 @@
 use crate::{caller_connection, context, service_request, upstream_attempt, upstream_ends};
 
 /// Time of waiting for the caller after which the upstream may have given the answer up: its end is no fault of its own.
-const SLOW_CALLER_TIME: time::Duration = time::Duration::from_secs(1);
+const SLOW_CALLER_THRESHOLD: time::Duration = time::Duration::from_secs(1);
 
 /// Why an answer was not passed on to its end.
 #[derive(Debug, Snafu)]
@@ -63,7 +63,7 @@
                 self.guard.result.set(Some(CallResult::Good));
                 self.answer.finish(context, &self.upstream);
             }
-            Err(PassError::Upstream { .. }) if waited < SLOW_CALLER_TIME => {
+            Err(PassError::Upstream { .. }) if waited < SLOW_CALLER_THRESHOLD => {
                 self.run.broke();
                 self.guard.result.set(Some(CallResult::Failed));
             }
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -42,11 +42,11 @@
 
 /// Runs periodic rounds, and requests state after a pause.
 pub(crate) async fn repeat(context: rc::Rc<context::InstanceContext>) {
-    let mut woken = context.woke.get();
+    let mut woken = context.resumed_at.get();
     loop {
         monoio::time::sleep(gossip::REPEAT_INTERVAL).await;
-        if context.woke.get() != woken {
-            woken = context.woke.get();
+        if context.resumed_at.get() != woken {
+            woken = context.resumed_at.get();
             request(&context);
         }
         let told = drawn(&context, gossip::GossipCause::Repeat);
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -5,15 +5,15 @@
 use slipturn_core::{engine_place, ids, quota_permit, send_gate, units};
 use snafu::Snafu;
 
-use crate::{border, context, engine_call, upstream_starts};
+use crate::{adapter, context, engine_call, upstream_starts};
 
 /// How long memory stays aside without a renewal: shorter than the time within which it must be
 /// free again after a request whose instance has died.
-const HOLD_TIME: time::Duration = time::Duration::from_millis(3_400);
+const HOLD_TTL: time::Duration = time::Duration::from_millis(3_400);
 /// Time between two renewals.
-const RENEW_INTERVAL: time::Duration = time::Duration::from_millis(900);
+const RENEWAL_INTERVAL: time::Duration = time::Duration::from_millis(900);
 /// Time for an engine's answer to an order.
-const ORDER_TIME: time::Duration = time::Duration::from_millis(350);
+const ORDER_TIMEOUT: time::Duration = time::Duration::from_millis(350);
 /// Tries to give memory back; what is not given back by then lapses by itself.
 const RELEASE_TRIES: u32 = 6;
 /// An order without an answer may be carried out up to this much later.
@@ -95,7 +95,7 @@
             hold.tickets.push(held);
         }
         let kind = send_gate::SendKind::Hold;
-        let orders = hold.tickets.iter().map(|held| held_order(context, held, kind, permits));
+        let orders = hold.tickets.iter().map(|held| send_hold(context, held, kind, permits));
         let results = futures::future::join_all(orders).await;
         for (held, result) in hold.tickets.iter().zip(results) {
             match result {
@@ -149,16 +149,16 @@
 }
 
 /// Orders memory to be held; which start holds it, if the engine reports it.
-async fn held_order(
+async fn send_hold(
     context: &context::InstanceContext,
     held: &HeldTicket,
     kind: send_gate::SendKind,
     permits: &[quota_permit::SendPermit],
 ) -> Result<Option<ids::UpstreamStart>, String> {
-    let order = border::MemoryOrder::Hold {
+    let order = adapter::MemoryOrder::Hold {
         ticket: held.ticket.clone(),
         tokens: held.tokens,
-        time: HOLD_TIME,
+        time: HOLD_TTL,
     };
     // Recorded before it is sent: the caller may leave before the answer.
     let before = held.unanswered.replace(Some(context.now()));
@@ -179,7 +179,7 @@
     given: &engine_call::EngineOrder<'_>,
 ) -> Result<Option<ids::UpstreamStart>, engine_call::EngineCallError> {
     let asked = context.now();
-    let answer = engine_call::order(context, &held.to(), given, ORDER_TIME).await?;
+    let answer = engine_call::order(context, &held.to(), given, ORDER_TIMEOUT).await?;
     Ok(upstream_starts::receive_order(context, held.address, &answer, asked))
 }
 
@@ -189,7 +189,7 @@
     done: rc::Rc<cell::Cell<bool>>,
 ) {
     loop {
-        monoio::time::sleep(RENEW_INTERVAL).await;
+        monoio::time::sleep(RENEWAL_INTERVAL).await;
         if done.get() {
             return;
         }
@@ -199,7 +199,7 @@
                 continue;
             }
             let kind = send_gate::SendKind::Renewal;
-            if let Err(reason) = held_order(&context, held, kind, &[]).await {
+            if let Err(reason) = send_hold(&context, held, kind, &[]).await {
                 log::warn!(engine:% = held.engine, reason; "memory.not_renewed");
             }
             if done.get() || held.is_lost(&context) {
@@ -228,7 +228,7 @@
 
 async fn release_once(context: &rc::Rc<context::InstanceContext>, held: &HeldTicket) {
     let _busy = context::BusyGuard::new(context);
-    let order = border::MemoryOrder::Release { ticket: held.ticket.clone() };
+    let order = adapter::MemoryOrder::Release { ticket: held.ticket.clone() };
     let kind = send_gate::SendKind::Release;
     let given = engine_call::EngineOrder { order: &order, kind, permits: &[] };
     for attempt in 1..=RELEASE_TRIES {
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -21,7 +21,7 @@
 /// answer lasts some seconds.
 const LOAD_AGE: time::Duration = time::Duration::from_millis(100);
 /// Largest failure answer of an engine that is passed on.
-const MAX_FAILURE: usize = 1 << 20;
+const MAX_FAILURE_BODY: usize = 1 << 20;
 
 /// How one attempt ended.
 enum AttemptEnd {
@@ -59,7 +59,7 @@
         Err(_) if pass_failure(reply, record, &mut state).await? => {
             return Ok(caller_connection::ConnectionNext::Keep);
         }
-        Err(_) => call.out_of_time(left, BACK_AFTER),
+        Err(_) => call.timeout_refusal(left, BACK_AFTER),
     };
     record.outcome = format!("{} (ran: {})", refusal.message, refusal.ran.label());
     if state.begun {
@@ -112,8 +112,8 @@
                 }
             }
             AttemptEnd::Fault(fault) => {
-                let surely = fault.failure.surely_not_run();
-                if !surely {
+                let never_ran = fault.failure.surely_not_run();
+                if !never_ran {
                     record.digest = Some(call.digest().to_string());
                 }
                 if fault.failure.reached_nobody() {
@@ -122,7 +122,7 @@
                     state.retry_taken = state.sent > 0;
                 }
                 text = fault.text;
-                if !surely {
+                if !never_ran {
                     state.ran = Some(refusal::RanState::Unknown);
                     if !call.route.repeat.allows_repeat() {
                         break;
@@ -136,7 +136,8 @@
     }
     // A planner knows better when limits of its engines let the next one through.
     let planned = back_after.is_some();
-    let none = upstream_choice::none_open(context, &call.service, call.left(context.now()));
+    let none =
+        upstream_choice::no_upstream_reason(context, &call.service, call.left(context.now()));
     if let Some(none) = none.filter(|none| none.is_rest() || !planned) {
         text = none.to_string();
         back_after = Some(none.back_after());
@@ -207,7 +208,7 @@
     if let Ok(AttemptEnd::Fault(fault)) = &end {
         row.end.clone_from(&fault.text);
         hold.end = engine_fault::place_end(&hold, fault);
-        engine_fault::blame(context, state, &hold, fault);
+        engine_fault::exclude_at_fault(context, state, &hold, fault);
     }
     if let Some(last) = record.attempts.last_mut() {
         *last = row;
@@ -224,7 +225,7 @@
     hold: &mut plan_client::PlaceHold,
     row: &mut request_record::AttemptRecord,
 ) -> Result<AttemptEnd, h1::MessageError> {
-    if let Err(fault) = upstream_gate::look_at_grant(context, &hold.grant, &hold.permits) {
+    if let Err(fault) = upstream_gate::check_grant(context, &hold.grant, &hold.permits) {
         return Ok(AttemptEnd::Fault(fault));
     }
     let taken_at = context.now();
@@ -245,8 +246,8 @@
     };
     let begun_at = context.now();
     // What broke on its way may have met a silent connection; another could be as old.
-    let anew = state.ran == Some(refusal::RanState::Unknown);
-    let connection = match upstream_attempt::connect(context, call, &target, anew).await {
+    let new_connection = state.ran == Some(refusal::RanState::Unknown);
+    let connection = match upstream_attempt::connect(context, call, &target, new_connection).await {
         Ok(connection) => connection,
         Err(fault) => return Ok(AttemptEnd::Fault(fault)),
     };
@@ -278,8 +279,8 @@
         Err(fault) => {
             state.sent += 1;
             let moment = connection_silence::SilentMoment::Head;
-            let text = engine_fault::note_wait(context, hold, &life, moment, begun_at, fault);
-            return Ok(broke(state, text));
+            let text = engine_fault::record_silence(context, hold, &life, moment, begun_at, fault);
+            return Ok(broken(state, text));
         }
     };
     let mut answer = match answered {
@@ -299,7 +300,7 @@
         state.excluded.push(hold.grant.engine.clone());
         let silence = stream_policy::silence(call);
         let body = answer
-            .whole_body(context, &hold.grant.engine, MAX_FAILURE, silence, async |_| true)
+            .whole_body(context, &hold.grant.engine, MAX_FAILURE_BODY, silence, async |_| true)
             .await;
         let head = Box::new(answer.head.clone());
         return Ok(match body {
@@ -329,12 +330,13 @@
             Ok(Ok(piece)) => piece,
             Ok(Err(error)) => {
                 run.broke();
-                return Ok(broke(state, error));
+                return Ok(broken(state, error));
             }
             Err(fault) => {
                 let moment = connection_silence::SilentMoment::Midway;
-                let text = engine_fault::note_wait(context, hold, &life, moment, asked_at, fault);
-                return Ok(broke(state, text));
+                let text =
+                    engine_fault::record_silence(context, hold, &life, moment, asked_at, fault);
+                return Ok(broken(state, text));
             }
         };
         let Some(piece) = piece else {
@@ -342,7 +344,7 @@
         };
         life.receive();
         events.push(&piece);
-        let whole = events.take_whole();
+        let whole = events.take_complete();
         if whole.is_empty() {
             continue;
         }
@@ -358,7 +360,7 @@
     }
     if !events.is_empty() {
         run.broke();
-        return Ok(broke(state, "the stream ends in the middle of an event"));
+        return Ok(broken(state, "the stream ends in the middle of an event"));
     }
     run.answered();
     if !state.begun {
@@ -372,7 +374,7 @@
     Ok(AttemptEnd::Whole)
 }
 
-fn broke(state: &stream_state::StreamState, reason: impl ToString) -> AttemptEnd {
+fn broken(state: &stream_state::StreamState, reason: impl ToString) -> AttemptEnd {
     let failure = if state.begun {
         retry::AttemptFailure::BrokeMidAnswer
     } else {
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -81,7 +81,7 @@
             }
         }
         PeerMessage::Who => {
-            let beat = context.next_beat();
+            let beat = context.next_heartbeat();
             context.send_to(from, PeerMessage::Beat(Box::new(beat)));
         }
         PeerMessage::Ask(key, ask) => {
@@ -159,7 +159,7 @@
     let mut logged = last;
     let mut told = heartbeats::AnnouncedState::default();
     loop {
-        let state = heartbeats::AnnouncedState::of(&context.own_beat());
+        let state = heartbeats::AnnouncedState::of(&context.own_heartbeat());
         if state != told {
             heartbeats::broadcast_state(&context, state, told);
             told = state;
@@ -170,7 +170,7 @@
         let now = context.now();
         if now.since(last) > PAUSE_SIGN {
             log::warn!(paused_ms = now.since(last).as_millis() as u64; "process.woke");
-            context.woke.set(now);
+            context.resumed_at.set(now);
             quota_coordinator::begin_anew(&context);
             // Others may suspect it by now.
             heartbeats::broadcast(&context);
@@ -207,7 +207,7 @@
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
 ) -> Option<member_beat::MemberBeat> {
-    let own = context.own_beat();
+    let own = context.own_heartbeat();
     context.members.borrow().planner(context.now(), key, &own)
 }
 
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -8,7 +8,7 @@
 use crate::{context, lease_renewal, peer_message, peers, planner_set};
 
 /// Time for a planner's reply; within a region it takes a millisecond or two.
-const REPLY_TIME: time::Duration = time::Duration::from_millis(25);
+const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 /// Time after which a waiting request asks again, in case the planner has lost it.
 const REPEAT_TIME: time::Duration = time::Duration::from_millis(300);
 /// Time after which a request that only this process's planner knows looks for another.
@@ -173,7 +173,7 @@
     }
     let message = peer_message::PeerMessage::Ask(key.clone(), Box::new(ask.clone()));
     context.send_to(member.address, message);
-    let mut patience = REPLY_TIME;
+    let mut patience = REPLY_TIMEOUT;
     loop {
         match monoio::time::timeout(patience, replies.next()).await {
             Ok(Some(peer_message::PlanReply::Answer(answer))) => {
@@ -186,7 +186,7 @@
             }
             Ok(None) => return None,
             Err(_) => {
-                if patience == REPLY_TIME {
+                if patience == REPLY_TIMEOUT {
                     context.members.borrow_mut().unanswered(&member.name);
                     log::debug!(member:% = member.name; "planner.silent");
                 }
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -158,7 +158,7 @@
     }
 
     /// Begins anew with all limits that planners here keep.
-    pub fn begin_limits_anew(&mut self, now: units::MonoTime) {
+    pub fn reset_limits(&mut self, now: units::MonoTime) {
         self.planners.values_mut().for_each(|planner| planner.permits().begin_anew(now));
     }
 
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -14,7 +14,7 @@
 use snafu::{ResultExt as _, Snafu};
 
 use crate::{
-    border, caller_connection, context, engine_reports, failure_watch, heartbeats,
+    adapter, caller_connection, context, engine_reports, failure_watch, heartbeats,
     instance_settings, lease_renewal, log_sink, member_feed, member_gossip, peers, small_server,
     store_feed, upstream_ends,
 };
@@ -57,7 +57,7 @@
 pub fn main(
     info: command_line::ProgramInfo,
     settings_variable: &str,
-    border: rc::Rc<dyn border::PlatformBorder>,
+    adapter: rc::Rc<dyn adapter::InstanceAdapter>,
 ) -> std_process::ExitCode {
     let matches = match command_line::parse(info, command_line::server_options()) {
         command_line::ParsedLine::Run(matches) => matches,
@@ -80,7 +80,7 @@
     if let Err(error) = log_sink::install(log::LevelFilter::Info) {
         return command_line::fail(info, &error);
     }
-    match process::run(run(settings, path, border)) {
+    match process::run(run(settings, path, adapter)) {
         Ok(Ok(())) => std_process::ExitCode::from(command_line::EXIT_GOOD),
         Ok(Err(error)) => command_line::fail(info, &error),
         Err(error) => command_line::fail(info, &error),
@@ -91,7 +91,7 @@
 pub async fn run(
     settings: instance_settings::InstanceSettings,
     path: path::PathBuf,
-    border: rc::Rc<dyn border::PlatformBorder>,
+    adapter: rc::Rc<dyn adapter::InstanceAdapter>,
 ) -> Result<(), ProgramError> {
     let stop = process::StopSignal::install().context(SignalsSnafu)?;
     let reload = sync::Arc::new(AtomicBool::new(false));
@@ -110,7 +110,8 @@
     let (runs, run_news) = mpsc::unbounded();
     let grace = settings.bounds.grace.0;
     let stopping = stop.clone();
-    let parts = context::ContextParts { settings, border, stop: stopping, closing, outgoing, runs };
+    let parts =
+        context::ContextParts { settings, adapter, stop: stopping, closing, outgoing, runs };
     let context = rc::Rc::new(context::InstanceContext::new(parts));
     log::info!(instance:% = context.settings().name, boot = context.boot,
         seed = context.settings().is_seed(),
@@ -150,11 +151,11 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                context.not_let_in.set(None);
+                context.accept_failed_at.set(None);
                 monoio::spawn(caller_connection::serve(rc::Rc::clone(&context), stream));
             }
             Err(error) => {
-                context.not_let_in.set(Some(context.now()));
+                context.accept_failed_at.set(Some(context.now()));
                 log::warn!(error:%; "accept.failed");
                 monoio::time::sleep(time::Duration::from_millis(20)).await;
             }
--- a/crates/instance/src/quarantine_gate.rs
+++ b/crates/instance/src/quarantine_gate.rs
@@ -13,34 +13,34 @@
 
 use crate::{context, incoming_call};
 
-type SharedBell = future::Shared<oneshot::Receiver<()>>;
+type SharedSignal = future::Shared<oneshot::Receiver<()>>;
 
 /// Wakes requests that are being served when one is held back.
 #[derive(Debug)]
 pub struct VerdictSignal {
-    next: cell::RefCell<(oneshot::Sender<()>, SharedBell)>,
+    next: cell::RefCell<(oneshot::Sender<()>, SharedSignal)>,
 }
 
 impl Default for VerdictSignal {
     fn default() -> Self {
-        Self { next: cell::RefCell::new(new_bell()) }
+        Self { next: cell::RefCell::new(new_signal()) }
     }
 }
 
 impl VerdictSignal {
     /// Has all requests look at the gate.
-    pub fn ring(&self) {
-        let (sender, _) = self.next.replace(new_bell());
+    pub fn notify_all(&self) {
+        let (sender, _) = self.next.replace(new_signal());
         // Nobody may be served now.
         let _ = sender.send(());
     }
 
-    fn listen(&self) -> SharedBell {
+    fn subscribe(&self) -> SharedSignal {
         self.next.borrow().1.clone()
     }
 }
 
-fn new_bell() -> (oneshot::Sender<()>, SharedBell) {
+fn new_signal() -> (oneshot::Sender<()>, SharedSignal) {
     let (sender, receiver) = oneshot::channel();
     (sender, receiver.shared())
 }
@@ -52,10 +52,10 @@
     work: impl Future<Output = T>,
 ) -> Result<T, quarantine::QuarantineVerdict> {
     let mut work = pin::pin!(work);
-    let mut bell = context.verdicts.listen();
+    let mut signal = context.verdicts.subscribe();
     future::poll_fn(|turn| {
-        while bell.poll_unpin(turn).is_ready() {
-            bell = context.verdicts.listen();
+        while signal.poll_unpin(turn).is_ready() {
+            signal = context.verdicts.subscribe();
         }
         // The table changes only between two turns: what is sent below has passed.
         if let Some(verdict) = verdict(context, call) {
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -235,6 +235,6 @@
         context.stats.borrow_mut().count("quarantined", source);
     }
     if !held.is_empty() {
-        context.verdicts.ring();
+        context.verdicts.notify_all();
     }
 }
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -148,7 +148,7 @@
 pub(crate) fn begin_anew(context: &context::InstanceContext) {
     let now = context.now();
     context.quotas.ledger.borrow_mut().begin_anew(now);
-    context.planners.borrow_mut().begin_limits_anew(now);
+    context.planners.borrow_mut().reset_limits(now);
 }
 
 /// The other member that coordinates a quota; `None` when this process does, or there is no such quota.
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -9,9 +9,9 @@
 /// Upstreams asked for leave by a call that waits for one, at most.
 const MAX_WAITS: usize = 3;
 /// Part of its time left that a call waits for leave at most: the rest is for its answer.
-const WAIT_PART: f64 = 0.45;
+const MAX_WAIT_FRACTION: f64 = 0.45;
 /// Goals within which a call that came back waits for leave: it is late by then.
-const RETURNED_GOALS: u32 = 2;
+const RETRIED_GOAL_FACTOR: u32 = 2;
 
 /// An upstream that takes a call now.
 pub(crate) struct ChosenUpstream {
@@ -29,7 +29,7 @@
     excluded: &[ids::UpstreamId],
 ) -> Option<ChosenUpstream> {
     let mut refused = Vec::new();
-    while let Some(entry) = pick_beside(context, call, excluded, &refused) {
+    while let Some(entry) = pick_excluding(context, call, excluded, &refused) {
         match permit_request::obtain(context, &entry.name, time::Duration::ZERO).await {
             Ok(permit) => return Some(ChosenUpstream { entry, permit }),
             Err(_) => refused.push(entry.name),
@@ -44,10 +44,10 @@
     call: &incoming_call::IncomingCall,
     excluded: &[ids::UpstreamId],
 ) -> Option<upstream_list::UpstreamEntry> {
-    pick_beside(context, call, excluded, &[])
+    pick_excluding(context, call, excluded, &[])
 }
 
-fn pick_beside(
+fn pick_excluding(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     excluded: &[ids::UpstreamId],
@@ -105,10 +105,10 @@
 ) -> time::Duration {
     let now = context.now();
     let goal = call.route.first_token_goal;
-    let wait = if stream_policy::came_back(call) {
-        goal * RETURNED_GOALS
+    let wait = if stream_policy::likely_retried(call) {
+        goal * RETRIED_GOAL_FACTOR
     } else {
         goal.saturating_sub(context.loads.borrow().usual(&call.route))
     };
-    wait.saturating_sub(now.since(call.arrived)).min(call.left(now).mul_f64(WAIT_PART))
+    wait.saturating_sub(now.since(call.arrived)).min(call.left(now).mul_f64(MAX_WAIT_FRACTION))
 }
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -14,10 +14,10 @@
 };
 
 /// Largest answer of a plain service that is read whole before it is passed on; longer ones go on as the caller reads.
-const MAX_HELD_ANSWER: usize = 16 * 1024;
+const MAX_BUFFERED_BODY: usize = 16 * 1024;
 /// Part of the time limit after which a silent upstream of a repeatable call is given up, if
 /// another may answer.
-const SILENCE_PART: f64 = 0.45;
+const SILENCE_FRACTION: f64 = 0.45;
 /// Upstreams tried at most, those that never saw the call included.
 const MAX_TRIES: u32 = 5;
 /// When to come back after a refusal, where nothing better is known.
@@ -45,7 +45,7 @@
         Ok(end) => end,
         Err(_) => match fallback {
             Some((head, body)) => CallEnd::Answer(head, body),
-            None => CallEnd::Refused(call.out_of_time(left, BACK_AFTER)),
+            None => CallEnd::Refused(call.timeout_refusal(left, BACK_AFTER)),
         },
     };
     record.first_ms = Some(context.now().since(call.arrived).as_millis() as u64);
@@ -87,8 +87,8 @@
     let mut retry_taken = false;
     let mut ran = refusal::RanState::No;
     let mut text = format!("service '{}' has no upstream", call.service);
-    let mut kept_silent = None;
-    let mut anew = false;
+    let mut reused_silent = None;
+    let mut new_connection = false;
     let mut none_left = None;
     for _ in 0..MAX_TRIES {
         if sent >= call.route.max_attempts {
@@ -102,15 +102,18 @@
         }
         let mut chosen = service_choice::choose(context, call, &excluded).await;
         if chosen.is_none()
-            && let Some(again) = kept_silent.take()
+            && let Some(again) = reused_silent.take()
         {
             // Only a connection has failed; the upstream takes the call over a new one.
             excluded.retain(|name| *name != again);
             chosen = service_choice::choose(context, call, &excluded).await;
         }
         let Some(service_choice::ChosenUpstream { entry, permit }) = chosen else {
-            none_left =
-                upstream_choice::none_open(context, &call.service, call.left(context.now()));
+            none_left = upstream_choice::no_upstream_reason(
+                context,
+                &call.service,
+                call.left(context.now()),
+            );
             break;
         };
         excluded.push(entry.name.clone());
@@ -121,7 +124,7 @@
             end: "under way".to_owned(),
             ..Default::default()
         });
-        let in_hand = fallback.is_some();
+        let has_fallback = fallback.is_some();
         let give_up = async |reach| {
             let next = reach == upstream_attempt::RetryReach::AnyUpstream
                 || service_choice::pick(context, call, &excluded).is_some();
@@ -131,9 +134,9 @@
             retry_taken =
                 allowed && permit_request::obtain_retry(context, &call.service, need).await;
             // A failure that an upstream gave is better than our own at the end of the time.
-            retry_taken || (in_hand && reach == upstream_attempt::RetryReach::OtherUpstream)
+            retry_taken || (has_fallback && reach == upstream_attempt::RetryReach::OtherUpstream)
         };
-        let start = AttemptStart { entry: &entry, permit, anew };
+        let start = AttemptStart { entry: &entry, permit, new_connection };
         let result = attempt(context, call, start, give_up).await;
         if let Some(row) = record.attempts.last_mut() {
             row.end = match &result {
@@ -154,23 +157,23 @@
                 return CallEnd::Answer(head, body);
             }
             Err(fault) => {
-                if fault.kept_silent {
-                    kept_silent = Some(entry.name.clone());
+                if fault.reused_silent {
+                    reused_silent = Some(entry.name.clone());
                 }
                 text = fault.text;
-                let surely = fault.failure.surely_not_run();
+                let never_ran = fault.failure.surely_not_run();
                 if fault.failure.reached_nobody() {
                     // Nothing arrived anywhere: the retry is not spent.
                     retry_taken = sent > 0;
                 } else {
                     sent += 1;
                 }
-                if !surely {
+                if !never_ran {
                     record.digest = Some(call.digest().to_string());
                     ran = refusal::RanState::Unknown;
-                    anew = true;
+                    new_connection = true;
                 }
-                if !surely && !call.route.repeat.allows_repeat() {
+                if !never_ran && !call.route.repeat.allows_repeat() {
                     break;
                 }
             }
@@ -184,9 +187,9 @@
         _ => refusal::RefusalCode::UpstreamFailed,
     };
     let mut back_after = BACK_AFTER;
-    if let Some(none) = none_left
-        .or_else(|| upstream_choice::none_open(context, &call.service, call.left(context.now())))
-    {
+    if let Some(none) = none_left.or_else(|| {
+        upstream_choice::no_upstream_reason(context, &call.service, call.left(context.now()))
+    }) {
         text = none.to_string();
         back_after = none.back_after();
     }
@@ -214,7 +217,7 @@
     /// The leave by which it goes there, where the upstream has a limit.
     permit: Option<quota_permit::SendPermit>,
     /// Whether it goes over a new connection.
-    anew: bool,
+    new_connection: bool,
 }
 
 /// One attempt; it ends with the start of the upstream that has it.
@@ -235,7 +238,7 @@
 async fn call_upstream<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
-    AttemptStart { entry, permit, anew }: AttemptStart<'_>,
+    AttemptStart { entry, permit, new_connection }: AttemptStart<'_>,
     mut give_up: impl AsyncFnMut(upstream_attempt::RetryReach) -> bool,
 ) -> Result<UpstreamReply<'a>, upstream_attempt::AttemptFault> {
     let guard = LoadGuard { context, name: entry.name.clone(), result: std::cell::Cell::new(None) };
@@ -249,10 +252,10 @@
         permits: permit.into_iter().collect(),
     };
     let left = call.left(context.now());
-    let connected = upstream_attempt::connect(context, call, &target, anew).await;
+    let connected = upstream_attempt::connect(context, call, &target, new_connection).await;
     let connection = connected.inspect_err(|fault| guard.note(fault))?;
     let started = context.now();
-    let slow = left.mul_f64(SILENCE_PART);
+    let slow = left.mul_f64(SILENCE_FRACTION);
     let wait = {
         let loads = context.loads.borrow();
         let kept = loads.kept_wait(&call.route, slow);
@@ -271,7 +274,7 @@
     };
     let taken = context.now().since(started);
     context.loads.borrow_mut().answered(&call.route.name, taken);
-    let body = answer.leading_body(context, &entry.name, MAX_HELD_ANSWER, slow, give_up).await;
+    let body = answer.leading_body(context, &entry.name, MAX_BUFFERED_BODY, slow, give_up).await;
     let upstream_attempt::LeadingBody { bytes: body, whole } = match body {
         Ok(body) => body,
         Err(fault) => {
@@ -281,7 +284,7 @@
         }
     };
     if let Some((running, waiting, _)) = answer.said.load {
-        context.loads.borrow_mut().describe(context.now(), &entry.name, running + waiting);
+        context.loads.borrow_mut().set_reported_load(context.now(), &entry.name, running + waiting);
     }
     if !whole {
         let upstream = entry.name.clone();
@@ -313,7 +316,7 @@
             retry::AttemptFailure::Misdirected => CallResult::Gone,
             _ => CallResult::Failed,
         };
-        let says_something = !fault.kept_silent && fault.failure != retry::AttemptFailure::Denied;
+        let says_something = !fault.reused_silent && fault.failure != retry::AttemptFailure::Denied;
         self.result.set(says_something.then_some(result));
         if result == CallResult::Gone {
             upstream_signals::broadcast_gone(self.context, &self.name);
--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -5,12 +5,12 @@
 use futures::future;
 use slipturn_core::units;
 
-use crate::{border, context, engine_call, incoming_call, upstream_attempt, upstream_starts};
+use crate::{adapter, context, engine_call, incoming_call, upstream_attempt, upstream_starts};
 
 /// Time between two questions to an engine on which memory set aside elsewhere depends.
 const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(900);
 /// Time for its answer.
-const PROBE_TIME: time::Duration = time::Duration::from_millis(400);
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Questions in a row without an answer after which it is taken for gone. Memory must be free
 /// again within seconds of the end of the request that used it, also without a message.
 const PROBE_MISSES: u32 = 2;
@@ -108,8 +108,8 @@
                 return Ok(done);
             }
             if let Some((holder, ticket)) = &self.held {
-                let looking = pin::pin!(self.look(holder, ticket));
-                let (answers, idle) = match future::select(work.as_mut(), looking).await {
+                let probing = pin::pin!(self.probe(holder, ticket));
+                let (answers, idle) = match future::select(work.as_mut(), probing).await {
                     future::Either::Left((done, _)) => return Ok(done),
                     future::Either::Right((seen, _)) => seen,
                 };
@@ -136,7 +136,7 @@
 
     /// Whether the engine answers, and whether the memory set aside for its answer lies unused. One that wants rest
     /// is not asked: it has just answered, by asking for that.
-    async fn look(&self, holder: &engine_call::EngineAddress, ticket: &str) -> (bool, bool) {
+    async fn probe(&self, holder: &engine_call::EngineAddress, ticket: &str) -> (bool, bool) {
         let answers = self.report(&self.engine).await.is_some();
         (answers, self.answering && answers && self.is_unused(holder, ticket).await)
     }
@@ -146,14 +146,14 @@
     async fn report(
         &self,
         engine: &engine_call::EngineAddress,
-    ) -> Option<Option<border::EngineReport>> {
+    ) -> Option<Option<adapter::EngineReport>> {
         let asked = self.context.now();
-        let body = match engine_call::report(self.context, engine, PROBE_TIME).await {
+        let body = match engine_call::report(self.context, engine, PROBE_TIMEOUT).await {
             Ok(body) => body,
             Err(engine_call::EngineCallError::Denied { .. }) => return Some(None),
             Err(engine_call::EngineCallError::Call { .. }) => return None,
         };
-        let report = self.context.border.read_report(&body).ok();
+        let report = self.context.adapter.read_report(&body).ok();
         let start = report.as_ref().and_then(|report| report.start);
         upstream_starts::receive(self.context, engine.address, start, asked);
         Some(report)
--- a/crates/instance/src/small_server.rs
+++ b/crates/instance/src/small_server.rs
@@ -109,7 +109,7 @@
 
 fn health(context: &context::InstanceContext, path: &str) -> (u16, String) {
     let ready = is_ready(context);
-    match context.border.is_readiness(path) {
+    match context.adapter.is_readiness(path) {
         true if ready => (200, "ready\n".to_owned()),
         true => (503, "not ready\n".to_owned()),
         false => (404, String::new()),
@@ -119,7 +119,7 @@
 /// Whether new connections should come here.
 pub fn is_ready(context: &context::InstanceContext) -> bool {
     let now = context.now();
-    let shut = context.not_let_in.get().is_some_and(|since| now.since(since) < SHUT_TIME);
+    let shut = context.accept_failed_at.get().is_some_and(|since| now.since(since) < SHUT_TIME);
     context.fleet.borrow().is_known() && !context.stop.asked() && !shut
 }
 
@@ -307,7 +307,7 @@
 fn status(context: &context::InstanceContext) -> serde_json::Value {
     let retries = upstream_rows::retries(context);
     let lags = context.lags();
-    let beat = context.own_beat();
+    let beat = context.own_heartbeat();
     let belief = context.belief.borrow();
     let fleet = context.fleet.borrow();
     let members = context.members.borrow();
--- a/crates/instance/src/store_call.rs
+++ b/crates/instance/src/store_call.rs
@@ -6,7 +6,7 @@
 use slipturn_core::store_revision;
 use snafu::{ResultExt as _, Snafu};
 
-use crate::{border, context, document_call};
+use crate::{adapter, context, document_call};
 
 /// Why a call to the store failed.
 #[derive(Debug, Snafu)]
@@ -21,7 +21,7 @@
     #[snafu(display("{source}"))]
     Era {
         /// What is wrong with it.
-        source: border::FormatError,
+        source: adapter::FormatError,
     },
     /// The answer is of an era before the one that is known: a late one, or one of a copy that is out of use.
     #[snafu(display("answer of era {era}, known is {known}"))]
@@ -68,7 +68,7 @@
 ) -> Result<StoreAnswer, StoreError> {
     let answer = connection.call_whole("GET", path, Bytes::new(), limit).await;
     let answer = answer.context(CallSnafu)?;
-    let era = context.border.store_era(&answer.head).context(EraSnafu)?;
+    let era = context.adapter.store_era(&answer.head).context(EraSnafu)?;
     let known = known_era(context);
     let era = era.unwrap_or(known);
     if era < known {
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -74,7 +74,7 @@
         return true;
     }
     let now = context.now();
-    let own = context.own_beat();
+    let own = context.own_heartbeat();
     let members = context.members.borrow();
     let missing = members.watchers_missing(now, &own);
     if !context.fleet.borrow().is_known() {
@@ -100,7 +100,7 @@
 
 /// Whether enough others watch for this member to leave it to them.
 fn others_watch(context: &context::InstanceContext) -> bool {
-    let own = context.own_beat();
+    let own = context.own_heartbeat();
     let missing_for = time::Duration::ZERO;
     let needed = context.members.borrow().should_watch(context.now(), &own, missing_for, false);
     context.fleet.borrow().is_known() && !needed
@@ -135,7 +135,7 @@
             Err(error) => return Err(error.to_string()),
         };
         let (changes, next) =
-            context.border.read_changes(&answer.body).map_err(|error| error.to_string())?;
+            context.adapter.read_changes(&answer.body).map_err(|error| error.to_string())?;
         store_sight::regained(context);
         let next = store_revision::StoreRevision::new(answer.era, next);
         let quiet = changes.is_empty();
--- a/crates/instance/src/store_read.rs
+++ b/crates/instance/src/store_read.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{ids, store_revision};
 
-use crate::{border, context, document_call, list_update, store_call};
+use crate::{adapter, context, document_call, list_update, store_call};
 
 /// Time for the store's answer to a read.
 const READ_TIME: time::Duration = time::Duration::from_millis(1_500);
@@ -13,7 +13,7 @@
 
 /// Items of a range of keys, with the revision of the store at its first page.
 struct RangeRead {
-    items: Vec<border::StoreItem>,
+    items: Vec<adapter::StoreItem>,
     revision: store_revision::StoreRevision,
 }
 
@@ -22,9 +22,9 @@
     context: &context::InstanceContext,
     connection: &mut document_call::DocumentConnection,
 ) -> Result<store_revision::StoreRevision, String> {
-    let border = &context.border;
-    let upstreams = read_range(context, connection, |after| border.upstreams_path(after)).await?;
-    let published = read_range(context, connection, |after| border.operator_path(after)).await?;
+    let adapter = &context.adapter;
+    let upstreams = read_range(context, connection, |after| adapter.upstreams_path(after)).await?;
+    let published = read_range(context, connection, |after| adapter.operator_path(after)).await?;
     if upstreams.revision.era != published.revision.era {
         return Err(format!(
             "the store returned from a copy during a read, {}",
@@ -33,8 +33,8 @@
     }
     // Pages are not a snapshot: changes since the first page are watched again.
     let revision = upstreams.revision;
-    let documents = upstreams.items.into_iter().filter_map(|item| match border.key(&item.key) {
-        border::StoreKey::Upstream(name) => Some((name, list_update::text_of(item))),
+    let documents = upstreams.items.into_iter().filter_map(|item| match adapter.key(&item.key) {
+        adapter::StoreKey::Upstream(name) => Some((name, list_update::text_of(item))),
         _ => None,
     });
     let documents = documents.collect();
@@ -42,12 +42,12 @@
     let mut fleet = context.fleet.borrow_mut();
     let mut evacuated = collections::BTreeSet::<ids::DataCenterId>::new();
     for item in published.items {
-        match border.key(&item.key) {
-            border::StoreKey::Routes => fleet.put_routes_item(item, "store"),
-            border::StoreKey::Evacuation(data_center) => {
+        match adapter.key(&item.key) {
+            adapter::StoreKey::Routes => fleet.put_routes_item(item, "store"),
+            adapter::StoreKey::Evacuation(data_center) => {
                 evacuated.insert(data_center);
             }
-            border::StoreKey::Upstream(_) | border::StoreKey::Other => {}
+            adapter::StoreKey::Upstream(_) | adapter::StoreKey::Other => {}
         }
     }
     fleet.replace_list(now, documents, evacuated, revision, "store");
@@ -66,7 +66,7 @@
     for _ in 0..MAX_PAGES {
         let answer = store_call::get(context, connection, &path(after.as_deref()), READ_TIME).await;
         let answer = answer.map_err(|error| error.to_string())?;
-        let page = context.border.read_page(&answer.body).map_err(|error| error.to_string())?;
+        let page = context.adapter.read_page(&answer.body).map_err(|error| error.to_string())?;
         let revision = store_revision::StoreRevision::new(answer.era, page.revision);
         let first = *first_revision.get_or_insert(revision);
         if first.era != revision.era {
@@ -84,10 +84,10 @@
 /// Reads the routes from the store.
 pub(crate) async fn read_routes(context: &context::InstanceContext) -> Result<(), String> {
     let mut connection = document_call::DocumentConnection::new(context.settings().store);
-    let path = context.border.routes_path();
+    let path = context.adapter.routes_path();
     let answer = store_call::get(context, &mut connection, &path, READ_TIME).await;
     let answer = answer.map_err(|error| error.to_string())?;
-    let page = context.border.read_page(&answer.body).map_err(|error| error.to_string())?;
+    let page = context.adapter.read_page(&answer.body).map_err(|error| error.to_string())?;
     let mut fleet = context.fleet.borrow_mut();
     page.items.into_iter().for_each(|item| fleet.put_routes_item(item, "store"));
     Ok(())
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -37,7 +37,7 @@
         return probe(context, connection, revision).await;
     }
     let wait = context.settings().bounds.leave.0.mul_f64(WAIT_PART).max(LEAST_WAIT);
-    let path = context.border.watch_path(revision.number, wait);
+    let path = context.adapter.watch_path(revision.number, wait);
     let mut second = document_call::DocumentConnection::new(context.settings().store);
     let answered = {
         let limit = wait + OVERDUE + PROBE_TIME * MAX_PROBES;
@@ -68,7 +68,7 @@
     connection: &mut document_call::DocumentConnection,
     revision: store_revision::StoreRevision,
 ) -> Result<store_call::StoreAnswer, store_call::StoreError> {
-    let path = &context.border.watch_path(revision.number, FIRST_WAIT);
+    let path = &context.adapter.watch_path(revision.number, FIRST_WAIT);
     let ask = |sent: u32| async move {
         let mut fresh = document_call::DocumentConnection::new(context.settings().store);
         let limit = PROBE_TIME * (MAX_PROBES - sent);
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -7,27 +7,27 @@
 use crate::{context, incoming_call};
 
 /// Times the shortest pause goal of its service up to which a request's pauses are tight.
-const TIGHT_PAUSES: f64 = 1.5;
+const TIGHT_PAUSE_FACTOR: f64 = 1.5;
 /// Part of its goal within which one engine alone must read a short request.
-const SHORT_GOAL_PART: f64 = 0.75;
+const SHORT_GOAL_FRACTION: f64 = 0.75;
 /// Callers give a stream up after a silence of this, or of the multiples below, if longer.
-const CALLER_SILENCE: time::Duration = time::Duration::from_secs(2);
+const MIN_CALLER_PATIENCE: time::Duration = time::Duration::from_secs(2);
 /// Goals for the first token that callers wait.
-const CALLER_GOALS: u32 = 4;
+const CALLER_GOAL_FACTOR: u32 = 4;
 /// Goals for a pause that callers wait.
-const CALLER_PAUSES: u32 = 8;
+const CALLER_PAUSE_FACTOR: u32 = 8;
 /// Part of the callers' patience after which a silent engine is given up at the latest.
-const SILENCE_PART: f64 = 0.72;
+const SILENCE_FRACTION: f64 = 0.72;
 /// Goals for a pause after which an engine in the middle of an answer is given up.
-const SILENCE_PAUSES: f64 = 3.5;
+const SILENCE_PAUSE_FACTOR: f64 = 3.5;
 /// Expected times to the first token after which an engine is given up that has not begun.
-const SILENCE_PLANS: f64 = 3.0;
+const SILENCE_PLAN_FACTOR: f64 = 3.0;
 /// Expected times to the first token that an engine has at least.
-const LEAST_PLANS: f64 = 1.1;
+const MIN_PLAN_FACTOR: f64 = 1.1;
 /// Time beyond these, for what the plan could not see.
 const SILENCE_MARGIN: time::Duration = time::Duration::from_millis(600);
 /// Callers that have less than this part of the route's time have spent some on an earlier try.
-const FIRST_TRY_PART: f64 = 0.97;
+const FIRST_TRY_FRACTION: f64 = 0.97;
 
 /// Short goals go first on an engine; what is late goes last.
 pub(crate) fn priority(call: &incoming_call::IncomingCall, late: bool) -> u8 {
@@ -78,7 +78,7 @@
         // Where it may end the next engine, it gets one where few others run.
         tight: is_short(context, call) && !progress.suspect,
         worth: worth(context, call),
-        refusable: !progress.sent && !came_back(call),
+        refusable: !progress.sent && !likely_retried(call),
         resumed: progress.sent,
         excluded: progress.excluded.to_vec(),
     }
@@ -93,7 +93,8 @@
         fleet.routes.services.get(&call.service).and_then(|service| service.engine.as_ref());
     let reading = engine.map_or(0.0, |shape| pass_model::read_ms(shape, call.request.prompt));
     let goal = call.route.first_token_goal.as_secs_f64() * 1_000.0;
-    call.route.pause_goal <= tightest.mul_f64(TIGHT_PAUSES) && reading <= goal * SHORT_GOAL_PART
+    call.route.pause_goal <= tightest.mul_f64(TIGHT_PAUSE_FACTOR)
+        && reading <= goal * SHORT_GOAL_FRACTION
 }
 
 /// What a request is worth in time, against one of its service's most urgent class.
@@ -112,28 +113,28 @@
 }
 
 /// Whether a caller has probably been refused before: it has less time than its route gives.
-pub(crate) fn came_back(call: &incoming_call::IncomingCall) -> bool {
-    let whole = call.route.time_limit.mul_f64(FIRST_TRY_PART);
+pub(crate) fn likely_retried(call: &incoming_call::IncomingCall) -> bool {
+    let whole = call.route.time_limit.mul_f64(FIRST_TRY_FRACTION);
     call.request.patience.is_some_and(|patience| patience < whole)
 }
 
 /// How long a caller waits without an event.
 pub(crate) fn patience(call: &incoming_call::IncomingCall) -> time::Duration {
-    CALLER_SILENCE
-        .max(call.route.first_token_goal * CALLER_GOALS)
-        .max(call.route.pause_goal * CALLER_PAUSES)
+    MIN_CALLER_PATIENCE
+        .max(call.route.first_token_goal * CALLER_GOAL_FACTOR)
+        .max(call.route.pause_goal * CALLER_PAUSE_FACTOR)
 }
 
 /// How long an engine may be silent in the middle of an answer.
 pub(crate) fn silence(call: &incoming_call::IncomingCall) -> time::Duration {
-    let pauses = call.route.pause_goal.mul_f64(SILENCE_PAUSES);
+    let pauses = call.route.pause_goal.mul_f64(SILENCE_PAUSE_FACTOR);
     pauses.min(last_silence(call))
 }
 
 /// How long the only engine left may be silent: just so long that its caller is still there for
 /// another try.
 pub(crate) fn last_silence(call: &incoming_call::IncomingCall) -> time::Duration {
-    patience(call).mul_f64(SILENCE_PART)
+    patience(call).mul_f64(SILENCE_FRACTION)
 }
 
 /// How long an engine may be silent before its answer begins.
@@ -142,8 +143,8 @@
     grant: &engine_place::PlaceGrant,
 ) -> time::Duration {
     let planned = time::Duration::from_millis(u64::from(grant.first_token_ms));
-    let expected = planned.mul_f64(SILENCE_PLANS) + SILENCE_MARGIN;
+    let expected = planned.mul_f64(SILENCE_PLAN_FACTOR) + SILENCE_MARGIN;
     // Never shorter than the plan: what was read by then is lost.
-    let least = planned.mul_f64(LEAST_PLANS) + SILENCE_MARGIN;
+    let least = planned.mul_f64(MIN_PLAN_FACTOR) + SILENCE_MARGIN;
     expected.min(last_silence(call)).max(least)
 }
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -63,7 +63,7 @@
         self.last_at = Some(now);
         for event in event_stream::split_events(events) {
             record.events += 1;
-            if let Some(id) = context.border.event_id(event) {
+            if let Some(id) = context.adapter.event_id(event) {
                 self.last_event = Some(id);
             }
         }
@@ -113,7 +113,7 @@
         self.retry_taken =
             allowed && permit_request::obtain_retry(context, &call.service, need).await;
         // A failure that an engine gave is better than our own at the end of the time.
-        let in_hand = self.failure.is_some() && !self.begun;
-        self.retry_taken || (in_hand && reach == upstream_attempt::RetryReach::OtherUpstream)
+        let has_fallback = self.failure.is_some() && !self.begun;
+        self.retry_taken || (has_fallback && reach == upstream_attempt::RetryReach::OtherUpstream)
     }
 }
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -8,12 +8,12 @@
 use slipturn_net::h1;
 
 use crate::{
-    border, context, incoming_call, upstream_ends, upstream_gate, upstream_pool, upstream_signals,
+    adapter, context, incoming_call, upstream_ends, upstream_gate, upstream_pool, upstream_signals,
     upstream_silence, upstream_starts,
 };
 
 /// Time for an answer that an upstream may have sent before it stopped reading.
-const EARLY_ANSWER_TIME: time::Duration = time::Duration::from_millis(50);
+const EARLY_ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(50);
 
 /// How an attempt failed before its answer could be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,14 +23,14 @@
     /// The upstream that caused a refusal, where it is another.
     pub at_fault: Option<net::SocketAddrV4>,
     /// Whether a connection that had rested said nothing: the upstream itself may be sound.
-    pub kept_silent: bool,
+    pub reused_silent: bool,
     /// What went wrong.
     pub text: String,
 }
 
 impl AttemptFault {
     pub(crate) fn new(failure: retry::AttemptFailure, text: impl ToString) -> Self {
-        Self { failure, at_fault: None, kept_silent: false, text: text.to_string() }
+        Self { failure, at_fault: None, reused_silent: false, text: text.to_string() }
     }
 
     /// What was sent to an upstream that has started again: it may have run at the start before.
@@ -76,7 +76,7 @@
     /// Its head, with what concerns only its connection.
     pub head: http::response::Parts,
     /// What the head says.
-    pub said: border::UpstreamAnswer,
+    pub said: adapter::UpstreamAnswer,
     /// Where its body ends.
     pub framing: h1::BodyFraming,
     /// The connection; it may be used again only after the body's end.
@@ -142,7 +142,7 @@
     pub fn finish(self, context: &context::InstanceContext, upstream: &ids::UpstreamId) {
         if self.reusable && self.framing.ended() {
             let keep = h1::keep_alive(&self.head.headers);
-            let most = context.resting_share(upstream);
+            let most = context.idle_connection_limit(upstream);
             context.pool.put(self.address, self.connection, keep, most);
         }
     }
@@ -178,25 +178,25 @@
 
 /// A connection for a request: one that has rested only where another attempt may follow.
 ///
-/// It may have fallen silent, and what was written to it may have run. So `anew` asks for a new one
+/// It may have fallen silent, and what was written to it may have run. So `new_connection` asks for a new one
 /// after an attempt that broke: no request meets two silent connections.
 pub async fn connect(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     target: &AttemptTarget,
-    anew: bool,
+    new_connection: bool,
 ) -> Result<upstream_pool::UpstreamConnection, AttemptFault> {
     // Before a connection is opened needlessly; the decision is made again as the first byte goes out.
-    upstream_gate::look_at_request(context, target)?;
+    upstream_gate::check_request(context, target)?;
     let another = call.route.repeat.allows_repeat() && call.route.max_attempts > 1;
-    let opened = if anew || !another {
+    let opened = if new_connection || !another {
         context.pool.open(target.address).await
     } else {
         context.pool.get(target.address).await
     };
     let not_connected = retry::AttemptFailure::NotConnected;
     opened.map_err(|error| {
-        if error.nobody_listens() {
+        if error.is_connection_refused() {
             context.report_run(upstream_ends::RunNews::Refused(target.upstream.clone()));
         }
         AttemptFault::new(not_connected, error)
@@ -225,8 +225,8 @@
     let moment = connection_silence::SilentMoment::Head;
     let doubted = used && context.pool.cause(&life, moment, wait.kept).doubts_others();
     let in_time = call.left(context.now()) >= wait.usual;
-    let kept_silent = doubted && in_time && give_up(RetryReach::AnyUpstream).await;
-    if !kept_silent {
+    let reused_silent = doubted && in_time && give_up(RetryReach::AnyUpstream).await;
+    if !reused_silent {
         let left = wait.longest.saturating_sub(started.elapsed());
         if let Ok(answered) = monoio::time::timeout(left, work.as_mut()).await {
             return answered;
@@ -240,7 +240,7 @@
     let silent = upstream_silence::SilentWait { upstream, life: &life, moment, waited };
     let cause = upstream_silence::note(context, &silent).label();
     let fault = AttemptFault::broke(format!("no answer within {waited:?}: {cause}"));
-    Err(AttemptFault { kept_silent, ..fault })
+    Err(AttemptFault { reused_silent, ..fault })
 }
 
 /// Sends a request over a connection and reads the head of its answer, however long that takes.
@@ -277,7 +277,7 @@
             future::Either::Left((Ok(()), reading)) => (reading.await, true),
             future::Either::Left((Err(error), reading)) => {
                 // The upstream may have answered before it stopped reading.
-                let head = monoio::time::timeout(EARLY_ANSWER_TIME, reading).await;
+                let head = monoio::time::timeout(EARLY_ANSWER_TIMEOUT, reading).await;
                 match head {
                     Ok(Ok(head)) => (Ok(head), false),
                     _ => return Err(AttemptFault::broke(error)),
@@ -289,7 +289,7 @@
     };
     let head = head.map_err(AttemptFault::broke)?;
     connection.life.receive();
-    let said = context.border.read_answer(&head);
+    let said = context.adapter.read_answer(&head);
     if said.id.as_deref() != Some(call.request.id.as_str()) {
         return Err(AttemptFault::broke("the answer belongs to another request"));
     }
@@ -312,13 +312,13 @@
         let fault = AttemptFault {
             failure,
             at_fault: answer.said.at_fault,
-            kept_silent: false,
+            reused_silent: false,
             text: format!("not run: status {}", answer.head.status.as_u16()),
         };
         settle(context, &target.upstream, answer).await;
         return Err(fault);
     }
-    if answer.head.status.is_success() && !answer.said.sealed {
+    if answer.head.status.is_success() && !answer.said.signed {
         return Err(AttemptFault::broke("a success without the upstream's signature"));
     }
     Ok(answer)
@@ -326,8 +326,8 @@
 
 /// Whether an answer's head is of the upstream that was asked: not of another one at its address, nor a success
 /// without a signature.
-fn is_own_word(head: &http::response::Parts, said: &border::UpstreamAnswer) -> bool {
-    !said.misdirected && (said.sealed || !head.status.is_success())
+fn is_own_word(head: &http::response::Parts, said: &adapter::UpstreamAnswer) -> bool {
+    !said.misdirected && (said.signed || !head.status.is_success())
 }
 
 /// Reads a refusal to its end, so that its connection can be used again.
@@ -337,9 +337,9 @@
     mut answer: AttemptAnswer,
 ) {
     const REFUSAL_BYTES: usize = 16 * 1024;
-    const REFUSAL_TIME: time::Duration = time::Duration::from_millis(20);
+    const REFUSAL_TIMEOUT: time::Duration = time::Duration::from_millis(20);
     let body = answer.connection.reader.whole_body(&mut answer.framing, REFUSAL_BYTES);
-    let read = monoio::time::timeout(REFUSAL_TIME, body).await;
+    let read = monoio::time::timeout(REFUSAL_TIMEOUT, body).await;
     if matches!(read, Ok(Ok(_))) {
         answer.finish(context, upstream);
     }
@@ -353,7 +353,7 @@
     let left = call.left(context.now());
     let helper = |part: &PartReader| (part.address, part.ticket.clone());
     let helpers = target.helpers.iter().map(helper).collect();
-    let mut head = context.border.call_head(&border::UpstreamCall {
+    let mut head = context.adapter.call_head(&adapter::UpstreamCall {
         head: &call.head,
         upstream: &target.upstream,
         customer: call.customer.as_ref(),
--- a/crates/instance/src/upstream_choice.rs
+++ b/crates/instance/src/upstream_choice.rs
@@ -8,7 +8,7 @@
 
 /// Why none of a service's upstreams may get a request now, and when one will.
 #[derive(Debug, Clone)]
-pub(crate) enum NoneOpen {
+pub(crate) enum NoUpstreamReason {
     /// All that might take one rest; the rest that ends first.
     Rest {
         /// The service.
@@ -34,7 +34,7 @@
     },
 }
 
-impl NoneOpen {
+impl NoUpstreamReason {
     /// Whether it is because of rests.
     pub(crate) fn is_rest(&self) -> bool {
         matches!(self, Self::Rest { .. })
@@ -52,7 +52,7 @@
     }
 }
 
-impl fmt::Display for NoneOpen {
+impl fmt::Display for NoUpstreamReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Rest { service, first, now } => {
@@ -72,22 +72,22 @@
 /// Why none of a service's upstreams may get a request now where some will again; nothing where one may.
 ///
 /// `left` is the time that the caller has left.
-pub(crate) fn none_open(
+pub(crate) fn no_upstream_reason(
     context: &context::InstanceContext,
     service: &ids::ServiceId,
     left: time::Duration,
-) -> Option<NoneOpen> {
+) -> Option<NoUpstreamReason> {
     let now = context.now();
     let fleet = context.fleet.borrow();
     let open = fleet.list.open(now, service, send_gate::TrialTurn::Yes);
     if open.is_empty() {
         let service = service.clone();
         if let Some(first) = fleet.list.first_back(now, &service) {
-            return Some(NoneOpen::Rest { service, first, now });
+            return Some(NoUpstreamReason::Rest { service, first, now });
         }
         let away = fleet.list.evacuated_for(now, &service)?;
         let back_after = refusal::outage_return(away, left);
-        return Some(NoneOpen::Evacuated { service, back_after });
+        return Some(NoUpstreamReason::Evacuated { service, back_after });
     }
     let limits = open.iter().map(|entry| fleet.list.limit(&entry.name)?.reading.rate);
     let rates = limits.collect::<Option<Vec<_>>>()?;
@@ -96,5 +96,5 @@
     let share = rate / context.members.borrow().size() as f64;
     let mut returns = context.quotas.returns.borrow_mut();
     let back_after = returns.entry(service.clone()).or_default().next(now, share);
-    Some(NoneOpen::Limited { service: service.clone(), back_after })
+    Some(NoUpstreamReason::Limited { service: service.clone(), back_after })
 }
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -250,13 +250,13 @@
     delay: time::Duration,
 ) {
     monoio::time::sleep(delay).await;
-    if upstream_gate::look(&context, &upstream, send_gate::SendKind::Check, &[]).is_err() {
+    if upstream_gate::check_send(&context, &upstream, send_gate::SendKind::Check, &[]).is_err() {
         context.report_run(RunNews::Checked(upstream, CheckResult::Silent));
         return;
     }
     let seen = match context.pool.open(address).await {
         Ok(_) => CheckResult::Lives,
-        Err(error) if error.nobody_listens() => CheckResult::Refuses,
+        Err(error) if error.is_connection_refused() => CheckResult::Refuses,
         Err(_) => CheckResult::Silent,
     };
     context.report_run(RunNews::Checked(upstream, seen));
--- a/crates/instance/src/upstream_gate.rs
+++ b/crates/instance/src/upstream_gate.rs
@@ -35,7 +35,7 @@
     kind: send_gate::SendKind,
     permits: &[quota_permit::SendPermit],
 ) -> Result<SendPass<'a>, send_gate::SendDenial> {
-    look(context, upstream, kind, permits)?;
+    check_send(context, upstream, kind, permits)?;
     let begun = kind == send_gate::SendKind::Request;
     if begun {
         context.sent.borrow_mut().count(context.now(), upstream);
@@ -46,7 +46,7 @@
 }
 
 /// Whether a send would pass now.
-pub(crate) fn look(
+pub(crate) fn check_send(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     kind: send_gate::SendKind,
@@ -65,23 +65,23 @@
     context: &'a context::InstanceContext,
     target: &upstream_attempt::AttemptTarget,
 ) -> Result<SendPass<'a>, upstream_attempt::AttemptFault> {
-    look_at_parts(context, target)?;
+    check_helpers(context, target)?;
     let kind = send_gate::SendKind::Request;
     pass(context, &target.upstream, kind, &target.permits).map_err(fault)
 }
 
 /// Whether a request would pass now.
-pub(crate) fn look_at_request(
+pub(crate) fn check_request(
     context: &context::InstanceContext,
     target: &upstream_attempt::AttemptTarget,
 ) -> Result<(), upstream_attempt::AttemptFault> {
-    look_at_parts(context, target)?;
+    check_helpers(context, target)?;
     let kind = send_gate::SendKind::Request;
-    look(context, &target.upstream, kind, &target.permits).map_err(fault)
+    check_send(context, &target.upstream, kind, &target.permits).map_err(fault)
 }
 
 /// Whether a granted place may be used now, checked before memory is reserved.
-pub(crate) fn look_at_grant(
+pub(crate) fn check_grant(
     context: &context::InstanceContext,
     grant: &engine_place::PlaceGrant,
     permits: &[quota_permit::SendPermit],
@@ -89,18 +89,18 @@
     let holders = grant.held.iter().map(|part| &part.engine);
     let mut engines = std::iter::once(&grant.engine).chain(&grant.helpers).chain(holders);
     let kind = send_gate::SendKind::Request;
-    engines.try_for_each(|engine| look(context, engine, kind, permits)).map_err(fault)
+    engines.try_for_each(|engine| check_send(context, engine, kind, permits)).map_err(fault)
 }
 
 /// Checks the helpers that read parts of the prompt.
-fn look_at_parts(
+fn check_helpers(
     context: &context::InstanceContext,
     target: &upstream_attempt::AttemptTarget,
 ) -> Result<(), upstream_attempt::AttemptFault> {
     let mut parts = target.helpers.iter();
     let kind = send_gate::SendKind::Request;
     let permits = &target.permits;
-    parts.try_for_each(|part| look(context, &part.engine, kind, permits)).map_err(fault)
+    parts.try_for_each(|part| check_send(context, &part.engine, kind, permits)).map_err(fault)
 }
 
 pub(crate) fn fault(reason: send_gate::SendDenial) -> upstream_attempt::AttemptFault {
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -26,7 +26,7 @@
     /// Calls of this process in progress.
     calls: u32,
     /// Requests running and waiting there, and when it said so.
-    told: Option<(u32, units::MonoTime)>,
+    reported: Option<(u32, units::MonoTime)>,
     health: upstream_health::UpstreamHealth,
 }
 
@@ -67,8 +67,8 @@
         }
         let cost = |entry: &upstream_list::UpstreamEntry| {
             let state = self.states.get(&entry.name).cloned().unwrap_or_default();
-            let told = state.told.filter(|(_, at)| now.since(*at) < LOAD_TIME);
-            let running = told.map_or(0, |(running, _)| running).max(state.calls);
+            let reported = state.reported.filter(|(_, at)| now.since(*at) < LOAD_TIME);
+            let running = reported.map_or(0, |(running, _)| running).max(state.calls);
             let load = f64::from(running) / entry.slots as f64;
             let away = if entry.data_center == *own { 0.0 } else { AWAY_COST };
             let ejected = if state.health.is_trusted() { 0.0 } else { EJECTED_COST };
@@ -155,8 +155,13 @@
     }
 
     /// Takes in what an upstream says of its load.
-    pub fn describe(&mut self, now: units::MonoTime, name: &ids::UpstreamId, running: u32) {
-        self.states.entry(name.clone()).or_default().told = Some((running, now));
+    pub fn set_reported_load(
+        &mut self,
+        now: units::MonoTime,
+        name: &ids::UpstreamId,
+        running: u32,
+    ) {
+        self.states.entry(name.clone()).or_default().reported = Some((running, now));
     }
 
     /// Forgets upstreams that are gone.
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -10,13 +10,13 @@
 use crate::upstream_gate;
 
 /// Time for a connection to come about; within a region it takes a few milliseconds.
-const CONNECT_TIME: time::Duration = time::Duration::from_millis(400);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Resting connections kept for each upstream.
-pub(crate) const MAX_RESTING: usize = 4;
+pub(crate) const MAX_IDLE_CONNECTIONS: usize = 4;
 /// Longest a connection rests where the upstream does not say.
-const REST_TIME: time::Duration = time::Duration::from_secs(4);
+const MAX_IDLE_TIME: time::Duration = time::Duration::from_secs(4);
 /// A connection is given up this long before the upstream would close it.
-const REST_MARGIN: time::Duration = time::Duration::from_millis(900);
+const IDLE_MARGIN: time::Duration = time::Duration::from_millis(900);
 
 /// Why no connection came about; not a byte was written.
 #[derive(Debug, Snafu)]
@@ -28,13 +28,13 @@
         source: io::Error,
     },
     /// Nothing happened in time.
-    #[snafu(display("no connection within {CONNECT_TIME:?}"))]
+    #[snafu(display("no connection within {CONNECT_TIMEOUT:?}"))]
     Silent,
 }
 
 impl ConnectError {
     /// Whether the other side's system said that no process listens there.
-    pub fn nobody_listens(&self) -> bool {
+    pub fn is_connection_refused(&self) -> bool {
         let refused = |source: &io::Error| {
             matches!(
                 source.kind(),
@@ -90,7 +90,7 @@
 }
 
 #[derive(Debug)]
-struct RestingConnection {
+struct PooledConnection {
     connection: UpstreamConnection,
     until: boot_clock::BootInstant,
 }
@@ -101,14 +101,14 @@
     /// All of them.
     pub(crate) open: usize,
     /// Those that wait for another request.
-    pub(crate) resting: usize,
+    pub(crate) idle: usize,
 }
 
 /// Resting connections by address, and the times of all.
 #[derive(Debug, Default)]
 pub struct UpstreamPool {
     lives: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionLife>>>>,
-    resting: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<RestingConnection>>>,
+    idle: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<PooledConnection>>>,
 }
 
 impl UpstreamPool {
@@ -117,7 +117,7 @@
         &self,
         address: net::SocketAddrV4,
     ) -> Result<UpstreamConnection, ConnectError> {
-        match self.take_resting(address) {
+        match self.take_idle(address) {
             Some(connection) => Ok(connection),
             None => self.open(address).await,
         }
@@ -129,7 +129,7 @@
         address: net::SocketAddrV4,
     ) -> Result<UpstreamConnection, ConnectError> {
         let connecting = monoio::net::TcpStream::connect_addr(address.into());
-        let connected = monoio::time::timeout(CONNECT_TIME, connecting).await;
+        let connected = monoio::time::timeout(CONNECT_TIMEOUT, connecting).await;
         let Ok(connected) = connected else {
             return SilentSnafu.fail();
         };
@@ -156,14 +156,15 @@
         connection.reader.rest();
         connection.used = true;
         connection.life.receive();
-        let rest = keep.map_or(REST_TIME, |keep| keep.saturating_sub(REST_MARGIN).min(REST_TIME));
+        let rest =
+            keep.map_or(MAX_IDLE_TIME, |keep| keep.saturating_sub(IDLE_MARGIN).min(MAX_IDLE_TIME));
         if rest.is_zero() {
             return;
         }
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.entry(address).or_default();
+        let mut idle = self.idle.borrow_mut();
+        let kept = idle.entry(address).or_default();
         if kept.len() < most {
-            kept.push(RestingConnection {
+            kept.push(PooledConnection {
                 connection,
                 until: boot_clock::BootInstant::now() + rest,
             });
@@ -176,15 +177,15 @@
         let lives = self.lives.borrow();
         HeldConnections {
             open: lives.get(&address).map_or(0, |lives| lives.iter().filter(is_open).count()),
-            resting: self.resting.borrow().get(&address).map_or(0, Vec::len),
+            idle: self.idle.borrow().get(&address).map_or(0, Vec::len),
         }
     }
 
     /// Closes connections that have rested long enough.
     pub fn prune(&self) {
         let now = boot_clock::BootInstant::now();
-        self.resting.borrow_mut().retain(|_, kept| {
-            kept.retain(|resting| resting.until > now);
+        self.idle.borrow_mut().retain(|_, kept| {
+            kept.retain(|idle| idle.until > now);
             !kept.is_empty()
         });
         self.lives.borrow_mut().retain(|_, lives| {
@@ -194,8 +195,8 @@
     }
 
     /// Closes the connections that rest to an address; returns how many.
-    pub fn forget(&self, address: net::SocketAddrV4) -> usize {
-        self.resting.borrow_mut().remove(&address).map_or(0, |kept| kept.len())
+    pub fn close_idle(&self, address: net::SocketAddrV4) -> usize {
+        self.idle.borrow_mut().remove(&address).map_or(0, |kept| kept.len())
     }
 
     /// What the silence of a connection shows, compared with the others to its upstream.
@@ -207,45 +208,44 @@
     ) -> connection_silence::SilenceCause {
         let lives = self.lives.borrow();
         let same = lives.get(&silent.address).into_iter().flatten();
-        let others = ages_beside(silent, same);
+        let others = ages_of_others(silent, same);
         connection_silence::SilenceCause::of(silent.ages(), moment, waited, others)
     }
 
     /// Closes resting connections that may have fallen silent with one on which was waited in
     /// vain; returns how many.
-    pub fn drop_untrusted(&self, silent: &ConnectionLife, waited: time::Duration) -> usize {
+    pub fn close_untrusted(&self, silent: &ConnectionLife, waited: time::Duration) -> usize {
         // What strikes a process strikes its connections to all upstreams at once; one that is
         // heard speaks for the others, and only those to the same upstream stay in doubt.
         let lives = self.lives.borrow();
-        let others = ages_beside(silent, lives.values().flatten());
+        let others = ages_of_others(silent, lives.values().flatten());
         let all = !silent.ages().reserved_part(waited, others);
-        let mut resting = self.resting.borrow_mut();
-        let count = |resting: &collections::HashMap<_, Vec<_>>| -> usize {
-            resting.values().map(Vec::len).sum()
-        };
-        let before = count(&resting);
-        let doubted = resting.iter_mut().filter(|(address, _)| all || **address == silent.address);
+        let mut idle = self.idle.borrow_mut();
+        let count =
+            |idle: &collections::HashMap<_, Vec<_>>| -> usize { idle.values().map(Vec::len).sum() };
+        let before = count(&idle);
+        let doubted = idle.iter_mut().filter(|(address, _)| all || **address == silent.address);
         for (_, kept) in doubted {
-            kept.retain(|resting| resting.connection.life.ages().trusted(waited));
+            kept.retain(|idle| idle.connection.life.ages().trusted(waited));
         }
-        before - count(&resting)
+        before - count(&idle)
     }
 
-    fn take_resting(&self, address: net::SocketAddrV4) -> Option<UpstreamConnection> {
+    fn take_idle(&self, address: net::SocketAddrV4) -> Option<UpstreamConnection> {
         let now = boot_clock::BootInstant::now();
         loop {
-            let mut resting = self.resting.borrow_mut().get_mut(&address)?.pop()?;
+            let mut idle = self.idle.borrow_mut().get_mut(&address)?.pop()?;
             // Anything to read means that the upstream has closed, or sent bytes without a request.
-            let silent = resting.connection.reader.fill().now_or_never().is_none();
-            if resting.until > now && silent {
-                return Some(resting.connection);
+            let silent = idle.connection.reader.fill().now_or_never().is_none();
+            if idle.until > now && silent {
+                return Some(idle.connection);
             }
         }
     }
 }
 
 /// The ages of connections that are still open, but for one.
-fn ages_beside<'a>(
+fn ages_of_others<'a>(
     one: &ConnectionLife,
     lives: impl Iterator<Item = &'a rc::Weak<ConnectionLife>>,
 ) -> impl Iterator<Item = connection_silence::ConnectionAges> {
--- a/crates/instance/src/upstream_rows.rs
+++ b/crates/instance/src/upstream_rows.rs
@@ -79,6 +79,6 @@
 
 fn connections(context: &context::InstanceContext, entry: &upstream_list::UpstreamEntry) -> String {
     let held = context.pool.held(entry.address);
-    let most = context.resting_share(&entry.name);
-    format!("{} open, {} of {most} at rest", held.open, held.resting)
+    let most = context.idle_connection_limit(&entry.name);
+    format!("{} open, {} of {most} at rest", held.open, held.idle)
 }
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{ids, planner::ways, units, upstream_notice};
 
-use crate::{border, context, limit_gossip, member_gossip, peer_message};
+use crate::{adapter, context, limit_gossip, member_gossip, peer_message};
 
 /// Origin of a signal.
 #[derive(Debug, Clone, Copy)]
@@ -20,7 +20,7 @@
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     status: http::StatusCode,
-    said: &border::UpstreamAnswer,
+    said: &adapter::UpstreamAnswer,
     asked: SignalOrigin,
 ) {
     let source = asked.source;
@@ -45,7 +45,7 @@
     head: &http::response::Parts,
     asked: SignalOrigin,
 ) {
-    let said = border::UpstreamBorder::read_answer(&*context.border, head);
+    let said = adapter::UpstreamAdapter::read_answer(&*context.adapter, head);
     if said.misdirected || !(said.leaving || said.rest.is_some() || said.limit.is_some()) {
         return;
     }
@@ -115,7 +115,7 @@
         context.stats.borrow_mut().count("upstream_leaves", &source.to_string());
         if let Some(entry) = fleet.list.entry(upstream) {
             // No more requests use them.
-            context.pool.forget(entry.address);
+            context.pool.close_idle(entry.address);
         }
     }
     news
@@ -133,7 +133,7 @@
 fn receive_rest(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
-    rest: &Result<time::Duration, border::FormatError>,
+    rest: &Result<time::Duration, adapter::FormatError>,
 ) {
     let asked = match rest {
         Ok(asked) => *asked,
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -36,7 +36,7 @@
     let cause = context.pool.cause(wait.life, wait.moment, wait.waited);
     context.stats.borrow_mut().count("silent", cause.label());
     let doubted = cause.doubts_others();
-    let dropped = if doubted { context.pool.drop_untrusted(wait.life, wait.waited) } else { 0 };
+    let dropped = if doubted { context.pool.close_untrusted(wait.life, wait.waited) } else { 0 };
     let log = &context.silence_log;
     if log.last.get().is_some_and(|last| last.elapsed() < LOG_INTERVAL) {
         log.held_back.set(log.held_back.get() + 1);
--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -5,7 +5,7 @@
 use futures::{channel::oneshot, future};
 use slipturn_core::{ids, units};
 
-use crate::{border, context};
+use crate::{adapter, context};
 
 /// What a request's record says of an attempt whose upstream has started again.
 pub(crate) const RESTARTED: &str = "the upstream has started again";
@@ -63,7 +63,7 @@
     }
     for start in ended {
         let attempts = context.starts.end(&start.name);
-        let closed = context.pool.forget(start.address);
+        let closed = context.pool.close_idle(start.address);
         log::info!(
             upstream:% = start.name, present:% = start.present, attempts, closed;
             "upstream.restarted"
@@ -92,7 +92,7 @@
     body: &[u8],
     asked: units::MonoTime,
 ) -> Option<ids::UpstreamStart> {
-    let start = border::UpstreamBorder::order_start(&*context.border, body);
+    let start = adapter::UpstreamAdapter::order_start(&*context.adapter, body);
     receive(context, address, start, asked);
     start
 }
--- a/crates/instance/tests/event_stream.rs
+++ b/crates/instance/tests/event_stream.rs
@@ -7,10 +7,10 @@
 fn half_events_stay_in_the_buffer() {
     let mut buffer = EventBuffer::default();
     buffer.push(b"id: 1\ndata: a\n\nid: 2\nda");
-    assert_eq!(&buffer.take_whole()[..], b"id: 1\ndata: a\n\n");
+    assert_eq!(&buffer.take_complete()[..], b"id: 1\ndata: a\n\n");
     assert!(!buffer.is_empty());
     buffer.push(b"ta: b\r\n\r\n");
-    assert_eq!(&buffer.take_whole()[..], b"id: 2\ndata: b\r\n\r\n");
+    assert_eq!(&buffer.take_complete()[..], b"id: 2\ndata: b\r\n\r\n");
     assert!(buffer.is_empty());
 }
 
@@ -32,13 +32,13 @@
             let (piece, later) = rest.split_at(cut.min(rest.len()));
             rest = later;
             buffer.push(piece);
-            let taken = buffer.take_whole();
+            let taken = buffer.take_complete();
             prop_assert!(taken.is_empty() || taken.ends_with(b"\n\n"));
             passed.extend_from_slice(&taken);
         }
         prop_assert!(whole.as_bytes().starts_with(&passed));
         buffer.push(rest);
-        passed.extend_from_slice(&buffer.take_whole());
+        passed.extend_from_slice(&buffer.take_complete());
         prop_assert_eq!(passed, whole.as_bytes());
     }
 }
--- a/crates/instance/tests/upstream_shares.rs
+++ b/crates/instance/tests/upstream_shares.rs
@@ -101,7 +101,7 @@
             let name = &entries[upstream].name;
             loads[instance].end(at(now), name, Some(CallResult::Good));
             if plan.tells {
-                loads[instance].describe(at(now), name, upstreams[upstream].running);
+                loads[instance].set_reported_load(at(now), name, upstreams[upstream].running);
             }
         }
         let due = CAPACITY * plan.load / 1_000.0 + random.random::<f64>();
