--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -1,7 +1,7 @@
-//! What an instance needs of the outside: callers, upstreams and the platform's store.
+//! Traits that connect an instance to a platform: to its callers, its upstreams and its store.
 //!
-//! An adapter implements these traits with the names and formats of one platform. It translates
-//! and decides nothing.
+//! An implementation knows the header names, paths and document formats of one platform. It only
+//! translates between them and the types of this module; it makes no decisions.
 
 use std::{collections, net, time};
 
@@ -11,262 +11,263 @@
 
 use crate::{list_recovery, routes_history};
 
-/// Why bytes from outside could not be read.
+/// Input from a caller, an upstream or the store that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{what}: {reason}"))]
 pub struct FormatError {
-    /// What was being read.
+    /// The kind of input that was parsed.
     pub what: &'static str,
-    /// What is wrong with it.
+    /// The reason why it is invalid.
     pub reason: String,
 }
 
 impl FormatError {
-    /// An error in `what`.
+    /// Creates an error about the input `what`.
     pub fn new(what: &'static str, reason: impl ToString) -> Self {
         Self { what, reason: reason.to_string() }
     }
 }
 
-/// What a caller's request head says.
+/// Fields of a caller's request head.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CallerRequest {
-    /// The caller's id of this attempt.
+    /// Id that the caller gave to this attempt.
     pub id: String,
-    /// Key of the customer.
+    /// API key of the customer.
     pub key: Option<String>,
-    /// How long the caller will wait.
+    /// How long the caller waits for the answer.
     pub patience: Option<time::Duration>,
-    /// Tokens of the prompt; 0 where it is none.
+    /// Number of prompt tokens; 0 for a request without a prompt.
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub output: u64,
-    /// The last event that the caller has, when it takes a stream up again.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<String>,
 }
 
-/// A request as it goes to an upstream.
+/// A request to be sent to an upstream.
 #[derive(Debug)]
 pub struct UpstreamCall<'a> {
-    /// What the caller sent.
+    /// Head of the caller's request.
     pub head: &'a http::request::Parts,
-    /// Who must answer.
+    /// The upstream that must answer.
     pub upstream: &'a ids::UpstreamId,
-    /// Whose request it is.
+    /// The customer that sent the request, if known.
     pub customer: Option<&'a ids::CustomerId>,
-    /// Time left.
+    /// Time left until the deadline.
     pub left: time::Duration,
-    /// 0 is the most urgent; `None` leaves it to the upstream.
+    /// Priority, where 0 is the most urgent; `None` leaves it to the upstream.
     pub priority: Option<u8>,
-    /// The event after which a stream goes on.
+    /// Id of the event after which a stream resumes.
     pub last_event: Option<&'a str>,
-    /// Engines that read parts of the prompt, with the ticket of the memory set aside there.
+    /// Engines that process parts of the prompt, each with the ticket of the memory reserved there.
     pub helpers: Vec<(net::SocketAddrV4, Option<String>)>,
 }
 
-/// What an upstream's answer head says.
+/// Fields of an upstream's answer head.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct UpstreamAnswer {
-    /// The id of the request it answers.
+    /// Id of the request that is answered.
     pub id: Option<String>,
-    /// Whether it carries the upstream's signature.
+    /// Whether the answer carries the upstream's signature.
     pub signed: bool,
-    /// Whether the upstream says that it did not run the request.
+    /// Whether the upstream states that it did not run the request.
     pub not_run: bool,
-    /// Whether it says that it is not the one that was meant.
+    /// Whether the answering process states that it is not the upstream that was addressed.
     pub misdirected: bool,
-    /// Requests running, waiting, and slots.
+    /// Numbers of running requests, waiting requests and slots.
     pub load: Option<(u32, u32, u32)>,
-    /// The upstream that is the cause of a refusal, where it is another.
+    /// Address of the upstream that caused a refusal, if it is another one.
     pub at_fault: Option<net::SocketAddrV4>,
-    /// Whether the upstream says that it leaves.
+    /// Whether the upstream announces that it is shutting down.
     pub leaving: bool,
-    /// For how long it wants to be left alone, if it names a time; an error says what cannot be read.
+    /// For how long the upstream asks to receive no requests; an error if the value is invalid.
     pub rest: Option<Result<time::Duration, FormatError>>,
-    /// How many requests it takes from all instances together, if it names a limit; an error says what cannot be
-    /// read.
+    /// Rate of requests that the upstream accepts from all instances together; an error if the value
+    /// is invalid.
     pub limit: Option<Result<units::RequestRate, FormatError>>,
 }
 
 impl UpstreamAnswer {
-    /// Requests running and waiting, if reported.
+    /// Returns the number of running and waiting requests, if reported.
     pub fn requests(&self) -> Option<u16> {
         let (running, waiting, _) = self.load?;
         u16::try_from(running.saturating_add(waiting)).ok()
     }
 }
 
-/// What an engine reports of itself.
+/// An engine's report about its own load.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct EngineReport {
-    /// Above 1 the engine is slower than its figures.
+    /// Slowdown against the engine's configured speed; above 1 it is slower.
     pub pace: f64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Tokens in use.
+    /// Memory in use, in tokens.
     pub used: u64,
-    /// Memory set aside, if the engine reports it.
+    /// Memory reservations, if the engine reports them.
     pub tickets: Option<Vec<TicketReport>>,
-    /// Which start of the engine reports, if it names it.
+    /// The start of the engine that sent the report, if it is named.
     pub start: Option<ids::UpstreamStart>,
 }
 
 impl EngineReport {
-    /// Whether a request uses memory set aside; nothing where the engine does not tell.
+    /// Returns whether a request uses the memory reserved under `ticket`, or `None` if the engine
+    /// does not report its reservations.
     pub fn uses(&self, ticket: &str) -> Option<bool> {
         let tickets = self.tickets.as_ref()?;
         Some(tickets.iter().any(|told| told.ticket == ticket && told.used))
     }
 }
 
-/// Memory set aside, as an engine reports it.
+/// A memory reservation reported by an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TicketReport {
-    /// Its ticket.
+    /// Identifies the reservation.
     pub ticket: String,
-    /// Whether a request uses it.
+    /// Whether a request uses the reserved memory.
     pub used: bool,
 }
 
-/// An order about an engine's memory.
+/// An order that reserves or releases memory of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemoryOrder {
-    /// Set memory aside, or go on holding it.
+    /// Reserves memory or extends a reservation.
     Hold {
-        /// Its ticket.
+        /// Identifies the reservation.
         ticket: String,
-        /// How much.
+        /// Amount of memory, in tokens.
         tokens: u64,
-        /// For how long from now.
+        /// Duration of the reservation, counted from now.
         time: time::Duration,
     },
-    /// Give it back.
+    /// Releases a reservation.
     Release {
-        /// Its ticket.
+        /// Identifies the reservation.
         ticket: String,
     },
 }
 
-/// The callers' side.
+/// Translates between callers and the instance.
 pub trait CallerAdapter {
-    /// Reads a request's head.
+    /// Parses a request's head.
     fn read_request(&self, head: &http::request::Parts) -> Result<CallerRequest, FormatError>;
-    /// Headers of an answer of the instance's own.
+    /// Returns the headers of an answer that the instance generates itself.
     fn answer_headers(&self, request: &str, back_after: Option<time::Duration>) -> http::HeaderMap;
-    /// Whether a path of the health address asks for readiness.
+    /// Returns whether a path on the health address is the readiness check.
     fn is_readiness(&self, path: &str) -> bool;
 }
 
-/// The upstreams' side.
+/// Translates between the instance and upstreams.
 pub trait UpstreamAdapter {
-    /// The head of a request to an upstream; the length is added after it.
+    /// Returns the head of a request to an upstream, without the body length.
     fn call_head(&self, call: &UpstreamCall<'_>) -> http::request::Parts;
-    /// Reads an answer's head.
+    /// Parses an answer's head.
     fn read_answer(&self, head: &http::response::Parts) -> UpstreamAnswer;
-    /// Path and body of an order about memory.
+    /// Returns the path and body of a memory order.
     fn memory_order(&self, order: &MemoryOrder) -> (String, Bytes);
-    /// Which start of an engine answered an order, if the answer names it.
+    /// Returns the start of the engine that answered an order, if the answer names it.
     fn order_start(&self, body: &[u8]) -> Option<ids::UpstreamStart>;
-    /// Path of an engine's report.
+    /// Returns the path of an engine's report.
     fn report_path(&self) -> String;
-    /// Reads an engine's report.
+    /// Parses an engine's report.
     fn read_report(&self, body: &[u8]) -> Result<EngineReport, FormatError>;
-    /// Number of the event that `event` is, where it has one.
+    /// Returns the id of an event, if it has one.
     fn event_id(&self, event: &[u8]) -> Option<String>;
 }
 
-/// What a member passes on of the store's documents, raw, to one that knows less.
+/// Unparsed store documents that a member sends to a member with older ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RawDocuments {
-    /// The routes, if newer ones are known.
+    /// The routes, if the sender has newer ones.
     pub routes: Option<routes_history::RoutesCopy>,
-    /// All upstreams by name, where the changes alone are not known any more.
+    /// All upstreams by name, if the changes alone are no longer known.
     pub upstreams: Option<collections::BTreeMap<String, String>>,
-    /// Changes to upstreams, oldest first: the name and its document, or nothing once it is gone.
+    /// Changes to upstreams, oldest first: the name with its document, or `None` if it was deleted.
     pub changes: Vec<(String, Option<String>)>,
-    /// Whether the changes skip some that were taken back since.
+    /// Whether the changes omit some that were reverted later.
     pub skipped: bool,
-    /// All data centres under evacuation; empty where only routes were asked for.
+    /// All data centres under evacuation; empty if only routes were requested.
     pub evacuated: collections::BTreeSet<ids::DataCenterId>,
-    /// Revision of the store that the upstreams and evacuations belong to; none where only routes were asked for.
+    /// Store revision of the upstreams and evacuations; the default if only routes were requested.
     pub revision: store_revision::StoreRevision,
-    /// Digest of all upstreams, where the changes lead into another era.
+    /// Digest of all upstreams, if the changes lead into another era.
     pub digest: Option<u64>,
-    /// What stays in force of the era before, while that matters.
+    /// State of the previous era that is still in force.
     pub recovery: Option<list_recovery::RecoveryReport>,
-    /// How long ago the store came back from an outage, if that was a moment ago: what vanished
-    /// with it may return.
+    /// Milliseconds since the store recovered from an outage, if that was recent: entries that
+    /// vanished with the outage may return.
     pub returned_ms: Option<u64>,
 }
 
-/// A key of the store with its value.
+/// A key of the store and its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreItem {
-    /// The key; empty where not even that can be read.
+    /// The key; empty if it cannot be parsed.
     pub key: String,
-    /// The value, or why it is none: anybody may write to the store.
+    /// The value, or an error if it cannot be parsed: any client may write to the store.
     pub value: Result<String, FormatError>,
 }
 
-/// A page of what lies in the store.
+/// A page of the store's contents.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StorePage {
-    /// What it holds.
+    /// Keys and values on this page.
     pub items: Vec<StoreItem>,
-    /// Key after which the next page starts, if there is one.
+    /// Key after which the next page starts, if there is a next page.
     pub next: Option<String>,
     /// Revision of the store within its era.
     pub revision: u64,
 }
 
-/// A change in the store.
+/// A change to a key of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreChange {
-    /// A key has a value.
+    /// The key was created or updated.
     Put(StoreItem),
-    /// A key is gone.
+    /// The key was deleted.
     Gone(String),
 }
 
-/// What a key of the store holds.
+/// The kind of document stored under a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreKey {
     /// The routes.
     Routes,
-    /// An upstream of this name.
+    /// The entry of the upstream with this name.
     Upstream(String),
-    /// The order to evacuate this data centre, in force for as long as the key exists.
+    /// The order to evacuate a data centre, in force as long as the key exists.
     Evacuation(ids::DataCenterId),
-    /// Nothing that concerns an instance.
+    /// A document that instances do not use.
     Other,
 }
 
-/// The platform's store.
+/// Translates between the instance and the platform's store.
 pub trait StoreAdapter {
-    /// Path that reads a page of the upstreams, after a key.
+    /// Returns the path that reads the page of upstreams after a key.
     fn upstreams_path(&self, after: Option<&str>) -> String;
-    /// Path that reads the routes.
+    /// Returns the path that reads the routes.
     fn routes_path(&self) -> String;
-    /// Path that reads a page of what operators publish, routes and evacuations, after a key.
+    /// Returns the path that reads the page of operator documents (routes and evacuations) after a key.
     fn operator_path(&self, after: Option<&str>) -> String;
-    /// Path that waits for changes after a revision.
+    /// Returns the path that waits up to `wait` for changes after a revision.
     fn watch_path(&self, after: u64, wait: time::Duration) -> String;
-    /// The era that an answer's head tells, whatever its status.
+    /// Returns the era named in an answer's head, whatever the answer's status.
     fn store_era(
         &self,
         head: &http::response::Parts,
     ) -> Result<Option<store_revision::StoreEra>, FormatError>;
-    /// Reads a page; also of a single key.
+    /// Parses a page, or the answer to a read of a single key.
     fn read_page(&self, body: &[u8]) -> Result<StorePage, FormatError>;
-    /// Reads changes and the revision behind them.
+    /// Parses changes and the revision after them.
     fn read_changes(&self, body: &[u8]) -> Result<(Vec<StoreChange>, u64), FormatError>;
-    /// What a key holds.
+    /// Returns the kind of document stored under a key.
     fn key(&self, key: &str) -> StoreKey;
-    /// Reads the routes.
+    /// Parses the routes.
     fn read_routes(&self, text: &str) -> Result<route_table::RouteTable, FormatError>;
-    /// Reads an upstream's entry.
+    /// Parses the entry of the upstream `name`.
     fn read_upstream(
         &self,
         name: &str,
@@ -274,5 +275,5 @@
     ) -> Result<upstream_list::UpstreamEntry, FormatError>;
 }
 
-/// All borders of one platform.
+/// All adapter traits of one platform.
 pub trait InstanceAdapter: CallerAdapter + UpstreamAdapter + StoreAdapter {}
