--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: one request after the other, until either side closes.
+//! Serves a caller's connection: one request after another, until either side closes it.
 
 use std::{rc, time};
 
@@ -10,37 +10,37 @@
     context, incoming_call, model_request, quarantine_gate, request_record, service_request,
 };
 
-/// Bytes that a caller may send ahead of its answer.
+/// Maximum number of bytes that a caller may pipeline before it receives its answer.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
-/// Time for reading what a refused caller still sends, so that it can read its answer.
+/// How long remaining input is read and discarded before the connection is closed.
 const LINGER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
-/// Age before which members that started at the same moment may not agree on who plans; each
-/// would plan alone then, and give away the same engines.
+/// Process age up to which requests wait. Members that started at the same time may not agree on
+/// the planner before this age, so each would plan alone and assign the same engines.
 const SETTLE_TIME: time::Duration = time::Duration::from_millis(150);
-/// Time between two looks at whether they are known.
+/// Interval at which a waiting request checks whether the process is ready.
 const READY_POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// What becomes of the connection after a request.
+/// Whether a connection stays open after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionNext {
-    /// It takes another request.
+    /// The connection accepts another request.
     Keep,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
-/// The writing side of a caller's connection while one request is served.
+/// Writes the answer to one request to the caller's connection.
 pub struct CallerReply<'a> {
     context: &'a context::InstanceContext,
     writer: &'a mut h1::MessageWriter,
-    /// Whether the connection is closed after the answer.
+    /// Whether the connection must be closed after the answer.
     close: bool,
-    /// Whether part of an answer may be on its way.
+    /// Whether part of an answer may have been sent.
     begun: bool,
 }
 
 impl CallerReply<'_> {
-    /// Sends a whole answer of an upstream.
+    /// Sends a complete answer of an upstream.
     pub async fn whole(
         &mut self,
         head: &http::response::Parts,
@@ -54,7 +54,7 @@
         self.writer.write(bytes).await
     }
 
-    /// Sends the head of a stream, with its first events.
+    /// Sends the head of a stream together with its first events.
     pub async fn begin(
         &mut self,
         head: &http::response::Parts,
@@ -70,7 +70,8 @@
         self.writer.write(bytes).await
     }
 
-    /// Sends the head of a plain answer, of a length where that is known, with the first bytes of its body.
+    /// Sends the head of a non-streamed answer with the first bytes of its body. Without a `length`
+    /// the body is sent in chunks.
     pub(crate) async fn begin_body(
         &mut self,
         head: &http::response::Parts,
@@ -88,7 +89,7 @@
         self.writer.write(bytes).await
     }
 
-    /// Sends more of a plain answer, of a length that is known or not.
+    /// Sends another piece of a body that was begun with [`Self::begin_body`].
     pub(crate) async fn body_piece(
         &mut self,
         known_length: bool,
@@ -100,17 +101,17 @@
         self.writer.write(h1::chunk_bytes(&piece)).await
     }
 
-    /// Sends events of a stream.
+    /// Sends further events of a stream.
     pub async fn events(&mut self, events: &[u8]) -> Result<(), h1::MessageError> {
         self.writer.write(h1::chunk_bytes(events)).await
     }
 
-    /// Ends a stream.
+    /// Ends a chunked body.
     pub async fn end(&mut self) -> Result<(), h1::MessageError> {
         self.writer.write(h1::LAST_CHUNK).await
     }
 
-    /// Sends a refusal.
+    /// Answers the request `id` with a refusal.
     pub async fn refuse(
         &mut self,
         id: &str,
@@ -133,13 +134,13 @@
         self.writer.write(bytes).await
     }
 
-    /// Whether the connection is closed after this answer.
+    /// Returns whether the connection is closed after this answer.
     pub fn closing(&self) -> bool {
         self.close || self.context.stop.asked()
     }
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 pub async fn serve(context: rc::Rc<context::InstanceContext>, stream: monoio::net::TcpStream) {
     let (mut reader, mut writer) = h1::split(stream);
     loop {
@@ -172,7 +173,7 @@
                     return Ok(ConnectionNext::Close);
                 }
             }
-            // The caller has rested too long, or this process is about to end.
+            // The connection was idle for too long, or this process is stopping.
             _ => return Ok(ConnectionNext::Close),
         }
     }
@@ -239,13 +240,13 @@
     };
     call.body = body;
     let mut record = call.record(context);
-    // What stays in the record when nothing else happens.
+    // Default outcome, which remains if the caller disconnects before there is another one.
     "caller left".clone_into(&mut record.outcome);
     context.count_request(&call.service);
     let next = {
         let serving = std::pin::pin!(serve_call(context, &call, reply, &mut record));
         let watching = std::pin::pin!(watch_caller(reader));
-        // Watched first: nothing more is done for a caller whose close has arrived already.
+        // `select` polls `watching` first, so no work is done for a caller that has disconnected.
         match future::select(watching, serving).await {
             future::Either::Left(_) => Ok(ConnectionNext::Close),
             future::Either::Right((next, _)) => next,
@@ -255,8 +256,9 @@
     next
 }
 
-/// Waits while this process has just started and knows neither routes nor upstreams nor who plans:
-/// it learns them within a moment, and many callers come back only once.
+/// Delays a request while this process has just started and does not know the routes, the
+/// upstreams or the planners yet. It usually learns them within moments, and many callers retry
+/// only once.
 async fn wait_until_ready(
     context: &context::InstanceContext,
     arrived: units::MonoTime,
@@ -312,7 +314,7 @@
     Ok(if reply.closing() { ConnectionNext::Close } else { next })
 }
 
-/// Answers a request that is held back.
+/// Refuses a quarantined request.
 async fn refuse_quarantined(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -326,7 +328,7 @@
     record.digest = Some(call.digest().to_string());
     context.stats.borrow_mut().count("held_back", &call.service.to_string());
     if reply.begun {
-        // Only a cut connection can say now that the answer is not whole.
+        // After part of the answer was sent, only closing the connection shows that it is incomplete.
         return Ok(ConnectionNext::Close);
     }
     record.status = Some(refusal.code.status());
@@ -360,7 +362,8 @@
     context.records.borrow_mut().push(record);
 }
 
-/// Ends when the caller has closed its connection; what it sends ahead stays for later.
+/// Completes when the caller closes its connection. Pipelined bytes stay buffered; beyond
+/// [`MAX_PIPELINED_BYTES`] the connection is no longer read, so a close goes unnoticed.
 async fn watch_caller(reader: &mut h1::MessageReader) {
     loop {
         if reader.buffered() > MAX_PIPELINED_BYTES {
@@ -389,13 +392,13 @@
     Ok(ConnectionNext::Close)
 }
 
-/// Reads and drops what still comes: a socket closed with unread data resets the connection, and
-/// the caller may lose the answer that it was just sent.
+/// Reads and discards remaining input before the socket is closed. Closing a socket with unread
+/// data resets the connection, which may lose the answer that was just sent.
 async fn linger(reader: &mut h1::MessageReader) {
     let dropping = async {
         let mut framing = h1::BodyFraming::UntilClose;
         while let Ok(Some(_)) = reader.next_piece(&mut framing).await {}
     };
-    // A caller that takes longer has had its answer for as long.
+    // A caller that is still sending has had this much time to read its answer.
     let _ = monoio::time::timeout(LINGER_TIMEOUT, dropping).await;
 }
--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -1,4 +1,4 @@
-//! A request's way to a place among the cells of its service's engines.
+//! Searches the cells of a service's engines for a place for a request.
 
 use std::{rc, time};
 
@@ -6,8 +6,9 @@
 
 use crate::{context, incoming_call, plan_client};
 
-/// Asks for a place in one cell of the service's engines, and in others where that one refuses: its engines may be
-/// full while others are not. The refusal is that with the soonest time to come back.
+/// Requests a place in one cell of the service's engines, and in further cells if it is refused
+/// there: the engines of one cell may be full while others have room. If all refuse, the refusal
+/// with the shortest retry delay is returned.
 pub(crate) async fn place(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -28,7 +29,7 @@
             ask.excluded.extend(context.closed_engines(&planner, turn));
         }
         if !refused.is_empty() && ask.goal_left_ms == 0 {
-            // It has waited in the first cell; another would keep its caller waiting longer.
+            // The request used up its goal in earlier cells; another one would delay the caller further.
             break;
         }
         match plan_client::place(context, &planner, ask, limit.saturating_sub(spent)).await {
