--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one process share.
+//! State shared by all tasks of an instance's process.
 
 use std::{cell, collections, rc, time};
 
@@ -16,129 +16,130 @@
     upstream_silence, upstream_starts,
 };
 
-/// Age at which a process knows how many members there are; heartbeats are a second apart at most.
+/// Process age from which the member count is reliable; heartbeats are at most a second apart.
 const MEMBER_COUNT_MIN_AGE: time::Duration = time::Duration::from_secs(3);
 
-/// Shortest time in which a place is looked for, also after a long first attempt.
+/// Minimum time to wait for a place, also after a long first attempt.
 pub(crate) const MIN_PLACE_TIME: time::Duration = time::Duration::from_millis(200);
 
-/// A message to another member, or to all.
+/// A message to another member.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// Where it goes.
+    /// Address of the recipient.
     pub to: std::net::SocketAddrV4,
-    /// What is said.
+    /// The message.
     pub message: peer_message::PeerMessage,
 }
 
-/// A place in use by a request of this process.
+/// A lease on a place that a request of this process uses.
 #[derive(Debug, Clone)]
 pub struct HeldLease {
-    /// The planner that gave it.
+    /// The planner that granted the place.
     pub key: planner_key::PlannerKey,
-    /// The lease, as it is repeated to the planner.
+    /// The lease that is renewed at the planner.
     pub lease: engine_place::PlaceLease,
 }
 
-/// Shared by all tasks of one process; all run on one thread.
+/// State shared by all tasks of the process, which run on one thread.
 pub struct InstanceContext {
-    /// Settings as of now; replaced by a reload.
+    /// Current settings; a reload replaces them.
     pub settings: cell::RefCell<rc::Rc<instance_settings::InstanceSettings>>,
-    /// The outside.
+    /// Adapter of the platform.
     pub adapter: rc::Rc<dyn adapter::InstanceAdapter>,
-    /// Time since the start.
+    /// Clock that counts from the start of the process.
     pub clock: process::ProcessClock,
-    /// This start of the process.
+    /// Random id of this start of the process.
     pub boot: u64,
-    /// Whether a planned stop was asked for.
+    /// Signals that a graceful stop was requested.
     pub stop: process::StopSignal,
-    /// Ends when resting connections are to be closed.
+    /// Completes when idle connections are to be closed.
     pub closing: future::Shared<oneshot::Receiver<()>>,
-    /// Routes and upstreams.
+    /// Routes and the list of upstreams.
     pub fleet: cell::RefCell<fleet_state::FleetState>,
-    /// Other instances.
+    /// The other instances of the fleet.
     pub members: cell::RefCell<membership::MemberView>,
-    /// The failure detector of the members.
+    /// Failure detector for the other members.
     pub detector: cell::RefCell<failure_detector::FailureDetector>,
-    /// When this process last denied a suspicion of itself.
+    /// When this process last refuted a suspicion of itself.
     pub last_refuted: cell::Cell<Option<units::MonoTime>>,
-    /// What requests of each class are worth.
+    /// Worth of a request, by class.
     pub classes: cell::RefCell<class_worth::ClassWorth>,
-    /// Planners of services that this process plans for.
+    /// Planners that run in this process.
     pub planners: cell::RefCell<planner_set::PlannerSet>,
-    /// Places in use by this process's requests.
+    /// Leases on the places that this process's requests use.
     pub leases: cell::RefCell<collections::HashMap<engine_place::JobId, HeldLease>>,
-    /// The other member that last planned for a key, as this process sees it.
+    /// The other member that this process last asked as planner, by key.
     pub planned_by: cell::RefCell<collections::BTreeMap<planner_key::PlannerKey, ids::InstanceId>>,
-    /// Cells that requests may ask beyond the first ones.
+    /// Budget for asking further cells for a place.
     pub search: cell::RefCell<search_budget::SearchBudget>,
-    /// Requests waiting for a grant.
+    /// Where planner replies go, by waiting request.
     pub grants: cell::RefCell<collections::HashMap<engine_place::JobId, peer_message::ReplySender>>,
-    /// Retries of this process by service.
+    /// This process's share of the retry budget, by service.
     pub retries: cell::RefCell<collections::HashMap<ids::ServiceId, fleet_budget::RetryShare>>,
     /// Idle connections to upstreams.
     pub pool: upstream_pool::UpstreamPool,
-    /// What upstreams of plain services do for this process.
+    /// Load and health of the upstreams of plain services.
     pub loads: cell::RefCell<upstream_load::UpstreamLoads>,
-    /// Requests that this process sent lately.
+    /// Numbers of requests recently sent to each upstream.
     pub sent: cell::RefCell<send_counts::SendCounts>,
-    /// Shared quotas of the fleet, coordinated here or elsewhere.
+    /// Quotas shared by the fleet, coordinated by this process or by other members.
     pub quotas: quota_coordinator::QuotaState,
-    /// Attempts that wait for starts of upstreams.
+    /// Attempts to be notified when an upstream restarts.
     pub starts: upstream_starts::StartWaiters,
-    /// Evidence against requests that crash upstreams.
+    /// Evidence about requests that crash upstreams.
     pub quarantine: cell::RefCell<quarantine::QuarantineTable>,
-    /// Signals that a request was quarantined.
+    /// Notifies requests in progress that one was quarantined.
     pub verdicts: quarantine_gate::VerdictSignal,
-    /// Second of the last gossip requests, and their number within it.
+    /// Second of the last gossip requests, and their number in that second.
     pub gossip_requests: cell::Cell<(u64, usize)>,
-    /// Answers to members about the store's documents.
+    /// Cached answers to members about the store's documents.
     pub answers: cell::RefCell<document_answers::DocumentAnswers>,
-    /// When silent connections were last logged.
+    /// Rate limiter for log lines about silent connections.
     pub silence_log: upstream_silence::SilenceLog,
     /// Counters and histograms.
     pub stats: cell::RefCell<instance_stats::InstanceStats>,
-    /// The last requests that ended.
+    /// Records of the last completed requests.
     pub records: cell::RefCell<crate::request_record::RecordLog>,
-    /// Requests and memory orders in progress.
+    /// Number of requests and memory orders in progress.
     pub busy: cell::Cell<usize>,
-    /// What is believed of the store, and of documents that other members have.
+    /// Believed state of the store, and document versions that other members have.
     pub belief: cell::RefCell<store_belief::StoreBelief>,
-    /// Members that joined since the last heartbeat, for the log.
+    /// Number of members that joined since the last heartbeat, for the log.
     pub joined: cell::Cell<usize>,
-    /// Heartbeats sent so far.
+    /// Sequence number of the last heartbeat.
     pub heartbeats_sent: cell::Cell<u64>,
-    /// When this process noticed that it had been paused; it plans for no one shortly after.
+    /// When this process last noticed that it had been paused; it does not plan for others shortly
+    /// after that. The default if it was never paused.
     pub resumed_at: cell::Cell<units::MonoTime>,
-    /// Until when requests wait for places, once a planned stop has begun.
+    /// Until when requests wait for places after a graceful stop has begun.
     pub places_until: cell::Cell<Option<units::MonoTime>>,
-    /// When the last caller could not be let in; nothing once one was.
+    /// When accepting a connection last failed; reset by the next accepted one.
     pub accept_failed_at: cell::Cell<Option<units::MonoTime>>,
     /// Messages to other members.
     pub outgoing: mpsc::UnboundedSender<Outgoing>,
-    /// News of runs at upstreams.
+    /// Events about requests running at upstreams.
     runs: mpsc::UnboundedSender<upstream_ends::RunNews>,
     sequence: cell::Cell<u64>,
 }
 
-/// Parts that a context is made of.
+/// Arguments of [`InstanceContext::new`].
 pub struct ContextParts {
-    /// Settings.
+    /// Initial settings.
     pub settings: instance_settings::InstanceSettings,
-    /// The outside.
+    /// Adapter of the platform.
     pub adapter: rc::Rc<dyn adapter::InstanceAdapter>,
-    /// Planned stop.
+    /// Signals that a graceful stop was requested.
     pub stop: process::StopSignal,
-    /// Ends when resting connections are to be closed.
+    /// Completes when idle connections are to be closed.
     pub closing: oneshot::Receiver<()>,
     /// Messages to other members.
     pub outgoing: mpsc::UnboundedSender<Outgoing>,
-    /// News of runs at upstreams.
+    /// Events about requests running at upstreams.
     pub runs: mpsc::UnboundedSender<upstream_ends::RunNews>,
 }
 
 impl InstanceContext {
-    /// A context of a process that has just started.
+    /// Creates the context of a process that has just started.
     pub fn new(parts: ContextParts) -> Self {
         use futures::FutureExt as _;
         let seeds = parts.settings.member_seeds();
@@ -199,17 +200,17 @@
         }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start of the process.
     pub fn now(&self) -> units::MonoTime {
         self.clock.now()
     }
 
-    /// The settings as of now.
+    /// Returns the current settings.
     pub fn settings(&self) -> rc::Rc<instance_settings::InstanceSettings> {
         rc::Rc::clone(&self.settings.borrow())
     }
 
-    /// An id of an attempt that no other attempt of any member has.
+    /// Returns a new attempt id, unique across all members.
     pub fn next_job(&self) -> engine_place::JobId {
         let sequence = self.sequence.get() + 1;
         self.sequence.set(sequence);
@@ -222,13 +223,13 @@
         let _ = self.outgoing.unbounded_send(Outgoing { to, message });
     }
 
-    /// Reports the end of a run.
+    /// Reports an event about a request at an upstream.
     pub(crate) fn report_run(&self, news: upstream_ends::RunNews) {
         // The receiver lives as long as the process.
         let _ = self.runs.unbounded_send(news);
     }
 
-    /// The next heartbeat.
+    /// Returns the next heartbeat, with the next sequence number.
     pub fn next_heartbeat(&self) -> member_beat::MemberBeat {
         let sequence = self.heartbeats_sent.get() + 1;
         self.heartbeats_sent.set(sequence);
@@ -236,7 +237,8 @@
         member_beat::MemberBeat { sequence, others, ..self.own_heartbeat() }
     }
 
-    /// What this process says of itself, as of its last heartbeat's number and naming no others.
+    /// Returns the current state of this process as a heartbeat, with the sequence number of the last
+    /// one and without other members.
     pub fn own_heartbeat(&self) -> member_beat::MemberBeat {
         let settings = self.settings();
         let fleet = self.fleet.borrow();
@@ -261,21 +263,22 @@
         }
     }
 
-    /// Versions of routes and list here.
+    /// Returns the versions of this process's routes and list of upstreams.
     pub fn versions(&self) -> store_belief::DocumentVersions {
         let fleet = self.fleet.borrow();
         let (routes, list) = (fleet.routes.version.0, fleet.list.revision());
         store_belief::DocumentVersions { routes, list }
     }
 
-    /// For how long routes, and a list of upstreams, that other members have are missing here.
+    /// Returns for how long this process has lacked routes and lists that other members have.
     pub fn lags(&self) -> store_belief::DocumentLags {
         let now = self.now();
         let newest = self.members.borrow().newest(now);
         self.belief.borrow_mut().lags(now, self.versions(), newest)
     }
 
-    /// Members believed to exist; `None` while that cannot be known.
+    /// Returns the number of members believed to exist, or `None` if this process has just started or
+    /// sees no other member.
     pub fn member_count(&self) -> Option<usize> {
         let age = self.now().since(units::MonoTime::default());
         let members = self.members.borrow();
@@ -283,8 +286,9 @@
         (age > MEMBER_COUNT_MIN_AGE && !alone).then(|| members.size())
     }
 
-    /// The planner that a request for a service asks, of one of its cells; nothing where all have
-    /// `refused` it.
+    /// Picks the planner that a request for a service asks for a place: that of a random cell, weighted
+    /// by its engines, that has not `refused` the request. If there are several cells, those that have
+    /// only closed engines are left out.
     pub fn pick_planner(
         &self,
         service: &ids::ServiceId,
@@ -300,7 +304,7 @@
         planner_key::pick(service, cells, &engines, &closed, refused, drawn)
     }
 
-    /// Engines of a planner that the list names as live and that must get no request from this instance now.
+    /// Returns the live engines of a planner to which this instance must not send requests now.
     pub fn closed_engines(
         &self,
         key: &planner_key::PlannerKey,
@@ -317,12 +321,13 @@
         closed.iter().filter(in_cell).map(|name| (*name).clone()).collect()
     }
 
-    /// Whether a request that asks for a place now may still get one, also during a planned stop.
+    /// Returns whether a request that asks for a place now may still get one; always true unless a
+    /// graceful stop has begun.
     pub fn grants_places(&self) -> bool {
         self.places_until.get().is_none_or(|until| self.now() + MIN_PLACE_TIME < until)
     }
 
-    /// Connections to an upstream that this process keeps at rest, at most.
+    /// Returns the maximum number of idle connections that this process keeps to an upstream.
     pub fn idle_connection_limit(&self, upstream: &ids::UpstreamId) -> usize {
         let fleet = self.fleet.borrow();
         let service = fleet.list.entry(upstream).map(|entry| &entry.service);
@@ -333,12 +338,12 @@
         share.min(upstream_pool::MAX_IDLE_CONNECTIONS)
     }
 
-    /// Counts a request for a service.
+    /// Counts a request towards the retry budget of its service.
     pub fn count_request(&self, service: &ids::ServiceId) {
         self.retry_share(service, fleet_budget::RetryShare::count_request);
     }
 
-    /// Takes one retry from this process's own share.
+    /// Takes one retry from this process's share of the budget; returns whether there was one.
     pub fn take_retry(&self, service: &ids::ServiceId) -> bool {
         let members = self.member_count();
         self.retry_share(service, |share, now| share.take(now, members))
@@ -357,11 +362,11 @@
     }
 }
 
-/// Counts one piece of work as in progress for as long as it lives.
+/// Counts one task in [`InstanceContext::busy`] until it is dropped.
 pub struct BusyGuard(rc::Rc<InstanceContext>);
 
 impl BusyGuard {
-    /// Starts counting.
+    /// Adds one to the count.
     pub fn new(context: &rc::Rc<InstanceContext>) -> Self {
         context.busy.set(context.busy.get() + 1);
         Self(rc::Rc::clone(context))
