--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -1,4 +1,4 @@
-//! Calls to engines beside requests: their reports, and orders about their memory.
+//! Calls to engines other than requests: reads of their reports, and memory orders.
 
 use std::{net, time};
 
@@ -8,25 +8,26 @@
 
 use crate::{adapter, context, document_call, upstream_gate, upstream_signals};
 
-/// Why an engine gave no good answer.
+/// A failed call to an engine.
 #[derive(Debug, Snafu)]
 pub(crate) enum EngineCallError {
-    /// Nothing was sent.
+    /// The gate denied the call; nothing was sent.
     #[snafu(display("{reason}"))]
     Denied {
-        /// Why.
+        /// The reason for the denial.
         reason: send_gate::SendDenial,
     },
     /// The call failed, or was refused.
     #[snafu(display("{source}"))]
     Call {
-        /// How.
+        /// The cause.
         source: document_call::CallError,
     },
 }
 
 impl EngineCallError {
-    /// Whether nothing of the call is carried out any more: the engine refused it, or never got it.
+    /// Returns whether the engine will certainly not execute the call any more, as it was refused or
+    /// never sent.
     pub(crate) fn is_over(&self) -> bool {
         match self {
             Self::Denied { .. } => true,
@@ -35,26 +36,26 @@
     }
 }
 
-/// An engine, and where it takes calls.
+/// An engine and its network address.
 #[derive(Debug, Clone)]
 pub struct EngineAddress {
     /// The engine.
     pub engine: ids::UpstreamId,
-    /// Its address.
+    /// Address on which the engine accepts calls.
     pub address: net::SocketAddrV4,
 }
 
-/// An order about an engine's memory.
+/// A memory order and the conditions under which it may be sent.
 pub(crate) struct EngineOrder<'a> {
-    /// What is ordered.
+    /// The order.
     pub(crate) order: &'a adapter::MemoryOrder,
-    /// What it is sent for.
+    /// Kind of send that the gate checks.
     pub(crate) kind: send_gate::SendKind,
-    /// Leaves by which it is sent, where it begins work at an engine with a limit.
+    /// Permits for engines with a limit, if the order begins work there.
     pub(crate) permits: &'a [quota_permit::SendPermit],
 }
 
-/// Asks an engine for its report, over a connection of its own.
+/// Requests an engine's report over a new connection.
 pub(crate) async fn report(
     context: &context::InstanceContext,
     to: &EngineAddress,
@@ -65,7 +66,7 @@
     send(context, to, (kind, &[]), ("GET", &path, Bytes::new()), limit).await
 }
 
-/// Gives an engine an order about its memory, over a connection of its own.
+/// Sends an engine a memory order over a new connection.
 pub(crate) async fn order(
     context: &context::InstanceContext,
     to: &EngineAddress,
@@ -89,12 +90,12 @@
     let started = context.now();
     let mut connection = document_call::DocumentConnection::new(to.address.into());
     connection.open(limit).await.map_err(failed)?;
-    // Asked once more right before the first byte.
+    // The state may have changed while the connection was opened.
     let _pass = upstream_gate::pass(context, &to.engine, kind, permits).map_err(denied)?;
     let asked_at = context.now();
     let left = limit.saturating_sub(asked_at.since(started));
     let answer = connection.call_whole(method, path, body, left).await.map_err(failed)?;
-    // What it says in passing is heard also where it refuses.
+    // The head's load and backoff signals are valid in refusals, too.
     let source = match kind {
         send_gate::SendKind::Report => upstream_notice::NoticeSource::Report,
         _ => upstream_notice::NoticeSource::Order,
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -1,4 +1,5 @@
-//! What follows from an engine's fault for the other attempts of a request, and for others.
+//! Handles an engine's fault: what the planner is told, and which engines the request's next
+//! attempts exclude.
 
 use slipturn_core::{connection_silence, engine_place, ids, retry, send_gate, units};
 
@@ -7,7 +8,7 @@
     upstream_pool, upstream_silence, upstream_starts,
 };
 
-/// What a fault says of the engine that had the request.
+/// Returns how an attempt that ended with `fault` ended for the engine that had the request.
 pub(crate) fn place_end(
     hold: &plan_client::PlaceHold,
     fault: &upstream_attempt::AttemptFault,
@@ -18,7 +19,7 @@
     }
     let other = fault.at_fault.filter(|address| Some(*address) != hold.address());
     match (fault.failure, other) {
-        // It refused for another one's sake, or never had the request.
+        // The engine refused because of another one, or never received the request.
         (AttemptFailure::SaidNotRun | AttemptFailure::Misdirected, Some(_))
         | (AttemptFailure::NotPrepared | AttemptFailure::Denied, _) => engine_place::PlaceEnd::Done,
         (AttemptFailure::SaidNotRun, None) => engine_place::PlaceEnd::Full,
@@ -26,7 +27,7 @@
     }
 }
 
-/// Leaves the engine that was the cause alone.
+/// Excludes the engine that caused a fault from the request's next attempts.
 pub(crate) fn exclude_at_fault(
     context: &context::InstanceContext,
     state: &mut stream_state::StreamState,
@@ -34,8 +35,8 @@
     fault: &upstream_attempt::AttemptFault,
 ) {
     if fault.failure == retry::AttemptFailure::Denied {
-        // Nobody has failed, and the gate is asked again before the next attempt; a planner that does not
-        // know of it would give the same engine again.
+        // No engine failed. A planner that does not know the reason of the denial would grant the
+        // same engine again.
         exclude_denied(context, state, hold);
         return;
     }
@@ -48,8 +49,8 @@
     if cause != hold.grant.engine {
         hold.eject(&cause);
     }
-    // Where it is the only one, its connection may have been silent: it gets the request over a
-    // new one.
+    // If no other engine is left, it is tried again: only its connection may have been silent, and
+    // the next attempt uses a new one.
     let silent = hold.end == engine_place::PlaceEnd::Silent;
     let known = state.excluded.contains(&cause);
     if known || (silent && is_only_engine_left(context, state, hold)) {
@@ -58,7 +59,8 @@
     state.excluded.push(cause);
 }
 
-/// Leaves out for a request what its planner would give again, as it does not know why this instance must not use it.
+/// Excludes the engine of a place that this instance must not use now, and reports the engine's
+/// limit to its coordinator.
 fn exclude_denied(
     context: &context::InstanceContext,
     state: &mut stream_state::StreamState,
@@ -77,7 +79,7 @@
     state.excluded.push(engine.clone());
 }
 
-/// Whether no other engine is left for a request than the one of its last attempt.
+/// Returns whether the engine of the last attempt is the only one left for a request.
 fn is_only_engine_left(
     context: &context::InstanceContext,
     state: &stream_state::StreamState,
@@ -88,7 +90,7 @@
     open.iter().all(|entry| entry.name == hold.grant.engine || state.excluded.contains(&entry.name))
 }
 
-/// Draws the conclusions of a wait, begun at `since`, that is given up; returns what it says in the
+/// Records the end of a wait that began at `since` and was given up; returns the text for the
 /// request's record.
 pub(crate) fn record_silence(
     context: &context::InstanceContext,
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -1,4 +1,4 @@
-//! Engines' own reports, requested by their planner: their pace, and whether they answer at all.
+//! Polls the reports of engines: their pace and load, and whether they answer at all.
 
 use std::{rc, time};
 
@@ -6,18 +6,19 @@
 
 use crate::{context, engine_call, peers, upstream_starts};
 
-/// Time between two reports of one engine.
+/// Interval between two reports of one engine.
 const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(2_000);
-/// Time between two looks at who plans.
+/// Interval at which the poller checks for engines while there are none to poll.
 const IDLE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
-/// Time for a report; within a region it takes a few milliseconds.
+/// Timeout of a report, which takes a few milliseconds within a region.
 const REPORT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
-/// An engine with a limit that has answered within this time is not asked: it is in need, and its answers tell enough.
+/// Engines with a limit are polled only if their limit was last read at least this long ago: they
+/// are overloaded, and their answers carry enough information.
 const LIMITED_INTERVAL: time::Duration = time::Duration::from_secs(10);
-/// A slower engine than this is noted in the log.
+/// Pace above which an engine is logged as slow.
 const SLOW_PACE: f64 = 1.5;
 
-/// Asks engines of services that this process plans for, one after the other.
+/// Polls the engines that this process plans for, spread evenly over [`REPORT_INTERVAL`].
 pub async fn poll(context: rc::Rc<context::InstanceContext>) {
     loop {
         let engines = planned_engines(&context);
@@ -37,7 +38,8 @@
     }
 }
 
-/// Engines of the planners that run in this process and are in use.
+/// Returns the engines of this process's active planners, except those whose limit was read
+/// within [`LIMITED_INTERVAL`].
 fn planned_engines(context: &context::InstanceContext) -> Vec<upstream_list::UpstreamEntry> {
     let keys = context.planners.borrow().active(context.now());
     let own = keys.into_iter().filter(|key| peers::planner_of(context, key).is_none());
@@ -59,7 +61,7 @@
     engines
 }
 
-/// Asks engines at once that were silent for a request.
+/// Polls engines immediately that were silent during a request.
 fn poll_suspects(context: &rc::Rc<context::InstanceContext>) {
     let suspects = context.planners.borrow_mut().take_suspects();
     let fleet = context.fleet.borrow();
@@ -73,7 +75,7 @@
     let to = engine_call::EngineAddress { engine: engine.name.clone(), address: engine.address };
     let body = match engine_call::report(&context, &to, REPORT_TIMEOUT).await {
         Ok(body) => body,
-        // It wants rest; that says nothing of whether it answers.
+        // The gate denied the poll, so nothing is known about whether the engine answers.
         Err(engine_call::EngineCallError::Denied { .. }) => return,
         Err(error) => {
             log::info!(engine:% = engine.name, error:%; "engine.silent");
