--- a/crates/instance/src/event_stream.rs
+++ b/crates/instance/src/event_stream.rs
@@ -1,32 +1,32 @@
-//! Whole events of a `text/event-stream` body: half events are never passed on.
+//! Splits a `text/event-stream` body into events, so that only complete ones are forwarded.
 
 use bytes::BytesMut;
 
-/// What has arrived of a stream and is not passed on yet.
+/// Received bytes of a stream that have not been forwarded.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     bytes: BytesMut,
 }
 
 impl EventBuffer {
-    /// Adds what has arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, piece: &[u8]) {
         self.bytes.extend_from_slice(piece);
     }
 
-    /// Takes the whole events out; empty when there is none.
+    /// Removes and returns all complete events; empty if there are none.
     pub fn take_complete(&mut self) -> BytesMut {
         let end = event_ends(&self.bytes).last();
         end.map_or_else(BytesMut::new, |end| self.bytes.split_to(end))
     }
 
-    /// Whether nothing is left of a half event.
+    /// Returns whether the buffer holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 }
 
-/// Splits whole events apart.
+/// Returns the complete events in `events`; an incomplete one at the end is left out.
 pub fn split_events(events: &[u8]) -> Vec<&[u8]> {
     let mut start = 0;
     event_ends(events)
@@ -38,7 +38,7 @@
         .collect()
 }
 
-/// Positions after each blank line.
+/// Returns the position after each blank line.
 fn event_ends(bytes: &[u8]) -> impl Iterator<Item = usize> {
     let mut line_start = 0;
     bytes.iter().enumerate().filter(|(_, byte)| **byte == b'\n').filter_map(move |(at, _)| {
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -1,4 +1,4 @@
-//! A request that was read and admitted: whose it is, where it goes, until when.
+//! Admission of requests: customer, route, service and deadline.
 
 use std::{cell, rc, time};
 
@@ -7,45 +7,46 @@
 
 use crate::{adapter, context, request_record};
 
-/// Time kept back for the way of an answer to the caller.
+/// Time reserved for sending an answer to the caller.
 const ANSWER_MARGIN: time::Duration = time::Duration::from_millis(15);
 
-/// What a caller of a process that knows no routes yet is taken to wait, where it does not say.
+/// How long a caller is assumed to wait if it names no time and the routes are not known yet.
 pub(crate) const DEFAULT_CALLER_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// An admitted request.
 pub struct IncomingCall {
-    /// What the caller sent.
+    /// Head of the caller's request.
     pub head: http::request::Parts,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What its head says.
+    /// Fields read from the head.
     pub request: adapter::CallerRequest,
-    /// Its route.
+    /// The route that matches the host and path.
     pub route: rc::Rc<route_table::RoutePolicy>,
-    /// Its customer, where it needs one.
+    /// The customer; `None` if the route allows anonymous requests and no known key was sent.
     pub customer: Option<ids::CustomerId>,
-    /// The service that takes it.
+    /// The service picked by the route.
     pub service: ids::ServiceId,
-    /// How the service's engines work, where it has any.
+    /// Shape of the service's engines, if it has engines.
     pub shape: Option<route_table::EngineShape>,
-    /// When its last byte had arrived.
+    /// When the last byte was received.
     pub arrived: units::MonoTime,
-    /// When it must have its final answer.
+    /// When the final answer is due.
     pub deadline: units::MonoTime,
-    /// Attempts whose upstream may have run it: bytes went out, and it did not say otherwise.
+    /// Number of attempts that an upstream may have run: the request was sent, and the upstream did
+    /// not deny having run it.
     pub may_have_run: cell::Cell<u32>,
-    /// What it is recognised by, once somebody has asked: few requests ever need it.
+    /// Digest of the request, computed on first use, as few requests need it.
     digest: cell::OnceCell<request_digest::RequestDigest>,
 }
 
 impl IncomingCall {
-    /// Time left.
+    /// Returns the time left until the deadline.
     pub fn left(&self, now: units::MonoTime) -> time::Duration {
         self.deadline.since(now)
     }
 
-    /// What it is recognised by when its caller repeats it.
+    /// Returns the digest that identifies the request when its caller repeats it.
     pub fn digest(&self) -> request_digest::RequestDigest {
         *self.digest.get_or_init(|| {
             let target = self.head.uri.path_and_query().map_or("/", |target| target.as_str());
@@ -54,7 +55,7 @@
         })
     }
 
-    /// The refusal once the time that it had, `limit`, is over.
+    /// Returns the refusal of a request that was not answered within `limit`.
     pub fn timeout_refusal(
         &self,
         limit: time::Duration,
@@ -70,7 +71,7 @@
             .ran(refusal::RanState::Unknown)
     }
 
-    /// The record of what happens to it.
+    /// Creates the request's record, without attempts and result.
     pub fn record(&self, context: &context::InstanceContext) -> request_record::RequestRecord {
         let fleet = context.fleet.borrow();
         request_record::RequestRecord {
@@ -94,7 +95,7 @@
     }
 }
 
-/// Admits a request whose head has been read as `request`.
+/// Admits a request, given its `head` and the result of parsing it.
 pub fn admit(
     context: &context::InstanceContext,
     head: http::request::Parts,
--- a/crates/instance/src/lease_renewal.rs
+++ b/crates/instance/src/lease_renewal.rs
@@ -1,5 +1,5 @@
-//! Places in use, reported to their planner: their numbers again and again, whole leases where a planner
-//! does not know them.
+//! Renews the leases on places in use. Renewals carry only job numbers; the planner requests the
+//! full leases of jobs that it does not know.
 
 use std::{collections, net, rc, time};
 
@@ -7,10 +7,10 @@
 
 use crate::{context, peer_message, peers, planner_set};
 
-/// Time between two repetitions of the leases in use; a planner gives them up after five missed.
+/// Interval between renewals; a planner drops a lease after five missed ones.
 const RENEWAL_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Renews places in this process's planner, and asks for those that it does not know.
+/// Renews a member's leases in this process's planner and requests those that are unknown.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     now: units::MonoTime,
@@ -36,9 +36,9 @@
     }
 }
 
-/// Begins to plan for a key if this process has not done so lately: takes over the own leases and asks
-/// all members for theirs. Renewals would tell of them up to half a second later, and until then it
-/// would place on engines that are full.
+/// Initialises the planner of a key if it has not been in use lately: takes over this process's
+/// leases and requests those of all members. Renewals arrive up to half a second later, and until
+/// then the planner would assign engines that are full.
 pub(crate) fn begin_if_idle(
     context: &context::InstanceContext,
     planners: &mut planner_set::PlannerSet,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Places of a key in use by this process's requests.
+/// Returns this process's leases for a key.
 fn held_leases(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
@@ -66,7 +66,7 @@
     held.values().filter(|held| held.key == *key).map(|held| held.lease.clone()).collect()
 }
 
-/// Tells a planner all leases of its key.
+/// Sends a planner all of this process's leases for its key.
 pub(crate) fn announce_leases(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Tells a planner the leases that it asked for, as far as they are still in use.
+/// Sends a planner the leases that it requested, except those no longer in use.
 pub(crate) fn send_requested_leases(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
@@ -101,7 +101,7 @@
     send_leases(context, to, &key, &leases);
 }
 
-/// Renews at the planners the leases of places still in use.
+/// Renews all leases in use, every [`RENEWAL_INTERVAL`].
 pub async fn repeat(context: rc::Rc<context::InstanceContext>) {
     loop {
         monoio::time::sleep(RENEWAL_INTERVAL).await;
