--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -1,9 +1,9 @@
-//! Log lines on standard output, one JSON object a line, that never hold a request up.
+//! Non-blocking logger that writes one JSON object per line to standard output.
 //!
-//! Lines go through a bounded queue to a thread of their own. When the output is not read the
-//! queue fills, and lines beyond a number a second are too many; such lines are dropped, and the
-//! next line written says how many. Room is kept for warnings and errors: a flood of requests that
-//! went well does not push out those that failed.
+//! Lines go through a bounded queue to a writer thread. Lines are dropped if the queue is full,
+//! because the output is not read, or if there are too many in one second; the next line written
+//! is preceded by the number of dropped ones. Part of both limits is reserved for warnings and
+//! errors, so that a flood of successful requests does not displace the failed ones.
 
 use std::{
     io::{self, Write as _},
@@ -18,15 +18,15 @@
 use log::kv;
 use log4rs::{append, config};
 
-/// Lines that may wait to be written; a line has some 500 bytes.
+/// Maximum number of lines in the queue; a line has about 500 bytes.
 const QUEUE_CAPACITY: usize = 512;
-/// Lines that may be taken a second: ten times what an instance of a large fleet writes at its
-/// peak, some 13 requests a second, three times over.
+/// Maximum number of lines per second: ten times the peak of an instance in a large fleet, which
+/// is taken as three times 13 requests a second.
 const MAX_LINES_PER_SECOND: usize = 400;
-/// Part of both that only warnings and errors may use.
+/// Fraction of both limits that is reserved for warnings and errors.
 const RESERVED_FRACTION: f64 = 0.25;
 
-/// Starts logging; lines below `level` are left out.
+/// Installs the logger; records below `level` are discarded.
 pub fn install(level: log::LevelFilter) -> Result<(), String> {
     let appender = LineAppender::start(Box::new(io::stdout()));
     let appender = config::Appender::builder().build("lines", Box::new(appender));
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-/// Lines taken in the second under way.
+/// Lines accepted in the current second.
 #[derive(Debug, Default)]
 struct LineRate {
     /// Seconds since the appender's start.
@@ -45,13 +45,13 @@
     taken: usize,
 }
 
-/// Hands lines to a thread that writes them.
+/// Log appender that passes lines to a writer thread.
 #[derive(Debug)]
 pub struct LineAppender {
     lines: mpsc::SyncSender<String>,
     started: time::Instant,
     rate: sync::Mutex<LineRate>,
-    /// Lines in the queue.
+    /// Number of lines in the queue.
     waiting: sync::Arc<AtomicUsize>,
     dropped: sync::Arc<AtomicU64>,
 }
@@ -77,7 +77,7 @@
             self.dropped.fetch_add(1, atomic::Ordering::Relaxed);
             return;
         }
-        // Counted first: the thread may take the line before this goes on.
+        // Incremented first, as the writer thread may take the line before `try_send` returns.
         self.waiting.fetch_add(1, atomic::Ordering::Relaxed);
         if self.lines.try_send(line).is_err() {
             self.waiting.fetch_sub(1, atomic::Ordering::Relaxed);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Writes what comes through the queue, until the output is gone.
+/// Writes lines from the queue until the output fails.
 fn write_all(
     mut output: Box<dyn io::Write + Send>,
     queue: &mpsc::Receiver<String>,
@@ -117,7 +117,7 @@
         } else {
             String::new()
         };
-        // Without an output there is nowhere left to say so.
+        // The error cannot be logged without an output.
         if output.write_all((note + &line).as_bytes()).is_err() {
             return;
         }
@@ -134,14 +134,14 @@
     fn flush(&self) {}
 }
 
-/// One record as a line.
+/// Formats a record as a JSON line.
 pub fn line(record: &log::Record<'_>) -> String {
     let now = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
     let mut fields = Fields(serde_json::Map::new());
     fields.0.insert("time_ms".into(), (now.as_millis() as u64).into());
     fields.0.insert("level".into(), record.level().as_str().into());
     fields.0.insert("event".into(), record.args().to_string().into());
-    // A field that cannot be shown must not lose the others.
+    // A field that cannot be formatted must not discard the line.
     let _ = record.key_values().visit(&mut fields);
     let mut line = serde_json::Value::Object(fields.0).to_string();
     line.push('\n');
@@ -163,7 +163,7 @@
     }
 }
 
-/// A text, or what it holds where it is a JSON object of our own making.
+/// Converts a text to a JSON value; a text that is a JSON object is embedded as an object.
 fn text_field(text: String) -> serde_json::Value {
     if text.starts_with('{')
         && let Ok(object) = serde_json::from_str(&text)
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -1,4 +1,5 @@
-//! Answers of plain services that are passed on while they arrive: an instance holds little of what its caller reads slowly.
+//! Forwards long answers of plain services while they arrive, so that an instance buffers little
+//! for callers that read slowly.
 
 use std::time;
 
@@ -9,44 +10,45 @@
 
 use crate::{caller_connection, context, service_request, upstream_attempt, upstream_ends};
 
-/// Time of waiting for the caller after which the upstream may have given the answer up: its end is no fault of its own.
+/// Total time spent waiting for the caller from which a broken answer is not blamed on the
+/// upstream, as it may have given up on the slow reader.
 const SLOW_CALLER_THRESHOLD: time::Duration = time::Duration::from_secs(1);
 
-/// Why an answer was not passed on to its end.
+/// Why an answer was not forwarded completely.
 #[derive(Debug, Snafu)]
 pub(crate) enum PassError {
     /// The caller's connection failed.
     #[snafu(display("{source}"))]
     Caller {
-        /// What went wrong.
+        /// The cause.
         source: h1::MessageError,
     },
-    /// The upstream broke the answer off.
+    /// The upstream's answer failed midway.
     #[snafu(display("the answer broke: {source}"))]
     Upstream {
-        /// What went wrong.
+        /// The cause.
         source: h1::MessageError,
     },
-    /// The caller did not read it within its time.
+    /// The caller did not read the answer in time.
     #[snafu(display("not read within {limit:?}"))]
     NotRead {
-        /// The caller's time.
+        /// Time limit for forwarding the answer.
         limit: time::Duration,
     },
 }
 
-/// An answer of which the first bytes have been read.
+/// An answer whose body has been read in part.
 pub(crate) struct LongAnswer<'a> {
     pub(crate) upstream: ids::UpstreamId,
     pub(crate) answer: upstream_attempt::AttemptAnswer,
-    /// What has been read of the body.
+    /// The part of the body that has been read.
     pub(crate) leading: Bytes,
     pub(crate) run: upstream_ends::RunGuard<'a>,
     pub(crate) guard: service_request::LoadGuard<'a>,
 }
 
 impl LongAnswer<'_> {
-    /// Passes it on within `limit`, as fast as the caller reads.
+    /// Forwards the answer within `limit`, as fast as the caller reads.
     pub(crate) async fn pass(
         mut self,
         context: &context::InstanceContext,
@@ -73,7 +75,7 @@
     }
 }
 
-/// Passes all pieces on; adds up the time `waited` for the caller.
+/// Forwards the body and adds the time spent waiting for the caller to `waited`.
 async fn pass_pieces(
     context: &context::InstanceContext,
     answer: &mut upstream_attempt::AttemptAnswer,
