--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -92,7 +92,7 @@
     pub verdicts: quarantine_gate::VerdictSignal,
     /// Second of the last gossip requests, and their number in that second.
     pub gossip_requests: cell::Cell<(u64, usize)>,
-    /// Cached answers to members about the store's documents.
+    /// Answers to members about the store's documents, and the number of large ones in progress.
     pub answers: cell::RefCell<document_answers::DocumentAnswers>,
     /// Rate limiter for log lines about silent connections.
     pub silence_log: upstream_silence::SilenceLog,
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -1,4 +1,4 @@
-//! Memory set aside on engines for a prompt that another engine answers.
+//! Memory reservations on engines for a prompt that another engine answers.
 
 use std::{cell, net, rc, time};
 
@@ -7,39 +7,40 @@
 
 use crate::{adapter, context, engine_call, upstream_starts};
 
-/// How long memory stays aside without a renewal: shorter than the time within which it must be
-/// free again after a request whose instance has died.
+/// Lifetime of a reservation without renewal. It is shorter than the time within which memory must
+/// be free again after the instance that reserved it has died.
 const HOLD_TTL: time::Duration = time::Duration::from_millis(3_400);
-/// Time between two renewals.
+/// Interval between two renewals.
 const RENEWAL_INTERVAL: time::Duration = time::Duration::from_millis(900);
-/// Time for an engine's answer to an order.
+/// Timeout of a memory order.
 const ORDER_TIMEOUT: time::Duration = time::Duration::from_millis(350);
-/// Tries to give memory back; what is not given back by then lapses by itself.
+/// Maximum number of attempts to release a reservation; after these it is left to expire.
 const RELEASE_TRIES: u32 = 6;
-/// An order without an answer may be carried out up to this much later.
+/// How long after it was sent an unanswered order may still be executed.
 const LATE_ORDER_TIME: time::Duration = time::Duration::from_secs(13);
-/// Pause between two releases meanwhile; shorter than the time within which memory must be free.
+/// Pause between two releases while an unanswered order may still be executed. It is shorter than
+/// the time within which memory must be free again.
 const LATE_RELEASE_PAUSE: time::Duration = time::Duration::from_millis(2_000);
-/// Pause between two tries.
+/// Pause between two attempts to release a reservation.
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(250);
 
-/// Memory that could not be set aside.
+/// A failed reservation.
 #[derive(Debug, Snafu)]
 #[snafu(display("{engine} sets no memory aside: {reason}"))]
 pub struct HoldError {
     /// The engine.
     pub engine: ids::UpstreamId,
-    /// Why.
+    /// Reason of the failure.
     pub reason: String,
 }
 
-/// Memory on one engine.
+/// A reservation on one engine.
 #[derive(Debug, Clone)]
 struct HeldTicket {
-    /// When the last order to hold it went out that has no answer; it may be carried out long after.
+    /// When the last hold order without an answer was sent; it may still be executed much later.
     unanswered: rc::Rc<cell::Cell<Option<units::MonoTime>>>,
     engine: ids::UpstreamId,
-    /// The start of the engine that holds it; another one holds nothing of it.
+    /// The start of the engine that holds the memory; a reservation does not survive a restart.
     start: rc::Rc<cell::RefCell<ids::UpstreamId>>,
     address: net::SocketAddrV4,
     ticket: String,
@@ -47,20 +48,20 @@
 }
 
 impl HeldTicket {
-    /// Where orders about it go.
+    /// Returns where orders about the reservation are sent.
     fn to(&self) -> engine_call::EngineAddress {
         let engine = self.start.borrow().clone();
         engine_call::EngineAddress { engine, address: self.address }
     }
 
-    /// Whether the start that held the memory is over, and the memory with it.
+    /// Returns whether the engine was restarted since, so that the reservation is lost.
     fn is_lost(&self, context: &context::InstanceContext) -> bool {
         let fleet = context.fleet.borrow();
         fleet.list.entry(&self.engine).is_some_and(|entry| entry.name != *self.start.borrow())
     }
 }
 
-/// All memory set aside for one attempt; given back when dropped.
+/// All reservations of one attempt; released when dropped.
 pub struct MemoryHold {
     context: rc::Rc<context::InstanceContext>,
     tickets: Vec<HeldTicket>,
@@ -68,7 +69,7 @@
 }
 
 impl MemoryHold {
-    /// Sets memory aside as planned: all parts or none.
+    /// Reserves the planned memory on all engines; if one reservation fails, the others are released.
     pub async fn take(
         context: &rc::Rc<context::InstanceContext>,
         job: engine_place::JobId,
@@ -91,7 +92,8 @@
                 ticket,
                 tokens: part.tokens,
             };
-            // Kept before it is asked for: an order without an answer may be carried out later.
+            // Stored before the order is sent, so that it is released even if the order has no answer
+            // and is executed later.
             hold.tickets.push(held);
         }
         let kind = send_gate::SendKind::Hold;
@@ -99,7 +101,8 @@
         let results = futures::future::join_all(orders).await;
         for (held, result) in hold.tickets.iter().zip(results) {
             match result {
-                // It may have started again since the list was read; this start holds it.
+                // The engine may have restarted since the list was read; the start that answered holds
+                // the memory.
                 Ok(Some(start)) => {
                     let name = held.engine.with_start(start);
                     held.start.replace(name);
@@ -123,17 +126,18 @@
         Ok(hold)
     }
 
-    /// Whether any memory is set aside.
+    /// Returns whether any memory is reserved.
     pub fn holds(&self) -> bool {
         !self.tickets.is_empty()
     }
 
-    /// An engine with memory set aside, and the ticket there; an answer uses all or none.
+    /// Returns the first engine with reserved memory and its ticket. One is enough to see whether the
+    /// reservations are in use, as an answer uses all or none.
     pub fn first_held(&self) -> Option<(engine_call::EngineAddress, String)> {
         self.tickets.first().map(|held| (held.to(), held.ticket.clone()))
     }
 
-    /// The ticket on an engine.
+    /// Returns the ticket of the reservation on an engine.
     pub fn ticket(&self, engine: &ids::UpstreamId) -> Option<String> {
         self.tickets.iter().find(|held| held.engine == *engine).map(|held| held.ticket.clone())
     }
@@ -148,7 +152,7 @@
     }
 }
 
-/// Orders memory to be held; which start holds it, if the engine reports it.
+/// Sends a hold order; returns the start of the engine that holds the memory, if reported.
 async fn send_hold(
     context: &context::InstanceContext,
     held: &HeldTicket,
@@ -160,11 +164,11 @@
         tokens: held.tokens,
         time: HOLD_TTL,
     };
-    // Recorded before it is sent: the caller may leave before the answer.
+    // Recorded before the order is sent: the future may be dropped before the answer.
     let before = held.unanswered.replace(Some(context.now()));
     let given = engine_call::EngineOrder { order: &order, kind, permits };
     let result = send_order(context, held, &given).await;
-    // A refusal is an answer too, and what was not sent has none: nothing is carried out later.
+    // After an answer, refusals included, and if nothing was sent, nothing is executed later.
     let over = result.as_ref().map_or_else(engine_call::EngineCallError::is_over, |_| true);
     if over {
         held.unanswered.set(before);
@@ -172,7 +176,7 @@
     result.map_err(|error| error.to_string())
 }
 
-/// Sends an order; which start of the engine has carried it out, if reported.
+/// Sends an order; returns the start of the engine that executed it, if reported.
 async fn send_order(
     context: &context::InstanceContext,
     held: &HeldTicket,
@@ -194,7 +198,7 @@
             return;
         }
         for held in &tickets {
-            // Renewed at another start it would be set aside anew, without a user.
+            // Another start would create a new reservation that no request uses.
             if held.is_lost(&context) {
                 continue;
             }
@@ -203,14 +207,14 @@
                 log::warn!(engine:% = held.engine, reason; "memory.not_renewed");
             }
             if done.get() || held.is_lost(&context) {
-                // The release may have overtaken this renewal.
+                // The renewal may have arrived after the release and reserved the memory again.
                 release(rc::Rc::clone(&context), held.clone()).await;
             }
         }
     }
 }
 
-/// Gives memory back, again and again while an unanswered order may still be carried out.
+/// Releases a reservation, repeatedly while an unanswered order may still be executed.
 async fn release(context: rc::Rc<context::InstanceContext>, held: HeldTicket) {
     release_once(&context, &held).await;
     while let Some(since) = held.unanswered.get() {
@@ -219,7 +223,7 @@
         }
         monoio::time::sleep(LATE_RELEASE_PAUSE).await;
         if held.unanswered.get().is_none() {
-            // The answer came after all; who waited for it gives the memory back.
+            // The order was answered meanwhile; the task that sent it releases the memory.
             return;
         }
         release_once(&context, &held).await;
@@ -234,7 +238,7 @@
     for attempt in 1..=RELEASE_TRIES {
         match send_order(context, held, &given).await {
             Ok(_) => return,
-            // An engine that knows no such ticket has nothing to give back.
+            // The engine does not know the ticket, so nothing is reserved.
             Err(error) if error.is_over() => return,
             Err(error) => {
                 log::info!(engine:% = held.engine, attempt, error:%; "memory.not_released");
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -1,4 +1,5 @@
-//! One streamed request: a place, an attempt, its events; and another attempt where one breaks.
+//! Serves a streamed request: obtains a place on an engine, sends the request there and forwards
+//! the events; a failed attempt is retried on another engine.
 
 use std::{pin, rc, time};
 
@@ -13,33 +14,33 @@
     upstream_ends, upstream_gate, upstream_signals,
 };
 
-/// Places tried at most, those whose engine never saw the request included.
+/// Maximum number of places tried, including those whose engine never received the request.
 const MAX_TRIES: u32 = 5;
-/// When to come back after a refusal, where nothing better is known.
+/// Default retry delay of a refusal.
 const BACK_AFTER: time::Duration = time::Duration::from_millis(400);
-/// Age up to which an engine's report shows planners what others do there; a short
-/// answer lasts some seconds.
+/// Maximum time from the head to the first event for which the load in the head is passed to the
+/// planner; a short answer takes a few seconds.
 const LOAD_AGE: time::Duration = time::Duration::from_millis(100);
-/// Largest failure answer of an engine that is passed on.
+/// Largest body of an engine's failure answer that is forwarded, in bytes.
 const MAX_FAILURE_BODY: usize = 1 << 20;
 
-/// How one attempt ended.
+/// How an attempt ended.
 enum AttemptEnd {
-    /// The caller has the whole answer.
+    /// The caller received the complete answer.
     Whole,
-    /// The engine's own failure, to be passed on if nothing better comes.
+    /// The engine answered with a failure, which is forwarded if no later attempt succeeds.
     Failure(Box<http::response::Parts>, Bytes),
-    /// It did not work out.
+    /// The attempt failed without an answer that can be forwarded.
     Fault(upstream_attempt::AttemptFault),
-    /// There was no place.
+    /// No place was granted before the wait timed out.
     NoPlace,
-    /// No engine may have it now: all leave, rest, or have failed it.
+    /// No engine may receive the request now: all are closed to new requests or excluded.
     NoEngine,
-    /// There will be no place in time.
+    /// The planner refused the request, as no place will be free in time.
     Refused(engine_place::PlaceRefusal),
 }
 
-/// Serves a streamed request to its end.
+/// Serves a streamed request until it is answered, refused or cut off.
 pub async fn serve(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -63,7 +64,7 @@
     };
     record.outcome = format!("{} (ran: {})", refusal.message, refusal.ran.label());
     if state.begun {
-        // The answer has begun; only a cut connection can say now that it is not whole.
+        // After part of the answer was sent, only closing the connection shows that it is incomplete.
         return Ok(caller_connection::ConnectionNext::Close);
     }
     record.status = Some(refusal.code.status());
@@ -71,7 +72,8 @@
     Ok(caller_connection::ConnectionNext::Keep)
 }
 
-/// `None` when the caller has its answer.
+/// Makes attempts until one succeeds or no further one is possible. Returns the refusal to be
+/// sent, or `None` if the caller has received an answer.
 async fn attempts(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -117,8 +119,8 @@
                     record.digest = Some(call.digest().to_string());
                 }
                 if fault.failure.reached_nobody() {
-                    // Nothing arrived anywhere: the retry is not spent. Streams were cut for want
-                    // of another one, after the first went to an engine that was gone.
+                    // No engine received anything, so the retry permit stays valid. Otherwise a stream
+                    // whose retry goes to a vanished engine would be cut off for lack of another permit.
                     state.retry_taken = state.sent > 0;
                 }
                 text = fault.text;
@@ -134,7 +136,8 @@
     if pass_failure(reply, record, state).await? {
         return Ok(None);
     }
-    // A planner knows better when limits of its engines let the next one through.
+    // The planner's delay is preferred to one computed from limits, as the planner knows better when
+    // the limits of its engines admit the next request.
     let planned = back_after.is_some();
     let none =
         upstream_choice::no_upstream_reason(context, &call.service, call.left(context.now()));
@@ -152,7 +155,8 @@
     Ok(Some(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after)))
 }
 
-/// Passes an engine's own failure on, where there is one and nothing has gone out yet.
+/// Forwards the failure answer of an engine if there is one and nothing was sent to the caller;
+/// returns whether it was forwarded.
 async fn pass_failure(
     reply: &mut caller_connection::CallerReply<'_>,
     record: &mut request_record::RequestRecord,
@@ -177,7 +181,7 @@
     if !state.has_engine(context, call, None) {
         return Ok(AttemptEnd::NoEngine);
     }
-    // The caller's patience begins anew with each event.
+    // The time that a caller waits without an event restarts with each event.
     let since = state.last_at.unwrap_or(call.arrived);
     let limit = stream_policy::patience(call).saturating_sub(context.now().since(since));
     let limit = limit.max(context::MIN_PLACE_TIME).min(call.left(context.now()));
@@ -194,7 +198,7 @@
         plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
     };
     let mut row = request_record::AttemptRecord {
-        // What stays in the record when the caller leaves meanwhile.
+        // Remains in the record if the caller disconnects during the attempt.
         end: "under way".to_owned(),
         upstream: hold.grant.engine.to_string(),
         known: upstream_signals::known(context, &hold.grant.engine),
@@ -245,7 +249,8 @@
         return Ok(AttemptEnd::Fault(fault));
     };
     let begun_at = context.now();
-    // What broke on its way may have met a silent connection; another could be as old.
+    // After an attempt that broke, possibly on a dead connection, no pooled one is used: it could be
+    // as old.
     let new_connection = state.ran == Some(refusal::RanState::Unknown);
     let connection = match upstream_attempt::connect(context, call, &target, new_connection).await {
         Ok(connection) => connection,
@@ -316,7 +321,7 @@
         });
     }
     let head_at = context.now();
-    let told = answer.said.requests();
+    let reported_load = answer.head_fields.requests();
     let mut events = event_stream::EventBuffer::default();
     let limits =
         silence_watch::SilenceLimits { other: stream_policy::silence(call), any: last_silence };
@@ -352,7 +357,7 @@
             watch.unused_until = None;
             watch.answering = true;
             let begun = context.now();
-            hold.first_token(told.filter(|_| begun.since(head_at) <= LOAD_AGE));
+            hold.first_token(reported_load.filter(|_| begun.since(head_at) <= LOAD_AGE));
             row.first_ms = Some(begun.since(begun_at).as_millis() as u64);
         }
         state.note_events(context, call, record, &whole);
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -1,4 +1,4 @@
-//! A request's way to its place: from the planner in reach, else from this process's own.
+//! Requests a place from the planner of a cell, which runs in another member or in this process.
 
 use std::{net, rc, time};
 
@@ -7,32 +7,33 @@
 
 use crate::{context, lease_renewal, peer_message, peers, planner_set};
 
-/// Time for a planner's reply; within a region it takes a millisecond or two.
+/// Timeout of a planner's first reply, which takes one or two milliseconds within a region.
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
-/// Time after which a waiting request asks again, in case the planner has lost it.
+/// Time after which a queued request asks again, in case the planner has lost it.
 const REPEAT_TIME: time::Duration = time::Duration::from_millis(300);
-/// Time after which a request that only this process's planner knows looks for another.
+/// Time after which a request queued in this process's planner checks again which member plans.
 const OWN_REPEAT_TIME: time::Duration = time::Duration::from_millis(200);
 
-/// A place on an engine; given back when dropped.
+/// A place on an engine; the planner is notified of its end when it is dropped.
 pub struct PlaceHold {
     context: rc::Rc<context::InstanceContext>,
     key: planner_key::PlannerKey,
-    /// The place.
+    /// The place as granted by the planner.
     pub grant: engine_place::PlaceGrant,
-    /// Leaves for those of its engines that have a limit.
+    /// Permits for those engines of the place that have a limit.
     pub permits: Vec<quota_permit::SendPermit>,
-    /// How the attempt ended, as far as is known.
+    /// How the attempt ended, as far as known; sent to the planner on drop.
     pub end: engine_place::PlaceEnd,
 }
 
 impl PlaceHold {
-    /// The planner that gave it.
+    /// Returns the key of the planner that granted the place.
     pub fn key(&self) -> &planner_key::PlannerKey {
         &self.key
     }
 
-    /// Tells the planner that the prompt has been read, and how many requests its engine had by then.
+    /// Notifies the planner that the prompt was processed, and of the number of requests on the engine
+    /// at that time, if known.
     pub fn first_token(&self, requests: Option<u16>) {
         let job = self.grant.job;
         if let Some(held) = self.context.leases.borrow_mut().get_mut(&job) {
@@ -42,12 +43,12 @@
         peers::notify_planner(&self.context, &self.key, note);
     }
 
-    /// Where its engine takes requests, as long as it is listed.
+    /// Returns the address of the engine, or `None` if it is no longer listed.
     pub fn address(&self) -> Option<net::SocketAddrV4> {
         self.context.fleet.borrow().list.entry(&self.grant.engine).map(|entry| entry.address)
     }
 
-    /// Tells the planner that another engine is the cause of a refusal.
+    /// Notifies the planner that another engine caused a refusal.
     pub fn eject(&self, engine: &ids::UpstreamId) {
         let note = engine_place::PlaceNote::Eject(engine.clone());
         peers::notify_planner(&self.context, &self.key, note);
@@ -63,7 +64,7 @@
     }
 }
 
-/// Ends a request's wait when dropped.
+/// Removes a waiting request when dropped, also from the planner if no place was granted.
 struct WaitGuard<'a> {
     context: &'a rc::Rc<context::InstanceContext>,
     key: &'a planner_key::PlannerKey,
@@ -82,17 +83,18 @@
     }
 }
 
-/// What a request's wait for a place came to.
+/// Result of a request for a place.
 pub enum PlaceOutcome {
-    /// It has one.
+    /// A place was granted.
     Placed(PlaceHold),
-    /// It gets none in time.
+    /// The planner refused the request, as no place will be free in time.
     Refused(engine_place::PlaceRefusal),
-    /// There was none by the end of its patience.
+    /// No place was granted within the time limit.
     TimedOut,
 }
 
-/// Waits for a place until `limit`.
+/// Requests a place and waits for it up to `limit`, or until requests for places end in a graceful
+/// stop.
 pub async fn place(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
@@ -125,8 +127,8 @@
             Some(engine_place::PlaceAnswer::Paced(grant, paced)) => (grant, paced),
         };
         guard.granted = true;
-        // They were given when the request had waited so long in the planner, which it cannot have reached sooner
-        // than it was asked.
+        // The planner issued the permits when the request had waited there for `waited`. It cannot have
+        // reached the planner before `started`, so this never makes a permit valid for too long.
         let waited = time::Duration::from_millis(u64::from(grant.waited_ms));
         let term = quota_permit::PermitTerm::of_answer(started, waited);
         let permit = |upstream| quota_permit::SendPermit { upstream, term };
@@ -137,7 +139,7 @@
     }
 }
 
-/// Notes a place as in use until it is dropped.
+/// Records a lease on a granted place until the place is dropped.
 fn hold(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
@@ -145,7 +147,7 @@
     grant: engine_place::PlaceGrant,
 ) -> PlaceHold {
     let job = ask.job;
-    // Whom it must not use mattered for the choice alone; many repeated leases must fit a datagram.
+    // Only the choice of an engine needs the excluded ones, and many leases must fit into a datagram.
     let ask = engine_place::PlaceAsk { excluded: Vec::new(), ..ask };
     let lease = engine_place::PlaceLease { ask, grant: grant.clone(), reading: true };
     let held = context::HeldLease { key: key.clone(), lease };
@@ -196,8 +198,8 @@
     }
 }
 
-/// Notes which member plans for a key; whether it is another than before, and so may not know of the
-/// places in use here.
+/// Records which member plans for a key; returns whether it replaced another one, and so may not
+/// know this process's leases.
 fn note_planner(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -1,4 +1,4 @@
-//! The planners that run in this process, and who waits for their answers.
+//! The planners that run in this process, and the origins of the requests queued in them.
 
 use std::{collections, time};
 
@@ -8,41 +8,42 @@
 
 use crate::fleet_state;
 
-/// A planner that was not asked for so long is not in use.
+/// Time since the last request for a place from which a planner counts as idle.
 const ACTIVE_TIME: time::Duration = time::Duration::from_secs(2);
 
-/// Engines of a planner with a limit: those whose limit this process keeps, and those of others.
+/// Engines of a planner that have a limit: the rates of those whose limit this process coordinates,
+/// and the names of those coordinated by other members.
 pub type EngineLimits = (
     collections::BTreeMap<ids::UpstreamId, send_pace::PaceBound>,
     collections::BTreeSet<ids::UpstreamId>,
 );
 
-/// Who asked for a place.
+/// Origin of a request for a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AskOrigin {
     /// A request of this process.
     Own,
-    /// Another member, at this address.
+    /// A request of the member with this address.
     Member(std::net::SocketAddrV4),
 }
 
-/// One planner for each cell of engines.
+/// One planner for each cell of each service's engines.
 #[derive(Debug)]
 pub struct PlannerSet {
-    /// The instance that they run on.
+    /// Name of this instance.
     own: ids::InstanceId,
     options: planner::PlannerOptions,
     planners: collections::BTreeMap<planner_key::PlannerKey, planner::ReadPlanner>,
-    /// Who waits for an answer.
+    /// Origins of queued requests.
     origins: collections::HashMap<engine_place::JobId, AskOrigin>,
-    /// Changes of the list and version of the routes that the planners know.
+    /// Change count of the list and version of the routes at the last [`Self::sync`].
     synced: (u64, u64),
-    /// Planners asked lately by members.
+    /// When each planner was last asked for a place.
     asked: collections::BTreeMap<planner_key::PlannerKey, units::MonoTime>,
 }
 
 impl PlannerSet {
-    /// No planners yet.
+    /// Creates a set without planners.
     pub fn new(own: ids::InstanceId, options: planner::PlannerOptions) -> Self {
         Self {
             own,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Brings the planners up to the list and routes in force; costs nothing while these stay.
+    /// Updates the planners to the current list and routes; returns at once if these have not changed.
     pub fn sync(&mut self, now: units::MonoTime, fleet: &fleet_state::FleetState) {
         let version = (fleet.list.changes(), fleet.routes.version.0);
         if version == self.synced {
@@ -80,7 +81,8 @@
         let mut engines = vec![Vec::new(); usize::from(cells)];
         for entry in usable {
             let cell = planner_key::cell_of(name, &entry.name, cells);
-            // Planners on two sides of a cut fill their engines in different orders.
+            // The rank depends on the instance, so that two planners of the same engines in a network
+            // partition fill them in different orders.
             let rank = rendezvous::stable_hash(&[self.own.as_str(), entry.name.identifier()]);
             engines[usize::from(cell)].push((entry.name.clone(), rank));
         }
@@ -96,17 +98,17 @@
         }
     }
 
-    /// Whether a planner has not been asked for so long that it knows little of its engines.
+    /// Returns whether a planner was not asked for so long that its state is outdated.
     pub fn is_idle(&self, now: units::MonoTime, key: &planner_key::PlannerKey) -> bool {
         self.asked.get(key).is_none_or(|since| now.since(*since) >= ACTIVE_TIME)
     }
 
-    /// One planner; `None` where there are no such engines.
+    /// Returns the planner of a key, or `None` if there is no such cell.
     pub fn planner(&mut self, key: &planner_key::PlannerKey) -> Option<&mut planner::ReadPlanner> {
         self.planners.get_mut(key)
     }
 
-    /// Asks for a place; the answer, if it must wait, comes out of [`Self::tick`].
+    /// Asks for a place. If the request is queued, [`Self::tick`] returns the answer later.
     pub fn ask(
         &mut self,
         now: units::MonoTime,
@@ -123,7 +125,7 @@
         answer
     }
 
-    /// Answers those that wait, as far as there are places or there will be none in time.
+    /// Returns the answers to queued requests that get a place now or will get none in time.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<(AskOrigin, engine_place::PlaceAnswer)> {
         let mut answers = Vec::new();
         for planner in self.planners.values_mut() {
@@ -139,13 +141,13 @@
         answers
     }
 
-    /// Engines that were silent for a request since the last call.
+    /// Returns the engines that were silent during a request since the last call.
     pub fn take_suspects(&mut self) -> Vec<ids::UpstreamId> {
         let planners = self.planners.values_mut();
         planners.flat_map(planner::ReadPlanner::take_suspects).collect()
     }
 
-    /// Sets which engines have a limit, by planner: at which rate where this process keeps it, and those of others.
+    /// Sets the engines with a limit, by planner.
     pub fn set_limits(
         &mut self,
         now: units::MonoTime,
@@ -157,28 +159,28 @@
         }
     }
 
-    /// Begins anew with all limits that planners here keep.
+    /// Resets the permits of all limits that this process coordinates.
     pub fn reset_limits(&mut self, now: units::MonoTime) {
         self.planners.values_mut().for_each(|planner| planner.permits().begin_anew(now));
     }
 
-    /// Leaves an engine alone for a while, in whichever planner it is.
+    /// Excludes an engine from planning for a while, in the planner that has it.
     pub fn eject(&mut self, now: units::MonoTime, engine: &ids::UpstreamId) {
         self.planners.values_mut().for_each(|planner| planner.eject(now, engine));
     }
 
-    /// Whether an engine should be asked for a report now.
+    /// Returns whether a report of an engine is due, and marks it as requested.
     pub fn take_report_due(&mut self, now: units::MonoTime, engine: &ids::UpstreamId) -> bool {
         self.planners.values_mut().any(|planner| planner.take_report_due(now, engine))
     }
 
-    /// Takes over what an engine says of itself.
+    /// Updates an engine's pace and number of requests from its report.
     pub fn set_report(&mut self, engine: &ids::UpstreamId, pace: f64, requests: usize) {
         let planners = self.planners.values_mut();
         planners.for_each(|planner| planner.set_report(engine, pace, requests));
     }
 
-    /// Logs what the planners in use believe.
+    /// Logs the state of the active planners.
     pub fn log_state(&mut self, now: units::MonoTime) {
         for key in self.active(now) {
             if let Some(planner) = self.planners.get(&key) {
@@ -190,17 +192,17 @@
         }
     }
 
-    /// Requests that wait in all planners.
+    /// Returns the number of requests queued in all planners.
     pub fn waiting(&self) -> usize {
         self.planners.values().map(planner::ReadPlanner::waiting_count).sum()
     }
 
-    /// Requests that have a place, as all planners here know it.
+    /// Returns the number of places in use that the planners know of.
     pub fn placed(&self) -> usize {
         self.planners.values().map(planner::ReadPlanner::placed_count).sum()
     }
 
-    /// Planners that were asked within the last seconds.
+    /// Returns the planners that are not idle.
     pub fn active(&self, now: units::MonoTime) -> Vec<planner_key::PlannerKey> {
         let recent = |since: &units::MonoTime| now.since(*since) < ACTIVE_TIME;
         self.asked.iter().filter(|(_, since)| recent(since)).map(|(key, _)| key.clone()).collect()
