--- a/crates/instance/src/quarantine_gate.rs
+++ b/crates/instance/src/quarantine_gate.rs
@@ -1,10 +1,10 @@
-//! The gate that every request passes, whatever is done for it: its work goes on only while it is not
-//! held back.
+//! Stops the work on requests that are quarantined.
 //!
-//! All that is sent for a request is sent by the one future that serves it: first tries, retries, streams
-//! carried on, prompts that wait for a place, parts read elsewhere. So the gate stands around that
-//! future and is looked at before each of its steps; none of them needs one of its own. What is under
-//! way when the verdict comes ends with it, as where a caller leaves.
+//! Everything that is sent for a request is sent by the one future that serves it: first attempts,
+//! retries, resumed streams, prompts that wait for a place and parts processed by helpers. The gate
+//! wraps that future and checks the quarantine before each poll, so the steps need no checks of
+//! their own. If the request is quarantined meanwhile the future is dropped, as when the caller
+//! disconnects.
 
 use std::{cell, future::Future, pin, task};
 
@@ -15,7 +15,7 @@
 
 type SharedSignal = future::Shared<oneshot::Receiver<()>>;
 
-/// Wakes requests that are being served when one is held back.
+/// Wakes the requests in progress when a request is quarantined.
 #[derive(Debug)]
 pub struct VerdictSignal {
     next: cell::RefCell<(oneshot::Sender<()>, SharedSignal)>,
@@ -28,10 +28,10 @@
 }
 
 impl VerdictSignal {
-    /// Has all requests look at the gate.
+    /// Makes all requests in progress check the quarantine.
     pub fn notify_all(&self) {
         let (sender, _) = self.next.replace(new_signal());
-        // Nobody may be served now.
+        // Sending fails if no request is in progress.
         let _ = sender.send(());
     }
 
@@ -45,7 +45,7 @@
     (sender, receiver.shared())
 }
 
-/// Does the work of a request while it is not held back; the error says why it is.
+/// Runs `work` for a request unless it is, or becomes, quarantined; the error is the verdict.
 pub(crate) async fn pass<T>(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -53,15 +53,15 @@
 ) -> Result<T, quarantine::QuarantineVerdict> {
     let mut work = pin::pin!(work);
     let mut signal = context.verdicts.subscribe();
-    future::poll_fn(|turn| {
-        while signal.poll_unpin(turn).is_ready() {
+    future::poll_fn(|cx| {
+        while signal.poll_unpin(cx).is_ready() {
             signal = context.verdicts.subscribe();
         }
-        // The table changes only between two turns: what is sent below has passed.
+        // The table changes only between polls, so this check covers all that `work` sends in this one.
         if let Some(verdict) = verdict(context, call) {
             return task::Poll::Ready(Err(verdict));
         }
-        work.as_mut().poll(turn).map(Ok)
+        work.as_mut().poll(cx).map(Ok)
     })
     .await
 }
@@ -71,14 +71,14 @@
     call: &incoming_call::IncomingCall,
 ) -> Option<quarantine::QuarantineVerdict> {
     let table = context.quarantine.borrow();
-    // Without anybody held back no digest is worked out.
+    // Computing the digest is avoided while no request is quarantined.
     if !table.holds_any() {
         return None;
     }
     table.verdict(context.now(), call.digest())
 }
 
-/// Whether upstreams have ended under a request, as far as this member knows.
+/// Returns whether this member knows of upstreams that ended while they ran the request.
 pub(crate) fn is_suspect(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -87,7 +87,7 @@
     !table.is_empty() && table.suspects(call.digest())
 }
 
-/// The final answer to a request that is held back.
+/// Returns the refusal of a quarantined request.
 pub(crate) fn refusal(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/request_record.rs
+++ b/crates/instance/src/request_record.rs
@@ -1,94 +1,96 @@
-//! What is known of one request when it ends: the log line and the answer to `explain` alike.
+//! Records of completed requests, for the log and for `explain`.
 
 use std::collections;
 
 use serde::Serialize;
 
-/// Requests remembered for explanations; a record has some 400 bytes.
+/// Maximum number of records kept; a record has about 400 bytes.
 const MAX_RECORDS: usize = 256;
 
-/// One attempt at an upstream.
+/// Record of one attempt at an upstream.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct AttemptRecord {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// What was known of it as it was chosen: that it leaves or rests, since when and from which source.
+    /// State of the upstream known when it was chosen, such as a shutdown or a backoff, with its age
+    /// and source.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub known: Option<String>,
-    /// How many engines read parts of the prompt, besides it.
+    /// Number of further engines that processed parts of the prompt.
     #[serde(skip_serializing_if = "is_zero")]
     pub helpers: usize,
-    /// Time waited for the place.
+    /// Time spent waiting for the place, in milliseconds.
     #[serde(skip_serializing_if = "is_zero")]
     pub waited_ms: u64,
-    /// First token as planned.
+    /// Planned time to the first token, in milliseconds.
     #[serde(skip_serializing_if = "is_zero")]
     pub planned_ms: u64,
-    /// First token as it came.
+    /// Measured time to the first event, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_ms: Option<u64>,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: String,
 }
 
-/// One request.
+/// Record of one request.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RequestRecord {
-    /// The caller's id.
+    /// The caller's id of the request.
     pub id: String,
-    /// The route.
+    /// Name of the route.
     pub route: String,
-    /// The customer.
+    /// Name of the customer; empty if unknown.
     pub customer: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Version of the routes that decided.
+    /// Version of the routes in force when the request was admitted.
     pub routes: u64,
-    /// Revision of the list of upstreams at the start.
+    /// Revision of the list of upstreams in force when the request was admitted.
     pub list: String,
-    /// Where that list came from: the store, or the member that passed it on.
+    /// Origin of that list: the store, or the member that sent it.
     pub list_source: String,
-    /// For how long it had been in force.
+    /// Time since that list came into force, in milliseconds.
     pub list_age_ms: u64,
-    /// How often it may run.
+    /// Whether, and how, the route allows the request to be repeated.
     pub repeat: &'static str,
-    /// What it is recognised by when its caller repeats it; reported where an attempt broke.
+    /// Digest that identifies the request when its caller repeats it; set if the request is
+    /// quarantined or an upstream may have run an attempt that failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub digest: Option<String>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Time it had when it arrived.
+    /// Time limit counted from the arrival, in milliseconds.
     pub limit_ms: u64,
-    /// Who set that limit: the caller, or the route by name.
+    /// Origin of the time limit: the caller, or the route by name.
     pub limit_from: String,
-    /// Attempts, oldest first.
+    /// The attempts, oldest first.
     pub attempts: Vec<AttemptRecord>,
-    /// Status of the answer; absent where the caller had gone.
+    /// Status code of the answer; absent if the caller disconnected or a stream was cut off.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// Time to the first event or the answer.
+    /// Time to the first event or to the answer, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_ms: Option<u64>,
-    /// Longest pause between two events.
+    /// Longest pause between two events, in milliseconds.
     #[serde(skip_serializing_if = "is_zero")]
     pub pause_ms: u64,
-    /// Events passed on.
+    /// Number of events forwarded.
     #[serde(skip_serializing_if = "is_zero")]
     pub events: u64,
-    /// Time from arrival to end.
+    /// Time from the arrival to the end, in milliseconds.
     pub total_ms: u64,
-    /// Why it ended as it did.
+    /// Result of the request, with the reason of a failure.
     pub outcome: String,
 }
 
-/// The last requests that ended.
+/// The records of the last [`MAX_RECORDS`] completed requests.
 #[derive(Debug, Default)]
 pub struct RecordLog {
     records: collections::VecDeque<RequestRecord>,
 }
 
 impl RecordLog {
-    /// Remembers a request; the oldest is forgotten.
+    /// Adds a record; the oldest one is dropped if the log is full.
     pub fn push(&mut self, record: RequestRecord) {
         if self.records.len() >= MAX_RECORDS {
             self.records.pop_front();
@@ -96,7 +98,7 @@
         self.records.push_back(record);
     }
 
-    /// The request of this id.
+    /// Returns the latest record of a request id.
     pub fn find(&self, id: &str) -> Option<&RequestRecord> {
         self.records.iter().rev().find(|record| record.id == id)
     }
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a call of a plain service, and the leave that it needs there.
+//! Chooses the upstream for a call of a plain service and obtains the permit that it may need.
 
 use std::time;
 
@@ -6,23 +6,24 @@
 
 use crate::{context, incoming_call, permit_request, stream_policy};
 
-/// Upstreams asked for leave by a call that waits for one, at most.
+/// Maximum number of upstreams for whose permits a call waits.
 const MAX_WAITS: usize = 3;
-/// Part of its time left that a call waits for leave at most: the rest is for its answer.
+/// Fraction of the remaining time that a call waits for a permit at most; the rest is for its answer.
 const MAX_WAIT_FRACTION: f64 = 0.45;
-/// Goals within which a call that came back waits for leave: it is late by then.
+/// Multiple of its goal until which a retried call waits for a permit: it has missed its goal
+/// anyway.
 const RETRIED_GOAL_FACTOR: u32 = 2;
 
-/// An upstream that takes a call now.
+/// An upstream that accepts a call now.
 pub(crate) struct ChosenUpstream {
     /// The upstream.
     pub(crate) entry: upstream_list::UpstreamEntry,
-    /// The leave by which the call goes there, where the upstream has a limit.
+    /// The permit for the call, if the upstream has a limit.
     pub(crate) permit: Option<quota_permit::SendPermit>,
 }
 
-/// The upstream that takes a call, of those that are not `excluded`. Where limits keep it from all of them for a moment
-/// it waits for its turn; where it would be late by then, it is better refused.
+/// Chooses an upstream that is not `excluded`. If limits close all of them, the call waits for a
+/// permit, but not so long that a refusal would be better than the late answer.
 pub(crate) async fn choose(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -38,7 +39,7 @@
     wait(context, call, excluded).await
 }
 
-/// The same without waiting for anything, leave included.
+/// Picks the upstream that is best at this moment, without obtaining a permit.
 pub(crate) fn pick(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -59,14 +60,14 @@
     open.retain(|entry| !excluded.contains(&entry.name) && !refused.contains(&entry.name));
     open.retain(|entry| permit_request::closed(context, &entry.name).is_zero());
     let own = context.settings().data_center.clone();
-    // A call finds out whether an upstream is sound again only while it has another attempt left.
+    // A call probes an upstream that failed only while it has another attempt left.
     let first = excluded.is_empty() && call.route.max_attempts > 1;
     let repeatable = first && call.route.repeat.allows_repeat();
     let is_paced = |entry: &upstream_list::UpstreamEntry| fleet.list.limit(&entry.name).is_some();
     context.loads.borrow().pick(context.now(), &open, &own, repeatable, is_paced).cloned()
 }
 
-/// Waits for leave at the upstreams that are closed for the shortest time.
+/// Waits for a permit for one of the upstreams with the shortest wait, one after the other.
 async fn wait(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -81,7 +82,8 @@
     None
 }
 
-/// Upstreams that are closed for want of leave alone, the shortest time first.
+/// Returns the upstreams with a limit that are open otherwise, those with the shortest wait for a
+/// permit first.
 fn closed(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -98,7 +100,7 @@
     closed
 }
 
-/// How long a call waits for leave.
+/// Returns how long a call waits for a permit.
 fn patience(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service.
+//! Serves a call of a plain service: attempts at upstreams, and the answer to the caller.
 
 use std::{pin, rc, time};
 
@@ -13,25 +13,26 @@
     service_choice, upstream_attempt, upstream_choice, upstream_ends, upstream_signals,
 };
 
-/// Largest answer of a plain service that is read whole before it is passed on; longer ones go on as the caller reads.
+/// Largest body that is read completely before it is forwarded, in bytes; longer ones are
+/// forwarded as the caller reads them.
 const MAX_BUFFERED_BODY: usize = 16 * 1024;
-/// Part of the time limit after which a silent upstream of a repeatable call is given up, if
-/// another may answer.
+/// Fraction of the remaining time after which a silent upstream of a repeatable call is given up,
+/// if another one may answer.
 const SILENCE_FRACTION: f64 = 0.45;
-/// Upstreams tried at most, those that never saw the call included.
+/// Maximum number of upstreams tried, including those that never received the call.
 const MAX_TRIES: u32 = 5;
-/// When to come back after a refusal, where nothing better is known.
+/// Default retry delay of a refusal.
 const BACK_AFTER: time::Duration = time::Duration::from_millis(250);
 
-/// What a call came to.
+/// Result of a call.
 enum CallEnd<'a> {
     Answer(http::response::Parts, bytes::Bytes),
-    /// An answer whose end has not been read.
+    /// An answer that has been read in part.
     Long(Box<long_answer::LongAnswer<'a>>),
     Refused(refusal::RequestRefusal),
 }
 
-/// Serves a call to its final answer.
+/// Serves a call until it is answered, refused or cut off.
 pub async fn serve(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -63,7 +64,8 @@
                 Err(error) => error.to_string(),
             };
             if passed.is_err() {
-                // Only a cut connection can say now that the answer is not whole.
+                // After part of the answer was sent, only closing the connection shows that it is
+                // incomplete.
                 return Ok(caller_connection::ConnectionNext::Close);
             }
         }
@@ -104,7 +106,7 @@
         if chosen.is_none()
             && let Some(again) = reused_silent.take()
         {
-            // Only a connection has failed; the upstream takes the call over a new one.
+            // Only a pooled connection to this upstream failed; it gets the call over a new one.
             excluded.retain(|name| *name != again);
             chosen = service_choice::choose(context, call, &excluded).await;
         }
@@ -120,7 +122,7 @@
         record.attempts.push(request_record::AttemptRecord {
             upstream: entry.name.to_string(),
             known: upstream_signals::known(context, &entry.name),
-            // What stays in the record when the caller leaves meanwhile.
+            // Remains in the record if the caller disconnects during the attempt.
             end: "under way".to_owned(),
             ..Default::default()
         });
@@ -133,7 +135,7 @@
             let need = retry_need::RetryNeed::Early;
             retry_taken =
                 allowed && permit_request::obtain_retry(context, &call.service, need).await;
-            // A failure that an upstream gave is better than our own at the end of the time.
+            // An upstream's failure answer now is better than a refusal at the end of the time limit.
             retry_taken || (has_fallback && reach == upstream_attempt::RetryReach::OtherUpstream)
         };
         let start = AttemptStart { entry: &entry, permit, new_connection };
@@ -163,7 +165,7 @@
                 text = fault.text;
                 let never_ran = fault.failure.surely_not_run();
                 if fault.failure.reached_nobody() {
-                    // Nothing arrived anywhere: the retry is not spent.
+                    // No upstream received anything, so the retry permit stays valid.
                     retry_taken = sent > 0;
                 } else {
                     sent += 1;
@@ -196,7 +198,7 @@
     CallEnd::Refused(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after))
 }
 
-/// What an upstream answered.
+/// The answer of an upstream.
 enum UpstreamReply<'a> {
     Whole(http::response::Parts, bytes::Bytes),
     Long(Box<long_answer::LongAnswer<'a>>),
@@ -211,16 +213,16 @@
     }
 }
 
-/// Where an attempt goes, and how.
+/// The target of an attempt and how it is sent.
 struct AttemptStart<'a> {
     entry: &'a upstream_list::UpstreamEntry,
-    /// The leave by which it goes there, where the upstream has a limit.
+    /// The permit for the attempt, if the upstream has a limit.
     permit: Option<quota_permit::SendPermit>,
-    /// Whether it goes over a new connection.
+    /// Whether the attempt must use a new connection.
     new_connection: bool,
 }
 
-/// One attempt; it ends with the start of the upstream that has it.
+/// Makes one attempt, which fails if the upstream restarts meanwhile.
 async fn attempt<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
@@ -283,7 +285,7 @@
             return Err(fault);
         }
     };
-    if let Some((running, waiting, _)) = answer.said.load {
+    if let Some((running, waiting, _)) = answer.head_fields.load {
         context.loads.borrow_mut().set_reported_load(context.now(), &entry.name, running + waiting);
     }
     if !whole {
@@ -299,17 +301,17 @@
     Ok(UpstreamReply::Whole(head, body))
 }
 
-/// Ends the count of a call in progress, also when the caller leaves.
+/// Counts a call as in progress and reports its end when dropped, also if the caller disconnects.
 pub(crate) struct LoadGuard<'a> {
     context: &'a context::InstanceContext,
     name: ids::UpstreamId,
-    /// How the call ended for its upstream; nothing where that is not known, as when the caller leaves.
+    /// How the call ended for the upstream; `None` if unknown, as when the caller disconnects.
     pub(crate) result: std::cell::Cell<Option<CallResult>>,
 }
 
 impl LoadGuard<'_> {
-    /// Judges a fault: an upstream whose resting connection fell silent may be sound; left alone for
-    /// that, it got no call in 30 s.
+    /// Sets the result of a failed attempt. A silent pooled connection does not count as a failure, as
+    /// the upstream may be healthy: ejected for that, an upstream got no call for 30 s.
     fn note(&self, fault: &upstream_attempt::AttemptFault) {
         let result = match fault.failure {
             retry::AttemptFailure::SaidNotRun => CallResult::Full,
