--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -1,4 +1,4 @@
-//! Waiting for an engine, and when its silence ends an attempt.
+//! Waits for an engine and decides when its silence ends an attempt.
 
 use std::{pin, time};
 
@@ -7,34 +7,35 @@
 
 use crate::{adapter, context, engine_call, incoming_call, upstream_attempt, upstream_starts};
 
-/// Time between two questions to an engine on which memory set aside elsewhere depends.
+/// Interval between two probes of an engine for whose answer memory is reserved on other engines.
 const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(900);
-/// Time for its answer.
+/// Timeout of a probe.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
-/// Questions in a row without an answer after which it is taken for gone. Memory must be free
-/// again within seconds of the end of the request that used it, also without a message.
+/// Number of consecutive unanswered probes after which the engine counts as gone. Memory must be
+/// free within seconds of the end of the request that used it, even if that end is not announced.
 const PROBE_MISSES: u32 = 2;
-/// Reports in a row, once an answer has begun, by which no request uses the memory set aside for
-/// it: what is awaited has ended, and its connection has fallen silent. A report may be some
-/// hundred milliseconds old, so one is not enough.
+/// Number of consecutive reports, after the answer has begun, that show the reserved memory as
+/// unused before the attempt is given up: the answer has ended and its connection fell silent. One
+/// is not enough, as a report may be some hundred milliseconds old.
 const UNUSED_REPORTS: u32 = 2;
 
-/// Why an attempt is given up.
+/// Why an attempt was given up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaitFault {
-    /// The engine is silent, or its silence holds unused memory.
+    /// The engine is silent for too long, or memory is reserved for it without use.
     Silent(String),
-    /// It has started again: what is awaited was lost with the start before.
+    /// The engine was restarted, so the answer is lost.
     Restarted,
 }
 
-/// When a silent engine is given up.
+/// Times of silence after which an engine is given up.
 #[derive(Debug, Clone, Copy)]
 pub struct SilenceLimits {
-    /// If another engine may go on.
+    /// Limit if another engine can continue the request.
     pub other: time::Duration,
-    /// If it may go on itself, over a new connection: a silent connection and a slow engine look
-    /// alike, so this is the last moment at which that helps a caller who still waits.
+    /// Limit if the same engine can continue it, over a new connection. A dead connection cannot be
+    /// told from a slow engine, so this is the last moment at which a retry still reaches the caller
+    /// in time.
     pub any: time::Duration,
 }
 
@@ -48,29 +49,31 @@
     }
 }
 
-/// Watches over one attempt at an engine.
+/// Watches an engine during one attempt.
 pub struct SilenceWatch<'a> {
-    /// The process.
+    /// State of the process.
     pub context: &'a context::InstanceContext,
-    /// The request.
+    /// The request being served.
     pub call: &'a incoming_call::IncomingCall,
-    /// The engine.
+    /// The engine that answers.
     pub engine: engine_call::EngineAddress,
-    /// Where memory is set aside for the attempt, and its ticket there.
+    /// An engine with memory reserved for the attempt, and the ticket of the reservation.
     pub held: Option<(engine_call::EngineAddress, String)>,
     /// Whether the answer has begun.
     pub answering: bool,
-    /// Until when such memory may wait for the answer's first event; nothing once it is out.
+    /// Until when reserved memory may wait for the first event; `None` once that event has arrived,
+    /// or if no memory is reserved.
     pub unused_until: Option<units::MonoTime>,
 }
 
 impl SilenceWatch<'_> {
-    /// Waits for `work`, or until the start of the engine that has it is `over`; the error says why it
-    /// is given up. `over` is awaited from the sending on: a restart between two waits ends the next.
+    /// Waits for `work`, or until `over` signals that the engine was restarted; the error says why
+    /// the attempt is given up. `over` must be created before the request is sent, so that a restart
+    /// between two waits ends the next one.
     ///
-    /// After each of `limits` the engine is given up if one within its reach may go on, which the
-    /// retry budget decides through `take_retry`. Silence alone is no reason to end an answer that
-    /// no other can give, unless memory lies unused for it.
+    /// After each of `limits` the engine is given up if `take_retry`, called with the reach of that
+    /// limit, returns true. Silence alone does not end an answer that cannot be retried, unless memory
+    /// is reserved for it without use.
     pub async fn wait<T>(
         &self,
         work: pin::Pin<&mut impl Future<Output = T>>,
@@ -134,15 +137,16 @@
         }
     }
 
-    /// Whether the engine answers, and whether the memory set aside for its answer lies unused. One that wants rest
-    /// is not asked: it has just answered, by asking for that.
+    /// Returns whether the engine answers, and whether the reserved memory is unused. An engine that
+    /// the gate closes, for example because it requested a backoff, is not probed and counts as
+    /// answering.
     async fn probe(&self, holder: &engine_call::EngineAddress, ticket: &str) -> (bool, bool) {
         let answers = self.report(&self.engine).await.is_some();
         (answers, self.answering && answers && self.is_unused(holder, ticket).await)
     }
 
-    /// Asks over a connection of its own, as the answer's may be the one that is silent; an
-    /// unreadable report is an answer, too.
+    /// Requests a report over a new connection, as the answer's own may be dead. Returns `None` if the
+    /// engine does not answer and `Some(None)` if it has no readable report.
     async fn report(
         &self,
         engine: &engine_call::EngineAddress,
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -1,4 +1,5 @@
-//! What a streamed request may expect: its worth, its urgency, and how long silence is borne.
+//! Parameters of a streamed request: its worth and priority for planning, and how long an engine
+//! may be silent.
 
 use std::time;
 
@@ -6,30 +7,32 @@
 
 use crate::{context, incoming_call};
 
-/// Times the shortest pause goal of its service up to which a request's pauses are tight.
+/// Multiple of the service's shortest pause goal up to which a request's pause goal is tight.
 const TIGHT_PAUSE_FACTOR: f64 = 1.5;
-/// Part of its goal within which one engine alone must read a short request.
+/// Fraction of its first-token goal within which one engine must read the prompt of a short request.
 const SHORT_GOAL_FRACTION: f64 = 0.75;
-/// Callers give a stream up after a silence of this, or of the multiples below, if longer.
+/// Minimum silence after which callers give up a stream; the multiples of goals below may be longer.
 const MIN_CALLER_PATIENCE: time::Duration = time::Duration::from_secs(2);
-/// Goals for the first token that callers wait.
+/// Multiple of the first-token goal that callers wait without an event.
 const CALLER_GOAL_FACTOR: u32 = 4;
-/// Goals for a pause that callers wait.
+/// Multiple of the pause goal that callers wait without an event.
 const CALLER_PAUSE_FACTOR: u32 = 8;
-/// Part of the callers' patience after which a silent engine is given up at the latest.
+/// Fraction of the callers' wait after which a silent engine is given up at the latest.
 const SILENCE_FRACTION: f64 = 0.72;
-/// Goals for a pause after which an engine in the middle of an answer is given up.
+/// Multiple of the pause goal after which an engine that is silent mid-answer is given up.
 const SILENCE_PAUSE_FACTOR: f64 = 3.5;
-/// Expected times to the first token after which an engine is given up that has not begun.
+/// Multiple of the planned time to the first token after which an engine that has not begun its
+/// answer is given up.
 const SILENCE_PLAN_FACTOR: f64 = 3.0;
-/// Expected times to the first token that an engine has at least.
+/// Minimum multiple of the planned time to the first token that an engine is given.
 const MIN_PLAN_FACTOR: f64 = 1.1;
-/// Time beyond these, for what the plan could not see.
+/// Time added to both multiples of the planned time, for delays that the plan does not cover.
 const SILENCE_MARGIN: time::Duration = time::Duration::from_millis(600);
-/// Callers that have less than this part of the route's time have spent some on an earlier try.
+/// Fraction of the route's time limit below which a caller's time shows an earlier attempt.
 const FIRST_TRY_FRACTION: f64 = 0.97;
 
-/// Short goals go first on an engine; what is late goes last.
+/// Returns the priority of a request on its engine, where lower is more urgent: short goals come
+/// first and late requests last.
 pub(crate) fn priority(call: &incoming_call::IncomingCall, late: bool) -> u8 {
     if late {
         return 8;
@@ -41,19 +44,19 @@
     }
 }
 
-/// What has become of a request so far.
+/// State of a request when it asks for a place.
 pub(crate) struct AskProgress<'a> {
-    /// Whether the caller has part of its answer.
+    /// Whether the caller has received part of the answer.
     pub(crate) begun: bool,
-    /// Whether an engine has got it.
+    /// Whether an earlier attempt reached an engine.
     pub(crate) sent: bool,
-    /// Whether upstreams have ended under it, in this arrival or an earlier one.
+    /// Whether upstreams ended while they ran the request, now or when it was sent earlier.
     pub(crate) suspect: bool,
     /// Engines that must not be used.
     pub(crate) excluded: &'a [ids::UpstreamId],
 }
 
-/// What is asked of the planner for a request.
+/// Builds the request for a place.
 pub(crate) fn ask(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -62,7 +65,7 @@
     let spent = context.now().since(call.arrived);
     let millis = |span: time::Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
     let goal_left = if progress.begun {
-        // The stream goes on as soon as it can; its first token is out.
+        // The first token was delivered, so the next event is due within the pause goal.
         call.route.pause_goal
     } else {
         call.route.first_token_goal.saturating_sub(spent)
@@ -75,7 +78,7 @@
         goal_ms: millis(call.route.first_token_goal),
         goal_left_ms: millis(goal_left),
         patience_ms: millis(patience(call).saturating_sub(spent).min(call.left(context.now()))),
-        // Where it may end the next engine, it gets one where few others run.
+        // A request that may crash its engine is placed where few others run.
         tight: is_short(context, call) && !progress.suspect,
         worth: worth(context, call),
         refusable: !progress.sent && !likely_retried(call),
@@ -84,7 +87,8 @@
     }
 }
 
-/// Whether one engine reads a prompt in time, together with others with pauses as tight.
+/// Returns whether one engine can read the prompt in time, along with others whose pause goals
+/// are as tight.
 fn is_short(context: &context::InstanceContext, call: &incoming_call::IncomingCall) -> bool {
     let fleet = context.fleet.borrow();
     let tightest =
@@ -97,7 +101,8 @@
         && reading <= goal * SHORT_GOAL_FRACTION
 }
 
-/// What a request is worth in time, against one of its service's most urgent class.
+/// Counts a request and returns its worth if answered in time, relative to a request of the
+/// service's most urgent class.
 fn worth(context: &context::InstanceContext, call: &incoming_call::IncomingCall) -> f32 {
     let own = call.route.first_token_goal;
     let fleet = context.fleet.borrow();
@@ -112,39 +117,40 @@
     context.classes.borrow_mut().count(&ask) as f32
 }
 
-/// Whether a caller has probably been refused before: it has less time than its route gives.
+/// Returns whether the caller has probably been refused before: it has less time than the route
+/// allows.
 pub(crate) fn likely_retried(call: &incoming_call::IncomingCall) -> bool {
     let whole = call.route.time_limit.mul_f64(FIRST_TRY_FRACTION);
     call.request.patience.is_some_and(|patience| patience < whole)
 }
 
-/// How long a caller waits without an event.
+/// Returns how long a caller waits without an event.
 pub(crate) fn patience(call: &incoming_call::IncomingCall) -> time::Duration {
     MIN_CALLER_PATIENCE
         .max(call.route.first_token_goal * CALLER_GOAL_FACTOR)
         .max(call.route.pause_goal * CALLER_PAUSE_FACTOR)
 }
 
-/// How long an engine may be silent in the middle of an answer.
+/// Returns how long an engine may be silent mid-answer.
 pub(crate) fn silence(call: &incoming_call::IncomingCall) -> time::Duration {
     let pauses = call.route.pause_goal.mul_f64(SILENCE_PAUSE_FACTOR);
     pauses.min(last_silence(call))
 }
 
-/// How long the only engine left may be silent: just so long that its caller is still there for
-/// another try.
+/// Returns how long the only engine left may be silent, which leaves time for another attempt
+/// before the caller gives up.
 pub(crate) fn last_silence(call: &incoming_call::IncomingCall) -> time::Duration {
     patience(call).mul_f64(SILENCE_FRACTION)
 }
 
-/// How long an engine may be silent before its answer begins.
+/// Returns how long an engine may be silent before its answer begins.
 pub(crate) fn first_silence(
     call: &incoming_call::IncomingCall,
     grant: &engine_place::PlaceGrant,
 ) -> time::Duration {
     let planned = time::Duration::from_millis(u64::from(grant.first_token_ms));
     let expected = planned.mul_f64(SILENCE_PLAN_FACTOR) + SILENCE_MARGIN;
-    // Never shorter than the plan: what was read by then is lost.
+    // Never shorter than planned, as giving up discards the part of the prompt that was read.
     let least = planned.mul_f64(MIN_PLAN_FACTOR) + SILENCE_MARGIN;
     expected.min(last_silence(call)).max(least)
 }
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -1,4 +1,4 @@
-//! What stays of a streamed request between its attempts.
+//! State of a streamed request that persists across its attempts.
 
 use bytes::{Bytes, BytesMut};
 use slipturn_core::{ids, refusal, retry_need, send_gate, units};
@@ -9,29 +9,29 @@
     upstream_attempt,
 };
 
-/// What stays of a stream between attempts.
+/// State of a stream that persists across attempts.
 #[derive(Default)]
 pub(crate) struct StreamState {
-    /// Whether the caller has the head.
+    /// Whether the head was sent to the caller.
     pub(crate) begun: bool,
-    /// Id of the last event that the caller has.
+    /// Id of the event after which the stream resumes.
     pub(crate) last_event: Option<String>,
     /// Engines that must not be used again.
     pub(crate) excluded: Vec<ids::UpstreamId>,
-    /// Attempts that reached an engine.
+    /// Number of attempts that reached an engine.
     pub(crate) sent: u32,
-    /// Whether the next attempt has been taken from the retry budget already.
+    /// Whether the next attempt already has a retry from the budget.
     pub(crate) retry_taken: bool,
-    /// Whether an attempt ran, as far as is known; nothing while none reached an engine.
+    /// Whether an attempt ran, as far as known; `None` if no engine can have run one.
     pub(crate) ran: Option<refusal::RanState>,
-    /// An engine's own failure, for the case that nothing better comes.
+    /// Failure answer of an engine, forwarded if no later attempt succeeds.
     pub(crate) failure: Option<(Box<http::response::Parts>, Bytes)>,
-    /// When the last event came.
+    /// When the last event was received.
     pub(crate) last_at: Option<units::MonoTime>,
 }
 
 impl StreamState {
-    /// Passes whole events on, after the head where it is not sent yet.
+    /// Forwards complete events, preceded by the head if it was not sent yet.
     pub(crate) async fn send(
         &mut self,
         reply: &mut caller_connection::CallerReply<'_>,
@@ -45,7 +45,7 @@
         reply.begin(head, events).await
     }
 
-    /// Notes events that have come.
+    /// Records received events in the state and in the request's record.
     pub(crate) fn note_events(
         &mut self,
         context: &context::InstanceContext,
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Whether its next attempt may find out whether an engine takes work again after its rest.
+    /// Returns whether the next attempt may probe an engine after its backoff.
     pub(crate) fn turn(&self, call: &incoming_call::IncomingCall) -> send_gate::TrialTurn {
         let made = self.excluded.len().max(self.sent as usize);
         send_gate::TrialTurn::of(made, call.route.max_attempts)
     }
 
-    /// Whether any engine is left for the request, besides one that has it; where there is none,
-    /// waiting for a place is useless.
+    /// Returns whether an engine other than `used` is left for the request; without one, waiting for a
+    /// place is useless.
     pub(crate) fn has_engine(
         &self,
         context: &context::InstanceContext,
@@ -89,13 +89,14 @@
         open.any(|name| Some(name) != used && !self.excluded.contains(name))
     }
 
-    /// What a retry saves that saves `otherwise` where nothing has reached the caller.
+    /// Returns the need for a retry: `otherwise`, unless part of the answer has reached the caller.
     pub(crate) fn retry_need(&self, otherwise: retry_need::RetryNeed) -> retry_need::RetryNeed {
         if self.begun { retry_need::RetryNeed::Begun } else { otherwise }
     }
 
-    /// Whether a silent `engine`, the `reached`th that got the request, is given up: one within
-    /// `reach` may go on, and the retry budget has room. The retry is taken then.
+    /// Returns whether a silent `engine` is given up, which takes a retry from the budget or uses an
+    /// earlier failure answer. `reached` is the number of attempts that reached an engine, including
+    /// the current one; `reach` says which engines may continue the request.
     pub(crate) async fn give_up(
         &mut self,
         context: &context::InstanceContext,
@@ -112,7 +113,7 @@
         let need = self.retry_need(retry_need::RetryNeed::Early);
         self.retry_taken =
             allowed && permit_request::obtain_retry(context, &call.service, need).await;
-        // A failure that an engine gave is better than our own at the end of the time.
+        // An engine's failure answer now is better than a refusal at the end of the time limit.
         let has_fallback = self.failure.is_some() && !self.begun;
         self.retry_taken || (has_fallback && reach == upstream_attempt::RetryReach::OtherUpstream)
     }
--- a/crates/instance/src/stream_target.rs
+++ b/crates/instance/src/stream_target.rs
@@ -1,10 +1,11 @@
-//! Whom a streamed request goes to, once it has a place and its memory.
+//! Resolves a granted place to the addresses that a streamed request is sent with.
 
 use crate::{
     context, incoming_call, memory_hold, plan_client, stream_policy, stream_state, upstream_attempt,
 };
 
-/// The engine that answers and those that read parts; nothing where the first is not listed any more.
+/// Returns the target of an attempt: the engine that answers and its helpers. Returns `None` if
+/// that engine is no longer listed; helpers that are not listed are left out.
 pub(crate) fn target(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an upstream: the request sent, the head of its answer read and judged.
+//! Sends a request to an upstream, and reads and checks the head of the answer.
 
 use std::{net, rc, time};
 
@@ -12,19 +12,20 @@
     upstream_silence, upstream_starts,
 };
 
-/// Time for an answer that an upstream may have sent before it stopped reading.
+/// How long to wait for an answer after writing the request failed: the upstream may have answered
+/// before it stopped reading.
 const EARLY_ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(50);
 
-/// How an attempt failed before its answer could be used.
+/// A failed attempt without an answer that can be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptFault {
-    /// What that says of its having run.
+    /// Kind of the failure, which tells whether the request may have run.
     pub failure: retry::AttemptFailure,
-    /// The upstream that caused a refusal, where it is another.
+    /// Address of the upstream that caused a refusal, if it is another one.
     pub at_fault: Option<net::SocketAddrV4>,
-    /// Whether a connection that had rested said nothing: the upstream itself may be sound.
+    /// Whether a reused connection was silent, so that the upstream itself may be healthy.
     pub reused_silent: bool,
-    /// What went wrong.
+    /// Description of the failure.
     pub text: String,
 }
 
@@ -33,7 +34,8 @@
         Self { failure, at_fault: None, reused_silent: false, text: text.to_string() }
     }
 
-    /// What was sent to an upstream that has started again: it may have run at the start before.
+    /// Creates the fault of a request to an upstream that was restarted meanwhile; the request may
+    /// have run before the restart.
     pub(crate) fn restarted() -> Self {
         Self::broke(upstream_starts::RESTARTED)
     }
@@ -43,52 +45,52 @@
     }
 }
 
-/// Whom an attempt goes to.
+/// Where an attempt is sent, and what it carries for the upstream.
 #[derive(Debug, Clone)]
 pub struct AttemptTarget {
-    /// The upstream.
+    /// The upstream that answers.
     pub upstream: ids::UpstreamId,
-    /// Its address.
+    /// Address of that upstream.
     pub address: net::SocketAddrV4,
-    /// Engines that read parts of the prompt.
+    /// Engines that process parts of the prompt.
     pub helpers: Vec<PartReader>,
-    /// Event after which the stream goes on.
+    /// Id of the event after which the stream resumes.
     pub last_event: Option<String>,
-    /// 0 is the most urgent.
+    /// Priority, where 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Leaves for those of these upstreams that have a limit.
+    /// Permits for the upstream and the helpers that have a limit.
     pub permits: Vec<quota_permit::SendPermit>,
 }
 
-/// An engine that reads a part of a prompt.
+/// An engine that processes a part of a prompt.
 #[derive(Debug, Clone)]
 pub struct PartReader {
     /// The engine.
     pub engine: ids::UpstreamId,
-    /// Its address.
+    /// Address of the engine.
     pub address: net::SocketAddrV4,
-    /// The ticket of the memory set aside there, if any is.
+    /// The ticket of the memory reserved there, if any.
     pub ticket: Option<String>,
 }
 
 /// An answer whose head has been read.
 pub struct AttemptAnswer {
-    /// Its head, with what concerns only its connection.
+    /// The head, including hop-by-hop headers.
     pub head: http::response::Parts,
-    /// What the head says.
-    pub said: adapter::UpstreamAnswer,
-    /// Where its body ends.
+    /// Fields read from the head.
+    pub head_fields: adapter::UpstreamAnswer,
+    /// How the end of the body is determined.
     pub framing: h1::BodyFraming,
-    /// The connection; it may be used again only after the body's end.
+    /// The connection, which can be reused only after the end of the body.
     pub connection: upstream_pool::UpstreamConnection,
     address: net::SocketAddrV4,
-    /// Whether the whole request was sent and the upstream keeps the connection.
+    /// Whether the request was sent completely and the upstream keeps the connection open.
     reusable: bool,
 }
 
 impl AttemptAnswer {
-    /// Reads the whole body. Where nothing comes for `silence`, it is given up if `give_up` has a
-    /// retry permit.
+    /// Reads the complete body, which must not exceed `most` bytes. After nothing was received for
+    /// `silence`, the attempt is given up if `give_up` returns true.
     pub async fn whole_body(
         &mut self,
         context: &context::InstanceContext,
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Reads the body until its end, or until there are more than `most` bytes; see [`Self::whole_body`].
+    /// Reads the body until it ends or exceeds `most` bytes; otherwise like [`Self::whole_body`].
     pub(crate) async fn leading_body(
         &mut self,
         context: &context::InstanceContext,
@@ -138,7 +140,7 @@
         Ok(LeadingBody { bytes: body.freeze(), whole })
     }
 
-    /// Puts the connection back after a whole answer of an upstream.
+    /// Returns the connection to the pool if it can be reused.
     pub fn finish(self, context: &context::InstanceContext, upstream: &ids::UpstreamId) {
         if self.reusable && self.framing.ended() {
             let keep = h1::keep_alive(&self.head.headers);
@@ -150,43 +152,44 @@
 
 /// The first bytes of a body.
 pub(crate) struct LeadingBody {
-    /// What has been read.
+    /// The bytes read.
     pub(crate) bytes: Bytes,
-    /// Whether it is all of the body.
+    /// Whether these are the complete body.
     pub(crate) whole: bool,
 }
 
-/// Where a request that is given up at one upstream may go on.
+/// Which upstreams may continue a request that is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryReach {
-    /// At another upstream only: this one is slow, or dark.
+    /// Another upstream only, as this one is slow or unreachable.
     OtherUpstream,
-    /// At this one, too, over a new connection: the old one may be what is silent.
+    /// Any upstream, including this one over a new connection, as only the old connection may be dead.
     AnyUpstream,
 }
 
-/// How long the head of an answer is awaited.
+/// How long to wait for the head of an answer.
 #[derive(Debug, Clone, Copy)]
 pub struct HeadWait {
-    /// On a connection that has rested; it may have fallen silent meanwhile.
+    /// Limit on a reused connection, which may have died while idle.
     pub kept: time::Duration,
-    /// On any.
+    /// Limit on any connection.
     pub longest: time::Duration,
-    /// What answers usually take: with less than that left, asking anew cannot help.
+    /// Usual time of an answer; with less time than that left, a retry over a new connection is useless.
     pub usual: time::Duration,
 }
 
-/// A connection for a request: one that has rested only where another attempt may follow.
+/// Returns a connection for a request: a pooled one only if another attempt may follow.
 ///
-/// It may have fallen silent, and what was written to it may have run. So `new_connection` asks for a new one
-/// after an attempt that broke: no request meets two silent connections.
+/// A pooled connection may have died while idle, and a request written to it may still have run.
+/// `new_connection` is set after an attempt that broke, so that no request is sent over two dead
+/// connections.
 pub async fn connect(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     target: &AttemptTarget,
     new_connection: bool,
 ) -> Result<upstream_pool::UpstreamConnection, AttemptFault> {
-    // Before a connection is opened needlessly; the decision is made again as the first byte goes out.
+    // Avoids a useless connection; the gate decides again right before the first byte is sent.
     upstream_gate::check_request(context, target)?;
     let another = call.route.repeat.allows_repeat() && call.route.max_attempts > 1;
     let opened = if new_connection || !another {
@@ -205,8 +208,8 @@
 
 /// Sends a request over a connection and reads the head of its answer.
 ///
-/// It is given up where `give_up` has a retry permit; else it is awaited for as long as the call
-/// lasts, as no other upstream can answer.
+/// After each limit of `wait` the attempt is given up if `give_up` returns true. Otherwise it
+/// continues until the call ends, as no other upstream can answer.
 pub async fn send(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -243,14 +246,14 @@
     Err(AttemptFault { reused_silent, ..fault })
 }
 
-/// Sends a request over a connection and reads the head of its answer, however long that takes.
+/// Sends a request over a connection and reads the head of its answer, without a time limit.
 pub async fn exchange(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     target: &AttemptTarget,
     connection: upstream_pool::UpstreamConnection,
 ) -> Result<AttemptAnswer, AttemptFault> {
-    // Counted before a byte is sent: the waiting task may be cancelled first.
+    // Counted before a byte is sent, as this future may be dropped at any time afterwards.
     let before = call.may_have_run.get();
     call.may_have_run.set(before + 1);
     let answered = write_and_read(context, call, target, connection).await;
@@ -266,12 +269,12 @@
     target: &AttemptTarget,
     mut connection: upstream_pool::UpstreamConnection,
 ) -> Result<AttemptAnswer, AttemptFault> {
-    let message = message(context, call, target);
+    let request_message = request_message(context, call, target);
     let pass = upstream_gate::pass_request(context, target)?;
     let asked_at = context.now();
     let (head, sent) = {
         let (reader, writer) = connection.sides(&pass);
-        let writing = std::pin::pin!(writer.write(message));
+        let writing = std::pin::pin!(writer.write(request_message));
         let reading = std::pin::pin!(reader.answer_head());
         match future::select(writing, reading).await {
             future::Either::Left((Ok(()), reading)) => (reading.await, true),
@@ -283,55 +286,55 @@
                     _ => return Err(AttemptFault::broke(error)),
                 }
             }
-            // An early answer; what is left of the request is never sent.
+            // The upstream answered early; the rest of the request is not sent.
             future::Either::Right((head, _)) => (head, false),
         }
     };
     let head = head.map_err(AttemptFault::broke)?;
     connection.life.receive();
-    let said = context.adapter.read_answer(&head);
-    if said.id.as_deref() != Some(call.request.id.as_str()) {
+    let head_fields = context.adapter.read_answer(&head);
+    if head_fields.id.as_deref() != Some(call.request.id.as_str()) {
         return Err(AttemptFault::broke("the answer belongs to another request"));
     }
-    if is_own_word(&head, &said) {
+    if is_from_target(&head, &head_fields) {
         let source = upstream_notice::NoticeSource::Answer;
         let asked = upstream_signals::SignalOrigin { at: asked_at, source };
-        upstream_signals::receive(context, &target.upstream, head.status, &said, asked);
+        upstream_signals::receive(context, &target.upstream, head.status, &head_fields, asked);
     }
     let framing = h1::BodyFraming::of_answer(&head).map_err(AttemptFault::broke)?;
     let reusable =
         sent && framing != h1::BodyFraming::UntilClose && !h1::closes(head.version, &head.headers);
     let address = target.address;
-    let answer = AttemptAnswer { head, said, framing, connection, address, reusable };
-    if answer.said.not_run && !answer.head.status.is_success() {
-        let failure = if answer.said.misdirected {
+    let answer = AttemptAnswer { head, head_fields, framing, connection, address, reusable };
+    if answer.head_fields.not_run && !answer.head.status.is_success() {
+        let failure = if answer.head_fields.misdirected {
             retry::AttemptFailure::Misdirected
         } else {
             retry::AttemptFailure::SaidNotRun
         };
         let fault = AttemptFault {
             failure,
-            at_fault: answer.said.at_fault,
+            at_fault: answer.head_fields.at_fault,
             reused_silent: false,
             text: format!("not run: status {}", answer.head.status.as_u16()),
         };
-        settle(context, &target.upstream, answer).await;
+        drain_refusal(context, &target.upstream, answer).await;
         return Err(fault);
     }
-    if answer.head.status.is_success() && !answer.said.signed {
+    if answer.head.status.is_success() && !answer.head_fields.signed {
         return Err(AttemptFault::broke("a success without the upstream's signature"));
     }
     Ok(answer)
 }
 
-/// Whether an answer's head is of the upstream that was asked: not of another one at its address, nor a success
-/// without a signature.
-fn is_own_word(head: &http::response::Parts, said: &adapter::UpstreamAnswer) -> bool {
-    !said.misdirected && (said.signed || !head.status.is_success())
+/// Returns whether an answer's head comes from the addressed upstream: not from another one at its
+/// address, and not a success without a signature.
+fn is_from_target(head: &http::response::Parts, head_fields: &adapter::UpstreamAnswer) -> bool {
+    !head_fields.misdirected && (head_fields.signed || !head.status.is_success())
 }
 
-/// Reads a refusal to its end, so that its connection can be used again.
-async fn settle(
+/// Reads a refusal completely, so that the connection can be reused.
+async fn drain_refusal(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     mut answer: AttemptAnswer,
@@ -345,7 +348,7 @@
     }
 }
 
-fn message(
+fn request_message(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     target: &AttemptTarget,
