--- a/crates/instance/src/upstream_choice.rs
+++ b/crates/instance/src/upstream_choice.rs
@@ -1,4 +1,4 @@
-//! When callers come back whose service has no upstream that may take their request now.
+//! Reasons and retry delays for requests whose service has no upstream that may take them now.
 
 use std::{fmt, time};
 
@@ -6,41 +6,41 @@
 
 use crate::context;
 
-/// Why none of a service's upstreams may get a request now, and when one will.
+/// Why no upstream of a service may get a request now.
 #[derive(Debug, Clone)]
 pub(crate) enum NoUpstreamReason {
-    /// All that might take one rest; the rest that ends first.
+    /// All otherwise usable upstreams requested a backoff.
     Rest {
         /// The service.
         service: ids::ServiceId,
-        /// The rest that ends first.
+        /// The backoff that ends first.
         first: upstream_notice::RestNotice,
-        /// As of when.
+        /// The time at which this was determined.
         now: units::MonoTime,
     },
-    /// All that might take one are in data centres under evacuation.
+    /// All otherwise usable upstreams are in data centres under evacuation.
     Evacuated {
         /// The service.
         service: ids::ServiceId,
-        /// When a caller comes back.
+        /// Retry delay for the caller.
         back_after: time::Duration,
     },
-    /// All that might take one have a limit, and there is no leave.
+    /// All usable upstreams have a limit.
     Limited {
         /// The service.
         service: ids::ServiceId,
-        /// When a caller comes back.
+        /// Retry delay for the caller.
         back_after: time::Duration,
     },
 }
 
 impl NoUpstreamReason {
-    /// Whether it is because of rests.
+    /// Returns whether the reason is that upstreams requested a backoff.
     pub(crate) fn is_rest(&self) -> bool {
         matches!(self, Self::Rest { .. })
     }
 
-    /// When a caller should come back.
+    /// Returns the retry delay for the caller; a random part spreads the retries after a backoff.
     pub(crate) fn back_after(&self) -> time::Duration {
         match self {
             Self::Rest { first, now, .. } => {
@@ -69,7 +69,8 @@
     }
 }
 
-/// Why none of a service's upstreams may get a request now where some will again; nothing where one may.
+/// Returns why no upstream of a service may get a request now, or `None` if there is one without a
+/// limit or no reason is known that passes by itself.
 ///
 /// `left` is the time that the caller has left.
 pub(crate) fn no_upstream_reason(
@@ -91,7 +92,7 @@
     }
     let limits = open.iter().map(|entry| fleet.list.limit(&entry.name)?.reading.rate);
     let rates = limits.collect::<Option<Vec<_>>>()?;
-    // Each member sees its part of those that come back.
+    // Each member receives its share of the retries.
     let rate: f64 = rates.into_iter().map(units::RequestRate::per_second).sum();
     let share = rate / context.members.borrow().size() as f64;
     let mut returns = context.quotas.returns.borrow_mut();
--- a/crates/instance/src/upstream_gate.rs
+++ b/crates/instance/src/upstream_gate.rs
@@ -45,7 +45,7 @@
     Ok(SendPass { context, upstream: upstream.clone(), trial })
 }
 
-/// Whether a send would pass now.
+/// Checks whether a send would pass now.
 pub(crate) fn check_send(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -70,7 +70,7 @@
     pass(context, &target.upstream, kind, &target.permits).map_err(fault)
 }
 
-/// Whether a request would pass now.
+/// Checks whether a request with all its helpers would pass now.
 pub(crate) fn check_request(
     context: &context::InstanceContext,
     target: &upstream_attempt::AttemptTarget,
@@ -80,7 +80,7 @@
     check_send(context, &target.upstream, kind, &target.permits).map_err(fault)
 }
 
-/// Whether a granted place may be used now, checked before memory is reserved.
+/// Checks whether a granted place may be used now, before memory is reserved.
 pub(crate) fn check_grant(
     context: &context::InstanceContext,
     grant: &engine_place::PlaceGrant,
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -1,4 +1,4 @@
-//! Which upstream of a plain service takes the next call.
+//! Load balancing over the upstreams of a plain service.
 
 use std::{collections, time};
 
@@ -8,48 +8,48 @@
     upstream_list,
 };
 
-/// How long an upstream's report of its load counts.
+/// How long an upstream's report of its load is used.
 const LOAD_TIME: time::Duration = time::Duration::from_millis(500);
-/// Routes whose answers are timed; beyond these all are learnt anew.
+/// Maximum number of routes with answer times; beyond it all times are discarded.
 const MAX_TIMED: usize = 512;
 
-/// Cost of an upstream, in shares of its slots: that it failed all calls lately, that
-/// it is in another data centre, that it is left alone.
+/// Cost of an upstream that failed all recent calls. Costs are added to its load, which is a
+/// fraction of its slots.
 const FAILING_COST: f64 = 3.0;
-/// See [`FAILING_COST`].
+/// Cost of an upstream in another data centre.
 const AWAY_COST: f64 = 0.05;
-/// See [`FAILING_COST`].
+/// Cost of an ejected upstream, which is so high that it is picked only if all are ejected.
 const EJECTED_COST: f64 = 100.0;
 
 #[derive(Debug, Default, Clone)]
 struct LoadState {
-    /// Calls of this process in progress.
+    /// Number of this process's calls in progress.
     calls: u32,
-    /// Requests running and waiting there, and when it said so.
+    /// Number of requests running and waiting at the upstream, and when it was reported.
     reported: Option<(u32, units::MonoTime)>,
     health: upstream_health::UpstreamHealth,
 }
 
-/// What this process knows of upstreams' load.
+/// Load, health and answer times of upstreams as known to this process.
 #[derive(Debug, Default)]
 pub struct UpstreamLoads {
     way: ways::LoadChoiceWay,
     /// Name of this instance.
     own: String,
     states: collections::HashMap<ids::UpstreamId, LoadState>,
-    /// How long answers take, by route.
+    /// Answer times by route.
     times: collections::HashMap<ids::ClassId, connection_silence::AnswerTimes>,
 }
 
 impl UpstreamLoads {
-    /// Nothing known yet, for the instance of this name.
+    /// Creates an empty state for the instance named `own`.
     pub fn new(way: ways::LoadChoiceWay, own: &str) -> Self {
         Self { way, own: own.to_owned(), ..Self::default() }
     }
 
-    /// The least loaded of the candidates, but for one that failed and is to be asked again; those
-    /// left alone only where there is no other. Of equal ones one that `is_paced`: its limit lets a request through
-    /// now.
+    /// Picks the upstream for a call: a failed one whose probe is due, else the candidate with the
+    /// lowest cost. Ejected ones are picked only if there is no other. Among equal ones, those with a
+    /// limit, for which `is_paced` returns true, are preferred.
     pub fn pick<'a>(
         &self,
         now: units::MonoTime,
@@ -81,13 +81,15 @@
         };
         let (lowest, first) = least(&costs)?;
         let equal = costs.iter().filter(|(cost, _)| *cost <= lowest).map(|(_, entry)| *entry);
-        // What a limit lets through is lost if it is not requested in time; the others take the rest.
+        // The rate of a limit is lost if it is not used in time; upstreams without a limit take the
+        // remaining calls.
         if let Some(paced) = equal.clone().find(|entry| is_paced(entry)) {
             return Some(paced);
         }
         match self.way {
             ways::LoadChoiceWay::First => Some(first),
-            // Instances whose own calls are few find all upstreams alike: none of these may be the first for all.
+            // To instances with few calls in progress all upstreams look alike, so a fixed order
+            // would send the calls of all instances to the same one.
             ways::LoadChoiceWay::Random => {
                 equal.collect::<Vec<_>>().choose(&mut rand::rng()).copied()
             }
@@ -99,19 +101,19 @@
         }
     }
 
-    /// Place of an upstream in this instance's own order.
+    /// Returns the rank of an upstream in this instance's own order.
     fn place(&self, entry: &upstream_list::UpstreamEntry) -> u64 {
         rendezvous::stable_hash(&[&self.own, entry.name.identifier()])
     }
 
-    /// A call begins.
+    /// Records the start of a call.
     pub fn begin(&mut self, now: units::MonoTime, name: &ids::UpstreamId) {
         let state = self.states.entry(name.clone()).or_default();
         state.calls += 1;
         state.health.begin(now);
     }
 
-    /// A call ends; with what that says of its upstream, where it is known.
+    /// Records the end of a call, with its result for the upstream if known.
     pub fn end(
         &mut self,
         now: units::MonoTime,
@@ -131,7 +133,7 @@
         self.states.entry(name.clone()).or_default().health.receive_gone(now)
     }
 
-    /// Takes in how long an answer took.
+    /// Records the time to the head of an answer.
     pub fn answered(&mut self, route: &ids::ClassId, span: time::Duration) {
         if self.times.len() >= MAX_TIMED && !self.times.contains_key(route) {
             self.times.clear();
@@ -139,12 +141,12 @@
         self.times.entry(route.clone()).or_default().note(span);
     }
 
-    /// How long answers of a route take at most, usually.
+    /// Returns the time within which answers of a route usually arrive; zero while too few are known.
     pub fn usual(&self, route: &route_table::RoutePolicy) -> time::Duration {
         self.times.get(&route.name).copied().unwrap_or_default().usual()
     }
 
-    /// How long an answer is awaited on a connection that has rested.
+    /// Returns how long to wait for the head of an answer on a reused connection.
     pub fn kept_wait(
         &self,
         route: &route_table::RoutePolicy,
@@ -154,7 +156,7 @@
         times.kept_wait(route.first_token_goal, longest)
     }
 
-    /// Takes in what an upstream says of its load.
+    /// Records the load reported by an upstream.
     pub fn set_reported_load(
         &mut self,
         now: units::MonoTime,
@@ -164,7 +166,7 @@
         self.states.entry(name.clone()).or_default().reported = Some((running, now));
     }
 
-    /// Forgets upstreams that are gone.
+    /// Removes upstreams that are not `known`, except those with calls in progress.
     pub fn retain(&mut self, known: impl Fn(&ids::UpstreamId) -> bool) {
         self.states.retain(|name, state| state.calls > 0 || known(name));
     }
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: one request a time on each, few resting ones kept.
+//! Connection pool for upstreams. A connection carries one request at a time.
 
 use std::{cell, collections, io, net, rc, time};
 
@@ -9,31 +9,32 @@
 
 use crate::upstream_gate;
 
-/// Time for a connection to come about; within a region it takes a few milliseconds.
+/// Timeout of a connection attempt, which takes a few milliseconds within a region.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
-/// Resting connections kept for each upstream.
+/// Maximum number of idle connections to one upstream.
 pub(crate) const MAX_IDLE_CONNECTIONS: usize = 4;
-/// Longest a connection rests where the upstream does not say.
+/// Maximum time for which a connection is kept idle.
 const MAX_IDLE_TIME: time::Duration = time::Duration::from_secs(4);
-/// A connection is given up this long before the upstream would close it.
+/// How long before the upstream's keep-alive timeout an idle connection is closed.
 const IDLE_MARGIN: time::Duration = time::Duration::from_millis(900);
 
-/// Why no connection came about; not a byte was written.
+/// A failed connection attempt; nothing was sent.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// The system refused.
+    /// The operating system returned an error.
     #[snafu(display("cannot connect: {source}"))]
     Refused {
-        /// What it said.
+        /// The error.
         source: io::Error,
     },
-    /// Nothing happened in time.
+    /// The attempt timed out.
     #[snafu(display("no connection within {CONNECT_TIMEOUT:?}"))]
     Silent,
 }
 
 impl ConnectError {
-    /// Whether the other side's system said that no process listens there.
+    /// Returns whether the peer's system refused or reset the connection, as when no process listens
+    /// on the address.
     pub fn is_connection_refused(&self) -> bool {
         let refused = |source: &io::Error| {
             matches!(
@@ -45,7 +46,7 @@
     }
 }
 
-/// When a connection was opened and last heard.
+/// When a connection was opened, and when bytes were last received on it.
 #[derive(Debug)]
 pub struct ConnectionLife {
     address: net::SocketAddrV4,
@@ -54,7 +55,7 @@
 }
 
 impl ConnectionLife {
-    /// Notes that bytes have come over it.
+    /// Records that bytes were received.
     pub fn receive(&self) {
         self.heard.set(Some(boot_clock::BootInstant::now()));
     }
@@ -67,20 +68,20 @@
     }
 }
 
-/// A connection to an upstream.
+/// A connection to an upstream. The writing side is available only with a [`upstream_gate::SendPass`].
 #[derive(Debug)]
 pub struct UpstreamConnection {
-    /// What the upstream sends.
+    /// Reads what the upstream sends.
     pub reader: h1::MessageReader,
     writer: h1::MessageWriter,
-    /// Whether it has carried a request before.
+    /// Whether the connection was used for an earlier request.
     pub used: bool,
-    /// Its times.
+    /// When the connection was opened and last received bytes.
     pub life: rc::Rc<ConnectionLife>,
 }
 
 impl UpstreamConnection {
-    /// Both sides, for a request that the gate has let through.
+    /// Returns both sides, for a request that passed the gate.
     pub fn sides(
         &mut self,
         _pass: &upstream_gate::SendPass<'_>,
@@ -95,16 +96,16 @@
     until: boot_clock::BootInstant,
 }
 
-/// Connections of this process to one address.
+/// Numbers of this process's connections to one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct HeldConnections {
-    /// All of them.
+    /// All open connections.
     pub(crate) open: usize,
-    /// Those that wait for another request.
+    /// Idle connections in the pool.
     pub(crate) idle: usize,
 }
 
-/// Resting connections by address, and the times of all.
+/// Idle connections by address, and the times of all open connections.
 #[derive(Debug, Default)]
 pub struct UpstreamPool {
     lives: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionLife>>>>,
@@ -112,7 +113,7 @@
 }
 
 impl UpstreamPool {
-    /// A resting connection, or a new one where there is none.
+    /// Returns an idle connection, or opens a new one if there is none.
     pub async fn get(
         &self,
         address: net::SocketAddrV4,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     pub async fn open(
         &self,
         address: net::SocketAddrV4,
@@ -142,7 +143,8 @@
         Ok(UpstreamConnection { reader, writer, used: false, life })
     }
 
-    /// Keeps a connection whose last answer has been read to its end, of `most` at rest to its upstream.
+    /// Returns a connection to the pool after its last answer was read completely. It is kept for the
+    /// upstream's keep-alive time `keep`, but closed if `most` connections to the address are idle.
     pub fn put(
         &self,
         address: net::SocketAddrV4,
@@ -171,7 +173,7 @@
         }
     }
 
-    /// How many connections to an address there are.
+    /// Returns the numbers of connections to an address.
     pub(crate) fn held(&self, address: net::SocketAddrV4) -> HeldConnections {
         let is_open = |life: &&rc::Weak<ConnectionLife>| life.strong_count() > 0;
         let lives = self.lives.borrow();
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Closes connections that have rested long enough.
+    /// Closes connections that were idle for too long.
     pub fn prune(&self) {
         let now = boot_clock::BootInstant::now();
         self.idle.borrow_mut().retain(|_, kept| {
@@ -194,12 +196,13 @@
         });
     }
 
-    /// Closes the connections that rest to an address; returns how many.
+    /// Closes the idle connections to an address; returns their number.
     pub fn close_idle(&self, address: net::SocketAddrV4) -> usize {
         self.idle.borrow_mut().remove(&address).map_or(0, |kept| kept.len())
     }
 
-    /// What the silence of a connection shows, compared with the others to its upstream.
+    /// Returns the probable cause of a connection's silence, judged by the other connections to its
+    /// upstream.
     pub fn cause(
         &self,
         silent: &ConnectionLife,
@@ -212,11 +215,10 @@
         connection_silence::SilenceCause::of(silent.ages(), moment, waited, others)
     }
 
-    /// Closes resting connections that may have fallen silent with one on which was waited in
-    /// vain; returns how many.
+    /// Closes idle connections that may have died along with a silent one; returns their number.
     pub fn close_untrusted(&self, silent: &ConnectionLife, waited: time::Duration) -> usize {
-        // What strikes a process strikes its connections to all upstreams at once; one that is
-        // heard speaks for the others, and only those to the same upstream stay in doubt.
+        // A network fault of this process breaks its connections to all upstreams at once. If another
+        // connection that was open since then still receives, only those to the same upstream are doubted.
         let lives = self.lives.borrow();
         let others = ages_of_others(silent, lives.values().flatten());
         let all = !silent.ages().reserved_part(waited, others);
@@ -235,7 +237,7 @@
         let now = boot_clock::BootInstant::now();
         loop {
             let mut idle = self.idle.borrow_mut().get_mut(&address)?.pop()?;
-            // Anything to read means that the upstream has closed, or sent bytes without a request.
+            // If there is anything to read, the upstream closed the connection or sent unrequested bytes.
             let silent = idle.connection.reader.fill().now_or_never().is_none();
             if idle.until > now && silent {
                 return Some(idle.connection);
@@ -244,7 +246,7 @@
     }
 }
 
-/// The ages of connections that are still open, but for one.
+/// Returns the ages of all open connections except `one`.
 fn ages_of_others<'a>(
     one: &ConnectionLife,
     lives: impl Iterator<Item = &'a rc::Weak<ConnectionLife>>,
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -1,4 +1,5 @@
-//! Silent connections to upstreams: what they are taken for, and what that does to others.
+//! Handles silent connections to upstreams: determines the cause and closes connections that may be
+//! affected, too.
 
 use std::{cell, time};
 
@@ -6,29 +7,30 @@
 
 use crate::{context, upstream_pool};
 
-/// Shortest time between two log lines; one silence strikes many requests.
+/// Minimum time between two log lines, as one fault affects many requests.
 const LOG_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
-/// A wait on a connection that was given up.
+/// A wait for bytes on a connection that was given up.
 pub struct SilentWait<'a> {
     /// The upstream.
     pub upstream: &'a ids::UpstreamId,
     /// The connection.
     pub life: &'a upstream_pool::ConnectionLife,
-    /// What was awaited.
+    /// The part of the answer that was awaited.
     pub moment: connection_silence::SilentMoment,
-    /// How long.
+    /// Duration of the wait.
     pub waited: time::Duration,
 }
 
-/// When silences were last logged.
+/// Rate limiter for log lines about silent connections.
 #[derive(Debug, Default)]
 pub struct SilenceLog {
     last: cell::Cell<Option<time::Instant>>,
     held_back: cell::Cell<u64>,
 }
 
-/// Draws the conclusions of a wait that is given up; returns what it is taken for.
+/// Counts and logs a wait that was given up, and closes other connections if they may be dead,
+/// too; returns the probable cause.
 pub fn note(
     context: &context::InstanceContext,
     wait: &SilentWait<'_>,
