--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -36,7 +36,7 @@
     /// API key of the customer.
     pub key: Option<String>,
     /// How long the caller waits for the answer.
-    pub patience: Option<time::Duration>,
+    pub max_wait: Option<time::Duration>,
     /// Number of prompt tokens; 0 for a request without a prompt.
     pub prompt: u64,
     /// Maximum number of output tokens.
@@ -118,7 +118,7 @@
     /// does not report its reservations.
     pub fn uses(&self, ticket: &str) -> Option<bool> {
         let tickets = self.tickets.as_ref()?;
-        Some(tickets.iter().any(|told| told.ticket == ticket && told.used))
+        Some(tickets.iter().any(|report| report.ticket == ticket && report.used))
     }
 }
 
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -41,7 +41,7 @@
 
 impl CallerReply<'_> {
     /// Sends a complete answer of an upstream.
-    pub async fn whole(
+    pub async fn send_answer(
         &mut self,
         head: &http::response::Parts,
         body: &[u8],
@@ -55,7 +55,7 @@
     }
 
     /// Sends the head of a stream together with its first events.
-    pub async fn begin(
+    pub async fn start_stream(
         &mut self,
         head: &http::response::Parts,
         events: &[u8],
@@ -72,14 +72,14 @@
 
     /// Sends the head of a non-streamed answer with the first bytes of its body. Without a `length`
     /// the body is sent in chunks.
-    pub(crate) async fn begin_body(
+    pub(crate) async fn start_body(
         &mut self,
         head: &http::response::Parts,
         length: Option<usize>,
         leading: &[u8],
     ) -> Result<(), h1::MessageError> {
         if length.is_none() {
-            return self.begin(head, leading).await;
+            return self.start_stream(head, leading).await;
         }
         self.begun = true;
         let mut headers = head.headers.clone();
@@ -89,8 +89,8 @@
         self.writer.write(bytes).await
     }
 
-    /// Sends another piece of a body that was begun with [`Self::begin_body`].
-    pub(crate) async fn body_piece(
+    /// Sends another piece of a body that was begun with [`Self::start_body`].
+    pub(crate) async fn send_body_piece(
         &mut self,
         known_length: bool,
         piece: bytes::Bytes,
@@ -102,12 +102,12 @@
     }
 
     /// Sends further events of a stream.
-    pub async fn events(&mut self, events: &[u8]) -> Result<(), h1::MessageError> {
+    pub async fn send_events(&mut self, events: &[u8]) -> Result<(), h1::MessageError> {
         self.writer.write(h1::chunk_bytes(events)).await
     }
 
     /// Ends a chunked body.
-    pub async fn end(&mut self) -> Result<(), h1::MessageError> {
+    pub async fn end_chunked(&mut self) -> Result<(), h1::MessageError> {
         self.writer.write(h1::LAST_CHUNK).await
     }
 
@@ -225,9 +225,8 @@
         }
     };
     let arrived = context.now();
-    let patience = request.as_ref().ok().and_then(|request| request.patience);
-    wait_until_ready(context, arrived, patience.unwrap_or(incoming_call::DEFAULT_CALLER_TIMEOUT))
-        .await;
+    let max_wait = request.as_ref().ok().and_then(|request| request.max_wait);
+    wait_until_ready(context, arrived, max_wait.unwrap_or(incoming_call::DEFAULT_MAX_WAIT)).await;
     let mut call = match incoming_call::admit(context, head, request, arrived) {
         Ok(call) => call,
         Err(refusal) => {
@@ -262,7 +261,7 @@
 async fn wait_until_ready(
     context: &context::InstanceContext,
     arrived: units::MonoTime,
-    patience: time::Duration,
+    max_wait: time::Duration,
 ) {
     loop {
         let now = context.now();
@@ -272,7 +271,7 @@
             return;
         }
         let contact = start_contact(context, now);
-        if !start_wait::goes_on(contact, age, now.since(arrived), patience) {
+        if !start_wait::goes_on(contact, age, now.since(arrived), max_wait) {
             return;
         }
         monoio::time::sleep(READY_POLL_INTERVAL).await;
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -73,7 +73,8 @@
     /// Budget for asking further cells for a place.
     pub search: cell::RefCell<search_budget::SearchBudget>,
     /// Where planner replies go, by waiting request.
-    pub grants: cell::RefCell<collections::HashMap<engine_place::JobId, peer_message::ReplySender>>,
+    pub reply_senders:
+        cell::RefCell<collections::HashMap<engine_place::JobId, peer_message::ReplySender>>,
     /// This process's share of the retry budget, by service.
     pub retries: cell::RefCell<collections::HashMap<ids::ServiceId, fleet_budget::RetryShare>>,
     /// Idle connections to upstreams.
@@ -107,7 +108,7 @@
     /// Number of members that joined since the last heartbeat, for the log.
     pub joined: cell::Cell<usize>,
     /// Sequence number of the last heartbeat.
-    pub heartbeats_sent: cell::Cell<u64>,
+    pub heartbeat_sequence: cell::Cell<u64>,
     /// When this process last noticed that it had been paused; it does not plan for others shortly
     /// after that. The default if it was never paused.
     pub resumed_at: cell::Cell<units::MonoTime>,
@@ -172,7 +173,7 @@
             leases: cell::RefCell::default(),
             planned_by: cell::RefCell::default(),
             search: cell::RefCell::default(),
-            grants: cell::RefCell::default(),
+            reply_senders: cell::RefCell::default(),
             retries: cell::RefCell::default(),
             pool: upstream_pool::UpstreamPool::default(),
             loads: cell::RefCell::new(loads),
@@ -189,7 +190,7 @@
             busy: cell::Cell::new(0),
             belief: cell::RefCell::default(),
             joined: cell::Cell::new(0),
-            heartbeats_sent: cell::Cell::new(0),
+            heartbeat_sequence: cell::Cell::new(0),
             resumed_at: cell::Cell::new(units::MonoTime::default()),
             places_until: cell::Cell::new(None),
             accept_failed_at: cell::Cell::new(None),
@@ -231,8 +232,8 @@
 
     /// Returns the next heartbeat, with the next sequence number.
     pub fn next_heartbeat(&self) -> member_beat::MemberBeat {
-        let sequence = self.heartbeats_sent.get() + 1;
-        self.heartbeats_sent.set(sequence);
+        let sequence = self.heartbeat_sequence.get() + 1;
+        self.heartbeat_sequence.set(sequence);
         let others = self.members.borrow().named(sequence);
         member_beat::MemberBeat { sequence, others, ..self.own_heartbeat() }
     }
@@ -250,7 +251,7 @@
         member_beat::MemberBeat {
             name: settings.name.clone(),
             boot: self.boot,
-            sequence: self.heartbeats_sent.get(),
+            sequence: self.heartbeat_sequence.get(),
             address: settings.member_address,
             data_center: settings.data_center.clone(),
             cpu: (settings.cpu_share * 1_000.0) as u32,
--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -70,11 +70,11 @@
 pub(crate) async fn order(
     context: &context::InstanceContext,
     to: &EngineAddress,
-    given: &EngineOrder<'_>,
+    engine_order: &EngineOrder<'_>,
     limit: time::Duration,
 ) -> Result<Bytes, EngineCallError> {
-    let (path, body) = context.adapter.memory_order(given.order);
-    send(context, to, (given.kind, given.permits), ("POST", &path, body), limit).await
+    let (path, body) = context.adapter.memory_order(engine_order.order);
+    send(context, to, (engine_order.kind, engine_order.permits), ("POST", &path, body), limit).await
 }
 
 async fn send(
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -95,7 +95,7 @@
 pub(crate) fn record_silence(
     context: &context::InstanceContext,
     hold: &mut plan_client::PlaceHold,
-    life: &upstream_pool::ConnectionLife,
+    times: &upstream_pool::ConnectionTimes,
     moment: connection_silence::SilentMoment,
     since: units::MonoTime,
     fault: silence_watch::WaitFault,
@@ -106,6 +106,6 @@
     hold.end = engine_place::PlaceEnd::Silent;
     let waited = context.now().since(since);
     let upstream = &hold.grant.engine;
-    let wait = upstream_silence::SilentWait { upstream, life, moment, waited };
+    let wait = upstream_silence::SilentWait { upstream, times, moment, waited };
     format!("{silence}: {}", upstream_silence::note(context, &wait).label())
 }
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -11,7 +11,7 @@
 const ANSWER_MARGIN: time::Duration = time::Duration::from_millis(15);
 
 /// How long a caller is assumed to wait if it names no time and the routes are not known yet.
-pub(crate) const DEFAULT_CALLER_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+pub(crate) const DEFAULT_MAX_WAIT: time::Duration = time::Duration::from_secs(10);
 
 /// An admitted request.
 pub struct IncomingCall {
@@ -86,8 +86,8 @@
             repeat: self.route.repeat.label(),
             prompt: self.request.prompt,
             limit_ms: units::whole_millis(self.deadline.since(self.arrived)),
-            limit_from: match self.request.patience {
-                Some(patience) if patience < self.route.time_limit => "caller".to_owned(),
+            limit_from: match self.request.max_wait {
+                Some(max_wait) if max_wait < self.route.time_limit => "caller".to_owned(),
                 _ => format!("route {}", self.route.name),
             },
             ..Default::default()
@@ -106,9 +106,9 @@
     if !fleet.is_known() {
         let text = "routes and upstreams are not known yet";
         let refusal = refusal::RequestRefusal::not_run(refusal::RefusalCode::NotReady, text);
-        let patience = request.ok().and_then(|request| request.patience);
+        let max_wait = request.ok().and_then(|request| request.max_wait);
         let away = arrived.since(units::MonoTime::default());
-        let back_after = refusal::outage_return(away, patience.unwrap_or(DEFAULT_CALLER_TIMEOUT));
+        let back_after = refusal::outage_return(away, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
         return Err(refusal.retry_after(back_after));
     }
     let host = host_of(&head);
@@ -127,7 +127,8 @@
         let text = "no key, or a key that is not known";
         return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::Unauthorized, text));
     }
-    let limit = request.patience.map_or(route.time_limit, |wish| wish.min(route.time_limit));
+    let limit =
+        request.max_wait.map_or(route.time_limit, |requested| requested.min(route.time_limit));
     let service = route.pick_service(rand::random()).clone();
     let shape = fleet.routes.services.get(&service).and_then(|service| service.engine.clone());
     Ok(IncomingCall {
--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -86,8 +86,8 @@
     }
 
     fn has_room(&self, level: log::Level) -> bool {
-        let kept = if level <= log::Level::Warn { 0.0 } else { RESERVED_FRACTION };
-        let limit = |lines: usize| (lines as f64 * (1.0 - kept)) as usize;
+        let reserved = if level <= log::Level::Warn { 0.0 } else { RESERVED_FRACTION };
+        let limit = |lines: usize| (lines as f64 * (1.0 - reserved)) as usize;
         if self.waiting.load(atomic::Ordering::Relaxed) >= limit(QUEUE_CAPACITY) {
             return false;
         }
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -90,20 +90,20 @@
         _ => None,
     };
     let mut asked = context.now();
-    reply.begin_body(&answer.head, length, &leading).await.context(CallerSnafu)?;
+    reply.start_body(&answer.head, length, &leading).await.context(CallerSnafu)?;
     *waited += context.now().since(asked);
     loop {
         let piece = answer.connection.reader.next_piece(&mut answer.framing).await;
         let Some(piece) = piece.context(UpstreamSnafu)? else {
             break;
         };
-        answer.connection.life.receive();
+        answer.connection.times.receive();
         asked = context.now();
-        reply.body_piece(length.is_some(), piece).await.context(CallerSnafu)?;
+        reply.send_body_piece(length.is_some(), piece).await.context(CallerSnafu)?;
         *waited += context.now().since(asked);
     }
     match length {
         Some(_) => Ok(()),
-        None => reply.end().await.context(CallerSnafu),
+        None => reply.end_chunked().await.context(CallerSnafu),
     }
 }
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -166,8 +166,8 @@
     };
     // Recorded before the order is sent: the future may be dropped before the answer.
     let before = held.unanswered.replace(Some(context.now()));
-    let given = engine_call::EngineOrder { order: &order, kind, permits };
-    let result = send_order(context, held, &given).await;
+    let engine_order = engine_call::EngineOrder { order: &order, kind, permits };
+    let result = send_order(context, held, &engine_order).await;
     // After an answer, refusals included, and if nothing was sent, nothing is executed later.
     let over = result.as_ref().map_or_else(engine_call::EngineCallError::is_over, |_| true);
     if over {
@@ -180,10 +180,10 @@
 async fn send_order(
     context: &context::InstanceContext,
     held: &HeldTicket,
-    given: &engine_call::EngineOrder<'_>,
+    engine_order: &engine_call::EngineOrder<'_>,
 ) -> Result<Option<ids::UpstreamStart>, engine_call::EngineCallError> {
     let asked = context.now();
-    let answer = engine_call::order(context, &held.to(), given, ORDER_TIMEOUT).await?;
+    let answer = engine_call::order(context, &held.to(), engine_order, ORDER_TIMEOUT).await?;
     Ok(upstream_starts::receive_order(context, held.address, &answer, asked))
 }
 
@@ -234,9 +234,9 @@
     let _busy = context::BusyGuard::new(context);
     let order = adapter::MemoryOrder::Release { ticket: held.ticket.clone() };
     let kind = send_gate::SendKind::Release;
-    let given = engine_call::EngineOrder { order: &order, kind, permits: &[] };
+    let engine_order = engine_call::EngineOrder { order: &order, kind, permits: &[] };
     for attempt in 1..=RELEASE_TRIES {
-        match send_order(context, held, &given).await {
+        match send_order(context, held, &engine_order).await {
             Ok(_) => return,
             // The engine does not know the ticket, so nothing is reserved.
             Err(error) if error.is_over() => return,
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -141,7 +141,7 @@
     let planned = back_after.is_some();
     let none =
         upstream_choice::no_upstream_reason(context, &call.service, call.left(context.now()));
-    if let Some(none) = none.filter(|none| none.is_rest() || !planned) {
+    if let Some(none) = none.filter(|none| none.is_backoff() || !planned) {
         text = none.to_string();
         back_after = Some(none.back_after());
     }
@@ -167,7 +167,7 @@
     };
     record.status = Some(head.status.as_u16());
     "the engine's own failure".clone_into(&mut record.outcome);
-    reply.whole(&head, &body).await?;
+    reply.send_answer(&head, &body).await?;
     Ok(true)
 }
 
@@ -183,7 +183,7 @@
     }
     // The time that a caller waits without an event restarts with each event.
     let since = state.last_at.unwrap_or(call.arrived);
-    let limit = stream_policy::patience(call).saturating_sub(context.now().since(since));
+    let limit = stream_policy::max_event_wait(call).saturating_sub(context.now().since(since));
     let limit = limit.max(context::MIN_PLACE_TIME).min(call.left(context.now()));
     let progress = stream_policy::AskProgress {
         begun: state.begun,
@@ -192,7 +192,8 @@
         excluded: &state.excluded,
     };
     let ask = stream_policy::ask(context, call, &progress);
-    let mut hold = match cell_search::place(context, call, ask, state.turn(call), limit).await {
+    let mut hold = match cell_search::place(context, call, ask, state.trial_turn(call), limit).await
+    {
         plan_client::PlaceOutcome::Placed(hold) => hold,
         plan_client::PlaceOutcome::Refused(refusal) => return Ok(AttemptEnd::Refused(refusal)),
         plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
@@ -256,7 +257,7 @@
         Ok(connection) => connection,
         Err(fault) => return Ok(AttemptEnd::Fault(fault)),
     };
-    let life = rc::Rc::clone(&connection.life);
+    let times = rc::Rc::clone(&connection.times);
     let left = call.left(context.now());
     let run = upstream_ends::RunGuard::begin(context, call, &target.upstream, target.address);
     let mut over = pin::pin!(context.starts.until_over(&target.upstream));
@@ -284,7 +285,7 @@
         Err(fault) => {
             state.sent += 1;
             let moment = connection_silence::SilentMoment::Head;
-            let text = engine_fault::record_silence(context, hold, &life, moment, begun_at, fault);
+            let text = engine_fault::record_silence(context, hold, &times, moment, begun_at, fault);
             return Ok(broken(state, text));
         }
     };
@@ -340,14 +341,14 @@
             Err(fault) => {
                 let moment = connection_silence::SilentMoment::Midway;
                 let text =
-                    engine_fault::record_silence(context, hold, &life, moment, asked_at, fault);
+                    engine_fault::record_silence(context, hold, &times, moment, asked_at, fault);
                 return Ok(broken(state, text));
             }
         };
         let Some(piece) = piece else {
             break;
         };
-        life.receive();
+        times.receive();
         events.push(&piece);
         let whole = events.take_complete();
         if whole.is_empty() {
@@ -371,7 +372,7 @@
     if !state.begun {
         state.send(reply, &answer.head, &BytesMut::new()).await?;
     }
-    reply.end().await?;
+    reply.end_chunked().await?;
     answer.finish(context, &hold.grant.engine);
     record.status = Some(200);
     "answered".clone_into(&mut record.outcome);
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -147,7 +147,7 @@
     job: engine_place::JobId,
     reply: peer_message::PlanReply,
 ) {
-    if let Some(sender) = context.grants.borrow().get(&job) {
+    if let Some(sender) = context.reply_senders.borrow().get(&job) {
         // A request that has ended in between needs no reply.
         let _ = sender.unbounded_send(reply);
     }
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -74,7 +74,7 @@
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.context.grants.borrow_mut().remove(&self.job);
+        self.context.reply_senders.borrow_mut().remove(&self.job);
         if !self.granted {
             let end = engine_place::PlaceEnd::Done;
             let note = engine_place::PlaceNote::Ended(self.job, end);
@@ -103,7 +103,7 @@
 ) -> PlaceOutcome {
     let started = context.now();
     let (sender, mut replies) = mpsc::unbounded();
-    context.grants.borrow_mut().insert(ask.job, sender);
+    context.reply_senders.borrow_mut().insert(ask.job, sender);
     let mut guard = WaitGuard { context, key, job: ask.job, granted: false };
     let goal_left = ask.goal_left_ms;
     loop {
@@ -175,20 +175,20 @@
     }
     let message = peer_message::PeerMessage::Ask(key.clone(), Box::new(ask.clone()));
     context.send_to(member.address, message);
-    let mut patience = REPLY_TIMEOUT;
+    let mut reply_timeout = REPLY_TIMEOUT;
     loop {
-        match monoio::time::timeout(patience, replies.next()).await {
+        match monoio::time::timeout(reply_timeout, replies.next()).await {
             Ok(Some(peer_message::PlanReply::Answer(answer))) => {
                 context.members.borrow_mut().answered(context.now(), &member.name);
                 return Some(*answer);
             }
             Ok(Some(peer_message::PlanReply::Queued)) => {
                 context.members.borrow_mut().answered(context.now(), &member.name);
-                patience = REPEAT_TIME;
+                reply_timeout = REPEAT_TIME;
             }
             Ok(None) => return None,
             Err(_) => {
-                if patience == REPLY_TIMEOUT {
+                if reply_timeout == REPLY_TIMEOUT {
                     context.members.borrow_mut().unanswered(&member.name);
                     log::debug!(member:% = member.name; "planner.silent");
                 }
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -63,8 +63,8 @@
     // A call probes an upstream that failed only while it has another attempt left.
     let first = excluded.is_empty() && call.route.max_attempts > 1;
     let repeatable = first && call.route.repeat.allows_repeat();
-    let is_paced = |entry: &upstream_list::UpstreamEntry| fleet.list.limit(&entry.name).is_some();
-    context.loads.borrow().pick(context.now(), &open, &own, repeatable, is_paced).cloned()
+    let has_limit = |entry: &upstream_list::UpstreamEntry| fleet.list.limit(&entry.name).is_some();
+    context.loads.borrow().pick(context.now(), &open, &own, repeatable, has_limit).cloned()
 }
 
 /// Waits for a permit for one of the upstreams with the shortest wait, one after the other.
@@ -74,7 +74,8 @@
     excluded: &[ids::UpstreamId],
 ) -> Option<ChosenUpstream> {
     for entry in closed(context, call, excluded).into_iter().take(MAX_WAITS) {
-        let obtained = permit_request::obtain(context, &entry.name, patience(context, call)).await;
+        let obtained =
+            permit_request::obtain(context, &entry.name, max_permit_wait(context, call)).await;
         if let Ok(permit) = obtained {
             return Some(ChosenUpstream { entry, permit });
         }
@@ -101,7 +102,7 @@
 }
 
 /// Returns how long a call waits for a permit.
-fn patience(
+fn max_permit_wait(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
 ) -> time::Duration {
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -54,7 +54,7 @@
         CallEnd::Answer(head, body) => {
             record.status = Some(head.status.as_u16());
             "answered".clone_into(&mut record.outcome);
-            reply.whole(&head, &body).await?;
+            reply.send_answer(&head, &body).await?;
         }
         CallEnd::Long(long) => {
             record.status = Some(long.answer.head.status.as_u16());
@@ -260,8 +260,8 @@
     let slow = left.mul_f64(SILENCE_FRACTION);
     let wait = {
         let loads = context.loads.borrow();
-        let kept = loads.kept_wait(&call.route, slow);
-        upstream_attempt::HeadWait { kept, longest: slow, usual: loads.usual(&call.route) }
+        let reused = loads.reused_wait(&call.route, slow);
+        upstream_attempt::HeadWait { reused, longest: slow, usual: loads.usual(&call.route) }
     };
     let run = upstream_ends::RunGuard::begin(context, call, &entry.name, entry.address);
     let sending = upstream_attempt::send(context, call, &target, connection, wait, &mut give_up);
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -12,7 +12,7 @@
 /// Fraction of its first-token goal within which one engine must read the prompt of a short request.
 const SHORT_GOAL_FRACTION: f64 = 0.75;
 /// Minimum silence after which callers give up a stream; the multiples of goals below may be longer.
-const MIN_CALLER_PATIENCE: time::Duration = time::Duration::from_secs(2);
+const MIN_EVENT_WAIT: time::Duration = time::Duration::from_secs(2);
 /// Multiple of the first-token goal that callers wait without an event.
 const CALLER_GOAL_FACTOR: u32 = 4;
 /// Multiple of the pause goal that callers wait without an event.
@@ -77,7 +77,9 @@
         pause_ms: millis(call.route.pause_goal),
         goal_ms: millis(call.route.first_token_goal),
         goal_left_ms: millis(goal_left),
-        patience_ms: millis(patience(call).saturating_sub(spent).min(call.left(context.now()))),
+        patience_ms: millis(
+            max_event_wait(call).saturating_sub(spent).min(call.left(context.now())),
+        ),
         // A request that may crash its engine is placed where few others run.
         tight: is_short(context, call) && !progress.suspect,
         worth: worth(context, call),
@@ -121,12 +123,12 @@
 /// allows.
 pub(crate) fn likely_retried(call: &incoming_call::IncomingCall) -> bool {
     let whole = call.route.time_limit.mul_f64(FIRST_TRY_FRACTION);
-    call.request.patience.is_some_and(|patience| patience < whole)
+    call.request.max_wait.is_some_and(|max_wait| max_wait < whole)
 }
 
 /// Returns how long a caller waits without an event.
-pub(crate) fn patience(call: &incoming_call::IncomingCall) -> time::Duration {
-    MIN_CALLER_PATIENCE
+pub(crate) fn max_event_wait(call: &incoming_call::IncomingCall) -> time::Duration {
+    MIN_EVENT_WAIT
         .max(call.route.first_token_goal * CALLER_GOAL_FACTOR)
         .max(call.route.pause_goal * CALLER_PAUSE_FACTOR)
 }
@@ -140,7 +142,7 @@
 /// Returns how long the only engine left may be silent, which leaves time for another attempt
 /// before the caller gives up.
 pub(crate) fn last_silence(call: &incoming_call::IncomingCall) -> time::Duration {
-    patience(call).mul_f64(SILENCE_FRACTION)
+    max_event_wait(call).mul_f64(SILENCE_FRACTION)
 }
 
 /// Returns how long an engine may be silent before its answer begins.
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -39,10 +39,10 @@
         events: &BytesMut,
     ) -> Result<(), h1::MessageError> {
         if self.begun {
-            return reply.events(events).await;
+            return reply.send_events(events).await;
         }
         self.begun = true;
-        reply.begin(head, events).await
+        reply.start_stream(head, events).await
     }
 
     /// Records received events in the state and in the request's record.
@@ -70,7 +70,7 @@
     }
 
     /// Returns whether the next attempt may probe an engine after its backoff.
-    pub(crate) fn turn(&self, call: &incoming_call::IncomingCall) -> send_gate::TrialTurn {
+    pub(crate) fn trial_turn(&self, call: &incoming_call::IncomingCall) -> send_gate::TrialTurn {
         let made = self.excluded.len().max(self.sent as usize);
         send_gate::TrialTurn::of(made, call.route.max_attempts)
     }
@@ -84,7 +84,7 @@
         used: Option<&ids::UpstreamId>,
     ) -> bool {
         let fleet = context.fleet.borrow();
-        let open = fleet.list.open(context.now(), &call.service, self.turn(call));
+        let open = fleet.list.open(context.now(), &call.service, self.trial_turn(call));
         let mut open = open.into_iter().map(|entry| &entry.name);
         open.any(|name| Some(name) != used && !self.excluded.contains(name))
     }
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -122,9 +122,9 @@
                 Ok(piece) => piece,
                 Err(_) if give_up(RetryReach::OtherUpstream).await => {
                     let moment = connection_silence::SilentMoment::Midway;
-                    let life = &self.connection.life;
+                    let times = &self.connection.times;
                     let waited = silence;
-                    let wait = upstream_silence::SilentWait { upstream, life, moment, waited };
+                    let wait = upstream_silence::SilentWait { upstream, times, moment, waited };
                     let cause = upstream_silence::note(context, &wait).label();
                     return Err(AttemptFault::broke(format!("silent for {silence:?}: {cause}")));
                 }
@@ -133,7 +133,7 @@
             let Some(piece) = piece.map_err(AttemptFault::broke)? else {
                 return Ok(LeadingBody { bytes: body.freeze(), whole: true });
             };
-            self.connection.life.receive();
+            self.connection.times.receive();
             body.extend_from_slice(&piece);
         }
         let whole = self.framing.ended();
@@ -171,7 +171,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct HeadWait {
     /// Limit on a reused connection, which may have died while idle.
-    pub kept: time::Duration,
+    pub reused: time::Duration,
     /// Limit on any connection.
     pub longest: time::Duration,
     /// Usual time of an answer; with less time than that left, a retry over a new connection is useless.
@@ -219,14 +219,14 @@
     mut give_up: impl AsyncFnMut(RetryReach) -> bool,
 ) -> Result<AttemptAnswer, AttemptFault> {
     let used = connection.used;
-    let life = rc::Rc::clone(&connection.life);
+    let times = rc::Rc::clone(&connection.times);
     let started = time::Instant::now();
     let mut work = std::pin::pin!(exchange(context, call, target, connection));
-    if used && let Ok(answered) = monoio::time::timeout(wait.kept, work.as_mut()).await {
+    if used && let Ok(answered) = monoio::time::timeout(wait.reused, work.as_mut()).await {
         return answered;
     }
     let moment = connection_silence::SilentMoment::Head;
-    let doubted = used && context.pool.cause(&life, moment, wait.kept).doubts_others();
+    let doubted = used && context.pool.cause(&times, moment, wait.reused).doubts_others();
     let in_time = call.left(context.now()) >= wait.usual;
     let reused_silent = doubted && in_time && give_up(RetryReach::AnyUpstream).await;
     if !reused_silent {
@@ -240,7 +240,7 @@
     }
     let waited = started.elapsed();
     let upstream = &target.upstream;
-    let silent = upstream_silence::SilentWait { upstream, life: &life, moment, waited };
+    let silent = upstream_silence::SilentWait { upstream, times: &times, moment, waited };
     let cause = upstream_silence::note(context, &silent).label();
     let fault = AttemptFault::broke(format!("no answer within {waited:?}: {cause}"));
     Err(AttemptFault { reused_silent, ..fault })
@@ -291,7 +291,7 @@
         }
     };
     let head = head.map_err(AttemptFault::broke)?;
-    connection.life.receive();
+    connection.times.receive();
     let head_fields = context.adapter.read_answer(&head);
     if head_fields.id.as_deref() != Some(call.request.id.as_str()) {
         return Err(AttemptFault::broke("the answer belongs to another request"));
--- a/crates/instance/src/upstream_choice.rs
+++ b/crates/instance/src/upstream_choice.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum NoUpstreamReason {
     /// All otherwise usable upstreams requested a backoff.
-    Rest {
+    Backoff {
         /// The service.
         service: ids::ServiceId,
         /// The backoff that ends first.
@@ -36,14 +36,14 @@
 
 impl NoUpstreamReason {
     /// Returns whether the reason is that upstreams requested a backoff.
-    pub(crate) fn is_rest(&self) -> bool {
-        matches!(self, Self::Rest { .. })
+    pub(crate) fn is_backoff(&self) -> bool {
+        matches!(self, Self::Backoff { .. })
     }
 
     /// Returns the retry delay for the caller; a random part spreads the retries after a backoff.
     pub(crate) fn back_after(&self) -> time::Duration {
         match self {
-            Self::Rest { first, now, .. } => {
+            Self::Backoff { first, now, .. } => {
                 let (left, lasted) = (first.until.since(*now), first.lasts());
                 refusal::rest_return(left, lasted, &mut rand::rng())
             }
@@ -55,7 +55,7 @@
 impl fmt::Display for NoUpstreamReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Rest { service, first, now } => {
+            Self::Backoff { service, first, now } => {
                 let left = units::whole_millis(first.until.since(*now));
                 write!(f, "all upstreams of service '{service}' rest, the first {left} ms more")
             }
@@ -84,7 +84,7 @@
     if open.is_empty() {
         let service = service.clone();
         if let Some(first) = fleet.list.first_back(now, &service) {
-            return Some(NoUpstreamReason::Rest { service, first, now });
+            return Some(NoUpstreamReason::Backoff { service, first, now });
         }
         let away = fleet.list.evacuated_for(now, &service)?;
         let back_after = refusal::outage_return(away, left);
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -49,14 +49,14 @@
 
     /// Picks the upstream for a call: a failed one whose probe is due, else the candidate with the
     /// lowest cost. Ejected ones are picked only if there is no other. Among equal ones, those with a
-    /// limit, for which `is_paced` returns true, are preferred.
+    /// limit, for which `has_limit` returns true, are preferred.
     pub fn pick<'a>(
         &self,
         now: units::MonoTime,
         candidates: &[&'a upstream_list::UpstreamEntry],
         own: &ids::DataCenterId,
         repeatable: bool,
-        is_paced: impl Fn(&upstream_list::UpstreamEntry) -> bool,
+        has_limit: impl Fn(&upstream_list::UpstreamEntry) -> bool,
     ) -> Option<&'a upstream_list::UpstreamEntry> {
         let to_probe = |entry: &&&upstream_list::UpstreamEntry| {
             let state = self.states.get(&entry.name);
@@ -83,7 +83,7 @@
         let equal = costs.iter().filter(|(cost, _)| *cost <= lowest).map(|(_, entry)| *entry);
         // The rate of a limit is lost if it is not used in time; upstreams without a limit take the
         // remaining calls.
-        if let Some(paced) = equal.clone().find(|entry| is_paced(entry)) {
+        if let Some(paced) = equal.clone().find(|entry| has_limit(entry)) {
             return Some(paced);
         }
         match self.way {
@@ -147,7 +147,7 @@
     }
 
     /// Returns how long to wait for the head of an answer on a reused connection.
-    pub fn kept_wait(
+    pub fn reused_wait(
         &self,
         route: &route_table::RoutePolicy,
         longest: time::Duration,
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -48,13 +48,13 @@
 
 /// When a connection was opened, and when bytes were last received on it.
 #[derive(Debug)]
-pub struct ConnectionLife {
+pub struct ConnectionTimes {
     address: net::SocketAddrV4,
     opened: boot_clock::BootInstant,
     heard: cell::Cell<Option<boot_clock::BootInstant>>,
 }
 
-impl ConnectionLife {
+impl ConnectionTimes {
     /// Records that bytes were received.
     pub fn receive(&self) {
         self.heard.set(Some(boot_clock::BootInstant::now()));
@@ -77,7 +77,7 @@
     /// Whether the connection was used for an earlier request.
     pub used: bool,
     /// When the connection was opened and last received bytes.
-    pub life: rc::Rc<ConnectionLife>,
+    pub times: rc::Rc<ConnectionTimes>,
 }
 
 impl UpstreamConnection {
@@ -108,7 +108,8 @@
 /// Idle connections by address, and the times of all open connections.
 #[derive(Debug, Default)]
 pub struct UpstreamPool {
-    lives: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionLife>>>>,
+    open_times:
+        cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionTimes>>>>,
     idle: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<PooledConnection>>>,
 }
 
@@ -137,19 +138,19 @@
         let stream = connected.map_err(|source| ConnectError::Refused { source })?;
         let (reader, writer) = h1::split(stream);
         let heard = cell::Cell::new(None);
-        let life = ConnectionLife { address, opened: boot_clock::BootInstant::now(), heard };
-        let life = rc::Rc::new(life);
-        self.lives.borrow_mut().entry(address).or_default().push(rc::Rc::downgrade(&life));
-        Ok(UpstreamConnection { reader, writer, used: false, life })
+        let times = ConnectionTimes { address, opened: boot_clock::BootInstant::now(), heard };
+        let times = rc::Rc::new(times);
+        self.open_times.borrow_mut().entry(address).or_default().push(rc::Rc::downgrade(&times));
+        Ok(UpstreamConnection { reader, writer, used: false, times })
     }
 
     /// Returns a connection to the pool after its last answer was read completely. It is kept for the
-    /// upstream's keep-alive time `keep`, but closed if `most` connections to the address are idle.
+    /// time that the upstream allows (`keep_alive`), but closed if `most` connections to the address are idle.
     pub fn put(
         &self,
         address: net::SocketAddrV4,
         mut connection: UpstreamConnection,
-        keep: Option<time::Duration>,
+        keep_alive: Option<time::Duration>,
         most: usize,
     ) {
         if connection.reader.has_surplus() {
@@ -157,28 +158,31 @@
         }
         connection.reader.rest();
         connection.used = true;
-        connection.life.receive();
-        let rest =
-            keep.map_or(MAX_IDLE_TIME, |keep| keep.saturating_sub(IDLE_MARGIN).min(MAX_IDLE_TIME));
-        if rest.is_zero() {
+        connection.times.receive();
+        let idle_time = keep_alive.map_or(MAX_IDLE_TIME, |keep_alive| {
+            keep_alive.saturating_sub(IDLE_MARGIN).min(MAX_IDLE_TIME)
+        });
+        if idle_time.is_zero() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < most {
-            kept.push(PooledConnection {
+        let pooled = idle.entry(address).or_default();
+        if pooled.len() < most {
+            pooled.push(PooledConnection {
                 connection,
-                until: boot_clock::BootInstant::now() + rest,
+                until: boot_clock::BootInstant::now() + idle_time,
             });
         }
     }
 
     /// Returns the numbers of connections to an address.
     pub(crate) fn held(&self, address: net::SocketAddrV4) -> HeldConnections {
-        let is_open = |life: &&rc::Weak<ConnectionLife>| life.strong_count() > 0;
-        let lives = self.lives.borrow();
+        let is_open = |times: &&rc::Weak<ConnectionTimes>| times.strong_count() > 0;
+        let open_times = self.open_times.borrow();
         HeldConnections {
-            open: lives.get(&address).map_or(0, |lives| lives.iter().filter(is_open).count()),
+            open: open_times
+                .get(&address)
+                .map_or(0, |open_times| open_times.iter().filter(is_open).count()),
             idle: self.idle.borrow().get(&address).map_or(0, Vec::len),
         }
     }
@@ -186,49 +190,49 @@
     /// Closes connections that were idle for too long.
     pub fn prune(&self) {
         let now = boot_clock::BootInstant::now();
-        self.idle.borrow_mut().retain(|_, kept| {
-            kept.retain(|idle| idle.until > now);
-            !kept.is_empty()
+        self.idle.borrow_mut().retain(|_, pooled| {
+            pooled.retain(|idle| idle.until > now);
+            !pooled.is_empty()
         });
-        self.lives.borrow_mut().retain(|_, lives| {
-            lives.retain(|life| life.strong_count() > 0);
-            !lives.is_empty()
+        self.open_times.borrow_mut().retain(|_, open_times| {
+            open_times.retain(|times| times.strong_count() > 0);
+            !open_times.is_empty()
         });
     }
 
     /// Closes the idle connections to an address; returns their number.
     pub fn close_idle(&self, address: net::SocketAddrV4) -> usize {
-        self.idle.borrow_mut().remove(&address).map_or(0, |kept| kept.len())
+        self.idle.borrow_mut().remove(&address).map_or(0, |pooled| pooled.len())
     }
 
     /// Returns the probable cause of a connection's silence, judged by the other connections to its
     /// upstream.
     pub fn cause(
         &self,
-        silent: &ConnectionLife,
+        silent: &ConnectionTimes,
         moment: connection_silence::SilentMoment,
         waited: time::Duration,
     ) -> connection_silence::SilenceCause {
-        let lives = self.lives.borrow();
-        let same = lives.get(&silent.address).into_iter().flatten();
+        let open_times = self.open_times.borrow();
+        let same = open_times.get(&silent.address).into_iter().flatten();
         let others = ages_of_others(silent, same);
         connection_silence::SilenceCause::of(silent.ages(), moment, waited, others)
     }
 
     /// Closes idle connections that may have died along with a silent one; returns their number.
-    pub fn close_untrusted(&self, silent: &ConnectionLife, waited: time::Duration) -> usize {
+    pub fn close_untrusted(&self, silent: &ConnectionTimes, waited: time::Duration) -> usize {
         // A network fault of this process breaks its connections to all upstreams at once. If another
         // connection that was open since then still receives, only those to the same upstream are doubted.
-        let lives = self.lives.borrow();
-        let others = ages_of_others(silent, lives.values().flatten());
+        let open_times = self.open_times.borrow();
+        let others = ages_of_others(silent, open_times.values().flatten());
         let all = !silent.ages().reserved_part(waited, others);
         let mut idle = self.idle.borrow_mut();
         let count =
             |idle: &collections::HashMap<_, Vec<_>>| -> usize { idle.values().map(Vec::len).sum() };
         let before = count(&idle);
         let doubted = idle.iter_mut().filter(|(address, _)| all || **address == silent.address);
-        for (_, kept) in doubted {
-            kept.retain(|idle| idle.connection.life.ages().trusted(waited));
+        for (_, pooled) in doubted {
+            pooled.retain(|idle| idle.connection.times.ages().trusted(waited));
         }
         before - count(&idle)
     }
@@ -248,9 +252,9 @@
 
 /// Returns the ages of all open connections except `one`.
 fn ages_of_others<'a>(
-    one: &ConnectionLife,
-    lives: impl Iterator<Item = &'a rc::Weak<ConnectionLife>>,
+    one: &ConnectionTimes,
+    open_times: impl Iterator<Item = &'a rc::Weak<ConnectionTimes>>,
 ) -> impl Iterator<Item = connection_silence::ConnectionAges> {
-    let open = lives.filter_map(rc::Weak::upgrade);
-    open.filter(|life| !std::ptr::eq(rc::Rc::as_ptr(life), one)).map(|life| life.ages())
+    let open = open_times.filter_map(rc::Weak::upgrade);
+    open.filter(|times| !std::ptr::eq(rc::Rc::as_ptr(times), one)).map(|times| times.ages())
 }
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -15,7 +15,7 @@
     /// The upstream.
     pub upstream: &'a ids::UpstreamId,
     /// The connection.
-    pub life: &'a upstream_pool::ConnectionLife,
+    pub times: &'a upstream_pool::ConnectionTimes,
     /// The part of the answer that was awaited.
     pub moment: connection_silence::SilentMoment,
     /// Duration of the wait.
@@ -35,10 +35,10 @@
     context: &context::InstanceContext,
     wait: &SilentWait<'_>,
 ) -> connection_silence::SilenceCause {
-    let cause = context.pool.cause(wait.life, wait.moment, wait.waited);
+    let cause = context.pool.cause(wait.times, wait.moment, wait.waited);
     context.stats.borrow_mut().count("silent", cause.label());
     let doubted = cause.doubts_others();
-    let dropped = if doubted { context.pool.close_untrusted(wait.life, wait.waited) } else { 0 };
+    let dropped = if doubted { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
     let log = &context.silence_log;
     if log.last.get().is_some_and(|last| last.elapsed() < LOG_INTERVAL) {
         log.held_back.set(log.held_back.get() + 1);
