--- a/crates/instance/tests/rest_ways.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -1,5 +1,6 @@
-//! Engines that turn away a part of their prompts and ask for rest, in virtual time: how requests come back behind
-//! a rest, and how the planner learns whom a member must not use.
+//! Simulation of engines that refuse part of their prompts and request a backoff. Too many prompts
+//! are lost if all members return at once after a backoff, and requests for a place are wasted if
+//! the planner does not know which engines a member must not use.
 
 use std::{collections, time};
 
@@ -23,17 +24,19 @@
 
 const MEMBERS: usize = 6;
 const ENGINES: usize = 6;
-/// Time between two prompts of all callers.
+/// Interval between two prompts of all callers together, in milliseconds.
 const ARRIVAL_MS: u64 = 20;
-/// From a prompt to its first token, and to its end.
+/// Time from a prompt to its first token, in milliseconds.
 const FIRST_MS: u64 = 60;
+/// Time from a prompt to the end of its answer, in milliseconds.
 const ANSWER_MS: u64 = 1_000;
-/// When engines turn prompts away.
-const TROUBLE_MS: std::ops::Range<u64> = 1_000..25_000;
-/// The rest that they ask for.
-const REST: time::Duration = time::Duration::from_secs(3);
-/// Attempts that may reach an engine, and places asked for at most.
+/// Period in which engines refuse prompts, in milliseconds.
+const FAILURE_PERIOD_MS: std::ops::Range<u64> = 1_000..25_000;
+/// Backoff that a refusing engine requests.
+const BACKOFF: time::Duration = time::Duration::from_secs(3);
+/// Maximum number of attempts that may reach an engine.
 const ATTEMPTS: u32 = 2;
+/// Maximum number of places requested for a prompt.
 const MAX_TRIES: u32 = 5;
 
 fn at(millis: u64) -> units::MonoTime {
@@ -104,29 +107,32 @@
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
     sent: u32,
-    /// By the planner, for want of room.
+    /// Prompts refused by the planner because no engine had room.
     refused: u32,
-    /// Turned away at each attempt, or out of tries.
+    /// Prompts refused at each attempt, or out of places to request.
     lost: u32,
-    turned_away: u32,
-    kept_back: u32,
+    /// Attempts refused by an engine.
+    refused_attempts: u32,
+    /// Granted places that the member could not use, as its gate denied the engine.
+    denied_grants: u32,
 }
 
-struct Play {
+struct Simulation {
     lists: Vec<UpstreamList>,
     planner: ReadPlanner,
-    /// First tokens and ends that are due.
+    /// Scheduled first tokens and ends by time: the job, and whether it is its end.
     due: collections::BTreeMap<u64, Vec<(JobId, bool)>>,
     random: ChaCha8Rng,
-    /// Engines that turn prompts away, and the share of them.
-    troubled: usize,
-    share: f64,
+    /// Number of engines that refuse prompts.
+    failing_engines: usize,
+    /// Fraction of prompts that these engines refuse.
+    refused_fraction: f64,
     outcome: Outcome,
     jobs: u64,
 }
 
-impl Play {
-    fn settle(&mut self, now: u64) {
+impl Simulation {
+    fn advance_to(&mut self, now: u64) {
         let later = self.due.split_off(&(now + 1));
         for (job, ends) in std::mem::replace(&mut self.due, later).into_values().flatten() {
             if ends {
@@ -140,12 +146,13 @@
         self.planner.tick(at(now));
     }
 
-    /// One prompt at one member; whether it was served, or refused at once.
+    /// Serves one prompt at one member; returns false if the prompt was lost. A refusal by the planner
+    /// does not count as lost.
     fn serve(&mut self, now: u64, member: usize, closed: ClosedEngineWay) -> bool {
         let mut excluded = Vec::new();
-        let mut made = 0;
+        let mut sent_attempts = 0;
         for _ in 0..MAX_TRIES {
-            if made >= ATTEMPTS {
+            if sent_attempts >= ATTEMPTS {
                 return false;
             }
             let turn = TrialTurn::of(excluded.len(), ATTEMPTS);
@@ -163,18 +170,18 @@
             };
             let list = &mut self.lists[member];
             if list.permits(at(now), &grant.engine, SendKind::Request, &[]).is_err() {
-                self.outcome.kept_back += 1;
+                self.outcome.denied_grants += 1;
                 self.planner.end(at(now), grant.job, PlaceEnd::Done);
                 excluded.push(grant.engine);
                 continue;
             }
-            made += 1;
+            sent_attempts += 1;
             list.notices_mut().begin(at(now), &grant.engine);
-            let troubled = TROUBLE_MS.contains(&now)
-                && (0..self.troubled).any(|number| engine(number) == grant.engine);
-            if troubled && self.random.random::<f64>() < self.share {
-                self.outcome.turned_away += 1;
-                list.notices_mut().receive_rest(at(now), &grant.engine, REST);
+            let is_failing = FAILURE_PERIOD_MS.contains(&now)
+                && (0..self.failing_engines).any(|number| engine(number) == grant.engine);
+            if is_failing && self.random.random::<f64>() < self.refused_fraction {
+                self.outcome.refused_attempts += 1;
+                list.notices_mut().receive_rest(at(now), &grant.engine, BACKOFF);
                 self.planner.end(at(now), grant.job, PlaceEnd::Full);
                 excluded.push(grant.engine);
                 continue;
@@ -188,56 +195,63 @@
     }
 }
 
-fn play(
+fn simulate(
     way: RestReturnWay,
     closed: ClosedEngineWay,
-    (troubled, share): (usize, f64),
+    (failing_engines, refused_fraction): (usize, f64),
     seed: u64,
 ) -> Outcome {
-    let mut play = Play {
+    let mut simulation = Simulation {
         lists: (0..MEMBERS).map(|_| list(way)).collect(),
         planner: planner(),
         due: collections::BTreeMap::new(),
         random: ChaCha8Rng::seed_from_u64(seed),
-        troubled,
-        share,
+        failing_engines,
+        refused_fraction,
         outcome: Outcome::default(),
         jobs: 0,
     };
     for now in (0..30_000).step_by(ARRIVAL_MS as usize) {
-        play.settle(now);
-        let member = play.random.random_range(0..MEMBERS);
-        play.outcome.sent += 1;
-        let served = play.serve(now, member, closed);
-        play.outcome.lost += u32::from(!served);
+        simulation.advance_to(now);
+        let member = simulation.random.random_range(0..MEMBERS);
+        simulation.outcome.sent += 1;
+        let served = simulation.serve(now, member, closed);
+        simulation.outcome.lost += u32::from(!served);
     }
-    play.outcome
+    simulation.outcome
 }
 
-fn sum(way: RestReturnWay, closed: ClosedEngineWay, trouble: (usize, f64)) -> Outcome {
-    let runs = (0..10).map(|seed| play(way, closed, trouble, seed));
+fn sum(way: RestReturnWay, closed: ClosedEngineWay, failures: (usize, f64)) -> Outcome {
+    let runs = (0..10).map(|seed| simulate(way, closed, failures, seed));
     runs.fold(Outcome::default(), |sum, one| Outcome {
         sent: sum.sent + one.sent,
         refused: sum.refused + one.refused,
         lost: sum.lost + one.lost,
-        turned_away: sum.turned_away + one.turned_away,
-        kept_back: sum.kept_back + one.kept_back,
+        refused_attempts: sum.refused_attempts + one.refused_attempts,
+        denied_grants: sum.denied_grants + one.denied_grants,
     })
 }
 
-/// Of 15,000 prompts while three of six engines turn away 7 in 10: 67 lost where one goes first behind a rest and who
-/// has been turned away keeps off, 130 where all come back at once; 307 asks in vain where the planner is not told.
+/// Of 15,000 prompts, with three of six engines refusing 7 in 10, 67 were lost if a single request
+/// probes after a backoff and refused requests do not probe, and 130 if all return at once. Without
+/// excluded engines in the requests for places, 307 of these were wasted.
 #[test]
-fn one_goes_first_behind_a_rest_and_planners_are_told_whom_to_leave_out() {
-    for trouble in [(1, 0.4), (2, 0.4), (2, 1.0), (3, 0.7)] {
-        let one = sum(RestReturnWay::One, ClosedEngineWay::Asked, trouble);
-        let all = sum(RestReturnWay::All, ClosedEngineWay::Asked, trouble);
-        let untold = sum(RestReturnWay::All, ClosedEngineWay::KeptBack, trouble);
-        println!("{trouble:?}: one first {one:?}; all {all:?}; planners not told {untold:?}");
-        assert!(one.lost <= all.lost, "{trouble:?}: {one:?} {all:?}");
-        assert_eq!((one.kept_back, all.kept_back), (0, 0), "no ask in vain");
-        assert!(untold.kept_back > 0);
+fn single_probes_after_a_backoff_lose_fewer_prompts_and_excluded_engines_are_not_granted() {
+    for failures in [(1, 0.4), (2, 0.4), (2, 1.0), (3, 0.7)] {
+        let one = sum(RestReturnWay::One, ClosedEngineWay::Asked, failures);
+        let all = sum(RestReturnWay::All, ClosedEngineWay::Asked, failures);
+        let without_exclusions = sum(RestReturnWay::All, ClosedEngineWay::KeptBack, failures);
+        println!(
+            "{failures:?}: single probe {one:?}; all {all:?}; without exclusions {without_exclusions:?}"
+        );
+        assert!(one.lost <= all.lost, "{failures:?}: {one:?} {all:?}");
+        assert_eq!(
+            (one.denied_grants, all.denied_grants),
+            (0, 0),
+            "a granted place could not be used"
+        );
+        assert!(without_exclusions.denied_grants > 0);
         let served = 1.0 - f64::from(one.lost) / f64::from(one.sent);
-        assert!(served >= 0.99, "{trouble:?}: {served:.4}");
+        assert!(served >= 0.99, "{failures:?}: {served:.4}");
     }
 }
--- a/crates/instance/tests/event_stream.rs
+++ b/crates/instance/tests/event_stream.rs
@@ -1,10 +1,10 @@
-//! Whole events only, however the bytes are cut.
+//! Event streams are split into complete events, whatever the sizes of the received pieces.
 
 use proptest::prelude::*;
 use slipturn_instance::event_stream::{EventBuffer, split_events};
 
 #[test]
-fn half_events_stay_in_the_buffer() {
+fn incomplete_events_are_not_returned() {
     let mut buffer = EventBuffer::default();
     buffer.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(&buffer.take_complete()[..], b"id: 1\ndata: a\n\n");
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn events_are_told_apart() {
+fn split_events_returns_complete_events_only() {
     let events = split_events(b"id: 1\n\nid: 2\ndata: x\n\nhalf");
     assert_eq!(events, vec![&b"id: 1\n\n"[..], &b"id: 2\ndata: x\n\n"[..]]);
 }
 
 proptest! {
     #[test]
-    fn nothing_is_lost_or_repeated(events in 1_usize..20, cuts in prop::collection::vec(1_usize..9, 1..80)) {
+    fn no_bytes_are_lost_or_repeated(events in 1_usize..20, cuts in prop::collection::vec(1_usize..9, 1..80)) {
         let whole: String =
             (1..=events).map(|number| format!("id: {number}\ndata: {number}\n\n")).collect();
         let mut buffer = EventBuffer::default();
--- a/crates/instance/tests/log_sink.rs
+++ b/crates/instance/tests/log_sink.rs
@@ -1,11 +1,11 @@
-//! Log lines: their shape, and an output that nobody reads.
+//! Format of log lines, and limits on their number when the output blocks or lines come too fast.
 
 use std::{io, sync::mpsc, time};
 
 use log4rs::append::Append as _;
 use slipturn_instance::log_sink;
 
-/// An output that takes nothing until it is told to.
+/// An output that blocks, if it is `stuck`, until a message arrives on `go`.
 struct StuckOutput {
     go: mpsc::Receiver<()>,
     lines: mpsc::Sender<String>,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_output_that_nobody_reads_holds_nobody_up_and_the_loss_is_told() {
+fn a_blocked_output_does_not_block_callers_and_dropped_lines_are_reported() {
     let (go, waits) = mpsc::channel();
     let (lines, written) = mpsc::channel();
     let output = StuckOutput { go: waits, lines, stuck: true };
@@ -54,7 +54,7 @@
     let patience = time::Duration::from_secs(5);
     let first = written.recv_timeout(patience).expect("the first line");
     assert!(first.contains("line.0"), "{first}");
-    // The next second's lines are taken again.
+    // The limit applies per second, so lines are accepted again in the next one.
     std::thread::sleep(time::Duration::from_millis(1_100));
     append(&appender, 20_001);
     let mut dropped = None;
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_flood_of_good_requests_pushes_out_no_failure() {
+fn a_flood_of_info_lines_does_not_displace_warnings() {
     let (go, waits) = mpsc::channel();
     let (lines, written) = mpsc::channel();
     let output = StuckOutput { go: waits, lines, stuck: true };
@@ -104,13 +104,13 @@
 }
 
 #[test]
-fn the_volume_of_a_second_is_bounded() {
+fn lines_per_second_are_bounded() {
     let (lines, written) = mpsc::channel();
     let (_go, waits) = mpsc::channel();
     let output = StuckOutput { go: waits, lines, stuck: false };
     let appender = log_sink::LineAppender::start(Box::new(output));
     let started = time::Instant::now();
-    // Ten times the usual load of a large fleet's instance, for a little over two seconds.
+    // Ten times the usual rate of an instance in a large fleet, for a little over two seconds.
     let mut number = 0;
     while started.elapsed() < time::Duration::from_millis(2_200) {
         append(&appender, number);
--- a/crates/instance/tests/upstream_load.rs
+++ b/crates/instance/tests/upstream_load.rs
@@ -1,7 +1,8 @@
-//! Plain services under load with one upstream that fails at once: who is asked, and what callers get.
+//! Simulation of a plain service with an upstream that fails quickly. A quick failure must not make
+//! the upstream look lightly loaded, which would attract more calls to it.
 //!
-//! Played in virtual time: instances with their own beliefs before a few upstreams, calls that must
-//! not be repeated, and news between members that take a moment.
+//! The instances have separate views of the upstreams, and messages between them are delayed. Some
+//! calls must not be repeated and are lost if they fail.
 
 use std::{collections, time};
 
@@ -15,49 +16,56 @@
 use slipturn_instance::upstream_load::UpstreamLoads;
 
 const UPSTREAMS: u8 = 3;
-/// Time that a sound upstream takes for a call, milliseconds.
+/// Time that a healthy upstream takes for a call, in milliseconds.
 const WORK_MS: u64 = 60;
-/// Time that a failure takes, milliseconds.
+/// Time until a failing call fails, in milliseconds.
 const FAULT_MS: u64 = 4;
-/// Time that news take between members, milliseconds.
-const NEWS_MS: u64 = 3;
+/// Delay of a message between members, in milliseconds.
+const MESSAGE_MS: u64 = 3;
 
-/// What a play is made of.
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 struct LoadPlan {
     instances: usize,
     calls_per_s: f64,
-    /// Share of calls that may be repeated.
+    /// Fraction of calls that may be repeated.
     repeatable: f64,
-    /// How the first upstream fails, and in which share of its calls.
+    /// How the first upstream fails.
     fault: CallResult,
-    share: f64,
-    /// Share of the repeatable calls that fail wherever they run.
-    bad_calls: f64,
-    /// From when to when it does, milliseconds.
+    /// Fraction of its calls that fail.
+    failing_fraction: f64,
+    /// Fraction of the repeatable calls that fail on any upstream.
+    failing_call_fraction: f64,
+    /// Start of the period in which the first upstream fails, in milliseconds.
     from_ms: u64,
+    /// End of that period, in milliseconds.
     until_ms: u64,
+    /// Length of the simulation, in milliseconds.
     length_ms: u64,
 }
 
-/// What callers and the first upstream got.
+/// Numbers of calls in a simulation.
 #[derive(Debug, Default)]
 struct LoadOutcome {
     calls: u32,
+    /// Calls that failed at the first upstream while it failed.
     lost: u32,
-    /// Of these, calls that may not be repeated.
+    /// Those of the lost calls that must not be repeated.
     lost_once: u32,
     /// Calls to the first upstream while it failed.
     asked: u32,
     /// Calls to the first upstream in the last second.
     last: u32,
+    /// Calls to all upstreams in the last second.
     last_all: u32,
 }
 
-/// Something that is due: a call's end, or a member's news.
+/// A scheduled event, at an instance and about an upstream.
 enum Due {
+    /// The end of a call.
     End(usize, usize, CallResult),
-    News(usize, usize),
+    /// A message that the upstream is gone.
+    GoneMessage(usize, usize),
 }
 
 fn at(millis: u64) -> units::MonoTime {
@@ -77,7 +85,7 @@
     (1..=UPSTREAMS).map(entry).collect()
 }
 
-fn play(plan: LoadPlan, seed: u64) -> LoadOutcome {
+fn simulate(plan: LoadPlan, seed: u64) -> LoadOutcome {
     let entries = upstreams();
     let usable: Vec<_> = entries.iter().collect();
     let names: Vec<ids::UpstreamId> = entries.iter().map(|entry| entry.name.clone()).collect();
@@ -90,15 +98,15 @@
         while let Some(entry) = due.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
                 Due::End(instance, upstream, result) => {
-                    let news =
+                    let is_new =
                         result == Gone && loads[instance].receive_gone(at(now), &names[upstream]);
                     loads[instance].end(at(now), &names[upstream], Some(result));
-                    for other in (0..plan.instances).filter(|other| news && *other != instance) {
+                    for other in (0..plan.instances).filter(|other| is_new && *other != instance) {
                         number += 1;
-                        due.insert((now + NEWS_MS, number), Due::News(other, upstream));
+                        due.insert((now + MESSAGE_MS, number), Due::GoneMessage(other, upstream));
                     }
                 }
-                Due::News(instance, upstream) => {
+                Due::GoneMessage(instance, upstream) => {
                     loads[instance].receive_gone(at(now), &names[upstream]);
                 }
             }
@@ -109,13 +117,13 @@
         let instance = rng.random_range(0..plan.instances);
         let own = entries[instance % entries.len()].data_center.clone();
         let repeatable = rng.random_bool(plan.repeatable);
-        let bad = repeatable && rng.random_bool(plan.bad_calls);
+        let fails_anywhere = repeatable && rng.random_bool(plan.failing_call_fraction);
         let picked = loads[instance]
             .pick(at(now), &usable, &own, repeatable, |_| false)
             .expect("there are some");
         let upstream = names.iter().position(|name| *name == picked.name).expect("it is one");
         let failing = upstream == 0 && (plan.from_ms..plan.until_ms).contains(&now);
-        let fails = failing && rng.random_bool(plan.share);
+        let fails = failing && rng.random_bool(plan.failing_fraction);
         outcome.calls += 1;
         outcome.lost += u32::from(fails);
         outcome.lost_once += u32::from(fails && !repeatable);
@@ -125,7 +133,7 @@
             outcome.last += u32::from(upstream == 0);
         }
         loads[instance].begin(at(now), &names[upstream]);
-        let (result, took) = match (fails, bad) {
+        let (result, took) = match (fails, fails_anywhere) {
             (true, _) => (plan.fault, FAULT_MS),
             (false, true) => (Erred, WORK_MS),
             (false, false) => (Good, WORK_MS),
@@ -136,48 +144,48 @@
     outcome
 }
 
-const SIX: LoadPlan = LoadPlan {
+const SIX_INSTANCES: LoadPlan = LoadPlan {
     instances: 6,
     calls_per_s: 40.0,
     repeatable: 0.5,
     fault: Gone,
-    share: 1.0,
-    bad_calls: 0.0,
+    failing_fraction: 1.0,
+    failing_call_fraction: 0.0,
     from_ms: 500,
     until_ms: 10_000,
     length_ms: 10_000,
 };
 
-/// Mean over some seeds of calls to the failing upstream, and of calls lost there that may not be
-/// repeated: the others go on elsewhere.
+/// Returns the mean over ten seeds of the calls to the failing upstream, and of the calls lost there
+/// that must not be repeated. The other failed calls are repeated elsewhere.
 fn mean(plan: LoadPlan) -> (f64, f64) {
     const SEEDS: u64 = 10;
-    let outcomes: Vec<_> = (1..=SEEDS).map(|seed| play(plan, seed)).collect();
-    let share = |count: fn(&LoadOutcome) -> u32| {
+    let outcomes: Vec<_> = (1..=SEEDS).map(|seed| simulate(plan, seed)).collect();
+    let mean_of = |count: fn(&LoadOutcome) -> u32| {
         outcomes.iter().map(|outcome| f64::from(count(outcome))).sum::<f64>() / SEEDS as f64
     };
-    (share(|outcome| outcome.asked), share(|outcome| outcome.lost_once))
+    (mean_of(|outcome| outcome.asked), mean_of(|outcome| outcome.lost_once))
 }
 
-/// Of some 380 calls in that time 196 went there while a quick refusal counted as an answer, 26 with
-/// each failure counted as three calls in progress for two seconds, 17 by the rule kept where members
-/// tell each other nothing, 5 with that.
+/// Of some 380 calls in the failure period, 196 went to the upstream when a quick refusal counted as
+/// an answer, and 26 when each failure counted as three calls in progress for two seconds. With the
+/// current rule 17 do without messages between members, and 5 with them.
 #[test]
-fn an_upstream_that_is_gone_is_asked_by_few() {
-    let (asked, lost) = mean(SIX);
+fn an_upstream_that_is_gone_gets_few_calls() {
+    let (asked, lost) = mean(SIX_INSTANCES);
     println!("gone: asked {asked:.1}, lost {lost:.1}");
     assert!(asked <= 8.0, "asked {asked} times in 9.5 s by six instances");
     assert!(lost <= 2.0, "{lost} calls that may not be repeated were lost");
-    let (asked, _) = mean(LoadPlan { instances: 60, ..SIX });
+    let (asked, _) = mean(LoadPlan { instances: 60, ..SIX_INSTANCES });
     println!("gone, 60 instances: asked {asked:.1}");
     assert!(asked <= 8.0, "asked {asked} times in 9.5 s by sixty instances");
 }
 
-/// How often the failing one may be asked, and how many calls that may not be repeated may be lost
-/// there, of some 380. Without probes by calls that may be repeated 6.9 were lost to one that always
-/// fails, in place of 3.4, and 10.7 in place of 3.5 at 90 calls a second.
+/// Each case bounds the calls to the failing upstream, of some 380, and the calls lost there that
+/// must not be repeated. When probes were not left to repeatable calls, 6.9 calls were lost to an
+/// upstream that always fails instead of 3.4, and at 90 calls a second 10.7 instead of 3.5.
 #[test]
-fn whoever_fails_at_once_draws_no_traffic() {
+fn an_upstream_that_fails_quickly_attracts_no_calls() {
     let cases = [
         (Failed, 1.0, 40.0, 5.0),
         (Full, 1.0, 70.0, 5.0),
@@ -186,43 +194,52 @@
         (Full, 0.45, 55.0, 9.0),
         (Erred, 0.45, 35.0, 9.0),
     ];
-    for (fault, share, most_asked, most_lost) in cases {
-        let (asked, lost) = mean(LoadPlan { fault, share, ..SIX });
-        println!("{fault:?} {share}: asked {asked:.1}, lost {lost:.1}");
-        assert!(asked <= most_asked, "{fault:?} in {share} of its calls: asked {asked} times");
-        assert!(lost <= most_lost, "{fault:?} in {share} of its calls: lost {lost}");
+    for (fault, failing_fraction, most_asked, most_lost) in cases {
+        let (asked, lost) = mean(LoadPlan { fault, failing_fraction, ..SIX_INSTANCES });
+        println!("{fault:?} {failing_fraction}: asked {asked:.1}, lost {lost:.1}");
+        assert!(
+            asked <= most_asked,
+            "{fault:?} in {failing_fraction} of its calls: asked {asked} times"
+        );
+        assert!(lost <= most_lost, "{fault:?} in {failing_fraction} of its calls: lost {lost}");
     }
 }
 
 #[test]
-fn one_that_is_sound_again_gets_its_share_within_seconds() {
+fn a_recovered_upstream_regains_its_share_within_seconds() {
     for (fault, repeatable) in
         [(Failed, 0.5), (Erred, 0.5), (Full, 0.5), (Gone, 0.5), (Failed, 0.0), (Gone, 0.0)]
     {
-        let plan = LoadPlan { fault, repeatable, until_ms: 5_000, length_ms: 12_000, ..SIX };
-        let outcomes: Vec<_> = (1..=10).map(|seed| play(plan, seed)).collect();
+        let plan =
+            LoadPlan { fault, repeatable, until_ms: 5_000, length_ms: 12_000, ..SIX_INSTANCES };
+        let outcomes: Vec<_> = (1..=10).map(|seed| simulate(plan, seed)).collect();
         let last: u32 = outcomes.iter().map(|outcome| outcome.last).sum();
         let all: u32 = outcomes.iter().map(|outcome| outcome.last_all).sum();
-        assert!(last * 5 >= all, "{fault:?}: {last} of {all}, 7 s after it was sound again");
+        assert!(last * 5 >= all, "{fault:?}: {last} of {all}, 7 s after it recovered");
     }
 }
 
-/// Calls that fail wherever they run say little of the upstreams: all go on sharing the load, and the
-/// one that fails itself still stands out.
+/// Calls that fail on any upstream must not count against a single one: all continue to share the
+/// load, and an upstream that also fails by itself is still detected.
 #[test]
-fn calls_that_fail_everywhere_leave_the_upstreams_alone() {
-    let plan = LoadPlan { fault: Erred, share: 0.45, bad_calls: 0.3, ..SIX };
+fn calls_that_fail_on_any_upstream_do_not_shift_the_load() {
+    let plan = LoadPlan {
+        fault: Erred,
+        failing_fraction: 0.45,
+        failing_call_fraction: 0.3,
+        ..SIX_INSTANCES
+    };
     let (asked, lost) = mean(plan);
     println!("45 in 100 beside calls that fail everywhere: asked {asked:.1}, lost {lost:.1}");
     assert!(asked <= 85.0, "asked {asked} times of 380");
-    let sound = LoadPlan { share: 0.0, bad_calls: 0.3, ..SIX };
-    let (asked, _) = mean(sound);
-    println!("sound beside calls that fail everywhere: asked {asked:.1}");
+    let healthy = LoadPlan { failing_fraction: 0.0, failing_call_fraction: 0.3, ..SIX_INSTANCES };
+    let (asked, _) = mean(healthy);
+    println!("healthy beside calls that fail everywhere: asked {asked:.1}");
     assert!((85.0..170.0).contains(&asked), "asked {asked} times of 380, a third is fair");
 }
 
 #[test]
-fn the_last_upstream_left_is_used_whatever_it_does() {
+fn the_last_upstream_left_is_used_even_after_failures() {
     let entries = upstreams();
     let own = "dc1".parse().expect("a valid name");
     let mut loads = UpstreamLoads::default();
@@ -235,7 +252,7 @@
 }
 
 #[test]
-fn another_start_of_an_upstream_has_no_past() {
+fn a_restarted_upstream_has_no_failure_history() {
     let entries = upstreams();
     let own = "dc1".parse().expect("a valid name");
     let mut loads = UpstreamLoads::default();
--- a/crates/instance/tests/upstream_shares.rs
+++ b/crates/instance/tests/upstream_shares.rs
@@ -1,7 +1,8 @@
-//! Calls of many instances to equal upstreams of a plain service: what each gets, and how many come late.
+//! Simulation of many instances that call equal upstreams of a plain service. Instances with few
+//! calls in progress see all upstreams as idle, and must not send their calls to the same one.
 //!
-//! Played in virtual time: upstreams with a few places and a queue, instances that know their own calls and, where
-//! upstreams tell it, what these had to do as they answered.
+//! Each upstream has some slots and a queue. Instances know their own calls and, if upstreams report
+//! it, the upstream's load at its last answer.
 
 use std::collections;
 
@@ -13,56 +14,58 @@
 use slipturn_instance::upstream_load::UpstreamLoads;
 
 const UPSTREAMS: usize = 6;
-/// Calls that an upstream works on at once.
+/// Number of calls that an upstream processes at once.
 const SLOTS: usize = 6;
-/// Time that a call takes, milliseconds.
+/// Time that a call takes, in milliseconds.
 const WORK_MS: u64 = 60;
-/// Time within which an answer is in time, milliseconds.
+/// Time after which an answer is late, in milliseconds.
 const GOAL_MS: u64 = 300;
-/// Virtual time of a play, milliseconds.
-const PLAY_MS: u64 = 4_000;
-/// The least shares that count as equal: the busiest against the mean.
+/// Length of a simulation in virtual time, in milliseconds.
+const SIMULATION_MS: u64 = 4_000;
+/// Maximum share of the busiest upstream, relative to the mean, that counts as equal.
 const EQUAL: f64 = 1.3;
-/// Calls a second that all upstreams together could work on.
+/// Calls per second that all upstreams together can process.
 const CAPACITY: f64 = (UPSTREAMS * SLOTS) as f64 * 1_000.0 / WORK_MS as f64;
 
 #[derive(Debug, Clone, Copy)]
 struct SharePlan {
     instances: usize,
-    /// Calls in shares of what the upstreams can do.
+    /// Rate of calls, as a fraction of the capacity.
     load: f64,
-    /// Whether answers tell what their upstream has to do.
-    tells: bool,
-    /// How many times slower the first one is.
-    slow: u64,
+    /// Whether answers report the load of their upstream.
+    reports_load: bool,
+    /// Factor by which the first upstream is slower.
+    slowdown: u64,
 }
 
-/// What a play showed.
+/// Results of a simulation.
 #[derive(Debug)]
 struct ShareFigures {
-    /// Calls to the busiest, against the mean.
+    /// Calls to the busiest upstream, relative to the mean.
     busiest: f64,
-    /// Part of the calls that were late.
+    /// Fraction of the calls that were late.
     late: f64,
 }
 
-/// An upstream: when each of its places is free.
-struct PlayedUpstream {
-    places: [u64; SLOTS],
+/// A simulated upstream.
+struct SimulatedUpstream {
+    /// Time at which each slot becomes free, in milliseconds.
+    free_at: [u64; SLOTS],
+    /// Time that a call takes, in milliseconds.
     work_ms: u64,
     calls: usize,
-    /// Calls that have not ended.
+    /// Number of calls that have not ended.
     running: u32,
 }
 
-impl PlayedUpstream {
-    /// Takes a call; when its answer comes.
+impl SimulatedUpstream {
+    /// Accepts a call and returns the time of its answer.
     fn take(&mut self, now: u64) -> u64 {
-        let place = self.places.iter_mut().min().expect("it has places");
-        *place = (*place).max(now) + self.work_ms;
+        let slot = self.free_at.iter_mut().min().expect("it has slots");
+        *slot = (*slot).max(now) + self.work_ms;
         self.calls += 1;
         self.running += 1;
-        *place
+        *slot
     }
 }
 
@@ -82,25 +85,29 @@
     }
 }
 
-fn play(way: LoadChoiceWay, plan: SharePlan, seed: u64) -> ShareFigures {
+fn simulate(way: LoadChoiceWay, plan: SharePlan, seed: u64) -> ShareFigures {
     let entries: Vec<_> = (0..UPSTREAMS).map(entry).collect();
     let usable: Vec<_> = entries.iter().collect();
     let own = "dc".parse().expect("a valid name");
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
     let loads = |number: usize| UpstreamLoads::new(way, &format!("i{number}"));
     let mut loads: Vec<_> = (0..plan.instances).map(loads).collect();
-    let work = |number: usize| if number == 0 { WORK_MS * plan.slow } else { WORK_MS };
-    let new =
-        |number| PlayedUpstream { places: [0; SLOTS], work_ms: work(number), calls: 0, running: 0 };
+    let work = |number: usize| if number == 0 { WORK_MS * plan.slowdown } else { WORK_MS };
+    let new = |number| SimulatedUpstream {
+        free_at: [0; SLOTS],
+        work_ms: work(number),
+        calls: 0,
+        running: 0,
+    };
     let mut upstreams: Vec<_> = (0..UPSTREAMS).map(new).collect();
     let mut ends = collections::BTreeMap::<u64, Vec<(usize, usize)>>::new();
     let (mut calls, mut late) = (0_u32, 0_u32);
-    for now in 0..PLAY_MS {
+    for now in 0..SIMULATION_MS {
         for (instance, upstream) in ends.remove(&now).unwrap_or_default() {
             upstreams[upstream].running -= 1;
             let name = &entries[upstream].name;
             loads[instance].end(at(now), name, Some(CallResult::Good));
-            if plan.tells {
+            if plan.reports_load {
                 loads[instance].set_reported_load(at(now), name, upstreams[upstream].running);
             }
         }
@@ -125,13 +132,13 @@
     }
 }
 
-/// Mean of some seeds.
+/// Returns the mean over three seeds.
 fn mean(way: LoadChoiceWay, plan: SharePlan) -> ShareFigures {
     const SEEDS: u64 = 3;
-    let plays: Vec<_> = (0..SEEDS).map(|seed| play(way, plan, seed)).collect();
+    let runs: Vec<_> = (0..SEEDS).map(|seed| simulate(way, plan, seed)).collect();
     let mean =
-        |figure: fn(&ShareFigures) -> f64| plays.iter().map(figure).sum::<f64>() / SEEDS as f64;
-    ShareFigures { busiest: mean(|play| play.busiest), late: mean(|play| play.late) }
+        |figure: fn(&ShareFigures) -> f64| runs.iter().map(figure).sum::<f64>() / SEEDS as f64;
+    ShareFigures { busiest: mean(|run| run.busiest), late: mean(|run| run.late) }
 }
 
 const WAYS: [LoadChoiceWay; 4] = [
@@ -141,33 +148,36 @@
     LoadChoiceWay::OwnOrder,
 ];
 
-/// Each instance has less than one call under way: by its own calls all upstreams are alike to it.
+/// Guards against one upstream receiving most calls: each instance has few calls in progress, so its
+/// own calls hardly tell the upstreams apart.
 #[test]
 fn equal_upstreams_get_equal_shares_at_all_sizes() {
     for instances in [6, 60, 300] {
-        for tells in [false, true] {
-            let plan = SharePlan { instances, load: 0.3, tells, slow: 1 };
+        for reports_load in [false, true] {
+            let plan = SharePlan { instances, load: 0.3, reports_load, slowdown: 1 };
             for way in WAYS {
                 let figures = mean(way, plan);
-                println!("{way:?}, {instances} instances, tells {tells}: {figures:?}");
+                println!(
+                    "{way:?}, {instances} instances, load reported {reports_load}: {figures:?}"
+                );
                 if way == LoadChoiceWay::default() {
-                    assert!(figures.busiest <= EQUAL, "{instances}, {tells}: {figures:?}");
+                    assert!(figures.busiest <= EQUAL, "{instances}, {reports_load}: {figures:?}");
                 }
             }
         }
     }
 }
 
-/// What decides: answers that come late, at a high load and beside a slow upstream.
+/// Guards against a default that causes late answers, at a high load or with a slow upstream.
 #[test]
-fn the_way_kept_has_few_late_answers() {
-    for (load, slow) in [(0.7, 1), (0.9, 1), (0.7, 3), (0.5, 8)] {
-        for (instances, tells) in [(6, true), (60, true), (300, true), (60, false)] {
-            let plan = SharePlan { instances, load, tells, slow };
+fn the_default_load_choice_has_few_late_answers() {
+    for (load, slowdown) in [(0.7, 1), (0.9, 1), (0.7, 3), (0.5, 8)] {
+        for (instances, reports_load) in [(6, true), (60, true), (300, true), (60, false)] {
+            let plan = SharePlan { instances, load, reports_load, slowdown };
             let late = |way| mean(way, plan).late;
             let all: Vec<_> = WAYS.iter().map(|way| late(*way)).collect();
             println!(
-                "load {load}, slow {slow}, {instances} instances, tells {tells}: late {all:.3?}"
+                "load {load}, slowdown {slowdown}, {instances} instances, load reported {reports_load}: late {all:.3?}"
             );
             let kept = late(LoadChoiceWay::default());
             assert!(kept <= late(LoadChoiceWay::First) + 0.01, "{plan:?}");
