--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -16,7 +16,7 @@
 
 /// Why an answer was not forwarded completely.
 #[derive(Debug, Snafu)]
-pub(crate) enum PassError {
+pub(crate) enum ForwardError {
     /// The caller's connection failed.
     #[snafu(display("{source}"))]
     Caller {
@@ -49,23 +49,24 @@
 
 impl LongAnswer<'_> {
     /// Forwards the answer within `limit`, as fast as the caller reads.
-    pub(crate) async fn pass(
+    pub(crate) async fn forward(
         mut self,
         context: &context::InstanceContext,
         reply: &mut caller_connection::CallerReply<'_>,
         limit: time::Duration,
-    ) -> Result<(), PassError> {
+    ) -> Result<(), ForwardError> {
         let mut waited = time::Duration::ZERO;
-        let passing = pass_pieces(context, &mut self.answer, self.leading, reply, &mut waited);
-        let passed = monoio::time::timeout(limit, passing).await;
-        let result = passed.unwrap_or_else(|_| NotReadSnafu { limit }.fail());
+        let forwarding =
+            forward_pieces(context, &mut self.answer, self.leading, reply, &mut waited);
+        let forwarded = monoio::time::timeout(limit, forwarding).await;
+        let result = forwarded.unwrap_or_else(|_| NotReadSnafu { limit }.fail());
         match &result {
             Ok(()) => {
                 self.run.answered();
                 self.guard.result.set(Some(CallResult::Good));
                 self.answer.finish(context, &self.upstream);
             }
-            Err(PassError::Upstream { .. }) if waited < SLOW_CALLER_THRESHOLD => {
+            Err(ForwardError::Upstream { .. }) if waited < SLOW_CALLER_THRESHOLD => {
                 self.run.broke();
                 self.guard.result.set(Some(CallResult::Failed));
             }
@@ -76,13 +77,13 @@
 }
 
 /// Forwards the body and adds the time spent waiting for the caller to `waited`.
-async fn pass_pieces(
+async fn forward_pieces(
     context: &context::InstanceContext,
     answer: &mut upstream_attempt::AttemptAnswer,
     leading: Bytes,
     reply: &mut caller_connection::CallerReply<'_>,
     waited: &mut time::Duration,
-) -> Result<(), PassError> {
+) -> Result<(), ForwardError> {
     let length = match answer.framing {
         h1::BodyFraming::Length(left) => {
             usize::try_from(left).ok().map(|left| left + leading.len())
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -57,7 +57,7 @@
         Ok(Ok(None)) => return Ok(caller_connection::ConnectionNext::Keep),
         Ok(Ok(Some(refusal))) => refusal,
         Ok(Err(error)) => return Err(error),
-        Err(_) if pass_failure(reply, record, &mut state).await? => {
+        Err(_) if forward_failure(reply, record, &mut state).await? => {
             return Ok(caller_connection::ConnectionNext::Keep);
         }
         Err(_) => call.timeout_refusal(left, BACK_AFTER),
@@ -133,7 +133,7 @@
             }
         }
     }
-    if pass_failure(reply, record, state).await? {
+    if forward_failure(reply, record, state).await? {
         return Ok(None);
     }
     // The planner's delay is preferred to one computed from limits, as the planner knows better when
@@ -157,7 +157,7 @@
 
 /// Forwards the failure answer of an engine if there is one and nothing was sent to the caller;
 /// returns whether it was forwarded.
-async fn pass_failure(
+async fn forward_failure(
     reply: &mut caller_connection::CallerReply<'_>,
     record: &mut request_record::RequestRecord,
     state: &mut stream_state::StreamState,
@@ -171,6 +171,7 @@
     Ok(true)
 }
 
+/// Obtains a place, makes one attempt there and adds it to the request's record.
 async fn attempt(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -221,6 +222,7 @@
     end
 }
 
+/// Sends the request to the engine of a granted place and forwards its answer.
 async fn run_place(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -380,6 +382,7 @@
     Ok(AttemptEnd::Whole)
 }
 
+/// Returns the fault of an answer that broke off.
 fn broken(state: &stream_state::StreamState, reason: impl ToString) -> AttemptEnd {
     let failure = if state.begun {
         retry::AttemptFailure::BrokeMidAnswer
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -58,12 +58,12 @@
         }
         CallEnd::Long(long) => {
             record.status = Some(long.answer.head.status.as_u16());
-            let passed = long.pass(context, reply, call.left(context.now())).await;
-            record.outcome = match &passed {
+            let forwarded = long.forward(context, reply, call.left(context.now())).await;
+            record.outcome = match &forwarded {
                 Ok(()) => "answered".to_owned(),
                 Err(error) => error.to_string(),
             };
-            if passed.is_err() {
+            if forwarded.is_err() {
                 // After part of the answer was sent, only closing the connection shows that it is
                 // incomplete.
                 return Ok(caller_connection::ConnectionNext::Close);
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -83,8 +83,8 @@
         let equal = costs.iter().filter(|(cost, _)| *cost <= lowest).map(|(_, entry)| *entry);
         // The rate of a limit is lost if it is not used in time; upstreams without a limit take the
         // remaining calls.
-        if let Some(paced) = equal.clone().find(|entry| has_limit(entry)) {
-            return Some(paced);
+        if let Some(limited) = equal.clone().find(|entry| has_limit(entry)) {
+            return Some(limited);
         }
         match self.way {
             ways::LoadChoiceWay::First => Some(first),
@@ -93,7 +93,7 @@
             ways::LoadChoiceWay::Random => {
                 equal.collect::<Vec<_>>().choose(&mut rand::rng()).copied()
             }
-            ways::LoadChoiceWay::OwnOrder => equal.max_by_key(|entry| self.place(entry)),
+            ways::LoadChoiceWay::OwnOrder => equal.max_by_key(|entry| self.own_rank(entry)),
             ways::LoadChoiceWay::TwoChoices => {
                 let drawn: Vec<_> = costs.sample(&mut rand::rng(), 2).copied().collect();
                 least(&drawn).map(|(_, entry)| entry)
@@ -102,7 +102,7 @@
     }
 
     /// Returns the rank of an upstream in this instance's own order.
-    fn place(&self, entry: &upstream_list::UpstreamEntry) -> u64 {
+    fn own_rank(&self, entry: &upstream_list::UpstreamEntry) -> u64 {
         rendezvous::stable_hash(&[&self.own, entry.name.identifier()])
     }
 
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -93,6 +93,7 @@
 #[derive(Debug)]
 struct PooledConnection {
     connection: UpstreamConnection,
+    /// When the connection is closed if it stays idle.
     until: boot_clock::BootInstant,
 }
 
@@ -108,7 +109,8 @@
 /// Idle connections by address, and the times of all open connections.
 #[derive(Debug, Default)]
 pub struct UpstreamPool {
-    open_times:
+    /// Times by address; a reference expires when its connection is closed.
+    connection_times:
         cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionTimes>>>>,
     idle: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<PooledConnection>>>,
 }
@@ -140,7 +142,11 @@
         let heard = cell::Cell::new(None);
         let times = ConnectionTimes { address, opened: boot_clock::BootInstant::now(), heard };
         let times = rc::Rc::new(times);
-        self.open_times.borrow_mut().entry(address).or_default().push(rc::Rc::downgrade(&times));
+        self.connection_times
+            .borrow_mut()
+            .entry(address)
+            .or_default()
+            .push(rc::Rc::downgrade(&times));
         Ok(UpstreamConnection { reader, writer, used: false, times })
     }
 
@@ -178,11 +184,11 @@
     /// Returns the numbers of connections to an address.
     pub(crate) fn held(&self, address: net::SocketAddrV4) -> HeldConnections {
         let is_open = |times: &&rc::Weak<ConnectionTimes>| times.strong_count() > 0;
-        let open_times = self.open_times.borrow();
+        let connection_times = self.connection_times.borrow();
         HeldConnections {
-            open: open_times
+            open: connection_times
                 .get(&address)
-                .map_or(0, |open_times| open_times.iter().filter(is_open).count()),
+                .map_or(0, |connection_times| connection_times.iter().filter(is_open).count()),
             idle: self.idle.borrow().get(&address).map_or(0, Vec::len),
         }
     }
@@ -194,9 +200,9 @@
             pooled.retain(|idle| idle.until > now);
             !pooled.is_empty()
         });
-        self.open_times.borrow_mut().retain(|_, open_times| {
-            open_times.retain(|times| times.strong_count() > 0);
-            !open_times.is_empty()
+        self.connection_times.borrow_mut().retain(|_, connection_times| {
+            connection_times.retain(|times| times.strong_count() > 0);
+            !connection_times.is_empty()
         });
     }
 
@@ -213,8 +219,8 @@
         moment: connection_silence::SilentMoment,
         waited: time::Duration,
     ) -> connection_silence::SilenceCause {
-        let open_times = self.open_times.borrow();
-        let same = open_times.get(&silent.address).into_iter().flatten();
+        let connection_times = self.connection_times.borrow();
+        let same = connection_times.get(&silent.address).into_iter().flatten();
         let others = ages_of_others(silent, same);
         connection_silence::SilenceCause::of(silent.ages(), moment, waited, others)
     }
@@ -223,8 +229,8 @@
     pub fn close_untrusted(&self, silent: &ConnectionTimes, waited: time::Duration) -> usize {
         // A network fault of this process breaks its connections to all upstreams at once. If another
         // connection that was open since then still receives, only those to the same upstream are doubted.
-        let open_times = self.open_times.borrow();
-        let others = ages_of_others(silent, open_times.values().flatten());
+        let connection_times = self.connection_times.borrow();
+        let others = ages_of_others(silent, connection_times.values().flatten());
         let all = !silent.ages().reserved_part(waited, others);
         let mut idle = self.idle.borrow_mut();
         let count =
@@ -253,8 +259,8 @@
 /// Returns the ages of all open connections except `one`.
 fn ages_of_others<'a>(
     one: &ConnectionTimes,
-    open_times: impl Iterator<Item = &'a rc::Weak<ConnectionTimes>>,
+    connection_times: impl Iterator<Item = &'a rc::Weak<ConnectionTimes>>,
 ) -> impl Iterator<Item = connection_silence::ConnectionAges> {
-    let open = open_times.filter_map(rc::Weak::upgrade);
+    let open = connection_times.filter_map(rc::Weak::upgrade);
     open.filter(|times| !std::ptr::eq(rc::Rc::as_ptr(times), one)).map(|times| times.ages())
 }
