--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -24,7 +24,7 @@
 
 /// A message to another member.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// Address of the recipient.
     pub to: std::net::SocketAddrV4,
     /// The message.
@@ -117,7 +117,7 @@
     /// When accepting a connection last failed; reset by the next accepted one.
     pub accept_failed_at: cell::Cell<Option<units::MonoTime>>,
     /// Messages to other members.
-    pub outgoing: mpsc::UnboundedSender<Outgoing>,
+    pub outgoing: mpsc::UnboundedSender<OutgoingMessage>,
     /// Events about requests running at upstreams.
     runs: mpsc::UnboundedSender<upstream_ends::RunNews>,
     sequence: cell::Cell<u64>,
@@ -134,7 +134,7 @@
     /// Completes when idle connections are to be closed.
     pub closing: oneshot::Receiver<()>,
     /// Messages to other members.
-    pub outgoing: mpsc::UnboundedSender<Outgoing>,
+    pub outgoing: mpsc::UnboundedSender<OutgoingMessage>,
     /// Events about requests running at upstreams.
     pub runs: mpsc::UnboundedSender<upstream_ends::RunNews>,
 }
@@ -221,7 +221,7 @@
     /// Sends a message to another member.
     pub fn send_to(&self, to: std::net::SocketAddrV4, message: peer_message::PeerMessage) {
         // The receiver lives as long as the process.
-        let _ = self.outgoing.unbounded_send(Outgoing { to, message });
+        let _ = self.outgoing.unbounded_send(OutgoingMessage { to, message });
     }
 
     /// Reports an event about a request at an upstream.
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     caller_connection, cell_search, context, engine_call, engine_fault, event_stream,
-    incoming_call, memory_hold, permit_request, plan_client, quarantine_gate, request_record,
-    silence_watch, stream_policy, stream_state, stream_target, upstream_attempt, upstream_choice,
+    incoming_call, memory_hold, no_open_upstream, permit_request, plan_client, quarantine_gate,
+    request_record, silence_watch, stream_policy, stream_state, stream_target, upstream_attempt,
     upstream_ends, upstream_gate, upstream_signals,
 };
 
@@ -140,7 +140,7 @@
     // the limits of its engines admit the next request.
     let planned = back_after.is_some();
     let none =
-        upstream_choice::no_upstream_reason(context, &call.service, call.left(context.now()));
+        no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()));
     if let Some(none) = none.filter(|none| none.is_backoff() || !planned) {
         text = none.to_string();
         back_after = Some(none.back_after());
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -23,9 +23,9 @@
 /// Sends what other tasks say.
 pub async fn send_all(
     socket: rc::Rc<monoio::net::udp::UdpSocket>,
-    mut outgoing: mpsc::UnboundedReceiver<context::Outgoing>,
+    mut outgoing: mpsc::UnboundedReceiver<context::OutgoingMessage>,
 ) {
-    while let Some(context::Outgoing { to, message }) = outgoing.next().await {
+    while let Some(context::OutgoingMessage { to, message }) = outgoing.next().await {
         let bytes = match message.encode() {
             Ok(bytes) => bytes,
             Err(error) => {
@@ -191,7 +191,7 @@
         for (origin, answer) in answers {
             let job = answer.job();
             match origin {
-                planner_set::AskOrigin::Own => {
+                planner_set::AskOrigin::Local => {
                     reply(&context, job, peer_message::PlanReply::Answer(Box::new(answer)));
                 }
                 planner_set::AskOrigin::Member(address) => {
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -10,9 +10,9 @@
 /// Timeout of a planner's first reply, which takes one or two milliseconds within a region.
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 /// Time after which a queued request asks again, in case the planner has lost it.
-const REPEAT_TIME: time::Duration = time::Duration::from_millis(300);
+const REPEAT_INTERVAL: time::Duration = time::Duration::from_millis(300);
 /// Time after which a request queued in this process's planner checks again which member plans.
-const OWN_REPEAT_TIME: time::Duration = time::Duration::from_millis(200);
+const LOCAL_REPEAT_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// A place on an engine; the planner is notified of its end when it is dropped.
 pub struct PlaceHold {
@@ -118,13 +118,13 @@
         let Ok(answer) = monoio::time::timeout(limit - spent, step).await else {
             return PlaceOutcome::TimedOut;
         };
-        let (grant, paced) = match answer {
+        let (grant, limited) = match answer {
             None => continue,
             Some(engine_place::PlaceAnswer::Refuse(refusal)) => {
                 return PlaceOutcome::Refused(refusal);
             }
             Some(engine_place::PlaceAnswer::Grant(grant)) => (grant, Vec::new()),
-            Some(engine_place::PlaceAnswer::Paced(grant, paced)) => (grant, paced),
+            Some(engine_place::PlaceAnswer::Paced(grant, limited)) => (grant, limited),
         };
         guard.granted = true;
         // The planner issued the permits when the request had waited there for `waited`. It cannot have
@@ -132,15 +132,15 @@
         let waited = time::Duration::from_millis(u64::from(grant.waited_ms));
         let term = quota_permit::PermitTerm::of_answer(started, waited);
         let permit = |upstream| quota_permit::SendPermit { upstream, term };
-        let permits = paced.into_iter().map(permit).collect();
-        let mut hold = hold(context, key, ask, grant);
+        let permits = limited.into_iter().map(permit).collect();
+        let mut hold = record_lease(context, key, ask, grant);
         hold.permits = permits;
         return PlaceOutcome::Placed(hold);
     }
 }
 
 /// Records a lease on a granted place until the place is dropped.
-fn hold(
+fn record_lease(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
     ask: engine_place::PlaceAsk,
@@ -161,6 +161,7 @@
     }
 }
 
+/// Asks the current planner once; returns `None` if the request is to be repeated.
 async fn ask_once(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
@@ -168,7 +169,7 @@
     replies: &mut mpsc::UnboundedReceiver<peer_message::PlanReply>,
 ) -> Option<engine_place::PlaceAnswer> {
     let Some(member) = peers::planner_of(context, key) else {
-        return ask_own(context, key, ask, replies).await;
+        return ask_local(context, key, ask, replies).await;
     };
     if note_planner(context, key, &member.name) {
         lease_renewal::announce_leases(context, member.address, key);
@@ -184,7 +185,7 @@
             }
             Ok(Some(peer_message::PlanReply::Queued)) => {
                 context.members.borrow_mut().answered(context.now(), &member.name);
-                reply_timeout = REPEAT_TIME;
+                reply_timeout = REPEAT_INTERVAL;
             }
             Ok(None) => return None,
             Err(_) => {
@@ -210,13 +211,14 @@
     before.is_some_and(|before| before != *member)
 }
 
-async fn ask_own(
+/// Asks this process's own planner and waits up to [`LOCAL_REPEAT_INTERVAL`] if the request is queued.
+async fn ask_local(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
     ask: &engine_place::PlaceAsk,
     replies: &mut mpsc::UnboundedReceiver<peer_message::PlanReply>,
 ) -> Option<engine_place::PlaceAnswer> {
-    let answer = ask_planner(context, key, ask, context.now());
+    let answer = ask_local_planner(context, key, ask, context.now());
     if answer.is_some() {
         return answer;
     }
@@ -227,10 +229,10 @@
             }
         }
     };
-    monoio::time::timeout(OWN_REPEAT_TIME, waiting).await.ok()
+    monoio::time::timeout(LOCAL_REPEAT_INTERVAL, waiting).await.ok()
 }
 
-fn ask_planner(
+fn ask_local_planner(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
     ask: &engine_place::PlaceAsk,
@@ -239,5 +241,5 @@
     let mut planners = context.planners.borrow_mut();
     planners.sync(now, &context.fleet.borrow());
     lease_renewal::begin_if_idle(context, &mut planners, now, key);
-    planners.ask(now, key, ask.clone(), planner_set::AskOrigin::Own)
+    planners.ask(now, key, ask.clone(), planner_set::AskOrigin::Local)
 }
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AskOrigin {
     /// A request of this process.
-    Own,
+    Local,
     /// A request of the member with this address.
     Member(std::net::SocketAddrV4),
 }
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -48,6 +48,7 @@
     pick_excluding(context, call, excluded, &[])
 }
 
+/// Picks among the upstreams that are neither `excluded` nor `refused` a permit.
 fn pick_excluding(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -9,8 +9,8 @@
 use slipturn_net::h1;
 
 use crate::{
-    caller_connection, context, incoming_call, long_answer, permit_request, request_record,
-    service_choice, upstream_attempt, upstream_choice, upstream_ends, upstream_signals,
+    caller_connection, context, incoming_call, long_answer, no_open_upstream, permit_request,
+    request_record, service_choice, upstream_attempt, upstream_ends, upstream_signals,
 };
 
 /// Largest body that is read completely before it is forwarded, in bytes; longer ones are
@@ -111,7 +111,7 @@
             chosen = service_choice::choose(context, call, &excluded).await;
         }
         let Some(service_choice::ChosenUpstream { entry, permit }) = chosen else {
-            none_left = upstream_choice::no_upstream_reason(
+            none_left = no_open_upstream::no_upstream_reason(
                 context,
                 &call.service,
                 call.left(context.now()),
@@ -190,7 +190,7 @@
     };
     let mut back_after = BACK_AFTER;
     if let Some(none) = none_left.or_else(|| {
-        upstream_choice::no_upstream_reason(context, &call.service, call.left(context.now()))
+        no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()))
     }) {
         text = none.to_string();
         back_after = none.back_after();
--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -88,6 +88,7 @@
         }
     }
 
+    /// Waits for `work` until a limit, a failed probe or unused memory ends the attempt.
     async fn until_given_up<T>(
         &self,
         mut work: pin::Pin<&mut impl Future<Output = T>>,
