--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -11,7 +11,7 @@
 /// Time since the last request for a place from which a planner counts as idle.
 const ACTIVE_TIME: time::Duration = time::Duration::from_secs(2);
 
-/// Engines of a planner that have a limit: the rates of those whose limit this process coordinates,
+/// Engines of a planner that have a limit: the bounds of those whose limit this process coordinates,
 /// and the names of those coordinated by other members.
 pub type EngineLimits = (
     collections::BTreeMap<ids::UpstreamId, send_pace::PaceBound>,
@@ -154,8 +154,8 @@
         mut limits: collections::BTreeMap<planner_key::PlannerKey, EngineLimits>,
     ) {
         for (key, planner) in &mut self.planners {
-            let (kept, elsewhere) = limits.remove(key).unwrap_or_default();
-            planner.set_limits(now, &kept, elsewhere);
+            let (coordinated, elsewhere) = limits.remove(key).unwrap_or_default();
+            planner.set_limits(now, &coordinated, elsewhere);
         }
     }
 
@@ -169,7 +169,7 @@
         self.planners.values_mut().for_each(|planner| planner.eject(now, engine));
     }
 
-    /// Returns whether a report of an engine is due, and marks it as requested.
+    /// Returns whether the report of an engine should be requested now.
     pub fn take_report_due(&mut self, now: units::MonoTime, engine: &ids::UpstreamId) -> bool {
         self.planners.values_mut().any(|planner| planner.take_report_due(now, engine))
     }
