--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -18,7 +18,7 @@
 /// Pace above which an engine is logged as slow.
 const SLOW_PACE: f64 = 1.5;
 
-/// Polls the engines that this process plans for, spread evenly over [`REPORT_INTERVAL`].
+/// Polls the engines that this process plans for, spread evenly over `REPORT_INTERVAL`.
 pub async fn poll(context: rc::Rc<context::InstanceContext>) {
     loop {
         let engines = planned_engines(&context);
--- a/crates/instance/src/lease_renewal.rs
+++ b/crates/instance/src/lease_renewal.rs
@@ -101,7 +101,7 @@
     send_leases(context, to, &key, &leases);
 }
 
-/// Renews all leases in use, every [`RENEWAL_INTERVAL`].
+/// Renews all leases in use, every `RENEWAL_INTERVAL`.
 pub async fn repeat(context: rc::Rc<context::InstanceContext>) {
     loop {
         monoio::time::sleep(RENEWAL_INTERVAL).await;
--- a/crates/instance/src/request_record.rs
+++ b/crates/instance/src/request_record.rs
@@ -83,7 +83,7 @@
     pub outcome: String,
 }
 
-/// The records of the last [`MAX_RECORDS`] completed requests.
+/// The records of the last `MAX_RECORDS` completed requests.
 #[derive(Debug, Default)]
 pub struct RecordLog {
     records: collections::VecDeque<RequestRecord>,
