--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -139,11 +139,13 @@
     // The planner's delay is preferred to one computed from limits, as the planner knows better when
     // the limits of its engines admit the next request.
     let planned = back_after.is_some();
-    let none =
+    let unavailable =
         no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()));
-    if let Some(none) = none.filter(|none| none.is_backoff() || !planned) {
-        text = none.to_string();
-        back_after = Some(none.back_after());
+    if let Some(unavailable) =
+        unavailable.filter(|unavailable| unavailable.is_backoff() || !planned)
+    {
+        text = unavailable.to_string();
+        back_after = Some(unavailable.back_after());
     }
     let ran = state.ran.unwrap_or(refusal::RanState::No);
     let code = match ran {
@@ -199,7 +201,7 @@
         plan_client::PlaceOutcome::Refused(refusal) => return Ok(AttemptEnd::Refused(refusal)),
         plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
     };
-    let mut row = request_record::AttemptRecord {
+    let mut attempt_record = request_record::AttemptRecord {
         // Remains in the record if the caller disconnects during the attempt.
         end: "under way".to_owned(),
         upstream: hold.grant.engine.to_string(),
@@ -209,15 +211,15 @@
         planned_ms: u64::from(hold.grant.first_token_ms),
         ..Default::default()
     };
-    record.attempts.push(row.clone());
-    let end = run_place(context, call, reply, record, state, &mut hold, &mut row).await;
+    record.attempts.push(attempt_record.clone());
+    let end = run_place(context, call, reply, record, state, &mut hold, &mut attempt_record).await;
     if let Ok(AttemptEnd::Fault(fault)) = &end {
-        row.end.clone_from(&fault.text);
+        attempt_record.end.clone_from(&fault.text);
         hold.end = engine_fault::place_end(&hold, fault);
         engine_fault::exclude_at_fault(context, state, &hold, fault);
     }
     if let Some(last) = record.attempts.last_mut() {
-        *last = row;
+        *last = attempt_record;
     }
     end
 }
@@ -230,7 +232,7 @@
     record: &mut request_record::RequestRecord,
     state: &mut stream_state::StreamState,
     hold: &mut plan_client::PlaceHold,
-    row: &mut request_record::AttemptRecord,
+    attempt_record: &mut request_record::AttemptRecord,
 ) -> Result<AttemptEnd, h1::MessageError> {
     if let Err(fault) = upstream_gate::check_grant(context, &hold.grant, &hold.permits) {
         return Ok(AttemptEnd::Fault(fault));
@@ -303,7 +305,7 @@
     };
     state.sent += 1;
     if !answer.head.status.is_success() {
-        row.end = format!("status {}", answer.head.status.as_u16());
+        attempt_record.end = format!("status {}", answer.head.status.as_u16());
         hold.end = engine_place::PlaceEnd::Failed;
         state.excluded.push(hold.grant.engine.clone());
         let silence = stream_policy::silence(call);
@@ -356,12 +358,12 @@
         if whole.is_empty() {
             continue;
         }
-        if row.first_ms.is_none() {
+        if attempt_record.first_ms.is_none() {
             watch.unused_until = None;
             watch.answering = true;
             let begun = context.now();
             hold.first_token(reported_load.filter(|_| begun.since(head_at) <= LOAD_AGE));
-            row.first_ms = Some(begun.since(begun_at).as_millis() as u64);
+            attempt_record.first_ms = Some(begun.since(begun_at).as_millis() as u64);
         }
         state.note_events(context, call, record, &whole);
         state.send(reply, &answer.head, &whole).await?;
@@ -378,7 +380,7 @@
     answer.finish(context, &hold.grant.engine);
     record.status = Some(200);
     "answered".clone_into(&mut record.outcome);
-    "whole".clone_into(&mut row.end);
+    "whole".clone_into(&mut attempt_record.end);
     Ok(AttemptEnd::Whole)
 }
 
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -91,7 +91,7 @@
     let mut text = format!("service '{}' has no upstream", call.service);
     let mut reused_silent = None;
     let mut new_connection = false;
-    let mut none_left = None;
+    let mut unavailable = None;
     for _ in 0..MAX_TRIES {
         if sent >= call.route.max_attempts {
             break;
@@ -111,7 +111,7 @@
             chosen = service_choice::choose(context, call, &excluded).await;
         }
         let Some(service_choice::ChosenUpstream { entry, permit }) = chosen else {
-            none_left = no_open_upstream::no_upstream_reason(
+            unavailable = no_open_upstream::no_upstream_reason(
                 context,
                 &call.service,
                 call.left(context.now()),
@@ -140,8 +140,8 @@
         };
         let start = AttemptStart { entry: &entry, permit, new_connection };
         let result = attempt(context, call, start, give_up).await;
-        if let Some(row) = record.attempts.last_mut() {
-            row.end = match &result {
+        if let Some(attempt_record) = record.attempts.last_mut() {
+            attempt_record.end = match &result {
                 Ok(reply) => format!("status {}", reply.status().as_u16()),
                 Err(fault) => fault.text.clone(),
             };
@@ -189,11 +189,11 @@
         _ => refusal::RefusalCode::UpstreamFailed,
     };
     let mut back_after = BACK_AFTER;
-    if let Some(none) = none_left.or_else(|| {
+    if let Some(reason) = unavailable.or_else(|| {
         no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()))
     }) {
-        text = none.to_string();
-        back_after = none.back_after();
+        text = reason.to_string();
+        back_after = reason.back_after();
     }
     CallEnd::Refused(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after))
 }
@@ -257,11 +257,15 @@
     let connected = upstream_attempt::connect(context, call, &target, new_connection).await;
     let connection = connected.inspect_err(|fault| guard.note(fault))?;
     let started = context.now();
-    let slow = left.mul_f64(SILENCE_FRACTION);
+    let silence_limit = left.mul_f64(SILENCE_FRACTION);
     let wait = {
         let loads = context.loads.borrow();
-        let reused = loads.reused_wait(&call.route, slow);
-        upstream_attempt::HeadWait { reused, longest: slow, usual: loads.usual(&call.route) }
+        let reused = loads.reused_wait(&call.route, silence_limit);
+        upstream_attempt::HeadWait {
+            reused,
+            longest: silence_limit,
+            usual: loads.usual(&call.route),
+        }
     };
     let run = upstream_ends::RunGuard::begin(context, call, &entry.name, entry.address);
     let sending = upstream_attempt::send(context, call, &target, connection, wait, &mut give_up);
@@ -276,7 +280,8 @@
     };
     let taken = context.now().since(started);
     context.loads.borrow_mut().answered(&call.route.name, taken);
-    let body = answer.leading_body(context, &entry.name, MAX_BUFFERED_BODY, slow, give_up).await;
+    let body =
+        answer.leading_body(context, &entry.name, MAX_BUFFERED_BODY, silence_limit, give_up).await;
     let upstream_attempt::LeadingBody { bytes: body, whole } = match body {
         Ok(body) => body,
         Err(fault) => {
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -71,8 +71,8 @@
 
     /// Returns whether the next attempt may probe an engine after its backoff.
     pub(crate) fn trial_turn(&self, call: &incoming_call::IncomingCall) -> send_gate::TrialTurn {
-        let made = self.excluded.len().max(self.sent as usize);
-        send_gate::TrialTurn::of(made, call.route.max_attempts)
+        let attempts = self.excluded.len().max(self.sent as usize);
+        send_gate::TrialTurn::of(attempts, call.route.max_attempts)
     }
 
     /// Returns whether an engine other than `used` is left for the request; without one, waiting for a
@@ -105,11 +105,11 @@
         reached: u32,
         reach: upstream_attempt::RetryReach,
     ) -> bool {
-        let beside = (reach == upstream_attempt::RetryReach::OtherUpstream).then_some(engine);
+        let other_than = (reach == upstream_attempt::RetryReach::OtherUpstream).then_some(engine);
         let allowed = call.route.repeat.allows_repeat()
             && reached < call.route.max_attempts
             && context.grants_places()
-            && self.has_engine(context, call, beside);
+            && self.has_engine(context, call, other_than);
         let need = self.retry_need(retry_need::RetryNeed::Early);
         self.retry_taken =
             allowed && permit_request::obtain_retry(context, &call.service, need).await;
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -89,33 +89,33 @@
 }
 
 impl AttemptAnswer {
-    /// Reads the complete body, which must not exceed `most` bytes. After nothing was received for
+    /// Reads the complete body, which must not exceed `max_bytes`. After nothing was received for
     /// `silence`, the attempt is given up if `give_up` returns true.
     pub async fn whole_body(
         &mut self,
         context: &context::InstanceContext,
         upstream: &ids::UpstreamId,
-        most: usize,
+        max_bytes: usize,
         silence: time::Duration,
         give_up: impl AsyncFnMut(RetryReach) -> bool,
     ) -> Result<Bytes, AttemptFault> {
-        match self.leading_body(context, upstream, most, silence, give_up).await? {
-            LeadingBody { bytes, whole: true } if bytes.len() <= most => Ok(bytes),
-            _ => Err(AttemptFault::broke(format!("the body has more than {most} bytes"))),
+        match self.leading_body(context, upstream, max_bytes, silence, give_up).await? {
+            LeadingBody { bytes, whole: true } if bytes.len() <= max_bytes => Ok(bytes),
+            _ => Err(AttemptFault::broke(format!("the body has more than {max_bytes} bytes"))),
         }
     }
 
-    /// Reads the body until it ends or exceeds `most` bytes; otherwise like [`Self::whole_body`].
+    /// Reads the body until it ends or exceeds `max_bytes`; otherwise like [`Self::whole_body`].
     pub(crate) async fn leading_body(
         &mut self,
         context: &context::InstanceContext,
         upstream: &ids::UpstreamId,
-        most: usize,
+        max_bytes: usize,
         silence: time::Duration,
         mut give_up: impl AsyncFnMut(RetryReach) -> bool,
     ) -> Result<LeadingBody, AttemptFault> {
         let mut body = BytesMut::new();
-        while body.len() <= most {
+        while body.len() <= max_bytes {
             let next = self.connection.reader.next_piece(&mut self.framing);
             let mut next = std::pin::pin!(next);
             let piece = match monoio::time::timeout(silence, next.as_mut()).await {
@@ -143,9 +143,9 @@
     /// Returns the connection to the pool if it can be reused.
     pub fn finish(self, context: &context::InstanceContext, upstream: &ids::UpstreamId) {
         if self.reusable && self.framing.ended() {
-            let keep = h1::keep_alive(&self.head.headers);
-            let most = context.idle_connection_limit(upstream);
-            context.pool.put(self.address, self.connection, keep, most);
+            let keep_alive = h1::keep_alive(&self.head.headers);
+            let max_idle = context.idle_connection_limit(upstream);
+            context.pool.put(self.address, self.connection, keep_alive, max_idle);
         }
     }
 }
@@ -226,9 +226,9 @@
         return answered;
     }
     let moment = connection_silence::SilentMoment::Head;
-    let doubted = used && context.pool.cause(&times, moment, wait.reused).doubts_others();
+    let is_doubted = used && context.pool.cause(&times, moment, wait.reused).doubts_others();
     let in_time = call.left(context.now()) >= wait.usual;
-    let reused_silent = doubted && in_time && give_up(RetryReach::AnyUpstream).await;
+    let reused_silent = is_doubted && in_time && give_up(RetryReach::AnyUpstream).await;
     if !reused_silent {
         let left = wait.longest.saturating_sub(started.elapsed());
         if let Ok(answered) = monoio::time::timeout(left, work.as_mut()).await {
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -151,13 +151,13 @@
     }
 
     /// Returns a connection to the pool after its last answer was read completely. It is kept for the
-    /// time that the upstream allows (`keep_alive`), but closed if `most` connections to the address are idle.
+    /// time that the upstream allows (`keep_alive`), but closed if `max_idle` connections to the address are idle.
     pub fn put(
         &self,
         address: net::SocketAddrV4,
         mut connection: UpstreamConnection,
         keep_alive: Option<time::Duration>,
-        most: usize,
+        max_idle: usize,
     ) {
         if connection.reader.has_surplus() {
             return;
@@ -173,7 +173,7 @@
         }
         let mut idle = self.idle.borrow_mut();
         let pooled = idle.entry(address).or_default();
-        if pooled.len() < most {
+        if pooled.len() < max_idle {
             pooled.push(PooledConnection {
                 connection,
                 until: boot_clock::BootInstant::now() + idle_time,
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -37,8 +37,9 @@
 ) -> connection_silence::SilenceCause {
     let cause = context.pool.cause(wait.times, wait.moment, wait.waited);
     context.stats.borrow_mut().count("silent", cause.label());
-    let doubted = cause.doubts_others();
-    let dropped = if doubted { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
+    let is_doubted = cause.doubts_others();
+    let dropped =
+        if is_doubted { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
     let log = &context.silence_log;
     if log.last.get().is_some_and(|last| last.elapsed() < LOG_INTERVAL) {
         log.held_back.set(log.held_back.get() + 1);
