--- /dev/null
+++ b/crates/instance/src/adapter.rs
@@ -0,0 +1,279 @@
+//! Traits that connect an instance to a platform: to its callers, its upstreams and its store.
+//!
+//! An implementation knows the header names, paths and document formats of one platform. It only
+//! translates between them and the types of this module; it makes no decisions.
+
+use std::{collections, net, time};
+
+use bytes::Bytes;
+use slipturn_core::{ids, route_table, store_revision, units, upstream_list};
+use snafu::Snafu;
+
+use crate::{list_recovery, routes_history};
+
+/// Input from a caller, an upstream or the store that could not be parsed.
+#[derive(Debug, Clone, PartialEq, Eq, Snafu)]
+#[snafu(display("{what}: {reason}"))]
+pub struct FormatError {
+    /// The kind of input that was parsed.
+    pub what: &'static str,
+    /// The reason why it is invalid.
+    pub reason: String,
+}
+
+impl FormatError {
+    /// Creates an error about the input `what`.
+    pub fn new(what: &'static str, reason: impl ToString) -> Self {
+        Self { what, reason: reason.to_string() }
+    }
+}
+
+/// Fields of a caller's request head.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub struct CallerRequest {
+    /// Id that the caller gave to this attempt.
+    pub id: String,
+    /// API key of the customer.
+    pub key: Option<String>,
+    /// How long the caller waits for the answer.
+    pub max_wait: Option<time::Duration>,
+    /// Number of prompt tokens; 0 for a request without a prompt.
+    pub prompt: u64,
+    /// Maximum number of output tokens.
+    pub output: u64,
+    /// Id of the last event that the caller received, if it resumes a stream.
+    pub last_event: Option<String>,
+}
+
+/// A request to be sent to an upstream.
+#[derive(Debug)]
+pub struct UpstreamCall<'a> {
+    /// Head of the caller's request.
+    pub head: &'a http::request::Parts,
+    /// The upstream that must answer.
+    pub upstream: &'a ids::UpstreamId,
+    /// The customer that sent the request, if known.
+    pub customer: Option<&'a ids::CustomerId>,
+    /// Time left until the deadline.
+    pub left: time::Duration,
+    /// Priority, where 0 is the most urgent; `None` leaves it to the upstream.
+    pub priority: Option<u8>,
+    /// Id of the event after which a stream resumes.
+    pub last_event: Option<&'a str>,
+    /// Engines that process parts of the prompt, each with the ticket of the memory reserved there.
+    pub helpers: Vec<(net::SocketAddrV4, Option<String>)>,
+}
+
+/// Fields of an upstream's answer head.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub struct UpstreamAnswer {
+    /// Id of the request that is answered.
+    pub id: Option<String>,
+    /// Whether the answer carries the upstream's signature.
+    pub signed: bool,
+    /// Whether the upstream states that it did not run the request.
+    pub not_run: bool,
+    /// Whether the answering process states that it is not the upstream that was addressed.
+    pub misdirected: bool,
+    /// Numbers of running requests, waiting requests and slots.
+    pub load: Option<(u32, u32, u32)>,
+    /// Address of the upstream that caused a refusal, if it is another one.
+    pub at_fault: Option<net::SocketAddrV4>,
+    /// Whether the upstream announces that it is shutting down.
+    pub leaving: bool,
+    /// For how long the upstream asks to receive no requests; an error if the value is invalid.
+    pub rest: Option<Result<time::Duration, FormatError>>,
+    /// Rate of requests that the upstream accepts from all instances together; an error if the value
+    /// is invalid.
+    pub limit: Option<Result<units::RequestRate, FormatError>>,
+}
+
+impl UpstreamAnswer {
+    /// Returns the number of running and waiting requests, if reported.
+    pub fn requests(&self) -> Option<u16> {
+        let (running, waiting, _) = self.load?;
+        u16::try_from(running.saturating_add(waiting)).ok()
+    }
+}
+
+/// An engine's report about its own load.
+#[derive(Debug, Clone, PartialEq, Default)]
+pub struct EngineReport {
+    /// Slowdown against the engine's configured speed; above 1 it is slower.
+    pub pace: f64,
+    /// Number of running requests.
+    pub running: u32,
+    /// Number of waiting requests.
+    pub waiting: u32,
+    /// Memory in use, in tokens.
+    pub used: u64,
+    /// Memory reservations, if the engine reports them.
+    pub tickets: Option<Vec<TicketReport>>,
+    /// The start of the engine that sent the report, if it is named.
+    pub start: Option<ids::UpstreamStart>,
+}
+
+impl EngineReport {
+    /// Returns whether a request uses the memory reserved under `ticket`, or `None` if the engine
+    /// does not report its reservations.
+    pub fn uses(&self, ticket: &str) -> Option<bool> {
+        let tickets = self.tickets.as_ref()?;
+        Some(tickets.iter().any(|report| report.ticket == ticket && report.used))
+    }
+}
+
+/// A memory reservation reported by an engine.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct TicketReport {
+    /// Identifies the reservation.
+    pub ticket: String,
+    /// Whether a request uses the reserved memory.
+    pub used: bool,
+}
+
+/// An order that reserves or releases memory of an engine.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum MemoryOrder {
+    /// Reserves memory or extends a reservation.
+    Hold {
+        /// Identifies the reservation.
+        ticket: String,
+        /// Amount of memory, in tokens.
+        tokens: u64,
+        /// Duration of the reservation, counted from now.
+        time: time::Duration,
+    },
+    /// Releases a reservation.
+    Release {
+        /// Identifies the reservation.
+        ticket: String,
+    },
+}
+
+/// Translates between callers and the instance.
+pub trait CallerAdapter {
+    /// Parses a request's head.
+    fn read_request(&self, head: &http::request::Parts) -> Result<CallerRequest, FormatError>;
+    /// Returns the headers of an answer that the instance generates itself.
+    fn answer_headers(&self, request: &str, back_after: Option<time::Duration>) -> http::HeaderMap;
+    /// Returns whether a path on the health address is the readiness check.
+    fn is_readiness(&self, path: &str) -> bool;
+}
+
+/// Translates between the instance and upstreams.
+pub trait UpstreamAdapter {
+    /// Returns the head of a request to an upstream, without the body length.
+    fn call_head(&self, call: &UpstreamCall<'_>) -> http::request::Parts;
+    /// Parses an answer's head.
+    fn read_answer(&self, head: &http::response::Parts) -> UpstreamAnswer;
+    /// Returns the path and body of a memory order.
+    fn memory_order(&self, order: &MemoryOrder) -> (String, Bytes);
+    /// Returns the start of the engine that answered an order, if the answer names it.
+    fn order_start(&self, body: &[u8]) -> Option<ids::UpstreamStart>;
+    /// Returns the path of an engine's report.
+    fn report_path(&self) -> String;
+    /// Parses an engine's report.
+    fn read_report(&self, body: &[u8]) -> Result<EngineReport, FormatError>;
+    /// Returns the id of an event, if it has one.
+    fn event_id(&self, event: &[u8]) -> Option<String>;
+}
+
+/// Unparsed store documents that a member sends to a member with older ones.
+#[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+pub struct RawDocuments {
+    /// The routes, if the sender has newer ones.
+    pub routes: Option<routes_history::RoutesCopy>,
+    /// All upstreams by name, if the changes alone are no longer known.
+    pub upstreams: Option<collections::BTreeMap<String, String>>,
+    /// Changes to upstreams, oldest first: the name with its document, or `None` if it was deleted.
+    pub changes: Vec<(String, Option<String>)>,
+    /// Whether the changes omit some that were reverted later.
+    pub skipped: bool,
+    /// All data centres under evacuation; empty if only routes were requested.
+    pub evacuated: collections::BTreeSet<ids::DataCenterId>,
+    /// Store revision of the upstreams and evacuations; the default if only routes were requested.
+    pub revision: store_revision::StoreRevision,
+    /// Digest of all upstreams, if the changes lead into another era.
+    pub digest: Option<u64>,
+    /// State of the previous era that is still in force.
+    pub recovery: Option<list_recovery::RecoveryReport>,
+    /// Milliseconds since the store recovered from an outage, if that was recent: entries that
+    /// vanished with the outage may return.
+    pub returned_ms: Option<u64>,
+}
+
+/// A key of the store and its value.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct StoreItem {
+    /// The key; empty if it cannot be parsed.
+    pub key: String,
+    /// The value, or an error if it cannot be parsed: any client may write to the store.
+    pub value: Result<String, FormatError>,
+}
+
+/// A page of the store's contents.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct StorePage {
+    /// Keys and values on this page.
+    pub items: Vec<StoreItem>,
+    /// Key after which the next page starts, if there is a next page.
+    pub next: Option<String>,
+    /// Revision of the store within its era.
+    pub revision: u64,
+}
+
+/// A change to a key of the store.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum StoreChange {
+    /// The key was created or updated.
+    Put(StoreItem),
+    /// The key was deleted.
+    Gone(String),
+}
+
+/// The kind of document stored under a key.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum StoreKey {
+    /// The routes.
+    Routes,
+    /// The entry of the upstream with this name.
+    Upstream(String),
+    /// The order to evacuate a data centre, in force as long as the key exists.
+    Evacuation(ids::DataCenterId),
+    /// A document that instances do not use.
+    Other,
+}
+
+/// Translates between the instance and the platform's store.
+pub trait StoreAdapter {
+    /// Returns the path that reads the page of upstreams after a key.
+    fn upstreams_path(&self, after: Option<&str>) -> String;
+    /// Returns the path that reads the routes.
+    fn routes_path(&self) -> String;
+    /// Returns the path that reads the page of operator documents (routes and evacuations) after a key.
+    fn operator_path(&self, after: Option<&str>) -> String;
+    /// Returns the path that waits up to `wait` for changes after a revision.
+    fn watch_path(&self, after: u64, wait: time::Duration) -> String;
+    /// Returns the era named in an answer's head, whatever the answer's status.
+    fn store_era(
+        &self,
+        head: &http::response::Parts,
+    ) -> Result<Option<store_revision::StoreEra>, FormatError>;
+    /// Parses a page, or the answer to a read of a single key.
+    fn read_page(&self, body: &[u8]) -> Result<StorePage, FormatError>;
+    /// Parses changes and the revision after them.
+    fn read_changes(&self, body: &[u8]) -> Result<(Vec<StoreChange>, u64), FormatError>;
+    /// Returns the kind of document stored under a key.
+    fn key(&self, key: &str) -> StoreKey;
+    /// Parses the routes.
+    fn read_routes(&self, text: &str) -> Result<route_table::RouteTable, FormatError>;
+    /// Parses the entry of the upstream `name`.
+    fn read_upstream(
+        &self,
+        name: &str,
+        text: &str,
+    ) -> Result<upstream_list::UpstreamEntry, FormatError>;
+}
+
+/// All adapter traits of one platform.
+pub trait InstanceAdapter: CallerAdapter + UpstreamAdapter + StoreAdapter {}
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: one request after the other, until either side closes.
+//! Serves a caller's connection: one request after another, until either side closes it.
 
 use std::{rc, time};
 
@@ -10,38 +10,38 @@
     context, incoming_call, model_request, quarantine_gate, request_record, service_request,
 };
 
-/// Bytes that a caller may send ahead of its answer.
-const MAX_AHEAD: usize = 64 * 1024;
-/// Time for reading what a refused caller still sends, so that it can read its answer.
-const LINGER_TIME: time::Duration = time::Duration::from_millis(500);
-/// Age before which members that started at the same moment may not agree on who plans; each
-/// would plan alone then, and give away the same engines.
+/// Maximum number of bytes that a caller may pipeline before it receives its answer.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
+/// How long remaining input is read and discarded before the connection is closed.
+const LINGER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Process age up to which requests wait. Members that started at the same time may not agree on
+/// the planner before this age, so each would plan alone and assign the same engines.
 const SETTLE_TIME: time::Duration = time::Duration::from_millis(150);
-/// Time between two looks at whether they are known.
-const KNOWN_POLL: time::Duration = time::Duration::from_millis(10);
+/// Interval at which a waiting request checks whether the process is ready.
+const READY_POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// What becomes of the connection after a request.
+/// Whether a connection stays open after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionNext {
-    /// It takes another request.
+    /// The connection accepts another request.
     Keep,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
-/// The writing side of a caller's connection while one request is served.
+/// Writes the answer to one request to the caller's connection.
 pub struct CallerReply<'a> {
     context: &'a context::InstanceContext,
     writer: &'a mut h1::MessageWriter,
-    /// Whether the connection is closed after the answer.
+    /// Whether the connection must be closed after the answer.
     close: bool,
-    /// Whether part of an answer may be on its way.
+    /// Whether part of an answer may have been sent.
     begun: bool,
 }
 
 impl CallerReply<'_> {
-    /// Sends a whole answer of an upstream.
-    pub async fn whole(
+    /// Sends a complete answer of an upstream.
+    pub async fn send_answer(
         &mut self,
         head: &http::response::Parts,
         body: &[u8],
@@ -54,8 +54,8 @@
         self.writer.write(bytes).await
     }
 
-    /// Sends the head of a stream, with its first events.
-    pub async fn begin(
+    /// Sends the head of a stream together with its first events.
+    pub async fn start_stream(
         &mut self,
         head: &http::response::Parts,
         events: &[u8],
@@ -70,15 +70,16 @@
         self.writer.write(bytes).await
     }
 
-    /// Sends the head of a plain answer, of a length where that is known, with the first bytes of its body.
-    pub(crate) async fn begin_body(
+    /// Sends the head of a non-streamed answer with the first bytes of its body. Without a `length`
+    /// the body is sent in chunks.
+    pub(crate) async fn start_body(
         &mut self,
         head: &http::response::Parts,
         length: Option<usize>,
         leading: &[u8],
     ) -> Result<(), h1::MessageError> {
         if length.is_none() {
-            return self.begin(head, leading).await;
+            return self.start_stream(head, leading).await;
         }
         self.begun = true;
         let mut headers = head.headers.clone();
@@ -88,8 +89,8 @@
         self.writer.write(bytes).await
     }
 
-    /// Sends more of a plain answer, of a length that is known or not.
-    pub(crate) async fn body_piece(
+    /// Sends another piece of a body that was begun with [`Self::start_body`].
+    pub(crate) async fn send_body_piece(
         &mut self,
         known_length: bool,
         piece: bytes::Bytes,
@@ -100,17 +101,17 @@
         self.writer.write(h1::chunk_bytes(&piece)).await
     }
 
-    /// Sends events of a stream.
-    pub async fn events(&mut self, events: &[u8]) -> Result<(), h1::MessageError> {
+    /// Sends further events of a stream.
+    pub async fn send_events(&mut self, events: &[u8]) -> Result<(), h1::MessageError> {
         self.writer.write(h1::chunk_bytes(events)).await
     }
 
-    /// Ends a stream.
-    pub async fn end(&mut self) -> Result<(), h1::MessageError> {
+    /// Ends a chunked body.
+    pub async fn end_chunked(&mut self) -> Result<(), h1::MessageError> {
         self.writer.write(h1::LAST_CHUNK).await
     }
 
-    /// Sends a refusal.
+    /// Answers the request `id` with a refusal.
     pub async fn refuse(
         &mut self,
         id: &str,
@@ -119,7 +120,7 @@
         self.begun = true;
         let status = http::StatusCode::from_u16(refusal.code.status())
             .unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
-        let mut headers = self.context.border.answer_headers(id, refusal.retry_after);
+        let mut headers = self.context.adapter.answer_headers(id, refusal.retry_after);
         let kind = http::HeaderValue::from_static("application/json");
         headers.insert(http::header::CONTENT_TYPE, kind);
         let body = serde_json::json!({"error": {
@@ -133,13 +134,13 @@
         self.writer.write(bytes).await
     }
 
-    /// Whether the connection is closed after this answer.
+    /// Returns whether the connection is closed after this answer.
     pub fn closing(&self) -> bool {
         self.close || self.context.stop.asked()
     }
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 pub async fn serve(context: rc::Rc<context::InstanceContext>, stream: monoio::net::TcpStream) {
     let (mut reader, mut writer) = h1::split(stream);
     loop {
@@ -172,7 +173,7 @@
                     return Ok(ConnectionNext::Close);
                 }
             }
-            // The caller has rested too long, or this process is about to end.
+            // The connection was idle for too long, or this process is stopping.
             _ => return Ok(ConnectionNext::Close),
         }
     }
@@ -183,7 +184,7 @@
     let head = match head {
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return Ok(ConnectionNext::Close),
-        Ok(Err(error)) => return refuse_bytes(&mut reply, "", error).await,
+        Ok(Err(error)) => return refuse_malformed(&mut reply, "", error).await,
         Err(_) => {
             let text = "the head of the request did not arrive in time";
             let code = refusal::RefusalCode::BodyTimeout;
@@ -202,11 +203,11 @@
     head: http::request::Parts,
     limits: slipturn_core::route_table::CallerLimits,
 ) -> Result<ConnectionNext, h1::MessageError> {
-    let request = context.border.read_request(&head);
+    let request = context.adapter.read_request(&head);
     let id = request.as_ref().map(|request| request.id.clone()).unwrap_or_default();
     let mut framing = match h1::BodyFraming::of_request(&head) {
         Ok(framing) => framing,
-        Err(error) => return refuse_bytes(reply, &id, error).await,
+        Err(error) => return refuse_malformed(reply, &id, error).await,
     };
     let expects = head.headers.contains_key(http::header::EXPECT);
     if expects && !framing.ended() {
@@ -215,7 +216,7 @@
     let reading = reader.whole_body(&mut framing, limits.body_bytes);
     let body = match monoio::time::timeout(limits.arrival, reading).await {
         Ok(Ok(body)) => body,
-        Ok(Err(error)) => return refuse_bytes(reply, &id, error).await,
+        Ok(Err(error)) => return refuse_malformed(reply, &id, error).await,
         Err(_) => {
             let text = "the body of the request did not arrive in time";
             let code = refusal::RefusalCode::BodyTimeout;
@@ -224,8 +225,8 @@
         }
     };
     let arrived = context.now();
-    let patience = request.as_ref().ok().and_then(|request| request.patience);
-    wait_until_known(context, arrived, patience.unwrap_or(incoming_call::USUAL_PATIENCE)).await;
+    let max_wait = request.as_ref().ok().and_then(|request| request.max_wait);
+    wait_until_ready(context, arrived, max_wait.unwrap_or(incoming_call::DEFAULT_MAX_WAIT)).await;
     let mut call = match incoming_call::admit(context, head, request, arrived) {
         Ok(call) => call,
         Err(refusal) => {
@@ -238,13 +239,13 @@
     };
     call.body = body;
     let mut record = call.record(context);
-    // What stays in the record when nothing else happens.
+    // Default outcome, which remains if the caller disconnects before there is another one.
     "caller left".clone_into(&mut record.outcome);
     context.count_request(&call.service);
     let next = {
         let serving = std::pin::pin!(serve_call(context, &call, reply, &mut record));
         let watching = std::pin::pin!(watch_caller(reader));
-        // Watched first: nothing more is done for a caller whose close has arrived already.
+        // `select` polls `watching` first, so no work is done for a caller that has disconnected.
         match future::select(watching, serving).await {
             future::Either::Left(_) => Ok(ConnectionNext::Close),
             future::Either::Right((next, _)) => next,
@@ -254,12 +255,13 @@
     next
 }
 
-/// Waits while this process has just started and knows neither routes nor upstreams nor who plans:
-/// it learns them within a moment, and many callers come back only once.
-async fn wait_until_known(
+/// Delays a request while this process has just started and does not know the routes, the
+/// upstreams or the planners yet. It usually learns them within moments, and many callers retry
+/// only once.
+async fn wait_until_ready(
     context: &context::InstanceContext,
     arrived: units::MonoTime,
-    patience: time::Duration,
+    max_wait: time::Duration,
 ) {
     loop {
         let now = context.now();
@@ -269,10 +271,10 @@
             return;
         }
         let contact = start_contact(context, now);
-        if !start_wait::goes_on(contact, age, now.since(arrived), patience) {
+        if !start_wait::goes_on(contact, age, now.since(arrived), max_wait) {
             return;
         }
-        monoio::time::sleep(KNOWN_POLL).await;
+        monoio::time::sleep(READY_POLL_INTERVAL).await;
     }
 }
 
@@ -306,13 +308,13 @@
     };
     let next = match quarantine_gate::pass(context, call, work).await {
         Ok(next) => next?,
-        Err(verdict) => hold_back(context, call, reply, record, &verdict).await?,
+        Err(verdict) => refuse_quarantined(context, call, reply, record, &verdict).await?,
     };
     Ok(if reply.closing() { ConnectionNext::Close } else { next })
 }
 
-/// Answers a request that is held back.
-async fn hold_back(
+/// Refuses a quarantined request.
+async fn refuse_quarantined(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     reply: &mut CallerReply<'_>,
@@ -325,7 +327,7 @@
     record.digest = Some(call.digest().to_string());
     context.stats.borrow_mut().count("held_back", &call.service.to_string());
     if reply.begun {
-        // Only a cut connection can say now that the answer is not whole.
+        // After part of the answer was sent, only closing the connection shows that it is incomplete.
         return Ok(ConnectionNext::Close);
     }
     record.status = Some(refusal.code.status());
@@ -359,10 +361,11 @@
     context.records.borrow_mut().push(record);
 }
 
-/// Ends when the caller has closed its connection; what it sends ahead stays for later.
+/// Completes when the caller closes its connection. Pipelined bytes stay buffered; beyond
+/// [`MAX_PIPELINED_BYTES`] the connection is no longer read, so a close goes unnoticed.
 async fn watch_caller(reader: &mut h1::MessageReader) {
     loop {
-        if reader.buffered() > MAX_AHEAD {
+        if reader.buffered() > MAX_PIPELINED_BYTES {
             return future::pending().await;
         }
         if !matches!(reader.fill().await, Ok(count) if count > 0) {
@@ -371,7 +374,7 @@
     }
 }
 
-async fn refuse_bytes(
+async fn refuse_malformed(
     reply: &mut CallerReply<'_>,
     id: &str,
     error: h1::MessageError,
@@ -388,13 +391,13 @@
     Ok(ConnectionNext::Close)
 }
 
-/// Reads and drops what still comes: a socket closed with unread data resets the connection, and
-/// the caller may lose the answer that it was just sent.
+/// Reads and discards remaining input before the socket is closed. Closing a socket with unread
+/// data resets the connection, which may lose the answer that was just sent.
 async fn linger(reader: &mut h1::MessageReader) {
     let dropping = async {
         let mut framing = h1::BodyFraming::UntilClose;
         while let Ok(Some(_)) = reader.next_piece(&mut framing).await {}
     };
-    // A caller that takes longer has had its answer for as long.
-    let _ = monoio::time::timeout(LINGER_TIME, dropping).await;
+    // A caller that is still sending has had this much time to read its answer.
+    let _ = monoio::time::timeout(LINGER_TIMEOUT, dropping).await;
 }
--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use slipturn_core::store_revision;
 
-use crate::{border, compressed_bytes, context};
+use crate::{adapter, compressed_bytes, context};
 
 /// Most cached answers: those of one version of routes and list, for requesters that lack the routes, the list, or both.
 const MAX_CACHED_ANSWERS: usize = 4;
@@ -126,7 +126,7 @@
 
 /// Encodes and compresses documents for another member.
 pub fn encode(
-    documents: &border::RawDocuments,
+    documents: &adapter::RawDocuments,
 ) -> Result<Vec<u8>, compressed_bytes::CompressionError> {
     let plain =
         postcard::to_stdvec(documents).map_err(compressed_bytes::CompressionError::codec)?;
@@ -135,7 +135,7 @@
 }
 
 /// Decodes the documents that [`encode`] produced at another member.
-pub fn decode(bytes: &[u8]) -> Result<border::RawDocuments, compressed_bytes::CompressionError> {
+pub fn decode(bytes: &[u8]) -> Result<adapter::RawDocuments, compressed_bytes::CompressionError> {
     let compressed: compressed_bytes::CompressedBytes =
         postcard::from_bytes(bytes).map_err(compressed_bytes::CompressionError::codec)?;
     let plain = compressed.decompress(&[])?;
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -1,4 +1,4 @@
-//! Engines' own reports, requested by their planner: their pace, and whether they answer at all.
+//! Polls the reports of engines: their pace and load, and whether they answer at all.
 
 use std::{rc, time};
 
@@ -6,23 +6,24 @@
 
 use crate::{context, engine_call, peers, upstream_starts};
 
-/// Time between two reports of one engine.
+/// Interval between two reports of one engine.
 const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(2_000);
-/// Time between two looks at who plans.
-const LOOK_INTERVAL: time::Duration = time::Duration::from_millis(250);
-/// Time for a report; within a region it takes a few milliseconds.
-const REPORT_TIME: time::Duration = time::Duration::from_millis(400);
-/// An engine with a limit that has answered within this time is not asked: it is in need, and its answers tell enough.
+/// Interval at which the poller checks for engines while there are none to poll.
+const IDLE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
+/// Timeout of a report, which takes a few milliseconds within a region.
+const REPORT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+/// Engines with a limit are polled only if their limit was last read at least this long ago: they
+/// are overloaded, and their answers carry enough information.
 const LIMITED_INTERVAL: time::Duration = time::Duration::from_secs(10);
-/// A slower engine than this is noted in the log.
+/// Pace above which an engine is logged as slow.
 const SLOW_PACE: f64 = 1.5;
 
-/// Asks engines of services that this process plans for, one after the other.
+/// Polls the engines that this process plans for, spread evenly over `REPORT_INTERVAL`.
 pub async fn poll(context: rc::Rc<context::InstanceContext>) {
     loop {
         let engines = planned_engines(&context);
         if engines.is_empty() {
-            monoio::time::sleep(LOOK_INTERVAL).await;
+            monoio::time::sleep(IDLE_POLL_INTERVAL).await;
             continue;
         }
         let pause = REPORT_INTERVAL / u32::try_from(engines.len()).unwrap_or(u32::MAX);
@@ -31,13 +32,14 @@
             if context.planners.borrow_mut().take_report_due(now, &engine.name) {
                 monoio::spawn(report(rc::Rc::clone(&context), engine));
             }
-            ask_suspects(&context);
+            poll_suspects(&context);
             monoio::time::sleep(pause).await;
         }
     }
 }
 
-/// Engines of the planners that run in this process and are in use.
+/// Returns the engines of this process's active planners, except those whose limit was read
+/// within [`LIMITED_INTERVAL`].
 fn planned_engines(context: &context::InstanceContext) -> Vec<upstream_list::UpstreamEntry> {
     let keys = context.planners.borrow().active(context.now());
     let own = keys.into_iter().filter(|key| peers::planner_of(context, key).is_none());
@@ -59,8 +61,8 @@
     engines
 }
 
-/// Asks engines at once that were silent for a request.
-fn ask_suspects(context: &rc::Rc<context::InstanceContext>) {
+/// Polls engines immediately that were silent during a request.
+fn poll_suspects(context: &rc::Rc<context::InstanceContext>) {
     let suspects = context.planners.borrow_mut().take_suspects();
     let fleet = context.fleet.borrow();
     for engine in suspects.iter().filter_map(|name| fleet.list.entry(name)) {
@@ -71,9 +73,9 @@
 async fn report(context: rc::Rc<context::InstanceContext>, engine: upstream_list::UpstreamEntry) {
     let asked = context.now();
     let to = engine_call::EngineAddress { engine: engine.name.clone(), address: engine.address };
-    let body = match engine_call::report(&context, &to, REPORT_TIME).await {
+    let body = match engine_call::report(&context, &to, REPORT_TIMEOUT).await {
         Ok(body) => body,
-        // It wants rest; that says nothing of whether it answers.
+        // The gate denied the poll, so nothing is known about whether the engine answers.
         Err(engine_call::EngineCallError::Denied { .. }) => return,
         Err(error) => {
             log::info!(engine:% = engine.name, error:%; "engine.silent");
@@ -81,7 +83,7 @@
             return;
         }
     };
-    match context.border.read_report(&body) {
+    match context.adapter.read_report(&body) {
         Ok(report) => {
             if report.pace > SLOW_PACE {
                 log::info!(engine:% = engine.name, pace = report.pace; "engine.slow");
--- a/crates/instance/src/failure_watch.rs
+++ b/crates/instance/src/failure_watch.rs
@@ -95,8 +95,8 @@
 /// Refutes a suspicion of this process by broadcasting its heartbeat to all members.
 fn refute(context: &context::InstanceContext) {
     let now = context.now();
-    if context.denied.get().is_none_or(|last| now.since(last) >= REFUTATION_INTERVAL) {
-        context.denied.set(Some(now));
+    if context.last_refuted.get().is_none_or(|last| now.since(last) >= REFUTATION_INTERVAL) {
+        context.last_refuted.set(Some(now));
         log::warn!("process.suspected");
         heartbeats::broadcast(context);
     }
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{ids, route_table, store_revision, units, upstream_list};
 
-use crate::{border, compressed_bytes, raw_state, routes_history};
+use crate::{adapter, compressed_bytes, raw_state, routes_history};
 
 /// Age in milliseconds from which the end of a store outage is not reported to members any more: it no longer explains
 /// changes of the list.
@@ -15,7 +15,7 @@
 
 /// Routes and upstreams in force in this process. Versions never go down.
 pub struct FleetState {
-    pub(crate) border: rc::Rc<dyn border::PlatformBorder>,
+    pub(crate) adapter: rc::Rc<dyn adapter::InstanceAdapter>,
     /// Routes in force; version 0 until the first routes are known.
     pub routes: rc::Rc<route_table::RouteTable>,
     /// Upstreams and evacuations in force.
@@ -45,9 +45,9 @@
 
 impl FleetState {
     /// Creates the state of a process that has not read any documents.
-    pub fn new(border: rc::Rc<dyn border::PlatformBorder>) -> Self {
+    pub fn new(adapter: rc::Rc<dyn adapter::InstanceAdapter>) -> Self {
         Self {
-            border,
+            adapter,
             routes: rc::Rc::new(route_table::RouteTable::default()),
             list: upstream_list::UpstreamList::default(),
             raw: raw_state::RawState::default(),
@@ -95,19 +95,19 @@
         now: units::MonoTime,
         routes: u64,
         list: Option<store_revision::StoreRevision>,
-    ) -> border::RawDocuments {
+    ) -> adapter::RawDocuments {
         let newer = self.routes.version.0 > routes;
         let text = self.raw.routes.as_deref().filter(|_| newer);
         let routes = text.and_then(|text| self.raw.history.copy_for(routes, text));
         let (returned_ms, _) = self.reported_ages(now);
         let Some(list) = list else {
-            return border::RawDocuments { routes, returned_ms, ..Default::default() };
+            return adapter::RawDocuments { routes, returned_ms, ..Default::default() };
         };
         let whole = !self.raw.has_changes_since(list);
         let changes = self.raw.changes.iter().filter(|(revision, _, _)| *revision > list);
         let changes = changes.map(|(_, name, text)| (name.clone(), text.clone()));
         let crosses = !whole && list.era < self.raw.revision.era;
-        border::RawDocuments {
+        adapter::RawDocuments {
             routes,
             upstreams: whole.then(|| self.raw.upstreams.clone()),
             changes: if whole { Vec::new() } else { changes.collect() },
@@ -142,7 +142,7 @@
     pub fn adopt(
         &mut self,
         now: units::MonoTime,
-        documents: border::RawDocuments,
+        documents: adapter::RawDocuments,
         source: &str,
     ) -> Result<(), compressed_bytes::CompressionError> {
         let copied = documents.routes.as_ref().map(|copy| self.adopt_routes(copy, source));
@@ -165,7 +165,7 @@
     }
 
     /// Adopts a routes item of the store, if it is readable and newer.
-    pub fn put_routes_item(&mut self, item: border::StoreItem, source: &str) {
+    pub fn put_routes_item(&mut self, item: adapter::StoreItem, source: &str) {
         match item.value {
             Ok(text) => self.put_routes(text, source),
             Err(error) => log::error!(source, error:%; "routes.rejected"),
@@ -182,7 +182,7 @@
 
     /// Puts routes into force, if they are valid and newer; returns the version and text that they replace.
     fn replace_routes(&mut self, text: String, source: &str) -> Option<(u64, String)> {
-        let routes = match self.border.read_routes(&text) {
+        let routes = match self.adapter.read_routes(&text) {
             Ok(routes) => routes,
             Err(error) => {
                 log::error!(source, error:%; "routes.rejected");
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -33,7 +33,7 @@
     if joined {
         context.joined.set(context.joined.get() + 1);
         member_gossip::request_from_met(context, from);
-        let beat = context.next_beat();
+        let beat = context.next_heartbeat();
         if welcome.is_empty() {
             context.send_to(from, peer_message::PeerMessage::Beat(Box::new(beat.clone())));
         }
@@ -49,7 +49,7 @@
 
 /// Sends this process's heartbeat to `targets`: whole when that is due and to unknown members, else in its short form.
 fn send_beat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
-    let beat = context.next_beat();
+    let beat = context.next_heartbeat();
     for to in targets {
         let message = if beat.is_whole() || !context.members.borrow().knows(to) {
             peer_message::PeerMessage::Beat(Box::new(beat.clone()))
@@ -98,7 +98,7 @@
     before: AnnouncedState,
 ) {
     let now = context.now();
-    let cpu = context.own_beat().cpu;
+    let cpu = context.own_heartbeat().cpu;
     let may_plan = context.members.borrow().is_largest(now, cpu);
     if may_plan || state.leaving != before.leaving {
         broadcast(context);
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -10,9 +10,9 @@
 //! - a version of routes or list: `fleet_state`, `list_update`, `list_recovery` and `raw_state`;
 //! - the process: all others.
 //!
-//! The traits in `border` separate the crate from the formats of one platform.
+//! The traits in `adapter` separate the crate from the formats of one platform.
 
-pub mod border;
+pub mod adapter;
 pub mod caller_connection;
 mod cell_search;
 pub mod compressed_bytes;
@@ -40,6 +40,7 @@
 mod member_gossip;
 pub mod memory_hold;
 pub mod model_request;
+mod no_open_upstream;
 pub mod peer_message;
 pub mod peers;
 mod permit_request;
@@ -64,7 +65,6 @@
 mod stream_state;
 mod stream_target;
 pub mod upstream_attempt;
-mod upstream_choice;
 pub mod upstream_ends;
 pub mod upstream_gate;
 pub mod upstream_load;
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -7,7 +7,7 @@
 
 use slipturn_core::{ids, quota_permit, units, upstream_limit, upstream_notice};
 
-use crate::{border, context, member_gossip, peer_message, quota_coordinator, upstream_signals};
+use crate::{adapter, context, member_gossip, peer_message, quota_coordinator, upstream_signals};
 
 /// Minimum interval between two log lines on changes of one upstream's limit.
 const CHANGE_LOG_INTERVAL: time::Duration = time::Duration::from_secs(1);
@@ -20,7 +20,7 @@
 pub(crate) fn receive(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
-    answer: &border::UpstreamAnswer,
+    answer: &adapter::UpstreamAnswer,
     origin: upstream_signals::SignalOrigin,
 ) {
     let rate = match &answer.limit {
--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use slipturn_core::{ids, list_recovery, store_revision, units, upstream_notice};
 
-use crate::{border, compressed_bytes, fleet_state, peer_message, raw_state};
+use crate::{adapter, compressed_bytes, fleet_state, peer_message, raw_state};
 
 /// State of a recovery, as one instance reports it to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
     /// Fails if applying the member's changes does not result in its list.
     pub(crate) fn upstreams_after(
         &self,
-        documents: &mut border::RawDocuments,
+        documents: &mut adapter::RawDocuments,
     ) -> Result<collections::BTreeMap<String, String>, compressed_bytes::CompressionError> {
         if let Some(upstreams) = documents.upstreams.take() {
             return Ok(upstreams);
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{ids, store_revision, units, upstream_list, upstream_notice};
 
-use crate::{border, compressed_bytes, fleet_state, list_recovery};
+use crate::{adapter, compressed_bytes, fleet_state, list_recovery};
 
 /// Most characters that a log line shows of a name or error from outside.
 const MAX_LOGGED_CHARS: usize = 160;
@@ -26,7 +26,7 @@
     pub(crate) fn adopt_list(
         &mut self,
         now: units::MonoTime,
-        mut documents: border::RawDocuments,
+        mut documents: adapter::RawDocuments,
         source: &str,
     ) -> Result<(), compressed_bytes::CompressionError> {
         let revision = documents.revision;
@@ -186,30 +186,32 @@
     pub fn apply(
         &mut self,
         now: units::MonoTime,
-        changes: Vec<border::StoreChange>,
+        changes: Vec<adapter::StoreChange>,
         revision: store_revision::StoreRevision,
     ) {
         let mut entries = Vec::new();
         let mut evacuations = Vec::new();
         for change in changes {
             match change {
-                border::StoreChange::Put(item) => match self.border.key(&item.key) {
-                    border::StoreKey::Routes => self.put_routes_item(item, "store"),
-                    border::StoreKey::Upstream(name) => entries.push((name, Some(item_text(item)))),
-                    border::StoreKey::Evacuation(data_center) => {
+                adapter::StoreChange::Put(item) => match self.adapter.key(&item.key) {
+                    adapter::StoreKey::Routes => self.put_routes_item(item, "store"),
+                    adapter::StoreKey::Upstream(name) => {
+                        entries.push((name, Some(item_text(item))))
+                    }
+                    adapter::StoreKey::Evacuation(data_center) => {
                         if revision >= self.list.revision() {
                             self.list.confirm_evacuation(&data_center);
                         }
                         evacuations.push(upstream_list::ListChange::Evacuated(data_center));
                     }
-                    border::StoreKey::Other => {}
+                    adapter::StoreKey::Other => {}
                 },
-                border::StoreChange::Gone(key) => match self.border.key(&key) {
-                    border::StoreKey::Upstream(name) => entries.push((name, None)),
-                    border::StoreKey::Evacuation(data_center) => {
+                adapter::StoreChange::Gone(key) => match self.adapter.key(&key) {
+                    adapter::StoreKey::Upstream(name) => entries.push((name, None)),
+                    adapter::StoreKey::Evacuation(data_center) => {
                         evacuations.push(upstream_list::ListChange::Restored(data_center));
                     }
-                    border::StoreKey::Routes | border::StoreKey::Other => {}
+                    adapter::StoreKey::Routes | adapter::StoreKey::Other => {}
                 },
             }
         }
@@ -283,7 +285,7 @@
     fn read_entry(&self, name: &str, text: &str) -> Option<upstream_list::UpstreamEntry> {
         // An unreadable entry is logged once for each time it is written, not each time it is read.
         let already_rejected = self.raw.upstreams.get(name).is_some_and(String::is_empty);
-        let parsed = self.border.read_upstream(name, text);
+        let parsed = self.adapter.read_upstream(name, text);
         parsed.inspect_err(|error| {
             if !already_rejected {
                 let error = error.to_string();
@@ -315,8 +317,8 @@
 }
 
 /// The text of an item; empty, which no valid entry is, if it cannot be decoded.
-pub(crate) fn item_text(item: border::StoreItem) -> String {
-    let reject = |error: &border::FormatError| {
+pub(crate) fn item_text(item: adapter::StoreItem) -> String {
+    let reject = |error: &adapter::FormatError| {
         log::debug!(key = truncated(&item.key), error:%; "store.item_unreadable");
     };
     item.value.inspect_err(reject).unwrap_or_default()
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -1,4 +1,5 @@
-//! Answers of plain services that are passed on while they arrive: an instance holds little of what its caller reads slowly.
+//! Forwards long answers of plain services while they arrive, so that an instance buffers little
+//! for callers that read slowly.
 
 use std::time;
 
@@ -9,61 +10,63 @@
 
 use crate::{caller_connection, context, service_request, upstream_attempt, upstream_ends};
 
-/// Time of waiting for the caller after which the upstream may have given the answer up: its end is no fault of its own.
-const SLOW_CALLER_TIME: time::Duration = time::Duration::from_secs(1);
+/// Total time spent waiting for the caller from which a broken answer is not blamed on the
+/// upstream, as it may have given up on the slow reader.
+const SLOW_CALLER_THRESHOLD: time::Duration = time::Duration::from_secs(1);
 
-/// Why an answer was not passed on to its end.
+/// Why an answer was not forwarded completely.
 #[derive(Debug, Snafu)]
-pub(crate) enum PassError {
+pub(crate) enum ForwardError {
     /// The caller's connection failed.
     #[snafu(display("{source}"))]
     Caller {
-        /// What went wrong.
+        /// The cause.
         source: h1::MessageError,
     },
-    /// The upstream broke the answer off.
+    /// The upstream's answer failed midway.
     #[snafu(display("the answer broke: {source}"))]
     Upstream {
-        /// What went wrong.
+        /// The cause.
         source: h1::MessageError,
     },
-    /// The caller did not read it within its time.
+    /// The caller did not read the answer in time.
     #[snafu(display("not read within {limit:?}"))]
     NotRead {
-        /// The caller's time.
+        /// Time limit for forwarding the answer.
         limit: time::Duration,
     },
 }
 
-/// An answer of which the first bytes have been read.
+/// An answer whose body has been read in part.
 pub(crate) struct LongAnswer<'a> {
     pub(crate) upstream: ids::UpstreamId,
     pub(crate) answer: upstream_attempt::AttemptAnswer,
-    /// What has been read of the body.
+    /// The part of the body that has been read.
     pub(crate) leading: Bytes,
     pub(crate) run: upstream_ends::RunGuard<'a>,
     pub(crate) guard: service_request::LoadGuard<'a>,
 }
 
 impl LongAnswer<'_> {
-    /// Passes it on within `limit`, as fast as the caller reads.
-    pub(crate) async fn pass(
+    /// Forwards the answer within `limit`, as fast as the caller reads.
+    pub(crate) async fn forward(
         mut self,
         context: &context::InstanceContext,
         reply: &mut caller_connection::CallerReply<'_>,
         limit: time::Duration,
-    ) -> Result<(), PassError> {
+    ) -> Result<(), ForwardError> {
         let mut waited = time::Duration::ZERO;
-        let passing = pass_pieces(context, &mut self.answer, self.leading, reply, &mut waited);
-        let passed = monoio::time::timeout(limit, passing).await;
-        let result = passed.unwrap_or_else(|_| NotReadSnafu { limit }.fail());
+        let forwarding =
+            forward_pieces(context, &mut self.answer, self.leading, reply, &mut waited);
+        let forwarded = monoio::time::timeout(limit, forwarding).await;
+        let result = forwarded.unwrap_or_else(|_| NotReadSnafu { limit }.fail());
         match &result {
             Ok(()) => {
                 self.run.answered();
                 self.guard.result.set(Some(CallResult::Good));
                 self.answer.finish(context, &self.upstream);
             }
-            Err(PassError::Upstream { .. }) if waited < SLOW_CALLER_TIME => {
+            Err(ForwardError::Upstream { .. }) if waited < SLOW_CALLER_THRESHOLD => {
                 self.run.broke();
                 self.guard.result.set(Some(CallResult::Failed));
             }
@@ -73,14 +76,14 @@
     }
 }
 
-/// Passes all pieces on; adds up the time `waited` for the caller.
-async fn pass_pieces(
+/// Forwards the body and adds the time spent waiting for the caller to `waited`.
+async fn forward_pieces(
     context: &context::InstanceContext,
     answer: &mut upstream_attempt::AttemptAnswer,
     leading: Bytes,
     reply: &mut caller_connection::CallerReply<'_>,
     waited: &mut time::Duration,
-) -> Result<(), PassError> {
+) -> Result<(), ForwardError> {
     let length = match answer.framing {
         h1::BodyFraming::Length(left) => {
             usize::try_from(left).ok().map(|left| left + leading.len())
@@ -88,20 +91,20 @@
         _ => None,
     };
     let mut asked = context.now();
-    reply.begin_body(&answer.head, length, &leading).await.context(CallerSnafu)?;
+    reply.start_body(&answer.head, length, &leading).await.context(CallerSnafu)?;
     *waited += context.now().since(asked);
     loop {
         let piece = answer.connection.reader.next_piece(&mut answer.framing).await;
         let Some(piece) = piece.context(UpstreamSnafu)? else {
             break;
         };
-        answer.connection.life.receive();
+        answer.connection.times.receive();
         asked = context.now();
-        reply.body_piece(length.is_some(), piece).await.context(CallerSnafu)?;
+        reply.send_body_piece(length.is_some(), piece).await.context(CallerSnafu)?;
         *waited += context.now().since(asked);
     }
     match length {
         Some(_) => Ok(()),
-        None => reply.end().await.context(CallerSnafu),
+        None => reply.end_chunked().await.context(CallerSnafu),
     }
 }
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -1,4 +1,5 @@
-//! One streamed request: a place, an attempt, its events; and another attempt where one breaks.
+//! Serves a streamed request: obtains a place on an engine, sends the request there and forwards
+//! the events; a failed attempt is retried on another engine.
 
 use std::{pin, rc, time};
 
@@ -8,38 +9,38 @@
 
 use crate::{
     caller_connection, cell_search, context, engine_call, engine_fault, event_stream,
-    incoming_call, memory_hold, permit_request, plan_client, quarantine_gate, request_record,
-    silence_watch, stream_policy, stream_state, stream_target, upstream_attempt, upstream_choice,
+    incoming_call, memory_hold, no_open_upstream, permit_request, plan_client, quarantine_gate,
+    request_record, silence_watch, stream_policy, stream_state, stream_target, upstream_attempt,
     upstream_ends, upstream_gate, upstream_signals,
 };
 
-/// Places tried at most, those whose engine never saw the request included.
+/// Maximum number of places tried, including those whose engine never received the request.
 const MAX_TRIES: u32 = 5;
-/// When to come back after a refusal, where nothing better is known.
+/// Default retry delay of a refusal.
 const BACK_AFTER: time::Duration = time::Duration::from_millis(400);
-/// Age up to which an engine's report shows planners what others do there; a short
-/// answer lasts some seconds.
+/// Maximum time from the head to the first event for which the load in the head is passed to the
+/// planner; a short answer takes a few seconds.
 const LOAD_AGE: time::Duration = time::Duration::from_millis(100);
-/// Largest failure answer of an engine that is passed on.
-const MAX_FAILURE: usize = 1 << 20;
+/// Largest body of an engine's failure answer that is forwarded, in bytes.
+const MAX_FAILURE_BODY: usize = 1 << 20;
 
-/// How one attempt ended.
+/// How an attempt ended.
 enum AttemptEnd {
-    /// The caller has the whole answer.
+    /// The caller received the complete answer.
     Whole,
-    /// The engine's own failure, to be passed on if nothing better comes.
+    /// The engine answered with a failure, which is forwarded if no later attempt succeeds.
     Failure(Box<http::response::Parts>, Bytes),
-    /// It did not work out.
+    /// The attempt failed without an answer that can be forwarded.
     Fault(upstream_attempt::AttemptFault),
-    /// There was no place.
+    /// No place was granted before the wait timed out.
     NoPlace,
-    /// No engine may have it now: all leave, rest, or have failed it.
+    /// No engine may receive the request now: all are closed to new requests or excluded.
     NoEngine,
-    /// There will be no place in time.
+    /// The planner refused the request, as no place will be free in time.
     Refused(engine_place::PlaceRefusal),
 }
 
-/// Serves a streamed request to its end.
+/// Serves a streamed request until it is answered, refused or cut off.
 pub async fn serve(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -56,14 +57,14 @@
         Ok(Ok(None)) => return Ok(caller_connection::ConnectionNext::Keep),
         Ok(Ok(Some(refusal))) => refusal,
         Ok(Err(error)) => return Err(error),
-        Err(_) if pass_failure(reply, record, &mut state).await? => {
+        Err(_) if forward_failure(reply, record, &mut state).await? => {
             return Ok(caller_connection::ConnectionNext::Keep);
         }
-        Err(_) => call.out_of_time(left, BACK_AFTER),
+        Err(_) => call.timeout_refusal(left, BACK_AFTER),
     };
     record.outcome = format!("{} (ran: {})", refusal.message, refusal.ran.label());
     if state.begun {
-        // The answer has begun; only a cut connection can say now that it is not whole.
+        // After part of the answer was sent, only closing the connection shows that it is incomplete.
         return Ok(caller_connection::ConnectionNext::Close);
     }
     record.status = Some(refusal.code.status());
@@ -71,7 +72,8 @@
     Ok(caller_connection::ConnectionNext::Keep)
 }
 
-/// `None` when the caller has its answer.
+/// Makes attempts until one succeeds or no further one is possible. Returns the refusal to be
+/// sent, or `None` if the caller has received an answer.
 async fn attempts(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -112,17 +114,17 @@
                 }
             }
             AttemptEnd::Fault(fault) => {
-                let surely = fault.failure.surely_not_run();
-                if !surely {
+                let never_ran = fault.failure.surely_not_run();
+                if !never_ran {
                     record.digest = Some(call.digest().to_string());
                 }
                 if fault.failure.reached_nobody() {
-                    // Nothing arrived anywhere: the retry is not spent. Streams were cut for want
-                    // of another one, after the first went to an engine that was gone.
+                    // No engine received anything, so the retry permit stays valid. Otherwise a stream
+                    // whose retry goes to a vanished engine would be cut off for lack of another permit.
                     state.retry_taken = state.sent > 0;
                 }
                 text = fault.text;
-                if !surely {
+                if !never_ran {
                     state.ran = Some(refusal::RanState::Unknown);
                     if !call.route.repeat.allows_repeat() {
                         break;
@@ -131,15 +133,19 @@
             }
         }
     }
-    if pass_failure(reply, record, state).await? {
+    if forward_failure(reply, record, state).await? {
         return Ok(None);
     }
-    // A planner knows better when limits of its engines let the next one through.
+    // The planner's delay is preferred to one computed from limits, as the planner knows better when
+    // the limits of its engines admit the next request.
     let planned = back_after.is_some();
-    let none = upstream_choice::none_open(context, &call.service, call.left(context.now()));
-    if let Some(none) = none.filter(|none| none.is_rest() || !planned) {
-        text = none.to_string();
-        back_after = Some(none.back_after());
+    let unavailable =
+        no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()));
+    if let Some(unavailable) =
+        unavailable.filter(|unavailable| unavailable.is_backoff() || !planned)
+    {
+        text = unavailable.to_string();
+        back_after = Some(unavailable.back_after());
     }
     let ran = state.ran.unwrap_or(refusal::RanState::No);
     let code = match ran {
@@ -151,8 +157,9 @@
     Ok(Some(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after)))
 }
 
-/// Passes an engine's own failure on, where there is one and nothing has gone out yet.
-async fn pass_failure(
+/// Forwards the failure answer of an engine if there is one and nothing was sent to the caller;
+/// returns whether it was forwarded.
+async fn forward_failure(
     reply: &mut caller_connection::CallerReply<'_>,
     record: &mut request_record::RequestRecord,
     state: &mut stream_state::StreamState,
@@ -162,10 +169,11 @@
     };
     record.status = Some(head.status.as_u16());
     "the engine's own failure".clone_into(&mut record.outcome);
-    reply.whole(&head, &body).await?;
+    reply.send_answer(&head, &body).await?;
     Ok(true)
 }
 
+/// Obtains a place, makes one attempt there and adds it to the request's record.
 async fn attempt(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -176,9 +184,9 @@
     if !state.has_engine(context, call, None) {
         return Ok(AttemptEnd::NoEngine);
     }
-    // The caller's patience begins anew with each event.
+    // The time that a caller waits without an event restarts with each event.
     let since = state.last_at.unwrap_or(call.arrived);
-    let limit = stream_policy::patience(call).saturating_sub(context.now().since(since));
+    let limit = stream_policy::max_event_wait(call).saturating_sub(context.now().since(since));
     let limit = limit.max(context::MIN_PLACE_TIME).min(call.left(context.now()));
     let progress = stream_policy::AskProgress {
         begun: state.begun,
@@ -187,13 +195,14 @@
         excluded: &state.excluded,
     };
     let ask = stream_policy::ask(context, call, &progress);
-    let mut hold = match cell_search::place(context, call, ask, state.turn(call), limit).await {
+    let mut hold = match cell_search::place(context, call, ask, state.trial_turn(call), limit).await
+    {
         plan_client::PlaceOutcome::Placed(hold) => hold,
         plan_client::PlaceOutcome::Refused(refusal) => return Ok(AttemptEnd::Refused(refusal)),
         plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
     };
-    let mut row = request_record::AttemptRecord {
-        // What stays in the record when the caller leaves meanwhile.
+    let mut attempt_record = request_record::AttemptRecord {
+        // Remains in the record if the caller disconnects during the attempt.
         end: "under way".to_owned(),
         upstream: hold.grant.engine.to_string(),
         known: upstream_signals::known(context, &hold.grant.engine),
@@ -202,19 +211,20 @@
         planned_ms: u64::from(hold.grant.first_token_ms),
         ..Default::default()
     };
-    record.attempts.push(row.clone());
-    let end = run_place(context, call, reply, record, state, &mut hold, &mut row).await;
+    record.attempts.push(attempt_record.clone());
+    let end = run_place(context, call, reply, record, state, &mut hold, &mut attempt_record).await;
     if let Ok(AttemptEnd::Fault(fault)) = &end {
-        row.end.clone_from(&fault.text);
+        attempt_record.end.clone_from(&fault.text);
         hold.end = engine_fault::place_end(&hold, fault);
-        engine_fault::blame(context, state, &hold, fault);
+        engine_fault::exclude_at_fault(context, state, &hold, fault);
     }
     if let Some(last) = record.attempts.last_mut() {
-        *last = row;
+        *last = attempt_record;
     }
     end
 }
 
+/// Sends the request to the engine of a granted place and forwards its answer.
 async fn run_place(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -222,9 +232,9 @@
     record: &mut request_record::RequestRecord,
     state: &mut stream_state::StreamState,
     hold: &mut plan_client::PlaceHold,
-    row: &mut request_record::AttemptRecord,
+    attempt_record: &mut request_record::AttemptRecord,
 ) -> Result<AttemptEnd, h1::MessageError> {
-    if let Err(fault) = upstream_gate::look_at_grant(context, &hold.grant, &hold.permits) {
+    if let Err(fault) = upstream_gate::check_grant(context, &hold.grant, &hold.permits) {
         return Ok(AttemptEnd::Fault(fault));
     }
     let taken_at = context.now();
@@ -244,13 +254,14 @@
         return Ok(AttemptEnd::Fault(fault));
     };
     let begun_at = context.now();
-    // What broke on its way may have met a silent connection; another could be as old.
-    let anew = state.ran == Some(refusal::RanState::Unknown);
-    let connection = match upstream_attempt::connect(context, call, &target, anew).await {
+    // After an attempt that broke, possibly on a dead connection, no pooled one is used: it could be
+    // as old.
+    let new_connection = state.ran == Some(refusal::RanState::Unknown);
+    let connection = match upstream_attempt::connect(context, call, &target, new_connection).await {
         Ok(connection) => connection,
         Err(fault) => return Ok(AttemptEnd::Fault(fault)),
     };
-    let life = rc::Rc::clone(&connection.life);
+    let times = rc::Rc::clone(&connection.times);
     let left = call.left(context.now());
     let run = upstream_ends::RunGuard::begin(context, call, &target.upstream, target.address);
     let mut over = pin::pin!(context.starts.until_ended(&target.upstream));
@@ -278,8 +289,8 @@
         Err(fault) => {
             state.sent += 1;
             let moment = connection_silence::SilentMoment::Head;
-            let text = engine_fault::note_wait(context, hold, &life, moment, begun_at, fault);
-            return Ok(broke(state, text));
+            let text = engine_fault::record_silence(context, hold, &times, moment, begun_at, fault);
+            return Ok(broken(state, text));
         }
     };
     let mut answer = match answered {
@@ -294,12 +305,12 @@
     };
     state.sent += 1;
     if !answer.head.status.is_success() {
-        row.end = format!("status {}", answer.head.status.as_u16());
+        attempt_record.end = format!("status {}", answer.head.status.as_u16());
         hold.end = engine_place::PlaceEnd::Failed;
         state.excluded.push(hold.grant.engine.clone());
         let silence = stream_policy::silence(call);
         let body = answer
-            .whole_body(context, &hold.grant.engine, MAX_FAILURE, silence, async |_| true)
+            .whole_body(context, &hold.grant.engine, MAX_FAILURE_BODY, silence, async |_| true)
             .await;
         let head = Box::new(answer.head.clone());
         return Ok(match body {
@@ -315,7 +326,7 @@
         });
     }
     let head_at = context.now();
-    let told = answer.said.requests();
+    let reported_load = answer.head_fields.requests();
     let mut events = event_stream::EventBuffer::default();
     let limits =
         silence_watch::SilenceLimits { other: stream_policy::silence(call), any: last_silence };
@@ -329,50 +340,52 @@
             Ok(Ok(piece)) => piece,
             Ok(Err(error)) => {
                 run.broke();
-                return Ok(broke(state, error));
+                return Ok(broken(state, error));
             }
             Err(fault) => {
                 let moment = connection_silence::SilentMoment::Midway;
-                let text = engine_fault::note_wait(context, hold, &life, moment, asked_at, fault);
-                return Ok(broke(state, text));
+                let text =
+                    engine_fault::record_silence(context, hold, &times, moment, asked_at, fault);
+                return Ok(broken(state, text));
             }
         };
         let Some(piece) = piece else {
             break;
         };
-        life.receive();
+        times.receive();
         events.push(&piece);
-        let whole = events.take_whole();
+        let whole = events.take_complete();
         if whole.is_empty() {
             continue;
         }
-        if row.first_ms.is_none() {
+        if attempt_record.first_ms.is_none() {
             watch.unused_until = None;
             watch.answering = true;
             let begun = context.now();
-            hold.first_token(told.filter(|_| begun.since(head_at) <= LOAD_AGE));
-            row.first_ms = Some(begun.since(begun_at).as_millis() as u64);
+            hold.first_token(reported_load.filter(|_| begun.since(head_at) <= LOAD_AGE));
+            attempt_record.first_ms = Some(begun.since(begun_at).as_millis() as u64);
         }
         state.note_events(context, call, record, &whole);
         state.send(reply, &answer.head, &whole).await?;
     }
     if !events.is_empty() {
         run.broke();
-        return Ok(broke(state, "the stream ends in the middle of an event"));
+        return Ok(broken(state, "the stream ends in the middle of an event"));
     }
     run.answered();
     if !state.begun {
         state.send(reply, &answer.head, &BytesMut::new()).await?;
     }
-    reply.end().await?;
+    reply.end_chunked().await?;
     answer.finish(context, &hold.grant.engine);
     record.status = Some(200);
     "answered".clone_into(&mut record.outcome);
-    "whole".clone_into(&mut row.end);
+    "whole".clone_into(&mut attempt_record.end);
     Ok(AttemptEnd::Whole)
 }
 
-fn broke(state: &stream_state::StreamState, reason: impl ToString) -> AttemptEnd {
+/// Returns the fault of an answer that broke off.
+fn broken(state: &stream_state::StreamState, reason: impl ToString) -> AttemptEnd {
     let failure = if state.begun {
         retry::AttemptFailure::BrokeMidAnswer
     } else {
--- a/crates/instance/src/upstream_choice.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -1,4 +1,4 @@
-//! When callers come back whose service has no upstream that may take their request now.
+//! Reasons and retry delays for requests whose service has no upstream that may take them now.
 
 use std::{fmt, time};
 
@@ -6,44 +6,44 @@
 
 use crate::context;
 
-/// Why none of a service's upstreams may get a request now, and when one will.
+/// Why no upstream of a service may get a request now.
 #[derive(Debug, Clone)]
-pub(crate) enum NoneOpen {
-    /// All that might take one rest; the rest that ends first.
-    Rest {
+pub(crate) enum NoUpstreamReason {
+    /// All otherwise usable upstreams requested a backoff.
+    Backoff {
         /// The service.
         service: ids::ServiceId,
-        /// The rest that ends first.
+        /// The backoff that ends first.
         first: upstream_notice::RestNotice,
-        /// As of when.
+        /// The time at which this was determined.
         now: units::MonoTime,
     },
-    /// All that might take one are in data centres under evacuation.
+    /// All otherwise usable upstreams are in data centres under evacuation.
     Evacuated {
         /// The service.
         service: ids::ServiceId,
-        /// When a caller comes back.
+        /// Retry delay for the caller.
         back_after: time::Duration,
     },
-    /// All that might take one have a limit, and there is no leave.
+    /// All usable upstreams have a limit.
     Limited {
         /// The service.
         service: ids::ServiceId,
-        /// When a caller comes back.
+        /// Retry delay for the caller.
         back_after: time::Duration,
     },
 }
 
-impl NoneOpen {
-    /// Whether it is because of rests.
-    pub(crate) fn is_rest(&self) -> bool {
-        matches!(self, Self::Rest { .. })
+impl NoUpstreamReason {
+    /// Returns whether the reason is that upstreams requested a backoff.
+    pub(crate) fn is_backoff(&self) -> bool {
+        matches!(self, Self::Backoff { .. })
     }
 
-    /// When a caller should come back.
+    /// Returns the retry delay for the caller; a random part spreads the retries after a backoff.
     pub(crate) fn back_after(&self) -> time::Duration {
         match self {
-            Self::Rest { first, now, .. } => {
+            Self::Backoff { first, now, .. } => {
                 let (left, lasted) = (first.until.since(*now), first.lasts());
                 refusal::rest_return(left, lasted, &mut rand::rng())
             }
@@ -52,10 +52,10 @@
     }
 }
 
-impl fmt::Display for NoneOpen {
+impl fmt::Display for NoUpstreamReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Rest { service, first, now } => {
+            Self::Backoff { service, first, now } => {
                 let left = units::whole_millis(first.until.since(*now));
                 write!(f, "all upstreams of service '{service}' rest, the first {left} ms more")
             }
@@ -69,32 +69,33 @@
     }
 }
 
-/// Why none of a service's upstreams may get a request now where some will again; nothing where one may.
+/// Returns why no upstream of a service may get a request now, or `None` if there is one without a
+/// limit or no reason is known that passes by itself.
 ///
 /// `left` is the time that the caller has left.
-pub(crate) fn none_open(
+pub(crate) fn no_upstream_reason(
     context: &context::InstanceContext,
     service: &ids::ServiceId,
     left: time::Duration,
-) -> Option<NoneOpen> {
+) -> Option<NoUpstreamReason> {
     let now = context.now();
     let fleet = context.fleet.borrow();
     let open = fleet.list.open(now, service, send_gate::TrialTurn::Yes);
     if open.is_empty() {
         let service = service.clone();
         if let Some(first) = fleet.list.first_back(now, &service) {
-            return Some(NoneOpen::Rest { service, first, now });
+            return Some(NoUpstreamReason::Backoff { service, first, now });
         }
         let away = fleet.list.evacuated_for(now, &service)?;
         let back_after = refusal::outage_return(away, left);
-        return Some(NoneOpen::Evacuated { service, back_after });
+        return Some(NoUpstreamReason::Evacuated { service, back_after });
     }
     let limits = open.iter().map(|entry| fleet.list.limit(&entry.name)?.reading.rate);
     let rates = limits.collect::<Option<Vec<_>>>()?;
-    // Each member sees its part of those that come back.
+    // Each member receives its share of the retries.
     let rate: f64 = rates.into_iter().map(units::RequestRate::per_second).sum();
     let share = rate / context.members.borrow().size() as f64;
     let mut returns = context.quotas.returns.borrow_mut();
     let back_after = returns.entry(service.clone()).or_default().next(now, share);
-    Some(NoneOpen::Limited { service: service.clone(), back_after })
+    Some(NoUpstreamReason::Limited { service: service.clone(), back_after })
 }
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -23,9 +23,9 @@
 /// Sends the messages that other tasks have queued.
 pub async fn send_all(
     socket: rc::Rc<monoio::net::udp::UdpSocket>,
-    mut outgoing: mpsc::UnboundedReceiver<context::Outgoing>,
+    mut outgoing: mpsc::UnboundedReceiver<context::OutgoingMessage>,
 ) {
-    while let Some(context::Outgoing { to, message }) = outgoing.next().await {
+    while let Some(context::OutgoingMessage { to, message }) = outgoing.next().await {
         let bytes = match message.encode() {
             Ok(bytes) => bytes,
             Err(error) => {
@@ -82,7 +82,7 @@
             }
         }
         PeerMessage::Who => {
-            let beat = context.next_beat();
+            let beat = context.next_heartbeat();
             context.send_to(from, PeerMessage::Beat(Box::new(beat)));
         }
         PeerMessage::Ask(key, ask) => {
@@ -148,7 +148,7 @@
     job: engine_place::JobId,
     reply: peer_message::PlanReply,
 ) {
-    if let Some(sender) = context.grants.borrow().get(&job) {
+    if let Some(sender) = context.reply_senders.borrow().get(&job) {
         // The request may have ended in the meantime; it needs no reply then.
         let _ = sender.unbounded_send(reply);
     }
@@ -160,7 +160,7 @@
     let mut logged = last;
     let mut announced = heartbeats::AnnouncedState::default();
     loop {
-        let state = heartbeats::AnnouncedState::of(&context.own_beat());
+        let state = heartbeats::AnnouncedState::of(&context.own_heartbeat());
         if state != announced {
             heartbeats::broadcast_state(&context, state, announced);
             announced = state;
@@ -171,7 +171,7 @@
         let now = context.now();
         if now.since(last) > MIN_PAUSE {
             log::warn!(paused_ms = now.since(last).as_millis() as u64; "process.woke");
-            context.woke.set(now);
+            context.resumed_at.set(now);
             quota_coordinator::begin_anew(&context);
             // Other members may suspect this process by now.
             heartbeats::broadcast(&context);
@@ -192,7 +192,7 @@
         for (origin, answer) in answers {
             let job = answer.job();
             match origin {
-                planner_set::AskOrigin::Own => {
+                planner_set::AskOrigin::Local => {
                     reply(&context, job, peer_message::PlanReply::Answer(Box::new(answer)));
                 }
                 planner_set::AskOrigin::Member(address) => {
@@ -208,7 +208,7 @@
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
 ) -> Option<member_beat::MemberBeat> {
-    let own = context.own_beat();
+    let own = context.own_heartbeat();
     context.members.borrow().planner(context.now(), key, &own)
 }
 
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service.
+//! Serves a call of a plain service: attempts at upstreams, and the answer to the caller.
 
 use std::{pin, rc, time};
 
@@ -9,29 +9,30 @@
 use slipturn_net::h1;
 
 use crate::{
-    caller_connection, context, incoming_call, long_answer, permit_request, request_record,
-    service_choice, upstream_attempt, upstream_choice, upstream_ends, upstream_signals,
+    caller_connection, context, incoming_call, long_answer, no_open_upstream, permit_request,
+    request_record, service_choice, upstream_attempt, upstream_ends, upstream_signals,
 };
 
-/// Largest answer of a plain service that is read whole before it is passed on; longer ones go on as the caller reads.
-const MAX_HELD_ANSWER: usize = 16 * 1024;
-/// Part of the time limit after which a silent upstream of a repeatable call is given up, if
-/// another may answer.
-const SILENCE_PART: f64 = 0.45;
-/// Upstreams tried at most, those that never saw the call included.
+/// Largest body that is read completely before it is forwarded, in bytes; longer ones are
+/// forwarded as the caller reads them.
+const MAX_BUFFERED_BODY: usize = 16 * 1024;
+/// Fraction of the remaining time after which a silent upstream of a repeatable call is given up,
+/// if another one may answer.
+const SILENCE_FRACTION: f64 = 0.45;
+/// Maximum number of upstreams tried, including those that never received the call.
 const MAX_TRIES: u32 = 5;
-/// When to come back after a refusal, where nothing better is known.
+/// Default retry delay of a refusal.
 const BACK_AFTER: time::Duration = time::Duration::from_millis(250);
 
-/// What a call came to.
+/// Result of a call.
 enum CallEnd<'a> {
     Answer(http::response::Parts, bytes::Bytes),
-    /// An answer whose end has not been read.
+    /// An answer that has been read in part.
     Long(Box<long_answer::LongAnswer<'a>>),
     Refused(refusal::RequestRefusal),
 }
 
-/// Serves a call to its final answer.
+/// Serves a call until it is answered, refused or cut off.
 pub async fn serve(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -45,7 +46,7 @@
         Ok(end) => end,
         Err(_) => match fallback {
             Some((head, body)) => CallEnd::Answer(head, body),
-            None => CallEnd::Refused(call.out_of_time(left, BACK_AFTER)),
+            None => CallEnd::Refused(call.timeout_refusal(left, BACK_AFTER)),
         },
     };
     record.first_ms = Some(context.now().since(call.arrived).as_millis() as u64);
@@ -53,17 +54,18 @@
         CallEnd::Answer(head, body) => {
             record.status = Some(head.status.as_u16());
             "answered".clone_into(&mut record.outcome);
-            reply.whole(&head, &body).await?;
+            reply.send_answer(&head, &body).await?;
         }
         CallEnd::Long(long) => {
             record.status = Some(long.answer.head.status.as_u16());
-            let passed = long.pass(context, reply, call.left(context.now())).await;
-            record.outcome = match &passed {
+            let forwarded = long.forward(context, reply, call.left(context.now())).await;
+            record.outcome = match &forwarded {
                 Ok(()) => "answered".to_owned(),
                 Err(error) => error.to_string(),
             };
-            if passed.is_err() {
-                // Only a cut connection can say now that the answer is not whole.
+            if forwarded.is_err() {
+                // After part of the answer was sent, only closing the connection shows that it is
+                // incomplete.
                 return Ok(caller_connection::ConnectionNext::Close);
             }
         }
@@ -87,9 +89,9 @@
     let mut retry_taken = false;
     let mut ran = refusal::RanState::No;
     let mut text = format!("service '{}' has no upstream", call.service);
-    let mut kept_silent = None;
-    let mut anew = false;
-    let mut none_left = None;
+    let mut reused_silent = None;
+    let mut new_connection = false;
+    let mut unavailable = None;
     for _ in 0..MAX_TRIES {
         if sent >= call.route.max_attempts {
             break;
@@ -102,26 +104,29 @@
         }
         let mut chosen = service_choice::choose(context, call, &excluded).await;
         if chosen.is_none()
-            && let Some(again) = kept_silent.take()
+            && let Some(again) = reused_silent.take()
         {
-            // Only a connection has failed; the upstream takes the call over a new one.
+            // Only a pooled connection to this upstream failed; it gets the call over a new one.
             excluded.retain(|name| *name != again);
             chosen = service_choice::choose(context, call, &excluded).await;
         }
         let Some(service_choice::ChosenUpstream { entry, permit }) = chosen else {
-            none_left =
-                upstream_choice::none_open(context, &call.service, call.left(context.now()));
+            unavailable = no_open_upstream::no_upstream_reason(
+                context,
+                &call.service,
+                call.left(context.now()),
+            );
             break;
         };
         excluded.push(entry.name.clone());
         record.attempts.push(request_record::AttemptRecord {
             upstream: entry.name.to_string(),
             known: upstream_signals::known(context, &entry.name),
-            // What stays in the record when the caller leaves meanwhile.
+            // Remains in the record if the caller disconnects during the attempt.
             end: "under way".to_owned(),
             ..Default::default()
         });
-        let in_hand = fallback.is_some();
+        let has_fallback = fallback.is_some();
         let give_up = async |reach| {
             let next = reach == upstream_attempt::RetryReach::AnyUpstream
                 || service_choice::pick(context, call, &excluded).is_some();
@@ -130,13 +135,13 @@
             let need = retry_need::RetryNeed::Early;
             retry_taken =
                 allowed && permit_request::obtain_retry(context, &call.service, need).await;
-            // A failure that an upstream gave is better than our own at the end of the time.
-            retry_taken || (in_hand && reach == upstream_attempt::RetryReach::OtherUpstream)
+            // An upstream's failure answer now is better than a refusal at the end of the time limit.
+            retry_taken || (has_fallback && reach == upstream_attempt::RetryReach::OtherUpstream)
         };
-        let start = AttemptStart { entry: &entry, permit, anew };
+        let start = AttemptStart { entry: &entry, permit, new_connection };
         let result = attempt(context, call, start, give_up).await;
-        if let Some(row) = record.attempts.last_mut() {
-            row.end = match &result {
+        if let Some(attempt_record) = record.attempts.last_mut() {
+            attempt_record.end = match &result {
                 Ok(reply) => format!("status {}", reply.status().as_u16()),
                 Err(fault) => fault.text.clone(),
             };
@@ -154,23 +159,23 @@
                 return CallEnd::Answer(head, body);
             }
             Err(fault) => {
-                if fault.kept_silent {
-                    kept_silent = Some(entry.name.clone());
+                if fault.reused_silent {
+                    reused_silent = Some(entry.name.clone());
                 }
                 text = fault.text;
-                let surely = fault.failure.surely_not_run();
+                let never_ran = fault.failure.surely_not_run();
                 if fault.failure.reached_nobody() {
-                    // Nothing arrived anywhere: the retry is not spent.
+                    // No upstream received anything, so the retry permit stays valid.
                     retry_taken = sent > 0;
                 } else {
                     sent += 1;
                 }
-                if !surely {
+                if !never_ran {
                     record.digest = Some(call.digest().to_string());
                     ran = refusal::RanState::Unknown;
-                    anew = true;
+                    new_connection = true;
                 }
-                if !surely && !call.route.repeat.allows_repeat() {
+                if !never_ran && !call.route.repeat.allows_repeat() {
                     break;
                 }
             }
@@ -184,16 +189,16 @@
         _ => refusal::RefusalCode::UpstreamFailed,
     };
     let mut back_after = BACK_AFTER;
-    if let Some(none) = none_left
-        .or_else(|| upstream_choice::none_open(context, &call.service, call.left(context.now())))
-    {
-        text = none.to_string();
-        back_after = none.back_after();
+    if let Some(reason) = unavailable.or_else(|| {
+        no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()))
+    }) {
+        text = reason.to_string();
+        back_after = reason.back_after();
     }
     CallEnd::Refused(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after))
 }
 
-/// What an upstream answered.
+/// The answer of an upstream.
 enum UpstreamReply<'a> {
     Whole(http::response::Parts, bytes::Bytes),
     Long(Box<long_answer::LongAnswer<'a>>),
@@ -208,16 +213,16 @@
     }
 }
 
-/// Where an attempt goes, and how.
+/// The target of an attempt and how it is sent.
 struct AttemptStart<'a> {
     entry: &'a upstream_list::UpstreamEntry,
-    /// The leave by which it goes there, where the upstream has a limit.
+    /// The permit for the attempt, if the upstream has a limit.
     permit: Option<quota_permit::SendPermit>,
-    /// Whether it goes over a new connection.
-    anew: bool,
+    /// Whether the attempt must use a new connection.
+    new_connection: bool,
 }
 
-/// One attempt; it ends with the start of the upstream that has it.
+/// Makes one attempt, which fails if the upstream restarts meanwhile.
 async fn attempt<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
@@ -235,7 +240,7 @@
 async fn call_upstream<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
-    AttemptStart { entry, permit, anew }: AttemptStart<'_>,
+    AttemptStart { entry, permit, new_connection }: AttemptStart<'_>,
     mut give_up: impl AsyncFnMut(upstream_attempt::RetryReach) -> bool,
 ) -> Result<UpstreamReply<'a>, upstream_attempt::AttemptFault> {
     let guard = LoadGuard { context, name: entry.name.clone(), result: std::cell::Cell::new(None) };
@@ -249,14 +254,18 @@
         permits: permit.into_iter().collect(),
     };
     let left = call.left(context.now());
-    let connected = upstream_attempt::connect(context, call, &target, anew).await;
+    let connected = upstream_attempt::connect(context, call, &target, new_connection).await;
     let connection = connected.inspect_err(|fault| guard.note(fault))?;
     let started = context.now();
-    let slow = left.mul_f64(SILENCE_PART);
+    let silence_limit = left.mul_f64(SILENCE_FRACTION);
     let wait = {
         let loads = context.loads.borrow();
-        let kept = loads.kept_wait(&call.route, slow);
-        upstream_attempt::HeadWait { kept, longest: slow, usual: loads.usual(&call.route) }
+        let reused = loads.reused_wait(&call.route, silence_limit);
+        upstream_attempt::HeadWait {
+            reused,
+            longest: silence_limit,
+            usual: loads.usual(&call.route),
+        }
     };
     let run = upstream_ends::RunGuard::begin(context, call, &entry.name, entry.address);
     let sending = upstream_attempt::send(context, call, &target, connection, wait, &mut give_up);
@@ -271,7 +280,8 @@
     };
     let taken = context.now().since(started);
     context.loads.borrow_mut().answered(&call.route.name, taken);
-    let body = answer.leading_body(context, &entry.name, MAX_HELD_ANSWER, slow, give_up).await;
+    let body =
+        answer.leading_body(context, &entry.name, MAX_BUFFERED_BODY, silence_limit, give_up).await;
     let upstream_attempt::LeadingBody { bytes: body, whole } = match body {
         Ok(body) => body,
         Err(fault) => {
@@ -280,8 +290,8 @@
             return Err(fault);
         }
     };
-    if let Some((running, waiting, _)) = answer.said.load {
-        context.loads.borrow_mut().describe(context.now(), &entry.name, running + waiting);
+    if let Some((running, waiting, _)) = answer.head_fields.load {
+        context.loads.borrow_mut().set_reported_load(context.now(), &entry.name, running + waiting);
     }
     if !whole {
         let upstream = entry.name.clone();
@@ -296,24 +306,24 @@
     Ok(UpstreamReply::Whole(head, body))
 }
 
-/// Ends the count of a call in progress, also when the caller leaves.
+/// Counts a call as in progress and reports its end when dropped, also if the caller disconnects.
 pub(crate) struct LoadGuard<'a> {
     context: &'a context::InstanceContext,
     name: ids::UpstreamId,
-    /// How the call ended for its upstream; nothing where that is not known, as when the caller leaves.
+    /// How the call ended for the upstream; `None` if unknown, as when the caller disconnects.
     pub(crate) result: std::cell::Cell<Option<CallResult>>,
 }
 
 impl LoadGuard<'_> {
-    /// Judges a fault: an upstream whose resting connection fell silent may be sound; left alone for
-    /// that, it got no call in 30 s.
+    /// Sets the result of a failed attempt. A silent pooled connection does not count as a failure, as
+    /// the upstream may be healthy: ejected for that, an upstream got no call for 30 s.
     fn note(&self, fault: &upstream_attempt::AttemptFault) {
         let result = match fault.failure {
             retry::AttemptFailure::SaidNotRun => CallResult::Full,
             retry::AttemptFailure::Misdirected => CallResult::Gone,
             _ => CallResult::Failed,
         };
-        let says_something = !fault.kept_silent && fault.failure != retry::AttemptFailure::Denied;
+        let says_something = !fault.reused_silent && fault.failure != retry::AttemptFailure::Denied;
         self.result.set(says_something.then_some(result));
         if result == CallResult::Gone {
             upstream_signals::broadcast_gone(self.context, &self.name);
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -37,7 +37,7 @@
         return probe(context, connection, revision).await;
     }
     let wait = context.settings().bounds.leave.0.mul_f64(WAIT_SHARE).max(MIN_WAIT);
-    let path = context.border.watch_path(revision.number, wait);
+    let path = context.adapter.watch_path(revision.number, wait);
     let mut probe_connection = document_call::DocumentConnection::new(context.settings().store);
     let answered = {
         let limit = wait + MAX_DELAY + PROBE_TIMEOUT * MAX_PROBES;
@@ -70,7 +70,7 @@
     connection: &mut document_call::DocumentConnection,
     revision: store_revision::StoreRevision,
 ) -> Result<store_call::StoreAnswer, store_call::StoreError> {
-    let path = &context.border.watch_path(revision.number, PROBE_WAIT);
+    let path = &context.adapter.watch_path(revision.number, PROBE_WAIT);
     let send_probe = |sent: u32| async move {
         let mut new_connection = document_call::DocumentConnection::new(context.settings().store);
         let limit = PROBE_TIMEOUT * (MAX_PROBES - sent);
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -258,13 +258,13 @@
     delay: time::Duration,
 ) {
     monoio::time::sleep(delay).await;
-    if upstream_gate::look(&context, &upstream, send_gate::SendKind::Check, &[]).is_err() {
+    if upstream_gate::check_send(&context, &upstream, send_gate::SendKind::Check, &[]).is_err() {
         context.report_run(RunEvent::Checked(upstream, ProbeResult::Silent));
         return;
     }
     let result = match context.pool.open(address).await {
         Ok(_) => ProbeResult::Accepts,
-        Err(error) if error.nobody_listens() => ProbeResult::ConnectionRefused,
+        Err(error) if error.is_connection_refused() => ProbeResult::ConnectionRefused,
         Err(_) => ProbeResult::Silent,
     };
     context.report_run(RunEvent::Checked(upstream, result));
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: one request a time on each, few resting ones kept.
+//! Connection pool for upstreams. A connection carries one request at a time.
 
 use std::{cell, collections, io, net, rc, time};
 
@@ -9,32 +9,33 @@
 
 use crate::upstream_gate;
 
-/// Time for a connection to come about; within a region it takes a few milliseconds.
-const CONNECT_TIME: time::Duration = time::Duration::from_millis(400);
-/// Resting connections kept for each upstream.
-pub(crate) const MAX_RESTING: usize = 4;
-/// Longest a connection rests where the upstream does not say.
-const REST_TIME: time::Duration = time::Duration::from_secs(4);
-/// A connection is given up this long before the upstream would close it.
-const REST_MARGIN: time::Duration = time::Duration::from_millis(900);
+/// Timeout of a connection attempt, which takes a few milliseconds within a region.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+/// Maximum number of idle connections to one upstream.
+pub(crate) const MAX_IDLE_CONNECTIONS: usize = 4;
+/// Maximum time for which a connection is kept idle.
+const MAX_IDLE_TIME: time::Duration = time::Duration::from_secs(4);
+/// How long before the upstream's keep-alive timeout an idle connection is closed.
+const IDLE_MARGIN: time::Duration = time::Duration::from_millis(900);
 
-/// Why no connection came about; not a byte was written.
+/// A failed connection attempt; nothing was sent.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// The system refused.
+    /// The operating system returned an error.
     #[snafu(display("cannot connect: {source}"))]
     Refused {
-        /// What it said.
+        /// The error.
         source: io::Error,
     },
-    /// Nothing happened in time.
-    #[snafu(display("no connection within {CONNECT_TIME:?}"))]
+    /// The attempt timed out.
+    #[snafu(display("no connection within {CONNECT_TIMEOUT:?}"))]
     Silent,
 }
 
 impl ConnectError {
-    /// Whether the other side's system said that no process listens there.
-    pub fn nobody_listens(&self) -> bool {
+    /// Returns whether the peer's system refused or reset the connection, as when no process listens
+    /// on the address.
+    pub fn is_connection_refused(&self) -> bool {
         let refused = |source: &io::Error| {
             matches!(
                 source.kind(),
@@ -45,16 +46,16 @@
     }
 }
 
-/// When a connection was opened and last heard.
+/// When a connection was opened, and when bytes were last received on it.
 #[derive(Debug)]
-pub struct ConnectionLife {
+pub struct ConnectionTimes {
     address: net::SocketAddrV4,
     opened: boot_clock::BootInstant,
     heard: cell::Cell<Option<boot_clock::BootInstant>>,
 }
 
-impl ConnectionLife {
-    /// Notes that bytes have come over it.
+impl ConnectionTimes {
+    /// Records that bytes were received.
     pub fn receive(&self) {
         self.heard.set(Some(boot_clock::BootInstant::now()));
     }
@@ -67,20 +68,20 @@
     }
 }
 
-/// A connection to an upstream.
+/// A connection to an upstream. The writing side is available only with a [`upstream_gate::SendPass`].
 #[derive(Debug)]
 pub struct UpstreamConnection {
-    /// What the upstream sends.
+    /// Reads what the upstream sends.
     pub reader: h1::MessageReader,
     writer: h1::MessageWriter,
-    /// Whether it has carried a request before.
+    /// Whether the connection was used for an earlier request.
     pub used: bool,
-    /// Its times.
-    pub life: rc::Rc<ConnectionLife>,
+    /// When the connection was opened and last received bytes.
+    pub times: rc::Rc<ConnectionTimes>,
 }
 
 impl UpstreamConnection {
-    /// Both sides, for a request that the gate has let through.
+    /// Returns both sides, for a request that passed the gate.
     pub fn sides(
         &mut self,
         _pass: &upstream_gate::SendPass<'_>,
@@ -90,165 +91,176 @@
 }
 
 #[derive(Debug)]
-struct RestingConnection {
+struct PooledConnection {
     connection: UpstreamConnection,
+    /// When the connection is closed if it stays idle.
     until: boot_clock::BootInstant,
 }
 
-/// Connections of this process to one address.
+/// Numbers of this process's connections to one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct HeldConnections {
-    /// All of them.
+    /// All open connections.
     pub(crate) open: usize,
-    /// Those that wait for another request.
-    pub(crate) resting: usize,
+    /// Idle connections in the pool.
+    pub(crate) idle: usize,
 }
 
-/// Resting connections by address, and the times of all.
+/// Idle connections by address, and the times of all open connections.
 #[derive(Debug, Default)]
 pub struct UpstreamPool {
-    lives: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionLife>>>>,
-    resting: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<RestingConnection>>>,
+    /// Times by address; a reference expires when its connection is closed.
+    connection_times:
+        cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionTimes>>>>,
+    idle: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<PooledConnection>>>,
 }
 
 impl UpstreamPool {
-    /// A resting connection, or a new one where there is none.
+    /// Returns an idle connection, or opens a new one if there is none.
     pub async fn get(
         &self,
         address: net::SocketAddrV4,
     ) -> Result<UpstreamConnection, ConnectError> {
-        match self.take_resting(address) {
+        match self.take_idle(address) {
             Some(connection) => Ok(connection),
             None => self.open(address).await,
         }
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     pub async fn open(
         &self,
         address: net::SocketAddrV4,
     ) -> Result<UpstreamConnection, ConnectError> {
         let connecting = monoio::net::TcpStream::connect_addr(address.into());
-        let connected = monoio::time::timeout(CONNECT_TIME, connecting).await;
+        let connected = monoio::time::timeout(CONNECT_TIMEOUT, connecting).await;
         let Ok(connected) = connected else {
             return SilentSnafu.fail();
         };
         let stream = connected.map_err(|source| ConnectError::Refused { source })?;
         let (reader, writer) = h1::split(stream);
         let heard = cell::Cell::new(None);
-        let life = ConnectionLife { address, opened: boot_clock::BootInstant::now(), heard };
-        let life = rc::Rc::new(life);
-        self.lives.borrow_mut().entry(address).or_default().push(rc::Rc::downgrade(&life));
-        Ok(UpstreamConnection { reader, writer, used: false, life })
+        let times = ConnectionTimes { address, opened: boot_clock::BootInstant::now(), heard };
+        let times = rc::Rc::new(times);
+        self.connection_times
+            .borrow_mut()
+            .entry(address)
+            .or_default()
+            .push(rc::Rc::downgrade(&times));
+        Ok(UpstreamConnection { reader, writer, used: false, times })
     }
 
-    /// Keeps a connection whose last answer has been read to its end, of `most` at rest to its upstream.
+    /// Returns a connection to the pool after its last answer was read completely. It is kept for the
+    /// time that the upstream allows (`keep_alive`), but closed if `max_idle` connections to the address are idle.
     pub fn put(
         &self,
         address: net::SocketAddrV4,
         mut connection: UpstreamConnection,
-        keep: Option<time::Duration>,
-        most: usize,
+        keep_alive: Option<time::Duration>,
+        max_idle: usize,
     ) {
         if connection.reader.has_surplus() {
             return;
         }
         connection.reader.rest();
         connection.used = true;
-        connection.life.receive();
-        let rest = keep.map_or(REST_TIME, |keep| keep.saturating_sub(REST_MARGIN).min(REST_TIME));
-        if rest.is_zero() {
+        connection.times.receive();
+        let idle_time = keep_alive.map_or(MAX_IDLE_TIME, |keep_alive| {
+            keep_alive.saturating_sub(IDLE_MARGIN).min(MAX_IDLE_TIME)
+        });
+        if idle_time.is_zero() {
             return;
         }
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.entry(address).or_default();
-        if kept.len() < most {
-            kept.push(RestingConnection {
+        let mut idle = self.idle.borrow_mut();
+        let pooled = idle.entry(address).or_default();
+        if pooled.len() < max_idle {
+            pooled.push(PooledConnection {
                 connection,
-                until: boot_clock::BootInstant::now() + rest,
+                until: boot_clock::BootInstant::now() + idle_time,
             });
         }
     }
 
-    /// How many connections to an address there are.
+    /// Returns the numbers of connections to an address.
     pub(crate) fn held(&self, address: net::SocketAddrV4) -> HeldConnections {
-        let is_open = |life: &&rc::Weak<ConnectionLife>| life.strong_count() > 0;
-        let lives = self.lives.borrow();
+        let is_open = |times: &&rc::Weak<ConnectionTimes>| times.strong_count() > 0;
+        let connection_times = self.connection_times.borrow();
         HeldConnections {
-            open: lives.get(&address).map_or(0, |lives| lives.iter().filter(is_open).count()),
-            resting: self.resting.borrow().get(&address).map_or(0, Vec::len),
+            open: connection_times
+                .get(&address)
+                .map_or(0, |connection_times| connection_times.iter().filter(is_open).count()),
+            idle: self.idle.borrow().get(&address).map_or(0, Vec::len),
         }
     }
 
-    /// Closes connections that have rested long enough.
+    /// Closes connections that were idle for too long.
     pub fn prune(&self) {
         let now = boot_clock::BootInstant::now();
-        self.resting.borrow_mut().retain(|_, kept| {
-            kept.retain(|resting| resting.until > now);
-            !kept.is_empty()
+        self.idle.borrow_mut().retain(|_, pooled| {
+            pooled.retain(|idle| idle.until > now);
+            !pooled.is_empty()
         });
-        self.lives.borrow_mut().retain(|_, lives| {
-            lives.retain(|life| life.strong_count() > 0);
-            !lives.is_empty()
+        self.connection_times.borrow_mut().retain(|_, connection_times| {
+            connection_times.retain(|times| times.strong_count() > 0);
+            !connection_times.is_empty()
         });
     }
 
-    /// Closes the connections that rest to an address; returns how many.
-    pub fn forget(&self, address: net::SocketAddrV4) -> usize {
-        self.resting.borrow_mut().remove(&address).map_or(0, |kept| kept.len())
+    /// Closes the idle connections to an address; returns their number.
+    pub fn close_idle(&self, address: net::SocketAddrV4) -> usize {
+        self.idle.borrow_mut().remove(&address).map_or(0, |pooled| pooled.len())
     }
 
-    /// What the silence of a connection shows, compared with the others to its upstream.
+    /// Returns the probable cause of a connection's silence, judged by the other connections to its
+    /// upstream.
     pub fn cause(
         &self,
-        silent: &ConnectionLife,
+        silent: &ConnectionTimes,
         moment: connection_silence::SilentMoment,
         waited: time::Duration,
     ) -> connection_silence::SilenceCause {
-        let lives = self.lives.borrow();
-        let same = lives.get(&silent.address).into_iter().flatten();
-        let others = ages_beside(silent, same);
+        let connection_times = self.connection_times.borrow();
+        let same = connection_times.get(&silent.address).into_iter().flatten();
+        let others = ages_of_others(silent, same);
         connection_silence::SilenceCause::of(silent.ages(), moment, waited, others)
     }
 
-    /// Closes resting connections that may have fallen silent with one on which was waited in
-    /// vain; returns how many.
-    pub fn drop_untrusted(&self, silent: &ConnectionLife, waited: time::Duration) -> usize {
-        // What strikes a process strikes its connections to all upstreams at once; one that is
-        // heard speaks for the others, and only those to the same upstream stay in doubt.
-        let lives = self.lives.borrow();
-        let others = ages_beside(silent, lives.values().flatten());
+    /// Closes idle connections that may have died along with a silent one; returns their number.
+    pub fn close_untrusted(&self, silent: &ConnectionTimes, waited: time::Duration) -> usize {
+        // A network fault of this process breaks its connections to all upstreams at once. If another
+        // connection that was open since then still receives, only those to the same upstream are doubted.
+        let connection_times = self.connection_times.borrow();
+        let others = ages_of_others(silent, connection_times.values().flatten());
         let all = !silent.ages().reserved_part(waited, others);
-        let mut resting = self.resting.borrow_mut();
-        let count = |resting: &collections::HashMap<_, Vec<_>>| -> usize {
-            resting.values().map(Vec::len).sum()
-        };
-        let before = count(&resting);
-        let doubted = resting.iter_mut().filter(|(address, _)| all || **address == silent.address);
-        for (_, kept) in doubted {
-            kept.retain(|resting| resting.connection.life.ages().trusted(waited));
+        let mut idle = self.idle.borrow_mut();
+        let count =
+            |idle: &collections::HashMap<_, Vec<_>>| -> usize { idle.values().map(Vec::len).sum() };
+        let before = count(&idle);
+        let doubted = idle.iter_mut().filter(|(address, _)| all || **address == silent.address);
+        for (_, pooled) in doubted {
+            pooled.retain(|idle| idle.connection.times.ages().trusted(waited));
         }
-        before - count(&resting)
+        before - count(&idle)
     }
 
-    fn take_resting(&self, address: net::SocketAddrV4) -> Option<UpstreamConnection> {
+    fn take_idle(&self, address: net::SocketAddrV4) -> Option<UpstreamConnection> {
         let now = boot_clock::BootInstant::now();
         loop {
-            let mut resting = self.resting.borrow_mut().get_mut(&address)?.pop()?;
-            // Anything to read means that the upstream has closed, or sent bytes without a request.
-            let silent = resting.connection.reader.fill().now_or_never().is_none();
-            if resting.until > now && silent {
-                return Some(resting.connection);
+            let mut idle = self.idle.borrow_mut().get_mut(&address)?.pop()?;
+            // If there is anything to read, the upstream closed the connection or sent unrequested bytes.
+            let silent = idle.connection.reader.fill().now_or_never().is_none();
+            if idle.until > now && silent {
+                return Some(idle.connection);
             }
         }
     }
 }
 
-/// The ages of connections that are still open, but for one.
-fn ages_beside<'a>(
-    one: &ConnectionLife,
-    lives: impl Iterator<Item = &'a rc::Weak<ConnectionLife>>,
+/// Returns the ages of all open connections except `one`.
+fn ages_of_others<'a>(
+    one: &ConnectionTimes,
+    connection_times: impl Iterator<Item = &'a rc::Weak<ConnectionTimes>>,
 ) -> impl Iterator<Item = connection_silence::ConnectionAges> {
-    let open = lives.filter_map(rc::Weak::upgrade);
-    open.filter(|life| !std::ptr::eq(rc::Rc::as_ptr(life), one)).map(|life| life.ages())
+    let open = connection_times.filter_map(rc::Weak::upgrade);
+    open.filter(|times| !std::ptr::eq(rc::Rc::as_ptr(times), one)).map(|times| times.ages())
 }
--- a/crates/instance/src/upstream_rows.rs
+++ b/crates/instance/src/upstream_rows.rs
@@ -82,6 +82,6 @@
 /// Open and idle connections to an upstream, and the most that may stay idle.
 fn connections(context: &context::InstanceContext, entry: &upstream_list::UpstreamEntry) -> String {
     let held = context.pool.held(entry.address);
-    let max_idle = context.resting_share(&entry.name);
-    format!("{} open, {} of {max_idle} at rest", held.open, held.resting)
+    let max_idle = context.idle_connection_limit(&entry.name);
+    format!("{} open, {} of {max_idle} at rest", held.open, held.idle)
 }
