--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -189,15 +189,13 @@
         changes: Vec<adapter::StoreChange>,
         revision: store_revision::StoreRevision,
     ) {
-        let mut entries = Vec::new();
+        let mut items = Vec::new();
         let mut evacuations = Vec::new();
         for change in changes {
             match change {
                 adapter::StoreChange::Put(item) => match self.adapter.key(&item.key) {
                     adapter::StoreKey::Routes => self.put_routes_item(item, "store"),
-                    adapter::StoreKey::Upstream(name) => {
-                        entries.push((name, Some(item_text(item))))
-                    }
+                    adapter::StoreKey::Upstream(name) => items.push((name, Some(item_text(item)))),
                     adapter::StoreKey::Evacuation(data_center) => {
                         if revision >= self.list.revision() {
                             self.list.confirm_evacuation(&data_center);
@@ -207,7 +205,7 @@
                     adapter::StoreKey::Other => {}
                 },
                 adapter::StoreChange::Gone(key) => match self.adapter.key(&key) {
-                    adapter::StoreKey::Upstream(name) => entries.push((name, None)),
+                    adapter::StoreKey::Upstream(name) => items.push((name, None)),
                     adapter::StoreKey::Evacuation(data_center) => {
                         evacuations.push(upstream_list::ListChange::Restored(data_center));
                     }
@@ -216,7 +214,7 @@
             }
         }
         self.change_evacuations(now, evacuations, revision, "store");
-        self.change_upstreams(now, entries, revision, "store");
+        self.change_upstreams(now, items, revision, "store");
     }
 
     /// Applies changes of upstreams, each a name and a document or `None` after a removal, up to `revision`.
