--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -380,7 +380,7 @@
             Some(_) => retry::AttemptFailure::BrokeMidAnswer,
             None => retry::AttemptFailure::BrokeBeforeAnswer,
         };
-        let question = retry::RetryQuestion {
+        let question = retry::FailedAttempt {
             failure,
             repeatable: true,
             attempts: open.attempts,
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -9,7 +9,7 @@
 use crate::{ids, units};
 
 /// How long a portion may be used.
-pub const PORTION_LIFE: time::Duration = time::Duration::from_secs(2);
+pub const PORTION_TTL: time::Duration = time::Duration::from_secs(2);
 /// An entry draws ahead what it has itself spent in about this time, and no more: what it does not
 /// spend expires, and would be lost to the customer.
 const DRAW_AHEAD: time::Duration = time::Duration::from_millis(200);
@@ -35,12 +35,12 @@
     /// How many.
     pub tokens: units::TokenCount,
     /// For how long.
-    pub life: time::Duration,
+    pub ttl: time::Duration,
 }
 
 /// Nothing left; the time until there is something again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BudgetEmpty(pub time::Duration);
+pub struct BudgetExhausted(pub time::Duration);
 
 #[derive(Debug)]
 struct TokenBucket {
@@ -61,13 +61,13 @@
         now: units::MonoTime,
         limit: BudgetLimit,
         want: units::TokenCount,
-    ) -> Result<(), BudgetEmpty> {
+    ) -> Result<(), BudgetExhausted> {
         let gained = limit.rate.0 * now.since(self.filled).as_secs_f64();
         self.level = (self.level + gained).min(limit.burst.0 as f64);
         self.filled = self.filled.max(now);
         if self.level <= 0.0 {
             let debt = units::TokenCount((1.0 - self.level) as u64);
-            return Err(BudgetEmpty(limit.rate.time_for(debt)));
+            return Err(BudgetExhausted(limit.rate.time_for(debt)));
         }
         self.level -= want.0 as f64;
         Ok(())
@@ -76,15 +76,15 @@
 
 /// The keeper's side: one bucket for each customer in use.
 #[derive(Debug, Default)]
-pub struct BudgetKeeper {
+pub struct BudgetLedger {
     /// Since when no customer can have had another keeper.
     since: units::MonoTime,
     buckets: collections::HashMap<ids::CustomerId, TokenBucket>,
 }
 
-impl BudgetKeeper {
+impl BudgetLedger {
     /// Notes that customers may have changed keepers, as after each change of the instances.
-    pub fn note_change(&mut self, now: units::MonoTime) {
+    pub fn note_membership_change(&mut self, now: units::MonoTime) {
         self.since = now;
     }
 
@@ -95,16 +95,16 @@
         customer: &ids::CustomerId,
         limit: BudgetLimit,
         want: units::TokenCount,
-    ) -> Result<BudgetPortion, BudgetEmpty> {
+    ) -> Result<BudgetPortion, BudgetExhausted> {
         let kept = now.since(self.since);
         let fresh = || TokenBucket::fresh(now, kept, limit);
         let bucket = self.buckets.entry(customer.clone()).or_insert_with(fresh);
         bucket.take(now, limit, want)?;
-        Ok(BudgetPortion { tokens: want, life: PORTION_LIFE })
+        Ok(BudgetPortion { tokens: want, ttl: PORTION_TTL })
     }
 
     /// Takes unspent tokens back, for instance when an answer was shorter than allowed.
-    pub fn give_back(&mut self, customer: &ids::CustomerId, tokens: units::TokenCount) {
+    pub fn refund(&mut self, customer: &ids::CustomerId, tokens: units::TokenCount) {
         if let Some(bucket) = self.buckets.get_mut(customer) {
             bucket.level += tokens.0 as f64;
         }
@@ -129,14 +129,14 @@
 
 /// The entry's side: portions held, and the fallback for when the keeper is out of reach.
 #[derive(Debug, Default)]
-pub struct BudgetPurse {
+pub struct BudgetCache {
     portions: collections::HashMap<ids::CustomerId, (f64, units::MonoTime)>,
     /// Tokens spent lately, decaying over [`DRAW_AHEAD`], as of the time given.
     spending: collections::HashMap<ids::CustomerId, (f64, units::MonoTime)>,
-    fallback: BudgetKeeper,
+    fallback: BudgetLedger,
 }
 
-impl BudgetPurse {
+impl BudgetCache {
     /// Spends from a portion held; `false` means a new one must be drawn first.
     pub fn spend(
         &mut self,
@@ -195,7 +195,7 @@
         if held.1 <= now {
             held.0 = 0.0;
         }
-        *held = (held.0 + portion.tokens.0 as f64, now + portion.life);
+        *held = (held.0 + portion.tokens.0 as f64, now + portion.ttl);
     }
 
     /// Spends without the keeper: this entry's part of the limit.
@@ -206,7 +206,7 @@
         limit: BudgetLimit,
         live_entries: usize,
         want: units::TokenCount,
-    ) -> Result<(), BudgetEmpty> {
+    ) -> Result<(), BudgetExhausted> {
         let part = live_entries.max(1) as f64;
         let rate = units::TokenRate(limit.rate.0 / part);
         let limit = BudgetLimit { rate, burst: limit.burst.scale(1.0 / part) };
@@ -216,7 +216,7 @@
     /// Drops expired portions.
     pub fn prune(&mut self, now: units::MonoTime) {
         self.portions.retain(|_, (_, expires)| *expires > now);
-        self.spending.retain(|_, (_, since)| now.since(*since) < PORTION_LIFE);
+        self.spending.retain(|_, (_, since)| now.since(*since) < PORTION_TTL);
         self.fallback.prune(now);
     }
 }
--- a/crates/core/src/connection_share.rs
+++ b/crates/core/src/connection_share.rs
@@ -10,7 +10,7 @@
 ///
 /// Where the shares are no whole connections, members differ: which of them keep one more follows from their names, so
 /// that all together keep to the part.
-pub fn resting(
+pub fn max_idle(
     limit: usize,
     members: usize,
     own: &ids::InstanceId,
--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -84,7 +84,7 @@
 
     /// Whether one of `others` was open all the time in which this one may have fallen silent, and
     /// was heard late in the wait: whatever struck this one has spared that one.
-    pub fn reserved_part(
+    pub fn has_live_peer(
         &self,
         waited: time::Duration,
         mut others: impl Iterator<Item = Self>,
@@ -101,11 +101,11 @@
 
 /// What a connection was silent in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SilentMoment {
+pub enum SilencePhase {
     /// The head of an answer was awaited.
     Head,
     /// Part of an answer had come.
-    Midway,
+    MidAnswer,
 }
 
 /// What a silence is taken for.
@@ -125,19 +125,19 @@
     /// What `silent` shows after a wait of `waited`, beside the other connections to its upstream.
     pub fn of(
         silent: ConnectionAges,
-        moment: SilentMoment,
+        moment: SilencePhase,
         waited: time::Duration,
         others: impl Iterator<Item = ConnectionAges>,
     ) -> Self {
         if silent.heard.is_none() {
             return Self::Upstream;
         }
-        if silent.reserved_part(waited, others) {
+        if silent.has_live_peer(waited, others) {
             return Self::SlowUpstream;
         }
         match moment {
-            SilentMoment::Head => Self::KeptConnection,
-            SilentMoment::Midway => Self::OpenConnection,
+            SilencePhase::Head => Self::KeptConnection,
+            SilencePhase::MidAnswer => Self::OpenConnection,
         }
     }
 
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -76,7 +76,7 @@
     wake: wake_watch::WakeWatch,
     policy: Box<dyn routing::RoutingPolicy>,
     policy_kind: settings::RoutingKind,
-    purse: budget::BudgetPurse,
+    purse: budget::BudgetCache,
     retries: retry::RetryBudget,
     own: collections::HashMap<ids::EngineId, OwnLoad>,
     /// Engines that refused as leaving, until the list or their scheduler says otherwise.
@@ -106,7 +106,7 @@
             wake: wake_watch::WakeWatch::new(sleep_bound),
             policy: routing::policy_for(fleet.routing),
             policy_kind: fleet.routing,
-            purse: budget::BudgetPurse::default(),
+            purse: budget::BudgetCache::default(),
             retries: retry::RetryBudget::new(fleet.retry_share),
             own: collections::HashMap::new(),
             ejected: collections::HashMap::new(),
@@ -272,7 +272,7 @@
         let limit = limit_of(resolved);
         match self.purse.spend_alone(now, &resolved.customer, limit, live, want) {
             Ok(()) => BudgetStep::Spent,
-            Err(budget::BudgetEmpty(wait)) => BudgetStep::Empty(wait),
+            Err(budget::BudgetExhausted(wait)) => BudgetStep::Empty(wait),
         }
     }
 
@@ -383,7 +383,7 @@
     pub fn ask_retry(
         &mut self,
         now: units::MonoTime,
-        question: retry::RetryQuestion,
+        question: retry::FailedAttempt,
     ) -> retry::RetryVerdict {
         self.retries.ask(now, question)
     }
--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -26,9 +26,9 @@
 /// How long after the first ask a majority may be used.
 ///
 /// A request that was paused longer gives up, because the votes may have been forgotten.
-pub const USE_LIMIT: time::Duration = time::Duration::from_secs(5);
+pub const MAJORITY_TTL: time::Duration = time::Duration::from_secs(5);
 /// How far two processes' copies of the published list may lie apart.
-pub const LIST_LAG: time::Duration = time::Duration::from_secs(30);
+pub const MAX_LIST_LAG: time::Duration = time::Duration::from_secs(30);
 
 /// Voters of a key, in a fleet that has as many instances.
 pub const GROUP_SIZE: usize = 7;
@@ -90,7 +90,7 @@
     }
 
     /// Takes in the published list.
-    pub fn see_list<'a>(
+    pub fn update_list<'a>(
         &mut self,
         now: units::MonoTime,
         names: impl Iterator<Item = &'a ids::InstanceId>,
@@ -126,7 +126,7 @@
             self.firsts.insert(key.clone(), (asker.clone(), now));
         }
         let group = self.listed.len().min(GROUP_SIZE);
-        if self.remembers_whole_window(now) && self.rank(key) < group {
+        if self.has_full_history(now) && self.rank(key) < group {
             VoteAnswer::Granted { group }
         } else {
             VoteAnswer::Abstained
@@ -150,7 +150,7 @@
     }
 
     /// Whether this voter grants at all yet.
-    pub fn remembers_whole_window(&self, now: units::MonoTime) -> bool {
+    pub fn has_full_history(&self, now: units::MonoTime) -> bool {
         let listed = self.listed.get(&self.name);
         let listed_long = listed.is_some_and(|span| self.listed_whole_window(now, span));
         now.since(self.started) >= self.window() && listed_long
@@ -168,7 +168,7 @@
     }
 
     fn window(&self) -> time::Duration {
-        self.retention + LIST_LAG.min(self.retention)
+        self.retention + MAX_LIST_LAG.min(self.retention)
     }
 }
 
@@ -231,7 +231,7 @@
         }
         let needed = self.group / 2 + 1;
         let granted = self.granted.len();
-        let until = self.asked + USE_LIMIT;
+        let until = self.asked + MAJORITY_TTL;
         if granted >= needed && now < until {
             return VoteVerdict::Run { until };
         }
--- a/crates/core/src/permit_cache.rs
+++ b/crates/core/src/permit_cache.rs
@@ -52,7 +52,7 @@
     ) -> PermitStep {
         let row = self.rows.entry(subject.clone()).or_default();
         row.count(now);
-        row.cached.retain(|term| term.is_good(now));
+        row.cached.retain(|term| term.is_valid(now));
         let in_time = |term: &quota_permit::PermitTerm| term.from <= now + patience;
         if let Some(at) = row.cached.iter().position(in_time)
             && let Some(term) = row.cached.remove(at)
@@ -88,7 +88,7 @@
                 let term = quota_permit::PermitTerm::of_answer(asked, wait);
                 let more = count.saturating_sub(1) as usize;
                 row.cached.extend(std::iter::repeat_n(term, more));
-                if term.is_good(now) { Ok(term) } else { Err(time::Duration::ZERO) }
+                if term.is_valid(now) { Ok(term) } else { Err(time::Duration::ZERO) }
             }
             quota_permit::PermitResponse::Refused { back_ms } => {
                 let back = time::Duration::from_millis(u64::from(back_ms));
--- a/crates/core/src/planner/engine_limits.rs
+++ b/crates/core/src/planner/engine_limits.rs
@@ -31,7 +31,7 @@
         kept: &collections::BTreeMap<ids::UpstreamId, send_pace::PaceBound>,
         elsewhere: collections::BTreeSet<ids::UpstreamId>,
     ) {
-        self.permits.set_kept(now, kept);
+        self.permits.set_coordinated(now, kept);
         self.elsewhere = elsewhere;
     }
 
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -36,7 +36,7 @@
 
 /// A run that ended with a crash of its upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndedRun {
+pub struct CrashedRun {
     /// The request.
     pub digest: request_digest::RequestDigest,
     /// The start of the upstream that crashed.
@@ -47,7 +47,7 @@
     pub ended: units::MonoTime,
 }
 
-impl EndedRun {
+impl CrashedRun {
     /// Merges two reports of one run: a delayed message makes its times appear later than they are.
     fn merge(self, other: Self) -> Self {
         let (sent, ended) = (self.sent.min(other.sent), self.ended.min(other.ended));
@@ -89,8 +89,8 @@
 /// Evidence against one request.
 #[derive(Debug, Default)]
 struct SuspectRecord {
-    /// Ordered by [`EndedRun::ended`]; each upstream once.
-    ends: Vec<EndedRun>,
+    /// Ordered by [`CrashedRun::ended`]; each upstream once.
+    ends: Vec<CrashedRun>,
     /// Time of its last completed answer; crashes up to then are not in `ends`.
     answered: Option<units::MonoTime>,
     /// End of its quarantine; `None` for a mere suspect.
@@ -105,7 +105,7 @@
 
     /// Whether another request shares all its crashes and has more.
     fn explained_by(&self, other: &Self) -> bool {
-        let shared = |end: &EndedRun| other.ends.iter().any(|more| more.upstream == end.upstream);
+        let shared = |end: &CrashedRun| other.ends.iter().any(|more| more.upstream == end.upstream);
         other.ends.len() > self.ends.len() && self.ends.iter().all(shared)
     }
 
@@ -135,21 +135,21 @@
     }
 
     /// Whether any request is quarantined.
-    pub fn holds_any(&self) -> bool {
+    pub fn has_quarantined(&self) -> bool {
         self.held > 0
     }
 
     /// Adds evidence; returns the requests that are newly quarantined, or again after their time had run out.
-    pub fn note_ends(
+    pub fn note_crashes(
         &mut self,
         now: units::MonoTime,
-        runs: impl IntoIterator<Item = EndedRun>,
+        runs: impl IntoIterator<Item = CrashedRun>,
     ) -> Vec<request_digest::RequestDigest> {
-        let before = self.held_at(now);
+        let before = self.quarantined_at(now);
         self.forget_old(now);
         runs.into_iter().for_each(|run| self.note_end(run));
         self.judge();
-        let mut held = self.held_at(now);
+        let mut held = self.quarantined_at(now);
         held.retain(|digest| !before.contains(digest));
         held
     }
@@ -184,7 +184,7 @@
     }
 
     /// Requests in quarantine.
-    pub fn held_at(&self, now: units::MonoTime) -> Vec<request_digest::RequestDigest> {
+    pub fn quarantined_at(&self, now: units::MonoTime) -> Vec<request_digest::RequestDigest> {
         let held = |record: &SuspectRecord| record.held_until.is_some_and(|until| now < until);
         let held = self.suspects.iter().filter(|(_, record)| held(record));
         held.map(|(digest, _)| *digest).collect()
@@ -200,11 +200,11 @@
     }
 
     /// The evidence against a request, oldest first.
-    pub fn ends(&self, digest: request_digest::RequestDigest) -> &[EndedRun] {
+    pub fn ends(&self, digest: request_digest::RequestDigest) -> &[CrashedRun] {
         self.suspects.get(&digest).map_or(&[], |record| &record.ends)
     }
 
-    fn note_end(&mut self, run: EndedRun) {
+    fn note_end(&mut self, run: CrashedRun) {
         let record = self.suspects.entry(run.digest).or_default();
         if record.answered.is_some_and(|answered| run.ended <= answered) {
             return;
@@ -279,7 +279,7 @@
 }
 
 /// Which of the crashes, ordered by time, extend the longest sequence.
-fn in_sequence(ends: &[EndedRun]) -> Vec<bool> {
+fn in_sequence(ends: &[CrashedRun]) -> Vec<bool> {
     let mut last = None;
     let adds = ends.iter().map(|end| {
         let adds = last.is_none_or(|last| end.sent + end.slack() >= last);
@@ -292,7 +292,7 @@
 }
 
 /// Drops a crash outside the sequence, or the oldest one.
-fn remove_least(ends: &mut Vec<EndedRun>) {
+fn remove_least(ends: &mut Vec<CrashedRun>) {
     let beside = in_sequence(ends).iter().position(|adds| !adds);
     ends.remove(beside.unwrap_or(0));
 }
--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -19,7 +19,7 @@
 /// permit is lost.
 const TURNS_EACH: u32 = 4;
 /// Window over which granted permits are reported to operators.
-const TOLD_TIME: time::Duration = time::Duration::from_secs(4);
+const GRANT_REPORT_WINDOW: time::Duration = time::Duration::from_secs(4);
 
 /// A member that requested permits.
 #[derive(Debug, Clone, Copy, Default)]
@@ -56,7 +56,7 @@
 
 impl<K: Ord + Clone> QuotaLedger<K> {
     /// Sets the quotas that this process coordinates, and its share of each.
-    pub fn set_kept(
+    pub fn set_coordinated(
         &mut self,
         now: units::MonoTime,
         kept: &collections::BTreeMap<K, send_pace::PaceBound>,
@@ -148,7 +148,7 @@
         subject: &K,
     ) -> Option<collections::BTreeMap<u64, u32>> {
         let row = self.rows.get(subject)?;
-        let lately = row.given.iter().filter(|(at, ..)| now.since(*at) < TOLD_TIME);
+        let lately = row.given.iter().filter(|(at, ..)| now.since(*at) < GRANT_REPORT_WINDOW);
         Some(lately.fold(collections::BTreeMap::new(), |mut sums, (_, asker, count)| {
             *sums.entry(*asker).or_default() += count;
             sums
@@ -160,7 +160,7 @@
     fn note_asker(&mut self, now: units::MonoTime, asker: u64) {
         self.askers.entry(asker).or_default().asked = now;
         self.askers.retain(|_, asker| now.since(asker.asked) < ASKER_TIME);
-        while self.given.front().is_some_and(|(at, ..)| now.since(*at) >= TOLD_TIME) {
+        while self.given.front().is_some_and(|(at, ..)| now.since(*at) >= GRANT_REPORT_WINDOW) {
             self.given.pop_front();
         }
     }
--- a/crates/core/src/quota_permit.rs
+++ b/crates/core/src/quota_permit.rs
@@ -26,7 +26,7 @@
     }
 
     /// The quota that this draws from, as its coordinator knows it.
-    pub fn sum(&self) -> Self {
+    pub fn shared_quota(&self) -> Self {
         match self {
             Self::Upstream(upstream) => Self::Upstream(upstream.clone()),
             Self::Retries(service, _) => Self::all_retries(service.clone()),
@@ -61,7 +61,7 @@
     }
 
     /// Whether it has not expired.
-    pub fn is_good(&self, now: units::MonoTime) -> bool {
+    pub fn is_valid(&self, now: units::MonoTime) -> bool {
         now < self.until
     }
 }
@@ -77,8 +77,8 @@
 
 impl SendPermit {
     /// Whether it allows a send to an upstream now.
-    pub fn is_good(&self, now: units::MonoTime, upstream: &ids::UpstreamId) -> bool {
-        self.upstream == *upstream && self.term.is_good(now)
+    pub fn is_valid(&self, now: units::MonoTime, upstream: &ids::UpstreamId) -> bool {
+        self.upstream == *upstream && self.term.is_valid(now)
     }
 }
 
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -190,7 +190,7 @@
 /// Nobody can tell when it comes; that it takes as long again is the best guess, as outages last from
 /// a fraction of a second to minutes. Callers try again once or twice: of those that meet an outage of four
 /// seconds, with 0.5 s as the time to come back, one in eight comes back to a process that serves; with this, half.
-pub fn outage_return(away: time::Duration, patience: time::Duration) -> time::Duration {
+pub fn outage_retry_after(away: time::Duration, patience: time::Duration) -> time::Duration {
     away.min(patience.mul_f64(RETURN_PART)).max(MIN_RETRY_AFTER)
 }
 
@@ -207,7 +207,7 @@
 ///
 /// Never before that, also where its caller has less time: it then knows that waiting is useless. Spread over as
 /// long as the rest `lasted`, as all that came in it come back: with its end alone they return all at once.
-pub fn rest_return(
+pub fn backoff_retry_after(
     left: time::Duration,
     lasted: time::Duration,
     random: &mut impl rand::Rng,
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -25,7 +25,7 @@
 
 impl AttemptFailure {
     /// Whether the upstream certainly did not run the request.
-    pub fn surely_not_run(self) -> bool {
+    pub fn definitely_not_run(self) -> bool {
         matches!(
             self,
             Self::NotConnected
@@ -37,14 +37,14 @@
     }
 
     /// Whether no upstream got anything of the request: the attempt, and the retry taken for it, are not spent.
-    pub fn reached_nobody(self) -> bool {
+    pub fn reached_no_upstream(self) -> bool {
         matches!(self, Self::NotConnected | Self::NotPrepared | Self::Denied)
     }
 }
 
 /// What is known when an attempt has failed.
 #[derive(Debug, Clone, Copy)]
-pub struct RetryQuestion {
+pub struct FailedAttempt {
     /// How it failed.
     pub failure: AttemptFailure,
     /// Whether the request may run twice.
@@ -98,11 +98,11 @@
     }
 
     /// Decides on another attempt and takes it from the budget.
-    pub fn ask(&mut self, now: units::MonoTime, question: RetryQuestion) -> RetryVerdict {
+    pub fn ask(&mut self, now: units::MonoTime, question: FailedAttempt) -> RetryVerdict {
         if question.failure == AttemptFailure::BrokeMidAnswer {
             return RetryVerdict::GiveUp("part of the answer has reached the caller");
         }
-        if !question.repeatable && !question.failure.surely_not_run() {
+        if !question.repeatable && !question.failure.definitely_not_run() {
             return RetryVerdict::GiveUp("it may have run and must not run twice");
         }
         if question.attempts >= question.max_attempts {
--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -6,14 +6,14 @@
 
 /// Whether a request may probe an upstream after its backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TrialTurn {
+pub enum ProbePermission {
     /// It has another attempt left, should it be refused.
     Yes,
     /// It has none left, or was refused already: with two upstreams that refuse everything a call would meet both.
     No,
 }
 
-impl TrialTurn {
+impl ProbePermission {
     /// For a request with `made` of `allowed` attempts.
     pub fn of(made: usize, allowed: u32) -> Self {
         if made == 0 && allowed > 1 { Self::Yes } else { Self::No }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -271,7 +271,7 @@
 const INDEX_DIGITS: usize = 16;
 
 /// The part of a digest that callers are found by.
-pub(crate) fn index_part(digest: &str) -> &str {
+pub(crate) fn digest_prefix(digest: &str) -> &str {
     digest.get(..INDEX_DIGITS).unwrap_or(digest)
 }
 
@@ -290,7 +290,7 @@
             for key in &node.keys {
                 let digest = key.sha256.to_ascii_lowercase();
                 let (customer, application) = (customer.clone(), key.application.clone());
-                let found = self.callers.entry(index_part(&digest).to_owned()).or_default();
+                let found = self.callers.entry(digest_prefix(&digest).to_owned()).or_default();
                 found.push(KnownCaller { digest, customer, application });
             }
         }
--- a/crates/core/src/settings_resolve.rs
+++ b/crates/core/src/settings_resolve.rs
@@ -145,7 +145,7 @@
     /// constant time. What the look-up's time reveals is a part of a digest, not of a key.
     pub fn identify(&self, key: &str) -> Option<CallerIdentity> {
         let digest = key_digest(key);
-        let known = self.callers.get(settings::index_part(&digest))?;
+        let known = self.callers.get(settings::digest_prefix(&digest))?;
         let same = |caller: &&settings::KnownCaller| {
             bool::from(caller.digest.as_bytes().ct_eq(digest.as_bytes()))
         };
--- a/crates/core/src/upstream_limit.rs
+++ b/crates/core/src/upstream_limit.rs
@@ -52,7 +52,7 @@
 
 /// Change made by a reading.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum LimitNews {
+pub enum LimitChange {
     /// None.
     Known,
     /// The upstream has a limit now.
@@ -63,7 +63,7 @@
     Ended,
 }
 
-impl LimitNews {
+impl LimitChange {
     /// The change between two limits.
     pub(crate) fn of(before: Option<units::RequestRate>, now: Option<units::RequestRate>) -> Self {
         match (before, now) {
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -202,7 +202,7 @@
         &self,
         now: units::MonoTime,
         name: &ids::UpstreamId,
-        turn: send_gate::TrialTurn,
+        turn: send_gate::ProbePermission,
     ) -> bool {
         let rest = self.notices.get(name).and_then(|notice| notice.rest);
         let rested = rest.filter(|rest| rest.until <= now && now < rest.until + RETURN_TIME);
@@ -210,7 +210,7 @@
             return false;
         };
         let tried = rest.trial.is_some_and(|at| now.since(at) < TRIAL_TIME);
-        tried || turn == send_gate::TrialTurn::No
+        tried || turn == send_gate::ProbePermission::No
     }
 
     /// Records a send to a start; returns whether it is a probe.
@@ -265,20 +265,20 @@
         &mut self,
         name: &ids::UpstreamId,
         reading: upstream_limit::LimitReading,
-    ) -> upstream_limit::LimitNews {
+    ) -> upstream_limit::LimitChange {
         let known = self.notices.get(name).and_then(|notice| notice.limit);
         if known.is_none() && reading.rate.is_none() {
             // The common case.
-            return upstream_limit::LimitNews::Known;
+            return upstream_limit::LimitChange::Known;
         }
         let before = known.and_then(|known| known.reading.rate);
         let reading = known.map_or(reading, |known| known.reading.or(reading));
-        let news = upstream_limit::LimitNews::of(before, reading.rate);
+        let news = upstream_limit::LimitChange::of(before, reading.rate);
         let goes_on = known.filter(|_| before.is_some() == reading.rate.is_some());
         let since = goes_on.map_or(reading.heard, |known| known.since);
         self.notice(reading.heard, name).limit =
             Some(upstream_limit::LimitNotice { reading, since });
-        self.limit_changes += u64::from(news != upstream_limit::LimitNews::Known);
+        self.limit_changes += u64::from(news != upstream_limit::LimitChange::Known);
         news
     }
 
--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -9,7 +9,7 @@
         &'a self,
         now: units::MonoTime,
         service: &'a ids::ServiceId,
-        turn: send_gate::TrialTurn,
+        turn: send_gate::ProbePermission,
     ) -> Vec<&'a upstream_list::UpstreamEntry> {
         let mut open = self.usable(service);
         open.retain(|entry| self.notices().rest(now, &entry.name).is_none());
@@ -27,7 +27,7 @@
         &'a self,
         now: units::MonoTime,
         service: &'a ids::ServiceId,
-        turn: send_gate::TrialTurn,
+        turn: send_gate::ProbePermission,
     ) -> Vec<&'a ids::UpstreamId> {
         // Few upstreams have notices, mostly none of a service.
         let listed = |name: &&ids::UpstreamId| {
@@ -79,7 +79,7 @@
         }
         let limit = self.notices().limit(present).filter(|_| begins);
         match limit.and_then(|limit| limit.reading.rate) {
-            Some(rate) if !permits.iter().any(|permit| permit.is_good(now, present)) => {
+            Some(rate) if !permits.iter().any(|permit| permit.is_valid(now, present)) => {
                 Err(send_gate::SendDenial::Limited(rate))
             }
             _ => Ok(()),
--- a/crates/core/tests/connection_share.rs
+++ b/crates/core/tests/connection_share.rs
@@ -12,7 +12,7 @@
                     format!("front-{number}").parse().expect("a name")
                 };
                 let kept =
-                    |number| connection_share::resting(limit, members, &own(number), &upstream);
+                    |number| connection_share::max_idle(limit, members, &own(number), &upstream);
                 let all: usize = (0..members).map(kept).sum();
                 assert!(all <= limit, "{all} of {limit} by {members}");
                 assert!(all * 5 >= limit, "{all} of {limit} by {members}");
--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use slipturn_core::connection_silence::{AnswerTimes, ConnectionAges, SilenceCause, SilentMoment};
+use slipturn_core::connection_silence::{AnswerTimes, ConnectionAges, SilenceCause, SilencePhase};
 
 const GOAL: time::Duration = time::Duration::from_millis(300);
 const LONGEST: time::Duration = time::Duration::from_millis(675);
@@ -50,11 +50,11 @@
         ("as old, unheard", kept, vec![ages(3_000, Some(150))], SilenceCause::KeptConnection),
     ];
     for (what, silent, others, wanted) in table {
-        let cause = SilenceCause::of(silent, SilentMoment::Head, WAITED, others.into_iter());
+        let cause = SilenceCause::of(silent, SilencePhase::Head, WAITED, others.into_iter());
         assert_eq!(cause, wanted, "{what}");
     }
     let midway =
-        SilenceCause::of(ages(900, Some(200)), SilentMoment::Midway, WAITED, std::iter::empty());
+        SilenceCause::of(ages(900, Some(200)), SilencePhase::MidAnswer, WAITED, std::iter::empty());
     assert_eq!(midway, SilenceCause::OpenConnection);
 }
 
@@ -62,9 +62,9 @@
 fn one_that_was_open_all_the_time_and_is_heard_speaks_for_the_others() {
     let silent = ages(5_000, Some(1_200));
     let heard = [ages(300, Some(10)), ages(9_000, Some(10))];
-    assert!(silent.reserved_part(WAITED, heard.into_iter()));
-    assert!(!silent.reserved_part(WAITED, heard.into_iter().take(1)), "opened behind the silence");
-    assert!(!silent.reserved_part(WAITED, std::iter::empty()));
+    assert!(silent.has_live_peer(WAITED, heard.into_iter()));
+    assert!(!silent.has_live_peer(WAITED, heard.into_iter().take(1)), "opened behind the silence");
+    assert!(!silent.has_live_peer(WAITED, std::iter::empty()));
 }
 
 #[test]
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -8,7 +8,7 @@
 use list_entries::{at, name};
 use slipturn_core::{
     ids,
-    send_gate::{SendDenial, SendKind, TrialTurn},
+    send_gate::{ProbePermission, SendDenial, SendKind},
     upstream_list::{ListChange, UpstreamEntry, UpstreamList},
 };
 
@@ -39,7 +39,7 @@
 
 fn open(list: &UpstreamList) -> Vec<String> {
     let service = service();
-    let open = list.open(at(1), &service, TrialTurn::Yes);
+    let open = list.open(at(1), &service, ProbePermission::Yes);
     open.into_iter().map(|entry| entry.name.to_string()).collect()
 }
 
--- a/crates/core/tests/fleet_budget.rs
+++ b/crates/core/tests/fleet_budget.rs
@@ -31,7 +31,10 @@
     fn new(members: usize, known: Option<usize>, keepers: usize, part: f64) -> Self {
         let coordinator = |_| {
             let mut ledger = QuotaLedger::default();
-            ledger.set_kept(at(0), &collections::BTreeMap::from([((), BOUND.kept(part, known))]));
+            ledger.set_coordinated(
+                at(0),
+                &collections::BTreeMap::from([((), BOUND.kept(part, known))]),
+            );
             ledger
         };
         Self {
--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -77,7 +77,7 @@
     fn publish(&mut self) {
         let names: Vec<_> = self.voters.keys().map(|number| instance(*number)).collect();
         for voter in self.voters.values_mut() {
-            voter.see_list(now(self.clock), names.iter());
+            voter.update_list(now(self.clock), names.iter());
         }
     }
 
--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -196,7 +196,7 @@
             let own = keepers.iter().find(|(coordinator, _)| *coordinator == member);
             let kept = own.map(|(_, part)| (upstream(), bound(self.rate * part)));
             if !self.is_still(now, member) {
-                self.members[member].ledger.set_kept(at(now), &kept.into_iter().collect());
+                self.members[member].ledger.set_coordinated(at(now), &kept.into_iter().collect());
             }
         }
     }
@@ -443,5 +443,5 @@
     let step = cache.step(at(701), &upstream(), time::Duration::ZERO);
     assert!(matches!(step, PermitStep::Ask(_)), "{step:?}");
     let term = PermitTerm::of_answer(at(100), time::Duration::ZERO);
-    assert!(term.is_good(at(599)) && !term.is_good(at(600)));
+    assert!(term.is_valid(at(599)) && !term.is_valid(at(600)));
 }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use slipturn_core::{
-    quarantine::{BlameWay, EndedRun, QuarantineTable},
+    quarantine::{BlameWay, CrashedRun, QuarantineTable},
     request_digest::RequestDigest,
     units::MonoTime,
 };
@@ -20,15 +20,15 @@
 }
 
 /// A run of `body` from `sent` to `ended`, milliseconds.
-fn run(body: &str, upstream: &str, sent: u64, ended: u64) -> EndedRun {
+fn run(body: &str, upstream: &str, sent: u64, ended: u64) -> CrashedRun {
     let upstream = upstream.parse().expect("a valid name");
-    EndedRun { digest: digest(body), upstream, sent: at(sent), ended: at(ended) }
+    CrashedRun { digest: digest(body), upstream, sent: at(sent), ended: at(ended) }
 }
 
-fn table_of(runs: impl IntoIterator<Item = EndedRun>) -> QuarantineTable {
+fn table_of(runs: impl IntoIterator<Item = CrashedRun>) -> QuarantineTable {
     let mut table = QuarantineTable::default();
     for run in runs {
-        table.note_ends(run.ended, [run]);
+        table.note_crashes(run.ended, [run]);
     }
     table
 }
@@ -40,8 +40,8 @@
 #[test]
 fn three_ends_in_a_row_hold_a_request_back() {
     let mut table = table_of([run("x", "a", 0, 100), run("x", "b", 100, 200)]);
-    assert!(!held(&table, "x", 250) && !table.holds_any());
-    let news = table.note_ends(at(300), [run("x", "c", 210, 300)]);
+    assert!(!held(&table, "x", 250) && !table.has_quarantined());
+    let news = table.note_crashes(at(300), [run("x", "c", 210, 300)]);
     assert_eq!(news, [digest("x")]);
     let verdict = table.verdict(at(300), digest("x")).expect("held back");
     assert_eq!(verdict.upstreams.len(), 3);
@@ -70,7 +70,7 @@
     let mut table =
         table_of([run("x", "a", 800, 900), run("x", "b", 801, 901), run("x", "c", 802, 902)]);
     assert!(!held(&table, "x", 902));
-    table.note_ends(
+    table.note_crashes(
         at(903),
         [run("x", "a", 0, 100), run("x", "b", 101, 201), run("x", "c", 202, 302)],
     );
@@ -105,7 +105,7 @@
     let mut table = table_of([run("x", "a", 0, 100), run("x", "b", 100, 200)]);
     assert!(table.clear(digest("x"), at(250)));
     assert!(!table.clear(digest("y"), at(250)), "nothing is known of it");
-    table.note_ends(at(400), [run("x", "c", 300, 400), run("x", "a2", 120, 240)]);
+    table.note_crashes(at(400), [run("x", "c", 300, 400), run("x", "a2", 120, 240)]);
     assert!(!held(&table, "x", 400), "one end is left, the other had ended before");
 }
 
@@ -134,19 +134,19 @@
         table_of([run("x", "a", 0, 100), run("x", "b", 100, 200), run("x", "c", 200, 300)]);
     let after = 300 + HOLD.as_millis() as u64;
     assert!(held(&table, "x", after - 1) && !held(&table, "x", after));
-    let news = table.note_ends(at(after + 60), [run("x", "d", after, after + 60)]);
+    let news = table.note_crashes(at(after + 60), [run("x", "d", after, after + 60)]);
     assert_eq!(news, [digest("x")], "held back anew");
     assert!(held(&table, "x", after + 2 * HOLD.as_millis() as u64));
     // A trial that is answered ends it.
     assert!(table.clear(digest("x"), at(after + 100)));
-    assert!(!held(&table, "x", after + 101) && !table.holds_any());
+    assert!(!held(&table, "x", after + 101) && !table.has_quarantined());
     assert_eq!(table.answered_age(at(after + 101), digest("x")), Some(Duration::from_millis(1)));
 }
 
 #[test]
 fn ends_that_led_to_nothing_are_forgotten() {
     let mut table = table_of([run("x", "a", 0, 100)]);
-    table.note_ends(at(700_000), [run("y", "b", 699_900, 700_000)]);
+    table.note_crashes(at(700_000), [run("y", "b", 699_900, 700_000)]);
     assert!(!table.suspects(digest("x")) && table.suspects(digest("y")));
 }
 
@@ -156,7 +156,7 @@
         table_of([run("x", "a", 0, 100), run("x", "b", 100, 200), run("x", "c", 200, 300)]);
     for number in 0..5_000 {
         let sent = 300 + number;
-        table.note_ends(at(sent), [run(&format!("s{number}"), "d", sent, sent + 50)]);
+        table.note_crashes(at(sent), [run(&format!("s{number}"), "d", sent, sent + 50)]);
     }
     assert!(held(&table, "x", 6_000));
     let kept = (0..5_000).filter(|number| table.suspects(digest(&format!("s{number}")))).count();
@@ -166,7 +166,7 @@
 #[test]
 fn another_way_of_counting_takes_a_rack_for_a_cause() {
     let mut table = QuarantineTable::new(BlameWay::Count);
-    table.note_ends(at(500), (0..4).map(|copy| run("x", &format!("e{copy}"), copy, 500)));
+    table.note_crashes(at(500), (0..4).map(|copy| run("x", &format!("e{copy}"), copy, 500)));
     assert!(held(&table, "x", 600), "this is what the sequence guards against");
 }
 
@@ -214,6 +214,6 @@
         let other = order as usize / 7 % length;
         runs.swap(0, other);
         let two = table_of(runs);
-        prop_assert_eq!(one.held_at(at(4_000)), two.held_at(at(4_000)));
+        prop_assert_eq!(one.quarantined_at(at(4_000)), two.quarantined_at(at(4_000)));
     }
 }
--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, SeedableRng as _, seq::IteratorRandom as _};
 use slipturn_core::{
     ids::UpstreamId,
-    quarantine::{BlameWay, EndedRun, QuarantineTable},
+    quarantine::{BlameWay, CrashedRun, QuarantineTable},
     request_digest::RequestDigest,
     units::MonoTime,
 };
@@ -84,7 +84,7 @@
     engines: Vec<Engine>,
     table: QuarantineTable,
     /// Ends that members will know of.
-    news: Vec<(u64, EndedRun)>,
+    news: Vec<(u64, CrashedRun)>,
     figures: Figures,
     now: u64,
 }
@@ -110,8 +110,8 @@
     fn step(&mut self) {
         let (due, later) = self.news.drain(..).partition(|(known, _)| *known <= self.now);
         self.news = later;
-        let due: Vec<(u64, EndedRun)> = due;
-        self.table.note_ends(at(self.now), due.into_iter().map(|(_, run)| run));
+        let due: Vec<(u64, CrashedRun)> = due;
+        self.table.note_crashes(at(self.now), due.into_iter().map(|(_, run)| run));
         self.arrive();
         self.finish();
         if let Some((every, count)) = self.storm.crashes
@@ -187,7 +187,7 @@
         let upstream: UpstreamId = format!("e{number}-{}", engine.start).parse().expect("a name");
         for job in std::mem::take(&mut engine.jobs) {
             let (sent, ended) = (at(job.sent), at(self.now));
-            let run = EndedRun { digest: job.digest, upstream: upstream.clone(), sent, ended };
+            let run = CrashedRun { digest: job.digest, upstream: upstream.clone(), sent, ended };
             self.news.push((self.now + NEWS, run));
             if job.attempts < ATTEMPTS {
                 self.send(job);
--- a/crates/core/tests/refusal.rs
+++ b/crates/core/tests/refusal.rs
@@ -18,7 +18,7 @@
 /// At outages of 1 to 6 s; with 0.5 s for all it is 0.50, 0.25, 0.13 and 0.08.
 #[test]
 fn callers_of_an_outage_come_back_behind_it() {
-    let told = |away| refusal::outage_return(millis(away), millis(10_000)).as_millis() as u64;
+    let told = |away| refusal::outage_retry_after(millis(away), millis(10_000)).as_millis() as u64;
     for (outage, least) in [(1_000, 0.5), (2_000, 0.5), (4_000, 0.5), (6_000, 0.45)] {
         let share = returned(outage, told);
         assert!(share >= least, "{share} of an outage of {outage} ms");
@@ -29,7 +29,7 @@
 
 #[test]
 fn nobody_is_asked_back_when_no_time_is_left() {
-    let back = |away, patience| refusal::outage_return(millis(away), millis(patience));
+    let back = |away, patience| refusal::outage_retry_after(millis(away), millis(patience));
     assert_eq!(back(0, 10_000), millis(500), "a start takes a moment");
     assert_eq!(back(60_000, 9_000), millis(2_970));
     assert_eq!(back(2_000, 100), millis(500));
@@ -56,7 +56,8 @@
     let mut half_second = rand_chacha::ChaCha8Rng::seed_from_u64(2);
     let spread = std::cell::RefCell::new(&mut random);
     let whole = busiest(4_000, |left| {
-        let back = refusal::rest_return(millis(left), millis(4_000), &mut **spread.borrow_mut());
+        let back =
+            refusal::backoff_retry_after(millis(left), millis(4_000), &mut **spread.borrow_mut());
         assert!(back >= millis(left), "never within the rest");
         back.as_millis() as u64
     });
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -11,8 +11,8 @@
     retry::AttemptFailure::BrokeMidAnswer,
 ];
 
-fn question(failure: retry::AttemptFailure, repeatable: bool) -> retry::RetryQuestion {
-    retry::RetryQuestion { failure, repeatable, attempts: 1, max_attempts: 3, time_left: true }
+fn question(failure: retry::AttemptFailure, repeatable: bool) -> retry::FailedAttempt {
+    retry::FailedAttempt { failure, repeatable, attempts: 1, max_attempts: 3, time_left: true }
 }
 
 fn budget() -> retry::RetryBudget {
@@ -24,7 +24,7 @@
     for failure in FAILURES {
         let verdict = budget().ask(units::MonoTime(0), question(failure, false));
         let retried = verdict == retry::RetryVerdict::Retry;
-        assert_eq!(retried, failure.surely_not_run(), "{failure:?}");
+        assert_eq!(retried, failure.definitely_not_run(), "{failure:?}");
     }
 }
 
@@ -37,8 +37,8 @@
 #[test]
 fn attempts_and_time_are_bounded() {
     let asked = question(retry::AttemptFailure::NotConnected, true);
-    let spent = retry::RetryQuestion { attempts: 3, ..asked };
-    let late = retry::RetryQuestion { time_left: false, ..asked };
+    let spent = retry::FailedAttempt { attempts: 3, ..asked };
+    let late = retry::FailedAttempt { time_left: false, ..asked };
     assert_ne!(budget().ask(units::MonoTime(0), spent), retry::RetryVerdict::Retry);
     assert_ne!(budget().ask(units::MonoTime(0), late), retry::RetryVerdict::Retry);
 }
@@ -57,7 +57,7 @@
             attempts += 1;
             counter += 1;
             let failed = counter.is_multiple_of(3);
-            let asked = retry::RetryQuestion {
+            let asked = retry::FailedAttempt {
                 attempts: tries,
                 ..question(retry::AttemptFailure::NotConnected, true)
             };
@@ -86,9 +86,19 @@
     use retry::AttemptFailure;
     let nobody =
         [AttemptFailure::NotConnected, AttemptFailure::NotPrepared, AttemptFailure::Denied];
-    assert!(nobody.iter().all(|failure| failure.reached_nobody() && failure.surely_not_run()));
+    assert!(
+        nobody.iter().all(|failure| failure.reached_no_upstream() && failure.definitely_not_run())
+    );
     let reached = [AttemptFailure::SaidNotRun, AttemptFailure::Misdirected];
-    assert!(reached.iter().all(|failure| !failure.reached_nobody() && failure.surely_not_run()));
+    assert!(
+        reached
+            .iter()
+            .all(|failure| !failure.reached_no_upstream() && failure.definitely_not_run())
+    );
     let unclear = [AttemptFailure::BrokeBeforeAnswer, AttemptFailure::BrokeMidAnswer];
-    assert!(unclear.iter().all(|failure| !failure.reached_nobody() && !failure.surely_not_run()));
+    assert!(
+        unclear
+            .iter()
+            .all(|failure| !failure.reached_no_upstream() && !failure.definitely_not_run())
+    );
 }
--- a/crates/core/tests/upstream_limit.rs
+++ b/crates/core/tests/upstream_limit.rs
@@ -7,7 +7,7 @@
     ids,
     quota_permit::{PermitTerm, SendPermit},
     units,
-    upstream_limit::{LimitNews, LimitReading},
+    upstream_limit::{LimitChange, LimitReading},
     upstream_notice::{NoticeSource, NoticeTable},
 };
 
@@ -49,21 +49,21 @@
 fn a_limit_begins_changes_and_ends_once_and_belongs_to_one_start() {
     let mut table = NoticeTable::default();
     let (before, after) = (name("e1@100"), name("e1@200"));
-    assert_eq!(table.receive_limit(&before, label(None, 0, 10)), LimitNews::Known, "as most say");
+    assert_eq!(table.receive_limit(&before, label(None, 0, 10)), LimitChange::Known, "as most say");
     let begun = table.receive_limit(&before, label(Some(2.0), 20, 30));
-    assert_eq!(begun, LimitNews::Begun(rate(2.0)));
-    assert_eq!(table.receive_limit(&before, label(Some(2.0), 40, 50)), LimitNews::Known);
+    assert_eq!(begun, LimitChange::Begun(rate(2.0)));
+    assert_eq!(table.receive_limit(&before, label(Some(2.0), 40, 50)), LimitChange::Known);
     let changed = table.receive_limit(&before, label(Some(1.2), 60, 70));
-    assert_eq!(changed, LimitNews::Changed(rate(1.2), rate(2.0)));
+    assert_eq!(changed, LimitChange::Changed(rate(1.2), rate(2.0)));
     assert_eq!(
         table.describe(at(1_030), &before).as_deref(),
         Some("takes 1.2 requests/s of all, by answer 1.0 s ago, limited for 1.0 s")
     );
     assert!(table.limit(&after).is_none());
-    assert_eq!(table.receive_limit(&before, label(None, 80, 90)), LimitNews::Ended);
+    assert_eq!(table.receive_limit(&before, label(None, 80, 90)), LimitChange::Ended);
     assert!(table.limit(&before).is_none());
     // A member repeats what it has not heard the end of.
-    assert_eq!(table.receive_limit(&before, label(Some(2.0), 40, 50)), LimitNews::Known);
+    assert_eq!(table.receive_limit(&before, label(Some(2.0), 40, 50)), LimitChange::Known);
     assert_eq!(table.limit_changes(), 3);
     table.retain(at(20_000), |_| true);
     assert_eq!(table.limit_readings().count(), 1, "words of before may come for a while");
@@ -88,9 +88,9 @@
 fn a_leave_is_for_one_upstream_and_a_short_time() {
     let term = PermitTerm::of_answer(at(1_000), time::Duration::from_millis(200));
     let leave = SendPermit { upstream: name("e1"), term };
-    assert!(leave.is_good(at(1_699), &name("e1")));
-    assert!(!leave.is_good(at(1_699), &name("e2")));
-    assert!(!leave.is_good(at(1_700), &name("e1")));
+    assert!(leave.is_valid(at(1_699), &name("e1")));
+    assert!(!leave.is_valid(at(1_699), &name("e2")));
+    assert!(!leave.is_valid(at(1_700), &name("e1")));
 }
 
 proptest! {
--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -9,7 +9,7 @@
 use slipturn_core::{
     fleet_list::ListState,
     ids,
-    send_gate::{SendDenial, SendKind, TrialTurn},
+    send_gate::{ProbePermission, SendDenial, SendKind},
     upstream_list::{ListChange, UpstreamEntry, UpstreamList},
     upstream_notice::NoticeSource,
 };
@@ -282,7 +282,7 @@
     list.notices_mut().receive_rest(at(now), &name(number), asked);
 }
 
-fn open(list: &UpstreamList, now: u64, turn: TrialTurn) -> Vec<ids::UpstreamId> {
+fn open(list: &UpstreamList, now: u64, turn: ProbePermission) -> Vec<ids::UpstreamId> {
     list.open(at(now), &service(), turn).into_iter().map(|entry| entry.name.clone()).collect()
 }
 
@@ -331,24 +331,24 @@
     rest(&mut list, 0, 1, 3_000);
     rest(&mut list, 0, 2, 5_000);
     assert_eq!(usable(&list), 4, "others may send there");
-    assert_eq!(open(&list, 10, TrialTurn::Yes), [name(3), name(4)]);
-    assert_eq!(list.closed(at(10), &service(), TrialTurn::Yes), [&name(1), &name(2)]);
+    assert_eq!(open(&list, 10, ProbePermission::Yes), [name(3), name(4)]);
+    assert_eq!(list.closed(at(10), &service(), ProbePermission::Yes), [&name(1), &name(2)]);
     assert_eq!(list.first_back(at(10), &service()).expect("two rest").until, at(3_000));
     // It has rested: who has another attempt in hand finds out, one at a time.
-    assert_eq!(open(&list, 3_000, TrialTurn::No), [name(3), name(4)]);
-    assert_eq!(open(&list, 3_000, TrialTurn::Yes), [name(1), name(3), name(4)]);
+    assert_eq!(open(&list, 3_000, ProbePermission::No), [name(3), name(4)]);
+    assert_eq!(open(&list, 3_000, ProbePermission::Yes), [name(1), name(3), name(4)]);
     list.notices_mut().begin(at(3_000), &name(1));
-    assert_eq!(open(&list, 3_010, TrialTurn::Yes), [name(3), name(4)]);
+    assert_eq!(open(&list, 3_010, ProbePermission::Yes), [name(3), name(4)]);
     list.notices_mut().receive_taken(at(3_020), &name(1));
-    assert_eq!(open(&list, 3_020, TrialTurn::No), [name(1), name(3), name(4)]);
+    assert_eq!(open(&list, 3_020, ProbePermission::No), [name(1), name(3), name(4)]);
 }
 
 #[test]
 fn where_only_rested_ones_are_left_they_are_used() {
     let mut list = full();
     (1..=4).for_each(|number| rest(&mut list, 0, number, 1_000 * u64::from(number)));
-    assert!(open(&list, 500, TrialTurn::Yes).is_empty());
-    assert_eq!(open(&list, 1_000, TrialTurn::No), [name(1)], "better than none");
+    assert!(open(&list, 500, ProbePermission::Yes).is_empty());
+    assert_eq!(open(&list, 1_000, ProbePermission::No), [name(1)], "better than none");
     list.notices_mut().begin(at(1_000), &name(1));
-    assert_eq!(open(&list, 1_010, TrialTurn::Yes), [name(1)]);
+    assert_eq!(open(&list, 1_010, ProbePermission::Yes), [name(1)]);
 }
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use slipturn_core::{
     ids,
-    send_gate::{SendDenial, SendKind, TrialTurn},
+    send_gate::{ProbePermission, SendDenial, SendKind},
     units,
     upstream_notice::{MAX_REST, NoticeSource, NoticeTable, RestNews, RestReturnWay},
 };
@@ -116,29 +116,30 @@
     table.receive_rest(at(0), &upstream, ms(1_000));
     assert!(!table.begin(at(500), &upstream), "what was on its way is no trial");
     assert!(!table.receive_taken(at(900), &upstream), "nor does its answer end the rest");
-    assert!(!avoided(&table, 1_000, TrialTurn::Yes));
-    assert!(avoided(&table, 1_000, TrialTurn::No), "who has no other attempt waits");
+    assert!(!avoided(&table, 1_000, ProbePermission::Yes));
+    assert!(avoided(&table, 1_000, ProbePermission::No), "who has no other attempt waits");
     assert!(table.begin(at(1_000), &upstream));
-    assert!(avoided(&table, 1_100, TrialTurn::Yes), "one at a time");
-    assert!(!avoided(&table, 3_000, TrialTurn::Yes), "its caller may have left");
+    assert!(avoided(&table, 1_100, ProbePermission::Yes), "one at a time");
+    assert!(!avoided(&table, 3_000, ProbePermission::Yes), "its caller may have left");
     table.end_trial(&upstream);
-    assert!(!avoided(&table, 1_100, TrialTurn::Yes), "it ended without an answer");
+    assert!(!avoided(&table, 1_100, ProbePermission::Yes), "it ended without an answer");
     table.begin(at(1_200), &upstream);
     assert!(table.receive_taken(at(1_300), &upstream));
-    for turn in [TrialTurn::Yes, TrialTurn::No] {
+    for turn in [ProbePermission::Yes, ProbePermission::No] {
         assert!(!avoided(&table, 1_300, turn), "it takes work again");
     }
     table.receive_rest(at(2_000), &upstream, ms(1_000));
-    assert!(!avoided(&table, 13_000, TrialTurn::No), "nobody asked for long");
+    assert!(!avoided(&table, 13_000, ProbePermission::No), "nobody asked for long");
     table.set_return(RestReturnWay::All);
-    assert!(!avoided(&table, 3_500, TrialTurn::No));
+    assert!(!avoided(&table, 3_500, ProbePermission::No));
 }
 
 #[test]
 fn a_request_tries_only_with_another_attempt_in_hand() {
-    let cases = [(0, 1, TrialTurn::No), (0, 2, TrialTurn::Yes), (1, 2, TrialTurn::No)];
+    let cases =
+        [(0, 1, ProbePermission::No), (0, 2, ProbePermission::Yes), (1, 2, ProbePermission::No)];
     for (made, allowed, expected) in cases {
-        assert_eq!(TrialTurn::of(made, allowed), expected, "{made} of {allowed}");
+        assert_eq!(ProbePermission::of(made, allowed), expected, "{made} of {allowed}");
     }
 }
 
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -90,7 +90,7 @@
     /// An engine refused or broke.
     Eject(ids::EngineId),
     /// Is there to be another attempt?
-    Retry(retry::RetryQuestion, oneshot::Sender<retry::RetryVerdict>),
+    Retry(retry::FailedAttempt, oneshot::Sender<retry::RetryVerdict>),
     /// A request of a plain service arrived, against which retries are measured.
     CountRequest,
     /// Which upstreams has a service?
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -189,7 +189,7 @@
                     return Err(self.timed_out());
                 }
                 AttemptEnd::Failed(fault) => {
-                    if fault.failure.surely_not_run() {
+                    if fault.failure.definitely_not_run() {
                         place.free_members().await;
                     } else {
                         place.cancel();
@@ -212,7 +212,7 @@
             self.tried.push(member.engine.clone());
             self.context.events.send_to(event::EntryEvent::Eject(member.engine.clone()));
         }
-        let question = retry::RetryQuestion {
+        let question = retry::FailedAttempt {
             failure: fault.failure,
             repeatable: true,
             attempts,
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -239,7 +239,7 @@
                 );
                 let refusal =
                     refusal::RequestRefusal::not_run(refusal::RefusalCode::KeyInDoubt, text);
-                Err(refusal.ran(refusal::RanState::Unknown).retry_after(key_vote::USE_LIMIT))
+                Err(refusal.ran(refusal::RanState::Unknown).retry_after(key_vote::MAJORITY_TTL))
             }
         }
     }
@@ -312,7 +312,7 @@
     }
 
     async fn may_retry(&self, failure: retry::AttemptFailure, attempts: u32) -> bool {
-        let question = retry::RetryQuestion {
+        let question = retry::FailedAttempt {
             failure,
             repeatable: self.repeatable,
             attempts,
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -46,7 +46,7 @@
     pub fn ran(&self) -> refusal::RanState {
         match self.failure {
             retry::AttemptFailure::BrokeMidAnswer => refusal::RanState::Yes,
-            failure if failure.surely_not_run() => refusal::RanState::No,
+            failure if failure.definitely_not_run() => refusal::RanState::No,
             _ => refusal::RanState::Unknown,
         }
     }
--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -12,7 +12,7 @@
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
     ask: engine_place::PlaceAsk,
-    turn: send_gate::TrialTurn,
+    turn: send_gate::ProbePermission,
     limit: time::Duration,
 ) -> plan_client::PlaceOutcome {
     let asked = context.now();
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -288,7 +288,7 @@
     pub fn pick_planner(
         &self,
         service: &ids::ServiceId,
-        turn: send_gate::TrialTurn,
+        turn: send_gate::ProbePermission,
         refused: &[u16],
     ) -> Option<planner_key::PlannerKey> {
         let fleet = self.fleet.borrow();
@@ -304,7 +304,7 @@
     pub fn closed_engines(
         &self,
         key: &planner_key::PlannerKey,
-        turn: send_gate::TrialTurn,
+        turn: send_gate::ProbePermission,
     ) -> Vec<ids::UpstreamId> {
         let fleet = self.fleet.borrow();
         let closed = fleet.list.closed(self.now(), &key.service, turn);
@@ -329,7 +329,7 @@
         let service = service.and_then(|service| fleet.routes.services.get(service));
         let limit = service.map_or(usize::MAX, |service| service.connection_limit);
         let members = self.members.borrow().size();
-        let share = connection_share::resting(limit, members, &self.settings().name, upstream);
+        let share = connection_share::max_idle(limit, members, &self.settings().name, upstream);
         share.min(upstream_pool::MAX_RESTING)
     }
 
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -84,7 +84,7 @@
     hold: &plan_client::PlaceHold,
 ) -> bool {
     let fleet = context.fleet.borrow();
-    let open = fleet.list.open(context.now(), &hold.key().service, send_gate::TrialTurn::No);
+    let open = fleet.list.open(context.now(), &hold.key().service, send_gate::ProbePermission::No);
     open.iter().all(|entry| entry.name == hold.grant.engine || state.excluded.contains(&entry.name))
 }
 
@@ -94,7 +94,7 @@
     context: &context::InstanceContext,
     hold: &mut plan_client::PlaceHold,
     life: &upstream_pool::ConnectionLife,
-    moment: connection_silence::SilentMoment,
+    moment: connection_silence::SilencePhase,
     since: units::MonoTime,
     fault: silence_watch::WaitFault,
 ) -> String {
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -107,7 +107,7 @@
         let refusal = refusal::RequestRefusal::not_run(refusal::RefusalCode::NotReady, text);
         let patience = request.ok().and_then(|request| request.patience);
         let away = arrived.since(units::MonoTime::default());
-        let back_after = refusal::outage_return(away, patience.unwrap_or(USUAL_PATIENCE));
+        let back_after = refusal::outage_retry_after(away, patience.unwrap_or(USUAL_PATIENCE));
         return Err(refusal.retry_after(back_after));
     }
     let host = host_of(&head);
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -34,9 +34,9 @@
     let (heard, source) = (context.now(), asked.source);
     let reading = upstream_limit::LimitReading { rate, asked: asked.at, heard, source };
     match note(context, upstream, reading) {
-        upstream_limit::LimitNews::Known => {}
-        upstream_limit::LimitNews::Changed(..) => notify_coordinator(context, upstream),
-        upstream_limit::LimitNews::Begun(_) | upstream_limit::LimitNews::Ended => {
+        upstream_limit::LimitChange::Known => {}
+        upstream_limit::LimitChange::Changed(..) => notify_coordinator(context, upstream),
+        upstream_limit::LimitChange::Begun(_) | upstream_limit::LimitChange::Ended => {
             if let Some(report) = report(context, upstream) {
                 let message = peer_message::PeerMessage::Limits(vec![report]);
                 member_gossip::broadcast(context, &message);
@@ -115,22 +115,22 @@
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     reading: upstream_limit::LimitReading,
-) -> upstream_limit::LimitNews {
+) -> upstream_limit::LimitChange {
     let news = context.fleet.borrow_mut().list.notices_mut().receive_limit(upstream, reading);
     let source = reading.source;
     let change = match news {
-        upstream_limit::LimitNews::Known => return news,
-        upstream_limit::LimitNews::Begun(rate) => {
+        upstream_limit::LimitChange::Known => return news,
+        upstream_limit::LimitChange::Begun(rate) => {
             log::info!(upstream:%, source:%, rate:%; "upstream.limited");
             "begun"
         }
-        upstream_limit::LimitNews::Changed(rate, before) => {
+        upstream_limit::LimitChange::Changed(rate, before) => {
             if may_log_change(context, upstream) {
                 log::info!(upstream:%, source:%, rate:%, before:%; "upstream.limit_changed");
             }
             "changed"
         }
-        upstream_limit::LimitNews::Ended => {
+        upstream_limit::LimitChange::Ended => {
             log::info!(upstream:%, source:%; "upstream.unlimited");
             "ended"
         }
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -112,11 +112,11 @@
                 }
             }
             AttemptEnd::Fault(fault) => {
-                let surely = fault.failure.surely_not_run();
+                let surely = fault.failure.definitely_not_run();
                 if !surely {
                     record.digest = Some(call.digest().to_string());
                 }
-                if fault.failure.reached_nobody() {
+                if fault.failure.reached_no_upstream() {
                     // Nothing arrived anywhere: the retry is not spent. Streams were cut for want
                     // of another one, after the first went to an engine that was gone.
                     state.retry_taken = state.sent > 0;
@@ -277,7 +277,7 @@
         Ok(answered) => answered,
         Err(fault) => {
             state.sent += 1;
-            let moment = connection_silence::SilentMoment::Head;
+            let moment = connection_silence::SilencePhase::Head;
             let text = engine_fault::note_wait(context, hold, &life, moment, begun_at, fault);
             return Ok(broke(state, text));
         }
@@ -285,7 +285,7 @@
     let mut answer = match answered {
         Ok(answer) => answer,
         Err(fault) => {
-            if !fault.failure.reached_nobody() {
+            if !fault.failure.reached_no_upstream() {
                 state.sent += 1;
             }
             run.failed(&fault);
@@ -332,7 +332,7 @@
                 return Ok(broke(state, error));
             }
             Err(fault) => {
-                let moment = connection_silence::SilentMoment::Midway;
+                let moment = connection_silence::SilencePhase::MidAnswer;
                 let text = engine_fault::note_wait(context, hold, &life, moment, asked_at, fault);
                 return Ok(broke(state, text));
             }
--- a/crates/instance/src/quarantine_gate.rs
+++ b/crates/instance/src/quarantine_gate.rs
@@ -72,7 +72,7 @@
 ) -> Option<quarantine::QuarantineVerdict> {
     let table = context.quarantine.borrow();
     // Without anybody held back no digest is worked out.
-    if !table.holds_any() {
+    if !table.has_quarantined() {
         return None;
     }
     table.verdict(context.now(), call.digest())
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -20,7 +20,7 @@
 
 /// Takes in runs of this process under which an upstream ended.
 pub(crate) fn report(context: &context::InstanceContext, runs: &[upstream_ends::BrokenRun]) {
-    let ended = |run: &upstream_ends::BrokenRun| quarantine::EndedRun {
+    let ended = |run: &upstream_ends::BrokenRun| quarantine::CrashedRun {
         digest: run.digest,
         upstream: run.upstream.clone(),
         sent: run.sent,
@@ -54,7 +54,7 @@
     let now = context.now();
     let ends = ended_runs(now, reports);
     tell_answered(context, from, &ends);
-    let held = context.quarantine.borrow_mut().note_ends(now, ends);
+    let held = context.quarantine.borrow_mut().note_crashes(now, ends);
     log_held(context, &held, "member");
 }
 
@@ -71,7 +71,7 @@
 /// Tells a member what is held back here.
 pub(crate) fn send_held(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
-    let held = context.quarantine.borrow().held_at(now);
+    let held = context.quarantine.borrow().quarantined_at(now);
     for reports in reports(now, &ends_of(context, &held)) {
         context.send_to(to, peer_message::PeerMessage::Held(reports));
     }
@@ -115,9 +115,9 @@
 }
 
 /// Adds evidence, and informs all members of new quarantines.
-fn hold_new(context: &context::InstanceContext, ends: Vec<quarantine::EndedRun>) {
+fn hold_new(context: &context::InstanceContext, ends: Vec<quarantine::CrashedRun>) {
     let now = context.now();
-    let held = context.quarantine.borrow_mut().note_ends(now, ends);
+    let held = context.quarantine.borrow_mut().note_crashes(now, ends);
     if held.is_empty() {
         return;
     }
@@ -134,7 +134,7 @@
 fn tell_answered(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
-    ends: &[quarantine::EndedRun],
+    ends: &[quarantine::CrashedRun],
 ) {
     let now = context.now();
     let table = context.quarantine.borrow();
@@ -156,7 +156,7 @@
 fn ends_of(
     context: &context::InstanceContext,
     digests: &[request_digest::RequestDigest],
-) -> Vec<quarantine::EndedRun> {
+) -> Vec<quarantine::CrashedRun> {
     let table = context.quarantine.borrow();
     digests.iter().flat_map(|digest| table.ends(*digest).to_vec()).collect()
 }
@@ -186,15 +186,15 @@
 /// Messages' worth of reports.
 fn reports(
     now: units::MonoTime,
-    ends: &[quarantine::EndedRun],
+    ends: &[quarantine::CrashedRun],
 ) -> Vec<Vec<peer_message::EndReport>> {
-    let report = |end: &quarantine::EndedRun| peer_message::EndReport {
+    let report = |end: &quarantine::CrashedRun| peer_message::EndReport {
         digest: end.digest,
         upstream: end.upstream.clone(),
         sent_us: micros(now.since(end.sent)),
         ended_us: micros(now.since(end.ended)),
     };
-    let message = |ends: &[quarantine::EndedRun]| ends.iter().map(report).collect();
+    let message = |ends: &[quarantine::CrashedRun]| ends.iter().map(report).collect();
     ends.chunks(peer_message::MAX_ENDS).map(message).collect()
 }
 
@@ -202,9 +202,9 @@
 fn ended_runs(
     now: units::MonoTime,
     reports: Vec<peer_message::EndReport>,
-) -> Vec<quarantine::EndedRun> {
+) -> Vec<quarantine::CrashedRun> {
     let ago = |micros: u64| now.earlier_by(time::Duration::from_micros(micros));
-    let run = |report: peer_message::EndReport| quarantine::EndedRun {
+    let run = |report: peer_message::EndReport| quarantine::CrashedRun {
         digest: report.digest,
         upstream: report.upstream,
         sent: ago(report.sent_us.max(report.ended_us)),
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -118,7 +118,7 @@
     context.quotas.cache.borrow_mut().retain(is_needed);
     let mut log = context.quotas.limit_log.borrow_mut();
     log.retain(|upstream, _| fleet.list.limit(upstream).is_some());
-    context.quotas.ledger.borrow_mut().set_kept(now, &kept);
+    context.quotas.ledger.borrow_mut().set_coordinated(now, &kept);
     context.planners.borrow_mut().set_limits(now, planned);
 }
 
@@ -197,7 +197,13 @@
         }
         None => {
             let mut ledger = context.quotas.ledger.borrow_mut();
-            ledger.request_reserving(now, &subject.sum(), asker, ask, subject.reserved_part())
+            ledger.request_reserving(
+                now,
+                &subject.shared_quota(),
+                asker,
+                ask,
+                subject.reserved_part(),
+            )
         }
     };
     let answer = answer.unwrap_or_else(not_kept);
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -158,8 +158,8 @@
                     kept_silent = Some(entry.name.clone());
                 }
                 text = fault.text;
-                let surely = fault.failure.surely_not_run();
-                if fault.failure.reached_nobody() {
+                let surely = fault.failure.definitely_not_run();
+                if fault.failure.reached_no_upstream() {
                     // Nothing arrived anywhere: the retry is not spent.
                     retry_taken = sent > 0;
                 } else {
--- a/crates/instance/src/small_server.rs
+++ b/crates/instance/src/small_server.rs
@@ -210,7 +210,7 @@
 fn held_rows(context: &context::InstanceContext) -> Vec<serde_json::Value> {
     let now = context.now();
     let table = context.quarantine.borrow();
-    let held = table.held_at(now).into_iter();
+    let held = table.quarantined_at(now).into_iter();
     let verdicts = held.filter_map(|digest| Some((digest, table.verdict(now, digest)?)));
     let row =
         |(digest, verdict): (request_digest::RequestDigest, quarantine::QuarantineVerdict)| {
@@ -277,7 +277,7 @@
 
 /// How many requests are held back.
 fn held_gauge(context: &context::InstanceContext) -> String {
-    let held = context.quarantine.borrow().held_at(context.now()).len();
+    let held = context.quarantine.borrow().quarantined_at(context.now()).len();
     format!("slipturn_requests_held {held}\n")
 }
 
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -70,9 +70,9 @@
     }
 
     /// Whether its next attempt may find out whether an engine takes work again after its rest.
-    pub(crate) fn turn(&self, call: &incoming_call::IncomingCall) -> send_gate::TrialTurn {
+    pub(crate) fn turn(&self, call: &incoming_call::IncomingCall) -> send_gate::ProbePermission {
         let made = self.excluded.len().max(self.sent as usize);
-        send_gate::TrialTurn::of(made, call.route.max_attempts)
+        send_gate::ProbePermission::of(made, call.route.max_attempts)
     }
 
     /// Whether any engine is left for the request, besides one that has it; where there is none,
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -119,7 +119,7 @@
             let piece = match monoio::time::timeout(silence, next.as_mut()).await {
                 Ok(piece) => piece,
                 Err(_) if give_up(RetryReach::OtherUpstream).await => {
-                    let moment = connection_silence::SilentMoment::Midway;
+                    let moment = connection_silence::SilencePhase::MidAnswer;
                     let life = &self.connection.life;
                     let waited = silence;
                     let wait = upstream_silence::SilentWait { upstream, life, moment, waited };
@@ -222,7 +222,7 @@
     if used && let Ok(answered) = monoio::time::timeout(wait.kept, work.as_mut()).await {
         return answered;
     }
-    let moment = connection_silence::SilentMoment::Head;
+    let moment = connection_silence::SilencePhase::Head;
     let doubted = used && context.pool.cause(&life, moment, wait.kept).doubts_others();
     let in_time = call.left(context.now()) >= wait.usual;
     let kept_silent = doubted && in_time && give_up(RetryReach::AnyUpstream).await;
@@ -254,7 +254,7 @@
     let before = call.may_have_run.get();
     call.may_have_run.set(before + 1);
     let answered = write_and_read(context, call, target, connection).await;
-    if answered.as_ref().is_err_and(|fault| fault.failure.surely_not_run()) {
+    if answered.as_ref().is_err_and(|fault| fault.failure.definitely_not_run()) {
         call.may_have_run.set(before);
     }
     answered
--- a/crates/instance/src/upstream_choice.rs
+++ b/crates/instance/src/upstream_choice.rs
@@ -45,7 +45,7 @@
         match self {
             Self::Rest { first, now, .. } => {
                 let (left, lasted) = (first.until.since(*now), first.lasts());
-                refusal::rest_return(left, lasted, &mut rand::rng())
+                refusal::backoff_retry_after(left, lasted, &mut rand::rng())
             }
             Self::Evacuated { back_after, .. } | Self::Limited { back_after, .. } => *back_after,
         }
@@ -79,14 +79,14 @@
 ) -> Option<NoneOpen> {
     let now = context.now();
     let fleet = context.fleet.borrow();
-    let open = fleet.list.open(now, service, send_gate::TrialTurn::Yes);
+    let open = fleet.list.open(now, service, send_gate::ProbePermission::Yes);
     if open.is_empty() {
         let service = service.clone();
         if let Some(first) = fleet.list.first_back(now, &service) {
             return Some(NoneOpen::Rest { service, first, now });
         }
         let away = fleet.list.evacuated_for(now, &service)?;
-        let back_after = refusal::outage_return(away, left);
+        let back_after = refusal::outage_retry_after(away, left);
         return Some(NoneOpen::Evacuated { service, back_after });
     }
     let limits = open.iter().map(|entry| fleet.list.limit(&entry.name)?.reading.rate);
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -114,7 +114,7 @@
 
     /// It failed: unless the upstream surely did not run it, its connection has broken.
     pub(crate) fn failed(mut self, fault: &upstream_attempt::AttemptFault) {
-        self.ended = fault.failure.surely_not_run();
+        self.ended = fault.failure.definitely_not_run();
         self.broke = !self.ended;
     }
 
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -202,7 +202,7 @@
     pub fn cause(
         &self,
         silent: &ConnectionLife,
-        moment: connection_silence::SilentMoment,
+        moment: connection_silence::SilencePhase,
         waited: time::Duration,
     ) -> connection_silence::SilenceCause {
         let lives = self.lives.borrow();
@@ -218,7 +218,7 @@
         // heard speaks for the others, and only those to the same upstream stay in doubt.
         let lives = self.lives.borrow();
         let others = ages_beside(silent, lives.values().flatten());
-        let all = !silent.ages().reserved_part(waited, others);
+        let all = !silent.ages().has_live_peer(waited, others);
         let mut resting = self.resting.borrow_mut();
         let count = |resting: &collections::HashMap<_, Vec<_>>| -> usize {
             resting.values().map(Vec::len).sum()
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -16,7 +16,7 @@
     /// The connection.
     pub life: &'a upstream_pool::ConnectionLife,
     /// What was awaited.
-    pub moment: connection_silence::SilentMoment,
+    pub moment: connection_silence::SilencePhase,
     /// How long.
     pub waited: time::Duration,
 }
--- a/crates/instance/tests/rest_ways.rs
+++ b/crates/instance/tests/rest_ways.rs
@@ -14,7 +14,7 @@
         ways::{ClosedEngineWay, PlannerWays},
     },
     route_table,
-    send_gate::{SendKind, TrialTurn},
+    send_gate::{ProbePermission, SendKind},
     settings::RoutingKind,
     units,
     upstream_list::{UpstreamEntry, UpstreamList},
@@ -148,7 +148,7 @@
             if made >= ATTEMPTS {
                 return false;
             }
-            let turn = TrialTurn::of(excluded.len(), ATTEMPTS);
+            let turn = ProbePermission::of(excluded.len(), ATTEMPTS);
             let mut all = excluded.clone();
             if closed == ClosedEngineWay::Asked {
                 let service = service();
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -159,7 +159,7 @@
         customer: &ids::CustomerId,
         limit: budget::BudgetLimit,
         want: units::TokenCount,
-    ) -> Result<Result<budget::BudgetPortion, budget::BudgetEmpty>, LinkError> {
+    ) -> Result<Result<budget::BudgetPortion, budget::BudgetExhausted>, LinkError> {
         self.call(ANSWER_LIMIT, async |client| {
             let mut call = client.draw_request();
             call.get().set_customer(customer.as_str());
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -14,7 +14,7 @@
 /// End of a wait for a place: the priority to send to the engine.
 pub type PlaceAnswer = Result<u8, refusal::RequestRefusal>;
 /// A portion of a budget, or when there will be one.
-pub type PortionAnswer = Result<budget::BudgetPortion, budget::BudgetEmpty>;
+pub type PortionAnswer = Result<budget::BudgetPortion, budget::BudgetExhausted>;
 
 /// Documents to hand on, with their numbers.
 #[derive(Debug, Clone, Default)]
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -39,7 +39,7 @@
     engines: collections::BTreeMap<ids::EngineId, EngineCare>,
     /// Entries waiting for a place. Invariant: each attempt is in the queue of one ledger.
     waiting: collections::HashMap<ids::AttemptId, oneshot::Sender<event::PlaceAnswer>>,
-    keeper: budget::BudgetKeeper,
+    keeper: budget::BudgetLedger,
     voter: key_vote::KeyVoter,
 }
 
@@ -53,7 +53,7 @@
             documents: document_store::DocumentStore::default(),
             engines: collections::BTreeMap::new(),
             waiting: collections::HashMap::new(),
-            keeper: budget::BudgetKeeper::default(),
+            keeper: budget::BudgetLedger::default(),
             voter,
         }
     }
@@ -211,7 +211,7 @@
             return Vec::new();
         }
         if self.live_instances() != instances {
-            self.keeper.note_change(now);
+            self.keeper.note_membership_change(now);
         }
         self.see_instances(now);
         self.follow_engines(now)
@@ -223,8 +223,10 @@
     }
 
     fn see_instances(&mut self, now: units::MonoTime) {
-        self.voter
-            .see_list(now, self.documents.list().instances.iter().map(|instance| &instance.name));
+        self.voter.update_list(
+            now,
+            self.documents.list().instances.iter().map(|instance| &instance.name),
+        );
     }
 
     /// Takes over the engines this scheduler owns, and drops the unlisted ones.
@@ -404,7 +406,7 @@
             engines: engines.collect(),
             budgets: self.keeper.len(),
             keys: self.voter.len(),
-            votes: self.voter.remembers_whole_window(now),
+            votes: self.voter.has_full_history(now),
             watchers: self.documents.watchers(),
         }
     }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -185,29 +185,29 @@
 /// Writes a portion of a budget, or when there will be one.
 pub fn write_portion(
     mut builder: scheduler_capnp::portion_reply::Builder<'_>,
-    answer: Result<budget::BudgetPortion, budget::BudgetEmpty>,
+    answer: Result<budget::BudgetPortion, budget::BudgetExhausted>,
 ) {
     match answer {
         Ok(portion) => {
             let mut group = builder.init_portion();
             group.set_tokens(portion.tokens.0);
-            group.set_life_ms(units::whole_millis(portion.life));
+            group.set_life_ms(units::whole_millis(portion.ttl));
         }
-        Err(budget::BudgetEmpty(wait)) => builder.set_empty_ms(units::whole_millis(wait)),
+        Err(budget::BudgetExhausted(wait)) => builder.set_empty_ms(units::whole_millis(wait)),
     }
 }
 
 /// Reads a portion of a budget, or when there will be one.
 pub fn read_portion(
     reader: scheduler_capnp::portion_reply::Reader<'_>,
-) -> Result<Result<budget::BudgetPortion, budget::BudgetEmpty>, WireError> {
+) -> Result<Result<budget::BudgetPortion, budget::BudgetExhausted>, WireError> {
     use scheduler_capnp::portion_reply::Which;
     match reader.which().map_err(unknown_variant)? {
         Which::Portion(group) => Ok(Ok(budget::BudgetPortion {
             tokens: units::TokenCount(group.get_tokens()),
-            life: time::Duration::from_millis(group.get_life_ms()),
+            ttl: time::Duration::from_millis(group.get_life_ms()),
         })),
-        Which::EmptyMs(wait) => Ok(Err(budget::BudgetEmpty(time::Duration::from_millis(wait)))),
+        Which::EmptyMs(wait) => Ok(Err(budget::BudgetExhausted(time::Duration::from_millis(wait)))),
     }
 }
 
