--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,59 +1,64 @@
-//! A customer's token budget, kept by one scheduler and handed to entries in expiring portions.
+//! Token budgets of customers.
 //!
-//! A bucket may go into debt by one grant, so that a prompt larger than what is in it can start as
-//! long as anything is; the debt delays what follows. An entry cut off from the keeper uses its
-//! part of the limit: the rate divided by the live entries.
+//! One scheduler holds a customer's token bucket and grants entries portions of it that expire. A
+//! bucket may go into debt by one grant, so that a prompt larger than its level can start while
+//! the level is positive; later grants wait until the debt is repaid. An entry that cannot reach
+//! the scheduler uses its share of the limit: the rate divided by the number of live entries.
 
 use std::{collections, time};
 
 use crate::{ids, units};
 
-/// How long a portion may be used.
+/// Validity of a portion.
 pub const PORTION_TTL: time::Duration = time::Duration::from_secs(2);
-/// An entry draws ahead what it has itself spent in about this time, and no more: what it does not
-/// spend expires, and would be lost to the customer.
+/// Time constant of the spending average by which an entry draws ahead. Unspent tokens expire and
+/// are lost to the customer, so an entry draws no more than it is about to spend.
 const DRAW_AHEAD: time::Duration = time::Duration::from_millis(200);
-/// A bucket that has just been made holds what the limit has given since the keeper can have had a
-/// predecessor, but at least what it gives in this time. A keeper that takes over must not hand out
-/// a whole burst a second time; one that has kept all along knows that the customer was idle.
-const FRESH_SPAN: time::Duration = time::Duration::from_millis(250);
-/// A bucket unused for this long is forgotten.
-const IDLE_LIMIT: time::Duration = time::Duration::from_secs(60);
+/// Least time for which a new bucket is credited with tokens.
+///
+/// A new bucket holds what the limit allows since another scheduler may last have granted from
+/// the same budget: a scheduler that takes over must not grant a full burst a second time, and one
+/// that has been responsible throughout knows that the customer was idle.
+const MIN_INITIAL_FILL: time::Duration = time::Duration::from_millis(250);
+/// Time after which an unused bucket is dropped.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 /// A customer's limit, as resolved from the settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimit {
-    /// Tokens a second in the long run.
+    /// Sustained rate.
     pub rate: units::TokenRate,
-    /// Tokens at once after a pause.
+    /// Most tokens available at once, after an idle period.
     pub burst: units::TokenCount,
 }
 
-/// Tokens an entry may spend until the portion expires.
+/// Tokens that an entry may spend until the portion expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetPortion {
-    /// How many.
+    /// Size of the portion.
     pub tokens: units::TokenCount,
-    /// For how long.
+    /// Validity, counted from when the entry receives the portion.
     pub ttl: time::Duration,
 }
 
-/// Nothing left; the time until there is something again.
+/// The budget is used up; holds the time until tokens are available again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetExhausted(pub time::Duration);
 
 #[derive(Debug)]
 struct TokenBucket {
-    /// Tokens in it; below zero while in debt. Invariant: never above the burst.
+    /// Tokens available, negative while in debt; each refill caps it at the burst.
     level: f64,
-    filled: units::MonoTime,
+    /// Time of the last refill.
+    refilled: units::MonoTime,
 }
 
 impl TokenBucket {
-    fn fresh(now: units::MonoTime, kept: time::Duration, limit: BudgetLimit) -> Self {
-        let span = kept.max(FRESH_SPAN).as_secs_f64();
+    /// A new bucket of a customer that has drawn from no other scheduler for `exclusive`.
+    fn new(now: units::MonoTime, exclusive: time::Duration, limit: BudgetLimit) -> Self {
+        let span = exclusive.max(MIN_INITIAL_FILL).as_secs_f64();
         let level = (limit.rate.0 * span).min(limit.burst.0 as f64);
-        Self { level, filled: now }
+        Self { level, refilled: now }
     }
 
     fn take(
@@ -62,9 +67,9 @@
         limit: BudgetLimit,
         want: units::TokenCount,
     ) -> Result<(), BudgetExhausted> {
-        let gained = limit.rate.0 * now.since(self.filled).as_secs_f64();
+        let gained = limit.rate.0 * now.since(self.refilled).as_secs_f64();
         self.level = (self.level + gained).min(limit.burst.0 as f64);
-        self.filled = self.filled.max(now);
+        self.refilled = self.refilled.max(now);
         if self.level <= 0.0 {
             let debt = units::TokenCount((1.0 - self.level) as u64);
             return Err(BudgetExhausted(limit.rate.time_for(debt)));
@@ -74,21 +79,21 @@
     }
 }
 
-/// The keeper's side: one bucket for each customer in use.
+/// The scheduler's token buckets, one for each customer with recent requests.
 #[derive(Debug, Default)]
 pub struct BudgetLedger {
-    /// Since when no customer can have had another keeper.
-    since: units::MonoTime,
+    /// Time of the last membership change: no other scheduler has granted from these budgets since.
+    exclusive_since: units::MonoTime,
     buckets: collections::HashMap<ids::CustomerId, TokenBucket>,
 }
 
 impl BudgetLedger {
-    /// Notes that customers may have changed keepers, as after each change of the instances.
+    /// Records a change of the live instances, which may have moved customers between schedulers.
     pub fn note_membership_change(&mut self, now: units::MonoTime) {
-        self.since = now;
+        self.exclusive_since = now;
     }
 
-    /// Hands out a portion of `want` tokens.
+    /// Grants a portion of `want` tokens.
     pub fn draw(
         &mut self,
         now: units::MonoTime,
@@ -96,27 +101,27 @@
         limit: BudgetLimit,
         want: units::TokenCount,
     ) -> Result<BudgetPortion, BudgetExhausted> {
-        let kept = now.since(self.since);
-        let fresh = || TokenBucket::fresh(now, kept, limit);
-        let bucket = self.buckets.entry(customer.clone()).or_insert_with(fresh);
+        let exclusive = now.since(self.exclusive_since);
+        let new = || TokenBucket::new(now, exclusive, limit);
+        let bucket = self.buckets.entry(customer.clone()).or_insert_with(new);
         bucket.take(now, limit, want)?;
         Ok(BudgetPortion { tokens: want, ttl: PORTION_TTL })
     }
 
-    /// Takes unspent tokens back, for instance when an answer was shorter than allowed.
+    /// Returns unspent tokens, for instance when an answer was shorter than allowed.
     pub fn refund(&mut self, customer: &ids::CustomerId, tokens: units::TokenCount) {
         if let Some(bucket) = self.buckets.get_mut(customer) {
             bucket.level += tokens.0 as f64;
         }
     }
 
-    /// Forgets customers that have not drawn for a while and whose bucket would be as full anew.
+    /// Drops idle buckets, once a new bucket would be credited with at least [`IDLE_TIMEOUT`].
     pub fn prune(&mut self, now: units::MonoTime) {
-        let settled = now.since(self.since) >= IDLE_LIMIT;
-        self.buckets.retain(|_, bucket| !settled || now.since(bucket.filled) < IDLE_LIMIT);
+        let settled = now.since(self.exclusive_since) >= IDLE_TIMEOUT;
+        self.buckets.retain(|_, bucket| !settled || now.since(bucket.refilled) < IDLE_TIMEOUT);
     }
 
-    /// Customers with a bucket.
+    /// Number of customers with a bucket.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
@@ -127,17 +132,19 @@
     }
 }
 
-/// The entry's side: portions held, and the fallback for when the keeper is out of reach.
+/// An entry's unexpired portions, and its buckets for when the scheduler is unreachable.
 #[derive(Debug, Default)]
 pub struct BudgetCache {
+    /// Tokens left and expiry, by customer.
     portions: collections::HashMap<ids::CustomerId, (f64, units::MonoTime)>,
-    /// Tokens spent lately, decaying over [`DRAW_AHEAD`], as of the time given.
+    /// Recently spent tokens, decaying over [`DRAW_AHEAD`], and the time of the last update.
     spending: collections::HashMap<ids::CustomerId, (f64, units::MonoTime)>,
+    /// This entry's share of each limit.
     fallback: BudgetLedger,
 }
 
 impl BudgetCache {
-    /// Spends from a portion held; `false` means a new one must be drawn first.
+    /// Spends from a cached portion; `false` means that a new one must be drawn first.
     pub fn spend(
         &mut self,
         now: units::MonoTime,
@@ -155,50 +162,50 @@
             return false;
         }
         *left -= want.0 as f64;
-        self.count_spending(now, customer, want);
+        self.record_spending(now, customer, want);
         true
     }
 
-    /// Tokens to draw for a request: its own, and what this entry is about to spend besides.
+    /// Tokens to draw for a request: its own, and those of the requests expected next.
     pub fn draw_size(
         &self,
         now: units::MonoTime,
         customer: &ids::CustomerId,
         want: units::TokenCount,
     ) -> units::TokenCount {
-        want + units::TokenCount(self.spent_lately(now, customer) as u64)
+        want + units::TokenCount(self.recent_spending(now, customer) as u64)
     }
 
-    fn spent_lately(&self, now: units::MonoTime, customer: &ids::CustomerId) -> f64 {
-        let Some((spent, since)) = self.spending.get(customer) else { return 0.0 };
-        spent * (-now.since(*since).as_secs_f64() / DRAW_AHEAD.as_secs_f64()).exp()
+    fn recent_spending(&self, now: units::MonoTime, customer: &ids::CustomerId) -> f64 {
+        let Some((spent, updated)) = self.spending.get(customer) else { return 0.0 };
+        spent * (-now.since(*updated).as_secs_f64() / DRAW_AHEAD.as_secs_f64()).exp()
     }
 
-    fn count_spending(
+    fn record_spending(
         &mut self,
         now: units::MonoTime,
         customer: &ids::CustomerId,
         spent: units::TokenCount,
     ) {
-        let lately = self.spent_lately(now, customer) + spent.0 as f64;
-        self.spending.insert(customer.clone(), (lately, now));
+        let recent = self.recent_spending(now, customer) + spent.0 as f64;
+        self.spending.insert(customer.clone(), (recent, now));
     }
 
-    /// Puts a drawn portion into the purse.
+    /// Adds a drawn portion to what is left of the customer's earlier ones.
     pub fn add(
         &mut self,
         now: units::MonoTime,
         customer: &ids::CustomerId,
         portion: BudgetPortion,
     ) {
-        let held = self.portions.entry(customer.clone()).or_insert((0.0, now));
-        if held.1 <= now {
-            held.0 = 0.0;
+        let cached = self.portions.entry(customer.clone()).or_insert((0.0, now));
+        if cached.1 <= now {
+            cached.0 = 0.0;
         }
-        *held = (held.0 + portion.tokens.0 as f64, now + portion.ttl);
+        *cached = (cached.0 + portion.tokens.0 as f64, now + portion.ttl);
     }
 
-    /// Spends without the keeper: this entry's part of the limit.
+    /// Spends from this entry's share of the limit, without the scheduler.
     pub fn spend_alone(
         &mut self,
         now: units::MonoTime,
@@ -207,16 +214,16 @@
         live_entries: usize,
         want: units::TokenCount,
     ) -> Result<(), BudgetExhausted> {
-        let part = live_entries.max(1) as f64;
-        let rate = units::TokenRate(limit.rate.0 / part);
-        let limit = BudgetLimit { rate, burst: limit.burst.scale(1.0 / part) };
+        let entries = live_entries.max(1) as f64;
+        let rate = units::TokenRate(limit.rate.0 / entries);
+        let limit = BudgetLimit { rate, burst: limit.burst.scale(1.0 / entries) };
         self.fallback.draw(now, customer, limit, want).map(|_| ())
     }
 
-    /// Drops expired portions.
+    /// Drops expired portions, old spending and idle buckets.
     pub fn prune(&mut self, now: units::MonoTime) {
         self.portions.retain(|_, (_, expires)| *expires > now);
-        self.spending.retain(|_, (_, since)| now.since(*since) < PORTION_TTL);
+        self.spending.retain(|_, (_, updated)| now.since(*updated) < PORTION_TTL);
         self.fallback.prune(now);
     }
 }
