--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -1,89 +1,92 @@
-//! What a silent connection says: that it is dead, as others of its age may be, or that its
-//! upstream is slow.
+//! Classification of silent connections: a dead connection or a slow upstream.
 //!
-//! Connections can fall silent for good without a reset while new ones work, and what strikes one
-//! strikes others that were open then. Ages stand for points in time, so that no clock is needed.
+//! Connections can go silent permanently without a reset while new ones work, and a fault that
+//! affects one usually affects others that were open at that time. Points in time are given as
+//! ages, so that this module needs no clock.
 
 use std::time;
 
-/// Answers before an upstream's usual time is known.
-const LEAST_ANSWERS: u32 = 8;
-/// Weight of the newest answer in the mean, and of its distance in the spread: those by which TCP
-/// follows round trips.
+/// Answers needed before the usual answer time is known.
+const MIN_ANSWERS: u32 = 8;
+/// Weight of the newest answer in the mean. This and the other weights are those of TCP's
+/// round-trip time estimate.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
-/// See [`MEAN_WEIGHT`].
-const SPREAD_WEIGHT: f64 = 1.0 / 4.0;
-/// Spreads above the mean within which answers come.
-const SPREADS: f64 = 4.0;
-/// Times that within which an answer is awaited on a connection that has rested.
-const KEPT_TIMES: f64 = 1.5;
-/// Part of the goal that is awaited at least; the rest is for the request on a new connection.
+/// Weight of the newest answer in the mean deviation.
+const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
+/// Mean deviations added to the mean for the usual answer time.
+const DEVIATIONS: f64 = 4.0;
+/// Wait for an answer on a reused connection, as a multiple of the usual answer time.
+const REUSED_FACTOR: f64 = 1.5;
+/// Least wait on a reused connection, as a part of the latency goal. The remainder is for sending
+/// the request again on a new connection.
 const GOAL_PART: f64 = 0.6;
-/// Part of a wait in whose course a connection must have been heard to be trusted after it. The
-/// answer was due in the earlier part, so the silence had begun by its end.
+/// Latest part of a wait in which a connection must have received data to be trusted. The answer
+/// was due in the earlier part, so the silence had begun by then.
 const TRUST_PART: f64 = 0.5;
 
-/// How long answers of one kind take, from the request's writing to their head.
+/// Estimate of how long answers of one kind take, from writing the request to receiving the head.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AnswerTimes {
     answers: u32,
+    /// Mean time, seconds.
     mean: f64,
-    spread: f64,
+    /// Mean deviation from `mean`, seconds.
+    deviation: f64,
 }
 
 impl AnswerTimes {
-    /// Takes in an answer.
+    /// Updates the estimate with an answer that took `span`.
     pub fn note(&mut self, span: time::Duration) {
         let seconds = span.as_secs_f64();
         if self.answers == 0 {
             self.mean = seconds;
-            self.spread = seconds / 2.0;
+            self.deviation = seconds / 2.0;
         } else {
-            let distance = seconds - self.mean;
-            self.mean += distance * MEAN_WEIGHT;
-            self.spread += (distance.abs() - self.spread) * SPREAD_WEIGHT;
+            let error = seconds - self.mean;
+            self.mean += error * MEAN_WEIGHT;
+            self.deviation += (error.abs() - self.deviation) * DEVIATION_WEIGHT;
         }
         self.answers = self.answers.saturating_add(1);
     }
 
-    /// How long answers take at most, usually; nothing while too few are known.
+    /// Time within which answers usually arrive; zero until enough answers are known.
     pub fn usual(&self) -> time::Duration {
-        if self.answers < LEAST_ANSWERS {
+        if self.answers < MIN_ANSWERS {
             return time::Duration::ZERO;
         }
-        let seconds = self.mean + self.spread * SPREADS;
+        let seconds = self.mean + self.deviation * DEVIATIONS;
         time::Duration::try_from_secs_f64(seconds).unwrap_or(time::Duration::MAX / 2)
     }
 
-    /// How long a head is awaited on a connection that has rested, before the request goes out
-    /// anew; never longer than `longest`, the wait for a slow upstream.
+    /// How long to wait for a head on a reused connection before the request is sent again; at most
+    /// `longest`, the wait for a slow upstream.
     pub fn kept_wait(&self, goal: time::Duration, longest: time::Duration) -> time::Duration {
-        if self.answers < LEAST_ANSWERS {
+        if self.answers < MIN_ANSWERS {
             return longest;
         }
-        let wait = self.usual().mul_f64(KEPT_TIMES);
+        let wait = self.usual().mul_f64(REUSED_FACTOR);
         wait.max(goal.mul_f64(GOAL_PART)).min(longest)
     }
 }
 
-/// What is known of a connection.
+/// Time since the events of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionAges {
-    /// Time since it was opened.
+    /// Time since the connection was opened.
     pub opened: time::Duration,
-    /// Time since it was last heard; nothing while it has never been.
+    /// Time since data was last received; `None` if none ever was.
     pub heard: Option<time::Duration>,
 }
 
 impl ConnectionAges {
-    /// Whether it was heard in the course of a wait of `waited` that ends now, late enough that it
-    /// cannot have fallen silent with what was waited for.
+    /// Whether data was received late enough in a wait of `waited`, which ends now, that this
+    /// connection cannot have gone silent together with the one that was waited for.
     pub fn trusted(&self, waited: time::Duration) -> bool {
         self.heard.is_some_and(|heard| heard < waited.mul_f64(TRUST_PART))
     }
 
-    /// Whether one of `others` was open all the time in which this one may have fallen silent, and
-    /// was heard late in the wait: whatever struck this one has spared that one.
+    /// Whether one of `others` was open for as long as this connection may have been silent, and is
+    /// trusted after the wait: a fault of this connection did not affect that one.
     pub fn has_live_peer(
         &self,
         waited: time::Duration,
@@ -93,36 +96,38 @@
         others.any(|other| other.opened >= silent && other.trusted(waited))
     }
 
-    /// Since when it may have been silent.
+    /// Longest time for which the connection may have been silent.
     fn silent(&self) -> time::Duration {
         self.heard.unwrap_or(self.opened)
     }
 }
 
-/// What a connection was silent in.
+/// Phase of a request in which its connection went silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilencePhase {
-    /// The head of an answer was awaited.
+    /// Before the head of the answer.
     Head,
-    /// Part of an answer had come.
+    /// After part of the answer.
     MidAnswer,
 }
 
-/// What a silence is taken for.
+/// Assumed cause of a silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceCause {
-    /// A connection that had rested is dead; others that rested through the same time may be.
+    /// A reused connection is dead; others that were idle during the same time may be dead as well.
     KeptConnection,
-    /// A connection died in the middle of an answer; others that were open then may have, too.
+    /// A connection died in the middle of an answer; others that were open then may be dead as well.
     OpenConnection,
-    /// A new connection came about and nothing was heard: the upstream is dark.
+    /// A connection never received any data: the upstream is unresponsive.
     Upstream,
-    /// Others to the same upstream, open as long, are heard: it is slow with this request.
+    /// Another connection to the upstream, open for as long, receives data: only this request is
+    /// slow.
     SlowUpstream,
 }
 
 impl SilenceCause {
-    /// What `silent` shows after a wait of `waited`, beside the other connections to its upstream.
+    /// The cause of the silence of `silent` after a wait of `waited`, given the `others` to the same
+    /// upstream.
     pub fn of(
         silent: ConnectionAges,
         moment: SilencePhase,
@@ -141,12 +146,12 @@
         }
     }
 
-    /// Whether other connections to the upstream are in doubt that have not been heard since.
+    /// Whether other connections may be dead as well, unless they received data since.
     pub fn doubts_others(self) -> bool {
         matches!(self, Self::KeptConnection | Self::OpenConnection)
     }
 
-    /// Its name in figures and log lines.
+    /// Label in metrics and log lines.
     pub fn label(self) -> &'static str {
         match self {
             Self::KeptConnection => "kept connection",
