--- a/crates/core/src/fleet_budget.rs
+++ b/crates/core/src/fleet_budget.rs
@@ -7,36 +7,37 @@
 
 use crate::{send_pace, units};
 
-/// Part of the budget added by own requests that is used; the rest absorbs differing views.
+/// Part of the budget added by this member's own requests that it uses. The remainder absorbs differing views.
 const USED_PART: f64 = 0.6;
-/// Part of the fixed quota that is split evenly. Halves of a partitioned fleet that forget each other use it twice.
+/// Part of the fixed quota that is split evenly. Halves of a partitioned fleet that consider each other gone use it
+/// twice.
 const SPLIT_PART: f64 = 0.3;
 /// Part of the fixed quota that its coordinator grants; also used twice after a partition.
-const KEPT_PART: f64 = 0.2;
-/// The same in fleets so large that a split share is less than one retry.
-const KEPT_ALONE_PART: f64 = SPLIT_PART + KEPT_PART;
+const GRANTED_PART: f64 = 0.2;
+/// Part that the coordinator grants in fleets so large that an evenly split share is less than one retry.
+const GRANTED_ALONE_PART: f64 = SPLIT_PART + GRANTED_PART;
 
 /// The fleet's retry budget for one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBound {
-    /// Retries for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Retries beyond that in one window, of all members together.
+    /// Fixed quota: retries of all members together that are allowed in one window beyond that.
     pub extra: f64,
     /// Length of the window; every span of that length counts.
     pub window: time::Duration,
 }
 
 impl RetryBound {
-    /// The coordinator's token bucket for its `part` of the quota. Half of it is available at once and the rest over
-    /// time, so that no window exceeds the quota.
+    /// Bound of the coordinator's token bucket for its `part` of the quota. Half of it is available at once and the
+    /// rest over time, so that no window exceeds the quota.
     pub fn kept(&self, part: f64, members: Option<usize>) -> send_pace::PaceBound {
         let is_split = members.is_none_or(|members| self.split(members) >= 1.0);
-        let kept = if is_split { KEPT_PART } else { KEPT_ALONE_PART };
-        let most = self.extra * kept * part.clamp(0.0, 1.0);
-        let rate = most / 2.0 / self.window.as_secs_f64();
+        let granted_part = if is_split { GRANTED_PART } else { GRANTED_ALONE_PART };
+        let quota = self.extra * granted_part * part.clamp(0.0, 1.0);
+        let rate = quota / 2.0 / self.window.as_secs_f64();
         let rate = units::RequestRate::try_from(rate).unwrap_or_default();
-        // A coordinator that changes a few times within a window grants less than the remainder of the quota.
+        // Coordinators that replace each other a few times within a window grant less than the unused quota.
         send_pace::PaceBound { rate, catch_up: self.window, credit: self.window / 2 }
     }
 
@@ -46,16 +47,18 @@
     }
 }
 
-/// Recent requests and retries of this member.
+/// This member's share of the retry budget, with its requests and retries of the last window.
 #[derive(Debug)]
 pub struct RetryShare {
     bound: RetryBound,
+    /// Times of recent requests, oldest first.
     requests: collections::VecDeque<units::MonoTime>,
+    /// Times of recent retries, oldest first.
     retries: collections::VecDeque<units::MonoTime>,
 }
 
 impl RetryShare {
-    /// An unused share.
+    /// Creates a share without requests or retries.
     pub fn new(bound: RetryBound) -> Self {
         Self {
             bound,
@@ -70,8 +73,10 @@
         self.requests.push_back(now);
     }
 
-    /// Takes one retry from this member's share. While the number of `members` is unknown the share is what its own
-    /// requests add, as all members may be in the same state.
+    /// Takes one retry from the share and returns whether there was one left.
+    ///
+    /// While the number of `members` is unknown, the share is only what this member's requests add, as all members may
+    /// be in the same state.
     pub fn take(&mut self, now: units::MonoTime, members: Option<usize>) -> bool {
         self.prune(now);
         let split = members.map_or(0.0, |members| self.bound.split(members));
