--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,18 +1,19 @@
-//! Names of things, each a type of its own so that one cannot be passed for another.
+//! Identifiers, each a distinct type so that one cannot be passed in place of another.
 
 use std::{fmt, str, sync};
 
 use snafu::Snafu;
 
-/// Longest accepted name, in bytes.
+/// Longest valid name, in bytes.
 pub const MAX_NAME_LENGTH: usize = 96;
 
-/// Why a text is not a valid name.
+/// Error for a text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
     "found '{found}', expected 1 to {MAX_NAME_LENGTH} letters, digits, '.', '_', ':' or '-'"
 ))]
 pub struct NameError {
+    /// The text, cut to [`MAX_NAME_LENGTH`] characters.
     found: String,
 }
 
@@ -41,7 +42,7 @@
         pub struct $name(sync::Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -85,15 +86,15 @@
 }
 
 text_id! {
-    /// One model engine, the upstream of completions.
+    /// A model engine, the upstream of completions.
     EngineId
 }
 text_id! {
-    /// A plain service, served by any of its upstreams.
+    /// A service, provided by a group of upstreams.
     ServiceId
 }
 text_id! {
-    /// One entry instance: it runs one entry and one scheduler.
+    /// An instance, which runs one entry and one scheduler.
     InstanceId
 }
 text_id! {
@@ -113,67 +114,68 @@
     ClassId
 }
 text_id! {
-    /// A model, named by callers and served by engines.
+    /// A model that callers request by this name and engines serve.
     ModelId
 }
 text_id! {
-    /// One request of a caller: `INSTANCE:BOOT:SEQUENCE`, so that it tells which instance to ask.
+    /// A request of a caller: `INSTANCE:BOOT:SEQUENCE`, from which the instance that received it can
+    /// be derived.
     RequestId
 }
 text_id! {
-    /// One attempt of a request: the request's id, a colon and the attempt's number.
+    /// An attempt of a request: the request's id, a colon and the attempt's number.
     AttemptId
 }
 
 text_id! {
-    /// One start of an upstream: `IDENTIFIER`, or `IDENTIFIER@START` where upstreams tell their starts
-    /// apart.
+    /// One start of an upstream: `IDENTIFIER`, or `IDENTIFIER@START` if the upstream reports its
+    /// start.
     ///
-    /// An upstream may start again under its identifier, and then knows nothing of before. What it
-    /// held, was given and was believed of it belongs to one start, and is kept under this name.
+    /// An upstream may restart under its identifier and loses its state then. Its memory contents, its
+    /// assigned work and what is known of it belong to one start, so they are stored under this name.
     checked by check_upstream
     UpstreamId
 }
 
 impl UpstreamId {
-    /// An upstream by its identifier alone; a text that names a start is none.
+    /// Creates the id of an upstream without a start; fails if `text` contains one.
     pub fn of_identifier(text: &str) -> Result<Self, NameError> {
         check_name(text)?;
         Ok(Self(text.into()))
     }
 
-    /// This start of the same upstream.
+    /// Returns the id of the given start of the same upstream.
     pub fn with_start(&self, start: UpstreamStart) -> Self {
-        Self(format!("{}{START_MARK}{start}", self.identifier()).into())
+        Self(format!("{}{START_SEPARATOR}{start}", self.identifier()).into())
     }
 
-    /// What all starts of the upstream have in common.
+    /// Returns the identifier, which all starts of the upstream share.
     pub fn identifier(&self) -> &str {
-        self.0.split_once(START_MARK).map_or(&*self.0, |(identifier, _)| identifier)
+        self.0.split_once(START_SEPARATOR).map_or(&*self.0, |(identifier, _)| identifier)
     }
 
-    /// Which start it is, if the upstream reports it.
+    /// Returns the start, if the upstream reports it.
     pub fn start(&self) -> Option<UpstreamStart> {
-        self.0.split_once(START_MARK)?.1.parse().ok()
+        self.0.split_once(START_SEPARATOR)?.1.parse().ok()
     }
 }
 
-/// Between an upstream's identifier and its start; no identifier holds it.
-const START_MARK: char = '@';
+/// Separates an upstream's identifier from its start; not valid in identifiers.
+const START_SEPARATOR: char = '@';
 
 fn check_upstream(text: &str) -> Result<(), NameError> {
-    let (identifier, start) = match text.split_once(START_MARK) {
+    let (identifier, start) = match text.split_once(START_SEPARATOR) {
         Some((identifier, start)) => (identifier, Some(start)),
         None => (text, None),
     };
-    let sound = start.is_none_or(|start| start.parse::<UpstreamStart>().is_ok());
-    if sound { check_name(identifier) } else { Err(NameError::of(text)) }
+    let is_valid = start.is_none_or(|start| start.parse::<UpstreamStart>().is_ok());
+    if is_valid { check_name(identifier) } else { Err(NameError::of(text)) }
 }
 
-/// When an upstream started, Unix milliseconds by its own clock.
+/// Time at which an upstream started, in Unix milliseconds by its own clock.
 ///
-/// Clocks may be wrong: two starts that differ are different ones, and neither is known to be the
-/// later.
+/// Clocks may be wrong: unequal values are different starts, but their order does not tell which
+/// one is later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamStart(pub u64);
 
@@ -192,12 +194,12 @@
 }
 
 impl RequestId {
-    /// Builds the id of the `sequence`th request of an instance since it started.
+    /// Creates the id of the `sequence`th request of an instance since it started.
     pub fn new(instance: &InstanceId, boot: BootId, sequence: u64) -> Self {
         Self(format!("{instance}:{boot}:{sequence:x}").into())
     }
 
-    /// The instance that took the request, or `None` for an id slipturn did not make.
+    /// Returns the instance that received the request, or `None` for an id of another format.
     pub fn instance(&self) -> Option<InstanceId> {
         let mut parts = self.0.rsplitn(3, ':');
         let (_sequence, _boot, instance) = (parts.next()?, parts.next()?, parts.next()?);
@@ -206,18 +208,18 @@
 }
 
 impl AttemptId {
-    /// Builds the id of the `number`th attempt of a request.
+    /// Creates the id of the `number`th attempt of a request.
     pub fn new(request: &RequestId, number: u32) -> Self {
         Self(format!("{request}:{number}").into())
     }
 
-    /// The request this is an attempt of, or `None` for an id slipturn did not make.
+    /// Returns the request that the attempt belongs to, or `None` for an id of another format.
     pub fn request(&self) -> Option<RequestId> {
         self.0.rsplit_once(':')?.0.parse().ok()
     }
 }
 
-/// One start of a process. A process that starts again has another one.
+/// Identifies one run of a process; it changes with each restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootId(pub u64);
 
