--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -1,87 +1,92 @@
-//! At most one run for each idempotency key, without a leader, a log or stored state.
+//! Voting that lets at most one request run for each idempotency key, without a leader, a log or
+//! stored state.
 //!
-//! Every instance remembers in memory, for `retention`, which request first asked it for a key. A
-//! request may run only with the votes of a majority of the key's voters: the [`GROUP_SIZE`]
+//! Every instance remembers in memory, for `retention`, which request was the first to ask it for a
+//! key. A request may run only with the votes of a majority of the key's voters: the [`GROUP_SIZE`]
 //! instances that rank highest for the key among all that were listed at any time within the
-//! retention, those that have left included. So their number does not grow with the fleet, and any
-//! two majorities share a voter that remembers, whatever lists they were taken by.
-//! `docs/design/at-most-once.md` gives the argument, weighs the other ways and names the
-//! interleaving that is not covered.
+//! retention, including those that have left. Their number does not grow with the fleet, and any
+//! two majorities share a voter that remembers, whichever lists the requests were based on.
+//! `docs/design/at-most-once.md` contains the proof, the alternatives and the interleaving that is
+//! not covered.
 
 use std::{collections, time};
 
 use crate::{ids, rendezvous, units};
 
-/// An idempotency key, made one customer's own.
+/// An idempotency key, qualified by customer and service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ScopedKey(pub String);
 
 impl ScopedKey {
-    /// The key of a customer for a service.
+    /// Qualifies `key` with the customer and the service.
     pub fn new(customer: &ids::CustomerId, service: &ids::ServiceId, key: &str) -> Self {
         Self(format!("{customer}/{service}/{key}"))
     }
 }
 
-/// How long after the first ask a majority may be used.
+/// Time after the first ask within which a majority may be used.
 ///
-/// A request that was paused longer gives up, because the votes may have been forgotten.
+/// A request whose process was paused for longer gives up, because voters may have dropped its
+/// votes.
 pub const MAJORITY_TTL: time::Duration = time::Duration::from_secs(5);
-/// How far two processes' copies of the published list may lie apart.
+/// Longest time by which one process's copy of the published list may lag behind another's.
 pub const MAX_LIST_LAG: time::Duration = time::Duration::from_secs(30);
 
-/// Voters of a key, in a fleet that has as many instances.
+/// Number of voters of a key. In a smaller fleet all instances are voters.
 pub const GROUP_SIZE: usize = 7;
 
-/// An instance's answer to an ask.
+/// An instance's answer to a request that asks for a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VoteAnswer {
-    /// The key is the asker's here.
+    /// The instance votes for the request.
     Granted {
-        /// Number of the key's voters, as this one saw the list within the retention.
+        /// Number of the key's voters, by the lists that this instance saw within the retention.
         group: usize,
     },
-    /// Another request asked first.
+    /// Another request, given here, asked this instance first.
     Taken(ids::RequestId),
     /// The instance is not one of the key's voters, or has not been up or listed long enough.
     Abstained,
 }
 
-/// One instance's memory of who asked first.
+/// One instance's record of the first request for each key.
 #[derive(Debug)]
 pub struct KeyVoter {
     name: ids::InstanceId,
     started: units::MonoTime,
     retention: time::Duration,
-    /// Invariant: an entry stays at least `retention` after it was made, and is never replaced.
-    firsts: collections::HashMap<ScopedKey, (ids::RequestId, units::MonoTime)>,
+    /// First request for each key, and the time of its ask. Invariant: an entry is kept for at least
+    /// `retention` and never replaced.
+    first_requests: collections::HashMap<ScopedKey, (ids::RequestId, units::MonoTime)>,
+    /// Instances listed at some time within the retention.
     listed: collections::HashMap<ids::InstanceId, ListedSpan>,
 }
 
-/// When an instance was seen listed.
+/// Time during which an instance was listed, as observed by this instance.
 #[derive(Debug, Clone, Copy)]
 struct ListedSpan {
-    /// Since when without a gap; `None` while it is not listed.
+    /// Start of the current uninterrupted listing; `None` while the instance is not listed.
     since: Option<units::MonoTime>,
+    /// Time at which the instance was last seen listed.
     last: units::MonoTime,
 }
 
-/// Most keys one voter remembers; beyond it, it abstains rather than forget.
+/// Most keys that one voter records. A full voter abstains rather than drop a key.
 pub const MAX_KEYS: usize = 200_000;
 
 impl KeyVoter {
-    /// A voter that has just started and so knows nothing of the past.
+    /// Creates a voter that starts `now`, without any record of earlier requests.
     pub fn new(name: ids::InstanceId, now: units::MonoTime, retention: time::Duration) -> Self {
         Self {
             name,
             started: now,
             retention,
-            firsts: collections::HashMap::new(),
+            first_requests: collections::HashMap::new(),
             listed: collections::HashMap::new(),
         }
     }
 
-    /// Takes a new retention over. A longer one makes the voter abstain until it has passed.
+    /// Changes the retention. After an increase the voter abstains for the length of the new one.
     pub fn set_retention(&mut self, now: units::MonoTime, retention: time::Duration) {
         if retention > self.retention {
             self.started = now;
@@ -89,7 +94,7 @@
         self.retention = retention;
     }
 
-    /// Takes in the published list.
+    /// Updates the listed instances from the published list.
     pub fn update_list<'a>(
         &mut self,
         now: units::MonoTime,
@@ -98,7 +103,7 @@
         let names: collections::HashSet<_> = names.cloned().collect();
         let window = self.window();
         self.listed.retain(|_, span| now.since(span.last) < window);
-        // One that left and came back is a newcomer: its memory may be gone.
+        // An instance that left and returned counts as new: it may have restarted without its record.
         for (_, span) in self.listed.iter_mut().filter(|(name, _)| !names.contains(*name)) {
             span.since = None;
         }
@@ -109,21 +114,23 @@
         }
     }
 
-    /// Answers an ask for a key.
+    /// Answers `request`, which asks for a key.
+    ///
+    /// The request is recorded as the first one for the key even if this instance abstains.
     pub fn ask(
         &mut self,
         now: units::MonoTime,
         key: &ScopedKey,
-        asker: &ids::RequestId,
+        request: &ids::RequestId,
     ) -> VoteAnswer {
-        if let Some((first, _)) = self.firsts.get(key) {
-            if first != asker {
+        if let Some((first, _)) = self.first_requests.get(key) {
+            if first != request {
                 return VoteAnswer::Taken(first.clone());
             }
-        } else if self.firsts.len() >= MAX_KEYS {
+        } else if self.first_requests.len() >= MAX_KEYS {
             return VoteAnswer::Abstained;
         } else {
-            self.firsts.insert(key.clone(), (asker.clone(), now));
+            self.first_requests.insert(key.clone(), (request.clone(), now));
         }
         let group = self.listed.len().min(GROUP_SIZE);
         if self.has_full_history(now) && self.rank(key) < group {
@@ -133,81 +140,84 @@
         }
     }
 
-    /// Forgets keys whose retention has passed. One kept longer does no harm.
+    /// Drops keys whose retention has passed. Keeping one for longer is harmless.
     pub fn prune(&mut self, now: units::MonoTime) {
         let window = self.window();
-        self.firsts.retain(|_, (_, made)| now.since(*made) < window);
+        self.first_requests.retain(|_, (_, asked)| now.since(*asked) < window);
     }
 
-    /// Keys remembered.
+    /// Number of recorded keys.
     pub fn len(&self) -> usize {
-        self.firsts.len()
+        self.first_requests.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is recorded.
     pub fn is_empty(&self) -> bool {
-        self.firsts.is_empty()
+        self.first_requests.is_empty()
     }
 
-    /// Whether this voter grants at all yet.
+    /// Whether this instance has been running and listed for the whole window. Until then it grants
+    /// no votes.
     pub fn has_full_history(&self, now: units::MonoTime) -> bool {
         let listed = self.listed.get(&self.name);
-        let listed_long = listed.is_some_and(|span| self.listed_whole_window(now, span));
-        now.since(self.started) >= self.window() && listed_long
+        let is_listed = listed.is_some_and(|span| self.is_listed_throughout(now, span));
+        now.since(self.started) >= self.window() && is_listed
     }
 
-    fn listed_whole_window(&self, now: units::MonoTime, span: &ListedSpan) -> bool {
+    fn is_listed_throughout(&self, now: units::MonoTime, span: &ListedSpan) -> bool {
         span.since.is_some_and(|since| now.since(since) >= self.window())
     }
 
-    /// How many of the instances listed lately rank before this one for a key.
+    /// Number of instances listed within the window that rank before this one for a key.
     fn rank(&self, key: &ScopedKey) -> usize {
         let score = |name: &ids::InstanceId| rendezvous::stable_hash(&[&key.0, name.as_str()]);
         let mine = score(&self.name);
         self.listed.keys().filter(|name| score(name) > mine).count()
     }
 
+    /// The retention, extended by the lag of the list.
     fn window(&self) -> time::Duration {
         self.retention + MAX_LIST_LAG.min(self.retention)
     }
 }
 
-/// What an asker may do.
+/// Result of the votes for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VoteVerdict {
-    /// The request may run, if it does so before `until`.
+    /// The request has a majority and may run.
     Run {
-        /// End of the time in which the majority may be used.
+        /// Time by which it must have started.
         until: units::MonoTime,
     },
-    /// Another request has the key.
+    /// A voter knows of another request, given here, that asked first.
     Taken(ids::RequestId),
-    /// Not enough instances answered for either.
+    /// The request has no usable majority, and no other request is known to have asked first.
     InDoubt {
         /// Votes received.
         granted: usize,
-        /// Votes needed.
+        /// Votes needed for a majority.
         needed: usize,
     },
 }
 
-/// An asker's count of the answers.
+/// Count of the answers to one request.
 #[derive(Debug)]
 pub struct VoteTally {
     asked: units::MonoTime,
-    /// Largest number of voters that any of them stated.
+    /// Largest number of voters that any answer stated.
     group: usize,
     granted: collections::HashSet<ids::InstanceId>,
+    /// Another request that asked first.
     taken: Option<ids::RequestId>,
 }
 
 impl VoteTally {
-    /// A count that starts when the first instance is asked.
+    /// Creates an empty count; `asked` is the time at which the first instance is asked.
     pub fn new(asked: units::MonoTime) -> Self {
         Self { asked, group: 0, granted: collections::HashSet::new(), taken: None }
     }
 
-    /// Takes in an answer; one from the same instance counts once.
+    /// Adds an answer. Repeated votes of one instance count once.
     pub fn add(&mut self, voter: &ids::InstanceId, answer: VoteAnswer) {
         match answer {
             VoteAnswer::Granted { group } => {
@@ -219,12 +229,12 @@
         }
     }
 
-    /// Voters to ask in all, as far as known.
+    /// Number of voters to ask, as far as known.
     pub fn group(&self) -> usize {
         self.group.max(GROUP_SIZE)
     }
 
-    /// The verdict on the answers so far.
+    /// Returns the result of the answers so far.
     pub fn verdict(&self, now: units::MonoTime) -> VoteVerdict {
         if let Some(first) = &self.taken {
             return VoteVerdict::Taken(first.clone());
