--- a/crates/core/src/permit_cache.rs
+++ b/crates/core/src/permit_cache.rs
@@ -1,33 +1,34 @@
-//! Permits that this member holds, and when to request more from a quota's coordinator.
+//! Permits that this member holds, and its requests for more to the coordinators of the quotas.
 
 use std::{collections, time};
 
 use crate::{quota_permit, units};
 
 /// Window over which this member's demand for permits is counted.
-const COUNT_TIME: time::Duration = time::Duration::from_secs(1);
-/// Divisor of that demand: permits are requested ahead for the next tenth of a second.
-const AHEAD_PART: usize = 10;
+const DEMAND_WINDOW: time::Duration = time::Duration::from_secs(1);
+/// Divisor of the demand in [`DEMAND_WINDOW`]: permits are requested ahead for the next tenth of a second.
+const PREFETCH_DIVISOR: usize = 10;
 
 /// What a request that needs a permit does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitStep {
-    /// Sends under this permit.
+    /// Send with this permit.
     Send(quota_permit::PermitTerm),
-    /// Requests permits from the coordinator.
+    /// Request permits from the coordinator.
     Ask(quota_permit::PermitRequest),
-    /// Tries another upstream: no permit is available for this long.
+    /// Try another upstream: no permit can be requested for this long.
     Closed(time::Duration),
 }
 
 /// Permits of one quota.
 #[derive(Debug, Default)]
 struct CacheRow {
+    /// Unused permits.
     cached: collections::VecDeque<quota_permit::PermitTerm>,
     /// End of the backoff before the next request for permits.
-    closed_until: units::MonoTime,
-    /// Times of recent demands.
-    wanted: collections::VecDeque<units::MonoTime>,
+    backoff_until: units::MonoTime,
+    /// Times at which a permit was needed recently, oldest first.
+    demand: collections::VecDeque<units::MonoTime>,
 }
 
 /// Permits of this member by quota.
@@ -51,7 +52,7 @@
         patience: time::Duration,
     ) -> PermitStep {
         let row = self.rows.entry(subject.clone()).or_default();
-        row.count(now);
+        row.count_demand(now);
         row.cached.retain(|term| term.is_valid(now));
         let in_time = |term: &quota_permit::PermitTerm| term.from <= now + patience;
         if let Some(at) = row.cached.iter().position(in_time)
@@ -59,18 +60,18 @@
         {
             return PermitStep::Send(term);
         }
-        let closed = row.closed_until.since(now);
-        if closed > patience {
-            return PermitStep::Closed(closed);
+        let backoff = row.backoff_until.since(now);
+        if backoff > patience {
+            return PermitStep::Closed(backoff);
         }
-        let wanted = u32::try_from(row.wanted.len() / AHEAD_PART).unwrap_or(u32::MAX).max(1);
+        let wanted = u32::try_from(row.demand.len() / PREFETCH_DIVISOR).unwrap_or(u32::MAX).max(1);
         let patience_ms = u32::try_from(patience.as_millis()).unwrap_or(u32::MAX);
         PermitStep::Ask(quota_permit::PermitRequest { wanted, patience_ms })
     }
 
     /// Time until permits may be requested again.
     pub fn closed(&self, now: units::MonoTime, subject: &K) -> time::Duration {
-        self.rows.get(subject).map_or(time::Duration::ZERO, |row| row.closed_until.since(now))
+        self.rows.get(subject).map_or(time::Duration::ZERO, |row| row.backoff_until.since(now))
     }
 
     /// Applies the response to a request for permits sent at `asked`; returns a permit, or the backoff.
@@ -79,10 +80,10 @@
         now: units::MonoTime,
         subject: &K,
         asked: units::MonoTime,
-        answer: quota_permit::PermitResponse,
+        response: quota_permit::PermitResponse,
     ) -> Result<quota_permit::PermitTerm, time::Duration> {
         let row = self.rows.entry(subject.clone()).or_default();
-        match answer {
+        match response {
             quota_permit::PermitResponse::Granted { count, wait_ms } => {
                 let wait = time::Duration::from_millis(u64::from(wait_ms));
                 let term = quota_permit::PermitTerm::of_answer(asked, wait);
@@ -91,9 +92,9 @@
                 if term.is_valid(now) { Ok(term) } else { Err(time::Duration::ZERO) }
             }
             quota_permit::PermitResponse::Refused { back_ms } => {
-                let back = time::Duration::from_millis(u64::from(back_ms));
-                row.closed_until = row.closed_until.max(now + back);
-                Err(back)
+                let backoff = time::Duration::from_millis(u64::from(back_ms));
+                row.backoff_until = row.backoff_until.max(now + backoff);
+                Err(backoff)
             }
         }
     }
@@ -107,27 +108,28 @@
     /// Backs off for `pause` after a coordinator has not responded.
     pub fn note_silence(&mut self, now: units::MonoTime, subject: &K, pause: time::Duration) {
         let row = self.rows.entry(subject.clone()).or_default();
-        row.closed_until = row.closed_until.max(now + pause);
+        row.backoff_until = row.backoff_until.max(now + pause);
     }
 
     /// Ends the backoff: the quota has changed.
     pub fn reopen(&mut self, subject: &K) {
         if let Some(row) = self.rows.get_mut(subject) {
-            row.closed_until = units::MonoTime::default();
+            row.backoff_until = units::MonoTime::default();
         }
     }
 
-    /// Drops quotas that are not needed any more.
+    /// Keeps only the quotas for which `needed` returns true.
     pub fn retain(&mut self, needed: impl Fn(&K) -> bool) {
         self.rows.retain(|subject, _| needed(subject));
     }
 }
 
 impl CacheRow {
-    fn count(&mut self, now: units::MonoTime) {
-        while self.wanted.front().is_some_and(|at| now.since(*at) >= COUNT_TIME) {
-            self.wanted.pop_front();
+    /// Counts a request that needs a permit.
+    fn count_demand(&mut self, now: units::MonoTime) {
+        while self.demand.front().is_some_and(|at| now.since(*at) >= DEMAND_WINDOW) {
+            self.demand.pop_front();
         }
-        self.wanted.push_back(now);
+        self.demand.push_back(now);
     }
 }
