--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -3,47 +3,47 @@
 //! A crash breaks all requests in progress, and at most one of them is the cause. Three rules identify it without running
 //! any request in isolation:
 //!
-//! - *Sequence.* Only crashes count whose run began after the previous one. A rack failure under many copies of a request
-//!   counts once.
+//! - *Sequence.* A crash counts only if its run began after the previous counted crash. A rack failure that ends many
+//!   copies of a request counts once.
 //! - *Answer.* A completed answer clears a request of all earlier crashes.
-//! - *Known cause.* A request whose every crash is shared with a quarantined request that has more crashes is not the
-//!   cause.
+//! - *Known cause.* A request is not the cause if a quarantined request shares all its crashes and has more.
 //!
-//! Only evidence is stored. The quarantine follows from it alone, so members with the same evidence agree in whatever
-//! order it arrived.
+//! Only evidence is stored. Quarantines are derived from it alone, so members with the same evidence agree regardless of
+//! the order in which it arrived.
 
 use std::{collections, time};
 
 use crate::{ids, request_digest, units};
 
-/// Crashes in sequence that quarantine a request. In storms of unrelated crashes a sound request may see two.
+/// Crashes in sequence after which a request is quarantined. In storms of unrelated crashes a harmless request may see
+/// two.
 const SEQUENCE: usize = 3;
-/// Tolerated overlap of a run with the previous crash, as a part of the run and as a longest time. Members exchange
-/// ages, which are off by the delay of a message, and a second attempt starts right after the first breaks.
-const OVERLAP_PART: u32 = 4;
-/// See [`OVERLAP_PART`].
+/// Divisor of a run's length for its tolerated overlap with the previous crash. Members exchange ages, which are off by
+/// the delay of a message, and a second attempt starts right after the first breaks.
+const OVERLAP_DIVISOR: u32 = 4;
+/// Longest tolerated overlap.
 const MAX_OVERLAP: time::Duration = time::Duration::from_millis(25);
-/// Quarantine time after the last crash: far longer than callers retry by themselves.
-const HOLD_TIME: time::Duration = time::Duration::from_secs(300);
-/// Most doublings of that time, one for each further crash in the sequence.
+/// Length of a quarantine, counted from the last crash. Far longer than callers retry by themselves.
+const QUARANTINE_TIME: time::Duration = time::Duration::from_secs(300);
+/// Most doublings of [`QUARANTINE_TIME`], one for each further crash in the sequence.
 const MAX_DOUBLINGS: u32 = 4;
-/// How long evidence without a verdict is kept.
-const MEMORY_TIME: time::Duration = time::Duration::from_secs(600);
-/// Most crashes kept for a request, some 60 bytes each.
-const MAX_ENDS: usize = 16;
-/// Most requests kept; some 150 KB with three crashes each.
+/// How long evidence is kept after the last crash, the last answer and the end of the quarantine.
+const EVIDENCE_TTL: time::Duration = time::Duration::from_secs(600);
+/// Most crashes kept for a request; about 60 bytes each.
+const MAX_CRASHES: usize = 16;
+/// Most requests with evidence; about 150 KB with three crashes each.
 const MAX_REQUESTS: usize = 512;
 
 /// A run that ended with a crash of its upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashedRun {
-    /// The request.
+    /// Digest of the request.
     pub digest: request_digest::RequestDigest,
     /// The start of the upstream that crashed.
     pub upstream: ids::UpstreamId,
-    /// When the request was sent there.
+    /// When the request was sent to the upstream.
     pub sent: units::MonoTime,
-    /// When its connection broke; not before `sent`.
+    /// When the connection broke; not before `sent`.
     pub ended: units::MonoTime,
 }
 
@@ -54,32 +54,33 @@
         Self { sent, ended, ..self }
     }
 
+    /// Tolerated overlap with the previous crash.
     fn slack(&self) -> time::Duration {
-        (self.ended.since(self.sent) / OVERLAP_PART).min(MAX_OVERLAP)
+        (self.ended.since(self.sent) / OVERLAP_DIVISOR).min(MAX_OVERLAP)
     }
 }
 
-/// How crashes are counted; all but the default exist for comparison.
+/// How crashes are counted. Only the default is meant for use; the others exist for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BlameWay {
-    /// By sequence.
+    /// The rules of this module.
     #[default]
     Sequence,
-    /// Each crash, also simultaneous ones; answers clear nothing.
+    /// Every crash counts, also simultaneous ones, and answers clear nothing.
     Count,
 }
 
 /// A quarantine and its evidence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineVerdict {
-    /// Crashed upstreams, oldest first.
+    /// Upstreams that crashed, oldest crash first.
     pub upstreams: Vec<ids::UpstreamId>,
     /// End of the quarantine.
     pub until: units::MonoTime,
 }
 
 impl QuarantineVerdict {
-    /// The upstreams' names, for operators.
+    /// Names of the upstreams, separated by spaces.
     pub fn names(&self) -> String {
         let names: Vec<_> = self.upstreams.iter().map(ToString::to_string).collect();
         names.join(" ")
@@ -89,28 +90,29 @@
 /// Evidence against one request.
 #[derive(Debug, Default)]
 struct SuspectRecord {
-    /// Ordered by [`CrashedRun::ended`]; each upstream once.
-    ends: Vec<CrashedRun>,
-    /// Time of its last completed answer; crashes up to then are not in `ends`.
+    /// Ordered by [`CrashedRun::ended`]; each upstream occurs once.
+    crashes: Vec<CrashedRun>,
+    /// Time of the last completed answer; crashes up to then are not in `crashes`.
     answered: Option<units::MonoTime>,
-    /// End of its quarantine; `None` for a mere suspect.
-    held_until: Option<units::MonoTime>,
+    /// End of the quarantine; `None` if the request is only suspected.
+    quarantined_until: Option<units::MonoTime>,
 }
 
 impl SuspectRecord {
     /// Length of the sequence of crashes.
     fn sequence(&self) -> usize {
-        in_sequence(&self.ends).iter().filter(|adds| **adds).count()
+        in_sequence(&self.crashes).iter().filter(|counts| **counts).count()
     }
 
     /// Whether another request shares all its crashes and has more.
     fn explained_by(&self, other: &Self) -> bool {
-        let shared = |end: &CrashedRun| other.ends.iter().any(|more| more.upstream == end.upstream);
-        other.ends.len() > self.ends.len() && self.ends.iter().all(shared)
+        let shared =
+            |run: &CrashedRun| other.crashes.iter().any(|more| more.upstream == run.upstream);
+        other.crashes.len() > self.crashes.len() && self.crashes.iter().all(shared)
     }
 
-    fn last_end(&self) -> units::MonoTime {
-        self.ends.last().map_or(units::MonoTime::default(), |end| end.ended)
+    fn last_crash(&self) -> units::MonoTime {
+        self.crashes.last().map_or(units::MonoTime::default(), |run| run.ended)
     }
 }
 
@@ -119,12 +121,12 @@
 pub struct QuarantineTable {
     way: BlameWay,
     suspects: collections::BTreeMap<request_digest::RequestDigest, SuspectRecord>,
-    /// Number of quarantined requests; at most those with a time in `suspects`.
-    held: usize,
+    /// Number of requests with a quarantine, whether expired or not, that no other request explains.
+    quarantined: usize,
 }
 
 impl QuarantineTable {
-    /// An empty table that counts crashes this way.
+    /// Creates an empty table that counts crashes as `way` says.
     pub fn new(way: BlameWay) -> Self {
         Self { way, ..Self::default() }
     }
@@ -134,63 +136,66 @@
         self.suspects.is_empty()
     }
 
-    /// Whether any request is quarantined.
+    /// Whether any request may be quarantined: one whose quarantine has expired counts until its evidence is dropped.
     pub fn has_quarantined(&self) -> bool {
-        self.held > 0
+        self.quarantined > 0
     }
 
-    /// Adds evidence; returns the requests that are newly quarantined, or again after their time had run out.
+    /// Adds evidence; returns the requests that are quarantined now and were not before, also those whose earlier
+    /// quarantine had expired.
     pub fn note_crashes(
         &mut self,
         now: units::MonoTime,
         runs: impl IntoIterator<Item = CrashedRun>,
     ) -> Vec<request_digest::RequestDigest> {
         let before = self.quarantined_at(now);
-        self.forget_old(now);
-        runs.into_iter().for_each(|run| self.note_end(run));
-        self.judge();
-        let mut held = self.quarantined_at(now);
-        held.retain(|digest| !before.contains(digest));
-        held
+        self.drop_expired(now);
+        runs.into_iter().for_each(|run| self.note_crash(run));
+        self.update_quarantines();
+        let mut added = self.quarantined_at(now);
+        added.retain(|digest| !before.contains(digest));
+        added
     }
 
-    /// Clears a request that was answered, or that an operator releases; returns whether there was evidence against it.
+    /// Clears a request of crashes up to `at`, when it was answered or released by an operator; returns whether there
+    /// is a record of it.
     pub fn clear(&mut self, digest: request_digest::RequestDigest, at: units::MonoTime) -> bool {
         let Some(record) = self.suspects.get_mut(&digest).filter(|_| self.way != BlameWay::Count)
         else {
             return false;
         };
         record.answered = record.answered.max(Some(at));
-        record.ends.retain(|end| end.ended > at);
-        self.judge();
+        record.crashes.retain(|run| run.ended > at);
+        self.update_quarantines();
         true
     }
 
-    /// The quarantine of a request.
+    /// Returns the quarantine of a request, if it has one at `now`.
     pub fn verdict(
         &self,
         now: units::MonoTime,
         digest: request_digest::RequestDigest,
     ) -> Option<QuarantineVerdict> {
         let record = self.suspects.get(&digest)?;
-        let until = record.held_until.filter(|until| now < *until)?;
-        let upstreams = record.ends.iter().map(|end| end.upstream.clone()).collect();
+        let until = record.quarantined_until.filter(|until| now < *until)?;
+        let upstreams = record.crashes.iter().map(|run| run.upstream.clone()).collect();
         Some(QuarantineVerdict { upstreams, until })
     }
 
     /// Whether there is evidence against a request.
     pub fn suspects(&self, digest: request_digest::RequestDigest) -> bool {
-        self.suspects.get(&digest).is_some_and(|record| !record.ends.is_empty())
+        self.suspects.get(&digest).is_some_and(|record| !record.crashes.is_empty())
     }
 
-    /// Requests in quarantine.
+    /// Returns the requests in quarantine at `now`.
     pub fn quarantined_at(&self, now: units::MonoTime) -> Vec<request_digest::RequestDigest> {
-        let held = |record: &SuspectRecord| record.held_until.is_some_and(|until| now < until);
-        let held = self.suspects.iter().filter(|(_, record)| held(record));
-        held.map(|(digest, _)| *digest).collect()
+        let is_quarantined =
+            |record: &SuspectRecord| record.quarantined_until.is_some_and(|until| now < until);
+        let quarantined = self.suspects.iter().filter(|(_, record)| is_quarantined(record));
+        quarantined.map(|(digest, _)| *digest).collect()
     }
 
-    /// Time since the last completed answer to a suspected request.
+    /// Time since the last completed answer to a request that has a record.
     pub fn answered_age(
         &self,
         now: units::MonoTime,
@@ -199,100 +204,101 @@
         Some(now.since(self.suspects.get(&digest)?.answered?))
     }
 
-    /// The evidence against a request, oldest first.
+    /// The crashes counted as evidence against a request, oldest first.
     pub fn ends(&self, digest: request_digest::RequestDigest) -> &[CrashedRun] {
-        self.suspects.get(&digest).map_or(&[], |record| &record.ends)
+        self.suspects.get(&digest).map_or(&[], |record| &record.crashes)
     }
 
-    fn note_end(&mut self, run: CrashedRun) {
+    fn note_crash(&mut self, run: CrashedRun) {
         let record = self.suspects.entry(run.digest).or_default();
         if record.answered.is_some_and(|answered| run.ended <= answered) {
             return;
         }
-        let known = record.ends.iter().position(|end| end.upstream == run.upstream);
-        let run = match known.map(|at| record.ends.remove(at)) {
+        let known = record.crashes.iter().position(|other| other.upstream == run.upstream);
+        let run = match known.map(|at| record.crashes.remove(at)) {
             Some(known) => known.merge(run),
             None => run,
         };
-        let at = record.ends.partition_point(|end| end.ended <= run.ended);
-        record.ends.insert(at, run);
-        if record.ends.len() > MAX_ENDS {
-            remove_least(&mut record.ends);
+        let at = record.crashes.partition_point(|other| other.ended <= run.ended);
+        record.crashes.insert(at, run);
+        if record.crashes.len() > MAX_CRASHES {
+            remove_least(&mut record.crashes);
         }
         if self.suspects.len() > MAX_REQUESTS {
             self.remove_least();
         }
     }
 
-    /// Drops the request with the least evidence.
+    /// Drops the record with the shortest sequence of crashes; of several, the one whose last crash is the oldest.
     fn remove_least(&mut self) {
-        let weight = |record: &SuspectRecord| (record.sequence(), record.last_end());
+        let weight = |record: &SuspectRecord| (record.sequence(), record.last_crash());
         let least = self.suspects.iter().min_by_key(|(_, record)| weight(record));
         if let Some(digest) = least.map(|(digest, _)| *digest) {
             self.suspects.remove(&digest);
         }
     }
 
-    fn forget_old(&mut self, now: units::MonoTime) {
+    fn drop_expired(&mut self, now: units::MonoTime) {
         self.suspects.retain(|_, record| {
-            let kept = record.held_until.max(record.answered).unwrap_or_default();
-            let last = kept.max(record.last_end());
-            now.since(last) < MEMORY_TIME
+            let last = record.quarantined_until.max(record.answered).unwrap_or_default();
+            let last = last.max(record.last_crash());
+            now.since(last) < EVIDENCE_TTL
         });
     }
 
     /// Derives the quarantines from the evidence.
-    fn judge(&mut self) {
+    fn update_quarantines(&mut self) {
         let way = self.way;
         let count_of = |record: &SuspectRecord| match way {
             BlameWay::Sequence => record.sequence(),
-            BlameWay::Count => record.ends.len(),
+            BlameWay::Count => record.crashes.len(),
         };
         for record in self.suspects.values_mut() {
-            record.held_until = held_until(record, count_of(record));
+            record.quarantined_until = quarantined_until(record, count_of(record));
         }
-        let held: Vec<_> = self
+        let quarantined: Vec<_> = self
             .suspects
             .iter()
-            .filter(|(_, record)| record.held_until.is_some())
+            .filter(|(_, record)| record.quarantined_until.is_some())
             .map(|(digest, _)| *digest)
             .collect();
-        let explained = |digest: &request_digest::RequestDigest| {
-            let mut others = held.iter().filter_map(|other| self.suspects.get(other));
+        let is_explained = |digest: &request_digest::RequestDigest| {
+            let mut others = quarantined.iter().filter_map(|other| self.suspects.get(other));
             let record = self.suspects.get(digest);
             record.is_some_and(|record| others.any(|other| record.explained_by(other)))
         };
-        let beside: Vec<_> = held.iter().copied().filter(|digest| explained(digest)).collect();
-        self.held = held.len() - beside.len();
-        for digest in beside.iter().filter(|_| way == BlameWay::Sequence) {
+        let explained: Vec<_> =
+            quarantined.iter().copied().filter(|digest| is_explained(digest)).collect();
+        self.quarantined = quarantined.len() - explained.len();
+        for digest in explained.iter().filter(|_| way == BlameWay::Sequence) {
             if let Some(record) = self.suspects.get_mut(digest) {
-                record.held_until = None;
+                record.quarantined_until = None;
             }
         }
     }
 }
 
-/// End of the quarantine of a request with `count` crashes in sequence.
-fn held_until(record: &SuspectRecord, count: usize) -> Option<units::MonoTime> {
+/// End of the quarantine of a request with `count` counted crashes; `None` if there are too few.
+fn quarantined_until(record: &SuspectRecord, count: usize) -> Option<units::MonoTime> {
     let more = u32::try_from(count.checked_sub(SEQUENCE)?).unwrap_or(u32::MAX);
-    Some(record.last_end() + HOLD_TIME * 2_u32.pow(more.min(MAX_DOUBLINGS)))
+    Some(record.last_crash() + QUARANTINE_TIME * 2_u32.pow(more.min(MAX_DOUBLINGS)))
 }
 
-/// Which of the crashes, ordered by time, extend the longest sequence.
-fn in_sequence(ends: &[CrashedRun]) -> Vec<bool> {
+/// Tells for each crash, in order of time, whether it counts: whether its run began after the previous counted crash.
+fn in_sequence(crashes: &[CrashedRun]) -> Vec<bool> {
     let mut last = None;
-    let adds = ends.iter().map(|end| {
-        let adds = last.is_none_or(|last| end.sent + end.slack() >= last);
-        if adds {
-            last = Some(end.ended);
+    let counted = crashes.iter().map(|run| {
+        let counts = last.is_none_or(|last| run.sent + run.slack() >= last);
+        if counts {
+            last = Some(run.ended);
         }
-        adds
+        counts
     });
-    adds.collect()
+    counted.collect()
 }
 
-/// Drops a crash outside the sequence, or the oldest one.
-fn remove_least(ends: &mut Vec<CrashedRun>) {
-    let beside = in_sequence(ends).iter().position(|adds| !adds);
-    ends.remove(beside.unwrap_or(0));
+/// Drops the oldest crash that does not count, or else the oldest one.
+fn remove_least(crashes: &mut Vec<CrashedRun>) {
+    let uncounted = in_sequence(crashes).iter().position(|counts| !counts);
+    crashes.remove(uncounted.unwrap_or(0));
 }
