--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -1,45 +1,48 @@
-//! The coordinator's side of shared quotas: requests to each upstream with a limit, and retries to each service.
+//! The coordinator's side of quotas that all members share: requests to each upstream with a limit, and retries to each
+//! service.
 //!
-//! One member coordinates each quota, as no member sees the total. It grants a permit for each send, and a few ahead at
-//! high rates. A granted permit counts as used. A new coordinator starts with an empty bucket, as its predecessor may
-//! have granted everything just before.
+//! No member sees the sends of all others, so one member coordinates each quota. It grants a permit for each send, and
+//! a few ahead at high rates. A granted permit counts as used. A new coordinator starts with an empty bucket, as its
+//! predecessor may have granted everything just before.
 
 use std::{collections, time};
 
 use crate::{quota_permit, send_pace, units};
 
 /// Time for which permits are granted ahead, at rates so high that members send several within it.
-const AHEAD_TIME: time::Duration = time::Duration::from_millis(100);
+const PREFETCH_TIME: time::Duration = time::Duration::from_millis(100);
 /// Members that requested permits within this time share what is granted ahead.
-const ASKER_TIME: time::Duration = time::Duration::from_secs(1);
+const REQUESTER_TTL: time::Duration = time::Duration::from_secs(1);
 /// Longest backoff of a member that was refused. It bounds the capacity reserved for members that have nothing left to
-/// send, and the time that an increased rate stays unused.
-const MAX_BACK: time::Duration = time::Duration::from_secs(2);
-/// Members invited to request again for each permit: not each of them still has a request by then, and an unrequested
-/// permit is lost.
-const TURNS_EACH: u32 = 4;
+/// send, and the time for which an increased rate stays unused.
+const MAX_BACKOFF: time::Duration = time::Duration::from_secs(2);
+/// Members invited to request again for each permit. Some of them have no request left by then, and a permit that nobody
+/// requests is lost.
+const INVITATIONS_PER_PERMIT: u32 = 4;
 /// Window over which granted permits are reported to operators.
 const GRANT_REPORT_WINDOW: time::Duration = time::Duration::from_secs(4);
 
 /// A member that requested permits.
 #[derive(Debug, Clone, Copy, Default)]
 struct PermitRequester {
-    asked: units::MonoTime,
-    /// When it is invited to request again after a refusal.
-    turn: units::MonoTime,
+    /// Time of its latest request.
+    requested: units::MonoTime,
+    /// Time for which it is invited to request again after a refusal.
+    invited: units::MonoTime,
 }
 
 /// State of one quota.
 #[derive(Debug)]
 struct LedgerRow {
     pace: send_pace::SendPace,
-    /// Latest invitation, and the number of members invited for that time.
-    tail: units::MonoTime,
-    turns: u32,
+    /// Latest time for which members are invited.
+    last_invited: units::MonoTime,
+    /// Number of members invited for that time.
+    invitations: u32,
     /// Members with recent requests.
-    askers: collections::BTreeMap<u64, PermitRequester>,
-    /// Recent grants, oldest first.
-    given: collections::VecDeque<(units::MonoTime, u64, u32)>,
+    requesters: collections::BTreeMap<u64, PermitRequester>,
+    /// Recent grants, oldest first: time, member and number of permits.
+    grants: collections::VecDeque<(units::MonoTime, u64, u32)>,
 }
 
 /// The quotas that this process coordinates.
@@ -59,16 +62,16 @@
     pub fn set_coordinated(
         &mut self,
         now: units::MonoTime,
-        kept: &collections::BTreeMap<K, send_pace::PaceBound>,
+        coordinated: &collections::BTreeMap<K, send_pace::PaceBound>,
     ) {
-        self.rows.retain(|subject, _| kept.contains_key(subject));
-        for (subject, bound) in kept {
+        self.rows.retain(|subject, _| coordinated.contains_key(subject));
+        for (subject, bound) in coordinated {
             let row = self.rows.entry(subject.clone()).or_insert_with(|| LedgerRow {
                 pace: send_pace::SendPace::begun(now, *bound),
-                tail: now,
-                turns: 0,
-                askers: collections::BTreeMap::new(),
-                given: collections::VecDeque::new(),
+                last_invited: now,
+                invitations: 0,
+                requesters: collections::BTreeMap::new(),
+                grants: collections::VecDeque::new(),
             });
             if row.pace.bound() != *bound {
                 row.pace.change(now, *bound);
@@ -83,15 +86,15 @@
         }
     }
 
-    /// Responds to a request; `None` when this process does not coordinate the quota.
+    /// Responds to a request of the member `requester`; `None` when this process does not coordinate the quota.
     pub fn ask(
         &mut self,
         now: units::MonoTime,
         subject: &K,
-        asker: u64,
-        ask: &quota_permit::PermitRequest,
+        requester: u64,
+        request: &quota_permit::PermitRequest,
     ) -> Option<quota_permit::PermitResponse> {
-        self.request_reserving(now, subject, asker, ask, 0.0)
+        self.request_reserving(now, subject, requester, request, 0.0)
     }
 
     /// Like [`Self::ask`], leaving `part` of the burst allowance to other requests.
@@ -99,25 +102,25 @@
         &mut self,
         now: units::MonoTime,
         subject: &K,
-        asker: u64,
-        ask: &quota_permit::PermitRequest,
+        requester: u64,
+        request: &quota_permit::PermitRequest,
         part: f64,
     ) -> Option<quota_permit::PermitResponse> {
         let row = self.rows.get_mut(subject)?;
-        row.note_asker(now, asker);
+        row.note_requester(now, requester);
         let wait = row.pace.wait_reserving(now, part);
-        if wait > time::Duration::from_millis(u64::from(ask.patience_ms)) {
-            let back_ms = millis(row.refuse(now, asker, wait));
+        if wait > time::Duration::from_millis(u64::from(request.patience_ms)) {
+            let back_ms = ceil_millis(row.refuse(now, requester, wait));
             return Some(quota_permit::PermitResponse::Refused { back_ms });
         }
         if wait.is_zero() {
-            // No invitations are pending.
-            (row.tail, row.turns) = (now, 0);
+            // A permit is available now, so earlier invitations delay no later ones.
+            (row.last_invited, row.invitations) = (now, 0);
         }
-        let count = row.count(ask.wanted);
+        let count = row.grant_size(request.wanted);
         row.pace.take(now, count);
-        row.given.push_back((now, asker, count));
-        Some(quota_permit::PermitResponse::Granted { count, wait_ms: millis(wait) })
+        row.grants.push_back((now, requester, count));
+        Some(quota_permit::PermitResponse::Granted { count, wait_ms: ceil_millis(wait) })
     }
 
     /// Time until the next permit is due; `None` when this process does not coordinate the quota.
@@ -125,71 +128,78 @@
         self.rows.get(subject).map(|row| row.pace.wait(now))
     }
 
-    /// This process's share of a quota that it coordinates.
+    /// This process's share of a quota; `None` when it does not coordinate the quota.
     pub fn bound(&self, subject: &K) -> Option<send_pace::PaceBound> {
         self.rows.get(subject).map(|row| row.pace.bound())
     }
 
     /// Grants one permit regardless of the wait; returns whether this process coordinates the quota.
-    pub fn take(&mut self, now: units::MonoTime, subject: &K, asker: u64) -> bool {
+    pub fn take(&mut self, now: units::MonoTime, subject: &K, requester: u64) -> bool {
         let Some(row) = self.rows.get_mut(subject) else {
             return false;
         };
-        row.note_asker(now, asker);
+        row.note_requester(now, requester);
         row.pace.take(now, 1);
-        row.given.push_back((now, asker, 1));
+        row.grants.push_back((now, requester, 1));
         true
     }
 
-    /// Recent grants by member; `None` when this process does not coordinate the quota.
+    /// Number of permits granted recently, by member; `None` when this process does not coordinate the quota.
     pub fn given(
         &self,
         now: units::MonoTime,
         subject: &K,
     ) -> Option<collections::BTreeMap<u64, u32>> {
         let row = self.rows.get(subject)?;
-        let lately = row.given.iter().filter(|(at, ..)| now.since(*at) < GRANT_REPORT_WINDOW);
-        Some(lately.fold(collections::BTreeMap::new(), |mut sums, (_, asker, count)| {
-            *sums.entry(*asker).or_default() += count;
+        let recent = row.grants.iter().filter(|(at, ..)| now.since(*at) < GRANT_REPORT_WINDOW);
+        Some(recent.fold(collections::BTreeMap::new(), |mut sums, (_, requester, count)| {
+            *sums.entry(*requester).or_default() += count;
             sums
         }))
     }
 }
 
 impl LedgerRow {
-    fn note_asker(&mut self, now: units::MonoTime, asker: u64) {
-        self.askers.entry(asker).or_default().asked = now;
-        self.askers.retain(|_, asker| now.since(asker.asked) < ASKER_TIME);
-        while self.given.front().is_some_and(|(at, ..)| now.since(*at) >= GRANT_REPORT_WINDOW) {
-            self.given.pop_front();
+    /// Records a request of a member, and drops old requesters and grants.
+    fn note_requester(&mut self, now: units::MonoTime, requester: u64) {
+        self.requesters.entry(requester).or_default().requested = now;
+        self.requesters.retain(|_, requester| now.since(requester.requested) < REQUESTER_TTL);
+        while self.grants.front().is_some_and(|(at, ..)| now.since(*at) >= GRANT_REPORT_WINDOW) {
+            self.grants.pop_front();
         }
     }
 
-    /// Permits granted at once to a member that wants `wanted`.
-    fn count(&self, wanted: u32) -> u32 {
+    /// Permits granted at once to a member that requests `wanted`.
+    fn grant_size(&self, wanted: u32) -> u32 {
         let rate = self.pace.bound().rate;
-        let ahead = rate.per_second() * AHEAD_TIME.as_secs_f64() / self.askers.len() as f64;
+        let ahead = rate.per_second() * PREFETCH_TIME.as_secs_f64() / self.requesters.len() as f64;
         (ahead as u32).clamp(1, wanted.max(1))
     }
 
-    /// Time after which a refused member is invited to request again.
-    fn refuse(&mut self, now: units::MonoTime, asker: u64, wait: time::Duration) -> time::Duration {
-        let asker = self.askers.entry(asker).or_default();
+    /// Time after which a refused member is invited to request again, when the next permit is due in `wait`.
+    fn refuse(
+        &mut self,
+        now: units::MonoTime,
+        requester: u64,
+        wait: time::Duration,
+    ) -> time::Duration {
+        let requester = self.requesters.entry(requester).or_default();
         // Concurrent requests of one member share one invitation.
-        if asker.turn < now + wait {
-            if self.tail < now + wait {
-                (self.tail, self.turns) = (now + wait, 0);
-            } else if self.turns == TURNS_EACH {
-                (self.tail, self.turns) = (self.tail + self.pace.bound().interval(), 0);
+        if requester.invited < now + wait {
+            if self.last_invited < now + wait {
+                (self.last_invited, self.invitations) = (now + wait, 0);
+            } else if self.invitations == INVITATIONS_PER_PERMIT {
+                (self.last_invited, self.invitations) =
+                    (self.last_invited + self.pace.bound().interval(), 0);
             }
-            self.turns += 1;
-            asker.turn = self.tail.min(now + MAX_BACK);
+            self.invitations += 1;
+            requester.invited = self.last_invited.min(now + MAX_BACKOFF);
         }
-        asker.turn.since(now)
+        requester.invited.since(now)
     }
 }
 
-fn millis(span: time::Duration) -> u32 {
-    // Rounds up: a request that is early by a moment is refused again.
+/// Milliseconds in `span`, rounded up: a member that requests slightly too early is refused again.
+fn ceil_millis(span: time::Duration) -> u32 {
     u32::try_from(span.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
