--- a/crates/core/src/quota_permit.rs
+++ b/crates/core/src/quota_permit.rs
@@ -1,4 +1,5 @@
-//! Permits to send one request under a quota that all members share, requested from the member that coordinates it.
+//! Permits to send one request under a quota that all members share, and the messages by which a member requests them
+//! from the quota's coordinator.
 
 use std::time;
 
@@ -7,25 +8,25 @@
 use crate::{ids, retry_need, units};
 
 /// How long a permit stays valid after the time it was granted for. Connecting and repeating a lost message fit
-/// within it; a later send would count in another window than its coordinator believes.
+/// within it; a later send could fall into another window than the one that its coordinator counted it in.
 pub const PERMIT_TTL: time::Duration = time::Duration::from_millis(500);
 
-/// A quota shared by all members.
+/// What a shared quota limits.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum QuotaSubject {
-    /// Requests to a start of an upstream with a limit.
+    /// Requests to one start of an upstream that has a limit.
     Upstream(ids::UpstreamId),
-    /// Retries of requests to a service, by what they save. All of a service share one quota.
+    /// Retries of requests to a service, by priority. All retries to a service share one quota.
     Retries(ids::ServiceId, retry_need::RetryNeed),
 }
 
 impl QuotaSubject {
-    /// All retries to a service.
+    /// The quota of all retries to a service.
     pub fn all_retries(service: ids::ServiceId) -> Self {
         Self::Retries(service, retry_need::RetryNeed::Begun)
     }
 
-    /// The quota that this draws from, as its coordinator knows it.
+    /// The quota that this one is part of, under which its coordinator keeps the permits.
     pub fn shared_quota(&self) -> Self {
         match self {
             Self::Upstream(upstream) => Self::Upstream(upstream.clone()),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Part of the burst allowance that is reserved for requests with a greater need.
+    /// Part of the burst allowance that is reserved for retries of higher priority.
     pub fn reserved_part(&self) -> f64 {
         match self {
             Self::Upstream(_) => 0.0,
@@ -52,15 +53,16 @@
 }
 
 impl PermitTerm {
-    /// Validity of a permit requested at `asked` that starts `wait` after the request's arrival. The arrival is not
-    /// known here; counting from the request keeps a permit from lasting too long, also when the response lay
-    /// unread while this process was paused.
+    /// Validity of a permit requested at `asked` that starts `wait` after the request reached the coordinator.
+    ///
+    /// The time of arrival is not known here. Counting from `asked` instead keeps the permit from lasting too long,
+    /// even if this process was paused before it read the response.
     pub fn of_answer(asked: units::MonoTime, wait: time::Duration) -> Self {
         let from = asked + wait;
         Self { from, until: from + PERMIT_TTL }
     }
 
-    /// Whether it has not expired.
+    /// Whether the permit has not expired. It may not have started yet.
     pub fn is_valid(&self, now: units::MonoTime) -> bool {
         now < self.until
     }
@@ -69,14 +71,14 @@
 /// A permit to send one request to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SendPermit {
-    /// The start of the upstream.
+    /// Start of the upstream that the permit is for.
     pub upstream: ids::UpstreamId,
-    /// When it is valid.
+    /// Validity.
     pub term: PermitTerm,
 }
 
 impl SendPermit {
-    /// Whether it allows a send to an upstream now.
+    /// Whether the permit is for `upstream` and has not expired.
     pub fn is_valid(&self, now: units::MonoTime, upstream: &ids::UpstreamId) -> bool {
         self.upstream == *upstream && self.term.is_valid(now)
     }
@@ -85,9 +87,9 @@
 /// A request for permits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Permits that the member will use shortly; at least one.
+    /// Number of permits that the member expects to use soon; at least one.
     pub wanted: u32,
-    /// How long its request would wait for a permit, milliseconds.
+    /// Longest wait for the start of a permit's validity, in milliseconds.
     pub patience_ms: u32,
 }
 
@@ -96,14 +98,14 @@
 pub enum PermitResponse {
     /// Permits are granted.
     Granted {
-        /// Their number.
+        /// Number of permits.
         count: u32,
-        /// Start of their validity, milliseconds after the request's arrival.
+        /// Start of their validity, in milliseconds after the request's arrival.
         wait_ms: u32,
     },
-    /// None is granted now, or another member coordinates the quota.
+    /// No permit is granted now, or another member coordinates the quota.
     Refused {
-        /// When to request again, milliseconds from now.
+        /// Backoff before the next request, in milliseconds.
         back_ms: u32,
     },
 }
