--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request was not served, what that says about its having run, and when to come back.
+//! Refusals of requests: the reason, whether the request may have run, and when to retry.
 
 use std::time;
 
@@ -7,16 +7,16 @@
 /// Whether an upstream ran a request that has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RanState {
-    /// No byte of it reached an upstream, or the upstream itself said it did not run it.
+    /// No byte of the request reached an upstream, or the upstream reported that it did not run it.
     No,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
-    /// It ran, at least in part.
+    /// The request ran, at least in part.
     Yes,
 }
 
 impl RanState {
-    /// Of two attempts' states, the request's own.
+    /// Combines the states of two attempts into the state of their request.
     pub fn or(self, other: Self) -> Self {
         match (self, other) {
             (Self::Yes, _) | (_, Self::Yes) => Self::Yes,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The code that callers read.
+    /// The value that callers receive.
     pub fn label(self) -> &'static str {
         match self {
             Self::No => "no",
@@ -40,29 +40,29 @@
 pub enum RefusalCode {
     /// The request is not valid.
     BadRequest,
-    /// No key, or an unknown one.
+    /// The caller key is missing or unknown.
     Unauthorized,
-    /// No such path, model or service.
+    /// The path, model or service does not exist.
     NotFound,
-    /// The caller's body did not arrive in time.
+    /// The request body did not arrive in time.
     BodyTimeout,
     /// The idempotency key belongs to another request.
     KeyTaken,
     /// The prompt or the body is larger than allowed.
     TooLarge,
-    /// The customer has used its tokens.
+    /// The customer has used up its token budget.
     OverBudget,
-    /// It would not finish within its time limit.
+    /// The request would not finish within its time limit.
     Overloaded,
-    /// This instance holds as many bytes as it may.
+    /// The instance has reached its memory limit.
     OutOfMemory,
-    /// No engine or upstream takes it now.
+    /// No engine or other upstream accepts the request now.
     NoUpstream,
-    /// It is unknown whether a call with this key has run.
+    /// It is unknown whether a request with this idempotency key has run.
     KeyInDoubt,
-    /// The settings are not known yet, or not confirmed for too long.
+    /// The settings are not known yet, or have not been confirmed for too long.
     NotReady,
-    /// Upstreams have ended under it again and again.
+    /// The request has repeatedly crashed upstreams.
     Quarantined,
     /// The upstream failed.
     UpstreamFailed,
@@ -71,7 +71,7 @@
 }
 
 impl RefusalCode {
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The stable code that programs compare.
+    /// The stable name of the code, for programs.
     pub fn label(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -113,12 +113,12 @@
         }
     }
 
-    /// The reason of a code.
-    pub fn from_label(word: &str) -> Option<Self> {
-        ALL_CODES.iter().copied().find(|code| code.label() == word)
+    /// Returns the code with the given label.
+    pub fn from_label(label: &str) -> Option<Self> {
+        ALL_CODES.iter().copied().find(|code| code.label() == label)
     }
 
-    /// The group of codes in the shape that OpenAI clients know.
+    /// The error type in the format that OpenAI clients expect.
     pub fn kind(self) -> &'static str {
         match self.status() {
             400 | 404 | 413 => "invalid_request_error",
@@ -129,7 +129,7 @@
     }
 }
 
-/// Every code, for tables and tests.
+/// All codes.
 pub const ALL_CODES: [RefusalCode; 15] = [
     RefusalCode::BadRequest,
     RefusalCode::Unauthorized,
@@ -151,62 +151,66 @@
 /// The final answer to a request that was not served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestRefusal {
-    /// Why.
+    /// The reason.
     pub code: RefusalCode,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: RanState,
-    /// When the caller may come back, if that can help.
+    /// Time after which the caller may retry; `None` if a retry would not help.
     pub retry_after: Option<time::Duration>,
-    /// What a person should read.
+    /// Description for people.
     pub message: String,
 }
 
 impl RequestRefusal {
-    /// A refusal of a request no byte of which has reached an upstream.
+    /// Creates a refusal of a request that did not run.
     pub fn not_run(code: RefusalCode, message: impl Into<String>) -> Self {
         Self { code, ran: RanState::No, retry_after: None, message: message.into() }
     }
 
-    /// The same refusal with a time to come back.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(mut self, span: time::Duration) -> Self {
         self.retry_after = Some(span);
         self
     }
 
-    /// The same refusal with another statement on whether it ran.
+    /// Sets whether the request ran.
     pub fn ran(mut self, ran: RanState) -> Self {
         self.ran = ran;
         self
     }
 }
 
-/// Part of its time within which a caller is asked back: later there is none left for its answer, and
-/// callers seldom wait longer.
-const RETURN_PART: f64 = 0.33;
+/// Largest retry delay, as a part of the caller's remaining time. A later retry would leave too
+/// little time for the answer, and callers rarely wait longer.
+const MAX_DELAY_PART: f64 = 0.33;
 
-/// When a caller should come back to a process that has waited for `away` for what it needs to serve at
-/// all, and has `patience` left.
+/// Retry delay for a caller with `patience` left, when its request could not have been served for
+/// `outage`.
 ///
-/// Nobody can tell when it comes; that it takes as long again is the best guess, as outages last from
-/// a fraction of a second to minutes. Callers try again once or twice: of those that meet an outage of four
-/// seconds, with 0.5 s as the time to come back, one in eight comes back to a process that serves; with this, half.
-pub fn outage_retry_after(away: time::Duration, patience: time::Duration) -> time::Duration {
-    away.min(patience.mul_f64(RETURN_PART)).max(MIN_RETRY_AFTER)
+/// The end of an outage cannot be predicted. Outages last from a fraction of a second to minutes, so
+/// the best estimate is that this one lasts as long again. Callers retry once or twice: with a fixed
+/// delay of 0.5 s, one in eight callers that meet an outage of four seconds returns after its end;
+/// with this delay, half of them do.
+pub fn outage_retry_after(outage: time::Duration, patience: time::Duration) -> time::Duration {
+    outage.min(patience.mul_f64(MAX_DELAY_PART)).max(MIN_RETRY_AFTER)
 }
 
-/// Shortest time after which a refused caller is asked back.
+/// Shortest retry delay.
 const MIN_RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
-/// Spreads callers over one to two times the expected wait, so that they do not return together.
+/// Random retry delay of one to two times the expected wait, so that callers do not retry at the same
+/// time.
 pub fn spread_retry(expected: time::Duration, random: &mut impl rand::Rng) -> time::Duration {
     let base = expected.max(MIN_RETRY_AFTER);
     base.mul_f64(1.0 + random.random::<f64>())
 }
 
-/// When a caller should come back whose upstreams all rest, the first of them for `left` more.
+/// Random retry delay for a caller whose upstreams are all in backoff, the first of them for `left`
+/// more.
 ///
-/// Never before that, also where its caller has less time: it then knows that waiting is useless. Spread over as
-/// long as the rest `lasted`, as all that came in it come back: with its end alone they return all at once.
+/// The delay is never shorter than `left`, even if the caller has less time, so that it learns that
+/// waiting is useless. Callers refused during the backoff are spread over as long as it `lasted`;
+/// otherwise all of them would retry at the moment it ends.
 pub fn backoff_retry_after(
     left: time::Duration,
     lasted: time::Duration,
