--- a/crates/core/src/request_digest.rs
+++ b/crates/core/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one: a caller that repeats a request changes its id, not these.
+//! Digests that identify repeats of the same request, which have different request ids.
 
 use std::{fmt, str};
 
@@ -7,25 +7,26 @@
 
 use crate::ids;
 
-/// Bytes kept of the hash. No customer finds a body with another request's digest by trying 2^128 of
-/// them, and its own name is hashed too: at most it has its own requests refused.
+/// Length to which the hash is truncated. Finding a body with the digest of a given request takes
+/// about 2^128 trials, and the customer's name is hashed as well, so a collision affects only the
+/// customer's own requests.
 const DIGEST_BYTES: usize = 16;
 
-/// Stands for a request in logs, in messages and in the quarantine; never shows its body.
+/// Identifies a request in logs, messages and the quarantine without disclosing its body.
 ///
-/// Headers do not count: a repeat has another id, another time left, perhaps another priority.
+/// Headers are not included: a repeat has another id, less time left and possibly another priority.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
-/// Why a text is not a digest.
+/// Error for a text that is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("expected {} hexadecimal digits", DIGEST_BYTES * 2))]
 pub struct DigestError;
 
 impl RequestDigest {
-    /// The digest of a request; `target` is its path with its query.
+    /// Computes the digest of a request; `target` is its path with its query.
     pub fn of(method: &str, target: &str, customer: Option<&ids::CustomerId>, body: &[u8]) -> Self {
         let mut hasher = sha2::Sha256::new();
         let customer = customer.map(ids::CustomerId::as_str).unwrap_or_default();
@@ -34,10 +35,10 @@
             hasher.update(part);
         }
         hasher.update(body);
-        let whole = hasher.finalize();
-        let mut kept = [0; DIGEST_BYTES];
-        kept.copy_from_slice(&whole[..DIGEST_BYTES]);
-        Self(kept)
+        let hash = hasher.finalize();
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&hash[..DIGEST_BYTES]);
+        Self(digest)
     }
 }
 
