--- a/crates/core/src/request_limits.rs
+++ b/crates/core/src/request_limits.rs
@@ -1,11 +1,11 @@
-//! Limits of upstreams, announced by themselves or due to a cold start.
+//! Request limits of listed upstreams: those that upstreams announce, and those after a cold start.
 
 use std::collections;
 
 use crate::{cold_start, ids, units, upstream_limit, upstream_list, upstream_notice};
 
 impl upstream_list::UpstreamList {
-    /// Sets whether cold upstreams are limited.
+    /// Sets whether upstreams are limited after a cold start.
     pub fn set_cold_way(&mut self, way: cold_start::ColdUpstreamWay) {
         self.cold.set_way(way);
     }
@@ -18,16 +18,16 @@
         self.cold.set_policies(policies);
     }
 
-    /// The limit of an upstream for all instances together: the lower of the announced one and that of a cold start.
+    /// The limit of an upstream for all instances together: the lower of the announced limit and the cold start limit.
     pub fn limit(&self, name: &ids::UpstreamId) -> Option<upstream_limit::LimitNotice> {
-        let named = self.notices().limit(name);
+        let announced = self.notices().limit(name);
         let Some((rate, phase)) = self.cold.limit(name) else {
-            return named;
+            return announced;
         };
-        let lower = |limit: &upstream_limit::LimitNotice| {
-            limit.reading.rate.is_some_and(|named| named.per_second() <= rate.per_second())
+        let is_lower = |limit: &upstream_limit::LimitNotice| {
+            limit.reading.rate.is_some_and(|announced| announced.per_second() <= rate.per_second())
         };
-        named.filter(lower).or(Some(upstream_limit::LimitNotice {
+        announced.filter(is_lower).or(Some(upstream_limit::LimitNotice {
             reading: upstream_limit::LimitReading {
                 rate: Some(rate),
                 asked: phase.since,
@@ -38,14 +38,14 @@
         }))
     }
 
-    /// Upstreams with a limit.
+    /// The limits in force, by upstream.
     pub fn limits(&self) -> collections::BTreeMap<&ids::UpstreamId, units::RequestRate> {
-        let named = self.notices().limits().map(|(name, _)| name);
-        let names = named.chain(self.cold.names());
+        let announced = self.notices().limits().map(|(name, _)| name);
+        let names = announced.chain(self.cold.names());
         names.filter_map(|name| Some((name, self.limit(name)?.reading.rate?))).collect()
     }
 
-    /// Number of changes of limits so far.
+    /// Number of limit changes so far.
     pub fn limit_changes(&self) -> u64 {
         self.notices().limit_changes() + self.cold.changes()
     }
