--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,30 +1,31 @@
-//! When an attempt that failed may be followed by another.
+//! Decides whether a failed attempt is followed by another, within a retry budget.
 
 use std::collections;
 
 use crate::units;
 
-/// How an attempt ended without a whole answer.
+/// How an attempt ended without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// The upstream could not be connected to; nothing was written.
+    /// No connection to the upstream was established; nothing was sent.
     NotConnected,
-    /// The upstream itself said that it did not run the request.
+    /// The upstream reported that it did not run the request.
     SaidNotRun,
-    /// Another upstream answered at its address, and did not run the request.
+    /// Another upstream answered at the address and did not run the request.
     Misdirected,
-    /// What it needs first, as memory elsewhere, is not to be had; nothing was sent.
+    /// A prerequisite, such as memory on other engines, is not available; nothing was sent.
     NotPrepared,
-    /// The upstream leaves, or wants rest; nothing was sent.
+    /// The send was denied, for example because the upstream is leaving or in backoff; nothing was
+    /// sent.
     Denied,
-    /// It broke off after bytes were written and before anything reached the caller.
+    /// The connection broke after bytes were sent and before anything reached the caller.
     BrokeBeforeAnswer,
-    /// It broke off after part of the answer reached the caller.
+    /// The connection broke after part of the answer reached the caller.
     BrokeMidAnswer,
 }
 
 impl AttemptFailure {
-    /// Whether the upstream certainly did not run the request.
+    /// Whether the request certainly did not run.
     pub fn definitely_not_run(self) -> bool {
         matches!(
             self,
@@ -36,44 +37,46 @@
         )
     }
 
-    /// Whether no upstream got anything of the request: the attempt, and the retry taken for it, are not spent.
+    /// Whether no upstream received any part of the request. Such an attempt, and the retry taken
+    /// for it, do not count as used.
     pub fn reached_no_upstream(self) -> bool {
         matches!(self, Self::NotConnected | Self::NotPrepared | Self::Denied)
     }
 }
 
-/// What is known when an attempt has failed.
+/// A failed attempt, with the state of its request that decides on a retry.
 #[derive(Debug, Clone, Copy)]
 pub struct FailedAttempt {
-    /// How it failed.
+    /// How the attempt failed.
     pub failure: AttemptFailure,
-    /// Whether the request may run twice.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Attempts made so far, this one included.
+    /// Number of attempts so far, including this one.
     pub attempts: u32,
-    /// Most attempts allowed.
+    /// Most attempts allowed for the request.
     pub max_attempts: u32,
-    /// Whether the time limit leaves room for another.
+    /// Whether the time limit of the request leaves time for another attempt.
     pub time_left: bool,
 }
 
-/// Whether to try again.
+/// Decision on a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryVerdict {
-    /// Try again elsewhere.
+    /// Make another attempt.
     Retry,
-    /// Give the request up, for the reason said.
+    /// Make no further attempt, for the given reason.
     GiveUp(&'static str),
 }
 
-/// Length of the window over which retries are a share of requests.
+/// Window over which requests and retries are counted.
 const WINDOW: std::time::Duration = std::time::Duration::from_secs(10);
-/// Slices of the window.
+/// Number of slices in the window.
 const SLICES: u64 = 10;
-/// Retries allowed in a window however few requests there were.
-const FLOOR: f64 = 3.0;
+/// Retries always allowed in a window, regardless of the number of requests.
+const MIN_RETRIES: f64 = 3.0;
 
-/// Retries as a share of the requests of the last ten seconds, so that an outage is not amplified.
+/// Limits retries to a share of the requests of the last ten seconds, so that they do not amplify an
+/// outage.
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
@@ -82,12 +85,12 @@
 }
 
 impl RetryBudget {
-    /// A budget of `share` retries for each request.
+    /// Creates a budget of `share` retries for each request.
     pub fn new(share: units::ShareRatio) -> Self {
         Self { share: share.factor(), slices: collections::VecDeque::new() }
     }
 
-    /// Changes the share, as new settings say.
+    /// Changes the number of retries for each request.
     pub fn set_share(&mut self, share: units::ShareRatio) {
         self.share = share.factor();
     }
@@ -97,18 +100,18 @@
         self.slice(now).1 += 1;
     }
 
-    /// Decides on another attempt and takes it from the budget.
-    pub fn ask(&mut self, now: units::MonoTime, question: FailedAttempt) -> RetryVerdict {
-        if question.failure == AttemptFailure::BrokeMidAnswer {
+    /// Decides whether to make another attempt and, if so, takes it from the budget.
+    pub fn ask(&mut self, now: units::MonoTime, failed: FailedAttempt) -> RetryVerdict {
+        if failed.failure == AttemptFailure::BrokeMidAnswer {
             return RetryVerdict::GiveUp("part of the answer has reached the caller");
         }
-        if !question.repeatable && !question.failure.definitely_not_run() {
+        if !failed.repeatable && !failed.failure.definitely_not_run() {
             return RetryVerdict::GiveUp("it may have run and must not run twice");
         }
-        if question.attempts >= question.max_attempts {
+        if failed.attempts >= failed.max_attempts {
             return RetryVerdict::GiveUp("no attempts left");
         }
-        if !question.time_left {
+        if !failed.time_left {
             return RetryVerdict::GiveUp("no time left");
         }
         if !self.take(now) {
@@ -117,11 +120,12 @@
         RetryVerdict::Retry
     }
 
+    /// Takes one retry from the budget and returns whether there was one left.
     fn take(&mut self, now: units::MonoTime) -> bool {
         self.slice(now);
         let requests: u64 = self.slices.iter().map(|slice| slice.1).sum();
         let retries: u64 = self.slices.iter().map(|slice| slice.2).sum();
-        let allowed = (requests as f64 * self.share).max(FLOOR);
+        let allowed = (requests as f64 * self.share).max(MIN_RETRIES);
         if retries as f64 + 1.0 > allowed {
             return false;
         }
@@ -129,6 +133,7 @@
         true
     }
 
+    /// Returns the slice that `now` belongs to, after dropping those outside the window.
     fn slice(&mut self, now: units::MonoTime) -> &mut (u64, u64, u64) {
         let width = u64::try_from(WINDOW.as_micros()).unwrap_or(u64::MAX) / SLICES;
         let number = now.0 / width;
