--- a/crates/core/src/retry_need.rs
+++ b/crates/core/src/retry_need.rs
@@ -2,20 +2,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What is lost without the retry, lowest priority first.
+/// What would be lost without the retry, lowest priority first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RetryNeed {
-    /// Latency: the pending attempt may still answer.
+    /// Only latency: the pending attempt may still answer.
     Early,
     /// The request: its caller has received nothing and may send it again.
     Failed,
-    /// A partly delivered answer.
+    /// An answer of which the caller has already received a part.
     Begun,
 }
 
 impl RetryNeed {
-    /// Part of the burst allowance reserved for retries of higher priority. Tokens due later are reserved for none, as
-    /// they would be lost while there is no other retry.
+    /// Part of the burst allowance reserved for retries of higher priority. Beyond the burst allowance nothing is
+    /// reserved, as permits kept for them would be lost while there are no such retries.
     pub fn reserved_part(self) -> f64 {
         match self {
             Self::Early => 0.3,
