--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes, services and caller keys in force: one version of what the operators publish.
+//! Routes, services and caller keys in force, as published by the operators in one version.
 
 use std::{collections, time};
 
@@ -9,19 +9,20 @@
 pub enum RepeatRule {
     /// Any number of times.
     Repeatable,
-    /// Once at most.
+    /// At most once.
     AtMostOnce,
-    /// A stream that another upstream may carry on after the last event delivered.
+    /// Any number of times; another upstream can also continue its event stream after the last
+    /// delivered event.
     Resumable,
 }
 
 impl RepeatRule {
-    /// Whether a second run does no harm.
+    /// Whether a request may run more than once.
     pub fn allows_repeat(self) -> bool {
         self != Self::AtMostOnce
     }
 
-    /// The term that logs and explanations use.
+    /// Label in logs and explanations.
     pub fn label(self) -> &'static str {
         match self {
             Self::Repeatable => "repeatable",
@@ -31,49 +32,49 @@
     }
 }
 
-/// One share of a route's traffic.
+/// A service's share of the traffic of a route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficShare {
-    /// The service that takes it.
+    /// The service that receives the share.
     pub service: ids::ServiceId,
-    /// Its weight against the other shares; not negative.
+    /// Weight relative to the other shares; not negative.
     pub weight: f64,
 }
 
-/// What holds for the requests of one route.
+/// Settings of one route, which apply to all its requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoutePolicy {
-    /// The route's name: the request class in logs and histograms.
+    /// Name of the route, used as the request class in logs and histograms.
     pub name: ids::ClassId,
-    /// Host that callers name, in lower case, without a port.
+    /// Requested host, in lower case, without a port.
     pub host: String,
-    /// Beginning of the paths it covers; begins and ends with a slash.
+    /// Prefix of the paths of the route; begins and ends with a slash.
     pub path_prefix: String,
     /// How often a request may run.
     pub repeat: RepeatRule,
     /// Whether answers are event streams.
     pub streaming: bool,
-    /// Longest a request may stay unanswered.
+    /// Longest time for which a request may stay unanswered.
     pub time_limit: time::Duration,
-    /// Time inside which the answer, or the first event, is in time.
+    /// Latency goal for the answer or its first event.
     pub first_token_goal: time::Duration,
-    /// Longest pause between events that is still in time.
+    /// Latency goal for the pause between two events.
     pub pause_goal: time::Duration,
-    /// 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// Most upstreams that one request may be sent to; 1 at least.
+    /// Most upstreams that one request may be sent to; at least 1.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub anonymous: bool,
-    /// Where its traffic goes; not empty.
+    /// Services that receive the traffic; not empty.
     pub shares: Vec<TrafficShare>,
 }
 
 impl RoutePolicy {
-    /// The service that takes a request, by a number drawn evenly from 0 to 1.
-    pub fn pick_service(&self, drawn: f64) -> &ids::ServiceId {
+    /// Picks the service for a request by weight, given a `random` number evenly distributed from 0 to 1.
+    pub fn pick_service(&self, random: f64) -> &ids::ServiceId {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = drawn * total;
+        let mut left = random * total;
         for share in &self.shares {
             if left < share.weight {
                 return &share.service;
@@ -84,57 +85,58 @@
     }
 }
 
-/// How fast the engines of a service work; the model behind [`crate::pass_model`].
+/// Capacity and speed of the engines of a service; the parameters of [`crate::pass_model`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineShape {
-    /// Requests that run at once.
+    /// Most requests that run concurrently on one engine.
     pub slots: usize,
-    /// KV cache of one engine.
+    /// Size of the KV cache of one engine.
     pub memory: units::TokenCount,
-    /// Steps of a pass in which at least one request writes.
+    /// Token steps in one pass, when at least one request generates tokens.
     pub stride: f64,
-    /// One step without load, milliseconds.
+    /// Duration of one step without load, in milliseconds.
     pub step_ms: f64,
-    /// Added to a step by each request that writes, milliseconds.
+    /// Time that each generating request adds to a step, in milliseconds.
     pub step_per_writer_ms: f64,
-    /// Added to a step by each 1,000 tokens of context of those that write, milliseconds.
+    /// Time that each 1,000 context tokens of the generating requests add to a step, in milliseconds.
     pub step_per_context_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens processed per millisecond.
     pub read_per_ms: f64,
-    /// Added to reading by each million pairs of a token and one before it, milliseconds.
+    /// Time that each million pairs of a prompt token and an earlier one add to the processing of the prompt, in
+    /// milliseconds.
     pub read_per_pairs_ms: f64,
-    /// Age of what an engine reports, milliseconds.
+    /// Age of the state in an engine's report, in milliseconds.
     pub report_lag_ms: f64,
 }
 
-/// One service.
+/// Settings of one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServicePolicy {
-    /// Its name.
+    /// Name of the service.
     pub name: ids::ServiceId,
-    /// Most connections one upstream takes from all callers together.
+    /// Most connections that one upstream accepts in total.
     pub connection_limit: usize,
-    /// Present where its upstreams are model engines.
+    /// Engine parameters; `None` if the upstreams are not model engines.
     pub engine: Option<EngineShape>,
-    /// Present where an upstream that has just started bears fewer requests.
+    /// Limits of upstreams that have just started; `None` if they can serve all requests at once.
     pub cold: Option<cold_start::ColdPolicy>,
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest request head.
+    /// Largest accepted request head.
     pub head_bytes: usize,
-    /// Largest request body.
+    /// Largest accepted request body.
     pub body_bytes: usize,
-    /// Time for a request to arrive once it has begun.
+    /// Time for the head of a request to arrive once it has begun, and again for its body.
     pub arrival: time::Duration,
-    /// Longest rest of a connection between two requests.
+    /// Longest time for which a connection may be idle between two requests.
     pub idle: time::Duration,
 }
 
 impl Default for CallerLimits {
-    // Stand-ins until the first published version is known.
+    // In force until the first published version is known.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -145,12 +147,12 @@
     }
 }
 
-/// The most urgent goals of a service's streamed requests.
+/// The strictest latency goals of a service's streaming routes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceGoals {
-    /// Shortest time inside which a first event is in time.
+    /// Shortest goal for the first event.
     pub first_token: time::Duration,
-    /// Shortest pause goal.
+    /// Shortest goal for the pause between two events.
     pub pause: time::Duration,
 }
 
@@ -159,33 +161,33 @@
     for route in routes.iter().filter(|route| route.streaming) {
         for share in &route.shares {
             let own = ServiceGoals { first_token: route.first_token_goal, pause: route.pause_goal };
-            let known = goals.entry(share.service.clone()).or_insert(own);
-            known.first_token = known.first_token.min(own.first_token);
-            known.pause = known.pause.min(own.pause);
+            let strictest = goals.entry(share.service.clone()).or_insert(own);
+            strictest.first_token = strictest.first_token.min(own.first_token);
+            strictest.pause = strictest.pause.min(own.pause);
         }
     }
     goals
 }
 
-/// One published version, taken whole or not at all.
+/// One published version of the routes, applied as a whole.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RouteTable {
-    /// Only ever goes up.
+    /// Version number, which never decreases.
     pub version: settings::SettingsVersion,
-    /// Routes by host; of one host, the longest prefix first.
+    /// Routes by host; those of one host are ordered from the longest prefix to the shortest.
     routes: collections::HashMap<String, Vec<std::rc::Rc<RoutePolicy>>>,
     /// Services by name.
     pub services: collections::BTreeMap<ids::ServiceId, ServicePolicy>,
-    /// The most urgent goals of each service's streamed requests.
+    /// The strictest latency goals of each service's streaming routes.
     goals: collections::BTreeMap<ids::ServiceId, ServiceGoals>,
     /// Customers by caller key.
     pub keys: collections::HashMap<String, ids::CustomerId>,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
 }
 
 impl RouteTable {
-    /// Puts a version together.
+    /// Creates the table of one version.
     pub fn new(
         version: settings::SettingsVersion,
         routes: Vec<RoutePolicy>,
@@ -206,28 +208,28 @@
         Self { version, routes: by_host, services: services.collect(), goals, keys, limits }
     }
 
-    /// The route of a host and path.
+    /// The route with the longest matching prefix for a host, with or without a port, and a path.
     pub fn route(&self, host: &str, path: &str) -> Option<&std::rc::Rc<RoutePolicy>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         self.routes.get(&name)?.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The customer that holds a key; `None` where the key is not known.
+    /// The customer that a caller key belongs to; `None` if the key is unknown.
     pub fn customer(&self, key: &str) -> Option<&ids::CustomerId> {
         self.keys.get(key)
     }
 
-    /// The most urgent goals of a service's streamed requests; `None` where it has no such routes.
+    /// The strictest latency goals of a service's streaming routes; `None` if it has no such routes.
     pub fn goals(&self, service: &ids::ServiceId) -> Option<&ServiceGoals> {
         self.goals.get(service)
     }
 
-    /// All routes, in no order.
+    /// All routes, in unspecified order.
     pub fn all_routes(&self) -> impl Iterator<Item = &RoutePolicy> {
         self.routes.values().flatten().map(std::rc::Rc::as_ref)
     }
 
-    /// What services say of their cold upstreams.
+    /// Cold start policies, of the services that have one.
     pub fn cold_policies(&self) -> collections::BTreeMap<ids::ServiceId, cold_start::ColdPolicy> {
         let services = self.services.values();
         services.filter_map(|service| Some((service.name.clone(), service.cold?))).collect()
