--- a/crates/core/src/send_counts.rs
+++ b/crates/core/src/send_counts.rs
@@ -1,25 +1,26 @@
-//! How many requests this process sent to each upstream lately, for people who look at shares.
+//! Number of requests that this process recently sent to each upstream, for the status pages.
 
 use std::{collections, time};
 
 use crate::{ids, units};
 
-/// For how long a request counts.
+/// Time for which a request is counted.
 pub const COUNT_TIME: time::Duration = time::Duration::from_secs(10);
-/// Span that is counted, and forgotten, as one.
+/// Length of a slice, whose requests expire together.
 const SLICE_TIME: time::Duration = time::Duration::from_secs(1);
 
-/// Requests sent within one span.
+/// Requests sent within one slice of time, by upstream.
 #[derive(Debug)]
 struct CountSlice {
+    /// Time of the first request in the slice.
     begun: units::MonoTime,
     counts: collections::HashMap<ids::UpstreamId, u32>,
 }
 
-/// Requests of the last [`COUNT_TIME`], by upstream.
+/// Number of requests in the last [`COUNT_TIME`], by upstream.
 #[derive(Debug, Default)]
 pub struct SendCounts {
-    /// Oldest first; begun a [`SLICE_TIME`] apart or more.
+    /// Oldest first; consecutive slices begin at least [`SLICE_TIME`] apart.
     slices: collections::VecDeque<CountSlice>,
 }
 
@@ -32,11 +33,11 @@
         if self.slices.back().is_none_or(|slice| now.since(slice.begun) >= SLICE_TIME) {
             self.slices.push_back(CountSlice { begun: now, counts: collections::HashMap::new() });
         }
-        let slice = self.slices.back_mut().expect("one was pushed above");
+        let slice = self.slices.back_mut().expect("a slice was pushed above");
         *slice.counts.entry(upstream.clone()).or_default() += 1;
     }
 
-    /// Requests that were sent to an upstream lately.
+    /// Number of requests that were recently sent to an upstream.
     pub fn lately(&self, now: units::MonoTime, upstream: &ids::UpstreamId) -> u32 {
         let recent = self.slices.iter().filter(|slice| slice.is_recent(now));
         recent.filter_map(|slice| slice.counts.get(upstream)).sum()
