--- a/crates/core/src/send_counts.rs
+++ b/crates/core/src/send_counts.rs
@@ -38,7 +38,7 @@
     }
 
     /// Number of requests that were recently sent to an upstream.
-    pub fn lately(&self, now: units::MonoTime, upstream: &ids::UpstreamId) -> u32 {
+    pub fn recent_count(&self, now: units::MonoTime, upstream: &ids::UpstreamId) -> u32 {
         let recent = self.slices.iter().filter(|slice| slice.is_recent(now));
         recent.filter_map(|slice| slice.counts.get(upstream)).sum()
     }
--- a/crates/core/tests/send_counts.rs
+++ b/crates/core/tests/send_counts.rs
@@ -22,8 +22,8 @@
     (0..5).for_each(|turn| counts.count(at(turn * 300), &upstream("a")));
     counts.count(at(1_500), &upstream("b"));
     let now = at(2_000);
-    let lately = ["a", "b", "c"].map(|name| counts.lately(now, &upstream(name)));
-    assert_eq!(lately, [5, 1, 0]);
+    let recent_count = ["a", "b", "c"].map(|name| counts.recent_count(now, &upstream(name)));
+    assert_eq!(recent_count, [5, 1, 0]);
 }
 
 /// What is older does not count, and takes no room.
@@ -33,6 +33,6 @@
     counts.count(at(0), &upstream("a"));
     counts.count(at(5_000), &upstream("a"));
     let span = u64::try_from(COUNT_TIME.as_millis()).expect("a short time");
-    assert_eq!(counts.lately(at(span + 1_000), &upstream("a")), 1);
-    assert_eq!(counts.lately(at(span + 6_000), &upstream("a")), 0);
+    assert_eq!(counts.recent_count(at(span + 1_000), &upstream("a")), 1);
+    assert_eq!(counts.recent_count(at(span + 6_000), &upstream("a")), 0);
 }
--- a/crates/instance/src/upstream_rows.rs
+++ b/crates/instance/src/upstream_rows.rs
@@ -60,7 +60,7 @@
     let counts = context.sent.borrow();
     fleet.list.entries().fold(collections::HashMap::new(), |mut sums, entry| {
         *sums.entry(entry.service.clone()).or_default() +=
-            counts.lately(context.now(), &entry.name);
+            counts.recent_count(context.now(), &entry.name);
         sums
     })
 }
@@ -70,7 +70,7 @@
     entry: &upstream_list::UpstreamEntry,
     sums: &collections::HashMap<ids::ServiceId, u32>,
 ) -> String {
-    let count = context.sent.borrow().lately(context.now(), &entry.name);
+    let count = context.sent.borrow().recent_count(context.now(), &entry.name);
     let sum = sums.get(&entry.service).copied().unwrap_or(0).max(1);
     let part = f64::from(count) / f64::from(sum);
     let span = send_counts::COUNT_TIME.as_secs();
