--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -1,4 +1,4 @@
-//! Kinds of sends to upstreams, and reasons to deny one.
+//! Kinds of sends to upstreams, and the reasons for which a send is denied.
 
 use std::{fmt, time};
 
@@ -7,23 +7,24 @@
 /// Whether a request may probe an upstream after its backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbePermission {
-    /// It has another attempt left, should it be refused.
+    /// The request has another attempt left if the upstream refuses it.
     Yes,
-    /// It has none left, or was refused already: with two upstreams that refuse everything a call would meet both.
+    /// The request has no other attempt left, or has already made one. With two upstreams that refuse everything, a
+    /// request could otherwise probe both and fail.
     No,
 }
 
 impl ProbePermission {
-    /// For a request with `made` of `allowed` attempts.
+    /// The permission of a request that has made `made` of `allowed` attempts.
     pub fn of(made: usize, allowed: u32) -> Self {
         if made == 0 && allowed > 1 { Self::Yes } else { Self::No }
     }
 }
 
-/// A kind of send.
+/// Purpose of a send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendKind {
-    /// A request, also one that names the upstream as a helper.
+    /// A request that the upstream runs, or for which it is a helper.
     Request,
     /// A memory reservation.
     Hold,
@@ -33,7 +34,7 @@
     Release,
     /// A request for the upstream's report.
     Report,
-    /// A connection attempt that checks for a listener.
+    /// A connection attempt that checks whether the upstream is listening.
     Check,
 }
 
@@ -50,14 +51,14 @@
     }
 }
 
-/// Why a send is denied.
+/// Reason for which a send is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendDenial {
-    /// The upstream is leaving: the source, and how long that has been known.
+    /// The upstream is leaving. Holds the source of that notice, and its age.
     Leaves(upstream_notice::NoticeSource, time::Duration),
-    /// The upstream is in backoff for this much longer.
+    /// The upstream is in backoff for this long.
     Rests(time::Duration),
-    /// The upstream has a limit, and this send has no permit.
+    /// The upstream has this limit, and the send has no permit.
     Limited(units::RequestRate),
     /// The data centre of the upstream is evacuated.
     Evacuated,
@@ -66,7 +67,7 @@
 }
 
 impl SendDenial {
-    /// Label for counters.
+    /// Label in counters.
     pub fn label(self) -> &'static str {
         match self {
             Self::Leaves(..) => "leaves",
