--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -67,7 +67,7 @@
         self.rows.retain(|subject, _| coordinated.contains_key(subject));
         for (subject, bound) in coordinated {
             let row = self.rows.entry(subject.clone()).or_insert_with(|| LedgerRow {
-                pace: send_pace::SendPace::begun(now, *bound),
+                pace: send_pace::SendPace::initial(now, *bound),
                 last_invited: now,
                 invitations: 0,
                 requesters: collections::BTreeMap::new(),
@@ -82,7 +82,7 @@
     /// Empties all buckets: this process was paused, and others may have coordinated the quotas meanwhile.
     pub fn begin_anew(&mut self, now: units::MonoTime) {
         for row in self.rows.values_mut() {
-            row.pace = send_pace::SendPace::begun(now, row.pace.bound());
+            row.pace = send_pace::SendPace::initial(now, row.pace.bound());
         }
     }
 
--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -119,7 +119,7 @@
         let new = || Member {
             cache: PermitCache::default(),
             ledger: QuotaLedger::default(),
-            pace: SendPace::begun(at(0), bound(limit / members as f64)),
+            pace: SendPace::initial(at(0), bound(limit / members as f64)),
             counts: (0, 0),
             told: vec![0; members],
         };
