--- a/crates/core/src/upstream_limit.rs
+++ b/crates/core/src/upstream_limit.rs
@@ -1,27 +1,28 @@
 //! Request limits that upstreams announce in their answers.
 //!
-//! An overloaded upstream announces its limit for all instances together in each answer; an answer without one ends it.
-//! Readings reach the instances out of order. Each was made between its request and its answer: of two disjoint intervals
-//! the later one holds. For overlapping intervals the lower limit holds, as the next answer corrects it, while the other
-//! mistake would let all instances send without bound.
+//! An overloaded upstream announces its limit for all instances together in each answer; an answer without a limit ends
+//! it. Readings reach the instances out of order, and each was made at some time between its request and its answer. Of
+//! two readings with disjoint intervals the later one holds. If the intervals overlap, the lower limit holds: if that is
+//! wrong, the next answer corrects it, while a limit that is too high would let all instances overload the upstream.
 
 use crate::{units, upstream_notice};
 
-/// One answer's limit, or its absence.
+/// The limit that an answer announced, or its absence.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitReading {
     /// The limit; `None` when the answer has none.
     pub rate: Option<units::RequestRate>,
-    /// When the request was sent; the reading is not older.
+    /// When the request was sent; the reading is not older than that.
     pub asked: units::MonoTime,
-    /// When the answer arrived at the instance that asked; not before `asked`. The reading is not younger.
+    /// When the answer arrived at the instance that sent the request, not before `asked`; the reading is not newer than
+    /// that.
     pub heard: units::MonoTime,
-    /// Where this instance has it from.
+    /// How this instance received the reading.
     pub source: upstream_notice::NoticeSource,
 }
 
 impl LimitReading {
-    /// The one of two readings of one start of an upstream that holds.
+    /// Returns the one of two readings that holds. Both must be of the same start of an upstream.
     pub fn or(self, other: Self) -> Self {
         if other.asked >= self.heard {
             other
@@ -32,12 +33,12 @@
         }
     }
 
-    /// Whether it is the lower limit, or an equal one that is newer.
+    /// Whether this reading has the lower limit, or the same limit and arrived no earlier.
     fn is_lower(&self, other: &Self) -> bool {
-        let bound =
+        let rate =
             |reading: &Self| reading.rate.map_or(f64::INFINITY, units::RequestRate::per_second);
-        let (own, other_bound) = (bound(self), bound(other));
-        own < other_bound || (own == other_bound && self.heard >= other.heard)
+        let (own_rate, other_rate) = (rate(self), rate(other));
+        own_rate < other_rate || (own_rate == other_rate && self.heard >= other.heard)
     }
 }
 
@@ -46,25 +47,25 @@
 pub struct LimitNotice {
     /// The reading that holds.
     pub reading: LimitReading,
-    /// Since when the upstream has or has no limit.
+    /// When the upstream was first seen to have a limit, or to have none any more.
     pub since: units::MonoTime,
 }
 
-/// Change made by a reading.
+/// Change of an upstream's limit that a reading caused.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitChange {
-    /// None.
+    /// No change.
     Known,
-    /// The upstream has a limit now.
+    /// The upstream now has this limit and had none before.
     Begun(units::RequestRate),
-    /// The limit changed: the new and the old one.
+    /// The limit changed. Holds the new and the old one.
     Changed(units::RequestRate, units::RequestRate),
-    /// The limit ended.
+    /// The upstream has no limit any more.
     Ended,
 }
 
 impl LimitChange {
-    /// The change between two limits.
+    /// The change from the limit `before` to the limit `now`.
     pub(crate) fn of(before: Option<units::RequestRate>, now: Option<units::RequestRate>) -> Self {
         match (before, now) {
             (None, Some(now)) => Self::Begun(now),
