--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,7 +1,8 @@
 //! The published settings tree: fleet, customers, applications, request classes.
 //!
-//! The operators publish it as one YAML document with a version. Each node may override any option
-//! of [`NodeOptions`]; what it leaves out comes from its parent. `docs/SETTINGS.md` lists them all.
+//! The operators publish the tree as one YAML document with a version. Each node may override the
+//! options of [`NodeOptions`] and inherits the others from its parent. `docs/SETTINGS.md` lists all
+//! options.
 
 use std::collections;
 
@@ -10,41 +11,42 @@
 
 use crate::{ids, units};
 
-/// Length of a caller key's digest in hexadecimal digits.
+/// Length of a caller key's digest, in hexadecimal digits.
 const KEY_DIGEST_LENGTH: usize = 64;
-/// Largest accepted document: the platform holds values up to a megabyte.
+/// Largest accepted document. The platform's store holds values of up to a megabyte.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
-/// Why a settings document was not accepted. It is accepted whole or not at all.
+/// Error for a settings document that is not accepted. Documents are accepted as a whole or not at
+/// all.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The document is larger than the platform holds.
+    /// The document is larger than [`MAX_DOCUMENT_BYTES`].
     #[snafu(display("found {found} bytes, expected at most {MAX_DOCUMENT_BYTES}"))]
     TooLarge {
-        /// Size of the document.
+        /// Size of the document, in bytes.
         found: usize,
     },
-    /// Not YAML, an unknown option, or a value of the wrong kind.
+    /// The document is not valid YAML, or has an unknown option or a value of the wrong type.
     #[snafu(display("{path}: {reason}"))]
     Shape {
-        /// Path of the offending value.
+        /// Path of the invalid value.
         path: String,
-        /// What the library found, with the line.
+        /// Error message of the YAML parser, with the line.
         reason: String,
     },
-    /// A value out of its range.
+    /// A value is out of range.
     #[snafu(display("{path}: found {found}, expected {expected}"))]
     Range {
-        /// Path of the offending value.
+        /// Path of the invalid value.
         path: String,
-        /// The offending value.
+        /// The invalid value.
         found: String,
-        /// What would be valid.
+        /// Description of the valid values.
         expected: &'static str,
     },
 }
 
-/// Identity of a settings document; it only ever goes up.
+/// Version of the published settings; it increases with each document.
 #[derive(
     Debug,
     Clone,
@@ -67,17 +69,17 @@
     }
 }
 
-/// Which engine a request is sent to.
+/// Rule by which the engine for a request is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RoutingKind {
-    /// Earliest expected first token among the sampled engines; slipturn's own.
+    /// The sampled engine with the earliest expected first token; the default.
     ExpectedStart,
     /// Each engine in turn.
     RoundRobin,
     /// The engine with the fewest requests.
     LeastRequests,
-    /// The engine with the fewest tokens outstanding.
+    /// The engine with the fewest outstanding tokens.
     LeastTokens,
 }
 
@@ -85,51 +87,51 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeOptions {
-    /// Time within which a request finishes or fails, from its last body byte.
+    /// Time within which a request finishes or fails, counted from its last body byte.
     pub time_limit: Option<units::TimeSpan>,
     /// Longest accepted prompt.
     pub max_prompt_tokens: Option<units::TokenCount>,
-    /// Most tokens generated for one request; larger wishes are cut to it.
+    /// Most tokens generated for one request; larger requested limits are reduced to it.
     pub max_output_tokens: Option<units::TokenCount>,
-    /// Share of the fleet relative to other customers' under contention.
+    /// Share of the fleet under contention, relative to the weights of other customers.
     pub weight: Option<f64>,
-    /// Tokens a second (prompt and output) a customer may use in the long run.
+    /// Sustained rate of tokens (prompt and output) that a customer may use.
     pub token_rate: Option<units::TokenRate>,
-    /// Tokens a customer may use at once after a pause.
+    /// Tokens that a customer may use at once after an idle period.
     pub token_burst: Option<units::TokenCount>,
-    /// Most attempts for one request, the first included.
+    /// Most attempts for one request, including the first.
     pub max_attempts: Option<u32>,
-    /// Models this node may use; absent means all.
+    /// Models that requests may use; absent means all.
     pub models: Option<Vec<ids::ModelId>>,
 }
 
-/// Options that hold for the whole fleet.
+/// Options for the whole fleet.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetOptions {
-    /// Which engine a request is sent to.
+    /// Rule by which the engine for a request is chosen.
     pub routing: RoutingKind,
-    /// Engines asked about a request.
+    /// Number of engines asked for an offer for each request.
     pub candidates: usize,
-    /// Engines asked about a long request, whose place matters more.
+    /// Number of engines asked for an offer for a long request, for which the choice matters more.
     pub long_candidates: usize,
-    /// Share of an engine's memory kept free for prompts up to `short_tokens`.
+    /// Share of an engine's memory reserved for prompts up to `short_tokens`.
     pub headroom: units::ShareRatio,
-    /// Prompts up to this length count as short.
+    /// Longest prompt that counts as short.
     pub short_tokens: units::TokenCount,
-    /// Prompts beyond this length count as long.
+    /// Length beyond which a prompt counts as long.
     pub long_tokens: units::TokenCount,
     /// Share of a data centre's engines that long prompts may use.
     pub long_engines: units::ShareRatio,
-    /// Most requests running on one engine at once.
+    /// Most requests running on one engine at a time.
     pub max_running: usize,
-    /// Groups of engines that may serve a prompt larger than one engine, for each data centre.
+    /// Most groups of engines in each data centre that serve a prompt larger than one engine.
     pub group_limit: usize,
-    /// How long a group waits for all its engines before it gives them back.
+    /// How long a group waits for all its engines before it releases those it has.
     pub group_wait: units::TimeSpan,
-    /// Retries as a share of recent requests.
+    /// Retries allowed as a share of recent requests.
     pub retry_share: units::ShareRatio,
-    /// How long an engine may hold an attempt no live lease explains.
+    /// How long an engine may hold an attempt that belongs to no live lease.
     pub orphan_grace: units::TimeSpan,
     /// How long an idempotency key is remembered.
     pub key_retention: units::TimeSpan,
@@ -157,13 +159,13 @@
     }
 }
 
-/// A key of a caller: it names customer and application.
+/// A caller key, which identifies a customer and an application.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerKey {
     /// SHA-256 of the key in hexadecimal; the key itself is never published.
     pub sha256: String,
-    /// The application it names.
+    /// The application that the key belongs to.
     pub application: ids::ApplicationId,
 }
 
@@ -171,9 +173,10 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassNode {
-    /// Prompts up to this length belong to the class, unless a smaller class takes them.
+    /// Longest prompt of the class. Of several classes that fit, the one with the smallest limit is
+    /// used.
     pub up_to_tokens: units::TokenCount,
-    /// What the class overrides.
+    /// Options that the class overrides.
     #[serde(default)]
     pub options: NodeOptions,
 }
@@ -182,9 +185,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ApplicationNode {
-    /// What the application overrides.
+    /// Options that the application overrides.
     pub options: NodeOptions,
-    /// Its request classes.
+    /// Request classes of the application.
     pub classes: collections::BTreeMap<ids::ClassId, ClassNode>,
 }
 
@@ -192,11 +195,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CustomerNode {
-    /// Keys of its callers.
+    /// Keys of the customer's callers.
     pub keys: Vec<CallerKey>,
-    /// What the customer overrides.
+    /// Options that the customer overrides.
     pub options: NodeOptions,
-    /// Its applications.
+    /// Applications of the customer.
     pub applications: collections::BTreeMap<ids::ApplicationId, ApplicationNode>,
 }
 
@@ -204,20 +207,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeatability {
-    /// Running it twice does no harm.
+    /// A call may run more than once.
     Repeatable,
-    /// It must run at most once.
+    /// A call must run at most once.
     Once,
 }
 
-/// A plain service, not backed by engines.
+/// A service that is not backed by model engines.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceNode {
-    /// By method; a method not listed counts as `once`.
+    /// Repeatability by method; a method that is not listed counts as `once`.
     #[serde(default)]
     pub methods: collections::BTreeMap<String, Repeatability>,
-    /// Whether its upstreams themselves refuse a key they have seen.
+    /// Whether the upstreams themselves refuse an idempotency key that they have already seen.
     #[serde(default)]
     pub checks_keys: bool,
     /// Time within which a call finishes or fails.
@@ -236,7 +239,7 @@
     }
 }
 
-/// A whole settings document.
+/// A settings document.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SettingsTree {
@@ -250,33 +253,34 @@
     pub services: collections::BTreeMap<ids::ServiceId, ServiceNode>,
     /// Customers.
     pub customers: collections::BTreeMap<ids::CustomerId, CustomerNode>,
-    /// Callers by the start of their key's digest. Invariant: built from `customers` when the
-    /// document is read, and never changed after.
+    /// Callers by the prefix of their key's digest. Invariant: built from `customers` when the
+    /// document is parsed, and not changed afterwards.
     #[serde(skip)]
     pub(crate) callers: collections::HashMap<String, Vec<KnownCaller>>,
 }
 
-/// A caller's key and whom it names.
+/// A caller key, with the customer and the application that it identifies.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct KnownCaller {
-    /// The key's whole digest in lower case.
+    /// Full digest of the key, in lower case.
     pub(crate) digest: String,
     /// The customer.
     pub(crate) customer: ids::CustomerId,
-    /// Its application.
+    /// The customer's application.
     pub(crate) application: ids::ApplicationId,
 }
 
-/// Digits of a digest that callers are found by; the rest is compared in constant time.
-const INDEX_DIGITS: usize = 16;
+/// Length of the digest prefix by which callers are indexed, in digits. The full digest is compared
+/// in constant time.
+const PREFIX_DIGITS: usize = 16;
 
-/// The part of a digest that callers are found by.
+/// The prefix of a digest by which callers are indexed.
 pub(crate) fn digest_prefix(digest: &str) -> &str {
-    digest.get(..INDEX_DIGITS).unwrap_or(digest)
+    digest.get(..PREFIX_DIGITS).unwrap_or(digest)
 }
 
 impl SettingsTree {
-    /// Reads and checks a YAML document.
+    /// Parses and validates a YAML document.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         ensure!(text.len() <= MAX_DOCUMENT_BYTES, TooLargeSnafu { found: text.len() });
         let mut tree: Self = parse_yaml(text)?;
@@ -305,8 +309,8 @@
             (1..=16).contains(&fleet.candidates),
             "1 to 16",
         )?;
-        let asked = fleet.long_candidates;
-        check_range("fleet.long_candidates", &asked, (1..=16).contains(&asked), "1 to 16")?;
+        let long = fleet.long_candidates;
+        check_range("fleet.long_candidates", &long, (1..=16).contains(&long), "1 to 16")?;
         check_range("fleet.max_running", &fleet.max_running, fleet.max_running > 0, "at least 1")?;
         let ordered = fleet.short_tokens < fleet.long_tokens;
         check_range(
@@ -315,30 +319,30 @@
             ordered,
             "more than fleet.short_tokens",
         )?;
-        let graced = fleet.orphan_grace >= units::TimeSpan::from_secs(1);
-        check_range("fleet.orphan_grace", &fleet.orphan_grace, graced, "at least 1s")?;
-        let kept = !fleet.key_retention.0.is_zero();
-        check_range("fleet.key_retention", &fleet.key_retention, kept, "more than 0s")?;
+        let valid = fleet.orphan_grace >= units::TimeSpan::from_secs(1);
+        check_range("fleet.orphan_grace", &fleet.orphan_grace, valid, "at least 1s")?;
+        let valid = !fleet.key_retention.0.is_zero();
+        check_range("fleet.key_retention", &fleet.key_retention, valid, "more than 0s")?;
         for (id, service) in &self.services {
-            // A key must be remembered at least until the first call that carries it has ended.
+            // A key must be remembered at least until the first call with it has ended.
             let path = format!("services.{id}.time_limit");
-            let remembered = service.time_limit <= fleet.key_retention;
-            check_range(&path, &service.time_limit, remembered, "at most fleet.key_retention")?;
+            let valid = service.time_limit <= fleet.key_retention;
+            check_range(&path, &service.time_limit, valid, "at most fleet.key_retention")?;
         }
         check_options("defaults", &self.defaults)?;
         self.customers.iter().try_for_each(|(id, customer)| check_customer(id, customer))
     }
 }
 
-/// Reads a YAML document, naming the path and the line of what does not fit.
+/// Parses a YAML document. Errors contain the path and the line of the invalid value.
 pub fn parse_yaml<'de, T: Deserialize<'de>>(text: &'de str) -> Result<T, SettingsError> {
     let reader = serde_norway::Deserializer::from_str(text);
     serde_path_to_error::deserialize(reader).map_err(|error| {
         let path = error.path().to_string();
         let text = error.into_inner().to_string();
-        // The library puts an outer part of the same path before its own text.
+        // The parser's message may begin with a prefix of the same path.
         let reason = match text.split_once(": ") {
-            Some((outer, reason)) if path.starts_with(outer) => reason.to_owned(),
+            Some((prefix, reason)) if path.starts_with(prefix) => reason.to_owned(),
             _ => text,
         };
         SettingsError::Shape { path, reason }
@@ -388,7 +392,7 @@
     Ok(())
 }
 
-/// A budget belongs to a customer; below it no process keeps one.
+/// Rejects budget options below the level of customers, where no budget is enforced.
 fn check_no_budget(path: &str, options: &NodeOptions) -> Result<(), SettingsError> {
     let expected = "only fleet and customers to set it";
     if let Some(rate) = options.token_rate {
