--- a/crates/core/src/settings_resolve.rs
+++ b/crates/core/src/settings_resolve.rs
@@ -1,4 +1,4 @@
-//! Resolves the settings of one request and remembers which node gave each value.
+//! Resolution of the settings of a request, with the node that each value comes from.
 
 use std::{fmt, time};
 
@@ -7,7 +7,7 @@
 
 use crate::{ids, settings, units};
 
-/// Used where no node of the tree says otherwise.
+/// Values of options that no node of the tree sets.
 mod defaults {
     use crate::units;
 
@@ -20,12 +20,12 @@
     pub(super) const MAX_ATTEMPTS: u32 = 3;
 }
 
-/// A node of the tree, from the built-in defaults down to a request class.
+/// Source of a value: a node of the settings tree, the built-in defaults or the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NodePath {
-    /// No node: the value built into slipturn.
+    /// The built-in default.
     BuiltIn,
-    /// The fleet-wide defaults.
+    /// The defaults for the whole fleet.
     Fleet,
     /// A customer.
     Customer(ids::CustomerId),
@@ -33,7 +33,7 @@
     Application(ids::CustomerId, ids::ApplicationId),
     /// A request class.
     Class(ids::CustomerId, ids::ApplicationId, ids::ClassId),
-    /// The caller itself, which may only shorten its time limit.
+    /// The caller, which can only shorten the time limit.
     Caller,
 }
 
@@ -52,46 +52,46 @@
     }
 }
 
-/// A value and the node that gave it.
+/// A value and its source.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResolvedValue<T> {
     /// The value in force.
     pub value: T,
-    /// The node that gave it.
+    /// Where the value comes from.
     pub source: NodePath,
 }
 
-/// Everything in force for one request.
+/// Settings in force for one request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResolvedSettings {
-    /// The version of the tree all values come from.
+    /// Version of the settings tree that the values come from.
     pub version: settings::SettingsVersion,
-    /// Whose request it is.
+    /// Customer that makes the request.
     pub customer: ids::CustomerId,
-    /// For which application.
+    /// Application that makes the request.
     pub application: ids::ApplicationId,
-    /// In which request class, if the application has any that fits.
+    /// Request class; `None` if no class of the application fits the prompt.
     pub class: Option<ids::ClassId>,
-    /// Time within which it finishes or fails.
+    /// Time within which the request finishes or fails.
     pub time_limit: ResolvedValue<units::TimeSpan>,
     /// Longest accepted prompt.
     pub max_prompt_tokens: ResolvedValue<units::TokenCount>,
-    /// Most tokens generated.
+    /// Most tokens generated for the request.
     pub max_output_tokens: ResolvedValue<units::TokenCount>,
-    /// Share of the fleet under contention.
+    /// The customer's share of the fleet under contention, relative to the weights of others.
     pub weight: ResolvedValue<f64>,
-    /// The customer's long-run rate; request classes cannot override it.
+    /// Sustained token rate of the customer; applications and classes cannot override it.
     pub token_rate: ResolvedValue<units::TokenRate>,
-    /// The customer's burst; request classes cannot override it.
+    /// Token burst of the customer; applications and classes cannot override it.
     pub token_burst: ResolvedValue<units::TokenCount>,
-    /// Most attempts, the first included.
+    /// Most attempts, including the first.
     pub max_attempts: ResolvedValue<u32>,
-    /// Models it may use; `None` means all.
+    /// Models that the request may use; `None` means all.
     pub models: ResolvedValue<Option<Vec<ids::ModelId>>>,
 }
 
 impl ResolvedSettings {
-    /// Each option by name, with its value and the node that gave it.
+    /// Returns the name, value and source of each option.
     pub fn rows(&self) -> Vec<(&'static str, String, String)> {
         fn row<T: ToString>(
             name: &'static str,
@@ -115,46 +115,47 @@
         ]
     }
 
-    /// Shortens the time limit to what the caller asked for; a longer wish changes nothing.
-    pub fn shorten_limit(&mut self, wish: time::Duration) {
-        if wish < self.time_limit.value.0 {
-            let value = units::TimeSpan(wish);
+    /// Reduces the time limit to the one that the caller `requested`, unless that is longer.
+    pub fn shorten_limit(&mut self, requested: time::Duration) {
+        if requested < self.time_limit.value.0 {
+            let value = units::TimeSpan(requested);
             self.time_limit = ResolvedValue { value, source: NodePath::Caller };
         }
     }
 }
 
-/// Whose request it is.
+/// The customer and the application that a caller key identifies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerIdentity {
     /// The customer.
     pub customer: ids::CustomerId,
-    /// Its application.
+    /// The customer's application.
     pub application: ids::ApplicationId,
 }
 
-/// SHA-256 of a caller's key in lower-case hexadecimal, as the settings hold it.
+/// SHA-256 of a caller key in lower-case hexadecimal, the form that the settings contain.
 pub fn key_digest(key: &str) -> String {
     sha2::Sha256::digest(key.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 impl settings::SettingsTree {
-    /// Finds whom a key names.
+    /// Returns the customer and the application that a caller key belongs to.
     ///
-    /// The start of the digest finds the few that may be meant, and the whole is compared in
-    /// constant time. What the look-up's time reveals is a part of a digest, not of a key.
+    /// A prefix of the digest selects the few possible callers, whose full digests are compared in
+    /// constant time. The duration of the lookup may reveal part of a digest, but nothing of a key.
     pub fn identify(&self, key: &str) -> Option<CallerIdentity> {
         let digest = key_digest(key);
-        let known = self.callers.get(settings::digest_prefix(&digest))?;
-        let same = |caller: &&settings::KnownCaller| {
+        let candidates = self.callers.get(settings::digest_prefix(&digest))?;
+        let is_match = |caller: &&settings::KnownCaller| {
             bool::from(caller.digest.as_bytes().ct_eq(digest.as_bytes()))
         };
-        let caller = known.iter().find(same)?;
+        let caller = candidates.iter().find(is_match)?;
         let (customer, application) = (caller.customer.clone(), caller.application.clone());
         Some(CallerIdentity { customer, application })
     }
 
-    /// Resolves the settings of a request, or `None` where the tree has no such caller.
+    /// Resolves the settings of a request with a prompt of the given length; `None` if the tree does not
+    /// contain the caller's customer or application.
     pub fn resolve(
         &self,
         caller: &CallerIdentity,
@@ -183,27 +184,31 @@
             customer: customer_id.clone(),
             application: application_id.clone(),
             class: class.map(|(id, _)| id.clone()),
-            time_limit: pick(&chain, defaults::TIME_LIMIT, |node| node.time_limit),
-            max_prompt_tokens: pick(&chain, defaults::MAX_PROMPT, |node| node.max_prompt_tokens),
-            max_output_tokens: pick(&chain, defaults::MAX_OUTPUT, |node| node.max_output_tokens),
-            weight: pick(&chain, defaults::WEIGHT, |node| node.weight),
-            token_rate: pick(budget, defaults::TOKEN_RATE, |node| node.token_rate),
-            token_burst: pick(budget, defaults::TOKEN_BURST, |node| node.token_burst),
-            max_attempts: pick(&chain, defaults::MAX_ATTEMPTS, |node| node.max_attempts),
-            models: pick(&chain, None, |node| node.models.clone().map(Some)),
+            time_limit: resolve_option(&chain, defaults::TIME_LIMIT, |node| node.time_limit),
+            max_prompt_tokens: resolve_option(&chain, defaults::MAX_PROMPT, |node| {
+                node.max_prompt_tokens
+            }),
+            max_output_tokens: resolve_option(&chain, defaults::MAX_OUTPUT, |node| {
+                node.max_output_tokens
+            }),
+            weight: resolve_option(&chain, defaults::WEIGHT, |node| node.weight),
+            token_rate: resolve_option(budget, defaults::TOKEN_RATE, |node| node.token_rate),
+            token_burst: resolve_option(budget, defaults::TOKEN_BURST, |node| node.token_burst),
+            max_attempts: resolve_option(&chain, defaults::MAX_ATTEMPTS, |node| node.max_attempts),
+            models: resolve_option(&chain, None, |node| node.models.clone().map(Some)),
         })
     }
 }
 
-/// Takes the value of the lowest node that gives one.
-fn pick<T>(
+/// Resolves one option: the value of the lowest node in `chain` that sets it, or else the default.
+fn resolve_option<T>(
     chain: &[(NodePath, &settings::NodeOptions)],
-    built_in: T,
+    default: T,
     read: impl Fn(&settings::NodeOptions) -> Option<T>,
 ) -> ResolvedValue<T> {
-    let given = chain.iter().rev().find_map(|(path, node)| Some((path, read(node)?)));
-    match given {
+    let set = chain.iter().rev().find_map(|(path, node)| Some((path, read(node)?)));
+    match set {
         Some((path, value)) => ResolvedValue { value, source: path.clone() },
-        None => ResolvedValue { value: built_in, source: NodePath::BuiltIn },
+        None => ResolvedValue { value: default, source: NodePath::BuiltIn },
     }
 }
