--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -1,49 +1,49 @@
-//! Sizes, rates and times, each a type of its own.
+//! Quantities such as sizes, rates and times, each with its own type.
 
 use std::{fmt, iter, ops, str, time};
 
 use snafu::{ResultExt as _, Snafu};
 
-/// Characters of a text from outside that an error shows.
-const MAX_SHOWN: usize = 40;
+/// Longest part of an untrusted text that an error message contains, in characters.
+const MAX_FOUND_CHARS: usize = 40;
 
-/// Why a text is not a valid quantity.
+/// Error for an invalid quantity.
 #[derive(Debug, Snafu)]
 pub enum UnitError {
-    /// Not a whole number.
+    /// The text is not a whole number of tokens.
     #[snafu(display("found '{found}', expected a whole number of tokens"))]
     Tokens {
-        /// The offending text.
+        /// The invalid text.
         found: String,
-        /// What the standard library said.
+        /// Error of the integer parser.
         source: std::num::ParseIntError,
     },
-    /// Not a length of time.
+    /// The text is not a length of time.
     #[snafu(display("found '{found}', expected a length of time such as 250ms, 10s or 5m"))]
     Span {
-        /// The offending text.
+        /// The invalid text.
         found: String,
-        /// What the library said.
+        /// Error of the duration parser.
         source: humantime::DurationError,
     },
-    /// Not a number of bytes.
+    /// The text is not a number of bytes.
     #[snafu(display("found '{found}', expected a size such as 64MiB ({reason})"))]
     Bytes {
-        /// The offending text.
+        /// The invalid text.
         found: String,
-        /// What the library said.
+        /// Error message of the size parser.
         reason: String,
     },
-    /// Not a number of requests a second.
+    /// The text or number is not a valid request rate.
     #[snafu(display("found '{found}', expected requests a second such as 2 or 0.5"))]
     Requests {
-        /// The offending text.
+        /// The invalid text or number.
         found: String,
     },
-    /// Not a share between 0 and 1.
+    /// The number is not between 0 and 1.
     #[snafu(display("found {found}, expected a share from 0 to 1"))]
     Share {
-        /// The offending value.
+        /// The invalid number.
         found: f64,
     },
 }
@@ -69,7 +69,7 @@
     /// No tokens.
     pub const ZERO: Self = Self(0);
 
-    /// The difference, or zero where `other` is larger.
+    /// The difference, or zero if `other` is larger.
     pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
@@ -121,18 +121,18 @@
     }
 }
 
-/// Tokens a second.
+/// A rate in tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
 pub struct TokenRate(pub f64);
 
 impl TokenRate {
-    /// How long `count` tokens take at this rate.
+    /// Time that `count` tokens take at this rate. A rate below one token per second counts as one.
     pub fn time_for(self, count: TokenCount) -> time::Duration {
         time::Duration::from_secs_f64((count.0 as f64 / self.0.max(1.0)).min(1e9))
     }
 
-    /// How many tokens pass in `span` at this rate.
+    /// Number of tokens in `span` at this rate, rounded down.
     pub fn tokens_in(self, span: time::Duration) -> TokenCount {
         TokenCount((self.0 * span.as_secs_f64()) as u64)
     }
@@ -144,23 +144,23 @@
     }
 }
 
-/// Requests a second: finite, and not below zero.
+/// A rate in requests per second; finite and not negative.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, PartialOrd, serde::Serialize, serde::Deserialize,
 )]
 #[serde(try_from = "f64", into = "f64")]
 pub struct RequestRate(f64);
 
-// No value is other than itself: it is finite.
+// Equality is reflexive, because the rate is never NaN.
 impl Eq for RequestRate {}
 
 impl RequestRate {
-    /// The rate as a number.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 
-    /// A part of it, from 0 to 1.
+    /// The rate multiplied by `part`, which is clamped to 0 to 1.
     pub fn scaled(self, part: f64) -> Self {
         Self(self.0 * part.clamp(0.0, 1.0))
     }
@@ -192,17 +192,18 @@
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
         let number = text.trim_end_matches(" requests/s");
-        // Digits with at most one point; what else a number may be written as is none here.
-        let plain = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-        let rate = number.parse::<f64>().ok().filter(|_| plain);
+        // Only digits and a decimal point: signs, exponents, `inf` and `NaN` are not valid here.
+        let is_plain = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+        let rate = number.parse::<f64>().ok().filter(|_| is_plain);
         match rate.map(Self::try_from) {
             Some(Ok(rate)) => Ok(rate),
-            _ => RequestsSnafu { found: text.chars().take(MAX_SHOWN).collect::<String>() }.fail(),
+            _ => RequestsSnafu { found: text.chars().take(MAX_FOUND_CHARS).collect::<String>() }
+                .fail(),
         }
     }
 }
 
-/// A number of bytes, written in settings as `64MiB`.
+/// A number of bytes, written in settings as text such as `64MiB`.
 #[derive(
     Debug,
     Clone,
@@ -249,7 +250,7 @@
     }
 }
 
-/// A length of time, written in settings as `250ms`.
+/// A length of time, written in settings as text such as `250ms`.
 #[derive(
     Debug,
     Clone,
@@ -266,12 +267,12 @@
 pub struct TimeSpan(pub time::Duration);
 
 impl TimeSpan {
-    /// A span of `millis` thousandths of a second.
+    /// Creates a span of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(time::Duration::from_millis(millis))
     }
 
-    /// A span of `secs` seconds.
+    /// Creates a span of `secs` seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(time::Duration::from_secs(secs))
     }
@@ -305,18 +306,18 @@
     }
 }
 
-/// A length of time in whole milliseconds, rounded down, as it travels and is reported.
+/// Converts a length of time to whole milliseconds, rounded down, as used in messages and reports.
 pub fn whole_millis(span: time::Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A share of a whole, from 0 to 1.
+/// A share, from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, serde::Serialize, serde::Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct ShareRatio(f64);
 
 impl ShareRatio {
-    /// The share as a factor.
+    /// The share as a number from 0 to 1.
     pub fn factor(self) -> f64 {
         self.0
     }
@@ -347,17 +348,17 @@
 pub struct MonoTime(pub u64);
 
 impl MonoTime {
-    /// The point `span` after the process's start.
+    /// The point in time `span` after the start of the process.
     pub fn from_span(span: time::Duration) -> Self {
         Self(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// The point `span` before this one, or the process's start where that is nearer.
+    /// The point in time `span` before this one, or the start of the process if that is later.
     pub fn earlier_by(self, span: time::Duration) -> Self {
         Self(self.0.saturating_sub(Self::from_span(span).0))
     }
 
-    /// The time since `earlier`, or zero where that lies ahead.
+    /// The time since `earlier`, or zero if `earlier` is later than this point.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
