--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -1,4 +1,4 @@
-//! A customer's tokens: portions, debt, expiry, and the part of an entry that is cut off.
+//! Customer token budgets: portions, debt, expiry, and entries that cannot reach the scheduler.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,27 +20,27 @@
 
 const TOKENS: units::TokenCount = units::TokenCount(500);
 
-/// Draws and spends as entries do, and returns the tokens spent in `seconds`.
-fn spend_for(seconds: u64, entries: usize, keepers: usize) -> u64 {
+/// Draws and spends like `entries` entries do, and returns the tokens spent in `seconds`.
+fn spend_for(seconds: u64, entries: usize, schedulers: usize) -> u64 {
     let limit = limit(10_000.0, 10_000);
-    let mut keepers: Vec<_> = (0..keepers).map(|_| budget::BudgetLedger::default()).collect();
-    let mut purses: Vec<_> = (0..entries).map(|_| budget::BudgetCache::default()).collect();
+    let mut ledgers: Vec<_> = (0..schedulers).map(|_| budget::BudgetLedger::default()).collect();
+    let mut caches: Vec<_> = (0..entries).map(|_| budget::BudgetCache::default()).collect();
     let mut spent = 0;
     for millis in (0..seconds * 1_000).step_by(2) {
-        // The keeper is handed over every ten seconds, to one that knows nothing.
-        let term = usize::try_from(millis / 10_000).unwrap() % keepers.len();
-        if keepers.len() > 1 && millis.is_multiple_of(10_000) {
-            keepers[term] = budget::BudgetLedger::default();
-            keepers[term].note_membership_change(now(millis));
+        // Every ten seconds another scheduler takes the budget over, without any state.
+        let current = usize::try_from(millis / 10_000).unwrap() % ledgers.len();
+        if ledgers.len() > 1 && millis.is_multiple_of(10_000) {
+            ledgers[current] = budget::BudgetLedger::default();
+            ledgers[current].note_membership_change(now(millis));
         }
-        for purse in &mut purses {
-            if !purse.spend(now(millis), &customer(), TOKENS) {
-                let Ok(portion) = keepers[term].draw(now(millis), &customer(), limit, TOKENS)
+        for cache in &mut caches {
+            if !cache.spend(now(millis), &customer(), TOKENS) {
+                let Ok(portion) = ledgers[current].draw(now(millis), &customer(), limit, TOKENS)
                 else {
                     continue;
                 };
-                purse.add(now(millis), &customer(), portion);
-                assert!(purse.spend(now(millis), &customer(), TOKENS));
+                cache.add(now(millis), &customer(), portion);
+                assert!(cache.spend(now(millis), &customer(), TOKENS));
             }
             spent += TOKENS.0;
         }
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_limit_is_held_however_many_entries_spend() {
+fn spending_matches_the_limit_for_any_number_of_entries() {
     for entries in [1, 6, 24] {
         let spent = spend_for(60, entries, 1) as f64;
         let allowed = 10_000.0 * 60.0;
@@ -61,37 +61,37 @@
 }
 
 #[test]
-fn many_entries_with_few_requests_each_waste_nothing_of_the_limit() {
-    // 200 entries, one request of each in two seconds: half the limit in all.
+fn many_entries_with_few_requests_do_not_exhaust_the_limit_with_unspent_portions() {
+    // 200 entries with one request each in two seconds use half the limit in total.
     let limit = limit(100_000.0, 100_000);
-    let mut keeper = budget::BudgetLedger::default();
-    let mut purses: Vec<_> = (0..200).map(|_| budget::BudgetCache::default()).collect();
+    let mut ledger = budget::BudgetLedger::default();
+    let mut caches: Vec<_> = (0..200).map(|_| budget::BudgetCache::default()).collect();
     for millis in (0..20_000).step_by(10) {
-        let purse = &mut purses[usize::try_from(millis / 10).unwrap() % 200];
-        if !purse.spend(now(millis), &customer(), TOKENS) {
-            let want = purse.draw_size(now(millis), &customer(), TOKENS);
-            let portion = keeper.draw(now(millis), &customer(), limit, want).unwrap();
-            purse.add(now(millis), &customer(), portion);
-            assert!(purse.spend(now(millis), &customer(), TOKENS));
+        let cache = &mut caches[usize::try_from(millis / 10).unwrap() % 200];
+        if !cache.spend(now(millis), &customer(), TOKENS) {
+            let want = cache.draw_size(now(millis), &customer(), TOKENS);
+            let portion = ledger.draw(now(millis), &customer(), limit, want).unwrap();
+            cache.add(now(millis), &customer(), portion);
+            assert!(cache.spend(now(millis), &customer(), TOKENS));
         }
     }
 }
 
 #[test]
-fn a_limit_is_held_while_its_keeper_changes() {
+fn spending_matches_the_limit_while_the_scheduler_changes() {
     let spent = spend_for(60, 6, 3) as f64;
     let allowed = 10_000.0 * 60.0;
     assert!((spent / allowed - 1.0).abs() <= 0.1, "spent {spent} of {allowed}");
 }
 
 #[test]
-fn entries_cut_off_from_the_keeper_spend_their_part_together_the_limit() {
+fn entries_that_cannot_reach_the_scheduler_spend_the_limit_together() {
     let limit = limit(10_000.0, 10_000);
-    let mut purses: Vec<_> = (0..6).map(|_| budget::BudgetCache::default()).collect();
+    let mut caches: Vec<_> = (0..6).map(|_| budget::BudgetCache::default()).collect();
     let mut spent = 0;
     for millis in (0..60_000).step_by(5) {
-        for purse in &mut purses {
-            if purse.spend_alone(now(millis), &customer(), limit, 6, TOKENS).is_ok() {
+        for cache in &mut caches {
+            if cache.spend_alone(now(millis), &customer(), limit, 6, TOKENS).is_ok() {
                 spent += TOKENS.0;
             }
         }
@@ -101,59 +101,59 @@
 }
 
 #[test]
-fn a_prompt_larger_than_the_bucket_starts_and_delays_what_follows() {
-    let mut keeper = budget::BudgetLedger::default();
+fn a_prompt_larger_than_the_bucket_starts_and_delays_later_requests() {
+    let mut ledger = budget::BudgetLedger::default();
     let limit = limit(10_000.0, 10_000);
     let large = units::TokenCount(100_000);
-    assert!(keeper.draw(now(0), &customer(), limit, large).is_ok());
-    let Err(budget::BudgetExhausted(wait)) = keeper.draw(now(0), &customer(), limit, TOKENS) else {
-        panic!("in debt by 97,500 tokens");
+    assert!(ledger.draw(now(0), &customer(), limit, large).is_ok());
+    let Err(budget::BudgetExhausted(wait)) = ledger.draw(now(0), &customer(), limit, TOKENS) else {
+        panic!("the bucket is in debt by 97,500 tokens");
     };
     assert!((9_700..9_800).contains(&wait.as_millis()), "{wait:?}");
-    assert!(keeper.draw(now(9_800), &customer(), limit, TOKENS).is_ok());
+    assert!(ledger.draw(now(9_800), &customer(), limit, TOKENS).is_ok());
 }
 
 #[test]
 fn a_portion_expires() {
-    let mut purse = budget::BudgetCache::default();
+    let mut cache = budget::BudgetCache::default();
     let ttl = time::Duration::from_secs(2);
-    purse.add(now(0), &customer(), budget::BudgetPortion { tokens: TOKENS, ttl });
-    assert!(!purse.spend(now(2_000), &customer(), units::TokenCount(1)));
+    cache.add(now(0), &customer(), budget::BudgetPortion { tokens: TOKENS, ttl });
+    assert!(!cache.spend(now(2_000), &customer(), units::TokenCount(1)));
 }
 
 #[test]
-fn a_keeper_that_takes_over_hands_out_no_second_burst() {
+fn a_scheduler_that_takes_over_grants_no_second_burst() {
     let limit = limit(1_000.0, 1_000_000);
-    let mut fresh = budget::BudgetLedger::default();
-    fresh.note_membership_change(now(500_000));
+    let mut new = budget::BudgetLedger::default();
+    new.note_membership_change(now(500_000));
     let mut drawn = 0;
-    while let Ok(portion) = fresh.draw(now(500_000), &customer(), limit, TOKENS) {
+    while let Ok(portion) = new.draw(now(500_000), &customer(), limit, TOKENS) {
         drawn += portion.tokens.0;
     }
     assert!(drawn <= 1_500, "{drawn} tokens at once");
 }
 
 #[test]
-fn a_customer_idle_under_its_keeper_has_its_burst() {
+fn a_customer_that_was_idle_under_one_scheduler_has_its_full_burst() {
     let limit = limit(1_000.0, 20_000);
-    let mut keeper = budget::BudgetLedger::default();
-    keeper.note_membership_change(now(0));
-    keeper.draw(now(0), &customer(), limit, TOKENS).unwrap();
-    keeper.prune(now(70_000));
-    assert!(keeper.is_empty());
+    let mut ledger = budget::BudgetLedger::default();
+    ledger.note_membership_change(now(0));
+    ledger.draw(now(0), &customer(), limit, TOKENS).unwrap();
+    ledger.prune(now(70_000));
+    assert!(ledger.is_empty());
     let mut drawn = 0;
-    while let Ok(portion) = keeper.draw(now(70_000), &customer(), limit, TOKENS) {
+    while let Ok(portion) = ledger.draw(now(70_000), &customer(), limit, TOKENS) {
         drawn += portion.tokens.0;
     }
     assert_eq!(drawn, 20_000);
 }
 
 #[test]
-fn idle_customers_are_forgotten() {
-    let mut keeper = budget::BudgetLedger::default();
-    keeper.draw(now(0), &customer(), limit(1_000.0, 1_000), TOKENS).unwrap();
-    keeper.prune(now(59_000));
-    assert_eq!(keeper.len(), 1);
-    keeper.prune(now(61_000));
-    assert!(keeper.is_empty());
+fn buckets_of_idle_customers_are_dropped() {
+    let mut ledger = budget::BudgetLedger::default();
+    ledger.draw(now(0), &customer(), limit(1_000.0, 1_000), TOKENS).unwrap();
+    ledger.prune(now(59_000));
+    assert_eq!(ledger.len(), 1);
+    ledger.prune(now(61_000));
+    assert!(ledger.is_empty());
 }
