--- a/crates/core/tests/connection_share.rs
+++ b/crates/core/tests/connection_share.rs
@@ -1,9 +1,9 @@
-//! Resting connections of all members to one upstream.
+//! Idle connections of all members to one upstream.
 
 use slipturn_core::{connection_share, ids};
 
 #[test]
-fn all_members_together_keep_to_what_an_upstream_accepts() {
+fn idle_connections_of_all_members_stay_within_the_limit_of_the_upstream() {
     for limit in [24, 96, 400, 1_800] {
         for members in [1, 6, 60, 300, 380] {
             for upstream in 0..20 {
@@ -11,11 +11,11 @@
                 let own = |number: usize| -> ids::InstanceId {
                     format!("front-{number}").parse().expect("a name")
                 };
-                let kept =
+                let idle =
                     |number| connection_share::max_idle(limit, members, &own(number), &upstream);
-                let all: usize = (0..members).map(kept).sum();
-                assert!(all <= limit, "{all} of {limit} by {members}");
-                assert!(all * 5 >= limit, "{all} of {limit} by {members}");
+                let all: usize = (0..members).map(idle).sum();
+                assert!(all <= limit, "{members} members keep {all} of {limit}");
+                assert!(all * 5 >= limit, "{members} members keep {all} of {limit}");
             }
         }
     }
