--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -1,4 +1,4 @@
-//! What a silent connection says of itself, of its upstream and of others.
+//! Waits for answers, and the classification of connections that went silent.
 
 use std::time;
 
@@ -23,54 +23,62 @@
 }
 
 #[test]
-fn a_head_is_awaited_as_long_as_answers_usually_take() {
+fn the_wait_for_a_head_follows_the_usual_answer_time() {
     let table = [
-        ("nothing known", vec![], LONGEST),
-        ("too little known", vec![10; 7], LONGEST),
-        ("quick: most of the goal", vec![10; 20], millis(180)),
-        ("slower than the goal", vec![400; 60], millis(600)),
-        ("as slow as the wait for a slow upstream", vec![800; 60], LONGEST),
+        ("no answers", vec![], LONGEST),
+        ("too few answers", vec![10; 7], LONGEST),
+        ("fast answers: part of the goal", vec![10; 20], millis(180)),
+        ("answers slower than the goal", vec![400; 60], millis(600)),
+        ("answers slower than the longest wait", vec![800; 60], LONGEST),
     ];
-    for (what, spans, wanted) in table {
+    for (case, spans, expected) in table {
         let wait = times(&spans).kept_wait(GOAL, LONGEST);
-        assert!(wait.abs_diff(wanted) < millis(2), "{what}: {wait:?}");
+        assert!(wait.abs_diff(expected) < millis(2), "{case}: {wait:?}");
     }
     let uneven = times(&[40, 120, 60, 90, 30, 110, 70, 50, 100, 80]).kept_wait(GOAL, LONGEST);
     assert!(uneven > millis(200) && uneven < millis(500), "{uneven:?}");
 }
 
 #[test]
-fn a_silence_is_told_from_a_slow_upstream_by_connections_as_old() {
-    let kept = ages(5_000, Some(1_200));
+fn a_live_connection_open_for_as_long_shows_that_the_upstream_is_slow() {
+    let reused = ages(5_000, Some(1_200));
     let table = [
-        ("no other", kept, vec![], SilenceCause::KeptConnection),
-        ("never heard", ages(220, None), vec![ages(9_000, Some(10))], SilenceCause::Upstream),
-        ("as old and heard", kept, vec![ages(3_000, Some(20))], SilenceCause::SlowUpstream),
-        ("heard, but newer", kept, vec![ages(1_100, Some(20))], SilenceCause::KeptConnection),
-        ("as old, unheard", kept, vec![ages(3_000, Some(150))], SilenceCause::KeptConnection),
+        ("no other", reused, vec![], SilenceCause::KeptConnection),
+        ("never any data", ages(220, None), vec![ages(9_000, Some(10))], SilenceCause::Upstream),
+        ("open throughout, live", reused, vec![ages(3_000, Some(20))], SilenceCause::SlowUpstream),
+        ("opened later, live", reused, vec![ages(1_100, Some(20))], SilenceCause::KeptConnection),
+        (
+            "open throughout, not live",
+            reused,
+            vec![ages(3_000, Some(150))],
+            SilenceCause::KeptConnection,
+        ),
     ];
-    for (what, silent, others, wanted) in table {
+    for (case, silent, others, expected) in table {
         let cause = SilenceCause::of(silent, SilencePhase::Head, WAITED, others.into_iter());
-        assert_eq!(cause, wanted, "{what}");
+        assert_eq!(cause, expected, "{case}");
     }
-    let midway =
+    let mid_answer =
         SilenceCause::of(ages(900, Some(200)), SilencePhase::MidAnswer, WAITED, std::iter::empty());
-    assert_eq!(midway, SilenceCause::OpenConnection);
+    assert_eq!(mid_answer, SilenceCause::OpenConnection);
 }
 
 #[test]
-fn one_that_was_open_all_the_time_and_is_heard_speaks_for_the_others() {
+fn only_a_connection_open_since_the_silence_began_counts_as_a_live_peer() {
     let silent = ages(5_000, Some(1_200));
-    let heard = [ages(300, Some(10)), ages(9_000, Some(10))];
-    assert!(silent.has_live_peer(WAITED, heard.into_iter()));
-    assert!(!silent.has_live_peer(WAITED, heard.into_iter().take(1)), "opened behind the silence");
+    let live = [ages(300, Some(10)), ages(9_000, Some(10))];
+    assert!(silent.has_live_peer(WAITED, live.into_iter()));
+    assert!(
+        !silent.has_live_peer(WAITED, live.into_iter().take(1)),
+        "it was opened after the silence began"
+    );
     assert!(!silent.has_live_peer(WAITED, std::iter::empty()));
 }
 
 #[test]
-fn only_what_was_heard_late_in_the_wait_is_trusted_behind_it() {
+fn only_connections_with_data_late_in_the_wait_are_trusted() {
     assert!(ages(5_000, Some(20)).trusted(WAITED));
-    assert!(!ages(5_000, Some(120)).trusted(WAITED), "it may have fallen silent with the other");
+    assert!(!ages(5_000, Some(120)).trusted(WAITED), "it may have gone silent with the other");
     assert!(!ages(50, None).trusted(WAITED));
     for cause in [SilenceCause::Upstream, SilenceCause::SlowUpstream] {
         assert!(!cause.doubts_others(), "{cause:?}");
