--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -1,7 +1,9 @@
-//! At most one run for a key: votes under restarts, pauses, lost answers and a changing list.
+//! At most one run for each idempotency key, under restarts, pauses, lost answers and changes of the
+//! list.
 //!
-//! The model moves a small fleet at random and lets askers vote at any time, with any answers
-//! lost. An asker runs its call when it may; no key may run twice within the retention.
+//! The property test changes a small fleet at random and lets requests ask for votes at any time,
+//! with any of the answers lost. A request runs if it has a majority; no key may run twice within the
+//! retention.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,9 +13,9 @@
 use slipturn_core::{ids, key_vote, rendezvous, units};
 
 const RETENTION: time::Duration = time::Duration::from_secs(60);
-/// Retention and the lag of the list on top of it.
+/// Retention plus the lag of the list, in milliseconds.
 const WINDOW: u64 = 90_000;
-/// Time between two looks at the list.
+/// Time between two updates of the list, in milliseconds.
 const TICK: u64 = 5_000;
 
 fn now(millis: u64) -> units::MonoTime {
@@ -32,10 +34,12 @@
     key_vote::ScopedKey("bluebonnet/rsvp/k".to_owned())
 }
 
-/// Instances by number; each has its own memory, and all see one list.
+/// Voters by instance number. All instances see the same list.
 struct Fleet {
     voters: collections::BTreeMap<u64, key_vote::KeyVoter>,
+    /// Number of the next instance that joins.
     next: u64,
+    /// Current time, in milliseconds.
     clock: u64,
 }
 
@@ -48,7 +52,7 @@
         fleet
     }
 
-    /// A fleet whose instances have all been up and listed for long enough.
+    /// Creates a fleet whose instances have all been running and listed for the whole window.
     fn settled(size: u64) -> Self {
         let mut fleet = Self::new(size);
         fleet.pass(WINDOW);
@@ -67,7 +71,7 @@
         self.publish();
     }
 
-    /// The same instance starts again: its memory is gone, its name is not.
+    /// Restarts an instance under the same name; it loses its record of requests.
     fn restart(&mut self, number: u64) {
         let voter = key_vote::KeyVoter::new(instance(number), now(self.clock), RETENTION);
         self.voters.insert(number, voter);
@@ -82,7 +86,7 @@
     }
 
     fn pass(&mut self, millis: u64) {
-        // The list is seen all the while, as ticks do it.
+        // The list is updated at regular intervals meanwhile, as it is in a running instance.
         for _ in 0..millis / TICK {
             self.clock += TICK;
             self.publish();
@@ -92,27 +96,28 @@
         }
     }
 
-    fn ask(&mut self, number: u64, asker: u64) -> key_vote::VoteAnswer {
+    /// Lets the request with number `requester` ask one instance.
+    fn ask(&mut self, number: u64, requester: u64) -> key_vote::VoteAnswer {
         let clock = now(self.clock);
-        self.voters.get_mut(&number).unwrap().ask(clock, &key(), &request(asker))
+        self.voters.get_mut(&number).unwrap().ask(clock, &key(), &request(requester))
     }
 
-    /// Asks all; the answers of those for which `lost` holds do not arrive.
-    fn vote(&mut self, asker: u64, lost: impl Fn(u64) -> bool) -> key_vote::VoteVerdict {
-        self.vote_among(asker, |_| true, lost)
+    /// Lets a request ask all instances; the answers of those for which `lost` is true do not arrive.
+    fn vote(&mut self, requester: u64, lost: impl Fn(u64) -> bool) -> key_vote::VoteVerdict {
+        self.vote_among(requester, |_| true, lost)
     }
 
-    /// Asks those for which `reached` holds.
+    /// Like [`Self::vote`], but asks only the instances for which `reached` is true.
     fn vote_among(
         &mut self,
-        asker: u64,
+        requester: u64,
         reached: impl Fn(u64) -> bool,
         lost: impl Fn(u64) -> bool,
     ) -> key_vote::VoteVerdict {
         let mut tally = key_vote::VoteTally::new(now(self.clock));
         let numbers: Vec<_> = self.voters.keys().copied().filter(|one| reached(*one)).collect();
         for number in numbers {
-            let answer = self.ask(number, asker);
+            let answer = self.ask(number, requester);
             if !lost(number) {
                 tally.add(&instance(number), answer);
             }
@@ -120,7 +125,7 @@
         tally.verdict(now(self.clock))
     }
 
-    /// The voters of the key, best first.
+    /// All instances, from the highest rank for the key to the lowest.
     fn ranking(&self) -> Vec<u64> {
         let mut numbers: Vec<_> = self.voters.keys().copied().collect();
         let score = |number: &u64| rendezvous::stable_hash(&[&key().0, instance(*number).as_str()]);
@@ -134,25 +139,25 @@
 }
 
 #[test]
-fn the_first_asker_runs_and_the_second_does_not() {
+fn only_the_first_request_for_a_key_runs() {
     let mut fleet = Fleet::settled(6);
     assert!(runs(&fleet.vote(1, |_| false)));
     assert_eq!(fleet.vote(2, |_| false), key_vote::VoteVerdict::Taken(request(1)));
-    // The same request may ask again, as after a lost answer.
+    // The first request may ask again, for example after a lost answer.
     assert!(runs(&fleet.vote(1, |_| false)));
 }
 
 #[test]
-fn a_minority_in_reach_is_not_enough() {
+fn a_request_without_a_majority_does_not_run() {
     let mut fleet = Fleet::settled(6);
     let verdict = fleet.vote(1, |number| number >= 3);
     assert_eq!(verdict, key_vote::VoteVerdict::InDoubt { granted: 3, needed: 4 });
-    // Its answers were lost, its votes were not: another request does not get the key either.
+    // Only the answers were lost, not the votes, so another request does not get the key either.
     assert!(!runs(&fleet.vote(2, |number| number < 3)));
 }
 
 #[test]
-fn one_restart_costs_no_votes_that_are_needed() {
+fn a_majority_is_possible_after_one_restart() {
     let mut fleet = Fleet::settled(6);
     fleet.restart(2);
     assert!(runs(&fleet.vote(1, |_| false)));
@@ -165,14 +170,14 @@
     for number in [0, 1, 2] {
         fleet.restart(number);
     }
-    // One of the four that voted is left, and it knows; without its answer there is no majority.
+    // Only instance 3 still has the vote on record, and without its answer there is no majority.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
     fleet.pass(WINDOW);
     assert!(runs(&fleet.vote(3, |_| false)));
 }
 
 #[test]
-fn replacing_the_fleet_one_by_one_never_hands_a_key_out_twice() {
+fn a_key_is_not_granted_twice_while_all_instances_are_replaced_one_by_one() {
     let mut fleet = Fleet::settled(6);
     assert!(runs(&fleet.vote(1, |number| number >= 4)));
     for number in 0..6 {
@@ -184,18 +189,18 @@
 }
 
 #[test]
-fn a_fleet_that_shrank_needs_the_majority_of_the_larger_one() {
+fn a_fleet_that_shrank_needs_a_majority_of_its_former_voters() {
     let mut fleet = Fleet::settled(6);
     assert!(runs(&fleet.vote(1, |number| number >= 4)));
     for number in 0..3 {
         fleet.leave(number);
     }
-    // Three are left; two of them would be a majority of three, and did not vote before.
+    // Three are left. Two of them did not vote before and would be a majority of three.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
 }
 
 #[test]
-fn a_paused_asker_does_not_use_old_votes() {
+fn a_request_that_was_paused_does_not_use_old_votes() {
     let mut fleet = Fleet::settled(6);
     let mut tally = key_vote::VoteTally::new(now(fleet.clock));
     for number in 0..6 {
@@ -207,7 +212,7 @@
 }
 
 #[test]
-fn votes_of_a_key_do_not_grow_with_the_fleet() {
+fn the_number_of_voters_does_not_grow_with_the_fleet() {
     let mut fleet = Fleet::settled(100);
     let mut granted = 0;
     for number in 0..100 {
@@ -220,7 +225,7 @@
 }
 
 #[test]
-fn a_fleet_in_which_few_come_and_go_still_votes() {
+fn a_majority_is_possible_after_a_few_instances_are_replaced() {
     let mut fleet = Fleet::settled(100);
     for number in 0..3 {
         fleet.leave(number);
@@ -230,26 +235,27 @@
 }
 
 #[test]
-fn voters_that_move_up_because_others_left_make_no_second_majority() {
+fn instances_that_move_up_in_rank_form_no_second_majority() {
     let mut fleet = Fleet::settled(20);
     let ranking = fleet.ranking();
     let first: Vec<_> = ranking[..4].to_vec();
     assert!(runs(&fleet.vote_among(1, |number| first.contains(&number), |_| false)));
-    // All that voted are gone. Others move up in rank, but those that left still count.
+    // All instances that voted leave. Others move up in rank, but those that left still count as voters.
     for number in first {
         fleet.leave(number);
     }
     assert!(!runs(&fleet.vote(2, |_| false)));
 }
 
-/// One step of a random history.
+/// A step of a random history.
 #[derive(Debug, Clone)]
 enum Step {
     Pass(u64),
     Leave(usize),
     Join,
     Restart(usize),
-    /// A new request votes; the bits say who is not reached, and whose answers are lost.
+    /// A new request asks for votes. Each bit stands for instances: the first number tells which are not reached, the
+    /// second whose answers are lost.
     Vote(u32, u32),
 }
 
@@ -267,7 +273,7 @@
 
 fn check_history(size: u64, history: &[Step]) -> Result<u32, test_runner::TestCaseError> {
     let mut fleet = Fleet::settled(size);
-    let (mut last_run, mut asker, mut ran) = (None::<u64>, 0, 0);
+    let (mut last_run, mut requester, mut ran) = (None::<u64>, 0, 0);
     for step in history {
         let pick = |index: &usize| {
             let numbers: Vec<_> = fleet.voters.keys().copied().collect();
@@ -280,10 +286,10 @@
             Step::Join => fleet.join(),
             Step::Restart(index) => fleet.restart(pick(index)),
             Step::Vote(unreached, lost) => {
-                asker += 1;
+                requester += 1;
                 let reached = |number: u64| unreached >> (number % 32) & 1 == 0;
                 let lost = |number: u64| lost >> (number % 31) & 1 == 1;
-                let verdict = fleet.vote_among(asker, reached, lost);
+                let verdict = fleet.vote_among(requester, reached, lost);
                 if runs(&verdict) {
                     let since = last_run.map(|last| fleet.clock - last);
                     let retention = u64::try_from(RETENTION.as_millis()).unwrap();
@@ -309,6 +315,6 @@
         Ok(())
     });
     checked.unwrap();
-    // A rule that never lets anybody run would pass for the wrong reason.
-    assert!(ran.get() > 300, "only {} votes were won", ran.get());
+    // The property also holds if no request ever runs, so a number of runs is required.
+    assert!(ran.get() > 300, "only {} requests had a majority", ran.get());
 }
