--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -1,5 +1,5 @@
-//! A limit that concerns the sum over all members, kept by ways that are compared in virtual time: the most that goes
-//! out in any 4 s, the part of the limit that is used, and what that costs in messages.
+//! Simulates several ways in which all members together keep the rate limit of an upstream, and compares the most sends
+//! in any 4 s, the part of the limit that is used and the number of messages.
 
 use std::{collections, time};
 
@@ -14,86 +14,94 @@
     units,
 };
 
-/// Datagrams lost, of all.
-const LOST: f64 = 0.01;
-/// A datagram's way within a region, milliseconds.
-const WAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
-/// Virtual time of one run, milliseconds.
+/// Part of the datagrams that is lost.
+const LOSS: f64 = 0.01;
+/// Delay of a datagram within a region, in milliseconds.
+const DELAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
+/// Simulated time of one run, in milliseconds.
 const RUN_MS: u64 = 24_000;
-/// The span in which sends are counted, milliseconds.
+/// Window in which sends are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
-/// Requests that want to go to the upstream, in shares of its limit, where it is short.
+/// Requests for the upstream, as a multiple of its limit.
 const DEMAND: f64 = 10.0;
-/// Time for a coordinator's answer, milliseconds; behind it the request goes elsewhere.
-const REPLY_MS: u64 = 25;
-/// Time behind which a request that was not answered is asked for anew, milliseconds.
-const SILENCE_MS: u64 = 100;
+/// Longest wait for a coordinator's response, in milliseconds; after it the request goes to another upstream.
+const RESPONSE_TIMEOUT_MS: u64 = 25;
+/// Backoff after a late response that contained no valid permit, in milliseconds.
+const SILENCE_BACKOFF_MS: u64 = 100;
 
-/// How a limit is kept.
+/// How the members keep the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LimitWay {
-    /// Each member keeps an even share of it.
+    /// Each member has an even share of the limit.
     EvenShare,
-    /// Each keeps a share by its part of the demand, told to all each second.
+    /// Each member has a share in proportion to its demand, which it sends to all others every second.
     DemandShare,
-    /// One member gives leave for each send.
-    KeeperEach,
-    /// One member gives leave, also ahead where members send several within a moment.
-    KeeperAhead,
+    /// A coordinator grants a permit for each send.
+    CoordinatorEach,
+    /// A coordinator grants permits, also ahead to members that send several within a short time.
+    CoordinatorAhead,
 }
 
-const WAYS: [LimitWay; 4] =
-    [LimitWay::EvenShare, LimitWay::DemandShare, LimitWay::KeeperEach, LimitWay::KeeperAhead];
+const WAYS: [LimitWay; 4] = [
+    LimitWay::EvenShare,
+    LimitWay::DemandShare,
+    LimitWay::CoordinatorEach,
+    LimitWay::CoordinatorAhead,
+];
 
-/// Who asks for the upstream.
+/// Members that have requests for the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Busy {
     All,
     One,
 }
 
-/// What becomes of keepers: member 0 keeps the limit, unless.
+/// Fault of a run. Member 0 is the coordinator except where stated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Trouble {
-    Calm,
-    /// It dies after 8 s, and member 1 begins so many milliseconds later.
-    Dies(u64),
-    /// It stands still from 8 s on for 3 s, believes to be the coordinator still for so many milliseconds, and takes over
-    /// again a second later.
-    StandsStill(u64),
-    /// From 8 to 16 s the members are cut in halves that both have a coordinator, which know it after so many
-    /// milliseconds.
-    CutInHalves(u64),
+enum Fault {
+    None,
+    /// Member 0 crashes after 8 s, and member 1 takes over this many milliseconds later.
+    Crash(u64),
+    /// Member 0 is paused from 8 s to 11 s, and member 1 takes over. After the pause member 0 considers itself the
+    /// coordinator for this many milliseconds more, and takes over again at 12 s.
+    Pause(u64),
+    /// From 8 s to 16 s the members are partitioned into halves, each with its own coordinator. The coordinators detect
+    /// the partition after this many milliseconds.
+    Partition(u64),
 }
 
+/// A message, with the member that requested permits and the time of its request.
 #[derive(Debug, Clone)]
 enum Message {
-    Ask(usize, PermitRequest, u64),
-    Answer(usize, PermitResponse, u64),
+    Request(usize, PermitRequest, u64),
+    Response(usize, PermitResponse, u64),
 }
 
 struct Member {
     cache: PermitCache<ids::UpstreamId>,
     ledger: QuotaLedger<ids::UpstreamId>,
-    /// Its own share, of the ways that have one.
+    /// Token bucket of the member's own share, if the way has shares.
     pace: SendPace,
-    /// Requests of the second under way, and of the one before.
+    /// Number of requests in the current second and in the previous one.
     counts: (u32, u32),
-    /// What each member told of its demand, as this one has heard it.
-    told: Vec<u32>,
+    /// Demand of each member, as last received by this one, in requests per second.
+    demands: Vec<u32>,
 }
 
 struct Run {
     way: LimitWay,
+    /// The limit, in requests per second.
     rate: f64,
-    /// Requests a second that want to go there.
+    /// Requests for the upstream per second.
     demand: f64,
     busy: Busy,
-    trouble: Trouble,
+    fault: Fault,
     members: Vec<Member>,
-    /// Messages under way by their times of arrival, with whom they reach.
-    under_way: collections::BTreeMap<u64, Vec<(usize, Message)>>,
+    /// Messages in transit by time of arrival, with their recipients.
+    in_transit: collections::BTreeMap<u64, Vec<(usize, Message)>>,
+    /// Times of the sends to the upstream, in milliseconds.
     sends: Vec<u64>,
+    /// Number of messages sent.
     messages: usize,
     random: ChaCha8Rng,
 }
@@ -115,22 +123,22 @@
 }
 
 impl Run {
-    fn new(way: LimitWay, members: usize, limit: f64, busy: Busy, trouble: Trouble) -> Self {
+    fn new(way: LimitWay, members: usize, limit: f64, busy: Busy, fault: Fault) -> Self {
         let new = || Member {
             cache: PermitCache::default(),
             ledger: QuotaLedger::default(),
             pace: SendPace::initial(at(0), bound(limit / members as f64)),
             counts: (0, 0),
-            told: vec![0; members],
+            demands: vec![0; members],
         };
         Self {
             way,
             rate: limit,
             demand: limit * DEMAND,
             busy,
-            trouble,
+            fault,
             members: (0..members).map(|_| new()).collect(),
-            under_way: collections::BTreeMap::new(),
+            in_transit: collections::BTreeMap::new(),
             sends: Vec::new(),
             messages: 0,
             random: ChaCha8Rng::seed_from_u64(members as u64 + (limit * 10.0) as u64),
@@ -138,27 +146,27 @@
     }
 
     fn play(mut self) -> Figures {
-        // Not the one that keeps it.
+        // If one member has all requests, it is not the coordinator.
         let first = if self.busy == Busy::All { 0 } else { self.members.len() - 1 };
         let busy = first..self.members.len();
         let each_ms = self.demand / 1_000.0;
         for now in 1..RUN_MS {
-            self.set_keepers(now);
-            for (to, message) in self.under_way.remove(&now).unwrap_or_default() {
-                if !self.is_still(now, to) {
+            self.set_coordinators(now);
+            for (to, message) in self.in_transit.remove(&now).unwrap_or_default() {
+                if !self.is_stopped(now, to) {
                     self.receive(now, to, message);
                 } else {
-                    // It lies in its socket until the process runs again.
-                    self.under_way.entry(now + 1).or_default().push((to, message));
+                    // The message stays in the socket until the process runs again.
+                    self.in_transit.entry(now + 1).or_default().push((to, message));
                 }
             }
             if now % 1_000 == 0 {
-                self.tell_demand();
+                self.send_demands();
             }
-            // As many as whole numbers and chance give.
+            // The number of requests is rounded up or down at random.
             for _ in 0..(each_ms + self.random.random::<f64>()) as usize {
                 let member = self.random.random_range(busy.clone());
-                if !self.is_still(now, member) {
+                if !self.is_stopped(now, member) {
                     self.arrive(now, member);
                 }
             }
@@ -166,63 +174,66 @@
         Figures::of(&self)
     }
 
-    /// Whether a member does nothing now.
-    fn is_still(&self, now: u64, member: usize) -> bool {
+    /// Whether a member is crashed or paused.
+    fn is_stopped(&self, now: u64, member: usize) -> bool {
         member == 0
-            && match self.trouble {
-                Trouble::Dies(_) => now > 8_000,
-                Trouble::StandsStill(_) => (8_000..11_000).contains(&now),
+            && match self.fault {
+                Fault::Crash(_) => now > 8_000,
+                Fault::Pause(_) => (8_000..11_000).contains(&now),
                 _ => false,
             }
     }
 
-    /// Which members believe that they keep the limit, and how much of it.
-    fn set_keepers(&mut self, now: u64) {
+    /// Sets which members consider themselves the coordinator, and of which part of the limit.
+    fn set_coordinators(&mut self, now: u64) {
         let half = self.members.len() / 2;
-        let keepers = match self.trouble {
-            Trouble::Dies(later) if now > 8_000 + later => vec![(1, 1.0)],
-            Trouble::Dies(_) if now > 8_000 => vec![],
-            Trouble::StandsStill(believes) if now > 8_050 && now < 12_000 => {
-                let woken = (11_000..11_000 + believes).contains(&now).then_some((0, 1.0));
-                [(1, 1.0)].into_iter().chain(woken).collect()
+        let coordinators = match self.fault {
+            Fault::Crash(delay) if now > 8_000 + delay => vec![(1, 1.0)],
+            Fault::Crash(_) if now > 8_000 => vec![],
+            Fault::Pause(stale) if now > 8_050 && now < 12_000 => {
+                let resumed = (11_000..11_000 + stale).contains(&now).then_some((0, 1.0));
+                [(1, 1.0)].into_iter().chain(resumed).collect()
             }
-            Trouble::CutInHalves(unknown) if (8_000..16_000).contains(&now) => {
-                let part = if now < 8_000 + unknown { 1.0 } else { 0.5 };
+            Fault::Partition(undetected) if (8_000..16_000).contains(&now) => {
+                let part = if now < 8_000 + undetected { 1.0 } else { 0.5 };
                 vec![(0, part), (half, part)]
             }
             _ => vec![(0, 1.0)],
         };
         for member in [0, 1, half] {
-            let own = keepers.iter().find(|(coordinator, _)| *coordinator == member);
-            let kept = own.map(|(_, part)| (upstream(), bound(self.rate * part)));
-            if !self.is_still(now, member) {
-                self.members[member].ledger.set_coordinated(at(now), &kept.into_iter().collect());
+            let own = coordinators.iter().find(|(coordinator, _)| *coordinator == member);
+            let coordinated = own.map(|(_, part)| (upstream(), bound(self.rate * part)));
+            if !self.is_stopped(now, member) {
+                self.members[member]
+                    .ledger
+                    .set_coordinated(at(now), &coordinated.into_iter().collect());
             }
         }
     }
 
-    /// Whom a member takes for the coordinator.
+    /// The coordinator as a member sees it.
     fn coordinator_of(&self, now: u64, member: usize) -> usize {
         let half = self.members.len() / 2;
-        match self.trouble {
-            Trouble::Dies(later) if now > 8_000 + later => 1,
-            Trouble::StandsStill(believes) if now > 8_050 && now < 12_000 => {
-                if member == 0 && now < 11_000 + believes { 0 } else { 1 }
+        match self.fault {
+            Fault::Crash(delay) if now > 8_000 + delay => 1,
+            Fault::Pause(stale) if now > 8_050 && now < 12_000 => {
+                if member == 0 && now < 11_000 + stale { 0 } else { 1 }
             }
-            Trouble::CutInHalves(_) if (8_000..16_000).contains(&now) && member >= half => half,
+            Fault::Partition(_) if (8_000..16_000).contains(&now) && member >= half => half,
             _ => 0,
         }
     }
 
     fn send_to(&mut self, now: u64, to: usize, message: Message) {
         self.messages += 1;
-        if self.random.random::<f64>() >= LOST {
-            let arrives = now + self.random.random_range(WAY_MS);
-            self.under_way.entry(arrives).or_default().push((to, message));
+        if self.random.random::<f64>() >= LOSS {
+            let arrives = now + self.random.random_range(DELAY_MS);
+            self.in_transit.entry(arrives).or_default().push((to, message));
         }
     }
 
-    fn tell_demand(&mut self) {
+    /// Starts a new second of the demand counts and, if shares follow the demand, sends the last one to all members.
+    fn send_demands(&mut self) {
         for from in 0..self.members.len() {
             let (current, _) = self.members[from].counts;
             self.members[from].counts = (0, current);
@@ -231,27 +242,29 @@
             }
             for to in 0..self.members.len() {
                 self.messages += usize::from(to != from);
-                if to == from || self.random.random::<f64>() >= LOST {
-                    self.members[to].told[from] = current;
+                if to == from || self.random.random::<f64>() >= LOSS {
+                    self.members[to].demands[from] = current;
                 }
             }
         }
     }
 
-    /// A request that would go to the upstream, or else elsewhere.
+    /// Handles a request that is sent to the upstream if the limit allows it, and to another upstream otherwise.
     fn arrive(&mut self, now: u64, from: usize) {
         self.members[from].counts.0 += 1;
         match self.way {
             LimitWay::EvenShare => self.send_by_share(now, from, 1.0 / self.members.len() as f64),
             LimitWay::DemandShare => {
-                let told = &self.members[from].told;
-                let sum: u32 = told.iter().sum();
-                // Who does not know of any demand takes an even share.
-                let even = 1.0 / told.len() as f64;
-                let share = if sum == 0 { even } else { f64::from(told[from]) / f64::from(sum) };
+                let demands = &self.members[from].demands;
+                let sum: u32 = demands.iter().sum();
+                // A member that knows of no demand uses an even share.
+                let even = 1.0 / demands.len() as f64;
+                let share = if sum == 0 { even } else { f64::from(demands[from]) / f64::from(sum) };
                 self.send_by_share(now, from, share);
             }
-            LimitWay::KeeperEach | LimitWay::KeeperAhead => self.send_by_leave(now, from),
+            LimitWay::CoordinatorEach | LimitWay::CoordinatorAhead => {
+                self.send_by_permit(now, from)
+            }
         }
     }
 
@@ -265,23 +278,23 @@
         }
     }
 
-    fn send_by_leave(&mut self, now: u64, from: usize) {
+    fn send_by_permit(&mut self, now: u64, from: usize) {
         let step = self.members[from].cache.step(at(now), &upstream(), time::Duration::ZERO);
         match step {
             PermitStep::Send(_) => self.sends.push(now),
             PermitStep::Closed(_) => {}
-            PermitStep::Ask(ask) => {
-                let wanted = if self.way == LimitWay::KeeperEach { 1 } else { ask.wanted };
-                let ask = PermitRequest { wanted, ..ask };
+            PermitStep::Ask(request) => {
+                let wanted = if self.way == LimitWay::CoordinatorEach { 1 } else { request.wanted };
+                let request = PermitRequest { wanted, ..request };
                 let coordinator = self.coordinator_of(now, from);
                 if coordinator != from {
-                    self.send_to(now, coordinator, Message::Ask(from, ask, now));
+                    self.send_to(now, coordinator, Message::Request(from, request, now));
                     return;
                 }
-                if let Some(answer) =
-                    self.members[from].ledger.ask(at(now), &upstream(), from as u64, &ask)
+                if let Some(response) =
+                    self.members[from].ledger.ask(at(now), &upstream(), from as u64, &request)
                 {
-                    self.receive_answer(now, from, answer, now);
+                    self.receive_response(now, from, response, now);
                 }
             }
         }
@@ -289,39 +302,44 @@
 
     fn receive(&mut self, now: u64, to: usize, message: Message) {
         match message {
-            Message::Ask(from, ask, asked) => {
-                if let Some(answer) =
-                    self.members[to].ledger.ask(at(now), &upstream(), from as u64, &ask)
+            Message::Request(from, request, requested) => {
+                if let Some(response) =
+                    self.members[to].ledger.ask(at(now), &upstream(), from as u64, &request)
                 {
-                    self.send_to(now, from, Message::Answer(from, answer, asked));
+                    self.send_to(now, from, Message::Response(from, response, requested));
                 }
             }
-            Message::Answer(to, answer, asked) => self.receive_answer(now, to, answer, asked),
+            Message::Response(to, response, requested) => {
+                self.receive_response(now, to, response, requested)
+            }
         }
     }
 
-    /// The request has gone elsewhere if the answer took too long; its leave serves the next one, while it is good.
-    fn receive_answer(&mut self, now: u64, to: usize, answer: PermitResponse, asked: u64) {
-        let heard = self.members[to].cache.receive(at(now), &upstream(), at(asked), answer);
-        if heard.is_ok() && now < asked + REPLY_MS {
+    /// Handles the response to a request made at `requested`. If it is late, the request that needed the permit has
+    /// already gone to another upstream.
+    fn receive_response(&mut self, now: u64, to: usize, response: PermitResponse, requested: u64) {
+        let received =
+            self.members[to].cache.receive(at(now), &upstream(), at(requested), response);
+        if received.is_ok() && now < requested + RESPONSE_TIMEOUT_MS {
             self.sends.push(now);
-        } else if heard.is_err() && now >= asked + REPLY_MS {
-            let pause = time::Duration::from_millis(SILENCE_MS);
+        } else if received.is_err() && now >= requested + RESPONSE_TIMEOUT_MS {
+            let pause = time::Duration::from_millis(SILENCE_BACKOFF_MS);
             self.members[to].cache.note_silence(at(now), &upstream(), pause);
         }
     }
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug)]
 struct Figures {
-    /// Most sends in a window.
+    /// Most sends in any window.
     most: usize,
     /// Part of the limit that was used.
     used: f64,
-    /// The same, but for the time of one send at the start, and one.
-    least_used: f64,
-    /// Messages a second of all members.
+    /// Like `used`, with a tolerance of one more send, and one less that the limit allows because the bucket starts
+    /// empty.
+    used_with_tolerance: f64,
+    /// Messages of all members, per second.
     messages: f64,
 }
 
@@ -334,14 +352,14 @@
         Self {
             most: (0..run.sends.len()).map(|first| until(first) - first).max().unwrap_or(0),
             used: sent / (run.rate * seconds),
-            least_used: (sent + 1.0) / (run.rate * seconds - 1.0),
+            used_with_tolerance: (sent + 1.0) / (run.rate * seconds - 1.0),
             messages: run.messages as f64 / seconds,
         }
     }
 }
 
-/// The most that the named rate lets through in a window: with what a leave's time and a gap made up for may move
-/// from before the window into it, and the one that opens it.
+/// Most sends in a window that the limit allows: those of the window itself, those that a permit's validity (0.5 s) and
+/// the burst allowance (0.2 s) can move into it, and one at its beginning.
 fn most_by_rate(limit: f64) -> usize {
     let spans = WINDOW_MS as f64 / 1_000.0 + 0.2 + 0.5;
     (limit * spans) as usize + 1
@@ -351,31 +369,31 @@
 const LIMITS: [f64; 3] = [0.3, 2.0, 20.0];
 
 #[test]
-fn the_named_rate_is_kept_and_used_at_all_sizes_by_all_or_one() {
+fn the_limit_is_kept_and_used_in_fleets_of_all_sizes() {
     for way in WAYS {
         for members in SIZES {
             if way == LimitWay::DemandShare && members == 300 {
-                // Each tells all each second: 89,700 messages.
+                // Every member would send a message to every other each second: 89,700 messages.
                 continue;
             }
             for limit in LIMITS {
                 for busy in [Busy::All, Busy::One] {
-                    let figures = Run::new(way, members, limit, busy, Trouble::Calm).play();
+                    let figures = Run::new(way, members, limit, busy, Fault::None).play();
                     println!(
-                        "{way:?}, {members} members, {limit} a second, {busy:?} busy: {} in 4 s ({} by the rate), \
-                         {:.2} used, {:.1} messages a second",
+                        "{way:?}, {members} members, limit {limit}/s, {busy:?} busy: {} in 4 s ({} allowed), \
+                         {:.2} used, {:.1} messages/s",
                         figures.most,
                         most_by_rate(limit),
                         figures.used,
                         figures.messages
                     );
-                    if way == LimitWay::KeeperAhead {
+                    if way == LimitWay::CoordinatorAhead {
                         assert!(
                             figures.most <= most_by_rate(limit),
                             "{members}, {limit}: {figures:?}"
                         );
                         assert!(
-                            figures.least_used >= 0.8,
+                            figures.used_with_tolerance >= 0.8,
                             "{members}, {limit}, {busy:?}: {figures:?}"
                         );
                         assert!(figures.messages < 4.0 * 300.0, "{members}, {limit}: {figures:?}");
@@ -387,59 +405,62 @@
 }
 
 #[test]
-fn a_keeper_that_dies_stands_still_or_is_cut_off_costs_no_more_than_its_time() {
-    let troubles = [
-        Trouble::Dies(50),
-        Trouble::Dies(1_000),
-        Trouble::StandsStill(50),
-        Trouble::CutInHalves(0),
-        Trouble::CutInHalves(800),
+fn faults_of_the_coordinator_raise_sends_only_while_they_are_undetected() {
+    let faults = [
+        Fault::Crash(50),
+        Fault::Crash(1_000),
+        Fault::Pause(50),
+        Fault::Partition(0),
+        Fault::Partition(800),
     ];
-    for trouble in troubles {
+    for fault in faults {
         for members in SIZES {
             for limit in LIMITS {
-                let run = Run::new(LimitWay::KeeperAhead, members, limit, Busy::All, trouble);
+                let run = Run::new(LimitWay::CoordinatorAhead, members, limit, Busy::All, fault);
                 let figures = run.play();
                 println!(
-                    "{trouble:?}, {members} members, {limit} a second: {} in 4 s ({} by the rate), {:.2} used",
+                    "{fault:?}, {members} members, limit {limit}/s: {} in 4 s ({} allowed), {:.2} used",
                     figures.most,
                     most_by_rate(limit),
                     figures.used
                 );
-                // Two that both believe to be the coordinator give one leave more, and until they know of a cut twice as
-                // many.
-                let unknown = match trouble {
-                    Trouble::CutInHalves(unknown) => unknown as f64 / 1_000.0,
+                // Two concurrent coordinators grant one permit more, and twice as many permits until they detect a
+                // partition.
+                let undetected = match fault {
+                    Fault::Partition(undetected) => undetected as f64 / 1_000.0,
                     _ => 0.0,
                 };
-                let most = most_by_rate(limit) + 1 + (limit * (unknown + 0.2)).ceil() as usize;
-                assert!(figures.most <= most, "{trouble:?}, {members}, {limit}: {figures:?}");
-                assert!(figures.least_used >= 0.7, "{trouble:?}, {members}, {limit}: {figures:?}");
+                let most = most_by_rate(limit) + 1 + (limit * (undetected + 0.2)).ceil() as usize;
+                assert!(figures.most <= most, "{fault:?}, {members}, {limit}: {figures:?}");
+                assert!(
+                    figures.used_with_tolerance >= 0.7,
+                    "{fault:?}, {members}, {limit}: {figures:?}"
+                );
             }
         }
     }
 }
 
-/// A limit far beyond what is asked for keeps nothing back and costs few messages.
+/// Guards against a limit far above the demand that delays requests or costs a message for each.
 #[test]
-fn leaves_given_ahead_spare_messages_where_a_limit_is_high() {
+fn permits_granted_ahead_save_messages_under_a_high_limit() {
     let play = |way| {
-        let mut run = Run::new(way, 6, 1_000_000.0, Busy::All, Trouble::Calm);
+        let mut run = Run::new(way, 6, 1_000_000.0, Busy::All, Fault::None);
         run.demand = 600.0;
         let figures = run.play();
         (figures.used * 1_000_000.0 / 600.0, figures.messages)
     };
-    let (each, ahead) = (play(LimitWay::KeeperEach), play(LimitWay::KeeperAhead));
-    println!("part sent and messages a second: a leave each {each:?}, ahead {ahead:?}");
+    let (each, ahead) = (play(LimitWay::CoordinatorEach), play(LimitWay::CoordinatorAhead));
+    println!("part sent and messages/s: one permit for each request {each:?}, ahead {ahead:?}");
     assert!(ahead.0 >= 0.97 && ahead.1 < each.1 / 4.0);
 }
 
-/// What lay unread while its member was paused is no leave any more.
+/// Guards against the use of expired permits from a response that the member read only after a pause.
 #[test]
-fn an_answer_read_late_gives_no_leave() {
+fn a_response_read_late_contains_no_valid_permit() {
     let mut cache = PermitCache::default();
-    let given = PermitResponse::Granted { count: 3, wait_ms: 0 };
-    assert!(cache.receive(at(700), &upstream(), at(100), given).is_err());
+    let granted = PermitResponse::Granted { count: 3, wait_ms: 0 };
+    assert!(cache.receive(at(700), &upstream(), at(100), granted).is_err());
     let step = cache.step(at(701), &upstream(), time::Duration::ZERO);
     assert!(matches!(step, PermitStep::Ask(_)), "{step:?}");
     let term = PermitTerm::of_answer(at(100), time::Duration::ZERO);
