--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -1,5 +1,5 @@
-//! Storms of crashes beside requests that cause some, in virtual time: how many sound requests each way
-//! of counting holds back, and how many engines a deadly request ends.
+//! Simulates unrelated engine crashes together with deadly requests, which crash the engines they run on. Measures how
+//! many harmless requests each way of counting quarantines, and how many engines the deadly requests crash.
 
 use std::time::Duration;
 
@@ -11,38 +11,41 @@
     units::MonoTime,
 };
 
-/// Step of the virtual time, milliseconds.
-const STEP: u64 = 10;
-const LENGTH: u64 = 60_000;
+/// Step of the simulated time, in milliseconds.
+const STEP_MS: u64 = 10;
+/// Simulated time of one run, in milliseconds.
+const RUN_MS: u64 = 60_000;
 const ENGINES: usize = 18;
+/// Most jobs on one engine.
 const SLOTS: usize = 14;
-/// How long an engine is down.
-const DOWN: u64 = 3_000;
-/// From a deadly request's arrival at an engine to the engine's end.
-const BEGIN: u64 = 60;
-/// From an end to the moment at which all members know of it.
-const NEWS: u64 = 50;
-/// Attempts of one arrival.
+/// Time for which a crashed engine is down, in milliseconds.
+const DOWN_MS: u64 = 3_000;
+/// Time from a deadly request's arrival at an engine to the crash, in milliseconds.
+const CRASH_DELAY_MS: u64 = 60;
+/// Time from a crash until all members know of it, in milliseconds.
+const REPORT_DELAY_MS: u64 = 50;
+/// Most attempts for one arrival of a request.
 const ATTEMPTS: u32 = 2;
 
-/// What happens in one run.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 struct Storm {
     name: &'static str,
-    /// Time between two moments at which engines crash by themselves, and how many.
+    /// Interval of unrelated crashes in milliseconds, and the number of engines that crash each time.
     crashes: Option<(u64, usize)>,
-    /// Deadly requests, each repeated four times a second in the first half.
+    /// Number of deadly requests; each arrives four times a second in the first half of the run.
     deadly: usize,
-    /// Sound prompts that begin a second.
+    /// Harmless requests per second.
     rate: f64,
-    /// All sound prompts have one body.
+    /// Whether all harmless requests have the same body.
     same: bool,
-    /// Longest work of a sound prompt, milliseconds.
+    /// Longest duration of a harmless request, in milliseconds.
     longest: u64,
-    /// Arrivals of one sound prompt by its caller.
+    /// Most times that a caller sends a harmless request.
     arrivals: u32,
 }
 
+/// A request on an engine; times are in milliseconds.
 #[derive(Debug, Clone)]
 struct Job {
     digest: RequestDigest,
@@ -55,19 +58,24 @@
 
 #[derive(Debug, Default, Clone)]
 struct Engine {
+    /// Number of starts after the first one.
     start: u64,
+    /// End of the downtime after a crash, in milliseconds.
     down_until: u64,
     jobs: Vec<Job>,
 }
 
+/// Results of a run.
 #[derive(Debug, Default)]
 struct Figures {
-    sound: usize,
+    /// Harmless requests that arrived.
+    harmless: usize,
+    /// Harmless requests that were answered.
     served: usize,
-    /// Sound requests that were held back at least once.
+    /// Harmless requests that were refused because of a quarantine.
     blamed: usize,
-    /// Engines that deadly requests ended.
-    ended: usize,
+    /// Crashes caused by deadly requests.
+    crashed: usize,
 }
 
 fn at(millis: u64) -> MonoTime {
@@ -83,9 +91,10 @@
     random: rand_chacha::ChaCha8Rng,
     engines: Vec<Engine>,
     table: QuarantineTable,
-    /// Ends that members will know of.
-    news: Vec<(u64, CrashedRun)>,
+    /// Crashes that are not known to the members yet, with the time at which they will be.
+    reports: Vec<(u64, CrashedRun)>,
     figures: Figures,
+    /// Simulated time, in milliseconds.
     now: u64,
 }
 
@@ -96,20 +105,20 @@
             random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             engines: vec![Engine::default(); ENGINES],
             table: QuarantineTable::new(way),
-            news: Vec::new(),
+            reports: Vec::new(),
             figures: Figures::default(),
             now: 0,
         };
-        while play.now < LENGTH {
+        while play.now < RUN_MS {
             play.step();
-            play.now += STEP;
+            play.now += STEP_MS;
         }
         play.figures
     }
 
     fn step(&mut self) {
-        let (due, later) = self.news.drain(..).partition(|(known, _)| *known <= self.now);
-        self.news = later;
+        let (due, later) = self.reports.drain(..).partition(|(known, _)| *known <= self.now);
+        self.reports = later;
         let due: Vec<(u64, CrashedRun)> = due;
         self.table.note_crashes(at(self.now), due.into_iter().map(|(_, run)| run));
         self.arrive();
@@ -125,16 +134,16 @@
     }
 
     fn arrive(&mut self) {
-        if self.random.random_bool(self.storm.rate * STEP as f64 / 1_000.0) {
-            self.figures.sound += 1;
-            let body = if self.storm.same { 0 } else { self.figures.sound };
+        if self.random.random_bool(self.storm.rate * STEP_MS as f64 / 1_000.0) {
+            self.figures.harmless += 1;
+            let body = if self.storm.same { 0 } else { self.figures.harmless };
             let digest = digest(format!("sound {body}"));
             self.send(Job { digest, deadly: false, attempts: 0, arrivals: 1, sent: 0, done: 0 });
         }
-        let interval = 250 / self.storm.deadly.max(1) as u64 / STEP * STEP;
+        let interval = 250 / self.storm.deadly.max(1) as u64 / STEP_MS * STEP_MS;
         if self.storm.deadly > 0
-            && self.now < LENGTH / 2
-            && self.now.is_multiple_of(interval.max(STEP))
+            && self.now < RUN_MS / 2
+            && self.now.is_multiple_of(interval.max(STEP_MS))
         {
             let body = self.now / interval % self.storm.deadly as u64;
             let digest = digest(format!("deadly {body}"));
@@ -156,8 +165,11 @@
         };
         job.attempts += 1;
         job.sent = self.now;
-        let work =
-            if job.deadly { BEGIN } else { self.random.random_range(300..self.storm.longest) };
+        let work = if job.deadly {
+            CRASH_DELAY_MS
+        } else {
+            self.random.random_range(300..self.storm.longest)
+        };
         job.done = self.now + work;
         self.engines[engine].jobs.push(job);
     }
@@ -166,7 +178,7 @@
         for engine in 0..ENGINES {
             let due = |job: &Job| job.done <= self.now;
             if self.engines[engine].jobs.iter().any(|job| job.deadly && due(job)) {
-                self.figures.ended += 1;
+                self.figures.crashed += 1;
                 self.crash(engine);
                 continue;
             }
@@ -183,12 +195,12 @@
     fn crash(&mut self, number: usize) {
         let engine = &mut self.engines[number];
         engine.start += 1;
-        engine.down_until = self.now + DOWN;
+        engine.down_until = self.now + DOWN_MS;
         let upstream: UpstreamId = format!("e{number}-{}", engine.start).parse().expect("a name");
         for job in std::mem::take(&mut engine.jobs) {
             let (sent, ended) = (at(job.sent), at(self.now));
             let run = CrashedRun { digest: job.digest, upstream: upstream.clone(), sent, ended };
-            self.news.push((self.now + NEWS, run));
+            self.reports.push((self.now + REPORT_DELAY_MS, run));
             if job.attempts < ATTEMPTS {
                 self.send(job);
             } else if !job.deadly && job.arrivals < self.storm.arrivals {
@@ -200,15 +212,16 @@
 
 const SEEDS: u64 = 5;
 
+/// Runs a storm with all seeds and adds the results up.
 fn sums(storm: Storm, way: BlameWay) -> Figures {
     let all = (0..SEEDS).map(|seed| Play::play(storm, way, seed));
     let sum = all.reduce(|sum, next| Figures {
-        sound: sum.sound + next.sound,
+        harmless: sum.harmless + next.harmless,
         served: sum.served + next.served,
         blamed: sum.blamed + next.blamed,
-        ended: sum.ended + next.ended,
+        crashed: sum.crashed + next.crashed,
     });
-    let sum = sum.expect("a seed at least");
+    let sum = sum.expect("there is at least one seed");
     println!("{:28} {way:?}: {sum:?}", storm.name);
     sum
 }
@@ -224,22 +237,25 @@
 };
 
 #[test]
-fn storms_alone_hold_no_sound_request_back() {
+fn unrelated_crashes_quarantine_no_harmless_requests() {
     for (name, crashes) in
         [("17 in 100 at once", (4_000, 3)), ("a rack", (5_000, 6)), ("one each second", (1_000, 1))]
     {
         for same in [false, true] {
             let storm = Storm { name, crashes: Some(crashes), same, ..CALM };
-            let kept = sums(storm, BlameWay::Sequence);
-            let counted = sums(storm, BlameWay::Count);
-            assert!(kept.blamed * 1_000 <= kept.sound, "{storm:?}: {kept:?}");
-            assert!(kept.served >= counted.served, "{kept:?}, {counted:?}");
+            let by_sequence = sums(storm, BlameWay::Sequence);
+            let by_count = sums(storm, BlameWay::Count);
+            assert!(
+                by_sequence.blamed * 1_000 <= by_sequence.harmless,
+                "{storm:?}: {by_sequence:?}"
+            );
+            assert!(by_sequence.served >= by_count.served, "{by_sequence:?}, {by_count:?}");
         }
     }
 }
 
 #[test]
-fn deadly_requests_end_few_engines_and_nobody_else_is_held_back_for_them() {
+fn deadly_requests_crash_few_engines_and_no_other_requests_are_quarantined() {
     for deadly in [1, 3, 8] {
         for (rate, longest, arrivals) in [(60.0, 2_500, 2), (30.0, 8_000, 4)] {
             let storm = Storm {
@@ -251,11 +267,17 @@
                 arrivals,
                 ..CALM
             };
-            let kept = sums(storm, BlameWay::Sequence);
-            let counted = sums(storm, BlameWay::Count);
-            assert!(kept.ended <= SEEDS as usize * deadly * 6, "{storm:?}: {kept:?}");
-            assert!(kept.blamed <= counted.blamed, "{kept:?}, {counted:?}");
-            assert!(kept.blamed * 1_000 <= kept.sound, "{storm:?}: {kept:?}");
+            let by_sequence = sums(storm, BlameWay::Sequence);
+            let by_count = sums(storm, BlameWay::Count);
+            assert!(
+                by_sequence.crashed <= SEEDS as usize * deadly * 6,
+                "{storm:?}: {by_sequence:?}"
+            );
+            assert!(by_sequence.blamed <= by_count.blamed, "{by_sequence:?}, {by_count:?}");
+            assert!(
+                by_sequence.blamed * 1_000 <= by_sequence.harmless,
+                "{storm:?}: {by_sequence:?}"
+            );
         }
     }
 }
