--- a/crates/core/tests/refusal.rs
+++ b/crates/core/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! When callers are asked back.
+//! Retry delays of refused callers.
 
 use std::time;
 
@@ -8,58 +8,60 @@
     time::Duration::from_millis(millis)
 }
 
-/// Of callers that arrive evenly over an outage of `outage` milliseconds and come back once, as they are
-/// told, the share that comes back behind it.
-fn returned(outage: u64, told: impl Fn(u64) -> u64) -> f64 {
-    let back = (0..outage).filter(|away| away + told(*away) >= outage).count();
-    back as f64 / outage as f64
+/// Share of the callers that return after the end of an outage of `outage` milliseconds. They arrive evenly over the
+/// outage and return once; `delay` maps the age of the outage to the retry delay, both in milliseconds.
+fn returned_after(outage: u64, delay: impl Fn(u64) -> u64) -> f64 {
+    let returned = (0..outage).filter(|age| age + delay(*age) >= outage).count();
+    returned as f64 / outage as f64
 }
 
-/// At outages of 1 to 6 s; with 0.5 s for all it is 0.50, 0.25, 0.13 and 0.08.
+/// Guards against retry delays so short that most callers return during the outage. With a fixed delay of 0.5 s the
+/// shares are 0.50, 0.25, 0.13 and 0.08 for the outages of 1 to 6 s below.
 #[test]
-fn callers_of_an_outage_come_back_behind_it() {
-    let told = |away| refusal::outage_retry_after(millis(away), millis(10_000)).as_millis() as u64;
+fn about_half_of_the_callers_return_after_the_end_of_an_outage() {
+    let delay = |age| refusal::outage_retry_after(millis(age), millis(10_000)).as_millis() as u64;
     for (outage, least) in [(1_000, 0.5), (2_000, 0.5), (4_000, 0.5), (6_000, 0.45)] {
-        let share = returned(outage, told);
-        assert!(share >= least, "{share} of an outage of {outage} ms");
-        let fixed = returned(outage, |_| 500);
-        println!("{outage} ms: {share:.2}, with a fixed time {fixed:.2}");
+        let share = returned_after(outage, delay);
+        assert!(share >= least, "{share} return after an outage of {outage} ms");
+        let fixed = returned_after(outage, |_| 500);
+        println!("{outage} ms: {share:.2}, with a fixed delay {fixed:.2}");
     }
 }
 
 #[test]
-fn nobody_is_asked_back_when_no_time_is_left() {
-    let back = |away, patience| refusal::outage_retry_after(millis(away), millis(patience));
-    assert_eq!(back(0, 10_000), millis(500), "a start takes a moment");
-    assert_eq!(back(60_000, 9_000), millis(2_970));
-    assert_eq!(back(2_000, 100), millis(500));
+fn retry_delays_are_bounded_by_the_time_that_the_caller_has_left() {
+    let delay = |age, patience| refusal::outage_retry_after(millis(age), millis(patience));
+    assert_eq!(delay(0, 10_000), millis(500), "the shortest delay");
+    assert_eq!(delay(60_000, 9_000), millis(2_970));
+    assert_eq!(delay(2_000, 100), millis(500));
 }
 
-/// Callers that come back in the busiest tenth of a second, in shares of those that come anew, where so many
-/// milliseconds of rest are told as `told` says.
-fn busiest(rest: u64, told: impl Fn(u64) -> u64) -> f64 {
+/// Load by returning callers in the busiest tenth of a second, relative to the load by new callers. Callers arrive
+/// evenly over `backoff` milliseconds; `delay` maps the time left to the retry delay, both in milliseconds.
+fn busiest(backoff: u64, delay: impl Fn(u64) -> u64) -> f64 {
     let callers = 20;
     let mut counts = std::collections::BTreeMap::<u64, u64>::new();
-    for caller in 0..rest * callers {
-        let came = caller / callers;
-        *counts.entry((came + told(rest - came)) / 100).or_default() += 1;
+    for caller in 0..backoff * callers {
+        let arrived = caller / callers;
+        *counts.entry((arrived + delay(backoff - arrived)) / 100).or_default() += 1;
     }
     counts.values().max().copied().unwrap_or_default() as f64 / (100 * callers) as f64
 }
 
-/// Of a rest of 4 s: told its end alone, all that came in it return in one tenth of a second, 40 times the load
-/// before; spread over half a second 8 times, over its length once.
+/// Guards against a burst of retries at the end of a backoff. After a backoff of 4 s, callers that retry at its end all
+/// return within one tenth of a second, at 40 times the load before it; spread over half a second they cause 8 times
+/// that load, and spread over the length of the backoff once.
 #[test]
-fn callers_that_came_in_a_rest_return_spread_over_its_length() {
+fn callers_refused_during_a_backoff_return_spread_over_its_length() {
     use rand::{RngExt as _, SeedableRng as _};
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     let mut half_second = rand_chacha::ChaCha8Rng::seed_from_u64(2);
     let spread = std::cell::RefCell::new(&mut random);
     let whole = busiest(4_000, |left| {
-        let back =
+        let delay =
             refusal::backoff_retry_after(millis(left), millis(4_000), &mut **spread.borrow_mut());
-        assert!(back >= millis(left), "never within the rest");
-        back.as_millis() as u64
+        assert!(delay >= millis(left), "a caller returns during the backoff");
+        delay.as_millis() as u64
     });
     let narrow = std::cell::RefCell::new(&mut half_second);
     let narrow = busiest(4_000, |left| left + narrow.borrow_mut().random_range(0..500));
