--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! When a failed attempt may be followed by another.
+//! Decisions on retries, and the retry budget.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +11,7 @@
     retry::AttemptFailure::BrokeMidAnswer,
 ];
 
-fn question(failure: retry::AttemptFailure, repeatable: bool) -> retry::FailedAttempt {
+fn failed(failure: retry::AttemptFailure, repeatable: bool) -> retry::FailedAttempt {
     retry::FailedAttempt { failure, repeatable, attempts: 1, max_attempts: 3, time_left: true }
 }
 
@@ -20,32 +20,32 @@
 }
 
 #[test]
-fn only_what_surely_did_not_run_is_repeated_when_it_must_not_run_twice() {
+fn a_request_that_must_not_run_twice_is_retried_only_if_it_did_not_run() {
     for failure in FAILURES {
-        let verdict = budget().ask(units::MonoTime(0), question(failure, false));
+        let verdict = budget().ask(units::MonoTime(0), failed(failure, false));
         let retried = verdict == retry::RetryVerdict::Retry;
         assert_eq!(retried, failure.definitely_not_run(), "{failure:?}");
     }
 }
 
 #[test]
-fn nothing_is_repeated_once_a_token_went_out() {
-    let asked = question(retry::AttemptFailure::BrokeMidAnswer, true);
-    assert_ne!(budget().ask(units::MonoTime(0), asked), retry::RetryVerdict::Retry);
+fn a_request_is_not_retried_after_part_of_the_answer_was_delivered() {
+    let attempt = failed(retry::AttemptFailure::BrokeMidAnswer, true);
+    assert_ne!(budget().ask(units::MonoTime(0), attempt), retry::RetryVerdict::Retry);
 }
 
 #[test]
-fn attempts_and_time_are_bounded() {
-    let asked = question(retry::AttemptFailure::NotConnected, true);
-    let spent = retry::FailedAttempt { attempts: 3, ..asked };
-    let late = retry::FailedAttempt { time_left: false, ..asked };
-    assert_ne!(budget().ask(units::MonoTime(0), spent), retry::RetryVerdict::Retry);
+fn a_request_is_not_retried_without_attempts_or_time_left() {
+    let attempt = failed(retry::AttemptFailure::NotConnected, true);
+    let last = retry::FailedAttempt { attempts: 3, ..attempt };
+    let late = retry::FailedAttempt { time_left: false, ..attempt };
+    assert_ne!(budget().ask(units::MonoTime(0), last), retry::RetryVerdict::Retry);
     assert_ne!(budget().ask(units::MonoTime(0), late), retry::RetryVerdict::Retry);
 }
 
 #[test]
 fn an_outage_of_a_third_of_the_engines_is_not_amplified() {
-    // Every third attempt fails, a thousand requests over a hundred seconds.
+    // 10,000 requests in 100 s, of which every third attempt fails.
     let mut budget = budget();
     let (mut attempts, mut counter) = (0_u32, 0_u32);
     for number in 0..10_000_u64 {
@@ -56,38 +56,40 @@
             tries += 1;
             attempts += 1;
             counter += 1;
-            let failed = counter.is_multiple_of(3);
-            let asked = retry::FailedAttempt {
+            let fails = counter.is_multiple_of(3);
+            let attempt = retry::FailedAttempt {
                 attempts: tries,
-                ..question(retry::AttemptFailure::NotConnected, true)
+                ..failed(retry::AttemptFailure::NotConnected, true)
             };
-            if !failed || budget.ask(now, asked) != retry::RetryVerdict::Retry {
+            if !fails || budget.ask(now, attempt) != retry::RetryVerdict::Retry {
                 break;
             }
         }
     }
     let per_request = f64::from(attempts) / 10_000.0;
     assert!(per_request <= 1.1, "{per_request} attempts a request");
-    assert!(per_request > 1.09, "the budget is there to be used: {per_request}");
+    assert!(per_request > 1.09, "the budget is not used: {per_request} attempts a request");
 }
 
 #[test]
-fn a_few_retries_are_allowed_where_there_are_few_requests() {
+fn a_few_retries_are_allowed_even_with_few_requests() {
     let mut budget = budget();
-    let asked = question(retry::AttemptFailure::NotConnected, true);
+    let attempt = failed(retry::AttemptFailure::NotConnected, true);
     budget.count_request(units::MonoTime(0));
-    assert_eq!(budget.ask(units::MonoTime(0), asked), retry::RetryVerdict::Retry);
+    assert_eq!(budget.ask(units::MonoTime(0), attempt), retry::RetryVerdict::Retry);
 }
 
-/// What reached nobody spends neither an attempt nor the retry taken for it; whoever saw a request and turned it
-/// away has been reached.
+/// Guards against wrongly counting attempts of which no upstream received any part. An upstream that rejected a request
+/// has received it.
 #[test]
-fn what_reached_nobody_is_not_spent() {
+fn only_failures_before_anything_was_sent_reached_no_upstream() {
     use retry::AttemptFailure;
-    let nobody =
+    let unreached =
         [AttemptFailure::NotConnected, AttemptFailure::NotPrepared, AttemptFailure::Denied];
     assert!(
-        nobody.iter().all(|failure| failure.reached_no_upstream() && failure.definitely_not_run())
+        unreached
+            .iter()
+            .all(|failure| failure.reached_no_upstream() && failure.definitely_not_run())
     );
     let reached = [AttemptFailure::SaidNotRun, AttemptFailure::Misdirected];
     assert!(
