--- a/crates/core/tests/send_counts.rs
+++ b/crates/core/tests/send_counts.rs
@@ -1,4 +1,4 @@
-//! What this process sent to each upstream lately.
+//! Number of requests recently sent to each upstream.
 
 use std::time;
 
@@ -19,16 +19,15 @@
 #[test]
 fn each_upstream_has_its_own_count() {
     let mut counts = SendCounts::default();
-    (0..5).for_each(|turn| counts.count(at(turn * 300), &upstream("a")));
+    (0..5).for_each(|number| counts.count(at(number * 300), &upstream("a")));
     counts.count(at(1_500), &upstream("b"));
     let now = at(2_000);
-    let recent_count = ["a", "b", "c"].map(|name| counts.recent_count(now, &upstream(name)));
-    assert_eq!(recent_count, [5, 1, 0]);
+    let recent_counts = ["a", "b", "c"].map(|name| counts.recent_count(now, &upstream(name)));
+    assert_eq!(recent_counts, [5, 1, 0]);
 }
 
-/// What is older does not count, and takes no room.
 #[test]
-fn what_was_sent_long_ago_is_forgotten() {
+fn old_requests_are_not_counted() {
     let mut counts = SendCounts::default();
     counts.count(at(0), &upstream("a"));
     counts.count(at(5_000), &upstream("a"));
