--- a/crates/core/tests/settings_cases.rs
+++ b/crates/core/tests/settings_cases.rs
@@ -1,6 +1,7 @@
-//! Settings documents and what becomes of them: one folder a case under `settings_cases/`.
+//! Parsing and resolution of settings documents. Each folder in `settings_cases/` is a case.
 //!
-//! `expected` holds the fault, or the resolved settings of the callers that `ask` names.
+//! The file `input.yaml` is the document. Each line of the optional file `ask` is a caller key and a
+//! prompt length. The file `expected` contains the error, or the settings resolved for these lines.
 
 use std::{fmt::Write as _, fs, path};
 
@@ -12,7 +13,7 @@
         Ok(tree) => {
             resolve_all(&tree, &fs::read_to_string(folder.join("ask")).unwrap_or_default())?
         }
-        Err(fault) => format!("{fault}\n"),
+        Err(error) => format!("{error}\n"),
     };
     let expected = fs::read_to_string(folder.join("expected"))?;
     if found == expected {
@@ -21,15 +22,16 @@
     Err(format!("found:\n{found}\nexpected:\n{expected}").into())
 }
 
+/// Resolves the settings for each line of an `ask` file.
 fn resolve_all(
     tree: &settings::SettingsTree,
-    asks: &str,
+    requests: &str,
 ) -> Result<String, Box<dyn std::error::Error>> {
     let mut text = format!("version {}\n", tree.version);
-    for ask in asks.lines() {
-        let words: Vec<_> = ask.split(' ').collect();
+    for request in requests.lines() {
+        let words: Vec<_> = request.split(' ').collect();
         let [key, prompt] = words.as_slice() else { return Err("ask: KEY PROMPT".into()) };
-        writeln!(text, "{ask}:")?;
+        writeln!(text, "{request}:")?;
         let prompt: units::TokenCount = prompt.parse()?;
         let resolved = tree.identify(key).and_then(|caller| tree.resolve(&caller, prompt));
         let Some(resolved) = resolved else {
