--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -6,8 +6,8 @@
 //! instances that rank highest for the key among all that were listed at any time within the
 //! retention, including those that have left. Their number does not grow with the fleet, and any
 //! two majorities share a voter that remembers, whichever lists the requests were based on.
-//! `docs/design/at-most-once.md` contains the proof, the alternatives and the interleaving that is
-//! not covered.
+//! `docs/design/at-most-once.md` gives the reasoning, compares the alternatives and names the
+//! interleaving that is not covered.
 
 use std::{collections, time};
 
@@ -40,7 +40,7 @@
 pub enum VoteAnswer {
     /// The instance votes for the request.
     Granted {
-        /// Number of the key's voters, by the lists that this instance saw within the retention.
+        /// Number of the key's voters, by the lists that this instance saw within the window.
         group: usize,
     },
     /// Another request, given here, asked this instance first.
@@ -58,7 +58,7 @@
     /// First request for each key, and the time of its ask. Invariant: an entry is kept for at least
     /// `retention` and never replaced.
     first_requests: collections::HashMap<ScopedKey, (ids::RequestId, units::MonoTime)>,
-    /// Instances listed at some time within the retention.
+    /// Instances listed at some time within the window.
     listed: collections::HashMap<ids::InstanceId, ListedSpan>,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Changes the retention. After an increase the voter abstains for the length of the new one.
+    /// Changes the retention. After an increase the voter abstains until the new window has passed.
     pub fn set_retention(&mut self, now: units::MonoTime, retention: time::Duration) {
         if retention > self.retention {
             self.started = now;
@@ -116,7 +116,8 @@
 
     /// Answers `request`, which asks for a key.
     ///
-    /// The request is recorded as the first one for the key even if this instance abstains.
+    /// The first request for a key is recorded even if this instance then abstains, unless it already
+    /// has [`MAX_KEYS`] keys.
     pub fn ask(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// How crashes are counted. Only the default is meant for use; the others exist for comparison.
+/// How crashes are counted. The default is the one to use; the other exists for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BlameWay {
     /// The rules of this module.
@@ -204,7 +204,7 @@
         Some(now.since(self.suspects.get(&digest)?.answered?))
     }
 
-    /// The crashes counted as evidence against a request, oldest first.
+    /// The crashes kept as evidence against a request, oldest first.
     pub fn ends(&self, digest: request_digest::RequestDigest) -> &[CrashedRun] {
         self.suspects.get(&digest).map_or(&[], |record| &record.crashes)
     }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -122,16 +122,16 @@
         let start = number as u64 * 1_000;
         runs.push(run("cause", upstream, start, start + 500));
         runs.extend(
-            (0..13).map(|beside| run(&format!("s{beside}"), upstream, start + 1, start + 501)),
+            (0..13).map(|other| run(&format!("s{other}"), upstream, start + 1, start + 501)),
         );
     }
     // The cause crashes another engine, without the others.
     runs.push(run("cause", "d", 3_000, 3_100));
     let table = table_of(runs);
     assert!(is_quarantined(&table, "cause", 3_200));
-    let beside =
-        (0..13).filter(|beside| is_quarantined(&table, &format!("s{beside}"), 3_200)).count();
-    assert_eq!(beside, 0);
+    let others =
+        (0..13).filter(|other| is_quarantined(&table, &format!("s{other}"), 3_200)).count();
+    assert_eq!(others, 0);
 }
 
 #[test]
--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -73,7 +73,7 @@
     /// Harmless requests that were answered.
     served: usize,
     /// Harmless requests that were refused because of a quarantine.
-    blamed: usize,
+    refused: usize,
     /// Crashes caused by deadly requests.
     crashed: usize,
 }
@@ -153,7 +153,7 @@
 
     fn send(&mut self, mut job: Job) {
         if self.table.verdict(at(self.now), job.digest).is_some() {
-            self.figures.blamed += usize::from(!job.deadly);
+            self.figures.refused += usize::from(!job.deadly);
             return;
         }
         let free = |engine: &usize| {
@@ -218,7 +218,7 @@
     let sum = all.reduce(|sum, next| Figures {
         harmless: sum.harmless + next.harmless,
         served: sum.served + next.served,
-        blamed: sum.blamed + next.blamed,
+        refused: sum.refused + next.refused,
         crashed: sum.crashed + next.crashed,
     });
     let sum = sum.expect("there is at least one seed");
@@ -246,7 +246,7 @@
             let by_sequence = sums(storm, BlameWay::Sequence);
             let by_count = sums(storm, BlameWay::Count);
             assert!(
-                by_sequence.blamed * 1_000 <= by_sequence.harmless,
+                by_sequence.refused * 1_000 <= by_sequence.harmless,
                 "{storm:?}: {by_sequence:?}"
             );
             assert!(by_sequence.served >= by_count.served, "{by_sequence:?}, {by_count:?}");
@@ -273,9 +273,9 @@
                 by_sequence.crashed <= SEEDS as usize * deadly * 6,
                 "{storm:?}: {by_sequence:?}"
             );
-            assert!(by_sequence.blamed <= by_count.blamed, "{by_sequence:?}, {by_count:?}");
+            assert!(by_sequence.refused <= by_count.refused, "{by_sequence:?}, {by_count:?}");
             assert!(
-                by_sequence.blamed * 1_000 <= by_sequence.harmless,
+                by_sequence.refused * 1_000 <= by_sequence.harmless,
                 "{storm:?}: {by_sequence:?}"
             );
         }
