--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -37,17 +37,13 @@
     /// Each member has a share in proportion to its demand, which it sends to all others every second.
     DemandShare,
     /// A coordinator grants a permit for each send.
-    CoordinatorEach,
+    GrantEach,
     /// A coordinator grants permits, also ahead to members that send several within a short time.
-    CoordinatorAhead,
+    GrantAhead,
 }
 
-const WAYS: [LimitWay; 4] = [
-    LimitWay::EvenShare,
-    LimitWay::DemandShare,
-    LimitWay::CoordinatorEach,
-    LimitWay::CoordinatorAhead,
-];
+const WAYS: [LimitWay; 4] =
+    [LimitWay::EvenShare, LimitWay::DemandShare, LimitWay::GrantEach, LimitWay::GrantAhead];
 
 /// Members that have requests for the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -262,9 +258,7 @@
                 let share = if sum == 0 { even } else { f64::from(demands[from]) / f64::from(sum) };
                 self.send_by_share(now, from, share);
             }
-            LimitWay::CoordinatorEach | LimitWay::CoordinatorAhead => {
-                self.send_by_permit(now, from)
-            }
+            LimitWay::GrantEach | LimitWay::GrantAhead => self.send_by_permit(now, from),
         }
     }
 
@@ -284,7 +278,7 @@
             PermitStep::Send(_) => self.sends.push(now),
             PermitStep::Closed(_) => {}
             PermitStep::Ask(request) => {
-                let wanted = if self.way == LimitWay::CoordinatorEach { 1 } else { request.wanted };
+                let wanted = if self.way == LimitWay::GrantEach { 1 } else { request.wanted };
                 let request = PermitRequest { wanted, ..request };
                 let coordinator = self.coordinator_of(now, from);
                 if coordinator != from {
@@ -302,27 +296,24 @@
 
     fn receive(&mut self, now: u64, to: usize, message: Message) {
         match message {
-            Message::Request(from, request, requested) => {
+            Message::Request(from, request, sent) => {
                 if let Some(response) =
                     self.members[to].ledger.ask(at(now), &upstream(), from as u64, &request)
                 {
-                    self.send_to(now, from, Message::Response(from, response, requested));
+                    self.send_to(now, from, Message::Response(from, response, sent));
                 }
             }
-            Message::Response(to, response, requested) => {
-                self.receive_response(now, to, response, requested)
-            }
+            Message::Response(to, response, sent) => self.receive_response(now, to, response, sent),
         }
     }
 
-    /// Handles the response to a request made at `requested`. If it is late, the request that needed the permit has
+    /// Handles the response to a request that was sent at time `sent`. If it is late, the request that needed the permit has
     /// already gone to another upstream.
-    fn receive_response(&mut self, now: u64, to: usize, response: PermitResponse, requested: u64) {
-        let received =
-            self.members[to].cache.receive(at(now), &upstream(), at(requested), response);
-        if received.is_ok() && now < requested + RESPONSE_TIMEOUT_MS {
+    fn receive_response(&mut self, now: u64, to: usize, response: PermitResponse, sent: u64) {
+        let received = self.members[to].cache.receive(at(now), &upstream(), at(sent), response);
+        if received.is_ok() && now < sent + RESPONSE_TIMEOUT_MS {
             self.sends.push(now);
-        } else if received.is_err() && now >= requested + RESPONSE_TIMEOUT_MS {
+        } else if received.is_err() && now >= sent + RESPONSE_TIMEOUT_MS {
             let pause = time::Duration::from_millis(SILENCE_BACKOFF_MS);
             self.members[to].cache.note_silence(at(now), &upstream(), pause);
         }
@@ -387,7 +378,7 @@
                         figures.used,
                         figures.messages
                     );
-                    if way == LimitWay::CoordinatorAhead {
+                    if way == LimitWay::GrantAhead {
                         assert!(
                             figures.most <= most_by_rate(limit),
                             "{members}, {limit}: {figures:?}"
@@ -416,7 +407,7 @@
     for fault in faults {
         for members in SIZES {
             for limit in LIMITS {
-                let run = Run::new(LimitWay::CoordinatorAhead, members, limit, Busy::All, fault);
+                let run = Run::new(LimitWay::GrantAhead, members, limit, Busy::All, fault);
                 let figures = run.play();
                 println!(
                     "{fault:?}, {members} members, limit {limit}/s: {} in 4 s ({} allowed), {:.2} used",
@@ -450,7 +441,7 @@
         let figures = run.play();
         (figures.used * 1_000_000.0 / 600.0, figures.messages)
     };
-    let (each, ahead) = (play(LimitWay::CoordinatorEach), play(LimitWay::CoordinatorAhead));
+    let (each, ahead) = (play(LimitWay::GrantEach), play(LimitWay::GrantAhead));
     println!("part sent and messages/s: one permit for each request {each:?}, ahead {ahead:?}");
     assert!(ahead.0 >= 0.97 && ahead.1 < each.1 / 4.0);
 }
