--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -191,7 +191,7 @@
         self.spending.insert(customer.clone(), (recent, now));
     }
 
-    /// Adds a drawn portion to what is left of the customer's earlier ones.
+    /// Adds a drawn portion. What is left of the customer's earlier ones expires together with it.
     pub fn add(
         &mut self,
         now: units::MonoTime,
