--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -86,7 +86,7 @@
     hold: &plan_client::PlaceHold,
 ) -> bool {
     let fleet = context.fleet.borrow();
-    let open = fleet.list.open(context.now(), &hold.key().service, send_gate::TrialTurn::No);
+    let open = fleet.list.open(context.now(), &hold.key().service, send_gate::ProbePermission::No);
     open.iter().all(|entry| entry.name == hold.grant.engine || state.excluded.contains(&entry.name))
 }
 
@@ -96,7 +96,7 @@
     context: &context::InstanceContext,
     hold: &mut plan_client::PlaceHold,
     times: &upstream_pool::ConnectionTimes,
-    moment: connection_silence::SilentMoment,
+    moment: connection_silence::SilencePhase,
     since: units::MonoTime,
     fault: silence_watch::WaitFault,
 ) -> String {
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -108,7 +108,7 @@
         let refusal = refusal::RequestRefusal::not_run(refusal::RefusalCode::NotReady, text);
         let max_wait = request.ok().and_then(|request| request.max_wait);
         let away = arrived.since(units::MonoTime::default());
-        let back_after = refusal::outage_return(away, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
+        let back_after = refusal::outage_retry_after(away, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
         return Err(refusal.retry_after(back_after));
     }
     let host = host_of(&head);
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -114,11 +114,11 @@
                 }
             }
             AttemptEnd::Fault(fault) => {
-                let never_ran = fault.failure.surely_not_run();
+                let never_ran = fault.failure.definitely_not_run();
                 if !never_ran {
                     record.digest = Some(call.digest().to_string());
                 }
-                if fault.failure.reached_nobody() {
+                if fault.failure.reached_no_upstream() {
                     // No engine received anything, so the retry permit stays valid. Otherwise a stream
                     // whose retry goes to a vanished engine would be cut off for lack of another permit.
                     state.retry_taken = state.sent > 0;
@@ -288,7 +288,7 @@
         Ok(answered) => answered,
         Err(fault) => {
             state.sent += 1;
-            let moment = connection_silence::SilentMoment::Head;
+            let moment = connection_silence::SilencePhase::Head;
             let text = engine_fault::record_silence(context, hold, &times, moment, begun_at, fault);
             return Ok(broken(state, text));
         }
@@ -296,7 +296,7 @@
     let mut answer = match answered {
         Ok(answer) => answer,
         Err(fault) => {
-            if !fault.failure.reached_nobody() {
+            if !fault.failure.reached_no_upstream() {
                 state.sent += 1;
             }
             run.failed(&fault);
@@ -343,7 +343,7 @@
                 return Ok(broken(state, error));
             }
             Err(fault) => {
-                let moment = connection_silence::SilentMoment::Midway;
+                let moment = connection_silence::SilencePhase::MidAnswer;
                 let text =
                     engine_fault::record_silence(context, hold, &times, moment, asked_at, fault);
                 return Ok(broken(state, text));
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -20,7 +20,7 @@
 
 /// Handles runs of this process during which their upstream ended.
 pub(crate) fn report(context: &context::InstanceContext, runs: &[upstream_ends::BrokenRun]) {
-    let ended = |run: &upstream_ends::BrokenRun| quarantine::EndedRun {
+    let ended = |run: &upstream_ends::BrokenRun| quarantine::CrashedRun {
         digest: run.digest,
         upstream: run.upstream.clone(),
         sent: run.sent,
@@ -54,7 +54,7 @@
     let now = context.now();
     let ends = ended_runs(now, reports);
     report_cleared(context, from, &ends);
-    let held = context.quarantine.borrow_mut().note_ends(now, ends);
+    let held = context.quarantine.borrow_mut().note_crashes(now, ends);
     log_held(context, &held, "member");
 }
 
@@ -71,7 +71,7 @@
 /// Sends a member the evidence against all requests that are quarantined here.
 pub(crate) fn send_held(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
-    let held = context.quarantine.borrow().held_at(now);
+    let held = context.quarantine.borrow().quarantined_at(now);
     for reports in report_batches(now, &ends_of(context, &held)) {
         context.send_to(to, peer_message::PeerMessage::Held(reports));
     }
@@ -116,9 +116,9 @@
 }
 
 /// Records evidence, and informs all members of requests that are quarantined by it.
-fn record_evidence(context: &context::InstanceContext, ends: Vec<quarantine::EndedRun>) {
+fn record_evidence(context: &context::InstanceContext, ends: Vec<quarantine::CrashedRun>) {
     let now = context.now();
-    let held = context.quarantine.borrow_mut().note_ends(now, ends);
+    let held = context.quarantine.borrow_mut().note_crashes(now, ends);
     if held.is_empty() {
         return;
     }
@@ -135,7 +135,7 @@
 fn report_cleared(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
-    ends: &[quarantine::EndedRun],
+    ends: &[quarantine::CrashedRun],
 ) {
     let now = context.now();
     let table = context.quarantine.borrow();
@@ -157,7 +157,7 @@
 fn ends_of(
     context: &context::InstanceContext,
     digests: &[request_digest::RequestDigest],
-) -> Vec<quarantine::EndedRun> {
+) -> Vec<quarantine::CrashedRun> {
     let table = context.quarantine.borrow();
     digests.iter().flat_map(|digest| table.ends(*digest).to_vec()).collect()
 }
@@ -187,15 +187,15 @@
 /// Reports of these runs, split so that each part fits a message.
 fn report_batches(
     now: units::MonoTime,
-    ends: &[quarantine::EndedRun],
+    ends: &[quarantine::CrashedRun],
 ) -> Vec<Vec<peer_message::EndReport>> {
-    let report = |end: &quarantine::EndedRun| peer_message::EndReport {
+    let report = |end: &quarantine::CrashedRun| peer_message::EndReport {
         digest: end.digest,
         upstream: end.upstream.clone(),
         sent_us: micros(now.since(end.sent)),
         ended_us: micros(now.since(end.ended)),
     };
-    let message = |ends: &[quarantine::EndedRun]| ends.iter().map(report).collect();
+    let message = |ends: &[quarantine::CrashedRun]| ends.iter().map(report).collect();
     ends.chunks(peer_message::MAX_ENDS).map(message).collect()
 }
 
@@ -203,9 +203,9 @@
 fn ended_runs(
     now: units::MonoTime,
     reports: Vec<peer_message::EndReport>,
-) -> Vec<quarantine::EndedRun> {
+) -> Vec<quarantine::CrashedRun> {
     let ago = |micros: u64| now.earlier_by(time::Duration::from_micros(micros));
-    let run = |report: peer_message::EndReport| quarantine::EndedRun {
+    let run = |report: peer_message::EndReport| quarantine::CrashedRun {
         digest: report.digest,
         upstream: report.upstream,
         sent: ago(report.sent_us.max(report.ended_us)),
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -163,8 +163,8 @@
                     reused_silent = Some(entry.name.clone());
                 }
                 text = fault.text;
-                let never_ran = fault.failure.surely_not_run();
-                if fault.failure.reached_nobody() {
+                let never_ran = fault.failure.definitely_not_run();
+                if fault.failure.reached_no_upstream() {
                     // No upstream received anything, so the retry permit stays valid.
                     retry_taken = sent > 0;
                 } else {
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -70,9 +70,12 @@
     }
 
     /// Returns whether the next attempt may probe an engine after its backoff.
-    pub(crate) fn trial_turn(&self, call: &incoming_call::IncomingCall) -> send_gate::TrialTurn {
+    pub(crate) fn trial_turn(
+        &self,
+        call: &incoming_call::IncomingCall,
+    ) -> send_gate::ProbePermission {
         let attempts = self.excluded.len().max(self.sent as usize);
-        send_gate::TrialTurn::of(attempts, call.route.max_attempts)
+        send_gate::ProbePermission::of(attempts, call.route.max_attempts)
     }
 
     /// Returns whether an engine other than `used` is left for the request; without one, waiting for a
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -117,7 +117,7 @@
 
     /// Records that the run failed; it counts as broken unless the upstream certainly did not run the request.
     pub(crate) fn failed(mut self, fault: &upstream_attempt::AttemptFault) {
-        self.ended = fault.failure.surely_not_run();
+        self.ended = fault.failure.definitely_not_run();
         self.broke = !self.ended;
     }
 
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -216,7 +216,7 @@
     pub fn cause(
         &self,
         silent: &ConnectionTimes,
-        moment: connection_silence::SilentMoment,
+        moment: connection_silence::SilencePhase,
         waited: time::Duration,
     ) -> connection_silence::SilenceCause {
         let connection_times = self.connection_times.borrow();
@@ -231,7 +231,7 @@
         // connection that was open since then still receives, only those to the same upstream are doubted.
         let connection_times = self.connection_times.borrow();
         let others = ages_of_others(silent, connection_times.values().flatten());
-        let all = !silent.ages().reserved_part(waited, others);
+        let all = !silent.ages().has_live_peer(waited, others);
         let mut idle = self.idle.borrow_mut();
         let count =
             |idle: &collections::HashMap<_, Vec<_>>| -> usize { idle.values().map(Vec::len).sum() };
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -17,7 +17,7 @@
     /// The connection.
     pub times: &'a upstream_pool::ConnectionTimes,
     /// The part of the answer that was awaited.
-    pub moment: connection_silence::SilentMoment,
+    pub moment: connection_silence::SilencePhase,
     /// Duration of the wait.
     pub waited: time::Duration,
 }
