--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -3,7 +3,7 @@
 use std::{hint, net, time};
 
 use slipturn_core::{
-    engine_place, ids, member_beat, membership, planner, planner_key, route_table, units,
+    engine_place, ids, member_heartbeat, membership, planner, planner_key, route_table, units,
 };
 
 use crate::planned_size;
@@ -103,9 +103,9 @@
     }
 }
 
-fn beat(number: u16) -> member_beat::MemberBeat {
+fn beat(number: u16) -> member_heartbeat::MemberHeartbeat {
     let [high, low] = number.to_be_bytes();
-    member_beat::MemberBeat {
+    member_heartbeat::MemberHeartbeat {
         name: name("m", usize::from(number)),
         boot: 1,
         sequence: 1,
--- a/crates/core/src/document_lag.rs
+++ b/crates/core/src/document_lag.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub struct DocumentLag<V> {
     /// The version missed, and when it was seen to be missing; newer than the own one.
-    missed: Option<(V, units::MonoTime)>,
+    missing: Option<(V, units::MonoTime)>,
     /// Up to here the source itself does not have what members claimed.
     refuted: V,
 }
@@ -20,17 +20,17 @@
     /// Takes in the own version and the newest that another member has; for how long the own one
     /// has been older than one that a member had.
     pub fn observe(&mut self, now: units::MonoTime, own: V, newest: V) -> time::Duration {
-        self.missed = self.missed.filter(|(missed, _)| *missed > own);
+        self.missing = self.missing.filter(|(missing, _)| *missing > own);
         if newest <= own.max(self.refuted) {
             return time::Duration::ZERO;
         }
-        let (_, since) = self.missed.get_or_insert((newest, now));
+        let (_, since) = self.missing.get_or_insert((newest, now));
         now.since(*since)
     }
 
     /// The version that is missed.
-    pub fn missed(&self) -> Option<V> {
-        self.missed.map(|(version, _)| version)
+    pub fn missing(&self) -> Option<V> {
+        self.missing.map(|(version, _)| version)
     }
 
     /// Takes in that the source, asked at `asked`, has nothing newer than the `own` version: a
@@ -38,10 +38,10 @@
     /// claims such a version, or reads a document that this process rejects, cost ten calls a
     /// second.
     pub fn refute(&mut self, own: V, asked: units::MonoTime) {
-        let claimed = self.missed.filter(|(missed, since)| *missed > own && *since <= asked);
-        if let Some((missed, _)) = claimed {
-            self.refuted = self.refuted.max(missed);
-            self.missed = None;
+        let claimed = self.missing.filter(|(missing, since)| *missing > own && *since <= asked);
+        if let Some((missing, _)) = claimed {
+            self.refuted = self.refuted.max(missing);
+            self.missing = None;
         }
     }
 
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -5,8 +5,8 @@
 use rand::{SeedableRng as _, seq::IndexedRandom as _};
 
 use crate::{
-    budget, engine_directory, fleet_list, ids, placement, refusal, rendezvous, retry, routing,
-    settings, settings_resolve, units, version_store, wake_watch,
+    budget, engine_directory, fleet_list, ids, live_settings, pause_detector, placement, refusal,
+    rendezvous, retry, routing, settings, settings_resolve, units,
 };
 
 /// Prompts whose engine is remembered, for its prefix cache.
@@ -72,8 +72,8 @@
     instance: ids::InstanceId,
     data_center: ids::DataCenterId,
     list: fleet_list::FleetList,
-    store: version_store::VersionStore,
-    wake: wake_watch::WakeWatch,
+    store: live_settings::LiveSettings,
+    wake: pause_detector::PauseDetector,
     policy: Box<dyn routing::RoutingPolicy>,
     policy_kind: settings::RoutingKind,
     purse: budget::BudgetPurse,
@@ -102,8 +102,8 @@
             instance,
             data_center,
             list: fleet_list::FleetList::default(),
-            store: version_store::VersionStore::default(),
-            wake: wake_watch::WakeWatch::new(sleep_bound),
+            store: live_settings::LiveSettings::default(),
+            wake: pause_detector::PauseDetector::new(sleep_bound),
             policy: routing::policy_for(fleet.routing),
             policy_kind: fleet.routing,
             purse: budget::BudgetPurse::default(),
@@ -120,7 +120,7 @@
         &mut self,
         now: units::MonoTime,
         text: &str,
-    ) -> version_store::OfferOutcome {
+    ) -> live_settings::OfferOutcome {
         let outcome = self.store.offer(now, text);
         if let Some(tree) = self.store.tree() {
             self.retries.set_share(tree.fleet.retry_share);
@@ -148,7 +148,7 @@
     pub fn heard(&mut self, now: units::MonoTime, asked_at: u64) {
         self.wake.notice(now);
         if asked_at == self.wake.wakes {
-            self.wake.asleep = false;
+            self.wake.unrefreshed = false;
         }
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// The settings in force.
-    pub fn store(&self) -> &version_store::VersionStore {
+    pub fn store(&self) -> &live_settings::LiveSettings {
         &self.store
     }
 
@@ -173,7 +173,7 @@
     /// since it last asked for newer ones.
     pub fn ready(&mut self, now: units::MonoTime) -> bool {
         self.wake.notice(now);
-        !self.wake.asleep && self.store.tree().is_some() && !self.list.instances.is_empty()
+        !self.wake.unrefreshed && self.store.tree().is_some() && !self.list.instances.is_empty()
     }
 
     /// Finds the caller and the settings for a model request, and checks the request against them.
--- a/crates/core/src/beat_clock.rs
+++ b/crates/core/src/heartbeat_timer.rs
@@ -8,11 +8,11 @@
 /// after them would spread by heartbeats only a whole interval later. So each member draws a random phase, again
 /// whenever the interval changes.
 #[derive(Debug, Default)]
-pub struct BeatClock {
+pub struct HeartbeatTimer {
     interval: time::Duration,
 }
 
-impl BeatClock {
+impl HeartbeatTimer {
     /// Time until the next heartbeat, where they are so far apart now; `drawn` is evenly between 0 and 1.
     pub fn next(&mut self, interval: time::Duration, drawn: f64) -> time::Duration {
         if interval == self.interval {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,7 +3,6 @@
 //! Nothing here opens a socket or reads a clock: the time and messages come in as arguments, and
 //! actions go out as values. One test can therefore freeze, cut, reorder and repeat anything.
 
-pub mod beat_clock;
 pub mod budget;
 pub mod class_worth;
 pub mod cold_start;
@@ -24,12 +23,13 @@
 pub mod fleet_budget;
 pub mod fleet_list;
 pub mod gossip;
+pub mod heartbeat_timer;
 pub mod histogram;
 pub mod ids;
 pub mod key_vote;
 mod list_changes;
 pub mod list_recovery;
-pub mod member_beat;
+pub mod member_heartbeat;
 pub mod membership;
 pub mod pass_model;
 pub mod permit_cache;
@@ -38,6 +38,8 @@
 pub mod planner_key;
 pub mod quota_ledger;
 
+pub mod live_settings;
+mod pause_detector;
 pub mod quarantine;
 pub mod quota_permit;
 pub mod refusal;
@@ -58,13 +60,11 @@
 pub mod settings_resolve;
 mod start_record;
 pub mod start_wait;
-pub mod store_belief;
 pub mod store_revision;
+pub mod store_tracker;
 pub mod units;
 pub mod upstream_health;
 pub mod upstream_limit;
 pub mod upstream_list;
 pub mod upstream_notice;
 mod upstream_open;
-pub mod version_store;
-mod wake_watch;
--- a/crates/core/src/list_changes.rs
+++ b/crates/core/src/list_changes.rs
@@ -21,11 +21,11 @@
             changed |= match change {
                 upstream_list::ListChange::Present(entry) => {
                     self.recovery.confirm(&entry.name);
-                    self.put(now, entry)
+                    self.apply_entry(now, entry)
                 }
                 upstream_list::ListChange::Gone(name) => {
                     self.recovery.confirm(&name);
-                    self.vanish(now, &name)
+                    self.apply_gone(now, &name)
                 }
                 upstream_list::ListChange::Unreadable(name) => self.remove(now, name.identifier()),
                 upstream_list::ListChange::Evacuated(data_center) => {
@@ -65,7 +65,7 @@
         let missing: Vec<_> = known.map(|(_, entry)| entry.name.clone()).collect();
         let unnamed =
             self.starts.iter_mut().filter(|(identifier, _)| !listed.contains(&***identifier));
-        unnamed.for_each(|(_, record)| record.forget_named());
+        unnamed.for_each(|(_, record)| record.clear_relisted());
         if self.recovery.pending {
             self.recover(now, entries, missing);
             return true;
@@ -73,26 +73,26 @@
         let mut changed = false;
         for entry in entries {
             self.recovery.note_listed(&entry.name);
-            changed |= self.put(now, entry);
+            changed |= self.apply_entry(now, entry);
         }
         // A list of the same era still lacks what its first one lacked.
         let gone: Vec<_> = missing.iter().filter(|name| !self.recovery.is_kept(name)).collect();
         for name in gone {
-            changed |= self.vanish(now, name);
+            changed |= self.apply_gone(now, name);
         }
         changed
     }
 
-    pub(crate) fn put(
+    pub(crate) fn apply_entry(
         &mut self,
         now: units::MonoTime,
         entry: upstream_list::UpstreamEntry,
     ) -> bool {
         let identifier = entry.name.identifier();
-        self.receive_listed(now, &entry);
+        self.apply_listed_state(now, &entry);
         let known = self.entries.get(identifier).map(|known| &known.name);
         if known == Some(&entry.name) {
-            return self.put_present(now, entry);
+            return self.update_present(now, entry);
         }
         let another = known.is_some();
         if another && entry.name.start().is_none() {
@@ -100,17 +100,17 @@
             return self.remove(now, identifier);
         }
         let record = self.starts.get_mut(identifier);
-        if let Some(record) = record.filter(|record| record.is_over(entry.name.start())) {
-            record.name_again(now, entry);
+        if let Some(record) = record.filter(|record| record.is_ended(entry.name.start())) {
+            record.note_relisted(now, entry);
             return false;
         }
         self.doubtful.remove(identifier);
-        self.begin_start(now, entry);
+        self.set_present_start(now, entry);
         true
     }
 
     /// Takes in what the list says of a start's leaving.
-    fn receive_listed(&mut self, now: units::MonoTime, entry: &upstream_list::UpstreamEntry) {
+    fn apply_listed_state(&mut self, now: units::MonoTime, entry: &upstream_list::UpstreamEntry) {
         match entry.state {
             fleet_list::ListState::Live => self.notices.receive_live(&entry.name),
             fleet_list::ListState::Leaving => {
@@ -121,9 +121,13 @@
     }
 
     /// Puts another entry of the present start.
-    fn put_present(&mut self, now: units::MonoTime, entry: upstream_list::UpstreamEntry) -> bool {
+    fn update_present(
+        &mut self,
+        now: units::MonoTime,
+        entry: upstream_list::UpstreamEntry,
+    ) -> bool {
         let identifier = entry.name.identifier();
-        self.forget_named(identifier);
+        self.clear_relisted(identifier);
         let returned = self.doubtful.remove(identifier).is_some();
         let before = self.entries.insert(identifier.into(), entry.clone());
         // An entry stays as it was written: read again it says nothing new.
@@ -136,7 +140,7 @@
     }
 
     /// Makes another start of an upstream the present one, or the first of one that was not listed.
-    pub(crate) fn begin_start(
+    pub(crate) fn set_present_start(
         &mut self,
         now: units::MonoTime,
         entry: upstream_list::UpstreamEntry,
@@ -157,8 +161,8 @@
         self.changes += 1;
     }
 
-    fn vanish(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
-        self.forget_named(name.identifier());
+    fn apply_gone(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
+        self.clear_relisted(name.identifier());
         let Some((identifier, entry)) = self.entries.get_key_value(name.identifier()) else {
             return false;
         };
@@ -172,21 +176,21 @@
     }
 
     /// The list names no start that is over any more.
-    pub(crate) fn forget_named(&mut self, identifier: &str) {
+    pub(crate) fn clear_relisted(&mut self, identifier: &str) {
         if let Some(record) = self.starts.get_mut(identifier) {
-            record.forget_named();
+            record.clear_relisted();
         }
     }
 
     pub(crate) fn remove(&mut self, now: units::MonoTime, identifier: &str) -> bool {
         self.doubtful.remove(identifier);
-        self.forget_named(identifier);
+        self.clear_relisted(identifier);
         let Some((identifier, removed)) = self.entries.remove_entry(identifier) else {
             return false;
         };
         self.recovery.note_removed(now, &removed.name);
         if let Some(start) = removed.name.start() {
-            self.starts.entry(identifier).or_default().leave(now, start);
+            self.starts.entry(identifier).or_default().note_unlisted(now, start);
         }
         self.changes += 1;
         true
--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -145,7 +145,7 @@
     pub(crate) fn enter_era(&mut self, since: units::MonoTime) {
         self.recovery.since = Some(since);
         self.recovery.pending = true;
-        self.notices.settle_listed();
+        self.notices.finalize_listed();
     }
 
     /// Takes over a recovery of another instance, after the list that belongs to it.
@@ -181,13 +181,13 @@
         for entry in entries {
             self.recovery.kept.remove(entry.name.identifier());
             if self.is_former_start(&entry.name) {
-                self.name_former_start(now, entry);
+                self.note_former_start(now, entry);
                 continue;
             }
             if self.recovery.is_removed(&entry.name) {
                 self.recovery.withheld.insert(entry.name.clone());
             }
-            self.put(now, entry);
+            self.apply_entry(now, entry);
         }
         self.changes += 1;
     }
@@ -201,10 +201,10 @@
 
     /// Records that the copy names a former start of an upstream. It becomes the present one unless the present one is written
     /// again.
-    fn name_former_start(&mut self, now: units::MonoTime, entry: upstream_list::UpstreamEntry) {
-        let patience = self.recovery.rewrite_time.saturating_sub(start_record::NAMED_TIME);
+    fn note_former_start(&mut self, now: units::MonoTime, entry: upstream_list::UpstreamEntry) {
+        let patience = self.recovery.rewrite_time.saturating_sub(start_record::RELISTED_TIME);
         let record = self.starts.entry(entry.name.identifier().into()).or_default();
-        record.name_again(now + patience, entry);
+        record.note_relisted(now + patience, entry);
     }
 
     /// Evacuations in force after a list of this revision that names the `listed` ones: also those that the first list of
@@ -271,7 +271,7 @@
     pub fn relisted_leaving(
         &self,
     ) -> impl Iterator<Item = (&ids::UpstreamId, upstream_notice::LeavingNotice)> {
-        self.notices().own_words().filter(|(name, _)| {
+        self.notices().final_leaving().filter(|(name, _)| {
             let entry = self.entry(name);
             entry.is_none_or(|entry| entry.state == fleet_list::ListState::Live)
         })
--- a/crates/core/src/version_store.rs
+++ b/crates/core/src/live_settings.rs
@@ -19,9 +19,9 @@
 
 /// The newest settings a process knows of.
 #[derive(Debug, Default)]
-pub struct VersionStore {
+pub struct LiveSettings {
     /// Invariant: the version of this tree never falls while the process lives.
-    current: Option<Held>,
+    current: Option<SettingsDocument>,
     /// When a source last confirmed or replaced `current`.
     confirmed: units::MonoTime,
     /// The last invalid document's version and fault, kept for operators.
@@ -29,12 +29,12 @@
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct SettingsDocument {
     tree: rc::Rc<settings::SettingsTree>,
     text: rc::Rc<str>,
 }
 
-impl VersionStore {
+impl LiveSettings {
     /// Offers a document in its published form.
     pub fn offer(&mut self, now: units::MonoTime, text: &str) -> OfferOutcome {
         if let Some(held) = self.current.as_ref().filter(|held| &*held.text == text) {
@@ -56,7 +56,7 @@
         }
         self.confirmed = now;
         self.rejected = None;
-        self.current = Some(Held { tree: rc::Rc::new(tree), text: text.into() });
+        self.current = Some(SettingsDocument { tree: rc::Rc::new(tree), text: text.into() });
         OfferOutcome::Accepted
     }
 
--- a/crates/core/src/member_beat.rs
+++ b/crates/core/src/member_heartbeat.rs
@@ -7,11 +7,11 @@
 use crate::{ids, store_revision};
 
 /// Period, in heartbeats, of a complete one.
-const WHOLE_BEATS: u64 = 16;
+const FULL_HEARTBEAT_PERIOD: u64 = 16;
 
 /// What a member says of itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MemberBeat {
+pub struct MemberHeartbeat {
     /// Its name.
     pub name: ids::InstanceId,
     /// This start of it.
@@ -41,27 +41,27 @@
 /// A heartbeat for those who have heard this start of the member before: what may change, a sixth
 /// of the whole one's bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AliveBeat {
-    /// See [`MemberBeat::boot`].
+pub struct ShortHeartbeat {
+    /// See [`MemberHeartbeat::boot`].
     pub boot: u64,
-    /// See [`MemberBeat::sequence`].
+    /// See [`MemberHeartbeat::sequence`].
     pub sequence: u64,
-    /// See [`MemberBeat::plans`].
+    /// See [`MemberHeartbeat::plans`].
     pub plans: bool,
-    /// See [`MemberBeat::leaving`].
+    /// See [`MemberHeartbeat::leaving`].
     pub leaving: bool,
-    /// See [`MemberBeat::watches`].
+    /// See [`MemberHeartbeat::watches`].
     pub watches: bool,
-    /// See [`MemberBeat::routes`].
+    /// See [`MemberHeartbeat::routes`].
     pub routes: u64,
-    /// See [`MemberBeat::list`].
+    /// See [`MemberHeartbeat::list`].
     pub list: store_revision::StoreRevision,
 }
 
-impl MemberBeat {
+impl MemberHeartbeat {
     /// The part of it that may change.
-    pub fn alive(&self) -> AliveBeat {
-        AliveBeat {
+    pub fn alive(&self) -> ShortHeartbeat {
+        ShortHeartbeat {
             boot: self.boot,
             sequence: self.sequence,
             plans: self.plans,
@@ -73,7 +73,7 @@
     }
 
     /// Whether it is to be sent whole, also to those who know its member: addresses spread by it.
-    pub fn is_whole(&self) -> bool {
-        self.sequence.is_multiple_of(WHOLE_BEATS)
+    pub fn is_full(&self) -> bool {
+        self.sequence.is_multiple_of(FULL_HEARTBEAT_PERIOD)
     }
 }
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -10,8 +10,8 @@
 impl membership::MemberView {
     /// Part of the members in contact, which is this side's part of a quota during a partition. Members that are leaving by
     /// plan are not counted.
-    pub fn seen_part(&self, now: units::MonoTime) -> f64 {
-        let limit = self.beat_interval() * membership::SUSPECT_BEATS;
+    pub fn reachable_share(&self, now: units::MonoTime) -> f64 {
+        let limit = self.heartbeat_interval() * membership::SUSPECT_HEARTBEATS;
         let staying = || self.members.values().filter(|member| !member.beat.leaving);
         let is_live = |member: &&membership::MemberState| {
             member.is_live(now, limit) && member.unanswered < membership::MAX_UNANSWERED
@@ -21,7 +21,7 @@
     }
 
     /// Whether there was a sign of life of a member after `at`.
-    pub fn seen_since(&self, name: &ids::InstanceId, at: units::MonoTime) -> bool {
+    pub fn was_heard_since(&self, name: &ids::InstanceId, at: units::MonoTime) -> bool {
         self.members.get(name).is_some_and(|member| member.heard > at)
     }
 
@@ -48,7 +48,7 @@
 
     /// Whether heartbeats alone would show a silent member too late.
     pub fn needs_probes(&self) -> bool {
-        self.beat_interval() * membership::SUSPECT_BEATS > SUSPECT_TIME
+        self.heartbeat_interval() * membership::SUSPECT_HEARTBEATS > SUSPECT_TIME
     }
 
     /// The ring of the failure detector: all members but those that are leaving by plan.
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -8,22 +8,22 @@
 
 use std::{collections, net, time};
 
-use crate::{ids, member_beat, planner_key, rendezvous, store_belief, store_revision, units};
+use crate::{ids, member_heartbeat, planner_key, rendezvous, store_revision, store_tracker, units};
 
 /// Interval between heartbeats in a small fleet.
-const BEAT_INTERVAL: time::Duration = time::Duration::from_millis(200);
+const SMALL_FLEET_INTERVAL: time::Duration = time::Duration::from_millis(200);
 /// Members up to which that interval holds. It grows beyond, so that the heartbeats of a member a second stay constant.
-const BEAT_MEMBERS: u32 = 12;
+const SMALL_FLEET_SIZE: u32 = 12;
 /// Missed heartbeats until a member is suspected.
-const SUSPECT_BEATS: u32 = 4;
+const SUSPECT_HEARTBEATS: u32 = 4;
 /// Missed heartbeats until a member is removed.
-const FORGET_BEATS: u32 = 40;
+const REMOVE_HEARTBEATS: u32 = 40;
 /// Addresses of other members in a heartbeat.
 const NAMED_MEMBERS: usize = 4;
 /// Addresses in a reply to a member that knows few; 7 bytes each, to keep the datagram unfragmented.
 const WELCOME_MEMBERS: usize = 160;
 /// Most addresses kept of members not met yet: twice the largest planned fleet, some 40 bytes each.
-const MAX_HEARSAY: usize = 2_400;
+const MAX_LEARNED_ADDRESSES: usize = 2_400;
 /// Unanswered calls in a row that exclude a member from planning.
 const MAX_UNANSWERED: u32 = 2;
 /// Least age of a planner: a younger member does not know the load of the engines yet.
@@ -36,7 +36,7 @@
 
 #[derive(Debug)]
 struct MemberState {
-    beat: member_beat::MemberBeat,
+    beat: member_heartbeat::MemberHeartbeat,
     /// Hash of the name, for the order of members by key.
     hash: u64,
     heard: units::MonoTime,
@@ -63,14 +63,14 @@
     /// Index of `members` by address.
     by_address: collections::HashMap<net::SocketAddrV4, ids::InstanceId>,
     /// Addresses of members not met yet, and when each was learned.
-    hearsay: collections::BTreeMap<net::SocketAddrV4, units::MonoTime>,
+    learned_addresses: collections::BTreeMap<net::SocketAddrV4, units::MonoTime>,
     /// Those of them that have not been contacted.
-    unmet: Vec<net::SocketAddrV4>,
+    uncontacted: Vec<net::SocketAddrV4>,
     seeds: Vec<net::SocketAddrV4>,
     /// Most live members since the start, this one included.
-    most: usize,
+    max_size: usize,
     /// When the last new member was met.
-    grown: Option<units::MonoTime>,
+    last_joined: Option<units::MonoTime>,
 }
 
 impl MemberView {
@@ -81,11 +81,11 @@
             members: collections::BTreeMap::new(),
             by_boot: collections::HashMap::new(),
             by_address: collections::HashMap::new(),
-            hearsay: collections::BTreeMap::new(),
-            unmet: Vec::new(),
+            learned_addresses: collections::BTreeMap::new(),
+            uncontacted: Vec::new(),
             seeds,
-            most: 1,
-            grown: None,
+            max_size: 1,
+            last_joined: None,
         }
     }
 
@@ -95,21 +95,23 @@
     }
 
     /// Interval between heartbeats.
-    pub fn beat_interval(&self) -> time::Duration {
-        Self::beat_interval_of(self.members.len() + 1)
+    pub fn heartbeat_interval(&self) -> time::Duration {
+        Self::heartbeat_interval_of(self.members.len() + 1)
     }
 
     /// Interval between heartbeats in a fleet of `members`.
-    pub fn beat_interval_of(members: usize) -> time::Duration {
+    pub fn heartbeat_interval_of(members: usize) -> time::Duration {
         let members = u32::try_from(members).unwrap_or(u32::MAX);
-        BEAT_INTERVAL * members.div_ceil(BEAT_MEMBERS).max(1)
+        SMALL_FLEET_INTERVAL * members.div_ceil(SMALL_FLEET_SIZE).max(1)
     }
 
     /// Targets of the next heartbeat.
     pub fn targets(&self, own: net::SocketAddrV4) -> Vec<net::SocketAddrV4> {
         let known = self.members.values().map(|member| member.beat.address);
-        let mut targets: Vec<_> =
-            known.chain(self.hearsay.keys().copied()).chain(self.seeds.iter().copied()).collect();
+        let mut targets: Vec<_> = known
+            .chain(self.learned_addresses.keys().copied())
+            .chain(self.seeds.iter().copied())
+            .collect();
         targets.sort_unstable();
         targets.dedup();
         targets.retain(|target| *target != own);
@@ -117,7 +119,7 @@
     }
 
     /// Addresses to include in a heartbeat, in rotation.
-    pub fn named(&self, sequence: u64) -> Vec<net::SocketAddrV4> {
+    pub fn sample_addresses(&self, sequence: u64) -> Vec<net::SocketAddrV4> {
         let addresses = self.addresses();
         let count = addresses.len();
         let start = (sequence as usize).wrapping_mul(NAMED_MEMBERS) % count.max(1);
@@ -126,7 +128,7 @@
 
     /// All known addresses in chunks, for a member whose heartbeat shows that it knows few; empty for others. A starting
     /// member is known to all after one exchange, however long the heartbeat interval is.
-    pub fn welcome(&self, beat: &member_beat::MemberBeat) -> Vec<Vec<net::SocketAddrV4>> {
+    pub fn welcome(&self, beat: &member_heartbeat::MemberHeartbeat) -> Vec<Vec<net::SocketAddrV4>> {
         if beat.others.len() >= NAMED_MEMBERS {
             return Vec::new();
         }
@@ -136,28 +138,32 @@
     }
 
     /// Takes the addresses to contact first.
-    pub fn take_unmet(&mut self, own: net::SocketAddrV4) -> Vec<net::SocketAddrV4> {
-        let mut unmet = std::mem::take(&mut self.unmet);
-        unmet.retain(|address| *address != own);
-        unmet
+    pub fn take_uncontacted(&mut self, own: net::SocketAddrV4) -> Vec<net::SocketAddrV4> {
+        let mut uncontacted = std::mem::take(&mut self.uncontacted);
+        uncontacted.retain(|address| *address != own);
+        uncontacted
     }
 
     fn addresses(&self) -> Vec<net::SocketAddrV4> {
         let known = self.members.values().map(|member| member.beat.address);
-        known.chain(self.hearsay.keys().copied()).collect()
+        known.chain(self.learned_addresses.keys().copied()).collect()
     }
 
     /// Applies a heartbeat; returns whether its member is new or restarted.
-    pub fn receive(&mut self, now: units::MonoTime, beat: member_beat::MemberBeat) -> bool {
+    pub fn receive(
+        &mut self,
+        now: units::MonoTime,
+        beat: member_heartbeat::MemberHeartbeat,
+    ) -> bool {
         if beat.name == self.own {
             return false;
         }
-        self.hearsay.remove(&beat.address);
+        self.learned_addresses.remove(&beat.address);
         for address in &beat.others {
-            let heard_of = self.knows(*address) || self.hearsay.contains_key(address);
-            if !heard_of && self.hearsay.len() < MAX_HEARSAY {
-                self.hearsay.insert(*address, now);
-                self.unmet.push(*address);
+            let heard_of = self.knows(*address) || self.learned_addresses.contains_key(address);
+            if !heard_of && self.learned_addresses.len() < MAX_LEARNED_ADDRESSES {
+                self.learned_addresses.insert(*address, now);
+                self.uncontacted.push(*address);
             }
         }
         let known = self.members.get(&beat.name);
@@ -168,7 +174,7 @@
             return false;
         }
         if known.is_none() {
-            self.grown = Some(now);
+            self.last_joined = Some(now);
         }
         let joined = known.is_none_or(|known| known.beat.boot != beat.boot);
         let name = beat.name.clone();
@@ -176,7 +182,7 @@
         let state = MemberState { beat, hash, heard: now, unanswered: 0, suspected: false };
         self.insert(name, state);
         if joined {
-            self.most = self.most.max(self.alive(now).count() + 1);
+            self.max_size = self.max_size.max(self.alive(now).count() + 1);
         }
         joined
     }
@@ -199,13 +205,17 @@
     }
 
     /// Applies a short heartbeat; returns whether its member is known.
-    pub fn receive_alive(&mut self, now: units::MonoTime, alive: &member_beat::AliveBeat) -> bool {
+    pub fn receive_alive(
+        &mut self,
+        now: units::MonoTime,
+        alive: &member_heartbeat::ShortHeartbeat,
+    ) -> bool {
         let name = self.by_boot.get(&alive.boot);
         let Some(member) = name.and_then(|name| self.members.get_mut(name)) else {
             return false;
         };
         if alive.sequence > member.beat.sequence {
-            member.beat = member_beat::MemberBeat {
+            member.beat = member_heartbeat::MemberHeartbeat {
                 sequence: alive.sequence,
                 plans: alive.plans,
                 leaving: alive.leaving,
@@ -228,8 +238,8 @@
 
     /// Removes members that have been silent for long, and returns them.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<ids::InstanceId> {
-        let limit = self.beat_interval() * FORGET_BEATS;
-        self.hearsay.retain(|_, since| now.since(*since) < limit);
+        let limit = self.heartbeat_interval() * REMOVE_HEARTBEATS;
+        self.learned_addresses.retain(|_, since| now.since(*since) < limit);
         let silent: Vec<_> = self
             .members
             .iter()
@@ -241,8 +251,11 @@
     }
 
     /// Live members.
-    pub fn alive(&self, now: units::MonoTime) -> impl Iterator<Item = &member_beat::MemberBeat> {
-        let limit = self.beat_interval() * SUSPECT_BEATS;
+    pub fn alive(
+        &self,
+        now: units::MonoTime,
+    ) -> impl Iterator<Item = &member_heartbeat::MemberHeartbeat> {
+        let limit = self.heartbeat_interval() * SUSPECT_HEARTBEATS;
         self.members
             .values()
             .filter(move |member| member.is_live(now, limit))
@@ -252,15 +265,15 @@
     /// Whether a process that started at time 0 knows the size of the fleet: members that start together meet within some
     /// hundred milliseconds. Before that each would consider its data centre a small one and watch the store.
     pub fn is_settled(&self, now: units::MonoTime) -> bool {
-        match self.grown {
-            Some(grown) => now.since(grown) >= SETTLE_TIME,
+        match self.last_joined {
+            Some(last_joined) => now.since(last_joined) >= SETTLE_TIME,
             None => now.since(units::MonoTime::default()) >= LONE_TIME,
         }
     }
 
     /// Estimated number of members, this one included and briefly silent ones as well.
     pub fn size(&self) -> usize {
-        (self.members.len() + 1).max(self.most.div_ceil(2))
+        (self.members.len() + 1).max(self.max_size.div_ceil(2))
     }
 
     /// The member that plans for a cell of engines; `None` for this process.
@@ -270,9 +283,9 @@
         &self,
         now: units::MonoTime,
         key: &planner_key::PlannerKey,
-        own: &member_beat::MemberBeat,
-    ) -> Option<member_beat::MemberBeat> {
-        let limit = self.beat_interval() * SUSPECT_BEATS;
+        own: &member_heartbeat::MemberHeartbeat,
+    ) -> Option<member_heartbeat::MemberHeartbeat> {
+        let limit = self.heartbeat_interval() * SUSPECT_HEARTBEATS;
         let fit = |member: &&MemberState| {
             let beat = &member.beat;
             beat.routes > 0
@@ -284,7 +297,7 @@
         let me = Some((own, rendezvous::stable_hash(&[own.name.as_str()])));
         let me = me.filter(|(own, _)| own.routes > 0 && !own.leaving);
         let key = rendezvous::stable_hash(&[&key.to_string()]);
-        let score = |(beat, hash): &(&member_beat::MemberBeat, u64)| {
+        let score = |(beat, hash): &(&member_heartbeat::MemberHeartbeat, u64)| {
             (beat.plans, beat.cpu, rendezvous::mixed_hash(key ^ hash))
         };
         let (best, _) = others.chain(me).max_by_key(score)?;
@@ -298,7 +311,7 @@
         now: units::MonoTime,
         version: u64,
         near: &ids::DataCenterId,
-    ) -> Vec<&member_beat::MemberBeat> {
+    ) -> Vec<&member_heartbeat::MemberHeartbeat> {
         self.sources(now, near, version, |beat| beat.routes)
     }
 
@@ -308,8 +321,9 @@
         &self,
         now: units::MonoTime,
         near: &ids::DataCenterId,
-    ) -> Vec<&member_beat::MemberBeat> {
-        let is_source = |beat: &&member_beat::MemberBeat| beat.routes > 0 && !beat.list.is_none();
+    ) -> Vec<&member_heartbeat::MemberHeartbeat> {
+        let is_source =
+            |beat: &&member_heartbeat::MemberHeartbeat| beat.routes > 0 && !beat.list.is_none();
         nearest(self.alive(now).filter(is_source).collect(), near)
     }
 
@@ -324,14 +338,14 @@
         now: units::MonoTime,
         revision: store_revision::StoreRevision,
         near: &ids::DataCenterId,
-    ) -> Vec<&member_beat::MemberBeat> {
+    ) -> Vec<&member_heartbeat::MemberHeartbeat> {
         self.sources(now, near, revision, |beat| beat.list)
     }
 
     /// Newest versions that other members have.
-    pub fn newest(&self, now: units::MonoTime) -> store_belief::DocumentVersions {
-        let none = store_belief::DocumentVersions::default();
-        self.alive(now).fold(none, |newest, beat| store_belief::DocumentVersions {
+    pub fn newest(&self, now: units::MonoTime) -> store_tracker::DocumentVersions {
+        let none = store_tracker::DocumentVersions::default();
+        self.alive(now).fold(none, |newest, beat| store_tracker::DocumentVersions {
             routes: newest.routes.max(beat.routes),
             list: newest.list.max(beat.list),
         })
@@ -342,8 +356,8 @@
         now: units::MonoTime,
         near: &ids::DataCenterId,
         known: V,
-        version: impl Fn(&member_beat::MemberBeat) -> V,
-    ) -> Vec<&member_beat::MemberBeat> {
+        version: impl Fn(&member_heartbeat::MemberHeartbeat) -> V,
+    ) -> Vec<&member_heartbeat::MemberHeartbeat> {
         let newest = self.alive(now).map(&version).max().filter(|newest| *newest > known);
         let Some(newest) = newest else {
             return Vec::new();
@@ -352,16 +366,16 @@
     }
 
     /// Whether a process of this age may plan for others.
-    pub fn old_enough(age: time::Duration) -> bool {
+    pub fn is_old_enough_to_plan(age: time::Duration) -> bool {
         age >= PLANNER_AGE
     }
 }
 
 /// Members of a data centre, or all where it has none.
 fn nearest<'a>(
-    all: Vec<&'a member_beat::MemberBeat>,
+    all: Vec<&'a member_heartbeat::MemberHeartbeat>,
     near: &ids::DataCenterId,
-) -> Vec<&'a member_beat::MemberBeat> {
+) -> Vec<&'a member_heartbeat::MemberHeartbeat> {
     let own: Vec<_> = all.iter().copied().filter(|beat| beat.data_center == *near).collect();
     if own.is_empty() { all } else { own }
 }
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use crate::{member_beat, membership, rendezvous, units};
+use crate::{member_heartbeat, membership, rendezvous, units};
 
 /// Members of a data centre that watch the store in a large fleet; one of them is redundant.
 const WATCHERS: usize = 2;
@@ -27,7 +27,7 @@
     pub fn should_watch(
         &self,
         now: units::MonoTime,
-        own: &member_beat::MemberBeat,
+        own: &member_heartbeat::MemberHeartbeat,
         missing_for: time::Duration,
         failed: bool,
     ) -> bool {
@@ -38,7 +38,7 @@
         if near.len() < SMALL_DATA_CENTER {
             return true;
         }
-        let order = |beat: &member_beat::MemberBeat| {
+        let order = |beat: &member_heartbeat::MemberHeartbeat| {
             rendezvous::stable_hash(&["watch", beat.name.as_str()])
         };
         let mine = order(own);
@@ -56,7 +56,11 @@
     }
 
     /// Whether this member's data centre has too few watchers.
-    pub fn watchers_missing(&self, now: units::MonoTime, own: &member_beat::MemberBeat) -> bool {
+    pub fn watchers_missing(
+        &self,
+        now: units::MonoTime,
+        own: &member_heartbeat::MemberHeartbeat,
+    ) -> bool {
         let near = self.alive(now).filter(|beat| beat.data_center == own.data_center);
         near.filter(|beat| beat.watches).count() < WATCHERS
     }
--- a/crates/core/src/wake_watch.rs
+++ b/crates/core/src/pause_detector.rs
@@ -6,26 +6,26 @@
 
 /// Notices that the process was paused, from the gap between two events.
 #[derive(Debug)]
-pub(crate) struct WakeWatch {
+pub(crate) struct PauseDetector {
     bound: time::Duration,
     last: Option<units::MonoTime>,
     /// Pauses noticed so far.
     pub(crate) wakes: u64,
     /// Whether nothing was heard from any source since the last pause.
-    pub(crate) asleep: bool,
+    pub(crate) unrefreshed: bool,
 }
 
-impl WakeWatch {
+impl PauseDetector {
     /// A watch that takes a gap longer than `bound` for a pause.
     pub(crate) fn new(bound: time::Duration) -> Self {
-        Self { bound, last: None, wakes: 0, asleep: true }
+        Self { bound, last: None, wakes: 0, unrefreshed: true }
     }
 
     /// Notes that something happens now.
     pub(crate) fn notice(&mut self, now: units::MonoTime) {
         if self.last.is_some_and(|last| now.since(last) > self.bound) {
             self.wakes += 1;
-            self.asleep = true;
+            self.unrefreshed = true;
         }
         self.last = Some(now);
     }
--- a/crates/core/src/store_belief.rs
+++ b/crates/core/src/store_tracker.rs
@@ -10,17 +10,17 @@
 
 /// What is believed of the store's answers.
 ///
-/// Begins [`Away`](Self::Away). An answer makes it [`Answering`](Self::Answering); a watch that is
-/// overdue, or members that know what it should have brought, [`Doubted`](Self::Doubted); a failed call,
-/// or leaving the store to others, `Away` again.
+/// Begins [`Unavailable`](Self::Away). An answer makes it [`Answering`](Self::Answering); a watch that is
+/// overdue, or members that know what it should have brought, [`Overdue`](Self::Doubted); a failed call,
+/// or leaving the store to others, `Unavailable` again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreContact {
     /// It has not answered yet, its last answer failed, or it is left to others.
-    Away,
+    Unavailable,
     /// It has answered, and the next answer is not overdue.
     Answering,
     /// Its next answer is overdue; it is asked anew.
-    Doubted,
+    Overdue,
 }
 
 /// Versions of the routes and of the list of upstreams.
@@ -50,16 +50,16 @@
 
 /// What an answer of the store changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeardStore {
+pub struct AnswerEffect {
     /// How long it had been away; nothing where it had not.
     pub away: Option<time::Duration>,
     /// Whether the others may count on this process's watch again.
-    pub watches_again: bool,
+    pub resumes_watch: bool,
 }
 
 /// What one process believes.
 #[derive(Debug)]
-pub struct StoreBelief {
+pub struct StoreTracker {
     contact: StoreContact,
     /// Whether this process watches the store itself; it goes on trying while the store is away.
     watching: bool,
@@ -80,10 +80,10 @@
     list: document_lag::DocumentLag<store_revision::StoreRevision>,
 }
 
-impl Default for StoreBelief {
+impl Default for StoreTracker {
     fn default() -> Self {
         Self {
-            contact: StoreContact::Away,
+            contact: StoreContact::Unavailable,
             watching: false,
             watched: store_revision::StoreRevision::default(),
             away_since: None,
@@ -96,7 +96,7 @@
     }
 }
 
-impl StoreBelief {
+impl StoreTracker {
     /// What is believed of its answers.
     pub fn contact(&self) -> StoreContact {
         self.contact
@@ -114,8 +114,8 @@
 
     /// Whether others may count on this process's watch. While that is doubted only they need not take
     /// over: a slow store would be asked by more and more of them.
-    pub fn is_counted_on(&self) -> bool {
-        self.watching && self.contact != StoreContact::Away
+    pub fn is_reliable_watcher(&self) -> bool {
+        self.watching && self.contact != StoreContact::Unavailable
     }
 
     /// Revision up to which this process itself has read it.
@@ -151,22 +151,22 @@
     }
 
     /// Takes in an answer.
-    pub fn receive(&mut self, now: units::MonoTime) -> HeardStore {
+    pub fn receive(&mut self, now: units::MonoTime) -> AnswerEffect {
         let before = std::mem::replace(&mut self.contact, StoreContact::Answering);
         let away = self.away_since.take().map(|since| now.since(since));
         self.heard = now;
-        HeardStore { away, watches_again: before == StoreContact::Away && self.watching }
+        AnswerEffect { away, resumes_watch: before == StoreContact::Unavailable && self.watching }
     }
 
     /// Takes in that an answer is overdue.
-    pub fn doubt(&mut self) {
-        self.contact = StoreContact::Doubted;
+    pub fn mark_overdue(&mut self) {
+        self.contact = StoreContact::Overdue;
     }
 
     /// Takes in that a call failed; whether that is new.
     pub fn lose(&mut self, now: units::MonoTime) -> bool {
         self.away_since.get_or_insert(now);
-        std::mem::replace(&mut self.contact, StoreContact::Away) != StoreContact::Away
+        std::mem::replace(&mut self.contact, StoreContact::Unavailable) != StoreContact::Unavailable
     }
 
     /// Begins to watch it, or goes on.
@@ -175,15 +175,15 @@
     }
 
     /// Takes in that all up to a revision has been read.
-    pub fn note_watched(&mut self, revision: store_revision::StoreRevision) {
+    pub fn set_watched(&mut self, revision: store_revision::StoreRevision) {
         self.watched = revision;
     }
 
     /// Leaves it to others.
-    pub fn yield_to_others(&mut self) {
+    pub fn stop_watching(&mut self) {
         self.watching = false;
         self.watched = store_revision::StoreRevision::default();
-        self.contact = StoreContact::Away;
+        self.contact = StoreContact::Unavailable;
     }
 
     /// For how long others have had what is missing here, given the own versions and the newest that
@@ -209,7 +209,7 @@
 
     /// Takes in that the store, asked at `asked`, has no list newer than `own` in the same era.
     pub fn refute_list(&mut self, own: store_revision::StoreRevision, asked: units::MonoTime) {
-        if self.list.missed().is_none_or(|missed| missed.era == own.era) {
+        if self.list.missing().is_none_or(|missing| missing.era == own.era) {
             self.list.refute(own, asked);
         }
     }
--- a/crates/core/src/upstream_health.rs
+++ b/crates/core/src/upstream_health.rs
@@ -18,20 +18,20 @@
 const GONE_PAUSE: time::Duration = time::Duration::from_secs(3);
 /// Pause after a refusal for want of room, by which an upstream does its part: about the time that
 /// a place there takes to come free.
-const FULL_PAUSE: time::Duration = time::Duration::from_millis(50);
+const REFUSED_PAUSE: time::Duration = time::Duration::from_millis(50);
 /// Doublings of a pause at most.
 const MAX_DOUBLINGS: u32 = 5;
 /// A probe without an end so long is taken for lost, as where its caller has left.
-const PROBE_TIME: time::Duration = time::Duration::from_secs(2);
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// Time for which a notice to one member is not repeated by another: many are informed at once.
-const NEWS_INTERVAL: time::Duration = time::Duration::from_millis(500);
+const GONE_REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 /// Weight of the newest call in the running mean of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
 /// Time in which that mean fades: who is avoided for it gets no calls by which it could fall.
-const FAILURE_TIME: time::Duration = time::Duration::from_secs(2);
+const FAILURE_RATE_DECAY: time::Duration = time::Duration::from_secs(2);
 /// For so long only calls that may be repeated find out whether an upstream is sound again: the others
 /// are lost where it is not.
-const REPEATABLE_TIME: time::Duration = time::Duration::from_secs(2);
+const REPEATABLE_ONLY_TIME: time::Duration = time::Duration::from_secs(2);
 
 /// How a call ended for its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,41 +52,42 @@
 #[derive(Debug, Default, Clone)]
 pub struct UpstreamHealth {
     /// Calls in a row that it did not do its part for.
-    run: u32,
+    consecutive_failures: u32,
     /// Until when it is left alone; no later than [`MAX_PAUSE`] after the last failure.
-    alone_until: units::MonoTime,
+    paused_until: units::MonoTime,
     /// When the call began that finds out whether it is sound again; only after a failure.
     probe: Option<units::MonoTime>,
-    /// Share of calls that failed lately, as of `counted`.
-    failing: f64,
-    counted: units::MonoTime,
+    /// Share of calls that failed lately, as of `updated`.
+    failure_rate: f64,
+    updated: units::MonoTime,
     /// When a member last reported that it is gone.
-    gone_heard: Option<units::MonoTime>,
+    gone_reported: Option<units::MonoTime>,
 }
 
 impl UpstreamHealth {
     /// Whether it did its part when it was last asked.
-    pub fn is_trusted(&self) -> bool {
-        self.run == 0
+    pub fn is_healthy(&self) -> bool {
+        self.consecutive_failures == 0
     }
 
     /// Whether a call is to find out whether it is sound again: no other signal would show it, as one
     /// that is avoided gets no calls. Those that may be repeated do so first.
-    pub fn wants_probe(&self, now: units::MonoTime, repeatable: bool) -> bool {
-        let due = if repeatable { self.alone_until } else { self.alone_until + REPEATABLE_TIME };
-        let probed = self.probe.is_some_and(|since| now.since(since) < PROBE_TIME);
-        self.run > 0 && due <= now && !probed
+    pub fn needs_probe(&self, now: units::MonoTime, repeatable: bool) -> bool {
+        let due =
+            if repeatable { self.paused_until } else { self.paused_until + REPEATABLE_ONLY_TIME };
+        let probed = self.probe.is_some_and(|since| now.since(since) < PROBE_TIMEOUT);
+        self.consecutive_failures > 0 && due <= now && !probed
     }
 
     /// Share of calls that failed lately.
-    pub fn failing(&self, now: units::MonoTime) -> f64 {
-        let age = now.since(self.counted).as_secs_f64() / FAILURE_TIME.as_secs_f64();
-        self.failing * (-age).exp()
+    pub fn failure_rate(&self, now: units::MonoTime) -> f64 {
+        let age = now.since(self.updated).as_secs_f64() / FAILURE_RATE_DECAY.as_secs_f64();
+        self.failure_rate * (-age).exp()
     }
 
     /// Notes that a call goes there.
     pub fn begin(&mut self, now: units::MonoTime) {
-        if self.run > 0 {
+        if self.consecutive_failures > 0 {
             self.probe = Some(now);
         }
     }
@@ -95,37 +96,37 @@
     pub fn end(&mut self, now: units::MonoTime, result: CallResult) {
         self.probe = None;
         let failure = if result == CallResult::Good { 0.0 } else { 1.0 };
-        let failing = self.failing(now);
-        self.failing = failing + (failure - failing) * FAILURE_WEIGHT;
-        self.counted = now;
+        let failure_rate = self.failure_rate(now);
+        self.failure_rate = failure_rate + (failure - failure_rate) * FAILURE_WEIGHT;
+        self.updated = now;
         let pause = match result {
             CallResult::Good => {
-                self.run = 0;
+                self.consecutive_failures = 0;
                 return;
             }
             // Its share decides; whether this one call or the upstream is the cause is unknown.
             CallResult::Erred => return,
-            CallResult::Full => FULL_PAUSE,
+            CallResult::Full => REFUSED_PAUSE,
             CallResult::Failed => FIRST_PAUSE,
             CallResult::Gone => GONE_PAUSE,
         };
-        let pause = pause * 2_u32.pow(self.run.min(MAX_DOUBLINGS));
-        self.alone_until = self.alone_until.max(now + pause.min(MAX_PAUSE));
-        self.run += 1;
+        let pause = pause * 2_u32.pow(self.consecutive_failures.min(MAX_DOUBLINGS));
+        self.paused_until = self.paused_until.max(now + pause.min(MAX_PAUSE));
+        self.consecutive_failures += 1;
     }
 
     /// Records that a member, or this process, was informed that it is gone; returns whether that has
     /// not been heard for a while.
     pub fn receive_gone(&mut self, now: units::MonoTime) -> bool {
-        let news = self.gone_heard.is_none_or(|heard| now.since(heard) >= NEWS_INTERVAL);
-        self.gone_heard = Some(now);
-        self.run = self.run.max(1);
-        self.alone_until = self.alone_until.max(now + GONE_PAUSE);
+        let news = self.gone_reported.is_none_or(|heard| now.since(heard) >= GONE_REPORT_INTERVAL);
+        self.gone_reported = Some(now);
+        self.consecutive_failures = self.consecutive_failures.max(1);
+        self.paused_until = self.paused_until.max(now + GONE_PAUSE);
         news
     }
 
     /// A call whose end says nothing, as its caller has left.
-    pub fn forget_probe(&mut self) {
+    pub fn cancel_probe(&mut self) {
         self.probe = None;
     }
 }
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -15,10 +15,10 @@
 pub(crate) const RETURN_TIME: time::Duration = time::Duration::from_millis(1_900);
 /// Beyond this share of a service vanished at once, the vanished are still used until they are
 /// surely gone: the source's own outage is likelier than all of them leaving.
-const DOUBT_SHARE: f64 = 0.5;
+const OUTAGE_SHARE: f64 = 0.5;
 /// How long the starts of an upstream that is not listed any more are remembered: writes of one that
 /// is over may come seconds late, also after a lapse.
-const START_MEMORY: time::Duration = time::Duration::from_secs(30);
+const START_RETENTION: time::Duration = time::Duration::from_secs(30);
 
 /// One upstream of a service, engine or not.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -70,7 +70,7 @@
 pub struct UpstreamList {
     /// By identifier: of each upstream one start is the present one.
     pub(crate) entries: collections::BTreeMap<sync::Arc<str>, UpstreamEntry>,
-    /// Starts of those that have started again, listed now or within [`START_MEMORY`].
+    /// Starts of those that have started again, listed now or within [`START_RETENTION`].
     pub(crate) starts: collections::BTreeMap<sync::Arc<str>, start_record::StartRecord>,
     /// Upstreams that vanished and may return, with the time at which they are taken for gone.
     pub(crate) doubtful: collections::BTreeMap<sync::Arc<str>, units::MonoTime>,
@@ -130,7 +130,7 @@
             self.remove(now, identifier);
         }
         let records = self.starts.values_mut();
-        let named: Vec<_> = records.filter_map(|record| record.take_named(now)).collect();
+        let named: Vec<_> = records.filter_map(|record| record.take_relisted(now)).collect();
         let changed = !gone.is_empty() || !named.is_empty();
         let changed = recovered || changed;
         let entries = &self.entries;
@@ -138,9 +138,9 @@
             entries.get(name.identifier()).is_some_and(|entry| entry.name == *name)
         });
         self.starts.retain(|identifier, record| {
-            entries.contains_key(identifier) || now.since(record.known_since) < START_MEMORY
+            entries.contains_key(identifier) || now.since(record.known_since) < START_RETENTION
         });
-        named.into_iter().for_each(|entry| self.begin_start(now, entry));
+        named.into_iter().for_each(|entry| self.set_present_start(now, entry));
         changed
     }
 
@@ -156,7 +156,7 @@
             |entry: &&UpstreamEntry| !self.doubtful.contains_key(entry.name.identifier());
         let certain: Vec<_> = live.iter().copied().filter(is_certain).collect();
         let vanished = live.len() - certain.len();
-        if vanished as f64 > live.len() as f64 * DOUBT_SHARE { live } else { certain }
+        if vanished as f64 > live.len() as f64 * OUTAGE_SHARE { live } else { certain }
     }
 
     /// Whether an upstream may still be sent a request, whichever its present start is.
@@ -262,11 +262,11 @@
             return false;
         }
         if before == Some(start) {
-            self.forget_named(name.identifier());
+            self.clear_relisted(name.identifier());
             return false;
         }
         let present = UpstreamEntry { name: entry.name.with_start(start), ..entry.clone() };
-        self.begin_start(now, present);
+        self.set_present_start(now, present);
         true
     }
 
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -165,7 +165,7 @@
     }
 
     /// Makes the list's leaving notices final: the list's source has returned from an older copy.
-    pub fn settle_listed(&mut self) {
+    pub fn finalize_listed(&mut self) {
         let leaving = self.notices.values_mut().filter_map(|notice| notice.leaving.as_mut());
         leaving
             .filter(|known| known.source == NoticeSource::List)
@@ -231,7 +231,7 @@
     }
 
     /// Records that a start has accepted a request; returns whether that ends its backoff.
-    pub fn receive_taken(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
+    pub fn receive_accepted(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
         let Some(notice) = self.notices.get_mut(name) else {
             return false;
         };
@@ -349,7 +349,7 @@
     }
 
     /// Starts with a leaving notice of their own.
-    pub fn own_words(&self) -> impl Iterator<Item = (&ids::UpstreamId, LeavingNotice)> {
+    pub fn final_leaving(&self) -> impl Iterator<Item = (&ids::UpstreamId, LeavingNotice)> {
         let leaving =
             self.notices.iter().filter_map(|(name, notice)| Some((name, notice.leaving?)));
         leaving.filter(|(_, leaving)| leaving.source != NoticeSource::List)
--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -46,7 +46,7 @@
     }
 
     /// The backoff of a service's usable upstreams that ends first.
-    pub fn first_back(
+    pub fn first_backoff_to_end(
         &self,
         now: units::MonoTime,
         service: &ids::ServiceId,
--- a/crates/core/tests/document_source.rs
+++ b/crates/core/tests/document_source.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use slipturn_core::{
-    document_source::{DocumentSource, SourceChoice},
+    document_source::{DocumentOrigin, DocumentSource},
     units,
 };
 
@@ -12,7 +12,7 @@
 }
 
 /// Asks as an instance does, every 150 ms from 1,000 ms on, without success; whom at the end.
-fn ask_until(source: &mut DocumentSource, end: u64) -> SourceChoice {
+fn ask_until(source: &mut DocumentSource, end: u64) -> DocumentOrigin {
     for now in (1_000..end).step_by(150) {
         source.choose(at(now));
     }
@@ -23,19 +23,19 @@
 fn members_are_asked_first_and_the_store_in_time() {
     for spread in [0.0, 0.5, 1.0] {
         let source = || DocumentSource::new(spread);
-        assert_eq!(ask_until(&mut source(), 1_000), SourceChoice::Member);
-        assert_eq!(ask_until(&mut source(), 1_440), SourceChoice::Member);
+        assert_eq!(ask_until(&mut source(), 1_000), DocumentOrigin::Member);
+        assert_eq!(ask_until(&mut source(), 1_440), DocumentOrigin::Member);
         // Two seconds are the shortest time in which a change must be in force.
-        assert_eq!(ask_until(&mut source(), 1_800), SourceChoice::Store);
+        assert_eq!(ask_until(&mut source(), 1_800), DocumentOrigin::Store);
     }
 }
 
 #[test]
 fn members_have_their_time_for_each_change() {
     let mut source = DocumentSource::new(0.0);
-    assert_eq!(ask_until(&mut source, 1_800), SourceChoice::Store);
-    source.note_whole();
-    assert_eq!(source.choose(at(1_900)), SourceChoice::Member);
+    assert_eq!(ask_until(&mut source, 1_800), DocumentOrigin::Store);
+    source.note_complete();
+    assert_eq!(source.choose(at(1_900)), DocumentOrigin::Member);
 }
 
 #[test]
@@ -46,7 +46,7 @@
         sources
             .filter_map(|mut source| {
                 let choice = ask_until(&mut source, end);
-                (choice == SourceChoice::Store).then_some(())
+                (choice == DocumentOrigin::Store).then_some(())
             })
             .count()
     };
@@ -59,19 +59,19 @@
 #[test]
 fn a_damaged_copy_is_followed_by_the_store_at_once() {
     let mut source = DocumentSource::new(1.0);
-    source.note_damage();
-    assert_eq!(source.choose(at(10)), SourceChoice::Store);
-    source.note_answer();
-    assert_eq!(source.choose(at(20)), SourceChoice::Member, "the next change is another matter");
+    source.note_damaged_copy();
+    assert_eq!(source.choose(at(10)), DocumentOrigin::Store);
+    source.note_store_answer();
+    assert_eq!(source.choose(at(20)), DocumentOrigin::Member, "the next change is another matter");
 }
 
 #[test]
 fn a_store_that_failed_is_left_alone_for_a_while() {
     let mut source = DocumentSource::new(0.0);
-    source.note_failure(at(1_000));
-    assert_eq!(ask_until(&mut source, 2_000), SourceChoice::Member);
-    assert_eq!(source.choose(at(6_100)), SourceChoice::Store);
-    source.note_damage();
-    source.note_failure(at(6_200));
-    assert_eq!(source.choose(at(6_300)), SourceChoice::Member, "another member may do");
+    source.note_store_failure(at(1_000));
+    assert_eq!(ask_until(&mut source, 2_000), DocumentOrigin::Member);
+    assert_eq!(source.choose(at(6_100)), DocumentOrigin::Store);
+    source.note_damaged_copy();
+    source.note_store_failure(at(6_200));
+    assert_eq!(source.choose(at(6_300)), DocumentOrigin::Member, "another member may do");
 }
--- a/crates/core/tests/beat_clock.rs
+++ b/crates/core/tests/heartbeat_timer.rs
@@ -15,7 +15,7 @@
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
-use slipturn_core::beat_clock::BeatClock;
+use slipturn_core::heartbeat_timer::HeartbeatTimer;
 
 /// Heartbeats of a large fleet are so far apart, those of a small one so.
 const LARGE: time::Duration = time::Duration::from_millis(4_900);
@@ -27,7 +27,7 @@
     until: time::Duration,
     random: &mut ChaCha8Rng,
 ) -> Vec<time::Duration> {
-    let mut clock = BeatClock::default();
+    let mut clock = HeartbeatTimer::default();
     let mut times = vec![begun];
     while times[times.len() - 1] < until {
         let known = times.len() as u32;
--- a/crates/core/tests/version_store.rs
+++ b/crates/core/tests/live_settings.rs
@@ -5,7 +5,7 @@
 use std::time;
 
 use proptest::{prelude::any, test_runner};
-use slipturn_core::{settings, units, version_store};
+use slipturn_core::{live_settings, settings, units};
 
 fn document(version: u64) -> String {
     format!("version: {version}\ndefaults: {{weight: {}.0}}\n", version + 1)
@@ -17,37 +17,37 @@
 
 #[test]
 fn an_older_answer_after_a_newer_is_dropped() {
-    let mut store = version_store::VersionStore::default();
-    assert_eq!(store.offer(now(0), &document(5)), version_store::OfferOutcome::Accepted);
-    assert_eq!(store.offer(now(1), &document(4)), version_store::OfferOutcome::Older);
-    assert_eq!(store.offer(now(2), &document(5)), version_store::OfferOutcome::Same);
+    let mut store = live_settings::LiveSettings::default();
+    assert_eq!(store.offer(now(0), &document(5)), live_settings::OfferOutcome::Accepted);
+    assert_eq!(store.offer(now(1), &document(4)), live_settings::OfferOutcome::Older);
+    assert_eq!(store.offer(now(2), &document(5)), live_settings::OfferOutcome::Same);
     assert_eq!(store.version(), settings::SettingsVersion(5));
 }
 
 #[test]
 fn a_bad_version_is_dropped_whole_and_remembered_for_operators() {
-    let mut store = version_store::VersionStore::default();
+    let mut store = live_settings::LiveSettings::default();
     store.offer(now(0), &document(5));
     let bad = "version: 6\ndefaults: {weight: 9.0, max_attempts: 99}\n";
-    assert!(matches!(store.offer(now(1), bad), version_store::OfferOutcome::Invalid(_)));
+    assert!(matches!(store.offer(now(1), bad), live_settings::OfferOutcome::Invalid(_)));
     assert_eq!(store.tree().unwrap().defaults.weight, Some(6.0));
     assert!(store.rejected().unwrap().contains("max_attempts"));
-    assert_eq!(store.offer(now(2), &document(7)), version_store::OfferOutcome::Accepted);
+    assert_eq!(store.offer(now(2), &document(7)), live_settings::OfferOutcome::Accepted);
     assert_eq!(store.rejected(), None);
 }
 
 #[test]
 fn two_texts_under_one_version_do_not_replace_each_other() {
-    let mut store = version_store::VersionStore::default();
+    let mut store = live_settings::LiveSettings::default();
     store.offer(now(0), "version: 5\n");
     let other = store.offer(now(1), "version: 5\ndefaults: {weight: 2.0}\n");
-    assert!(matches!(other, version_store::OfferOutcome::Invalid(_)));
+    assert!(matches!(other, live_settings::OfferOutcome::Invalid(_)));
     assert_eq!(store.tree().unwrap().defaults.weight, None);
 }
 
 #[test]
 fn a_peer_confirms_no_more_than_it_was_itself_confirmed() {
-    let mut store = version_store::VersionStore::default();
+    let mut store = live_settings::LiveSettings::default();
     store.offer(now(0), &document(5));
     store.confirm(now(60_000), time::Duration::from_secs(50));
     assert_eq!(store.age(now(60_000)), time::Duration::from_secs(50));
@@ -63,7 +63,7 @@
     let mut runner = test_runner::TestRunner::new_with_rng(config, random);
     let arrivals = proptest::collection::vec((1_u64..20, any::<bool>()), 0..60);
     let checked = runner.run(&arrivals, |arrivals| {
-        let mut store = version_store::VersionStore::default();
+        let mut store = live_settings::LiveSettings::default();
         let mut highest = 0;
         for (version, valid) in arrivals {
             let text =
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -2,7 +2,9 @@
 
 use std::{net, time};
 
-use slipturn_core::{ids, member_beat::MemberBeat, membership::MemberView, planner_key, units};
+use slipturn_core::{
+    ids, member_heartbeat::MemberHeartbeat, membership::MemberView, planner_key, units,
+};
 
 fn at(millis: u64) -> units::MonoTime {
     units::MonoTime::from_span(time::Duration::from_millis(millis))
@@ -16,8 +18,8 @@
     format!("m{number}").parse().expect("a valid name")
 }
 
-fn beat(number: u8, boot: u64, sequence: u64) -> MemberBeat {
-    MemberBeat {
+fn beat(number: u8, boot: u64, sequence: u64) -> MemberHeartbeat {
+    MemberHeartbeat {
         name: name(number),
         boot,
         sequence,
@@ -79,7 +81,7 @@
     let mut views: Vec<_> =
         (0..count).map(|own| MemberView::new(name(own), vec![address(0)])).collect();
     let mut sent = vec![0; usize::from(count)];
-    let mut messages: std::collections::VecDeque<(u8, MemberBeat)> =
+    let mut messages: std::collections::VecDeque<(u8, MemberHeartbeat)> =
         (1..count).map(|own| (0, beat(own, 1, 1))).collect();
     while let Some((to, beat_heard)) = messages.pop_front() {
         let view = &mut views[usize::from(to)];
@@ -87,11 +89,12 @@
         let mut replies = view.welcome(&beat_heard);
         let joined = view.receive(at(1), beat_heard);
         if joined && replies.is_empty() {
-            replies.push(view.named(7));
+            replies.push(view.sample_addresses(7));
         }
-        let say = |others| MemberBeat { others, ..beat(to, 1, 2) };
-        let unmet = view.take_unmet(address(to));
-        let met = unmet.iter().map(|address| (address.ip().octets()[3], say(view.named(8))));
+        let say = |others| MemberHeartbeat { others, ..beat(to, 1, 2) };
+        let unmet = view.take_uncontacted(address(to));
+        let met =
+            unmet.iter().map(|address| (address.ip().octets()[3], say(view.sample_addresses(8))));
         let answers = replies.into_iter().filter(|_| joined).map(|others| (from, say(others)));
         let all: Vec<_> = met.chain(answers).collect();
         sent[usize::from(to)] += all.len();
@@ -122,18 +125,18 @@
     let few = beat(99, 1, 1);
     let listed: Vec<_> = view.welcome(&few).into_iter().flatten().collect();
     assert_eq!(listed.len(), 60);
-    let enough = MemberBeat { others: (1..=4).map(address).collect(), ..beat(99, 1, 1) };
+    let enough = MemberHeartbeat { others: (1..=4).map(address).collect(), ..beat(99, 1, 1) };
     assert!(view.welcome(&enough).is_empty());
 }
 
 #[test]
 fn an_address_heard_of_twice_is_met_once() {
     let mut view = view();
-    let naming = |sequence| MemberBeat { others: vec![address(9)], ..beat(1, 1, sequence) };
+    let naming = |sequence| MemberHeartbeat { others: vec![address(9)], ..beat(1, 1, sequence) };
     view.receive(at(0), naming(1));
-    assert_eq!(view.take_unmet(address(0)), vec![address(9)]);
+    assert_eq!(view.take_uncontacted(address(0)), vec![address(9)]);
     view.receive(at(10), naming(2));
-    assert!(view.take_unmet(address(0)).is_empty());
+    assert!(view.take_uncontacted(address(0)).is_empty());
     assert!(view.targets(address(0)).contains(&address(9)), "it still gets heartbeats");
 }
 
@@ -141,7 +144,7 @@
 fn a_short_heartbeat_renews_only_the_start_that_was_heard() {
     let mut view = view();
     view.receive(at(0), beat(1, 7, 1));
-    let alive = MemberBeat { routes: 9, leaving: true, ..beat(1, 7, 2) }.alive();
+    let alive = MemberHeartbeat { routes: 9, leaving: true, ..beat(1, 7, 2) }.alive();
     assert!(view.receive_alive(at(900), &alive));
     assert_eq!(
         view.alive(at(1_000)).map(|beat| (beat.routes, beat.leaving)).next(),
@@ -203,29 +206,29 @@
     view.receive(at(0), young.clone());
     let own = beat(0, 1, 1);
     assert_eq!(view.planner(at(10), &service(), &own), None);
-    let own = MemberBeat { plans: false, ..beat(0, 1, 1) };
+    let own = MemberHeartbeat { plans: false, ..beat(0, 1, 1) };
     assert_eq!(view.planner(at(10), &service(), &own).map(|beat| beat.name), Some(name(1)));
 }
 
 #[test]
 fn a_leaving_member_and_one_without_routes_do_not_plan() {
     let mut view = view();
-    view.receive(at(0), MemberBeat { leaving: true, cpu: 900, ..beat(1, 1, 1) });
-    view.receive(at(0), MemberBeat { routes: 0, cpu: 900, ..beat(2, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { leaving: true, cpu: 900, ..beat(1, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { routes: 0, cpu: 900, ..beat(2, 1, 1) });
     assert_eq!(view.planner(at(10), &service(), &beat(0, 1, 1)), None);
 }
 
 #[test]
 fn heartbeats_of_a_large_fleet_are_further_apart() {
     let mut view = view();
-    let small = view.beat_interval();
+    let small = view.heartbeat_interval();
     for number in 1..=60 {
         view.receive(at(0), beat(number, 1, 1));
     }
-    assert!(view.beat_interval() >= small * 5);
-    let named: std::collections::BTreeSet<_> =
-        (0..60).flat_map(|sequence| view.named(sequence)).collect();
-    assert_eq!(named.len(), 60, "all members are named in turn");
+    assert!(view.heartbeat_interval() >= small * 5);
+    let sample_addresses: std::collections::BTreeSet<_> =
+        (0..60).flat_map(|sequence| view.sample_addresses(sequence)).collect();
+    assert_eq!(sample_addresses.len(), 60, "all members are named in turn");
 }
 
 #[test]
@@ -242,7 +245,7 @@
 /// The members of a data centre that watch the store, once views have settled.
 fn watchers(count: u8, failing: &[u8]) -> Vec<u8> {
     let mut beats: Vec<_> =
-        (0..count).map(|number| MemberBeat { watches: false, ..beat(number, 1, 1) }).collect();
+        (0..count).map(|number| MemberHeartbeat { watches: false, ..beat(number, 1, 1) }).collect();
     for round in 0..30_u64 {
         let before = beats.clone();
         for own in 0..count {
@@ -276,7 +279,7 @@
 /// its turn, tries, fails at once, and pauses for 0.4 s.
 fn calls_to_a_store_away() -> usize {
     let beats: Vec<_> =
-        (0..60).map(|number| MemberBeat { watches: false, ..beat(number, 1, 1) }).collect();
+        (0..60).map(|number| MemberHeartbeat { watches: false, ..beat(number, 1, 1) }).collect();
     let mut calls = 0;
     for own in 0..60_u8 {
         let mut view = MemberView::new(name(own), Vec::new());
@@ -309,12 +312,12 @@
     let near: ids::DataCenterId = "a".parse().expect("a valid name");
     let far: ids::DataCenterId = "b".parse().expect("a valid name");
     for number in 1..4 {
-        view.receive(at(0), MemberBeat { routes: 7, ..beat(number, 1, 1) });
+        view.receive(at(0), MemberHeartbeat { routes: 7, ..beat(number, 1, 1) });
     }
-    view.receive(at(0), MemberBeat { routes: 7, data_center: far.clone(), ..beat(4, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { routes: 7, data_center: far.clone(), ..beat(4, 1, 1) });
     assert_eq!(view.routes_sources(at(1), 6, &near).len(), 3);
     assert!(view.routes_sources(at(1), 7, &near).is_empty(), "nothing newer");
-    view.receive(at(1), MemberBeat { routes: 8, data_center: far, ..beat(5, 1, 1) });
+    view.receive(at(1), MemberHeartbeat { routes: 8, data_center: far, ..beat(5, 1, 1) });
     let sources: Vec<_> = view.routes_sources(at(2), 6, &near);
     assert_eq!(sources.iter().map(|beat| &beat.name).collect::<Vec<_>>(), [&name(5)]);
 }
@@ -350,22 +353,22 @@
     for number in 1..6 {
         view.receive(at(0), beat(number, 1, 1));
     }
-    assert!((view.seen_part(at(500)) - 1.0).abs() < 1e-9);
+    assert!((view.reachable_share(at(500)) - 1.0).abs() < 1e-9);
     for number in 1..3 {
         view.receive(at(900), beat(number, 1, 2));
     }
-    assert!((view.seen_part(at(1_000)) - 0.5).abs() < 1e-9, "three of six are silent");
+    assert!((view.reachable_share(at(1_000)) - 0.5).abs() < 1e-9, "three of six are silent");
     // Who has said that it leaves is missed by plan.
-    let leaving = MemberBeat { leaving: true, ..beat(3, 1, 2) };
+    let leaving = MemberHeartbeat { leaving: true, ..beat(3, 1, 2) };
     view.receive(at(950), leaving);
-    assert!((view.seen_part(at(1_000)) - 0.6).abs() < 1e-9, "three of five that stay");
+    assert!((view.reachable_share(at(1_000)) - 0.6).abs() < 1e-9, "three of five that stay");
     // Calls that stay unanswered show it sooner than heartbeats that are missed.
     (0..2).for_each(|_| view.unanswered(&name(1)));
-    assert!((view.seen_part(at(1_000)) - 0.4).abs() < 1e-9);
-    assert!(!view.seen_since(&name(1), at(900)));
+    assert!((view.reachable_share(at(1_000)) - 0.4).abs() < 1e-9);
+    assert!(!view.was_heard_since(&name(1), at(900)));
     view.receive(at(1_100), beat(1, 1, 3));
-    assert!(view.seen_since(&name(1), at(900)));
-    assert!((view.seen_part(at(1_200)) - 0.6).abs() < 1e-9);
+    assert!(view.was_heard_since(&name(1), at(900)));
+    assert!((view.reachable_share(at(1_200)) - 0.6).abs() < 1e-9);
     assert_eq!(view.name_of_boot(1), Some(&name(1)));
     assert_eq!(view.name_of_boot(9), None);
 }
@@ -374,13 +377,13 @@
 #[test]
 fn who_knows_nothing_takes_documents_of_any_version() {
     let mut view = view();
-    view.receive(at(0), MemberBeat { list: 12.into(), ..beat(1, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { list: 12.into(), ..beat(1, 1, 1) });
     view.receive(at(0), beat(2, 1, 1));
-    view.receive(at(0), MemberBeat { routes: 0, list: 0.into(), ..beat(3, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { routes: 0, list: 0.into(), ..beat(3, 1, 1) });
     let far = "b".parse().expect("a valid name");
-    view.receive(at(0), MemberBeat { data_center: far, ..beat(4, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { data_center: far, ..beat(4, 1, 1) });
     let near = "a".parse().expect("a valid name");
-    let names = |sources: Vec<&MemberBeat>| {
+    let names = |sources: Vec<&MemberHeartbeat>| {
         sources.iter().map(|source| source.name.to_string()).collect::<Vec<_>>()
     };
     assert_eq!(names(view.list_sources(at(1), 0.into(), &near)), ["m1"]);
@@ -397,7 +400,7 @@
     assert!(!view.set_suspected(at(100), 7, silent(300)), "heard since");
     assert!(view.set_suspected(at(700), 7, silent(300)));
     assert_eq!(view.alive(at(700)).count(), 0);
-    assert!(view.seen_part(at(700)) < 1.0);
+    assert!(view.reachable_share(at(700)) < 1.0);
     assert!(view.receive_alive(at(750), &beat(1, 7, 2).alive()));
     assert_eq!(view.alive(at(750)).count(), 1);
     assert!(!view.set_suspected(at(2_000), 99, silent(300)), "nobody");
@@ -414,7 +417,7 @@
         view.receive(at(0), beat(number, u64::from(number), 1));
     }
     assert!(view.needs_probes());
-    let leaving = MemberBeat { leaving: true, ..beat(1, 1, 2) };
+    let leaving = MemberHeartbeat { leaving: true, ..beat(1, 1, 2) };
     view.receive(at(10), leaving);
     assert_eq!(view.ring().len(), 58, "one leaves by plan");
 }
--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use slipturn_core::{
     ids,
-    member_beat::MemberBeat,
+    member_heartbeat::MemberHeartbeat,
     membership::MemberView,
     store_revision::{StoreEra, StoreRevision},
     units,
@@ -50,7 +50,7 @@
 enum Step {
     Beat,
     Look,
-    Hear(Box<MemberBeat>),
+    Hear(Box<MemberHeartbeat>),
     /// What differs has come from a member.
     Got(StoreRevision),
     /// The store is called; it answers or not.
@@ -114,7 +114,7 @@
             now: units::MonoTime::default(),
             events: event_queue::EventQueue::default(),
             members: (0..count).map(member).collect(),
-            interval: MemberView::beat_interval_of(fleet),
+            interval: MemberView::heartbeat_interval_of(fleet),
             calls: 0,
             reads: 0,
         };
@@ -154,9 +154,9 @@
         at(AWAY_MS) <= self.now && self.now < at(BACK_MS)
     }
 
-    fn beat(&self, own: usize) -> MemberBeat {
+    fn beat(&self, own: usize) -> MemberHeartbeat {
         let member = &self.members[own];
-        MemberBeat {
+        MemberHeartbeat {
             name: name(own),
             boot: own as u64,
             sequence: member.sequence,
--- a/crates/core/tests/store_belief.rs
+++ b/crates/core/tests/store_tracker.rs
@@ -3,8 +3,8 @@
 use std::time;
 
 use slipturn_core::{
-    store_belief::{DocumentVersions, HeardStore, StoreBelief, StoreContact},
     store_revision::{StoreEra, StoreRevision},
+    store_tracker::{AnswerEffect, DocumentVersions, StoreContact, StoreTracker},
     units,
 };
 
@@ -16,20 +16,20 @@
     time::Duration::from_millis(millis)
 }
 
-fn watching() -> StoreBelief {
-    let mut belief = StoreBelief::default();
+fn watching() -> StoreTracker {
+    let mut belief = StoreTracker::default();
     belief.receive(at(100));
     belief.watch();
-    belief.note_watched(7.into());
+    belief.set_watched(7.into());
     belief
 }
 
 #[test]
 fn a_store_that_was_never_heard_is_away_and_no_outage() {
-    let mut belief = StoreBelief::default();
-    assert_eq!(belief.contact(), StoreContact::Away);
-    assert_eq!(belief.receive(at(50)), HeardStore { away: None, watches_again: false });
-    assert!(belief.answers() && !belief.is_counted_on(), "it is heard and not watched");
+    let mut belief = StoreTracker::default();
+    assert_eq!(belief.contact(), StoreContact::Unavailable);
+    assert_eq!(belief.receive(at(50)), AnswerEffect { away: None, resumes_watch: false });
+    assert!(belief.answers() && !belief.is_reliable_watcher(), "it is heard and not watched");
 }
 
 #[test]
@@ -37,19 +37,22 @@
     let mut belief = watching();
     assert!(belief.lose(at(1_000)), "new");
     assert!(!belief.lose(at(2_000)), "known");
-    assert!(!belief.is_counted_on() && belief.is_watching(), "others take over; it goes on trying");
+    assert!(
+        !belief.is_reliable_watcher() && belief.is_watching(),
+        "others take over; it goes on trying"
+    );
     assert_eq!(belief.watched(), 7.into(), "it goes on from there");
     let heard = belief.receive(at(4_000));
-    assert_eq!(heard, HeardStore { away: Some(millis(3_000)), watches_again: true });
-    assert_eq!(belief.receive(at(4_100)), HeardStore { away: None, watches_again: false });
+    assert_eq!(heard, AnswerEffect { away: Some(millis(3_000)), resumes_watch: true });
+    assert_eq!(belief.receive(at(4_100)), AnswerEffect { away: None, resumes_watch: false });
 }
 
 #[test]
 fn a_doubted_store_is_still_counted_on() {
     let mut belief = watching();
-    belief.doubt();
-    assert!(!belief.answers() && belief.is_counted_on());
-    assert_eq!(belief.receive(at(900)), HeardStore { away: None, watches_again: false });
+    belief.mark_overdue();
+    assert!(!belief.answers() && belief.is_reliable_watcher());
+    assert_eq!(belief.receive(at(900)), AnswerEffect { away: None, resumes_watch: false });
     assert!(belief.answers());
     assert_eq!(belief.last_answer_age(at(1_000)), millis(100));
 }
@@ -57,7 +60,7 @@
 #[test]
 fn who_leaves_it_to_others_has_read_nothing_itself() {
     let mut belief = watching();
-    belief.yield_to_others();
+    belief.stop_watching();
     assert!(!belief.is_watching() && !belief.answers());
     assert_eq!(belief.watched(), 0.into());
     assert_eq!(belief.receive(at(900)).away, None, "that was no outage");
--- a/crates/core/tests/support/virtual_fleet.rs
+++ b/crates/core/tests/support/virtual_fleet.rs
@@ -376,7 +376,7 @@
 /// Time between two timers of a member.
 fn interval(protocol: Protocol, members: usize) -> time::Duration {
     match protocol {
-        Protocol::Heartbeats => MemberView::beat_interval_of(members),
+        Protocol::Heartbeats => MemberView::heartbeat_interval_of(members),
         Protocol::RandomProbes => PROBE_INTERVAL,
         Protocol::RingProbes => TICK,
     }
--- a/crates/core/tests/support/virtual_start.rs
+++ b/crates/core/tests/support/virtual_start.rs
@@ -6,7 +6,7 @@
 
 use rand::{RngExt as _, SeedableRng as _, seq::IndexedRandom as _};
 use rand_chacha::ChaCha8Rng;
-use slipturn_core::{ids, member_beat::MemberBeat, membership::MemberView, units};
+use slipturn_core::{ids, member_heartbeat::MemberHeartbeat, membership::MemberView, units};
 
 /// Time within which all start.
 const START_SPREAD: time::Duration = time::Duration::from_millis(500);
@@ -69,7 +69,7 @@
     Start,
     Beat,
     Look,
-    Hear(Box<MemberBeat>),
+    Hear(Box<MemberHeartbeat>),
     /// A document of this version has come, from a member or the store.
     Got(Option<usize>, u64),
     /// The store has a change for a watcher.
@@ -174,7 +174,7 @@
     fn send(&mut self, from: usize, to: usize, others: Vec<net::SocketAddrV4>) {
         let own = &mut self.members[from];
         own.sequence += 1;
-        let beat = MemberBeat {
+        let beat = MemberHeartbeat {
             name: name(from),
             boot: from as u64,
             sequence: own.sequence,
@@ -195,8 +195,8 @@
 
     fn tell_all(&mut self, own: usize) {
         let targets = self.members[own].view.targets(address(own));
-        let named = self.members[own].view.named(self.members[own].sequence);
-        targets.into_iter().for_each(|to| self.send(own, number_at(to), named.clone()));
+        let sample_addresses = self.members[own].view.sample_addresses(self.members[own].sequence);
+        targets.into_iter().for_each(|to| self.send(own, number_at(to), sample_addresses.clone()));
     }
 
     fn play(&mut self, own: usize, step: Step) {
@@ -208,7 +208,7 @@
             }
             Step::Beat => {
                 self.tell_all(own);
-                let interval = self.members[own].view.beat_interval();
+                let interval = self.members[own].view.heartbeat_interval();
                 self.schedule(interval, own, Step::Beat);
             }
             // Nobody hears before it has started.
@@ -225,21 +225,21 @@
         }
     }
 
-    fn receive(&mut self, own: usize, beat: MemberBeat) {
+    fn receive(&mut self, own: usize, beat: MemberHeartbeat) {
         let from = number_at(beat.address);
         let sequence = self.members[own].sequence;
         let view = &mut self.members[own].view;
         let welcome = view.welcome(&beat);
         let joined = view.receive(self.now, beat);
-        let unmet = view.take_unmet(address(own));
-        let named = view.named(sequence);
+        let unmet = view.take_uncontacted(address(own));
+        let sample_addresses = view.sample_addresses(sequence);
         if joined && welcome.is_empty() {
-            self.send(own, from, named.clone());
+            self.send(own, from, sample_addresses.clone());
         }
         for others in welcome.into_iter().filter(|_| joined) {
             self.send(own, from, others);
         }
-        unmet.into_iter().for_each(|to| self.send(own, number_at(to), named.clone()));
+        unmet.into_iter().for_each(|to| self.send(own, number_at(to), sample_addresses.clone()));
     }
 
     /// What a member does that knows nothing yet.
--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -333,13 +333,13 @@
     assert_eq!(usable(&list), 4, "others may send there");
     assert_eq!(open(&list, 10, TrialTurn::Yes), [name(3), name(4)]);
     assert_eq!(list.closed(at(10), &service(), TrialTurn::Yes), [&name(1), &name(2)]);
-    assert_eq!(list.first_back(at(10), &service()).expect("two rest").until, at(3_000));
+    assert_eq!(list.first_backoff_to_end(at(10), &service()).expect("two rest").until, at(3_000));
     // It has rested: who has another attempt in hand finds out, one at a time.
     assert_eq!(open(&list, 3_000, TrialTurn::No), [name(3), name(4)]);
     assert_eq!(open(&list, 3_000, TrialTurn::Yes), [name(1), name(3), name(4)]);
     list.notices_mut().begin(at(3_000), &name(1));
     assert_eq!(open(&list, 3_010, TrialTurn::Yes), [name(3), name(4)]);
-    list.notices_mut().receive_taken(at(3_020), &name(1));
+    list.notices_mut().receive_accepted(at(3_020), &name(1));
     assert_eq!(open(&list, 3_020, TrialTurn::No), [name(1), name(3), name(4)]);
 }
 
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -115,7 +115,7 @@
     let avoided = |table: &NoticeTable, now, turn| table.is_avoided(at(now), &upstream, turn);
     table.receive_rest(at(0), &upstream, ms(1_000));
     assert!(!table.begin(at(500), &upstream), "what was on its way is no trial");
-    assert!(!table.receive_taken(at(900), &upstream), "nor does its answer end the rest");
+    assert!(!table.receive_accepted(at(900), &upstream), "nor does its answer end the rest");
     assert!(!avoided(&table, 1_000, TrialTurn::Yes));
     assert!(avoided(&table, 1_000, TrialTurn::No), "who has no other attempt waits");
     assert!(table.begin(at(1_000), &upstream));
@@ -124,7 +124,7 @@
     table.end_trial(&upstream);
     assert!(!avoided(&table, 1_100, TrialTurn::Yes), "it ended without an answer");
     table.begin(at(1_200), &upstream);
-    assert!(table.receive_taken(at(1_300), &upstream));
+    assert!(table.receive_accepted(at(1_300), &upstream));
     for turn in [TrialTurn::Yes, TrialTurn::No] {
         assert!(!avoided(&table, 1_300, turn), "it takes work again");
     }
@@ -222,7 +222,7 @@
                     known = now;
                 }
                 Step::Begin => _ = table.begin(at(now), &upstream),
-                Step::Taken => _ = table.receive_taken(at(now), &upstream),
+                Step::Taken => _ = table.receive_accepted(at(now), &upstream),
                 Step::EndTrial => table.end_trial(&upstream),
                 Step::Retain(listed) => {
                     table.retain(at(now), |_| listed);
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -7,7 +7,7 @@
     channel::{mpsc, oneshot},
 };
 use slipturn_core::{
-    decision, entry_router, fleet_list, histogram, ids, key_vote, rendezvous, units, version_store,
+    decision, entry_router, fleet_list, histogram, ids, key_vote, live_settings, rendezvous, units,
 };
 use slipturn_net::{metrics, process, scheduler_link};
 
@@ -179,12 +179,12 @@
 
     fn take_settings(&mut self, now: units::MonoTime, text: &str) {
         match self.router.offer_settings(now, text) {
-            version_store::OfferOutcome::Accepted => {
+            live_settings::OfferOutcome::Accepted => {
                 log::info!("settings version {} is in force", self.router.store().version());
             }
-            version_store::OfferOutcome::Invalid(fault) => log::error!("settings refused: {fault}"),
-            version_store::OfferOutcome::Older => log::warn!("older settings were dropped"),
-            version_store::OfferOutcome::Same => {}
+            live_settings::OfferOutcome::Invalid(fault) => log::error!("settings refused: {fault}"),
+            live_settings::OfferOutcome::Older => log::warn!("older settings were dropped"),
+            live_settings::OfferOutcome::Same => {}
         }
     }
 
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -4,9 +4,9 @@
 
 use futures::{channel::mpsc, channel::oneshot, future};
 use slipturn_core::{
-    class_worth, connection_share, engine_place, failure_detector, fleet_budget, ids, member_beat,
-    membership, planner, planner_key, quarantine, rendezvous, search_budget, send_counts,
-    send_gate, store_belief, units,
+    class_worth, connection_share, engine_place, failure_detector, fleet_budget, ids,
+    member_heartbeat, membership, planner, planner_key, quarantine, rendezvous, search_budget,
+    send_counts, send_gate, store_tracker, units,
 };
 use slipturn_net::process;
 
@@ -103,7 +103,7 @@
     /// Requests and memory orders in progress.
     pub busy: cell::Cell<usize>,
     /// What is believed of the store, and of documents that other members have.
-    pub belief: cell::RefCell<store_belief::StoreBelief>,
+    pub belief: cell::RefCell<store_tracker::StoreTracker>,
     /// Members that joined since the last heartbeat, for the log.
     pub joined: cell::Cell<usize>,
     /// Heartbeats sent so far.
@@ -229,23 +229,23 @@
     }
 
     /// The next heartbeat.
-    pub fn next_beat(&self) -> member_beat::MemberBeat {
+    pub fn next_beat(&self) -> member_heartbeat::MemberHeartbeat {
         let sequence = self.beats.get() + 1;
         self.beats.set(sequence);
-        let others = self.members.borrow().named(sequence);
-        member_beat::MemberBeat { sequence, others, ..self.own_beat() }
+        let others = self.members.borrow().sample_addresses(sequence);
+        member_heartbeat::MemberHeartbeat { sequence, others, ..self.own_beat() }
     }
 
     /// What this process says of itself, as of its last heartbeat's number and naming no others.
-    pub fn own_beat(&self) -> member_beat::MemberBeat {
+    pub fn own_beat(&self) -> member_heartbeat::MemberHeartbeat {
         let settings = self.settings();
         let fleet = self.fleet.borrow();
         let now = self.now();
         let awake = self.woke.get() == units::MonoTime::default()
-            || membership::MemberView::old_enough(now.since(self.woke.get()));
+            || membership::MemberView::is_old_enough_to_plan(now.since(self.woke.get()));
         let age = now.since(units::MonoTime::default());
-        let plans = fleet.is_known() && awake && membership::MemberView::old_enough(age);
-        member_beat::MemberBeat {
+        let plans = fleet.is_known() && awake && membership::MemberView::is_old_enough_to_plan(age);
+        member_heartbeat::MemberHeartbeat {
             name: settings.name.clone(),
             boot: self.boot,
             sequence: self.beats.get(),
@@ -256,20 +256,20 @@
             leaving: self.stop.asked(),
             routes: fleet.routes.version.0,
             list: fleet.list.revision(),
-            watches: self.belief.borrow().is_counted_on(),
+            watches: self.belief.borrow().is_reliable_watcher(),
             others: Vec::new(),
         }
     }
 
     /// Versions of routes and list here.
-    pub fn versions(&self) -> store_belief::DocumentVersions {
+    pub fn versions(&self) -> store_tracker::DocumentVersions {
         let fleet = self.fleet.borrow();
         let (routes, list) = (fleet.routes.version.0, fleet.list.revision());
-        store_belief::DocumentVersions { routes, list }
+        store_tracker::DocumentVersions { routes, list }
     }
 
     /// For how long routes, and a list of upstreams, that other members have are missing here.
-    pub fn lags(&self) -> store_belief::DocumentLags {
+    pub fn lags(&self) -> store_tracker::DocumentLags {
         let now = self.now();
         let newest = self.members.borrow().newest(now);
         self.belief.borrow_mut().lags(now, self.versions(), newest)
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -3,7 +3,7 @@
 use std::{net, rc, time};
 
 use rand::seq::IndexedRandom as _;
-use slipturn_core::{beat_clock, member_beat, units};
+use slipturn_core::{heartbeat_timer, member_heartbeat, units};
 
 use crate::{context, failure_watch, member_gossip, peer_message};
 
@@ -16,7 +16,7 @@
 pub(crate) fn receive(
     context: &context::InstanceContext,
     now: units::MonoTime,
-    beat: member_beat::MemberBeat,
+    beat: member_heartbeat::MemberHeartbeat,
 ) {
     let from = beat.address;
     failure_watch::restore(context, beat.boot);
@@ -25,7 +25,7 @@
         let mut members = context.members.borrow_mut();
         let welcome = members.welcome(&beat);
         let joined = members.receive(now, beat);
-        (joined, welcome, members.take_unmet(own))
+        (joined, welcome, members.take_uncontacted(own))
     };
     if joined {
         context.joined.set(context.joined.get() + 1);
@@ -35,7 +35,7 @@
             context.send_to(from, peer_message::PeerMessage::Beat(Box::new(beat.clone())));
         }
         for others in welcome {
-            let beat = member_beat::MemberBeat { others, ..beat.clone() };
+            let beat = member_heartbeat::MemberHeartbeat { others, ..beat.clone() };
             context.send_to(from, peer_message::PeerMessage::Beat(Box::new(beat)));
         }
     }
@@ -48,7 +48,7 @@
 fn send_beat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
     let beat = context.next_beat();
     for to in targets {
-        let message = if beat.is_whole() || !context.members.borrow().knows(to) {
+        let message = if beat.is_full() || !context.members.borrow().knows(to) {
             peer_message::PeerMessage::Beat(Box::new(beat.clone()))
         } else {
             peer_message::PeerMessage::Alive(beat.alive())
@@ -59,7 +59,7 @@
 
 /// Repeats this process's heartbeat to the others and forgets silent ones.
 pub async fn repeat(context: rc::Rc<context::InstanceContext>) {
-    let mut clock = beat_clock::BeatClock::default();
+    let mut clock = heartbeat_timer::HeartbeatTimer::default();
     loop {
         broadcast(&context);
         let forgotten = context.members.borrow_mut().tick(context.now());
@@ -71,7 +71,7 @@
             let alive = context.members.borrow().alive(context.now()).count();
             log::info!(joined, alive; "members.joined");
         }
-        let interval = context.members.borrow().beat_interval();
+        let interval = context.members.borrow().heartbeat_interval();
         monoio::time::sleep(clock.next(interval, rand::random())).await;
     }
 }
@@ -139,7 +139,7 @@
 
 impl AnnouncedState {
     /// Of a heartbeat that would be sent now.
-    pub(crate) fn of(beat: &member_beat::MemberBeat) -> Self {
+    pub(crate) fn of(beat: &member_heartbeat::MemberHeartbeat) -> Self {
         Self { plans: beat.plans, leaving: beat.leaving, has_routes: beat.routes > 0 }
     }
 }
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -3,7 +3,7 @@
 use std::{net, rc, time};
 
 use rand::RngExt as _;
-use slipturn_core::{document_source, ids, member_beat, units};
+use slipturn_core::{document_source, ids, member_heartbeat, units};
 
 use crate::{
     context, document_answers, document_call, heartbeats, packed_bytes, store_read, store_sight,
@@ -36,29 +36,30 @@
             continue;
         }
         let Some((member, address)) = routes_source(&context, failing.as_ref()) else {
-            source.note_whole();
+            source.note_complete();
             continue;
         };
         let now = context.now();
         match source.choose(now) {
-            document_source::SourceChoice::Member => {
+            document_source::DocumentOrigin::Member => {
                 let copied = adopt_routes(&context, &member, address).await;
                 failing = (copied != CopyOutcome::Taken).then_some(member);
                 match copied {
                     // In a storm of changes the next may be missing already.
-                    CopyOutcome::Taken => source.note_whole(),
+                    CopyOutcome::Taken => source.note_complete(),
                     CopyOutcome::Missing => {}
-                    CopyOutcome::Damaged => source.note_damage(),
+                    CopyOutcome::Damaged => source.note_damaged_copy(),
                 }
             }
-            document_source::SourceChoice::Store => match store_read::read_routes(&context).await {
+            document_source::DocumentOrigin::Store => match store_read::read_routes(&context).await
+            {
                 Ok(()) => {
-                    source.note_answer();
+                    source.note_store_answer();
                     refute_routes(&context, now);
                 }
                 Err(error) => {
                     log::info!(error; "store.routes_failed");
-                    source.note_failure(context.now());
+                    source.note_store_failure(context.now());
                 }
             },
         }
@@ -189,7 +190,7 @@
 }
 
 fn pick_source(
-    sources: &[&member_beat::MemberBeat],
+    sources: &[&member_heartbeat::MemberHeartbeat],
     port: u16,
 ) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let drawn = rand::rng().random_range(0..sources.len().max(1));
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -3,8 +3,8 @@
 use futures::channel::mpsc;
 use serde::{Deserialize, Serialize};
 use slipturn_core::{
-    engine_place, failure_detector, ids, member_beat, planner_key, quota_permit, request_digest,
-    units,
+    engine_place, failure_detector, ids, member_heartbeat, planner_key, quota_permit,
+    request_digest, units,
 };
 
 /// Largest datagram; larger messages are split by their sender.
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A whole heartbeat.
-    Beat(Box<member_beat::MemberBeat>),
+    Beat(Box<member_heartbeat::MemberHeartbeat>),
     /// A heartbeat for those who have heard a whole one.
-    Alive(member_beat::AliveBeat),
+    Alive(member_heartbeat::ShortHeartbeat),
     /// Asks for a whole heartbeat: the member is not known.
     Who,
     /// Asks a planner for a place.
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -3,7 +3,7 @@
 use std::{net, rc, time};
 
 use futures::{StreamExt as _, channel::mpsc};
-use slipturn_core::{engine_place, member_beat, planner_key};
+use slipturn_core::{engine_place, member_heartbeat, planner_key};
 
 use crate::{
     context, failure_watch, heartbeats, lease_renewal, limit_gossip, member_gossip, peer_message,
@@ -206,7 +206,7 @@
 pub fn planner_of(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
-) -> Option<member_beat::MemberBeat> {
+) -> Option<member_heartbeat::MemberHeartbeat> {
     let own = context.own_beat();
     context.members.borrow().planner(context.now(), key, &own)
 }
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -8,7 +8,7 @@
 use std::{cell, collections, time};
 
 use slipturn_core::{
-    ids, member_beat, permit_cache, planner_key, quota_ledger, quota_permit, return_line,
+    ids, member_heartbeat, permit_cache, planner_key, quota_ledger, quota_permit, return_line,
     send_pace, units, upstream_list,
 };
 
@@ -83,7 +83,7 @@
 pub(crate) fn refresh(context: &context::InstanceContext) {
     let now = context.now();
     let fleet = context.fleet.borrow();
-    let part = context.members.borrow().seen_part(now);
+    let part = context.members.borrow().reachable_share(now);
     context.quotas.looked.set((LookedState::of(context), now));
     let mut kept = kept_retries(context, &fleet, part);
     let mut planned = collections::BTreeMap::<_, planner_set::EngineLimits>::new();
@@ -155,7 +155,7 @@
 pub(crate) fn coordinator_of(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
-) -> Option<member_beat::MemberBeat> {
+) -> Option<member_heartbeat::MemberHeartbeat> {
     let key = {
         let fleet = context.fleet.borrow();
         match subject {
@@ -258,7 +258,7 @@
 }
 
 /// Probes a coordinator that another member reports as silent.
-fn probe(context: &context::InstanceContext, coordinator: &member_beat::MemberBeat) {
+fn probe(context: &context::InstanceContext, coordinator: &member_heartbeat::MemberHeartbeat) {
     let now = context.now();
     let last = context.quotas.probe.take().filter(|(name, _)| *name == coordinator.name);
     if let Some((name, at)) = &last {
@@ -267,7 +267,7 @@
             return;
         }
         let mut members = context.members.borrow_mut();
-        if !members.seen_since(name, *at) {
+        if !members.was_heard_since(name, *at) {
             members.unanswered(name);
         }
     }
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -37,7 +37,7 @@
         let tried = context.now();
         let error = match follow(&context, &mut connection).await {
             Ok(()) => {
-                context.belief.borrow_mut().yield_to_others();
+                context.belief.borrow_mut().stop_watching();
                 log::info!("store.left_to_others");
                 failed = false;
                 continue;
@@ -118,7 +118,7 @@
         if answers && others_watch(context) {
             return Ok(());
         }
-        context.belief.borrow_mut().note_watched(revision);
+        context.belief.borrow_mut().set_watched(revision);
         let asked = context.now();
         let answer = match store_watch::watch(context, connection, revision).await {
             Ok(answer) if answer.era == revision.era => answer,
--- a/crates/instance/src/store_sight.rs
+++ b/crates/instance/src/store_sight.rs
@@ -51,7 +51,7 @@
         log::info!(away_ms = units::whole_millis(away); "store.regained");
         context.fleet.borrow_mut().source_returned(now);
     }
-    if heard.watches_again {
+    if heard.resumes_watch {
         // The others count on this one from now on.
         heartbeats::announce(context);
     }
--- a/crates/instance/src/upstream_choice.rs
+++ b/crates/instance/src/upstream_choice.rs
@@ -82,7 +82,7 @@
     let open = fleet.list.open(now, service, send_gate::TrialTurn::Yes);
     if open.is_empty() {
         let service = service.clone();
-        if let Some(first) = fleet.list.first_back(now, &service) {
+        if let Some(first) = fleet.list.first_backoff_to_end(now, &service) {
             return Some(NoneOpen::Rest { service, first, now });
         }
         let away = fleet.list.evacuated_for(now, &service)?;
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -60,7 +60,7 @@
     ) -> Option<&'a upstream_list::UpstreamEntry> {
         let to_probe = |entry: &&&upstream_list::UpstreamEntry| {
             let state = self.states.get(&entry.name);
-            state.is_some_and(|state| state.health.wants_probe(now, repeatable))
+            state.is_some_and(|state| state.health.needs_probe(now, repeatable))
         };
         if let Some(entry) = candidates.iter().find(to_probe) {
             return Some(entry);
@@ -71,8 +71,8 @@
             let running = told.map_or(0, |(running, _)| running).max(state.calls);
             let load = f64::from(running) / entry.slots as f64;
             let away = if entry.data_center == *own { 0.0 } else { AWAY_COST };
-            let ejected = if state.health.is_trusted() { 0.0 } else { EJECTED_COST };
-            load + state.health.failing(now) * FAILING_COST + away + ejected
+            let ejected = if state.health.is_healthy() { 0.0 } else { EJECTED_COST };
+            load + state.health.failure_rate(now) * FAILING_COST + away + ejected
         };
         let costs: Vec<_> = candidates.iter().map(|entry| (cost(entry), *entry)).collect();
         let least = |costs: &[(f64, &'a upstream_list::UpstreamEntry)]| {
@@ -122,7 +122,7 @@
         state.calls = state.calls.saturating_sub(1);
         match result {
             Some(result) => state.health.end(now, result),
-            None => state.health.forget_probe(),
+            None => state.health.cancel_probe(),
         }
     }
 
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -34,7 +34,7 @@
             receive_rest(context, upstream, rest);
         }
     } else if source == upstream_notice::NoticeSource::Answer {
-        receive_taken(context, upstream);
+        receive_accepted(context, upstream);
     }
 }
 
@@ -122,9 +122,9 @@
 }
 
 /// Records that an upstream has accepted a request.
-fn receive_taken(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
+fn receive_accepted(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
     let mut fleet = context.fleet.borrow_mut();
-    if fleet.list.notices_mut().receive_taken(context.now(), upstream) {
+    if fleet.list.notices_mut().receive_accepted(context.now(), upstream) {
         log::info!(upstream:%; "upstream.rested");
     }
 }
--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -4,7 +4,7 @@
 use slipturn_core::engine_place::{
     JobId, PlaceAnswer, PlaceAsk, PlaceEnd, PlaceGrant, PlaceLease, PlaceNote,
 };
-use slipturn_core::member_beat::AliveBeat;
+use slipturn_core::member_heartbeat::ShortHeartbeat;
 use slipturn_core::planner_key::PlannerKey;
 use slipturn_core::{
     quota_permit::{PermitRequest, PermitResponse, QuotaSubject},
@@ -96,7 +96,7 @@
     let job = lease(7).ask.job;
     // After a day at 13 requests a second.
     let renewed = RenewedJob { sequence: 1_200_000, reading: false };
-    let alive = AliveBeat {
+    let alive = ShortHeartbeat {
         boot: u64::MAX,
         sequence: 13_000,
         plans: true,
--- a/crates/instance/tests/rest_ways.rs
+++ b/crates/instance/tests/rest_ways.rs
@@ -179,7 +179,7 @@
                 excluded.push(grant.engine);
                 continue;
             }
-            list.notices_mut().receive_taken(at(now), &grant.engine);
+            list.notices_mut().receive_accepted(at(now), &grant.engine);
             self.due.entry(now + FIRST_MS).or_default().push((grant.job, false));
             self.due.entry(now + ANSWER_MS).or_default().push((grant.job, true));
             return true;
--- a/crates/scheduler/src/document_store.rs
+++ b/crates/scheduler/src/document_store.rs
@@ -3,7 +3,7 @@
 use std::rc;
 
 use futures::channel::oneshot;
-use slipturn_core::{fleet_list, settings, units, version_store};
+use slipturn_core::{fleet_list, live_settings, settings, units};
 use slipturn_net::scheduler_link;
 
 use crate::event;
@@ -27,7 +27,7 @@
 /// Settings and list, and their watchers.
 #[derive(Default)]
 pub struct DocumentStore {
-    store: version_store::VersionStore,
+    store: live_settings::LiveSettings,
     /// Invariant: its revision never falls while the process lives.
     list: fleet_list::FleetList,
     list_text: rc::Rc<str>,
@@ -44,7 +44,7 @@
     }
 
     /// The settings in force.
-    pub fn store(&self) -> &version_store::VersionStore {
+    pub fn store(&self) -> &live_settings::LiveSettings {
         &self.store
     }
 
@@ -112,13 +112,13 @@
         text: &str,
     ) -> Option<rc::Rc<settings::SettingsTree>> {
         match self.store.offer(now, text) {
-            version_store::OfferOutcome::Accepted => {
+            live_settings::OfferOutcome::Accepted => {
                 log::info!("settings version {} is in force", self.store.version());
                 return self.store.tree();
             }
-            version_store::OfferOutcome::Invalid(fault) => log::error!("settings refused: {fault}"),
-            version_store::OfferOutcome::Older => log::warn!("older settings were dropped"),
-            version_store::OfferOutcome::Same => {}
+            live_settings::OfferOutcome::Invalid(fault) => log::error!("settings refused: {fault}"),
+            live_settings::OfferOutcome::Older => log::warn!("older settings were dropped"),
+            live_settings::OfferOutcome::Same => {}
         }
         None
     }
