--- a/crates/core/src/heartbeat_timer.rs
+++ b/crates/core/src/heartbeat_timer.rs
@@ -1,8 +1,8 @@
-//! When a member says its next heartbeat.
+//! Schedules the heartbeats of a member.
 
 use std::time;
 
-/// The times of one member's heartbeats.
+/// Timer of one member's heartbeats.
 ///
 /// Members that start together would otherwise keep sending at the same moments, and in a large fleet a change right
 /// after them would spread by heartbeats only a whole interval later. So each member draws a random phase, again
@@ -13,7 +13,7 @@
 }
 
 impl HeartbeatTimer {
-    /// Time until the next heartbeat, where they are so far apart now; `drawn` is evenly between 0 and 1.
+    /// Returns the time until the next heartbeat at the current `interval`; `drawn` is uniform in 0 to 1.
     pub fn next(&mut self, interval: time::Duration, drawn: f64) -> time::Duration {
         if interval == self.interval {
             return interval;
