--- a/crates/core/src/document_lag.rs
+++ b/crates/core/src/document_lag.rs
@@ -1,23 +1,23 @@
-//! How long a version that another member has is missing here.
+//! Measures how long this process has lacked a document version that other members have.
 
 use std::time;
 
 use crate::units;
 
-/// Follows one kind of document: the oldest version of others that this process still lacks.
+/// Tracks, for one kind of document, the oldest version of other members that this process still lacks.
 ///
-/// Comparing newest with newest would not do: while changes follow each other, some member is
+/// Comparing the newest versions would not do: while changes follow each other, some member is
 /// always a moment ahead, and a process that receives every change would look late at each check.
 #[derive(Debug, Default)]
 pub struct DocumentLag<V> {
-    /// The version missed, and when it was seen to be missing; newer than the own one.
+    /// The missing version, newer than the local one, and when it was first seen to be missing.
     missing: Option<(V, units::MonoTime)>,
-    /// Up to here the source itself does not have what members claimed.
+    /// Highest version that members claimed and that the source turned out not to have.
     refuted: V,
 }
 
 impl<V: Copy + Default + Ord> DocumentLag<V> {
-    /// Takes in the own version and the newest that another member has; for how long the own one
+    /// Records the local version and the newest one of other members. Returns for how long the local version
     /// has been older than one that a member had.
     pub fn observe(&mut self, now: units::MonoTime, own: V, newest: V) -> time::Duration {
         self.missing = self.missing.filter(|(missing, _)| *missing > own);
@@ -28,15 +28,16 @@
         now.since(*since)
     }
 
-    /// The version that is missed.
+    /// The oldest version of other members that this process lacks.
     pub fn missing(&self) -> Option<V> {
         self.missing.map(|(version, _)| version)
     }
 
-    /// Takes in that the source, asked at `asked`, has nothing newer than the `own` version: a
-    /// version that was missed before then is one that no member can give. Without this a member that
-    /// claims such a version, or reads a document that this process rejects, cost ten calls a
-    /// second.
+    /// Records that the source, queried at `asked`, has nothing newer than the `own` version. A version that was
+    /// already missing by then is considered unavailable.
+    ///
+    /// Otherwise a member that claims a version nobody can provide, or that accepts a document this process
+    /// rejects, would cause ten calls a second.
     pub fn refute(&mut self, own: V, asked: units::MonoTime) {
         let claimed = self.missing.filter(|(missing, since)| *missing > own && *since <= asked);
         if let Some((missing, _)) = claimed {
@@ -45,12 +46,12 @@
         }
     }
 
-    /// Forgets what the source did not have: its writers may write it again.
+    /// Forgets which versions the source did not have, as they may be written again.
     pub fn forget_refuted(&mut self) {
         self.refuted = V::default();
     }
 
-    /// The version up to which nothing newer is to be had.
+    /// The version above which a newer one may be available: the local or the refuted one.
     pub fn known(&self, own: V) -> V {
         own.max(self.refuted)
     }
