--- a/crates/core/src/evacuation.rs
+++ b/crates/core/src/evacuation.rs
@@ -15,7 +15,7 @@
         self.evacuated.contains_key(&entry.data_center)
     }
 
-    /// Time since the last evacuation that affects a service; `None` without any.
+    /// Time since the start of the latest evacuation that affects a service; `None` without any.
     pub fn evacuated_for(
         &self,
         now: units::MonoTime,
@@ -40,7 +40,8 @@
         began
     }
 
-    /// Ends an evacuation. Its upstreams are considered cold, as they may be without announcing it.
+    /// Ends an evacuation; returns whether it was in force. The upstreams of the data centre are considered cold, as they
+    /// may be cold without announcing it.
     pub(crate) fn restore(
         &mut self,
         now: units::MonoTime,
