--- a/crates/core/src/fleet_list.rs
+++ b/crates/core/src/fleet_list.rs
@@ -1,4 +1,4 @@
-//! The published list of live and leaving instances, engines and upstreams. It lags.
+//! The published list of live and leaving instances, engines and upstreams, which may be out of date.
 
 use std::net;
 
@@ -6,70 +6,70 @@
 
 use crate::{ids, settings, units};
 
-/// Whether something takes new work.
+/// Whether an instance, an engine or an upstream takes new work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListState {
     /// It takes new work.
     #[default]
     Live,
-    /// It finishes what it has and takes no new work.
+    /// It finishes its work in progress and takes no new work.
     Leaving,
 }
 
-/// One entry instance.
+/// An entry instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceRecord {
-    /// Its name.
+    /// Name of the instance.
     pub name: ids::InstanceId,
-    /// Where it runs.
+    /// Data centre in which it runs.
     pub data_center: ids::DataCenterId,
-    /// Where its entry takes callers' requests.
+    /// Address of its entry for requests of callers.
     pub entry: net::SocketAddr,
-    /// Where its entry answers operators.
+    /// Address of its entry for operators.
     pub operators: net::SocketAddr,
-    /// Where its scheduler answers entries and schedulers.
+    /// Address of its scheduler for entries and other schedulers.
     pub scheduler: net::SocketAddr,
-    /// Whether it takes new work.
+    /// Whether it takes new work; live if absent.
     #[serde(default)]
     pub state: ListState,
 }
 
-/// One model engine.
+/// A model engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineRecord {
-    /// Its name.
+    /// Name of the engine.
     pub name: ids::EngineId,
-    /// Where it runs.
+    /// Data centre in which it runs.
     pub data_center: ids::DataCenterId,
-    /// The model it serves.
+    /// Model that it serves.
     pub model: ids::ModelId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: net::SocketAddr,
-    /// Its memory for KV cache.
+    /// Capacity of its KV cache in tokens.
     pub memory: units::TokenCount,
-    /// Prompt tokens it works through in a second.
+    /// Prompt tokens processed per second.
     pub prefill_rate: units::TokenRate,
-    /// Whether it takes new work.
+    /// Whether it takes new work; live if absent.
     #[serde(default)]
     pub state: ListState,
 }
 
-/// One upstream of a plain service.
+/// An upstream of a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamRecord {
-    /// Its name.
+    /// Name of the upstream.
     pub name: ids::UpstreamId,
-    /// The service it belongs to.
+    /// Service that it belongs to.
     pub service: ids::ServiceId,
-    /// Where it runs.
+    /// Data centre in which it runs.
     pub data_center: ids::DataCenterId,
-    /// Where it takes calls.
+    /// Address for requests.
     pub address: net::SocketAddr,
-    /// Whether it takes new work.
+    /// Whether it takes new work; live if absent.
     #[serde(default)]
     pub state: ListState,
 }
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetList {
-    /// Goes up with each change.
+    /// Incremented with each change.
     pub revision: u64,
     /// Entry instances.
     pub instances: Vec<InstanceRecord>,
@@ -89,17 +89,17 @@
 }
 
 impl FleetList {
-    /// Reads a published list; JSON is YAML too.
+    /// Parses a published list in YAML, and so in JSON as well.
     pub fn parse(text: &str) -> Result<Self, settings::SettingsError> {
         settings::parse_yaml(text)
     }
 
-    /// Names of the instances that take work.
+    /// Instances that take new work.
     pub fn live_instances(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.instances.iter().filter(|instance| instance.state == ListState::Live)
     }
 
-    /// The record of one instance.
+    /// The record of an instance; `None` if it is not listed.
     pub fn instance(&self, name: &ids::InstanceId) -> Option<&InstanceRecord> {
         self.instances.iter().find(|instance| instance.name == *name)
     }
