--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -8,7 +8,7 @@
 
 use rand::seq::IteratorRandom as _;
 
-/// Time between two rounds.
+/// Interval between two periodic rounds of a member.
 pub const REPEAT_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Members asked for their state by one that may have missed something.
 const REQUESTED_MEMBERS: usize = 3;
@@ -26,7 +26,7 @@
     Woke,
 }
 
-/// Targets among the live members.
+/// Chooses the targets of a round among the live members.
 pub fn targets<T>(
     cause: GossipCause,
     alive: impl Iterator<Item = T>,
