--- a/crates/core/src/list_changes.rs
+++ b/crates/core/src/list_changes.rs
@@ -1,11 +1,11 @@
-//! Changes to the list of upstreams: which start of each becomes the present one, and what vanishes.
+//! Applies changes to the list of upstreams: determines the present start of each upstream, and removes upstreams.
 
 use std::{collections, sync, time};
 
 use crate::{fleet_list, ids, store_revision, units, upstream_list, upstream_notice};
 
 impl upstream_list::UpstreamList {
-    /// Applies changes; returns whether any mattered.
+    /// Applies the changes up to a revision; returns whether the list changed. An older revision is ignored.
     pub fn apply(
         &mut self,
         now: units::MonoTime,
@@ -40,7 +40,7 @@
         changed
     }
 
-    /// Moves on to a revision, which may be of a later era.
+    /// Advances to a revision, which may belong to a later era.
     fn advance(&mut self, now: units::MonoTime, revision: store_revision::StoreRevision) {
         if !self.revision.is_none() && self.revision.era < revision.era {
             self.enter_era(now);
@@ -48,7 +48,9 @@
         self.revision = revision;
     }
 
-    /// Replaces the whole list, as after a gap in the history of changes.
+    /// Replaces the whole list, as after a gap in the history of changes; returns whether it changed.
+    ///
+    /// An older revision is ignored.
     pub fn replace(
         &mut self,
         now: units::MonoTime,
@@ -75,7 +77,7 @@
             self.recovery.note_listed(&entry.name);
             changed |= self.apply_entry(now, entry);
         }
-        // A list of the same era still lacks what its first one lacked.
+        // Upstreams that the first list of this era lacked are missing from its later lists as well.
         let gone: Vec<_> = missing.iter().filter(|name| !self.recovery.is_kept(name)).collect();
         for name in gone {
             changed |= self.apply_gone(now, name);
@@ -83,6 +85,7 @@
         changed
     }
 
+    /// Applies an entry of the list; returns whether the list changed.
     pub(crate) fn apply_entry(
         &mut self,
         now: units::MonoTime,
@@ -94,9 +97,9 @@
         if known == Some(&entry.name) {
             return self.update_present(now, entry);
         }
-        let another = known.is_some();
-        if another && entry.name.start().is_none() {
-            // Upstreams always tell their start: this entry is another writer's.
+        let is_other_start = known.is_some();
+        if is_other_start && entry.name.start().is_none() {
+            // An upstream that names its start once always does: another writer wrote this entry.
             return self.remove(now, identifier);
         }
         let record = self.starts.get_mut(identifier);
@@ -109,7 +112,7 @@
         true
     }
 
-    /// Takes in what the list says of a start's leaving.
+    /// Records whether the list declares a start live or leaving.
     fn apply_listed_state(&mut self, now: units::MonoTime, entry: &upstream_list::UpstreamEntry) {
         match entry.state {
             fleet_list::ListState::Live => self.notices.receive_live(&entry.name),
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Puts another entry of the present start.
+    /// Replaces the entry of the present start; returns whether the list changed.
     fn update_present(
         &mut self,
         now: units::MonoTime,
@@ -130,7 +133,7 @@
         self.clear_relisted(identifier);
         let returned = self.doubtful.remove(identifier).is_some();
         let before = self.entries.insert(identifier.into(), entry.clone());
-        // An entry stays as it was written: read again it says nothing new.
+        // The cold time dates from the writing of the entry: reading it again must not restart the cold phase.
         if before.as_ref().is_some_and(|before| before.cold != entry.cold) {
             self.cold.set(now, &entry.name, &entry.service, Some(entry.cold));
         }
@@ -139,7 +142,7 @@
         changed
     }
 
-    /// Makes another start of an upstream the present one, or the first of one that was not listed.
+    /// Makes the start of `entry` the present one of its upstream, which may be new to the list.
     pub(crate) fn set_present_start(
         &mut self,
         now: units::MonoTime,
@@ -161,6 +164,8 @@
         self.changes += 1;
     }
 
+    /// Handles the deletion of an entry; returns whether the list changed. The upstream is only doubted at first if the
+    /// list's source has just returned from an outage and the upstream was not leaving.
     fn apply_gone(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
         self.clear_relisted(name.identifier());
         let Some((identifier, entry)) = self.entries.get_key_value(name.identifier()) else {
@@ -175,13 +180,14 @@
         true
     }
 
-    /// The list names no start that is over any more.
+    /// Records that the list no longer names an ended start of an upstream.
     pub(crate) fn clear_relisted(&mut self, identifier: &str) {
         if let Some(record) = self.starts.get_mut(identifier) {
             record.clear_relisted();
         }
     }
 
+    /// Removes an upstream from the list; returns whether it was listed.
     pub(crate) fn remove(&mut self, now: units::MonoTime, identifier: &str) -> bool {
         self.doubtful.remove(identifier);
         self.clear_relisted(identifier);
