--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -1,7 +1,7 @@
-//! What stays in force of a list after its source has returned from an older copy, until it is written again.
+//! Keeps recent changes of a list in force after its source was restored from an older copy.
 //!
-//! The copy lacks the last changes. Its writers make them again within seconds; until then the list would name upstreams as
-//! ready that have left, lack new ones, and lack evacuations.
+//! The copy lacks the last changes, which their writers repeat within seconds. Until then the list alone would name upstreams
+//! as ready that have left, lack new ones, and lack evacuations.
 
 use std::{collections, sync, time};
 
@@ -9,27 +9,27 @@
 
 /// How long removed starts are remembered; a copy is some seconds old.
 const REMOVED_MEMORY: time::Duration = time::Duration::from_secs(60);
-/// Most of them, some 100 bytes each; beyond that the oldest are forgotten.
+/// Most removed starts remembered, some 100 bytes each; beyond that the oldest are forgotten.
 const MAX_REMOVED: usize = 2_048;
 /// Default of [`ListRecovery::rewrite_time`].
 const REWRITE_TIME: time::Duration = time::Duration::from_millis(5_600);
 
-/// State carried over from the era before.
+/// State carried over from the previous era.
 #[derive(Debug)]
 pub(crate) struct ListRecovery {
     /// When the present era became known; `None` in the first era, and once the recovery has ended.
     pub(crate) since: Option<units::MonoTime>,
     /// Whether the list of the present era has not been taken over yet.
     pub(crate) pending: bool,
-    /// Time after which an entry that still stands has been renewed by its upstream in the present era.
+    /// Time after the era became known by which each valid entry has been rewritten by its upstream.
     pub(crate) rewrite_time: time::Duration,
     /// Identifiers of upstreams in use that the copy lacks.
     pub(crate) kept: collections::BTreeSet<sync::Arc<str>>,
-    /// Starts that had been removed and that the copy lists: not in use.
+    /// Starts that were removed before and that the copy lists; they are not used.
     pub(crate) withheld: collections::BTreeSet<ids::UpstreamId>,
     /// Evacuated data centres that the copy does not list.
     pub(crate) evacuated: collections::BTreeSet<ids::DataCenterId>,
-    /// Starts that were removed, and when.
+    /// Recently removed starts, with the time of removal.
     removed: collections::BTreeMap<ids::UpstreamId, units::MonoTime>,
 }
 
@@ -58,14 +58,15 @@
         self.removed.insert(name.clone(), now);
     }
 
-    /// Records a change of the present era to an upstream: its entry has been written again.
+    /// Records a change to an upstream in the present era, which shows that its entry was rewritten or deleted since.
     pub(crate) fn confirm(&mut self, name: &ids::UpstreamId) {
         self.removed.remove(name);
         self.kept.remove(name.identifier());
         self.withheld.remove(name);
     }
 
-    /// Records that a list read as a whole names a start, which does not tell whether its entry has been written again.
+    /// Records that a complete read of the list names a start, which does not show whether its entry was rewritten in the
+    /// present era.
     pub(crate) fn note_listed(&mut self, name: &ids::UpstreamId) {
         self.kept.remove(name.identifier());
         if !self.withheld.contains(name) {
@@ -78,6 +79,7 @@
         self.kept.contains(name.identifier())
     }
 
+    /// Whether a start was recently removed from the list.
     pub(crate) fn is_removed(&self, name: &ids::UpstreamId) -> bool {
         self.removed.contains_key(name)
     }
@@ -88,31 +90,31 @@
     }
 }
 
-/// A recovery as one instance passes it on to another.
+/// State of a recovery that instances send each other.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RecoveryState {
     /// When the present era became known.
     pub since: units::MonoTime,
     /// Identifiers of upstreams in use that the copy lacks.
     pub kept: Vec<sync::Arc<str>>,
-    /// Starts that the copy lists and that are not in use.
+    /// Starts that were removed before and that the copy lists; they are not used.
     pub withheld: Vec<ids::UpstreamId>,
     /// Evacuated data centres that the copy does not list.
     pub evacuated: Vec<ids::DataCenterId>,
 }
 
 impl upstream_list::UpstreamList {
-    /// Sets the time after which an entry that still stands has been renewed in the present era.
+    /// Sets the time after an era became known by which each valid entry has been rewritten.
     pub fn set_rewrite_time(&mut self, span: time::Duration) {
         self.recovery.rewrite_time = span;
     }
 
-    /// When the era of the recovery in progress became known.
+    /// When the era of the recovery in progress became known; `None` without a recovery, and until its list has been read.
     pub fn recovering_since(&self) -> Option<units::MonoTime> {
         self.recovery.since.filter(|_| !self.recovery.pending)
     }
 
-    /// The recovery in progress.
+    /// State of the recovery in progress; `None` as in [`Self::recovering_since`].
     pub fn recovery(&self) -> Option<RecoveryState> {
         let since = self.recovering_since()?;
         Some(RecoveryState {
@@ -128,7 +130,7 @@
         self.recovery.since.is_some()
     }
 
-    /// What the recovery in progress does with an upstream, for operators.
+    /// How the recovery in progress treats an upstream, for operators; empty if not at all.
     pub fn recovery_label(&self, name: &ids::UpstreamId) -> &'static str {
         if self.is_withheld(name) {
             "withheld"
@@ -139,18 +141,18 @@
         }
     }
 
-    /// Enters an era of the source that became known at `since`; its list is expected next.
+    /// Enters an era of the source that became known at `since`; the first list of that era is expected next.
     ///
-    /// What the list of the era before said of leaving becomes final: the copy may be of before.
+    /// Leaving notices of the previous era's list become final, as the copy may be older than them.
     pub(crate) fn enter_era(&mut self, since: units::MonoTime) {
         self.recovery.since = Some(since);
         self.recovery.pending = true;
         self.notices.finalize_listed();
     }
 
-    /// Takes over a recovery of another instance, after the list that belongs to it.
+    /// Adopts the recovery of another instance, after the list that belongs to it.
     ///
-    /// Upstreams that the copy lacks and that the other does not keep are removed.
+    /// Upstreams that the copy lacks and that the other instance does not keep are removed.
     pub fn adopt_recovery(&mut self, now: units::MonoTime, state: RecoveryState) {
         self.recovery.since = Some(state.since);
         let others = std::mem::take(&mut self.recovery.kept);
@@ -162,7 +164,7 @@
         self.changes += 1;
     }
 
-    /// Takes over the first list of an era, which lacks the upstreams in `missing`.
+    /// Applies the first list of an era, which lacks the upstreams in `missing`.
     pub(crate) fn recover(
         &mut self,
         now: units::MonoTime,
@@ -192,25 +194,25 @@
         self.changes += 1;
     }
 
-    /// Whether the copy names a start of an upstream that is before the present one. Starts are times of clocks that may
-    /// be wrong: one that is taken for a former one in error becomes the present one later.
+    /// Whether a start in the copy is earlier than the present one. Starts are timestamps of clocks that may be wrong: a start
+    /// that is considered a former one in error becomes the present one later.
     fn is_former_start(&self, name: &ids::UpstreamId) -> bool {
         let present = self.entry(name).map(|entry| &entry.name);
         name.start().is_some() && present.is_some_and(|present| name.start() < present.start())
     }
 
-    /// Records that the copy names a former start of an upstream. It becomes the present one unless the present one is written
-    /// again.
+    /// Records that the copy names a former start of an upstream. It becomes the present one unless the present one is
+    /// rewritten.
     fn note_former_start(&mut self, now: units::MonoTime, entry: upstream_list::UpstreamEntry) {
         let patience = self.recovery.rewrite_time.saturating_sub(start_record::RELISTED_TIME);
         let record = self.starts.entry(entry.name.identifier().into()).or_default();
         record.note_relisted(now + patience, entry);
     }
 
-    /// Evacuations in force after a list of this revision that names the `listed` ones: also those that the first list of
-    /// an era lacks, until they are written again or the recovery ends.
+    /// Returns the evacuations in force after a list of this revision, which names the `listed` ones. An evacuation that the
+    /// first list of an era lacks also stays in force, until it is rewritten or the recovery ends.
     ///
-    /// The `unconfirmed` ones of the listed are kept by another instance for that reason alone.
+    /// Of the listed evacuations, another instance keeps the `unconfirmed` ones for that reason alone.
     pub fn merge_evacuations(
         &mut self,
         revision: store_revision::StoreRevision,
@@ -235,12 +237,12 @@
         in_force
     }
 
-    /// Records that an evacuation has been written again in the present era.
+    /// Records that an evacuation has been rewritten in the present era.
     pub fn confirm_evacuation(&mut self, data_center: &ids::DataCenterId) {
         self.recovery.evacuated.remove(data_center);
     }
 
-    /// Ends what is due of a recovery; returns whether that changed anything.
+    /// Drops state of the recovery whose time is over; returns whether that changed the list.
     pub(crate) fn tick_recovery(&mut self, now: units::MonoTime) -> bool {
         let recovery = &mut self.recovery;
         recovery.removed.retain(|_, at| now.since(*at) < REMOVED_MEMORY);
@@ -262,12 +264,13 @@
         changed
     }
 
-    /// Whether a start is not in use because it had been removed before the source returned from a copy.
+    /// Whether a start is not used because it was removed before the source was restored from a copy.
     pub fn is_withheld(&self, name: &ids::UpstreamId) -> bool {
         self.recovery.withheld.contains(name)
     }
 
-    /// Starts that the list names as ready and that are known to leave, for instances that read the copy alone.
+    /// Starts that are known to leave although the list names them as ready or lacks them, for instances that know the copy
+    /// only.
     pub fn relisted_leaving(
         &self,
     ) -> impl Iterator<Item = (&ids::UpstreamId, upstream_notice::LeavingNotice)> {
