--- a/crates/core/src/member_heartbeat.rs
+++ b/crates/core/src/member_heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a member says of itself, again and again: whole, or only what may have changed.
+//! Heartbeats of members: full ones, and short ones with only the fields that may change.
 
 use std::net;
 
@@ -6,40 +6,40 @@
 
 use crate::{ids, store_revision};
 
-/// Period, in heartbeats, of a complete one.
+/// Number of heartbeats after which one is sent in full to all members.
 const FULL_HEARTBEAT_PERIOD: u64 = 16;
 
-/// What a member says of itself.
+/// A full heartbeat: the state of a member as it describes itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberHeartbeat {
-    /// Its name.
+    /// Name of the member.
     pub name: ids::InstanceId,
-    /// This start of it.
+    /// Boot number of this start of the member.
     pub boot: u64,
-    /// Goes up with each heartbeat of a start.
+    /// Incremented with each heartbeat of a start.
     pub sequence: u64,
     /// Address for heartbeats and planner messages.
     pub address: net::SocketAddrV4,
-    /// Its data centre.
+    /// Data centre in which the member runs.
     pub data_center: ids::DataCenterId,
-    /// Thousandths of a core that it may use.
+    /// CPU that the member may use, in thousandths of a core.
     pub cpu: u32,
-    /// Whether it may plan for others: old enough, awake, knowing routes and upstreams.
+    /// Whether the member may plan for others: it is old enough, was not paused lately, and has routes and upstreams.
     pub plans: bool,
-    /// Whether it is leaving.
+    /// Whether the member is leaving by plan.
     pub leaving: bool,
-    /// Version of its routes.
+    /// Version of its routes; 0 before it has any.
     pub routes: u64,
     /// Revision of its list of upstreams.
     pub list: store_revision::StoreRevision,
-    /// Whether it watches the platform's store itself.
+    /// Whether the member watches the platform's store and other members may rely on that.
     pub watches: bool,
     /// Addresses of some other members.
     pub others: Vec<net::SocketAddrV4>,
 }
 
-/// A heartbeat for those who have heard this start of the member before: what may change, a sixth
-/// of the whole one's bytes.
+/// A short heartbeat, for members that know this start of the sender: only the fields that may change, in a sixth of
+/// the bytes of a full one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShortHeartbeat {
     /// See [`MemberHeartbeat::boot`].
@@ -59,7 +59,7 @@
 }
 
 impl MemberHeartbeat {
-    /// The part of it that may change.
+    /// The short form of this heartbeat.
     pub fn alive(&self) -> ShortHeartbeat {
         ShortHeartbeat {
             boot: self.boot,
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Whether it is to be sent whole, also to those who know its member: addresses spread by it.
+    /// Whether this heartbeat is sent in full even to members that know its sender, as addresses of other members spread
+    /// by full heartbeats only.
     pub fn is_full(&self) -> bool {
         self.sequence.is_multiple_of(FULL_HEARTBEAT_PERIOD)
     }
