--- a/crates/core/src/start_record.rs
+++ b/crates/core/src/start_record.rs
@@ -1,39 +1,41 @@
-//! The starts of one upstream: which are over, and since when the present one is known.
+//! The starts of one upstream: which have ended, and since when the present one is known.
 
 use std::{collections, time};
 
 use crate::{ids, units, upstream_list};
 
-/// Time for which the list must go on naming a start that is over before it is taken for the present
-/// one after all. A write of the start before may be carried out seconds late, and the present one
-/// writes over it with its next heartbeat, each 1.2 s.
+/// How long the list must keep naming an ended start until that start becomes the present one after all.
+///
+/// A write of the previous start may be executed seconds late, and the present one overwrites it with its next
+/// heartbeat, within 1.2 s.
 pub(crate) const RELISTED_TIME: time::Duration = time::Duration::from_secs(3);
 
-/// Starts of one upstream that are remembered as over. An entry of one may still arrive seconds later,
-/// by a store that is slow or a member that is behind; an upstream that starts more often meanwhile
-/// is of no use to anybody.
+/// Most ended starts remembered per upstream.
+///
+/// Entries of an ended start may arrive seconds late, from a slow store or a member that lags behind. An upstream that
+/// restarts more often within that time is unusable anyway.
 const MAX_ENDED: usize = 8;
 
-/// What is known of the starts of one upstream.
+/// The known starts of one upstream.
 #[derive(Debug, Default)]
 pub(crate) struct StartRecord {
-    /// When the present one became known, or the last one was not listed any more.
+    /// When the present start became known, or when the last one was removed from the list.
     pub(crate) known_since: units::MonoTime,
-    /// The last one, while none is listed.
+    /// The last start, while none is listed.
     last: Option<ids::UpstreamStart>,
-    /// Those that are over, oldest first, at most [`MAX_ENDED`]; never holds the present one.
+    /// Ended starts, oldest first, at most [`MAX_ENDED`]; never contains the present one.
     ended: collections::VecDeque<ids::UpstreamStart>,
-    /// The entry of one that is over, which the list names again, and since when.
+    /// The entry of an ended start that the list names again, and since when it does.
     relisted: Option<(upstream_list::UpstreamEntry, units::MonoTime)>,
 }
 
 impl StartRecord {
-    /// Whether a start is known to be over.
+    /// Whether a start is known to have ended.
     pub(crate) fn is_ended(&self, start: Option<ids::UpstreamStart>) -> bool {
         start.is_some_and(|start| self.ended.contains(&start))
     }
 
-    /// Puts another start in the place of the present one.
+    /// Records that `present` has replaced the start `before`, or the last one that was listed.
     pub(crate) fn replace(
         &mut self,
         now: units::MonoTime,
@@ -50,14 +52,14 @@
         }
     }
 
-    /// Notes that the present one is not listed any more: it may come back, or another one in its place.
+    /// Records that the present start is no longer listed. It may return, or another start may replace it.
     pub(crate) fn note_unlisted(&mut self, now: units::MonoTime, present: ids::UpstreamStart) {
         self.known_since = now;
         self.relisted = None;
         self.last = Some(present);
     }
 
-    /// Notes that the list names a start that is over.
+    /// Records that the list names an ended start.
     pub(crate) fn note_relisted(
         &mut self,
         now: units::MonoTime,
@@ -67,12 +69,12 @@
         self.relisted = Some((entry, same.map_or(now, |(_, since)| since)));
     }
 
-    /// Notes that the list does not go on naming one that is over, or that the present one has spoken.
+    /// Records that the list does not keep naming an ended start, or that the present start has reported itself.
     pub(crate) fn clear_relisted(&mut self) {
         self.relisted = None;
     }
 
-    /// The entry that the list has named for long enough.
+    /// Takes the entry of an ended start once the list has named it for [`RELISTED_TIME`].
     pub(crate) fn take_relisted(
         &mut self,
         now: units::MonoTime,
