--- a/crates/core/src/pause_detector.rs
+++ b/crates/core/src/pause_detector.rs
@@ -1,27 +1,28 @@
-//! Notices pauses of the whole process, after which what it believes may be old.
+//! Detects pauses of the whole process, after which its state may be out of date.
 
 use std::time;
 
 use crate::units;
 
-/// Notices that the process was paused, from the gap between two events.
+/// Detects pauses by the time between two events.
 #[derive(Debug)]
 pub(crate) struct PauseDetector {
     bound: time::Duration,
+    /// Time of the last event.
     last: Option<units::MonoTime>,
-    /// Pauses noticed so far.
+    /// Number of pauses so far.
     pub(crate) wakes: u64,
-    /// Whether nothing was heard from any source since the last pause.
+    /// Whether the sources have not been asked again since the last pause, or since the start.
     pub(crate) unrefreshed: bool,
 }
 
 impl PauseDetector {
-    /// A watch that takes a gap longer than `bound` for a pause.
+    /// Considers a time longer than `bound` between two events a pause.
     pub(crate) fn new(bound: time::Duration) -> Self {
         Self { bound, last: None, wakes: 0, unrefreshed: true }
     }
 
-    /// Notes that something happens now.
+    /// Records an event.
     pub(crate) fn notice(&mut self, now: units::MonoTime) {
         if self.last.is_some_and(|last| now.since(last) > self.bound) {
             self.wakes += 1;
