--- a/crates/core/src/store_tracker.rs
+++ b/crates/core/src/store_tracker.rs
@@ -1,89 +1,89 @@
-//! What a process believes of the platform's store, and of documents that other members have and it
-//! lacks: from whom, how old, and what ends it.
+//! Tracks whether the platform's store answers this process, up to which revision it was read, and which documents of
+//! other members are missing here.
 
 use std::time;
 
 use crate::{document_lag, store_revision, units};
 
-/// Time in which operators have written again what a copy of the store lacks.
+/// Time after which operators have rewritten what the store lacks after it was restored from an older copy.
 const REWRITE_TIME: time::Duration = time::Duration::from_secs(10);
 
-/// What is believed of the store's answers.
+/// Contact of this process with the store.
 ///
-/// Begins [`Unavailable`](Self::Away). An answer makes it [`Answering`](Self::Answering); a watch that is
-/// overdue, or members that know what it should have brought, [`Overdue`](Self::Doubted); a failed call,
-/// or leaving the store to others, `Unavailable` again.
+/// The initial state is [`Away`](Self::Away). An answer leads to [`Answering`](Self::Answering). An overdue answer to a
+/// watch, or a member that knows a change which the watch should have reported, leads to [`Doubted`](Self::Doubted). A
+/// failed call, or leaving the store to other members, leads back to `Away`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreContact {
-    /// It has not answered yet, its last answer failed, or it is left to others.
-    Unavailable,
-    /// It has answered, and the next answer is not overdue.
+    /// The store has not answered yet, the last call failed, or this process leaves the store to other members.
+    Away,
+    /// The store has answered, and no answer is overdue.
     Answering,
-    /// Its next answer is overdue; it is asked anew.
-    Overdue,
+    /// An answer is overdue, and the store is called again.
+    Doubted,
 }
 
-/// Versions of the routes and of the list of upstreams.
+/// Versions of the routes and of the list of upstreams that a process has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DocumentVersions {
-    /// Of the routes.
+    /// Version of the routes.
     pub routes: u64,
-    /// Of the list.
+    /// Revision of the list of upstreams.
     pub list: store_revision::StoreRevision,
 }
 
-/// For how long others have had what is missing here.
+/// For how long other members have had newer documents than this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DocumentLags {
-    /// Newer routes.
+    /// For how long they have had newer routes.
     pub routes: time::Duration,
-    /// A newer list.
+    /// For how long they have had a newer list of upstreams.
     pub list: time::Duration,
 }
 
 impl DocumentLags {
-    /// The longer of the two.
+    /// The longer of both lags.
     pub fn longest(&self) -> time::Duration {
         self.routes.max(self.list)
     }
 }
 
-/// What an answer of the store changes.
+/// Changes caused by an answer of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerEffect {
-    /// How long it had been away; nothing where it had not.
+    /// Length of the outage that the answer ends, if any.
     pub away: Option<time::Duration>,
-    /// Whether the others may count on this process's watch again.
+    /// Whether other members may rely on this process's watch again.
     pub resumes_watch: bool,
 }
 
-/// What one process believes.
+/// State of the store and its documents as one process knows it.
 #[derive(Debug)]
 pub struct StoreTracker {
     contact: StoreContact,
-    /// Whether this process watches the store itself; it goes on trying while the store is away.
+    /// Whether this process watches the store itself. It keeps trying during an outage.
     watching: bool,
-    /// Revision up to which this process itself has read the store, routes and list alike; 0 before,
-    /// and once it has left the store to others. The list alone may be newer, from members.
+    /// Revision up to which this process itself has read both routes and list from the store; 0 before the first read, and
+    /// after it has left the store to other members. The list may be newer, as members send it too.
     watched: store_revision::StoreRevision,
-    /// Since when calls have failed; nothing while the store answers.
+    /// Since when calls have failed; `None` while the store answers.
     away_since: Option<units::MonoTime>,
-    /// When its last answer came; the process's start before any.
+    /// When the last answer arrived; before any, when the process started.
     heard: units::MonoTime,
-    /// Highest era in its answers; nothing before the first answer.
+    /// Highest era in the store's answers; `None` before the first answer.
     era: Option<store_revision::StoreEra>,
-    /// Since when that has been known, where another one was known before.
+    /// When `era` became known, if it replaced an earlier one.
     era_since: Option<units::MonoTime>,
-    /// Routes of other members that this process lacks.
+    /// Lag behind the routes of other members.
     routes: document_lag::DocumentLag<u64>,
-    /// Lists of other members that this process lacks.
+    /// Lag behind the lists of other members.
     list: document_lag::DocumentLag<store_revision::StoreRevision>,
 }
 
 impl Default for StoreTracker {
     fn default() -> Self {
         Self {
-            contact: StoreContact::Unavailable,
+            contact: StoreContact::Away,
             watching: false,
             watched: store_revision::StoreRevision::default(),
             away_since: None,
@@ -97,43 +97,43 @@
 }
 
 impl StoreTracker {
-    /// What is believed of its answers.
+    /// The present contact with the store.
     pub fn contact(&self) -> StoreContact {
         self.contact
     }
 
-    /// Whether it answers this process, as far as is known.
+    /// Whether the store answers this process, as far as is known.
     pub fn answers(&self) -> bool {
         self.contact == StoreContact::Answering
     }
 
-    /// Whether this process watches it, in reach or not.
+    /// Whether this process watches the store, also while it cannot reach it.
     pub fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Whether others may count on this process's watch. While that is doubted only they need not take
-    /// over: a slow store would be asked by more and more of them.
+    /// Whether other members may rely on this process's watch. They may while the store is only doubted: if they took over
+    /// then, more and more members would call a slow store.
     pub fn is_reliable_watcher(&self) -> bool {
-        self.watching && self.contact != StoreContact::Unavailable
+        self.watching && self.contact != StoreContact::Away
     }
 
-    /// Revision up to which this process itself has read it.
+    /// Revision up to which this process itself has read the store.
     pub fn watched(&self) -> store_revision::StoreRevision {
         self.watched
     }
 
-    /// How long ago its last answer came.
+    /// Age of the store's last answer; before any, the time since the process started.
     pub fn last_answer_age(&self, now: units::MonoTime) -> time::Duration {
         now.since(self.heard)
     }
 
-    /// Highest era in its answers.
+    /// Highest era in the store's answers.
     pub fn era(&self) -> store_revision::StoreEra {
         self.era.unwrap_or_default()
     }
 
-    /// Takes in the era of an answer; returns the one before where it has changed.
+    /// Records the era of an answer; returns the previous era if this one is later.
     pub fn note_era(
         &mut self,
         now: units::MonoTime,
@@ -145,49 +145,49 @@
         Some(before)
     }
 
-    /// Whether what operators wrote may be missing in the store, as it has returned from an older copy.
+    /// Whether the store, queried at `asked`, may have lacked recent writes of operators, as it was restored from an older
+    /// copy shortly before.
     fn is_incomplete(&self, asked: units::MonoTime) -> bool {
         self.era_since.is_some_and(|since| asked.since(since) < REWRITE_TIME)
     }
 
-    /// Takes in an answer.
+    /// Records an answer of the store.
     pub fn receive(&mut self, now: units::MonoTime) -> AnswerEffect {
         let before = std::mem::replace(&mut self.contact, StoreContact::Answering);
         let away = self.away_since.take().map(|since| now.since(since));
         self.heard = now;
-        AnswerEffect { away, resumes_watch: before == StoreContact::Unavailable && self.watching }
+        AnswerEffect { away, resumes_watch: before == StoreContact::Away && self.watching }
     }
 
-    /// Takes in that an answer is overdue.
-    pub fn mark_overdue(&mut self) {
-        self.contact = StoreContact::Overdue;
+    /// Records that an answer is overdue.
+    pub fn doubt(&mut self) {
+        self.contact = StoreContact::Doubted;
     }
 
-    /// Takes in that a call failed; whether that is new.
+    /// Records a failed call; returns whether it ends the contact with the store.
     pub fn lose(&mut self, now: units::MonoTime) -> bool {
         self.away_since.get_or_insert(now);
-        std::mem::replace(&mut self.contact, StoreContact::Unavailable) != StoreContact::Unavailable
+        std::mem::replace(&mut self.contact, StoreContact::Away) != StoreContact::Away
     }
 
-    /// Begins to watch it, or goes on.
+    /// Records that this process watches the store.
     pub fn watch(&mut self) {
         self.watching = true;
     }
 
-    /// Takes in that all up to a revision has been read.
+    /// Records that routes and list were read up to a revision.
     pub fn set_watched(&mut self, revision: store_revision::StoreRevision) {
         self.watched = revision;
     }
 
-    /// Leaves it to others.
+    /// Leaves the store to other members.
     pub fn stop_watching(&mut self) {
         self.watching = false;
         self.watched = store_revision::StoreRevision::default();
-        self.contact = StoreContact::Unavailable;
+        self.contact = StoreContact::Away;
     }
 
-    /// For how long others have had what is missing here, given the own versions and the newest that
-    /// others have.
+    /// Records the versions of this process and the newest ones of other members; returns how far this process lags behind.
     pub fn lags(
         &mut self,
         now: units::MonoTime,
@@ -200,21 +200,23 @@
         }
     }
 
-    /// Takes in that the store, asked at `asked`, has no routes newer than `own`.
+    /// Records that the store, queried at `asked`, has no routes newer than `own`. That is ignored shortly after the store
+    /// was restored from an older copy.
     pub fn refute_routes(&mut self, own: u64, asked: units::MonoTime) {
         if !self.is_incomplete(asked) {
             self.routes.refute(own, asked);
         }
     }
 
-    /// Takes in that the store, asked at `asked`, has no list newer than `own` in the same era.
+    /// Records that the store, queried at `asked`, has no list newer than `own`. That refutes only revisions of the same era.
     pub fn refute_list(&mut self, own: store_revision::StoreRevision, asked: units::MonoTime) {
         if self.list.missing().is_none_or(|missing| missing.era == own.era) {
             self.list.refute(own, asked);
         }
     }
 
-    /// Versions up to which nothing newer is to be had, whatever members claim.
+    /// Versions above which newer documents may be available: the `own` ones, or versions that the store turned out not to
+    /// have although members claimed them.
     pub fn known(&self, own: DocumentVersions) -> DocumentVersions {
         DocumentVersions { routes: self.routes.known(own.routes), list: self.list.known(own.list) }
     }
--- a/crates/core/tests/store_tracker.rs
+++ b/crates/core/tests/store_tracker.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_store_that_was_never_heard_is_away_and_no_outage() {
     let mut belief = StoreTracker::default();
-    assert_eq!(belief.contact(), StoreContact::Unavailable);
+    assert_eq!(belief.contact(), StoreContact::Away);
     assert_eq!(belief.receive(at(50)), AnswerEffect { away: None, resumes_watch: false });
     assert!(belief.answers() && !belief.is_reliable_watcher(), "it is heard and not watched");
 }
@@ -50,7 +50,7 @@
 #[test]
 fn a_doubted_store_is_still_counted_on() {
     let mut belief = watching();
-    belief.mark_overdue();
+    belief.doubt();
     assert!(!belief.answers() && belief.is_reliable_watcher());
     assert_eq!(belief.receive(at(900)), AnswerEffect { away: None, resumes_watch: false });
     assert!(belief.answers());
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -45,7 +45,7 @@
         if let Some(answered) = until_doubted(context, waiting.as_mut(), wait + OVERDUE).await {
             return answered;
         }
-        context.belief.borrow_mut().mark_overdue();
+        context.belief.borrow_mut().doubt();
         // The store may be slow, or the connection silent while new ones work: who answers first
         // tells. Waiting for the one watch alone kept changes from instances for half a minute.
         match future::select(waiting, pin::pin!(probe(context, &mut second, revision))).await {
