--- a/crates/core/src/store_revision.rs
+++ b/crates/core/src/store_revision.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt as _, Snafu};
 
-/// Generation of the store's history: rises whenever the store returns from an older copy of itself.
+/// Generation of the store's history: rises whenever the store is restored from an older copy.
 ///
-/// 0 for a store that tells none.
+/// 0 for a store that reports no era.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -29,8 +29,8 @@
 
 /// A state of the store.
 ///
-/// Ordered by era first: numbers are given out again after a return from an older copy, so numbers of two eras do
-/// not compare. The default comes before every state.
+/// Ordered by era first: numbers are assigned again after the store was restored from an older copy, so numbers of two
+/// eras cannot be compared. The default is ordered before every state.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -42,19 +42,19 @@
 }
 
 impl StoreRevision {
-    /// A revision of an era.
+    /// The revision with this number in an era.
     pub fn new(era: StoreEra, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// Whether it stands for no state at all.
+    /// Whether this is the default, which stands for no state of the store.
     pub fn is_none(&self) -> bool {
         *self == Self::default()
     }
 }
 
 impl From<u64> for StoreRevision {
-    /// A revision of a store that tells no era.
+    /// A revision of a store that reports no era.
     fn from(number: u64) -> Self {
         Self { era: StoreEra::default(), number }
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// A text is not an era and a revision, divided by a dot.
+/// A text is not an era and a number separated by a dot.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("found '{found}', expected ERA.REVISION"))]
 pub struct RevisionError {
