--- a/crates/core/src/upstream_health.rs
+++ b/crates/core/src/upstream_health.rs
@@ -1,77 +1,76 @@
-//! How far an upstream of a plain service is trusted: who fails is left alone, and asked again by one
-//! call at a time.
+//! Passive health checks of the upstreams of plain services: a failing upstream gets no calls during a pause, and then
+//! one probe at a time.
 //!
-//! Answers to the load that failures draw: an upstream that fails at once has no call in progress, so by load
-//! alone it is the best choice and gets all calls.
+//! Load alone cannot replace this: an upstream that fails at once has no call in progress, so it would look like the best
+//! choice and get all calls.
 
 use std::time;
 
 use crate::units;
 
 /// Pause after the first failure in a row; doubles with each further one. Calls take some tens of
-/// milliseconds, and most faults last for seconds.
+/// milliseconds, while most faults last for seconds.
 const FIRST_PAUSE: time::Duration = time::Duration::from_millis(500);
-/// Longest pause: an upstream that is sound again has its share back within it.
+/// Longest pause, and so the longest time until an upstream that works again gets its share back.
 const MAX_PAUSE: time::Duration = time::Duration::from_secs(5);
-/// First pause of one that is not at its address any more. It does not come back by itself: its
-/// entry changes or goes, mostly within three seconds.
+/// Minimum pause after an upstream was found gone from its address. It does not return by itself: its list entry
+/// changes or is deleted, mostly within three seconds.
 const GONE_PAUSE: time::Duration = time::Duration::from_secs(3);
-/// Pause after a refusal for want of room, by which an upstream does its part: about the time that
-/// a place there takes to come free.
+/// Pause after a refusal for lack of capacity. Such an upstream works: this is about the time in which one of its slots
+/// becomes free.
 const REFUSED_PAUSE: time::Duration = time::Duration::from_millis(50);
-/// Doublings of a pause at most.
+/// Most doublings of a pause.
 const MAX_DOUBLINGS: u32 = 5;
-/// A probe without an end so long is taken for lost, as where its caller has left.
+/// Timeout of a probe, as its caller may have left.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// Time for which a notice to one member is not repeated by another: many are informed at once.
+/// Time after a report of a gone upstream within which another is no news: many members are informed at once.
 const GONE_REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
-/// Weight of the newest call in the running mean of failures.
+/// Weight of the newest call in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// Time in which that mean fades: who is avoided for it gets no calls by which it could fall.
+/// Time constant with which the failure rate decays: an upstream that is avoided for it gets no calls that could lower it.
 const FAILURE_RATE_DECAY: time::Duration = time::Duration::from_secs(2);
-/// For so long only calls that may be repeated find out whether an upstream is sound again: the others
-/// are lost where it is not.
+/// Time after a pause within which only repeatable calls are probes: any other call is lost if the upstream fails again.
 const REPEATABLE_ONLY_TIME: time::Duration = time::Duration::from_secs(2);
 
-/// How a call ended for its upstream.
+/// Result of a call to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallResult {
-    /// It did its part.
+    /// The upstream answered.
     Good,
-    /// It refused for want of room.
+    /// The upstream refused the call for lack of capacity.
     Full,
-    /// It ran the call to a failure of its own: the call may be the cause as well.
+    /// The upstream ran the call and reported an error, of which the call itself may be the cause.
     Erred,
-    /// It could not be reached, or broke off.
+    /// The upstream could not be reached, or broke off the call.
     Failed,
-    /// Another one answers at its address.
+    /// Another upstream answers at its address.
     Gone,
 }
 
-/// What is believed of one start of an upstream.
+/// Health of one start of an upstream.
 #[derive(Debug, Default, Clone)]
 pub struct UpstreamHealth {
-    /// Calls in a row that it did not do its part for.
+    /// Failed or refused calls since the last good one; at least 1 after a report that the upstream is gone.
     consecutive_failures: u32,
-    /// Until when it is left alone; no later than [`MAX_PAUSE`] after the last failure.
+    /// End of the pause; at most [`MAX_PAUSE`] after the last failure.
     paused_until: units::MonoTime,
-    /// When the call began that finds out whether it is sound again; only after a failure.
+    /// When the pending probe began; only after a failure.
     probe: Option<units::MonoTime>,
-    /// Share of calls that failed lately, as of `updated`.
+    /// Moving average of failed calls, 0 to 1, as of `updated`.
     failure_rate: f64,
     updated: units::MonoTime,
-    /// When a member last reported that it is gone.
+    /// When the upstream was last reported gone.
     gone_reported: Option<units::MonoTime>,
 }
 
 impl UpstreamHealth {
-    /// Whether it did its part when it was last asked.
+    /// Whether no call has failed or been refused since the last good one.
     pub fn is_healthy(&self) -> bool {
         self.consecutive_failures == 0
     }
 
-    /// Whether a call is to find out whether it is sound again: no other signal would show it, as one
-    /// that is avoided gets no calls. Those that may be repeated do so first.
+    /// Whether the next call should probe the upstream, as it gets no other calls that would show its recovery. Repeatable
+    /// calls probe first.
     pub fn needs_probe(&self, now: units::MonoTime, repeatable: bool) -> bool {
         let due =
             if repeatable { self.paused_until } else { self.paused_until + REPEATABLE_ONLY_TIME };
@@ -79,20 +78,20 @@
         self.consecutive_failures > 0 && due <= now && !probed
     }
 
-    /// Share of calls that failed lately.
+    /// Recent share of failed calls, 0 to 1; decays without calls.
     pub fn failure_rate(&self, now: units::MonoTime) -> f64 {
         let age = now.since(self.updated).as_secs_f64() / FAILURE_RATE_DECAY.as_secs_f64();
         self.failure_rate * (-age).exp()
     }
 
-    /// Notes that a call goes there.
+    /// Records the start of a call, which is a probe unless the upstream is healthy.
     pub fn begin(&mut self, now: units::MonoTime) {
         if self.consecutive_failures > 0 {
             self.probe = Some(now);
         }
     }
 
-    /// Takes in how a call ended.
+    /// Records the result of a call.
     pub fn end(&mut self, now: units::MonoTime, result: CallResult) {
         self.probe = None;
         let failure = if result == CallResult::Good { 0.0 } else { 1.0 };
@@ -104,7 +103,7 @@
                 self.consecutive_failures = 0;
                 return;
             }
-            // Its share decides; whether this one call or the upstream is the cause is unknown.
+            // Only the failure rate counts, as either this call or the upstream may be the cause.
             CallResult::Erred => return,
             CallResult::Full => REFUSED_PAUSE,
             CallResult::Failed => FIRST_PAUSE,
@@ -115,8 +114,8 @@
         self.consecutive_failures += 1;
     }
 
-    /// Records that a member, or this process, was informed that it is gone; returns whether that has
-    /// not been heard for a while.
+    /// Records that a member, or this process, was informed that the upstream is gone; returns whether that is news, as
+    /// there was no such report within the last [`GONE_REPORT_INTERVAL`].
     pub fn receive_gone(&mut self, now: units::MonoTime) -> bool {
         let news = self.gone_reported.is_none_or(|heard| now.since(heard) >= GONE_REPORT_INTERVAL);
         self.gone_reported = Some(now);
@@ -125,7 +124,7 @@
         news
     }
 
-    /// A call whose end says nothing, as its caller has left.
+    /// Drops the pending probe, as its call ended without a result because its caller has left.
     pub fn cancel_probe(&mut self) {
         self.probe = None;
     }
