--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -1,5 +1,5 @@
-//! Upstreams as the platform lists them, what is believed of those that vanish from the list, and
-//! which start of each is the present one.
+//! The list of upstreams: which are usable, which were dropped from the list but may return, and which start of each is the
+//! present one.
 
 use std::{collections, net, sync, time};
 
@@ -8,117 +8,116 @@
     upstream_notice,
 };
 
-/// How long upstreams that vanished right after the list's source came back may still return.
+/// How long upstreams that are dropped from the list right after an outage of its source may still return.
 ///
-/// Leases may run out while the source is away; their holders write them again about two seconds
-/// after its return.
+/// Leases may expire during the outage; their holders rewrite them about two seconds after its end.
 pub(crate) const RETURN_TIME: time::Duration = time::Duration::from_millis(1_900);
-/// Beyond this share of a service vanished at once, the vanished are still used until they are
-/// surely gone: the source's own outage is likelier than all of them leaving.
+/// Share of a service's upstreams beyond which doubtful ones are still used: an outage of the source is likelier than so
+/// many upstreams leaving at once.
 const OUTAGE_SHARE: f64 = 0.5;
-/// How long the starts of an upstream that is not listed any more are remembered: writes of one that
-/// is over may come seconds late, also after a lapse.
+/// How long the starts of an unlisted upstream are remembered: writes of an ended start may arrive seconds late, even after
+/// the entry was deleted.
 const START_RETENTION: time::Duration = time::Duration::from_secs(30);
 
-/// One upstream of a service, engine or not.
+/// An entry of the list: an upstream of a service, which may be an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
-    /// This start of it.
+    /// Name of the upstream, with its start if the list names one.
     pub name: ids::UpstreamId,
-    /// The service it belongs to.
+    /// Service that the upstream belongs to.
     pub service: ids::ServiceId,
-    /// Where it runs.
+    /// Data centre in which the upstream runs.
     pub data_center: ids::DataCenterId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: net::SocketAddrV4,
-    /// Requests it works on at once.
+    /// Requests that the upstream processes concurrently.
     pub slots: usize,
-    /// Whether it takes new work.
+    /// Whether the upstream takes new work.
     pub state: fleet_list::ListState,
-    /// For how much longer it was cold when it was written.
+    /// Remaining length of the upstream's cold phase when the entry was written.
     pub cold: time::Duration,
 }
 
 /// A change to the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListChange {
-    /// An upstream is there, new or changed.
+    /// An entry is new or changed.
     Present(UpstreamEntry),
-    /// An upstream is gone.
+    /// The entry of an upstream was deleted.
     Gone(ids::UpstreamId),
-    /// Its entry is not one that names an upstream to use: somebody else has written there.
+    /// The entry of an upstream cannot be used, as another writer has overwritten it.
     Unreadable(ids::UpstreamId),
     /// A data centre is evacuated: none of its upstreams takes new work.
     Evacuated(ids::DataCenterId),
-    /// The evacuation of a data centre is over.
+    /// The evacuation of a data centre has ended.
     Restored(ids::DataCenterId),
 }
 
-/// A start of an upstream that is over, as another one is the present one.
+/// A start of an upstream that has ended, as another start has replaced it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedStart {
-    /// The start that is over.
+    /// The ended start.
     pub name: ids::UpstreamId,
-    /// Where it took requests.
+    /// Address at which the ended start took requests.
     pub address: net::SocketAddrV4,
-    /// The present one.
+    /// The start that has replaced it.
     pub present: ids::UpstreamId,
 }
 
-/// The list as this process believes it.
+/// This process's view of the list of upstreams.
 #[derive(Debug, Default)]
 pub struct UpstreamList {
-    /// By identifier: of each upstream one start is the present one.
+    /// Entries of the present starts, by identifier of the upstream.
     pub(crate) entries: collections::BTreeMap<sync::Arc<str>, UpstreamEntry>,
-    /// Starts of those that have started again, listed now or within [`START_RETENTION`].
+    /// Starts of upstreams that have restarted or were removed, by identifier; dropped after [`START_RETENTION`] unlisted.
     pub(crate) starts: collections::BTreeMap<sync::Arc<str>, start_record::StartRecord>,
-    /// Upstreams that vanished and may return, with the time at which they are taken for gone.
+    /// Upstreams that were dropped from the list and may return, with the time at which they are removed.
     pub(crate) doubtful: collections::BTreeMap<sync::Arc<str>, units::MonoTime>,
-    /// What upstreams say of themselves in passing, and that the list says that they leave.
+    /// Notices of upstreams, and leaving notices of the list.
     pub(crate) notices: upstream_notice::NoticeTable,
-    /// What stays in force after the source has returned from an older copy.
+    /// State that stays in force after the source was restored from an older copy.
     pub(crate) recovery: list_recovery::ListRecovery,
-    /// Cold starts.
+    /// Cold phases of upstreams.
     pub(crate) cold: cold_start::ColdTable,
     /// Evacuated data centres, and when each evacuation became known.
     pub(crate) evacuated: collections::BTreeMap<ids::DataCenterId, units::MonoTime>,
-    /// Starts that were found to be over since the last look.
+    /// Starts that ended since the last call of [`Self::take_ended`].
     pub(crate) ended: Vec<EndedStart>,
-    /// Until when vanishing is doubted.
+    /// Until when upstreams that are dropped from the list become doubtful instead of being removed at once.
     pub(crate) doubt_until: Option<units::MonoTime>,
-    /// The source's revision this state belongs to; only ever goes up.
+    /// Revision of the source that this state belongs to; never decreases.
     pub(crate) revision: store_revision::StoreRevision,
-    /// Goes up whenever another set of upstreams may be usable.
+    /// Incremented whenever the set of usable upstreams may have changed.
     pub(crate) changes: u64,
 }
 
 impl UpstreamList {
-    /// The source's revision of this state.
+    /// Revision of the source that this state belongs to.
     pub fn revision(&self) -> store_revision::StoreRevision {
         self.revision
     }
 
-    /// Number of changes so far: while it stays the same, so does what is usable.
+    /// Number of changes so far. While it stays the same, so does the set of usable upstreams.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Notes that the source answers again after an outage.
+    /// Records that the source answers again after an outage.
     pub fn source_returned(&mut self, now: units::MonoTime) {
         self.doubt_until = Some(now + RETURN_TIME);
     }
 
-    /// Upstreams of a service that are listed, in use or not.
+    /// Number of listed upstreams of a service, usable or not.
     ///
-    /// Unlike the number of usable ones it does not change with an evacuation or a planned end.
+    /// Unlike the number of usable ones it does not change with an evacuation or a leaving upstream.
     pub fn listed_count(&self, service: &ids::ServiceId) -> usize {
         self.entries.values().filter(|entry| entry.service == *service).count()
     }
 
-    /// Takes doubtful upstreams for gone whose time has come, and starts for present that the list has
-    /// named for long although they were taken for over.
+    /// Removes doubtful upstreams that are due, ends what is due of a recovery, and makes ended starts the present ones where
+    /// the list has kept naming them; returns whether the list changed.
     pub fn tick(&mut self, now: units::MonoTime) -> bool {
-        // What it removes is not named any more.
+        // First, as it also clears the ended starts that the list names of the upstreams it removes.
         let recovered = self.tick_recovery(now);
         let gone: Vec<_> = self
             .doubtful
@@ -144,8 +143,8 @@
         changed
     }
 
-    /// Upstreams of a service that may take new work, as far as all instances are concerned: neither the list
-    /// nor they themselves say that they leave, and their data centre is not evacuated.
+    /// Upstreams of a service that may take new work of any instance: neither the list nor the upstream itself announces that
+    /// it leaves, and its data centre is not evacuated.
     pub fn usable<'a>(&'a self, service: &'a ids::ServiceId) -> Vec<&'a UpstreamEntry> {
         let live: Vec<_> = self
             .entries
@@ -159,17 +158,18 @@
         if vanished as f64 > live.len() as f64 * OUTAGE_SHARE { live } else { certain }
     }
 
-    /// Whether an upstream may still be sent a request, whichever its present start is.
+    /// Whether an upstream may take new work, whichever its present start is; see [`Self::usable`].
     pub fn is_usable(&self, name: &ids::UpstreamId) -> bool {
         let Some(entry) = self.entry(name).filter(|entry| self.is_staying(entry)) else {
             return false;
         };
-        // Asked for each request and each engine that reads a part of it; only doubt needs all the others.
+        // Called for each request and each engine that reads a part of it, so the other upstreams of the service are only
+        // counted for a doubtful one.
         !self.doubtful.contains_key(entry.name.identifier())
             || self.usable(&entry.service).iter().any(|usable| usable.name == entry.name)
     }
 
-    /// Whether an upstream is not known to leave, and its data centre is not evacuated.
+    /// Whether an upstream is not known to leave, not withheld by a recovery, and not evacuated.
     fn is_staying(&self, entry: &UpstreamEntry) -> bool {
         entry.state == fleet_list::ListState::Live
             && self.notices.leaving(&entry.name).is_none()
@@ -177,10 +177,10 @@
             && !self.is_evacuated(entry)
     }
 
-    /// One upstream, leaving or not, with its present start.
+    /// The entry of an upstream, leaving or not, with its present start.
     ///
-    /// Members may know different starts for some seconds. Whoever is sent to another start than
-    /// it knows means the same upstream, and reaches the one that runs.
+    /// The start in `name` is ignored. Members may know different starts for some seconds, and a request for another start
+    /// means the same upstream and reaches the start that runs.
     pub fn entry(&self, name: &ids::UpstreamId) -> Option<&UpstreamEntry> {
         self.entries.get(name.identifier())
     }
@@ -190,12 +190,14 @@
         self.entry(name).is_some_and(|entry| entry.name == *name)
     }
 
-    /// What upstreams have said.
+    /// Notices of upstreams.
     pub fn notices(&self) -> &upstream_notice::NoticeTable {
         &self.notices
     }
 
-    /// Takes in that a start says that it leaves; returns whether that is news.
+    /// Records a leaving notice of a start, received `age` ago; returns whether it is news.
+    ///
+    /// A notice that has expired is ignored unless it is of a present start.
     pub fn receive_leaving(
         &mut self,
         now: units::MonoTime,
@@ -211,12 +213,13 @@
         news
     }
 
-    /// What upstreams have said, to take in what concerns this instance alone.
+    /// Notices of upstreams, to record those that concern only this instance. Leaving notices, which change the usable
+    /// upstreams, go through [`Self::receive_leaving`].
     pub fn notices_mut(&mut self) -> &mut upstream_notice::NoticeTable {
         &mut self.notices
     }
 
-    /// Forgets what was said by starts that have not been listed for long.
+    /// Drops notices of starts that have not been listed for long.
     pub fn forget_notices(&mut self, now: units::MonoTime) {
         let entries = &self.entries;
         let listed = |name: &ids::UpstreamId| {
@@ -225,26 +228,25 @@
         self.notices.retain(now, listed);
     }
 
-    /// The upstream at an address, where only one is listed there.
+    /// The upstream at an address; `None` if several are listed there, or none.
     pub fn name_at(&self, address: net::SocketAddrV4) -> Option<&ids::UpstreamId> {
         let mut there = self.entries.values().filter(|entry| entry.address == address);
         let name = there.next().map(|entry| &entry.name);
         name.filter(|_| there.next().is_none())
     }
 
-    /// All upstreams.
+    /// Entries of all upstreams.
     pub fn entries(&self) -> impl Iterator<Item = &UpstreamEntry> {
         self.entries.values()
     }
 
-    /// Records which start an upstream itself reported, asked at `asked`; returns whether it is another
-    /// than the one believed to be present.
+    /// Records the start that an upstream reported itself in answer to a query sent at `asked`; returns whether it replaces
+    /// the present one.
     ///
-    /// Starts say other, not newer, as clocks may be wrong. The source and its time decide:
-    /// the upstream's own report, asked for after the present start became known, is true whatever
-    /// the list said; one that was on its way already may be of the start before. The list's newer
-    /// word replaces the present one; a start that is over must be named for some seconds, as a write
-    /// of it may be late.
+    /// Two starts can be told apart but not ordered, as clocks may be wrong. So the origin and its time decide. A report of the
+    /// upstream itself that was requested after the present start became known is true whatever the list says; one
+    /// requested earlier may come from the previous start. A later entry of the list replaces the present start; if it
+    /// names an ended start, only after some seconds, as it may be a late write.
     pub fn update_start(
         &mut self,
         now: units::MonoTime,
@@ -257,7 +259,7 @@
         };
         let before = entry.name.start();
         let since = self.starts.get(name.identifier()).map(|record| record.known_since);
-        // Where the list has no starts, there is nothing to compare with.
+        // A list without starts gives nothing to compare with.
         if before.is_none() || since.is_some_and(|since| asked < since) {
             return false;
         }
@@ -270,7 +272,7 @@
         true
     }
 
-    /// Starts that were found to be over since the last call.
+    /// Takes the starts that ended since the last call.
     pub fn take_ended(&mut self) -> Vec<EndedStart> {
         std::mem::take(&mut self.ended)
     }
