--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -1,7 +1,7 @@
 //! Notices that upstreams send with their answers: that they are leaving, a backoff, and a limit.
 //!
-//! Leaving concerns all instances, a backoff only the one that received it, and a limit all instances together. Each
-//! belongs to one start of an upstream and ends with it. Leaving is final. After a backoff one request probes the
+//! A leaving notice concerns all instances, a backoff only the one that received it, and a limit all instances together.
+//! Each belongs to one start of an upstream and ends with it. Leaving is final. After a backoff one request probes the
 //! upstream, and the others follow its result.
 
 use std::{collections, fmt, time};
@@ -27,7 +27,7 @@
 pub enum NoticeSource {
     /// The published list.
     List,
-    /// The published list of an era before, which the present one cannot revoke.
+    /// The published list of a previous era, which the present list cannot revoke.
     FormerList,
     /// The upstream, in the head of an answer to a request.
     Answer,
@@ -64,18 +64,18 @@
 /// A start of an upstream asked this instance for a backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RestNotice {
-    /// Requested length.
+    /// Length that the upstream asked for.
     pub asked: time::Duration,
     /// When it was received.
     pub since: units::MonoTime,
-    /// Its end: at most [`MAX_REST`] after `since`.
+    /// End of the backoff: at most [`MAX_REST`] after `since`.
     pub until: units::MonoTime,
     /// When the pending probe was sent; not before `until`.
     trial: Option<units::MonoTime>,
 }
 
 impl RestNotice {
-    /// Its accepted length.
+    /// Accepted length of the backoff.
     pub fn lasts(&self) -> time::Duration {
         self.until.since(self.since)
     }
@@ -99,7 +99,7 @@
     Begun,
     /// The backoff ends later.
     Longer,
-    /// Nothing.
+    /// Nothing changed.
     Known,
 }
 
@@ -377,6 +377,7 @@
         });
     }
 
+    /// The notices of a start, created if there are none. If the table is full the oldest ones make room.
     fn notice(&mut self, known: units::MonoTime, name: &ids::UpstreamId) -> &mut UpstreamNotice {
         if self.notices.len() >= MAX_NOTICES && !self.notices.contains_key(name) {
             let oldest = self.notices.iter().min_by_key(|(_, notice)| notice.known);
