--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -1,4 +1,4 @@
-//! Upstreams that this instance may send to now, by the list and their notices.
+//! Selects the upstreams that this instance may send to now, by the list and their notices.
 
 use crate::{fleet_list, ids, quota_permit, send_gate, units, upstream_list, upstream_notice};
 
@@ -29,7 +29,7 @@
         service: &'a ids::ServiceId,
         turn: send_gate::TrialTurn,
     ) -> Vec<&'a ids::UpstreamId> {
-        // Few upstreams have notices, mostly none of a service.
+        // Few upstreams have notices, and mostly none of this service.
         let listed = |name: &&ids::UpstreamId| {
             let entry = self.entry(name).filter(|entry| entry.name == **name);
             entry.is_some_and(|entry| {
@@ -45,7 +45,7 @@
         closed
     }
 
-    /// The backoff of a service's usable upstreams that ends first.
+    /// Of the backoffs of a service's usable upstreams, the one that ends first.
     pub fn first_backoff_to_end(
         &self,
         now: units::MonoTime,
@@ -56,8 +56,8 @@
         rests.min_by_key(|rest| rest.until)
     }
 
-    /// Whether something may be sent to an upstream now, whichever its present start is. Work requires it to be listed, and
-    /// a permit where it has a limit.
+    /// Whether something may be sent to an upstream now, whichever its present start is. New work requires the upstream to be
+    /// usable, and a permit if it has a limit.
     pub fn permits(
         &self,
         now: units::MonoTime,
