--- a/crates/core/src/live_settings.rs
+++ b/crates/core/src/live_settings.rs
@@ -1,33 +1,34 @@
-//! Holds the newest accepted settings and never goes back to an older one.
+//! Holds the newest accepted settings and never returns to older ones.
 
 use std::{rc, time};
 
 use crate::{settings, units};
 
-/// What became of an offered document.
+/// Result of offering a settings document.
 #[derive(Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is newer and in force now.
+    /// The document is newer and now in force.
     Accepted,
-    /// It is the one in force; that alone proves the store is fresh.
+    /// The document is the one in force, which confirms that no newer one was available.
     Same,
-    /// It is older than the one in force and was dropped.
+    /// The document is older than the one in force and was dropped.
     Older,
-    /// It is not valid and was dropped whole.
+    /// The document is invalid and was dropped as a whole; contains the error.
     Invalid(String),
 }
 
-/// The newest settings a process knows of.
+/// The newest settings that a process has accepted.
 #[derive(Debug, Default)]
 pub struct LiveSettings {
-    /// Invariant: the version of this tree never falls while the process lives.
+    /// The settings in force. Invariant: their version never decreases during the life of the process.
     current: Option<SettingsDocument>,
     /// When a source last confirmed or replaced `current`.
     confirmed: units::MonoTime,
-    /// The last invalid document's version and fault, kept for operators.
+    /// Error of the last invalid document, for operators; `None` once a newer document was accepted.
     rejected: Option<String>,
 }
 
+/// An accepted document.
 #[derive(Debug, Clone)]
 struct SettingsDocument {
     tree: rc::Rc<settings::SettingsTree>,
@@ -35,7 +36,7 @@
 }
 
 impl LiveSettings {
-    /// Offers a document in its published form.
+    /// Parses a document in its published form, and puts it in force if it is valid and newer.
     pub fn offer(&mut self, now: units::MonoTime, text: &str) -> OfferOutcome {
         if let Some(held) = self.current.as_ref().filter(|held| &*held.text == text) {
             debug_assert!(held.tree.version == self.version());
@@ -50,8 +51,8 @@
             return OfferOutcome::Older;
         }
         if self.current.is_some() && tree.version == self.version() {
-            // Two texts under one version are the operators' mistake: the one in force stays until
-            // a higher version comes.
+            // Two documents with one version are an error of the operators: the one in force stays until a
+            // higher version is published.
             return self.reject(format!("version {} was published twice", tree.version));
         }
         self.confirmed = now;
@@ -65,27 +66,27 @@
         self.current.as_ref().map_or(settings::SettingsVersion(0), |held| held.tree.version)
     }
 
-    /// The tree in force.
+    /// The settings in force; `None` before the first document.
     pub fn tree(&self) -> Option<rc::Rc<settings::SettingsTree>> {
         self.current.as_ref().map(|held| rc::Rc::clone(&held.tree))
     }
 
-    /// The document in force in its published form, to hand on to peers.
+    /// The document in force in its published form, to pass on to other members.
     pub fn text(&self) -> Option<rc::Rc<str>> {
         self.current.as_ref().map(|held| rc::Rc::clone(&held.text))
     }
 
-    /// The fault of the last document that was not accepted, if none was accepted since.
+    /// Error of the last invalid document, if none was accepted since.
     pub fn rejected(&self) -> Option<&str> {
         self.rejected.as_deref()
     }
 
-    /// How long ago a source last confirmed what is in force.
+    /// Time since a source last confirmed the settings in force.
     pub fn age(&self, now: units::MonoTime) -> time::Duration {
         now.since(self.confirmed)
     }
 
-    /// Notes that a source, itself confirmed `age` ago, has nothing newer than what is in force.
+    /// Records that a source, itself confirmed `age` ago, has nothing newer than the settings in force.
     pub fn confirm(&mut self, now: units::MonoTime, age: time::Duration) {
         self.confirmed = self.confirmed.max(now.earlier_by(age));
     }
