--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -8,8 +8,8 @@
 const SUSPECT_TIME: time::Duration = time::Duration::from_secs(3);
 
 impl membership::MemberView {
-    /// Part of the members in contact, which is this side's part of a quota during a partition. Members that are leaving by
-    /// plan are not counted.
+    /// Share of the members in contact, 0 to 1, which is this side's share of a quota during a partition. Members that are
+    /// leaving by plan are not counted.
     pub fn reachable_share(&self, now: units::MonoTime) -> f64 {
         let limit = self.heartbeat_interval() * membership::SUSPECT_HEARTBEATS;
         let staying = || self.members.values().filter(|member| !member.beat.leaving);
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -12,13 +12,14 @@
 
 /// Interval between heartbeats in a small fleet.
 const SMALL_FLEET_INTERVAL: time::Duration = time::Duration::from_millis(200);
-/// Members up to which that interval holds. It grows beyond, so that the heartbeats of a member a second stay constant.
+/// Members up to which [`SMALL_FLEET_INTERVAL`] holds. Beyond, the interval grows with the fleet, so that the number of
+/// heartbeats that a member sends per second stays constant.
 const SMALL_FLEET_SIZE: u32 = 12;
 /// Missed heartbeats until a member is suspected.
 const SUSPECT_HEARTBEATS: u32 = 4;
 /// Missed heartbeats until a member is removed.
 const REMOVE_HEARTBEATS: u32 = 40;
-/// Addresses of other members in a heartbeat.
+/// Addresses of other members in a full heartbeat.
 const NAMED_MEMBERS: usize = 4;
 /// Addresses in a reply to a member that knows few; 7 bytes each, to keep the datagram unfragmented.
 const WELCOME_MEMBERS: usize = 160;
@@ -34,15 +35,18 @@
 /// Time without any reply after which a starting process assumes to be alone.
 const LONE_TIME: time::Duration = time::Duration::from_millis(350);
 
+/// State of another member.
 #[derive(Debug)]
 struct MemberState {
+    /// The last heartbeat, with later short ones merged in.
     beat: member_heartbeat::MemberHeartbeat,
     /// Hash of the name, for the order of members by key.
     hash: u64,
+    /// When there was a sign of life last.
     heard: units::MonoTime,
-    /// Unanswered calls since its last sign of life.
+    /// Unanswered calls since the last sign of life.
     unanswered: u32,
-    /// Whether the failure detector suspects it; reset by any sign of life.
+    /// Whether the failure detector suspects the member; reset by any sign of life.
     suspected: bool,
 }
 
@@ -64,12 +68,13 @@
     by_address: collections::HashMap<net::SocketAddrV4, ids::InstanceId>,
     /// Addresses of members not met yet, and when each was learned.
     learned_addresses: collections::BTreeMap<net::SocketAddrV4, units::MonoTime>,
-    /// Those of them that have not been contacted.
+    /// Of `learned_addresses`, those that have not been contacted.
     uncontacted: Vec<net::SocketAddrV4>,
+    /// Addresses that the process knows from its settings.
     seeds: Vec<net::SocketAddrV4>,
     /// Most live members since the start, this one included.
     max_size: usize,
-    /// When the last new member was met.
+    /// When a member was last met for the first time.
     last_joined: Option<units::MonoTime>,
 }
 
@@ -105,7 +110,7 @@
         SMALL_FLEET_INTERVAL * members.div_ceil(SMALL_FLEET_SIZE).max(1)
     }
 
-    /// Targets of the next heartbeat.
+    /// Targets of the next heartbeat: members, learned addresses and seeds, without the `own` address.
     pub fn targets(&self, own: net::SocketAddrV4) -> Vec<net::SocketAddrV4> {
         let known = self.members.values().map(|member| member.beat.address);
         let mut targets: Vec<_> = known
@@ -137,13 +142,14 @@
         addresses.chunks(WELCOME_MEMBERS).map(<[_]>::to_vec).collect()
     }
 
-    /// Takes the addresses to contact first.
+    /// Takes the learned addresses that have not been contacted yet.
     pub fn take_uncontacted(&mut self, own: net::SocketAddrV4) -> Vec<net::SocketAddrV4> {
         let mut uncontacted = std::mem::take(&mut self.uncontacted);
         uncontacted.retain(|address| *address != own);
         uncontacted
     }
 
+    /// Addresses of all members, met or not.
     fn addresses(&self) -> Vec<net::SocketAddrV4> {
         let known = self.members.values().map(|member| member.beat.address);
         known.chain(self.learned_addresses.keys().copied()).collect()
@@ -187,6 +193,7 @@
         joined
     }
 
+    /// Inserts or replaces a member.
     fn insert(&mut self, name: ids::InstanceId, state: MemberState) {
         let (boot, address) = (state.beat.boot, state.beat.address);
         if let Some(before) = self.members.insert(name.clone(), state) {
@@ -197,6 +204,7 @@
         self.by_address.insert(address, name);
     }
 
+    /// Removes a member.
     fn remove(&mut self, name: &ids::InstanceId) {
         if let Some(removed) = self.members.remove(name) {
             self.by_boot.remove(&removed.beat.boot);
@@ -278,7 +286,7 @@
 
     /// The member that plans for a cell of engines; `None` for this process.
     ///
-    /// Prefers members that know the load of the engines, then those with more processor, then by hash.
+    /// Prefers members that know the load of the engines, then those with more CPU, then by hash.
     pub fn planner(
         &self,
         now: units::MonoTime,
@@ -327,7 +335,7 @@
         nearest(self.alive(now).filter(is_source).collect(), near)
     }
 
-    /// Whether no live member has more processor than `cpu`; planners are chosen among the largest.
+    /// Whether no live member has more CPU than `cpu`, in thousandths of a core; planners are chosen among the largest.
     pub fn is_largest(&self, now: units::MonoTime, cpu: u32) -> bool {
         self.alive(now).all(|beat| beat.cpu <= cpu)
     }
@@ -342,7 +350,7 @@
         self.sources(now, near, revision, |beat| beat.list)
     }
 
-    /// Newest versions that other members have.
+    /// Newest versions that live members have.
     pub fn newest(&self, now: units::MonoTime) -> store_tracker::DocumentVersions {
         let none = store_tracker::DocumentVersions::default();
         self.alive(now).fold(none, |newest, beat| store_tracker::DocumentVersions {
@@ -351,6 +359,7 @@
         })
     }
 
+    /// Members with the newest version beyond `known`, in this data centre or else in any.
     fn sources<V: Ord>(
         &self,
         now: units::MonoTime,
@@ -371,7 +380,7 @@
     }
 }
 
-/// Members of a data centre, or all where it has none.
+/// Members of a data centre; all members if it has none.
 fn nearest<'a>(
     all: Vec<&'a member_heartbeat::MemberHeartbeat>,
     near: &ids::DataCenterId,
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -10,12 +10,12 @@
 const SMALL_DATA_CENTER: usize = 4;
 /// Delay until the next member in order replaces a missing watcher.
 const TAKE_OVER_STEP: time::Duration = time::Duration::from_millis(120);
-/// Longest such delay.
+/// Longest delay until a missing watcher is replaced.
 const TAKE_OVER_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// The delay for a member whose last attempt failed. While the store is down for all, the first in order keep trying
-/// and the others back off, so that the calls do not grow with the fleet.
+/// Delay per place in the order for a member whose last attempt failed. While the store is down for all, the first in
+/// order keep trying and the others back off, so that the calls do not grow with the fleet.
 const FAILED_STEP: time::Duration = time::Duration::from_millis(400);
-/// Longest such delay after a failure.
+/// Longest delay for a member whose last attempt failed.
 const FAILED_LIMIT: time::Duration = time::Duration::from_secs(10);
 
 impl membership::MemberView {
