--- a/crates/core/tests/document_source.rs
+++ b/crates/core/tests/document_source.rs
@@ -1,4 +1,4 @@
-//! Whom a missing document is asked of.
+//! Choice between members and the store for a missing document.
 
 use std::time;
 
@@ -11,8 +11,8 @@
     units::MonoTime::from_span(time::Duration::from_millis(millis))
 }
 
-/// Asks as an instance does, every 150 ms from 1,000 ms on, without success; whom at the end.
-fn ask_until(source: &mut DocumentSource, end: u64) -> DocumentOrigin {
+/// Makes unsuccessful attempts every 150 ms from 1,000 ms on, as an instance does; returns the choice at `end`.
+fn choose_until(source: &mut DocumentSource, end: u64) -> DocumentOrigin {
     for now in (1_000..end).step_by(150) {
         source.choose(at(now));
     }
@@ -20,32 +20,32 @@
 }
 
 #[test]
-fn members_are_asked_first_and_the_store_in_time() {
+fn members_are_asked_first_and_the_store_within_the_bound() {
     for spread in [0.0, 0.5, 1.0] {
         let source = || DocumentSource::new(spread);
-        assert_eq!(ask_until(&mut source(), 1_000), DocumentOrigin::Member);
-        assert_eq!(ask_until(&mut source(), 1_440), DocumentOrigin::Member);
+        assert_eq!(choose_until(&mut source(), 1_000), DocumentOrigin::Member);
+        assert_eq!(choose_until(&mut source(), 1_440), DocumentOrigin::Member);
         // Two seconds are the shortest time in which a change must be in force.
-        assert_eq!(ask_until(&mut source(), 1_800), DocumentOrigin::Store);
+        assert_eq!(choose_until(&mut source(), 1_800), DocumentOrigin::Store);
     }
 }
 
 #[test]
-fn members_have_their_time_for_each_change() {
+fn members_are_asked_first_for_each_change() {
     let mut source = DocumentSource::new(0.0);
-    assert_eq!(ask_until(&mut source, 1_800), DocumentOrigin::Store);
+    assert_eq!(choose_until(&mut source, 1_800), DocumentOrigin::Store);
     source.note_complete();
     assert_eq!(source.choose(at(1_900)), DocumentOrigin::Member);
 }
 
 #[test]
-fn not_all_go_to_the_store_at_once() {
+fn instances_do_not_all_read_the_store_at_once() {
     let chosen = |end| {
         let spread = |number: u32| f64::from(number) / 100.0;
         let sources = (0..100).map(|number| DocumentSource::new(spread(number)));
         sources
             .filter_map(|mut source| {
-                let choice = ask_until(&mut source, end);
+                let choice = choose_until(&mut source, end);
                 (choice == DocumentOrigin::Store).then_some(())
             })
             .count()
@@ -57,21 +57,29 @@
 }
 
 #[test]
-fn a_damaged_copy_is_followed_by_the_store_at_once() {
+fn after_a_damaged_copy_the_store_is_read_at_once() {
     let mut source = DocumentSource::new(1.0);
     source.note_damaged_copy();
     assert_eq!(source.choose(at(10)), DocumentOrigin::Store);
     source.note_store_answer();
-    assert_eq!(source.choose(at(20)), DocumentOrigin::Member, "the next change is another matter");
+    assert_eq!(
+        source.choose(at(20)),
+        DocumentOrigin::Member,
+        "the next change starts with members"
+    );
 }
 
 #[test]
-fn a_store_that_failed_is_left_alone_for_a_while() {
+fn a_store_that_failed_is_not_read_again_for_a_while() {
     let mut source = DocumentSource::new(0.0);
     source.note_store_failure(at(1_000));
-    assert_eq!(ask_until(&mut source, 2_000), DocumentOrigin::Member);
+    assert_eq!(choose_until(&mut source, 2_000), DocumentOrigin::Member);
     assert_eq!(source.choose(at(6_100)), DocumentOrigin::Store);
     source.note_damaged_copy();
     source.note_store_failure(at(6_200));
-    assert_eq!(source.choose(at(6_300)), DocumentOrigin::Member, "another member may do");
+    assert_eq!(
+        source.choose(at(6_300)),
+        DocumentOrigin::Member,
+        "another member may have a good copy"
+    );
 }
