--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres under evacuation: none of their upstreams takes new work until that is over.
+//! Evacuated data centres: none of their upstreams takes new work until the evacuation ends.
 
 #[path = "support/list_entries.rs"]
 mod list_entries;
@@ -29,7 +29,7 @@
     ListChange::Restored(data_center.parse().expect("a valid name"))
 }
 
-/// Upstreams 1 and 2 in data centre a, 3 in b, 4 in c.
+/// A list of upstreams 1 and 2 in data centre a, 3 in b, and 4 in c.
 fn full() -> UpstreamList {
     let mut list = UpstreamList::default();
     let entries = [(1, "a"), (2, "a"), (3, "b"), (4, "c")];
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_an_evacuated_data_center() {
+fn an_evacuated_data_center_takes_no_new_work() {
     let mut list = full();
     assert!(list.apply(at(1), vec![evacuated("a")], 11.into()));
     assert_eq!(open(&list), ["u3", "u4"]);
@@ -54,42 +54,42 @@
     }
     for kind in [SendKind::Renewal, SendKind::Release] {
         let permitted = list.permits(at(1), &name(1), kind, &[]);
-        assert_eq!(permitted, Ok(()), "requests under way end where they are: {kind}");
+        assert_eq!(permitted, Ok(()), "requests in progress are completed: {kind}");
     }
     assert_eq!(list.permits(at(1), &name(3), SendKind::Request, &[]), Ok(()));
 }
 
 #[test]
-fn evacuations_overlap_and_end_each_on_its_own() {
+fn overlapping_evacuations_end_independently() {
     let mut list = full();
     list.apply(at(1), vec![evacuated("a")], 11.into());
     list.apply(at(2), vec![evacuated("b")], 12.into());
     assert_eq!(open(&list), ["u4"]);
     assert!(list.apply(at(3), vec![restored("a")], 13.into()));
     assert_eq!(open(&list), ["u1", "u2", "u4"]);
-    assert!(!list.apply(at(4), vec![restored("a")], 14.into()), "it is over already");
+    assert!(!list.apply(at(4), vec![restored("a")], 14.into()), "the evacuation has ended already");
     assert!(list.apply(at(5), vec![restored("b")], 15.into()));
     assert_eq!(open(&list).len(), 4);
 }
 
 #[test]
-fn an_upstream_that_starts_there_takes_nothing_either() {
+fn an_upstream_that_starts_in_an_evacuated_data_center_takes_no_new_work() {
     let mut list = full();
     list.apply(at(1), vec![evacuated("a")], 11.into());
     list.apply(at(2), vec![ListChange::Present(entry(5, "a"))], 12.into());
     assert_eq!(open(&list), ["u3", "u4"]);
-    assert_eq!(list.listed_count(&service()), 5, "it is listed all the same");
+    assert_eq!(list.listed_count(&service()), 5, "it is listed nevertheless");
 }
 
 #[test]
-fn what_is_usable_counts_as_changed() {
+fn an_evacuation_counts_as_a_change_of_the_usable_upstreams() {
     let mut list = full();
     let before = list.changes();
     list.apply(at(1), vec![evacuated("a")], 11.into());
     let begun = list.changes();
     list.apply(at(2), vec![evacuated("a")], 12.into());
     assert!(begun > before);
-    assert_eq!(list.changes(), begun, "known already");
+    assert_eq!(list.changes(), begun, "the evacuation was known already");
     list.apply(at(3), vec![restored("a")], 13.into());
     assert!(list.changes() > begun);
 }
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_service_that_is_evacuated_as_a_whole_tells_for_how_long() {
+fn a_completely_evacuated_service_reports_for_how_long() {
     let mut list = full();
     assert_eq!(list.evacuated_for(at(5), &service()), None);
     list.apply(at(1_000), vec![evacuated("a"), evacuated("b"), evacuated("c")], 11.into());
