--- a/crates/core/tests/support/virtual_fleet.rs
+++ b/crates/core/tests/support/virtual_fleet.rs
@@ -1,4 +1,4 @@
-//! Members in virtual time, over datagrams that may be lost or cut off.
+//! Simulation of failure detection in a fleet, in virtual time, with packet loss and partitions.
 
 mod event_queue;
 
@@ -14,34 +14,35 @@
     rendezvous, units,
 };
 
-/// One way of a datagram.
+/// Delay of a datagram.
 const DELAY: time::Duration = time::Duration::from_millis(1);
-/// Time between two looks of a member at its probes.
+/// Interval between two ticks of a member's failure detector.
 const TICK: time::Duration = time::Duration::from_millis(100);
-/// Time between two denials of being silent.
-const DENIAL_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Heartbeats missed before a member is suspected.
-const MISSED_BEATS: u32 = 4;
-/// Times of the random probes: for an answer, and for one by way of others.
-const PROBE_TIMES: (time::Duration, time::Duration) =
+/// Interval between two refutations of a suspicion by the suspected member.
+const REFUTATION_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Missed heartbeats until a member is suspected.
+const MISSED_HEARTBEATS: u32 = 4;
+/// Timeouts of the random probes: of a direct one, and of one relayed by other members.
+const PROBE_TIMEOUTS: (time::Duration, time::Duration) =
     (time::Duration::from_millis(250), time::Duration::from_millis(400));
-/// Periods for which a result travels with random probes, for each doubling of the members.
-const SPREAD_PERIODS: u32 = 3;
+/// Probe periods for which a result is piggybacked on random probes, for each doubling of the members.
+const PIGGYBACK_PERIODS: u32 = 3;
 
-/// How members find out who is silent.
+/// How members detect silent ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Protocol {
-    /// Each tells all others that it lives.
+    /// Each member sends heartbeats to all others.
     Heartbeats,
-    /// Each probes a random member a period; results travel with probes.
+    /// Each member probes a random one per period; results are piggybacked on probes.
     RandomProbes,
-    /// Each probes the next on a ring; results are announced.
+    /// Each member probes the next ones on a ring; results are broadcast.
     RingProbes,
 }
 
+/// A message between members.
 #[derive(Debug, Clone)]
 enum Datagram {
-    Beat,
+    Heartbeat,
     Ping(Vec<usize>),
     Ack(Vec<usize>),
     Probe(ProbeMessage),
@@ -57,22 +58,24 @@
     datagram: Option<Datagram>,
 }
 
-/// One member.
+/// A simulated member.
 struct VirtualMember {
+    /// Whether it neither sends nor receives.
     silent: bool,
+    /// Side of the partition, 0 or 1.
     side: u8,
     detector: FailureDetector,
     /// When each other was last heard, for heartbeats.
     heard: Vec<units::MonoTime>,
-    /// Results of random probes: who is silent, and when that became known here.
+    /// Results of random probes: silent members, and when this member learned of each.
     known: collections::BTreeMap<usize, units::MonoTime>,
-    /// When it last denied to be silent.
-    denied: Option<units::MonoTime>,
-    /// The random probe that is open.
-    open: Option<(usize, units::MonoTime)>,
+    /// When it last refuted a suspicion of itself.
+    refuted: Option<units::MonoTime>,
+    /// Target and time of the pending random probe.
+    pending: Option<(usize, units::MonoTime)>,
 }
 
-/// All members.
+/// The simulation.
 pub(crate) struct VirtualFleet {
     protocol: Protocol,
     loss: f64,
@@ -84,7 +87,7 @@
 }
 
 impl VirtualFleet {
-    /// So many members that know each other.
+    /// A fleet of `count` members that know each other, in which the share `loss` of datagrams is lost.
     pub(crate) fn new(protocol: Protocol, count: usize, loss: f64, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let ring = |own: usize| {
@@ -104,8 +107,8 @@
                 detector,
                 heard: vec![units::MonoTime::default(); count],
                 known: collections::BTreeMap::new(),
-                denied: None,
-                open: None,
+                refuted: None,
+                pending: None,
             }
         };
         let members: Vec<_> = (0..count).map(member).collect();
@@ -126,46 +129,47 @@
         fleet
     }
 
-    /// Plays so much time.
+    /// Runs the simulation for a time.
     pub(crate) fn run(&mut self, time: time::Duration) {
         let end = self.now + time;
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = at;
-            self.play(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    /// Datagrams that a member sent a second so far.
+    /// Datagrams per member and second so far.
     pub(crate) fn sent_per_member(&self) -> f64 {
         let seconds = self.now.since(units::MonoTime::default()).as_secs_f64();
         self.sent as f64 / self.members.len() as f64 / seconds
     }
 
-    /// Lets members fall silent.
+    /// Stops members from sending and receiving.
     pub(crate) fn silence(&mut self, silent: &[usize]) {
         silent.iter().for_each(|member| self.members[*member].silent = true);
     }
 
-    /// Lets a member go on.
-    pub(crate) fn wake(&mut self, member: usize) {
+    /// Resumes a silent member.
+    pub(crate) fn resume(&mut self, member: usize) {
         self.members[member].silent = false;
         self.schedule(TICK, member, None, None);
     }
 
-    /// Cuts a part of the members off from the others.
+    /// Cuts a share of the members off from the others.
     pub(crate) fn cut(&mut self, part: f64) {
         let cut = (self.members.len() as f64 * part) as usize;
         self.members.iter_mut().take(cut).for_each(|member| member.side = 1);
     }
 
-    /// Ends the cut.
+    /// Ends the partition.
     pub(crate) fn heal(&mut self) {
         self.members.iter_mut().for_each(|member| member.side = 0);
     }
 
-    /// Time until a part of the pairs of a live and a silent member know.
-    pub(crate) fn until_part_known(
+    /// Runs until the live member suspects the silent one in a share of such pairs; returns the time that it took, or `None` if
+    /// that exceeds `limit`.
+    pub(crate) fn time_until_suspected(
         &mut self,
         part: f64,
         limit: time::Duration,
@@ -173,41 +177,43 @@
         let begun = self.now;
         while self.now.since(begun) < limit {
             self.run(TICK);
-            if self.part_known() >= part {
+            if self.suspected_share() >= part {
                 return Some(self.now.since(begun));
             }
         }
         None
     }
 
-    /// Part of the pairs on two sides of a cut that know of each other's silence after so much time.
-    pub(crate) fn part_known_after(&mut self, time: time::Duration) -> f64 {
+    /// Runs for a time; returns the share of the pairs across the partition in which the first suspects the second.
+    pub(crate) fn suspected_share_after(&mut self, time: time::Duration) -> f64 {
         self.run(time);
         let pairs = self.divided_pairs();
         let known = pairs.iter().filter(|(own, other)| self.suspects(*own, *other)).count();
         known as f64 / pairs.len() as f64
     }
 
-    /// Part of all pairs that are suspected after so much time.
-    pub(crate) fn suspected_after(&mut self, time: time::Duration) -> f64 {
+    /// Runs for a time; returns the share of all pairs in which the first suspects the second.
+    pub(crate) fn remaining_suspicions_after(&mut self, time: time::Duration) -> f64 {
         self.run(time);
         let pairs = self.members.len() * (self.members.len() - 1);
         self.suspicions() as f64 / pairs as f64
     }
 
-    /// Suspicions of all members that live.
+    /// Number of suspicions held by all live members.
     pub(crate) fn suspicions(&self) -> usize {
         let live = self.members.iter().filter(|member| !member.silent);
         live.map(|member| member.detector.suspected_count()).sum()
     }
 
+    /// Ordered pairs of members on different sides of the partition.
     fn divided_pairs(&self) -> Vec<(usize, usize)> {
         let all = 0..self.members.len();
         let pairs = all.clone().flat_map(|own| all.clone().map(move |other| (own, other)));
         pairs.filter(|(own, other)| self.members[*own].side != self.members[*other].side).collect()
     }
 
-    fn part_known(&self) -> f64 {
+    /// Share of the pairs of a live and a silent member in which the live one suspects the silent one.
+    fn suspected_share(&self) -> f64 {
         let is_silent = |own: &usize| self.members[*own].silent;
         let (silent, live): (Vec<_>, Vec<_>) = (0..self.members.len()).partition(is_silent);
         let known =
@@ -220,7 +226,7 @@
         let member = &self.members[own];
         match self.protocol {
             Protocol::Heartbeats => {
-                let limit = interval(self.protocol, self.members.len()) * MISSED_BEATS;
+                let limit = interval(self.protocol, self.members.len()) * MISSED_HEARTBEATS;
                 self.now.since(member.heard[other]) > limit
             }
             Protocol::RandomProbes => member.known.contains_key(&other),
@@ -252,62 +258,62 @@
         }
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         if self.members[event.to].silent {
             return;
         }
         match (event.from, event.datagram) {
             (Some(from), Some(datagram)) => self.receive(event.to, from, datagram),
-            _ => self.wake_up(event.to),
+            _ => self.handle_timer(event.to),
         }
     }
 
-    /// A member's own timer.
-    fn wake_up(&mut self, own: usize) {
+    /// Handles the timer of a member.
+    fn handle_timer(&mut self, own: usize) {
         match self.protocol {
             Protocol::Heartbeats => {
-                self.send_all(own, &Datagram::Beat);
+                self.send_all(own, &Datagram::Heartbeat);
                 let pause = interval(self.protocol, self.members.len());
                 self.schedule(pause, own, None, None);
             }
             Protocol::RandomProbes => self.probe_random(own),
             Protocol::RingProbes => {
                 let actions = self.members[own].detector.tick(self.now, &mut self.random);
-                self.act(own, actions);
+                self.execute(own, actions);
                 self.schedule(TICK, own, None, None);
             }
         }
     }
 
     fn probe_random(&mut self, own: usize) {
-        if let Some((target, asked)) = self.members[own].open.take() {
+        if let Some((target, asked)) = self.members[own].pending.take() {
             let waited = self.now.since(asked);
-            if waited >= PROBE_TIMES.0 + PROBE_TIMES.1 {
-                // Others that it has asked to probe the target find out.
+            if waited >= PROBE_TIMEOUTS.0 + PROBE_TIMEOUTS.1 {
+                // The result of probes by relays: they reach the target unless it is silent or on the other side.
                 if self.members[target].silent
                     || self.members[target].side != self.members[own].side
                 {
                     self.members[own].known.insert(target, self.now);
                 }
             } else {
-                self.members[own].open = Some((target, asked));
+                self.members[own].pending = Some((target, asked));
             }
         }
-        if self.members[own].open.is_none() {
+        if self.members[own].pending.is_none() {
             let target = self.random.random_range(0..self.members.len());
             if target != own && !self.members[own].known.contains_key(&target) {
-                self.members[own].open = Some((target, self.now));
-                let news = self.random_news(own);
-                self.send(own, target, Datagram::Ping(news));
+                self.members[own].pending = Some((target, self.now));
+                let results = self.piggybacked_results(own);
+                self.send(own, target, Datagram::Ping(results));
             }
         }
         self.schedule(PROBE_INTERVAL, own, None, None);
     }
 
-    /// Results that still travel.
-    fn random_news(&self, own: usize) -> Vec<usize> {
+    /// Recent results to send with a probe or an answer.
+    fn piggybacked_results(&self, own: usize) -> Vec<usize> {
         let doublings = self.members.len().ilog2() + 1;
-        let lasts = PROBE_INTERVAL * SPREAD_PERIODS * doublings;
+        let lasts = PROBE_INTERVAL * PIGGYBACK_PERIODS * doublings;
         let known = self.members[own].known.iter();
         let lately = known.filter(|(_, at)| self.now.since(**at) < lasts);
         lately.map(|(member, _)| *member).take(8).collect()
@@ -315,28 +321,28 @@
 
     fn receive(&mut self, own: usize, from: usize, datagram: Datagram) {
         match datagram {
-            Datagram::Beat => self.members[own].heard[from] = self.now,
-            Datagram::Ping(news) => {
-                self.learn(own, news);
-                let news = self.random_news(own);
-                self.send(own, from, Datagram::Ack(news));
+            Datagram::Heartbeat => self.members[own].heard[from] = self.now,
+            Datagram::Ping(results) => {
+                self.record_results(own, results);
+                let results = self.piggybacked_results(own);
+                self.send(own, from, Datagram::Ack(results));
             }
-            Datagram::Ack(news) => {
-                self.learn(own, news);
-                let open = &mut self.members[own].open;
-                *open = open.take().filter(|(target, _)| *target != from);
+            Datagram::Ack(results) => {
+                self.record_results(own, results);
+                let pending = &mut self.members[own].pending;
+                *pending = pending.take().filter(|(target, _)| *target != from);
             }
             Datagram::Probe(message) => {
                 let address = ring_member(from).address;
                 let detector = &mut self.members[own].detector;
                 let actions = detector.receive(self.now, address, message);
-                self.act(own, actions);
+                self.execute(own, actions);
             }
-            Datagram::Suspect(report) if report.boot == own as u64 => self.deny(own),
+            Datagram::Suspect(report) if report.boot == own as u64 => self.refute(own),
             Datagram::Suspect(report) => {
                 let detector = &mut self.members[own].detector;
                 let (_, actions) = detector.receive_suspect(self.now, report);
-                self.act(own, actions);
+                self.execute(own, actions);
             }
             Datagram::Restore(boot) => {
                 self.members[own].detector.restore(self.now, boot);
@@ -344,22 +350,22 @@
         }
     }
 
-    /// A member that is suspected tells all that it lives.
-    fn deny(&mut self, own: usize) {
-        let denied = self.members[own].denied;
-        if denied.is_none_or(|denied| self.now.since(denied) >= DENIAL_INTERVAL) {
-            self.members[own].denied = Some(self.now);
+    /// Broadcasts that a suspected member is live.
+    fn refute(&mut self, own: usize) {
+        let refuted = self.members[own].refuted;
+        if refuted.is_none_or(|refuted| self.now.since(refuted) >= REFUTATION_INTERVAL) {
+            self.members[own].refuted = Some(self.now);
             self.send_all(own, &Datagram::Restore(own as u64));
         }
     }
 
-    fn learn(&mut self, own: usize, news: Vec<usize>) {
-        for silent in news.into_iter().filter(|silent| *silent != own) {
+    fn record_results(&mut self, own: usize, results: Vec<usize>) {
+        for silent in results.into_iter().filter(|silent| *silent != own) {
             self.members[own].known.entry(silent).or_insert(self.now);
         }
     }
 
-    fn act(&mut self, own: usize, actions: Vec<DetectorAction>) {
+    fn execute(&mut self, own: usize, actions: Vec<DetectorAction>) {
         for action in actions {
             match action {
                 DetectorAction::Send(to, message) => {
@@ -373,7 +379,7 @@
     }
 }
 
-/// Time between two timers of a member.
+/// Interval between two timers of a member.
 fn interval(protocol: Protocol, members: usize) -> time::Duration {
     match protocol {
         Protocol::Heartbeats => MemberView::heartbeat_interval_of(members),
