--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -1,19 +1,21 @@
-//! News among members, in virtual time: who knows it when, and what that costs.
+//! Spread of a change among members by gossip, in virtual time.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use slipturn_core::gossip::{self, GossipCause};
 
-/// Datagrams lost, of all.
+/// Share of the datagrams that are lost.
 const LOST: f64 = 0.01;
-/// Milliseconds of one step: about a datagram's way within a region.
+/// Length of a simulation step in milliseconds: about the delay of a datagram within a region.
 const STEP_MS: u64 = 5;
 
-/// Members, and which of them reach each other.
+/// A fleet, of which the two halves may be partitioned.
 struct Fleet {
+    /// Whether each member knows the change.
     knows: Vec<bool>,
-    /// Until when the first half does not reach the second, milliseconds.
+    /// End of the partition in milliseconds.
     cut_until: u64,
+    /// Messages sent so far.
     messages: usize,
     random: ChaCha8Rng,
 }
@@ -24,6 +26,7 @@
         Self { knows: vec![false; members], cut_until, messages: 0, random }
     }
 
+    /// Sends a message; reoffsets whether it arrives.
     fn send(&mut self, now: u64, from: usize, to: usize) -> bool {
         self.messages += 1;
         let half = self.knows.len() / 2;
@@ -40,24 +43,25 @@
         }
     }
 
-    fn unknowing(&self) -> usize {
+    /// Number of members that don't know the change.
+    fn unaware(&self) -> usize {
         self.knows.iter().filter(|knows| !**knows).count()
     }
 
-    /// When all know what the first finds out at 0, milliseconds; with `found` it tells all at once.
+    /// Time in milliseconds until all members know a change that the first one learns at 0; with `found` it also broadcasts it.
     fn run(&mut self, found: bool) -> u64 {
         self.knows[0] = true;
         if found {
             self.send_to(0, 0, GossipCause::Found);
         }
         let interval = gossip::REPEAT_INTERVAL.as_millis() as u64;
-        let turns: Vec<_> =
+        let offsets: Vec<_> =
             self.knows.iter().map(|_| self.random.random_range(0..interval)).collect();
         let mut now = 0;
-        while self.unknowing() > 0 && now < 60_000 {
+        while self.unaware() > 0 && now < 60_000 {
             now += STEP_MS;
-            for (member, turn) in turns.iter().enumerate() {
-                if now % interval / STEP_MS == turn / STEP_MS && self.knows[member] {
+            for (member, offset) in offsets.iter().enumerate() {
+                if now % interval / STEP_MS == offset / STEP_MS && self.knows[member] {
                     self.send_to(now, member, GossipCause::Repeat);
                 }
             }
@@ -66,7 +70,7 @@
     }
 }
 
-/// Longest time over some seeds, and messages of the last run.
+/// The longest time in milliseconds over 20 seeds, with the messages of that run.
 fn longest(members: usize, cut_until: u64, found: bool) -> (u64, usize) {
     let run = |seed| {
         let mut fleet = Fleet::new(members, cut_until, seed);
@@ -76,40 +80,41 @@
 }
 
 #[test]
-fn all_members_know_within_seconds_also_behind_a_cut() {
-    // An upstream that leaves serves on for two seconds; a cut is felt for three behind its end.
-    let (within, behind_cut) = (2_000, 5_000);
+fn all_members_know_a_change_within_seconds_even_after_a_partition() {
+    // A leaving upstream keeps serving for two seconds; the effects of a partition last for three more after its end.
+    let (within, after_cut) = (2_000, 5_000);
     for members in [6, 300] {
         let (told, messages) = longest(members, 0, true);
         let (repeated, _) = longest(members, 0, false);
         let (cut, _) = longest(members, 5_000, true);
         println!(
-            "{members} members: {told} ms and {messages} messages; {repeated} ms by repeats alone; \
-             {cut} ms with a cut in halves of 5,000 ms"
+            "{members} members: {told} ms and {messages} messages; {repeated} ms by periodic rounds alone; \
+             {cut} ms with a partition of 5,000 ms"
         );
         assert!(told <= within, "{members}: {told} ms");
-        assert!(cut <= 5_000 + behind_cut, "{members}: {cut} ms behind a cut");
+        assert!(cut <= 5_000 + after_cut, "{members}: {cut} ms with a partition");
     }
 }
 
-/// Told once, before any repeat: whom a lost datagram leaves out.
+/// Before any periodic round, only members whose datagram was lost don't know the change.
 #[test]
-fn one_telling_reaches_nearly_all_at_once() {
-    let left_out = |seed| {
+fn one_broadcast_reaches_nearly_all_members() {
+    let missed_members = |seed| {
         let mut fleet = Fleet::new(300, 0, seed);
         fleet.knows[0] = true;
         fleet.send_to(0, 0, GossipCause::Found);
         assert_eq!(fleet.messages, 299);
-        fleet.unknowing()
+        fleet.unaware()
     };
-    let mean = (0..100).map(left_out).sum::<usize>() as f64 / 100.0;
-    println!("{mean:.1} of 300 are left out");
+    let mean = (0..100).map(missed_members).sum::<usize>() as f64 / 100.0;
+    println!("{mean:.1} of 300 members are missed");
     assert!(mean < 6.0);
 }
 
-/// Who has woken, or met others behind a start, asks three: one answer is enough.
+/// A member requests the state of three others after a pause, or of the first three it meets after a start. One answer is
+/// enough.
 #[test]
-fn who_asks_three_hears_of_it() {
+fn requests_to_three_members_get_an_answer() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let missed = (0..10_000).filter(|_| {
         let asked = gossip::targets(GossipCause::Woke, 0..300, &mut random);
