--- a/crates/core/tests/list_recovery.rs
+++ b/crates/core/tests/list_recovery.rs
@@ -1,4 +1,4 @@
-//! A list whose source has returned from an older copy: starts of upstreams.
+//! Starts of upstreams in a list whose source was restored from an older copy.
 
 #[path = "support/list_entries.rs"]
 mod list_entries;
@@ -19,8 +19,8 @@
     UpstreamEntry { name: name(number).with_start(UpstreamStart(born)), ..entry(number) }
 }
 
-/// An upstream that started again after the copy was taken, before a list whose source has returned from it.
-fn started_again() -> UpstreamList {
+/// A list whose source was restored from a copy that lacks the restart of upstream 1.
+fn restored_list() -> UpstreamList {
     let mut list = UpstreamList::default();
     list.replace(at(0), vec![start(1, 200), start(2, 50)], revision(1, 10));
     list.replace(at(5_000), vec![start(1, 100), start(2, 50)], revision(2, 8));
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn a_start_that_the_copy_lacks_stays_the_present_one_until_it_is_written_again() {
-    let mut list = started_again();
+fn a_start_that_the_copy_lacks_stays_the_present_one_until_it_is_rewritten() {
+    let mut list = restored_list();
     assert!(list.is_present(&start(1, 200).name));
     list.apply(at(6_000), vec![ListChange::Present(start(1, 200))], revision(2, 9));
     let leaving = UpstreamEntry { state: ListState::Leaving, ..start(1, 200) };
     list.apply(at(6_100), vec![ListChange::Present(leaving)], revision(2, 10));
-    assert!(!list.is_usable(&name(1)), "its leaving counts at once");
+    assert!(!list.is_usable(&name(1)), "its leaving takes effect at once");
     for now in (6_000..30_000).step_by(100) {
         list.tick(at(now));
         assert!(list.is_present(&start(1, 200).name) && !list.is_usable(&name(1)), "{now}");
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn the_copys_start_becomes_the_present_one_where_the_later_one_is_not_written_again() {
-    let mut list = started_again();
+fn the_start_in_the_copy_becomes_the_present_one_if_the_later_one_is_not_rewritten() {
+    let mut list = restored_list();
     list.tick(at(10_500));
     assert!(list.is_present(&start(1, 200).name));
     list.tick(at(10_700));
