--- a/crates/core/tests/live_settings.rs
+++ b/crates/core/tests/live_settings.rs
@@ -1,4 +1,4 @@
-//! Settings only ever go up, whatever arrives in whatever order.
+//! The version of the settings in force never decreases, whatever documents arrive in whatever order.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_older_answer_after_a_newer_is_dropped() {
+fn an_older_document_after_a_newer_one_is_dropped() {
     let mut store = live_settings::LiveSettings::default();
     assert_eq!(store.offer(now(0), &document(5)), live_settings::OfferOutcome::Accepted);
     assert_eq!(store.offer(now(1), &document(4)), live_settings::OfferOutcome::Older);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_bad_version_is_dropped_whole_and_remembered_for_operators() {
+fn an_invalid_document_is_dropped_as_a_whole_and_its_error_is_kept() {
     let mut store = live_settings::LiveSettings::default();
     store.offer(now(0), &document(5));
     let bad = "version: 6\ndefaults: {weight: 9.0, max_attempts: 99}\n";
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn two_texts_under_one_version_do_not_replace_each_other() {
+fn a_second_document_with_the_same_version_is_rejected() {
     let mut store = live_settings::LiveSettings::default();
     store.offer(now(0), "version: 5\n");
     let other = store.offer(now(1), "version: 5\ndefaults: {weight: 2.0}\n");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_peer_confirms_no_more_than_it_was_itself_confirmed() {
+fn a_confirmation_by_a_member_counts_from_when_that_member_was_confirmed() {
     let mut store = live_settings::LiveSettings::default();
     store.offer(now(0), &document(5));
     store.confirm(now(60_000), time::Duration::from_secs(50));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn versions_never_fall_in_any_order_of_arrival() {
+fn versions_never_decrease_in_any_order_of_arrival() {
     let config =
         test_runner::Config { cases: 300, failure_persistence: None, ..Default::default() };
     let random = test_runner::TestRng::deterministic_rng(test_runner::RngAlgorithm::ChaCha);
