--- a/crates/core/tests/support/virtual_start.rs
+++ b/crates/core/tests/support/virtual_start.rs
@@ -1,4 +1,4 @@
-//! Members that start at once in virtual time: greetings, and documents that go from one to the other.
+//! Simulation of members that start at once, in virtual time: they meet by heartbeats and fetch documents from each other.
 
 mod event_queue;
 
@@ -8,71 +8,74 @@
 use rand_chacha::ChaCha8Rng;
 use slipturn_core::{ids, member_heartbeat::MemberHeartbeat, membership::MemberView, units};
 
-/// Time within which all start.
+/// Period over which the starts of the members are spread.
 const START_SPREAD: time::Duration = time::Duration::from_millis(500);
-/// One way of a datagram.
+/// Delay of a datagram.
 const DELAY: time::Duration = time::Duration::from_millis(1);
-/// Part of the datagrams that are lost.
+/// Share of the datagrams that are lost.
 const LOSS: f64 = 0.01;
-/// Time between two looks of a member that knows nothing.
-const LOOK: time::Duration = time::Duration::from_millis(20);
-/// Time of a read of the store.
-const READ: time::Duration = time::Duration::from_millis(60);
-/// Bytes of the packed documents for each upstream, and upstreams for each member.
-const DOCUMENT_BYTES: usize = 24 * 2;
-/// Bytes that a member's link carries in a millisecond, 20 Mbit/s.
-const LINK: usize = 2_500;
-/// Bytes that a member sends at once.
-const MAX_BYTES: usize = 480 * 1024;
-/// Seeds.
-const SEEDS: usize = 3;
-/// Time between two changes of the list, as watchers see them.
-const CHANGES: time::Duration = time::Duration::from_millis(300);
-/// Time after which nothing more is played.
+/// Interval between two attempts of a member without documents to find a source.
+const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Duration of a read of the store.
+const READ_TIME: time::Duration = time::Duration::from_millis(60);
+/// Bytes of the compressed documents per member: 24 per upstream, and two upstreams per member.
+const DOCUMENT_BYTES_PER_MEMBER: usize = 24 * 2;
+/// Bandwidth of a member's link in bytes per millisecond, 20 Mbit/s.
+const LINK_BYTES_PER_MS: usize = 2_500;
+/// Most bytes that a member sends concurrently.
+const MAX_SENDING_BYTES: usize = 480 * 1024;
+/// Number of seeds.
+const SEED_COUNT: usize = 3;
+/// Interval between two changes of the list that watchers receive.
+const CHANGE_INTERVAL: time::Duration = time::Duration::from_millis(300);
+/// End of the simulation.
 const END: time::Duration = time::Duration::from_secs(6);
 
-/// Whom a member that knows nothing asks.
+/// Where a member without documents fetches them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum SourceWay {
-    /// Any that has the documents; seeds read the store at once.
+pub(crate) enum SourceChoice {
+    /// From any member that has documents; seeds read the store at once.
     Any,
-    /// Those with the newest list; all wait until no new member shows.
+    /// From members with the newest list; seeds read the store once they have met no new member for a while.
     Newest,
 }
 
-/// How a start went.
+/// Result of a simulation.
 #[derive(Debug)]
 pub(crate) struct StartOutcome {
-    /// Members that know nothing at the end.
+    /// Members without documents at the end.
     pub(crate) missing: usize,
-    /// When the last of the others knew, milliseconds behind the last start.
+    /// Time from the last start until the last of the other members had the documents, in milliseconds.
     pub(crate) last_ms: u64,
     /// Members that read the store.
     pub(crate) readers: usize,
-    /// Documents that one member gave, at most.
-    pub(crate) most_given: usize,
+    /// Most fetches that one member served.
+    pub(crate) most_served: usize,
 }
 
 impl fmt::Display for StartOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { missing, last_ms, readers, most_given } = self;
+        let Self { missing, last_ms, readers, most_served } = self;
         write!(
             f,
-            "last known {last_ms} ms behind the last start, {missing} know nothing, {readers} read the \
-             store, {most_given} given by one"
+            "all have documents {last_ms} ms after the last start but for {missing}, {readers} read the store, at most \
+             {most_served} fetches served by one"
         )
     }
 }
 
+/// An event of a member.
 #[derive(Debug)]
 enum Step {
     Start,
-    Beat,
-    Look,
-    Hear(Box<MemberHeartbeat>),
-    /// A document of this version has come, from a member or the store.
-    Got(Option<usize>, u64),
-    /// The store has a change for a watcher.
+    SendHeartbeats,
+    /// Tries to find a source of the documents.
+    Retry,
+    /// A heartbeat has arrived.
+    Heartbeat(Box<MemberHeartbeat>),
+    /// Documents with this revision of the list have arrived from a member, or from the store if `None`.
+    Received(Option<usize>, u64),
+    /// The store reports a change to a watcher.
     Change,
 }
 
@@ -82,56 +85,67 @@
     step: Step,
 }
 
+/// A simulated member.
 struct StartingMember {
     view: MemberView,
+    /// Whether it is cut off from the other members and the store.
     cut: bool,
+    /// Start time; zero before the start.
     started: units::MonoTime,
+    /// Sequence number of the last heartbeat.
     sequence: u64,
+    /// Revision of its list; 0 without documents.
     list: u64,
+    /// When it got the documents.
     known: Option<units::MonoTime>,
-    reading: bool,
+    /// Whether a fetch of the documents is in progress.
+    fetching: bool,
     watches: bool,
+    /// Fetches that it is serving.
     sending: usize,
-    given: usize,
+    /// Fetches that it has served or is serving.
+    served: usize,
 }
 
-/// All members.
+/// The simulation.
 pub(crate) struct VirtualStart {
-    way: SourceWay,
+    choice: SourceChoice,
     random: ChaCha8Rng,
     now: units::MonoTime,
     events: event_queue::EventQueue<Event>,
     members: Vec<StartingMember>,
+    /// Size of the documents.
     bytes: usize,
+    /// Revision of the list in the store.
     revision: u64,
     readers: usize,
 }
 
 impl VirtualStart {
-    /// So many members, a part of them cut off from the others and the store.
-    pub(crate) fn new(count: usize, cut: f64, way: SourceWay, seed: u64) -> Self {
-        let seeds: Vec<_> = (0..SEEDS.min(count)).map(address).collect();
-        let cut_off = (count as f64 * cut) as usize;
+    /// A fleet of `count` members, of which the share `cut` reaches neither the other members nor the store.
+    pub(crate) fn new(count: usize, cut: f64, choice: SourceChoice, seed: u64) -> Self {
+        let seeds: Vec<_> = (0..SEED_COUNT.min(count)).map(address).collect();
+        let unreachable = (count as f64 * cut) as usize;
         let member = |number| StartingMember {
             view: MemberView::new(name(number), seeds.clone()),
-            // The seeds come first and are on the larger side.
-            cut: number >= count - cut_off,
+            // The seeds are the first members and so are not cut off.
+            cut: number >= count - unreachable,
             started: units::MonoTime::default(),
             sequence: 0,
             list: 0,
             known: None,
-            reading: false,
+            fetching: false,
             watches: false,
             sending: 0,
-            given: 0,
+            served: 0,
         };
         let mut start = Self {
-            way,
+            choice,
             random: ChaCha8Rng::seed_from_u64(seed),
             now: units::MonoTime::default(),
             events: event_queue::EventQueue::default(),
             members: (0..count).map(member).collect(),
-            bytes: count * DOCUMENT_BYTES,
+            bytes: count * DOCUMENT_BYTES_PER_MEMBER,
             revision: 1,
             readers: 0,
         };
@@ -142,11 +156,11 @@
         start
     }
 
-    /// Plays until nothing more happens, and tells how it went.
+    /// Runs until all members that are not cut off have the documents, or until [`END`].
     pub(crate) fn run(&mut self) -> StartOutcome {
         while let Some((at, event)) = self.events.pop_until(units::MonoTime::from_span(END)) {
             self.now = at;
-            self.play(event.to, event.step);
+            self.handle(event.to, event.step);
             if self.members.iter().all(|member| member.known.is_some() || member.cut) {
                 break;
             }
@@ -159,7 +173,7 @@
             missing: self.members.iter().filter(|member| member.known.is_none()).count(),
             last_ms: units::whole_millis(last.since(last_start)),
             readers: self.readers,
-            most_given: self.members.iter().map(|member| member.given).max().unwrap_or_default(),
+            most_served: self.members.iter().map(|member| member.served).max().unwrap_or_default(),
         }
     }
 
@@ -189,38 +203,38 @@
             others,
         };
         if self.reaches(from, to) && self.random.random::<f64>() >= LOSS {
-            self.schedule(DELAY, to, Step::Hear(Box::new(beat)));
+            self.schedule(DELAY, to, Step::Heartbeat(Box::new(beat)));
         }
     }
 
-    fn tell_all(&mut self, own: usize) {
+    fn announce(&mut self, own: usize) {
         let targets = self.members[own].view.targets(address(own));
         let sample_addresses = self.members[own].view.sample_addresses(self.members[own].sequence);
         targets.into_iter().for_each(|to| self.send(own, number_at(to), sample_addresses.clone()));
     }
 
-    fn play(&mut self, own: usize, step: Step) {
+    fn handle(&mut self, own: usize, step: Step) {
         match step {
             Step::Start => {
                 self.members[own].started = self.now;
-                self.schedule(time::Duration::ZERO, own, Step::Beat);
-                self.schedule(LOOK, own, Step::Look);
+                self.schedule(time::Duration::ZERO, own, Step::SendHeartbeats);
+                self.schedule(RETRY_INTERVAL, own, Step::Retry);
             }
-            Step::Beat => {
-                self.tell_all(own);
+            Step::SendHeartbeats => {
+                self.announce(own);
                 let interval = self.members[own].view.heartbeat_interval();
-                self.schedule(interval, own, Step::Beat);
+                self.schedule(interval, own, Step::SendHeartbeats);
             }
-            // Nobody hears before it has started.
-            Step::Hear(_) if self.members[own].started == units::MonoTime::default() => {}
-            Step::Hear(beat) => self.receive(own, *beat),
-            Step::Look => self.look(own),
-            Step::Got(from, list) => self.get(own, from, list),
+            // Members receive nothing before their start.
+            Step::Heartbeat(_) if self.members[own].started == units::MonoTime::default() => {}
+            Step::Heartbeat(beat) => self.receive(own, *beat),
+            Step::Retry => self.find_documents(own),
+            Step::Received(from, list) => self.receive_documents(own, from, list),
             Step::Change => {
                 self.revision += 1;
                 self.members[own].list = self.revision;
-                self.tell_all(own);
-                self.schedule(CHANGES, own, Step::Change);
+                self.announce(own);
+                self.schedule(CHANGE_INTERVAL, own, Step::Change);
             }
         }
     }
@@ -242,62 +256,63 @@
         unmet.into_iter().for_each(|to| self.send(own, number_at(to), sample_addresses.clone()));
     }
 
-    /// What a member does that knows nothing yet.
-    fn look(&mut self, own: usize) {
-        if self.members[own].known.is_some() || self.members[own].reading {
+    /// Fetches the documents if the member has none, or schedules another attempt.
+    fn find_documents(&mut self, own: usize) {
+        if self.members[own].known.is_some() || self.members[own].fetching {
             return;
         }
         let near: ids::DataCenterId = "a".parse().expect("a valid name");
         let view = &self.members[own].view;
         let age = self.now.since(self.members[own].started);
         let settled = view.is_settled(self.now) || age >= END / 4;
-        let is_seed = own < SEEDS && self.way == SourceWay::Any;
-        let sources = match self.way {
-            SourceWay::Any => view.any_sources(self.now, &near),
-            SourceWay::Newest => view.list_sources(self.now, 0.into(), &near),
+        let is_seed = own < SEED_COUNT && self.choice == SourceChoice::Any;
+        let sources = match self.choice {
+            SourceChoice::Any => view.any_sources(self.now, &near),
+            SourceChoice::Newest => view.list_sources(self.now, 0.into(), &near),
         };
         let sources: Vec<_> = sources.iter().map(|beat| number_at(beat.address)).collect();
         if let Some(source) = sources.choose(&mut self.random).copied() {
             self.fetch(own, source);
-        } else if (is_seed || (settled && own < SEEDS)) && !self.members[own].cut {
+        } else if (is_seed || (settled && own < SEED_COUNT)) && !self.members[own].cut {
             self.readers += 1;
-            self.members[own].reading = true;
+            self.members[own].fetching = true;
             let revision = self.revision;
-            self.schedule(READ, own, Step::Got(None, revision));
+            self.schedule(READ_TIME, own, Step::Received(None, revision));
         } else {
-            self.schedule(LOOK, own, Step::Look);
+            self.schedule(RETRY_INTERVAL, own, Step::Retry);
         }
     }
 
     fn fetch(&mut self, own: usize, source: usize) {
         let bytes = self.bytes;
-        let cut_off = !self.reaches(own, source);
-        let giver = &mut self.members[source];
-        let busy = giver.sending >= 8 && (giver.sending + 1) * bytes > MAX_BYTES;
-        if giver.list == 0 || busy || cut_off {
+        let unreachable = !self.reaches(own, source);
+        let source_member = &mut self.members[source];
+        let busy =
+            source_member.sending >= 8 && (source_member.sending + 1) * bytes > MAX_SENDING_BYTES;
+        if source_member.list == 0 || busy || unreachable {
             let pause = time::Duration::from_secs_f64(self.random.random_range(0.05..0.15));
-            return self.schedule(pause, own, Step::Look);
+            return self.schedule(pause, own, Step::Retry);
         }
-        giver.sending += 1;
-        giver.given += 1;
-        let list = giver.list;
-        let takes = bytes * giver.sending / LINK + 3;
-        self.members[own].reading = true;
+        source_member.sending += 1;
+        source_member.served += 1;
+        let list = source_member.list;
+        let takes = bytes * source_member.sending / LINK_BYTES_PER_MS + 3;
+        self.members[own].fetching = true;
         let takes = time::Duration::from_millis(takes as u64);
-        self.schedule(takes, own, Step::Got(Some(source), list));
+        self.schedule(takes, own, Step::Received(Some(source), list));
     }
 
-    fn get(&mut self, own: usize, from: Option<usize>, list: u64) {
+    fn receive_documents(&mut self, own: usize, from: Option<usize>, list: u64) {
         if let Some(from) = from {
             self.members[from].sending -= 1;
         }
         let member = &mut self.members[own];
-        (member.list, member.known, member.reading) = (list, Some(self.now), false);
+        (member.list, member.known, member.fetching) = (list, Some(self.now), false);
         member.watches = from.is_none();
         if member.watches {
-            self.schedule(CHANGES, own, Step::Change);
+            self.schedule(CHANGE_INTERVAL, own, Step::Change);
         }
-        self.tell_all(own);
+        self.announce(own);
     }
 }
 
