--- a/crates/core/tests/support/list_entries.rs
+++ b/crates/core/tests/support/list_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of a list of upstreams.
+//! Test entries of a list of upstreams.
 
 use std::time;
 
