--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -16,15 +16,15 @@
 
 /// Live members that each member monitors.
 pub const MONITORED: usize = 3;
-/// Further members that it monitors where neighbours on the ring are suspected, at most.
+/// Most further members that each member monitors if neighbours on the ring are suspected.
 const MAX_EXTRA_MONITORED: usize = 16;
 /// Interval between two probes of one member.
 pub const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(600);
-/// Interval between two calls of [`FailureDetector::tick`] beyond which this process itself was paused.
+/// Interval between two calls of [`FailureDetector::tick`] from which this process itself is considered paused.
 const PAUSE_TIME: time::Duration = time::Duration::from_millis(400);
 /// Relays that probe a silent member.
 const RELAYS: usize = 3;
-/// Broadcasts of each finding.
+/// Number of broadcasts of each finding.
 const BROADCASTS: u32 = 3;
 /// Interval between two broadcasts of a finding.
 const BROADCAST_INTERVAL: time::Duration = time::Duration::from_millis(400);
@@ -36,15 +36,15 @@
 /// A member on the ring.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RingMember {
-    /// Its position.
+    /// Position on the ring.
     pub hash: u64,
-    /// Boot number of its present start.
+    /// Boot number of the present start.
     pub boot: u64,
     /// Address for probes.
     pub address: net::SocketAddrV4,
 }
 
-/// What is broadcast.
+/// A finding of this member, to be broadcast.
 #[derive(Debug, Clone, Copy)]
 enum Finding {
     /// A start is silent since its first unanswered probe, sent at this time.
@@ -56,7 +56,9 @@
 /// A finding with its remaining broadcasts.
 #[derive(Debug, Clone, Copy)]
 struct PendingBroadcast {
+    /// Time of the next broadcast.
     due: units::MonoTime,
+    /// Number of remaining broadcasts.
     left: u32,
     finding: Finding,
 }
@@ -64,15 +66,17 @@
 /// The failure detector of one member.
 #[derive(Debug)]
 pub struct FailureDetector {
-    /// Position of this member.
+    /// Position of this member on the ring.
     own: u64,
     /// The other members, sorted by position.
     ring: sync::Arc<[RingMember]>,
     /// Boot numbers of `ring`.
     boots: collections::HashSet<u64>,
+    /// Probes of the monitored members.
     probes: Vec<probe::MemberProbe>,
+    /// Boot numbers of the suspected members.
     suspected: collections::BTreeSet<u64>,
-    /// When suspicions ended recently.
+    /// Boot numbers of members whose suspicion ended recently, and when it did.
     restored: collections::BTreeMap<u64, units::MonoTime>,
     broadcasts: Vec<PendingBroadcast>,
     /// When [`Self::tick`] was last called.
@@ -234,6 +238,7 @@
         answered.is_some_and(|answered| answered > report.since(now))
     }
 
+    /// Suspects a start unless it is unknown, or has given a sign of life since; returns whether the suspicion is new.
     fn suspect(&mut self, now: units::MonoTime, report: SuspectReport) -> bool {
         let boot = report.boot;
         let is_known = self.suspected.contains(&boot) || !self.boots.contains(&boot);
@@ -246,6 +251,7 @@
         true
     }
 
+    /// Records an answer to a probe. If its sender was suspected, that ends and is broadcast.
     fn note_answer(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/failure_detector/probe.rs
+++ b/crates/core/src/failure_detector/probe.rs
@@ -17,7 +17,7 @@
     pub(super) member: failure_detector::RingMember,
     /// Number of monitors between this process and the member on the ring.
     pub(super) rank: u32,
-    /// When it last answered.
+    /// When the member last answered.
     pub(super) answered: Option<units::MonoTime>,
     /// When the next probe is due.
     pub(super) due: units::MonoTime,
