--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Members: heard, silent, restarted, and who plans.
+//! Membership: joining, silence, restarts, choice of planners and of watchers.
 
 use std::{net, time};
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn seeds_are_asked_until_members_are_known() {
+fn heartbeats_go_to_seeds_and_to_addresses_learned_from_members() {
     let mut view = view();
     assert_eq!(view.targets(address(0)), vec![address(1), address(2)]);
     let mut first = beat(1, 1, 1);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_silent_member_is_suspected_then_forgotten() {
+fn a_silent_member_is_suspected_then_removed() {
     let mut view = view();
     view.receive(at(0), beat(1, 1, 1));
     assert_eq!(view.alive(at(500)).count(), 1);
@@ -75,19 +75,19 @@
     assert!(view.receive(at(20), beat(1, 2, 1)));
 }
 
-/// Plays what members say to each other at once, without waiting for heartbeats: all start in the
-/// order given and know one seed. Returns how many others each knows, and the messages it sent.
-fn settled(count: u8) -> Vec<(usize, usize)> {
+/// Simulates the messages that `count` members, which all know one seed, exchange without waiting for periodic heartbeats.
+/// Returns for each member how many others it knows and how many messages it sent.
+fn exchange(count: u8) -> Vec<(usize, usize)> {
     let mut views: Vec<_> =
         (0..count).map(|own| MemberView::new(name(own), vec![address(0)])).collect();
     let mut sent = vec![0; usize::from(count)];
     let mut messages: std::collections::VecDeque<(u8, MemberHeartbeat)> =
         (1..count).map(|own| (0, beat(own, 1, 1))).collect();
-    while let Some((to, beat_heard)) = messages.pop_front() {
+    while let Some((to, heartbeat)) = messages.pop_front() {
         let view = &mut views[usize::from(to)];
-        let from = beat_heard.address.ip().octets()[3];
-        let mut replies = view.welcome(&beat_heard);
-        let joined = view.receive(at(1), beat_heard);
+        let from = heartbeat.address.ip().octets()[3];
+        let mut replies = view.welcome(&heartbeat);
+        let joined = view.receive(at(1), heartbeat);
         if joined && replies.is_empty() {
             replies.push(view.sample_addresses(7));
         }
@@ -107,17 +107,17 @@
 #[test]
 fn all_that_start_together_know_each_other_before_the_next_heartbeat() {
     for count in [2, 6, 60, 200] {
-        let ends = settled(count);
+        let ends = exchange(count);
         let others = usize::from(count) - 1;
         assert!(ends.iter().all(|(known, _)| *known == others), "{count}: {ends:?}");
-        // One message to each other and one answer, and the seed's welcomes in portions.
+        // One message to each other member and one answer, and the chunked replies of the seed.
         let most = ends.iter().map(|(_, sent)| *sent).max().unwrap_or_default();
         assert!(most <= others * 3, "{count}: {most} messages");
     }
 }
 
 #[test]
-fn who_knows_enough_is_told_no_list() {
+fn only_a_member_that_knows_few_is_sent_all_addresses() {
     let mut view = view();
     for number in 1..=60 {
         view.receive(at(0), beat(number, 1, 1));
@@ -130,18 +130,18 @@
 }
 
 #[test]
-fn an_address_heard_of_twice_is_met_once() {
+fn an_address_learned_twice_is_contacted_once() {
     let mut view = view();
     let naming = |sequence| MemberHeartbeat { others: vec![address(9)], ..beat(1, 1, sequence) };
     view.receive(at(0), naming(1));
     assert_eq!(view.take_uncontacted(address(0)), vec![address(9)]);
     view.receive(at(10), naming(2));
     assert!(view.take_uncontacted(address(0)).is_empty());
-    assert!(view.targets(address(0)).contains(&address(9)), "it still gets heartbeats");
+    assert!(view.targets(address(0)).contains(&address(9)), "it still receives heartbeats");
 }
 
 #[test]
-fn a_short_heartbeat_renews_only_the_start_that_was_heard() {
+fn a_short_heartbeat_updates_only_the_known_start_of_a_member() {
     let mut view = view();
     view.receive(at(0), beat(1, 7, 1));
     let alive = MemberHeartbeat { routes: 9, leaving: true, ..beat(1, 7, 2) }.alive();
@@ -155,19 +155,19 @@
     assert_eq!(view.alive(at(1_100)).map(|beat| beat.routes).next(), Some(9));
     assert!(
         !view.receive_alive(at(1_200), &beat(1, 8, 3).alive()),
-        "another start must say who it is"
+        "another start must send a full heartbeat first"
     );
 }
 
 #[test]
-fn its_own_heartbeat_is_no_member() {
+fn a_process_ignores_its_own_heartbeat() {
     let mut view = view();
     assert!(!view.receive(at(0), beat(0, 1, 1)));
     assert_eq!(view.size(), 1);
 }
 
 #[test]
-fn all_members_name_the_same_planner() {
+fn all_members_choose_the_same_planner() {
     let beats: Vec<_> = (0..6).map(|number| beat(number, 1, 1)).collect();
     let planners: std::collections::BTreeSet<_> = (0..6)
         .map(|own| {
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn young_members_plan_only_where_all_are_young() {
+fn young_members_plan_only_if_all_are_young() {
     let mut view = view();
     let mut young = beat(1, 1, 1);
     young.plans = false;
@@ -228,7 +228,7 @@
     assert!(view.heartbeat_interval() >= small * 5);
     let sample_addresses: std::collections::BTreeSet<_> =
         (0..60).flat_map(|sequence| view.sample_addresses(sequence)).collect();
-    assert_eq!(sample_addresses.len(), 60, "all members are named in turn");
+    assert_eq!(sample_addresses.len(), 60, "addresses of all members are sent in rotation");
 }
 
 #[test]
@@ -239,10 +239,14 @@
     }
     assert_eq!(view.size(), 6);
     view.tick(at(60_000));
-    assert_eq!(view.size(), 3, "half of the most, so that a lone member's share stays small");
+    assert_eq!(
+        view.size(),
+        3,
+        "half of the largest size, so that the share of a lone member stays small"
+    );
 }
 
-/// The members of a data centre that watch the store, once views have settled.
+/// The members of a data centre that watch the store after 30 rounds; those in `failing` cannot reach it.
 fn watchers(count: u8, failing: &[u8]) -> Vec<u8> {
     let mut beats: Vec<_> =
         (0..count).map(|number| MemberHeartbeat { watches: false, ..beat(number, 1, 1) }).collect();
@@ -268,16 +272,16 @@
 }
 
 #[test]
-fn others_take_over_where_watchers_cannot_reach_the_store() {
+fn other_members_take_over_from_watchers_that_cannot_reach_the_store() {
     let first = watchers(20, &[]);
     let second = watchers(20, &first);
     assert_eq!(second.len(), 2, "{second:?}");
     assert!(second.iter().all(|number| !first.contains(number)), "{first:?} {second:?}");
 }
 
-/// Calls to a store that answers nobody, by 60 instances of a data centre in ten seconds: each waits for
-/// its turn, tries, fails at once, and pauses for 0.4 s.
-fn calls_to_a_store_away() -> usize {
+/// Number of calls to an unreachable store by 60 instances of a data centre in ten seconds. Each waits for its turn, calls,
+/// fails at once, and pauses for 0.4 s.
+fn calls_during_outage() -> usize {
     let beats: Vec<_> =
         (0..60).map(|number| MemberHeartbeat { watches: false, ..beat(number, 1, 1) }).collect();
     let mut calls = 0;
@@ -299,15 +303,15 @@
     calls
 }
 
-/// 377 with all asking as often as the first ones.
+/// 377 calls if all instances call as often as the first in order.
 #[test]
-fn a_store_that_is_away_is_asked_by_few() {
-    let calls = calls_to_a_store_away();
-    assert!((60..=200).contains(&calls), "each tries, and few again and again: {calls}");
+fn few_instances_keep_calling_an_unreachable_store() {
+    let calls = calls_during_outage();
+    assert!((60..=200).contains(&calls), "each tries once, and few repeatedly: {calls}");
 }
 
 #[test]
-fn documents_come_from_members_of_the_own_data_centre_where_one_has_the_newest() {
+fn documents_come_from_the_own_data_centre_if_a_member_there_has_the_newest() {
     let mut view = view();
     let near: ids::DataCenterId = "a".parse().expect("a valid name");
     let far: ids::DataCenterId = "b".parse().expect("a valid name");
@@ -323,19 +327,19 @@
 }
 
 #[test]
-fn a_starting_process_waits_until_no_new_member_shows() {
+fn a_starting_process_waits_until_no_new_member_joins() {
     let mut view = view();
-    assert!(!view.is_settled(at(200)), "those that are asked first may not have started yet");
-    assert!(view.is_settled(at(400)), "nobody answers");
+    assert!(!view.is_settled(at(200)), "the seeds may not have started yet");
+    assert!(view.is_settled(at(400)), "no member answers");
     view.receive(at(410), beat(1, 1, 1));
     view.receive(at(450), beat(2, 1, 1));
     assert!(!view.is_settled(at(500)));
     view.receive(at(520), beat(2, 1, 2));
-    assert!(view.is_settled(at(540)), "known ones say nothing new");
+    assert!(view.is_settled(at(540)), "known members do not extend the wait");
 }
 
 #[test]
-fn a_member_that_left_calls_unanswered_is_asked_until_it_is_heard() {
+fn a_member_with_unanswered_calls_is_probed_until_a_sign_of_life() {
     let mut view = view();
     view.receive(at(0), beat(1, 1, 1));
     view.receive(at(0), beat(2, 1, 1));
@@ -343,12 +347,12 @@
     (0..2).for_each(|_| view.unanswered(&name(1)));
     assert_eq!(view.silent(), [beat(1, 1, 1).address]);
     view.receive(at(900), beat(1, 1, 2));
-    assert!(view.silent().is_empty(), "it plans again at once");
+    assert!(view.silent().is_empty(), "it may plan again at once");
 }
 
-/// Two sides of a cut use what all share by the part of the members that each hears: together no more than all of it.
+/// During a partition each side uses a quota by its share of the members, so that both sides together don't exceed it.
 #[test]
-fn each_side_of_a_cut_sees_its_part_of_the_members() {
+fn each_side_of_a_partition_sees_its_share_of_the_members() {
     let mut view = view();
     for number in 1..6 {
         view.receive(at(0), beat(number, 1, 1));
@@ -358,11 +362,11 @@
         view.receive(at(900), beat(number, 1, 2));
     }
     assert!((view.reachable_share(at(1_000)) - 0.5).abs() < 1e-9, "three of six are silent");
-    // Who has said that it leaves is missed by plan.
+    // A member that leaves by plan is not counted.
     let leaving = MemberHeartbeat { leaving: true, ..beat(3, 1, 2) };
     view.receive(at(950), leaving);
     assert!((view.reachable_share(at(1_000)) - 0.6).abs() < 1e-9, "three of five that stay");
-    // Calls that stay unanswered show it sooner than heartbeats that are missed.
+    // Unanswered calls show a partition sooner than missed heartbeats.
     (0..2).for_each(|_| view.unanswered(&name(1)));
     assert!((view.reachable_share(at(1_000)) - 0.4).abs() < 1e-9);
     assert!(!view.was_heard_since(&name(1), at(900)));
@@ -373,9 +377,9 @@
     assert_eq!(view.name_of_boot(9), None);
 }
 
-/// While changes follow each other, only the watchers have the newest list; any list serves who has none.
+/// During a series of changes only the watchers have the newest list. A process without documents must not wait for them.
 #[test]
-fn who_knows_nothing_takes_documents_of_any_version() {
+fn a_process_without_documents_accepts_any_version() {
     let mut view = view();
     view.receive(at(0), MemberHeartbeat { list: 12.into(), ..beat(1, 1, 1) });
     view.receive(at(0), beat(2, 1, 1));
@@ -397,22 +401,22 @@
     let mut view = view();
     view.receive(at(0), beat(1, 7, 1));
     let silent = |millis| Some(time::Duration::from_millis(millis));
-    assert!(!view.set_suspected(at(100), 7, silent(300)), "heard since");
+    assert!(!view.set_suspected(at(100), 7, silent(300)), "there was a sign of life since");
     assert!(view.set_suspected(at(700), 7, silent(300)));
     assert_eq!(view.alive(at(700)).count(), 0);
     assert!(view.reachable_share(at(700)) < 1.0);
     assert!(view.receive_alive(at(750), &beat(1, 7, 2).alive()));
     assert_eq!(view.alive(at(750)).count(), 1);
-    assert!(!view.set_suspected(at(2_000), 99, silent(300)), "nobody");
+    assert!(!view.set_suspected(at(2_000), 99, silent(300)), "no such member");
 }
 
 #[test]
-fn members_are_probed_where_heartbeats_would_be_late() {
+fn members_are_probed_in_fleets_whose_heartbeats_are_too_far_apart() {
     let mut view = view();
     for number in 1..36 {
         view.receive(at(0), beat(number, u64::from(number), 1));
     }
-    assert!(!view.needs_probes(), "four heartbeats show a silent one of 36 within 2.4 s");
+    assert!(!view.needs_probes(), "four missed heartbeats show a silent member of 36 within 2.4 s");
     for number in 36..60 {
         view.receive(at(0), beat(number, u64::from(number), 1));
     }
