--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -1,5 +1,5 @@
-//! A store that returns from an older copy, before the members of one data centre in virtual time: when all know the
-//! next change, and what the store is asked meanwhile. Data centres follow the store apart from each other.
+//! Simulation of a store that is restored from an older copy, in virtual time: how long until all members of a data centre
+//! know the next change, and how often they call the store. Data centres follow the store independently of each other.
 
 #[path = "support/event_queue.rs"]
 mod event_queue;
@@ -16,86 +16,109 @@
     units,
 };
 
-/// One way of a datagram.
+/// Delay of a datagram.
 const DELAY: time::Duration = time::Duration::from_millis(1);
-/// Part of the datagrams that are lost.
+/// Share of the datagrams that are lost.
 const LOSS: f64 = 0.01;
-/// Time between two looks of a member at what others have.
-const LOOK: time::Duration = time::Duration::from_millis(150);
-/// Time of a call to the store, and calls of a read of everything.
-const CALL: time::Duration = time::Duration::from_millis(8);
+/// Interval between two comparisons of a member with the documents of the others.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(150);
+/// Duration of a call to the store.
+const CALL_TIME: time::Duration = time::Duration::from_millis(8);
+/// Number of calls of a complete read of the store.
 const READ_CALLS: u32 = 4;
 /// First and longest pause after a call that failed.
 const PAUSES: (time::Duration, time::Duration) =
     (time::Duration::from_millis(100), time::Duration::from_millis(800));
-/// Time for what differs from a member.
-const FETCH: time::Duration = time::Duration::from_millis(5);
-/// The store goes away, returns, and takes the next change.
-const AWAY_MS: u64 = 20_000;
-const BACK_MS: u64 = 22_000;
+/// Duration of a fetch of the differences from a member.
+const FETCH_TIME: time::Duration = time::Duration::from_millis(5);
+/// Start of the store's outage.
+const OUTAGE_START_MS: u64 = 20_000;
+/// End of the outage: the store answers again, from the copy.
+const OUTAGE_END_MS: u64 = 22_000;
+/// When the next change is written.
 const CHANGED_MS: u64 = 22_100;
+/// End of the simulation.
 const END_MS: u64 = 32_000;
-/// Time within which a leaving upstream gets no more work.
+/// Time after which a leaving upstream must get no more work, and so within which all members must know that it leaves.
 const DRAIN_TIME: time::Duration = time::Duration::from_secs(2);
 
+/// The last revision before the outage.
 const FORMER: StoreRevision = StoreRevision { era: StoreEra(1), number: 90 };
+/// The revision of the copy.
 const COPY: StoreRevision = StoreRevision { era: StoreEra(2), number: 70 };
+/// The revision of the next change.
 const NEXT: StoreRevision = StoreRevision { era: StoreEra(2), number: 71 };
 
 fn at(millis: u64) -> units::MonoTime {
     units::MonoTime::from_span(time::Duration::from_millis(millis))
 }
 
+/// An event of a member.
 #[derive(Debug)]
 enum Step {
-    Beat,
-    Look,
-    Hear(Box<MemberHeartbeat>),
-    /// What differs has come from a member.
-    Got(StoreRevision),
-    /// The store is called; it answers or not.
+    /// Sends heartbeats.
+    SendHeartbeats,
+    /// Compares its list with those of the other members.
+    Check,
+    /// Receives a heartbeat.
+    Heartbeat(Box<MemberHeartbeat>),
+    /// Has fetched this revision of the list from a member.
+    Fetched(StoreRevision),
+    /// Calls the store, which may be unreachable.
     Call,
-    /// All of the store has been read.
+    /// Has read the store completely.
     Read,
-    /// The store has a change for a watcher.
+    /// Receives a change from the store as a watcher.
     Change,
 }
 
+/// A simulated member.
 struct Member {
     view: MemberView,
+    /// Sequence number of the last heartbeat.
     sequence: u64,
+    /// Revision of its list.
     list: StoreRevision,
     watches: bool,
-    /// Whether it calls the store, in reach or not.
+    /// Whether it calls the store, reachable or not.
     calling: bool,
+    /// Whether its last call failed.
     failed: bool,
+    /// Pause after the next failed call.
     pause: time::Duration,
+    /// Since when its data centre has had too few watchers.
     missing_since: Option<units::MonoTime>,
+    /// Whether a fetch from a member is in progress.
     fetching: bool,
+    /// When it learned of the next change.
     known: Option<units::MonoTime>,
 }
 
-struct Drill {
+/// The simulation.
+struct RestoreSimulation {
     random: ChaCha8Rng,
     now: units::MonoTime,
     events: event_queue::EventQueue<(usize, Step)>,
     members: Vec<Member>,
+    /// Interval between heartbeats.
     interval: time::Duration,
     calls: u32,
     reads: u32,
 }
 
+/// Result of a simulation.
 #[derive(Debug)]
-struct DrillOutcome {
-    /// When the last member knew the change, after it was written; nothing where one does not.
+struct RestoreOutcome {
+    /// Time from the write of the change until the last member learned of it; `None` if a member did not.
     last: Option<time::Duration>,
-    /// Calls to the store from its loss on, and reads of everything among them.
+    /// Number of calls to the store since the start of the outage.
     calls: u32,
+    /// Number of complete reads of the store.
     reads: u32,
 }
 
-impl Drill {
-    /// So many members of a data centre, of `fleet` in all.
+impl RestoreSimulation {
+    /// A data centre of `count` members in a fleet of `fleet` members.
     fn new(count: usize, fleet: usize, seed: u64) -> Self {
         let member = |own| Member {
             view: MemberView::new(name(own), (0..3.min(count)).map(address).collect()),
@@ -109,7 +132,7 @@
             fetching: false,
             known: None,
         };
-        let mut drill = Self {
+        let mut simulation = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: units::MonoTime::default(),
             events: event_queue::EventQueue::default(),
@@ -119,27 +142,27 @@
             reads: 0,
         };
         for own in 0..count {
-            let after = drill.interval.mul_f64(drill.random.random());
-            // All have met each other.
+            let after = simulation.interval.mul_f64(simulation.random.random());
+            // All members know each other.
             for other in (0..count).filter(|other| *other != own) {
-                let beat = drill.beat(other);
-                drill.members[own].view.receive(drill.now, beat);
+                let beat = simulation.beat(other);
+                simulation.members[own].view.receive(simulation.now, beat);
             }
-            drill.schedule(after, own, Step::Beat);
-            let first_look = LOOK.mul_f64(drill.random.random());
-            drill.schedule(first_look, own, Step::Look);
+            simulation.schedule(after, own, Step::SendHeartbeats);
+            let first_check = CHECK_INTERVAL.mul_f64(simulation.random.random());
+            simulation.schedule(first_check, own, Step::Check);
         }
-        drill
+        simulation
     }
 
-    fn run(mut self) -> DrillOutcome {
+    fn run(mut self) -> RestoreOutcome {
         while let Some((now, (own, step))) = self.events.pop_until(at(END_MS)) {
             self.now = now;
-            self.play(own, step);
+            self.handle(own, step);
         }
         let known: Option<Vec<_>> = self.members.iter().map(|member| member.known).collect();
         let last = known.and_then(|known| known.into_iter().max());
-        DrillOutcome {
+        RestoreOutcome {
             last: last.map(|last| last.since(at(CHANGED_MS))),
             calls: self.calls,
             reads: self.reads,
@@ -150,8 +173,8 @@
         self.events.push(self.now + after, (own, step));
     }
 
-    fn is_away(&self) -> bool {
-        at(AWAY_MS) <= self.now && self.now < at(BACK_MS)
+    fn is_outage(&self) -> bool {
+        at(OUTAGE_START_MS) <= self.now && self.now < at(OUTAGE_END_MS)
     }
 
     fn beat(&self, own: usize) -> MemberHeartbeat {
@@ -172,17 +195,19 @@
         }
     }
 
+    /// Sends a heartbeat to all other members.
     fn announce(&mut self, own: usize) {
         self.members[own].sequence += 1;
         let beat = self.beat(own);
         for to in (0..self.members.len()).filter(|to| *to != own) {
             if self.random.random::<f64>() >= LOSS {
-                self.events.push(self.now + DELAY, (to, Step::Hear(Box::new(beat.clone()))));
+                self.events.push(self.now + DELAY, (to, Step::Heartbeat(Box::new(beat.clone()))));
             }
         }
     }
 
-    fn take(&mut self, own: usize, list: StoreRevision) -> bool {
+    /// Applies a revision of the list; returns whether it is newer.
+    fn adopt(&mut self, own: usize, list: StoreRevision) -> bool {
         let member = &mut self.members[own];
         if list <= member.list {
             return false;
@@ -194,46 +219,47 @@
         true
     }
 
-    fn play(&mut self, own: usize, step: Step) {
+    fn handle(&mut self, own: usize, step: Step) {
         match step {
-            Step::Beat => {
+            Step::SendHeartbeats => {
                 self.announce(own);
-                self.schedule(self.interval, own, Step::Beat);
+                self.schedule(self.interval, own, Step::SendHeartbeats);
             }
-            Step::Hear(beat) => _ = self.members[own].view.receive(self.now, *beat),
-            Step::Look => {
-                self.look(own);
-                self.schedule(LOOK, own, Step::Look);
+            Step::Heartbeat(beat) => _ = self.members[own].view.receive(self.now, *beat),
+            Step::Check => {
+                self.check(own);
+                self.schedule(CHECK_INTERVAL, own, Step::Check);
             }
-            Step::Got(list) => {
+            Step::Fetched(list) => {
                 self.members[own].fetching = false;
-                self.take(own, list);
+                self.adopt(own, list);
             }
             Step::Call => self.call(own),
             Step::Read => {
                 let list = if self.now < at(CHANGED_MS) { COPY } else { NEXT };
                 self.members[own].watches = true;
-                self.take(own, list);
+                self.adopt(own, list);
                 self.announce(own);
                 if list < NEXT {
-                    self.events.push(at(CHANGED_MS) + CALL, (own, Step::Change));
+                    self.events.push(at(CHANGED_MS) + CALL_TIME, (own, Step::Change));
                 }
             }
-            Step::Change if !self.is_away() => {
-                self.take(own, NEXT);
+            Step::Change if !self.is_outage() => {
+                self.adopt(own, NEXT);
                 self.announce(own);
             }
             Step::Change => {}
         }
     }
 
-    fn look(&mut self, own: usize) {
+    /// Detects the loss of the store, fetches a newer list from a member, or starts to watch the store.
+    fn check(&mut self, own: usize) {
         let own_beat = self.beat(own);
         let now = self.now;
-        let is_lost = now >= at(AWAY_MS) && self.members[own].list.era == FORMER.era;
+        let is_lost = now >= at(OUTAGE_START_MS) && self.members[own].list.era == FORMER.era;
         let member = &mut self.members[own];
         if member.watches && is_lost {
-            // Its connection is reset.
+            // Its connection to the store is reset.
             member.watches = false;
             member.calling = true;
             self.announce(own);
@@ -248,14 +274,14 @@
         if let (Some(list), false) = (newest.choose(&mut self.random), member.fetching) {
             member.fetching = true;
             let list = *list;
-            return self.schedule(FETCH, own, Step::Got(list));
+            return self.schedule(FETCH_TIME, own, Step::Fetched(list));
         }
         let missing = member.view.watchers_missing(now, &own_beat);
         member.missing_since = missing.then(|| member.missing_since.unwrap_or(now));
         let missing_for =
             member.missing_since.map_or(time::Duration::ZERO, |since| now.since(since));
         if member.view.should_watch(now, &own_beat, missing_for, member.failed) {
-            if now < at(AWAY_MS) {
+            if now < at(OUTAGE_START_MS) {
                 member.watches = true;
                 self.announce(own);
             } else {
@@ -265,9 +291,10 @@
         }
     }
 
+    /// Calls the store, and reads it completely if it answers.
     fn call(&mut self, own: usize) {
         self.calls += 1;
-        let away = self.is_away();
+        let away = self.is_outage();
         let member = &mut self.members[own];
         if away {
             member.failed = true;
@@ -275,7 +302,7 @@
             member.pause = (member.pause * 2).min(PAUSES.1);
             let own_beat = self.beat(own);
             let member = &mut self.members[own];
-            // The first in order go on; the others leave it to them.
+            // The first in order keep trying; the others leave it to them.
             member.calling =
                 member.view.should_watch(self.now, &own_beat, time::Duration::ZERO, true);
             if member.calling {
@@ -286,7 +313,7 @@
         member.calling = false;
         self.calls += READ_CALLS;
         self.reads += 1;
-        self.schedule(CALL * READ_CALLS, own, Step::Read);
+        self.schedule(CALL_TIME * READ_CALLS, own, Step::Read);
     }
 }
 
@@ -299,25 +326,25 @@
     net::SocketAddrV4::new(net::Ipv4Addr::new(10, 0, high, low), 7_000)
 }
 
-/// Fleets, and members of the largest data centre of each.
+/// Sizes of fleets, each with the number of members in its largest data centre.
 const SIZES: [(usize, usize); 4] = [(6, 2), (60, 20), (585, 117), (1_170, 234)];
 
 #[test]
-fn all_know_the_change_after_a_drill_in_time_at_any_size() {
+fn all_members_know_the_next_change_in_time_after_a_restore_at_any_size() {
     for (fleet, count) in SIZES {
         let mut worst = time::Duration::ZERO;
         let (mut calls, mut reads) = (0, 0);
         for seed in 0..10 {
-            let outcome = Drill::new(count, fleet, seed).run();
+            let outcome = RestoreSimulation::new(count, fleet, seed).run();
             let last = outcome.last.unwrap_or_else(|| panic!("{fleet}, seed {seed}: {outcome:?}"));
             worst = worst.max(last);
             calls = calls.max(outcome.calls);
             reads = reads.max(outcome.reads);
         }
         println!(
-            "{fleet}: last known {worst:?} after it was written, {calls} calls, {reads} whole reads"
+            "{fleet}: known to all {worst:?} after it was written, {calls} calls, {reads} complete reads"
         );
         assert!(worst <= DRAIN_TIME, "{fleet}: {worst:?}");
-        assert!(reads <= 6, "{fleet}: {reads} members of a data centre read everything");
+        assert!(reads <= 6, "{fleet}: {reads} complete reads by members of a data centre");
     }
 }
