--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -1,4 +1,4 @@
-//! What is believed of upstreams that leave or want rest.
+//! Notices of upstreams that leave or ask for a backoff.
 
 use std::time;
 
@@ -31,13 +31,14 @@
     text.parse().expect("a name")
 }
 
+/// What may be sent to an upstream.
 fn permitted(table: &NoticeTable, now: u64, upstream: &ids::UpstreamId) -> Vec<SendKind> {
     let permits = |kind: &SendKind| table.permits(at(now), upstream, *kind).is_ok();
     ALL_KINDS.into_iter().filter(permits).collect()
 }
 
 #[test]
-fn what_ends_work_goes_anywhere_and_who_wants_rest_gets_nothing_else() {
+fn upstreams_that_leave_or_are_in_backoff_still_get_renewals_and_releases() {
     let mut table = NoticeTable::default();
     let (leaving, resting, other) = (name("e1"), name("e2"), name("e3"));
     table.receive_leaving(at(10), &leaving, NoticeSource::Answer, ms(0));
@@ -46,39 +47,45 @@
     assert_eq!(permitted(&table, 20, &leaving), [&ends_work[..], &[SendKind::Report]].concat());
     assert_eq!(permitted(&table, 20, &resting), ends_work);
     assert_eq!(permitted(&table, 20, &other), ALL_KINDS);
-    assert_eq!(permitted(&table, 3_010, &resting), ALL_KINDS, "its time is over");
-    assert_eq!(permitted(&table, 300_000, &leaving).len(), 3, "no time ends its leaving");
+    assert_eq!(permitted(&table, 3_010, &resting), ALL_KINDS, "the backoff has ended");
+    assert_eq!(permitted(&table, 300_000, &leaving).len(), 3, "leaving is final");
 }
 
 #[test]
-fn who_speaks_and_since_when_is_kept() {
+fn the_first_leaving_notice_keeps_its_source_and_time() {
     let mut table = NoticeTable::default();
     let upstream = name("e1");
     assert!(table.receive_leaving(at(5_000), &upstream, NoticeSource::Member, ms(1_500)));
-    assert!(!table.receive_leaving(at(6_000), &upstream, NoticeSource::Answer, ms(0)), "no news");
+    assert!(
+        !table.receive_leaving(at(6_000), &upstream, NoticeSource::Answer, ms(0)),
+        "already known"
+    );
     let leaving = table.leaving(&upstream).expect("it leaves");
     assert_eq!((leaving.source, leaving.since), (NoticeSource::Member, at(3_500)));
-    assert_eq!(table.describe(at(7_500), &upstream).expect("known"), "leaves, by member 4.0 s ago");
+    assert_eq!(
+        table.describe(at(7_500), &upstream).expect("the upstream has a notice"),
+        "leaves, by member 4.0 s ago"
+    );
     let kept_back = table.permits(at(7_500), &upstream, SendKind::Request);
     assert_eq!(kept_back, Err(SendDenial::Leaves(NoticeSource::Member, ms(4_000))));
 }
 
-/// Its own writes to the list's source may come late; the list alone can take back what it alone has said.
+/// Writes of an upstream to the list may be late, so the list can revoke only its own notices.
 #[test]
-fn the_list_takes_back_its_own_word_only() {
+fn the_list_revokes_only_its_own_leaving_notices() {
     let mut table = NoticeTable::default();
-    let (listed, told) = (name("e1"), name("e2"));
+    let (listed, reported) = (name("e1"), name("e2"));
     table.receive_leaving(at(0), &listed, NoticeSource::List, ms(0));
-    table.receive_leaving(at(0), &told, NoticeSource::List, ms(0));
-    table.receive_leaving(at(100), &told, NoticeSource::Report, ms(0));
-    [&listed, &told].into_iter().for_each(|name| table.receive_live(name));
+    table.receive_leaving(at(0), &reported, NoticeSource::List, ms(0));
+    table.receive_leaving(at(100), &reported, NoticeSource::Report, ms(0));
+    [&listed, &reported].into_iter().for_each(|name| table.receive_live(name));
     assert_eq!(table.leaving(&listed), None);
-    let leaving = table.leaving(&told).expect("its own word stands");
+    let leaving = table.leaving(&reported).expect("the notice of the upstream stands");
     assert_eq!((leaving.source, leaving.since), (NoticeSource::Report, at(0)));
 }
 
 #[test]
-fn a_word_belongs_to_one_start() {
+fn a_notice_belongs_to_one_start() {
     let mut table = NoticeTable::default();
     let (before, after) = (name("e1@100"), name("e1@200"));
     table.receive_leaving(at(0), &before, NoticeSource::Answer, ms(0));
@@ -88,10 +95,14 @@
 }
 
 #[test]
-fn rest_only_grows_and_is_bounded() {
+fn a_backoff_is_only_extended_and_is_bounded() {
     let mut table = NoticeTable::default();
     let upstream = name("p1");
-    assert_eq!(table.receive_rest(at(0), &upstream, ms(0)), RestNews::Known, "none is asked for");
+    assert_eq!(
+        table.receive_rest(at(0), &upstream, ms(0)),
+        RestNews::Known,
+        "a backoff of no length"
+    );
     assert_eq!(table.receive_rest(at(0), &upstream, ms(4_000)), RestNews::Begun);
     assert_eq!(
         table.receive_rest(at(1_000), &upstream, ms(1_000)),
@@ -99,43 +110,51 @@
         "a shorter one"
     );
     assert_eq!(table.receive_rest(at(2_000), &upstream, ms(4_000)), RestNews::Longer);
-    assert_eq!(table.rest(at(5_999), &upstream).expect("it rests").until, at(6_000));
+    assert_eq!(table.rest(at(5_999), &upstream).expect("it is in backoff").until, at(6_000));
     assert_eq!(table.rest(at(6_000), &upstream), None);
-    assert_eq!(table.receive_rest(at(6_500), &upstream, ms(1_000)), RestNews::Begun, "once more");
+    assert_eq!(
+        table.receive_rest(at(6_500), &upstream, ms(1_000)),
+        RestNews::Begun,
+        "another backoff"
+    );
     table.receive_rest(at(8_000), &upstream, ms(31_536_000_000));
-    let until = table.rest(at(8_000), &upstream).expect("it rests").until;
+    let until = table.rest(at(8_000), &upstream).expect("it is in backoff").until;
     assert_eq!(until.since(at(8_000)), MAX_REST);
 }
 
-/// Behind a rest one request goes first; the others follow its answer, and nobody waits for it for long.
+/// After a backoff one request probes the upstream, and the others follow its result. A probe without a result must not block
+/// the others for long.
 #[test]
-fn one_request_finds_out_behind_a_rest() {
+fn one_request_probes_after_a_backoff() {
     let mut table = NoticeTable::default();
     let upstream = name("p1");
     let avoided = |table: &NoticeTable, now, turn| table.is_avoided(at(now), &upstream, turn);
     table.receive_rest(at(0), &upstream, ms(1_000));
-    assert!(!table.begin(at(500), &upstream), "what was on its way is no trial");
-    assert!(!table.receive_accepted(at(900), &upstream), "nor does its answer end the rest");
+    assert!(!table.begin(at(500), &upstream), "a request within the backoff is no probe");
+    assert!(!table.receive_accepted(at(900), &upstream), "its answer does not end the backoff");
     assert!(!avoided(&table, 1_000, TrialTurn::Yes));
-    assert!(avoided(&table, 1_000, TrialTurn::No), "who has no other attempt waits");
+    assert!(
+        avoided(&table, 1_000, TrialTurn::No),
+        "a request without another attempt does not probe"
+    );
     assert!(table.begin(at(1_000), &upstream));
     assert!(avoided(&table, 1_100, TrialTurn::Yes), "one at a time");
     assert!(!avoided(&table, 3_000, TrialTurn::Yes), "its caller may have left");
     table.end_trial(&upstream);
-    assert!(!avoided(&table, 1_100, TrialTurn::Yes), "it ended without an answer");
+    assert!(!avoided(&table, 1_100, TrialTurn::Yes), "the probe ended without a result");
     table.begin(at(1_200), &upstream);
     assert!(table.receive_accepted(at(1_300), &upstream));
     for turn in [TrialTurn::Yes, TrialTurn::No] {
         assert!(!avoided(&table, 1_300, turn), "it takes work again");
     }
     table.receive_rest(at(2_000), &upstream, ms(1_000));
-    assert!(!avoided(&table, 13_000, TrialTurn::No), "nobody asked for long");
+    assert!(!avoided(&table, 13_000, TrialTurn::No), "the time for probes is over");
     table.set_return(RestReturnWay::All);
     assert!(!avoided(&table, 3_500, TrialTurn::No));
 }
 
 #[test]
-fn a_request_tries_only_with_another_attempt_in_hand() {
+fn a_request_probes_only_with_another_attempt_left() {
     let cases = [(0, 1, TrialTurn::No), (0, 2, TrialTurn::Yes), (1, 2, TrialTurn::No)];
     for (made, allowed, expected) in cases {
         assert_eq!(TrialTurn::of(made, allowed), expected, "{made} of {allowed}");
@@ -143,7 +162,7 @@
 }
 
 #[test]
-fn what_nobody_lists_any_more_is_forgotten() {
+fn notices_of_upstreams_unlisted_for_long_are_dropped() {
     let mut table = NoticeTable::default();
     let (listed, gone) = (name("e1"), name("e2"));
     for upstream in [&listed, &gone] {
@@ -151,16 +170,16 @@
     }
     let seconds = 1..=200;
     seconds.for_each(|second| table.retain(at(second * 1_000), |name| *name == listed));
-    assert!(table.leaving(&listed).is_some(), "its entry may be late for as long as it likes");
+    assert!(table.leaving(&listed).is_some(), "notices of a listed upstream are kept");
     assert_eq!(table.leaving(&gone), None);
-    // Another member that has not forgotten it yet repeats it.
+    // Another member that still has the notice repeats it.
     table.receive_leaving(at(200_000), &gone, NoticeSource::Member, ms(200_000));
     table.retain(at(200_001), |name| *name == listed);
-    assert_eq!(table.leaving(&gone), None, "what is repeated is not kept alive by that");
+    assert_eq!(table.leaving(&gone), None, "repetition does not preserve a notice");
 }
 
 #[test]
-fn a_flood_of_names_pushes_out_the_oldest() {
+fn a_full_table_drops_the_oldest_notices() {
     let mut table = NoticeTable::default();
     for number in 0..5_000 {
         table.receive_rest(at(number), &name(&format!("e{number}")), ms(60_000));
@@ -169,6 +188,7 @@
     assert!(table.rest(at(5_000), &name("e4999")).is_some());
 }
 
+/// A step of a random history.
 #[derive(Debug, Clone)]
 enum Step {
     Leaves(NoticeSource),
@@ -201,18 +221,20 @@
 }
 
 proptest! {
-    /// In whatever order words, sends, answers and time come: no request passes within a time that was asked
-    /// for, nor behind an upstream's own word that it leaves, unless it was unlisted for long.
+    /// In any order of notices, requests, answers and time: no request is permitted during a backoff, nor after a leaving
+    /// notice of the upstream itself, unless the upstream was unlisted for long.
     #[test]
-    fn nothing_passes_that_was_asked_not_to(steps in prop::collection::vec(any_step(), 1..60)) {
+    fn no_request_is_permitted_during_a_backoff_or_after_a_leaving_notice(
+        steps in prop::collection::vec(any_step(), 1..60),
+    ) {
         let upstream = name("e1");
         let mut table = NoticeTable::default();
-        let (mut now, mut rest_until, mut own_word, mut known) = (0, 0, false, 0);
+        let (mut now, mut rest_until, mut final_leaving, mut known) = (0, 0, false, 0);
         for step in steps {
             match step {
                 Step::Leaves(source) => {
                     table.receive_leaving(at(now), &upstream, source, ms(0));
-                    own_word |= source != NoticeSource::List;
+                    final_leaving |= source != NoticeSource::List;
                     known = now;
                 }
                 Step::Live => table.receive_live(&upstream),
@@ -227,13 +249,13 @@
                 Step::Retain(listed) => {
                     table.retain(at(now), |_| listed);
                     known = if listed { now } else { known };
-                    own_word &= now < known + 120_000;
+                    final_leaving &= now < known + 120_000;
                 }
                 Step::Pass(span) => now += span,
             }
             let passes = table.permits(at(now), &upstream, SendKind::Request).is_ok();
-            prop_assert!(!passes || now >= rest_until, "within a rest");
-            prop_assert!(!passes || !own_word, "behind its own word");
+            prop_assert!(!passes || now >= rest_until, "permitted within a backoff");
+            prop_assert!(!passes || !final_leaving, "permitted after a leaving notice");
             prop_assert!(table.permits(at(now), &upstream, SendKind::Release).is_ok());
         }
     }
