--- a/crates/core/tests/upstream_starts.rs
+++ b/crates/core/tests/upstream_starts.rs
@@ -1,4 +1,5 @@
-//! Random histories of one upstream's starts: whatever was believed, the last word that stands holds.
+//! Random histories of one upstream's starts: the present start is the one that the list keeps naming, or that the upstream
+//! reports itself.
 
 use std::time;
 
@@ -9,16 +10,16 @@
     upstream_list::{ListChange, UpstreamEntry, UpstreamList},
 };
 
-/// What happens next, and how many milliseconds later.
+/// A step of a history.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The list names a start; writes may be late, so it may be any.
-    Named(u64),
-    /// The upstream itself tells one, asked this many milliseconds before.
-    Told(u64, u64),
-    /// The entry is gone.
+    /// The list names a start. It may be any, as writes may be late.
+    Listed(u64),
+    /// The upstream itself reports a start, in answer to a query this many milliseconds ago.
+    Reported(u64, u64),
+    /// The entry was deleted.
     Gone,
-    /// Somebody else has written there.
+    /// Another writer has overwritten the entry.
     Unreadable,
 }
 
@@ -43,18 +44,19 @@
     }
 }
 
+/// Steps, each with the milliseconds since the one before.
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
     let step = prop_oneof![
-        6 => (1_u64..12).prop_map(Step::Named),
-        2 => (1_u64..12, 0_u64..900).prop_map(|(start, before)| Step::Told(start, before)),
+        6 => (1_u64..12).prop_map(Step::Listed),
+        2 => (1_u64..12, 0_u64..900).prop_map(|(start, before)| Step::Reported(start, before)),
         1 => Just(Step::Gone),
         1 => Just(Step::Unreadable),
     ];
     proptest::collection::vec((0_u64..2_500, step), 0..40)
 }
 
-/// Plays a history; the list, its revision and the time behind it.
-fn play(history: &[(u64, Step)]) -> (UpstreamList, u64, u64) {
+/// Applies a history; returns the list, its revision, and the time in milliseconds after the last step.
+fn apply_history(history: &[(u64, Step)]) -> (UpstreamList, u64, u64) {
     let mut list = UpstreamList::default();
     let (mut now, mut revision) = (10_000, 1);
     for (later, step) in history {
@@ -62,10 +64,10 @@
         revision += 1;
         list.tick(at(now));
         let change = match *step {
-            Step::Named(start) => ListChange::Present(entry(start)),
+            Step::Listed(start) => ListChange::Present(entry(start)),
             Step::Gone => ListChange::Gone(name(1)),
             Step::Unreadable => ListChange::Unreadable(name(1)),
-            Step::Told(start, before) => {
+            Step::Reported(start, before) => {
                 list.update_start(at(now), &name(1), ids::UpstreamStart(start), at(now - before));
                 continue;
             }
@@ -77,11 +79,11 @@
 
 proptest! {
     #[test]
-    fn a_start_that_the_list_goes_on_naming_becomes_the_present_one(
+    fn a_start_that_the_list_keeps_naming_becomes_the_present_one(
         history in steps(),
         last in 1_u64..12,
     ) {
-        let (mut list, revision, now) = play(&history);
+        let (mut list, revision, now) = apply_history(&history);
         for beat in 0..4 {
             let change = vec![ListChange::Present(entry(last))];
             list.apply(at(now + beat * 1_200), change, (revision + 1 + beat).into());
@@ -92,39 +94,39 @@
     }
 
     #[test]
-    fn what_an_upstream_says_when_asked_now_holds_until_the_list_has_gone_on_saying_else(
+    fn a_reported_start_stays_the_present_one_unless_the_list_keeps_naming_another(
         history in steps(),
-        told in 1_u64..12,
+        reported in 1_u64..12,
     ) {
-        let (mut list, revision, now) = play(&history);
+        let (mut list, revision, now) = apply_history(&history);
         if list.entry(&name(1)).is_none() {
             return Ok(());
         }
-        list.update_start(at(now + 1), &name(1), ids::UpstreamStart(told), at(now + 1));
-        prop_assert!(list.is_present(&name(told)));
-        // One late write of a start that is over does not undo it.
+        list.update_start(at(now + 1), &name(1), ids::UpstreamStart(reported), at(now + 1));
+        prop_assert!(list.is_present(&name(reported)));
+        // A single late write of an ended start does not replace it.
         let ended = list.take_ended();
-        if let Some(before) = ended.last().filter(|ended| ended.name != name(told)) {
+        if let Some(before) = ended.last().filter(|ended| ended.name != name(reported)) {
             let start = before.name.start().map_or(0, |start| start.0);
             let late = vec![ListChange::Present(entry(start))];
             list.apply(at(now + 500), late, (revision + 1).into());
             list.tick(at(now + 1_700));
-            prop_assert!(list.is_present(&name(told)));
+            prop_assert!(list.is_present(&name(reported)));
         }
     }
 
     #[test]
-    fn each_change_of_the_present_start_ends_the_one_before_it_once(history in steps()) {
+    fn each_change_of_the_present_start_ends_the_previous_one_once(history in steps()) {
         let mut list = UpstreamList::default();
         list.replace(at(0), vec![entry(1)], 1.into());
         let mut present = name(1);
         for (revision, (_, step)) in (2..).zip(&history) {
             let now = at(revision * 100);
             match *step {
-                Step::Named(start) => {
+                Step::Listed(start) => {
                     list.apply(now, vec![ListChange::Present(entry(start))], revision.into());
                 }
-                Step::Told(start, _) => {
+                Step::Reported(start, _) => {
                     list.update_start(now, &name(1), ids::UpstreamStart(start), now);
                 }
                 Step::Gone | Step::Unreadable => continue,
