--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -248,9 +248,9 @@
         recovery.removed.retain(|_, at| now.since(*at) < REMOVED_MEMORY);
         let mut changed = false;
         if recovery.is_past(now, upstream_list::RETURN_TIME) {
-            let lapsed = std::mem::take(&mut recovery.kept);
-            changed |= !lapsed.is_empty();
-            lapsed.iter().for_each(|identifier| _ = self.remove(now, identifier));
+            let expired = std::mem::take(&mut recovery.kept);
+            changed |= !expired.is_empty();
+            expired.iter().for_each(|identifier| _ = self.remove(now, identifier));
         }
         let recovery = &mut self.recovery;
         if recovery.is_past(now, recovery.rewrite_time) {
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -294,21 +294,22 @@
         own: &member_heartbeat::MemberHeartbeat,
     ) -> Option<member_heartbeat::MemberHeartbeat> {
         let limit = self.heartbeat_interval() * SUSPECT_HEARTBEATS;
-        let fit = |member: &&MemberState| {
+        let may_plan = |member: &&MemberState| {
             let beat = &member.beat;
             beat.routes > 0
                 && !beat.leaving
                 && member.unanswered < MAX_UNANSWERED
                 && member.is_live(now, limit)
         };
-        let others = self.members.values().filter(fit).map(|member| (&member.beat, member.hash));
-        let me = Some((own, rendezvous::stable_hash(&[own.name.as_str()])));
-        let me = me.filter(|(own, _)| own.routes > 0 && !own.leaving);
+        let others =
+            self.members.values().filter(may_plan).map(|member| (&member.beat, member.hash));
+        let this = Some((own, rendezvous::stable_hash(&[own.name.as_str()])));
+        let this = this.filter(|(own, _)| own.routes > 0 && !own.leaving);
         let key = rendezvous::stable_hash(&[&key.to_string()]);
         let score = |(beat, hash): &(&member_heartbeat::MemberHeartbeat, u64)| {
             (beat.plans, beat.cpu, rendezvous::mixed_hash(key ^ hash))
         };
-        let (best, _) = others.chain(me).max_by_key(score)?;
+        let (best, _) = others.chain(this).max_by_key(score)?;
         (best.name != own.name).then(|| best.clone())
     }
 
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -41,9 +41,9 @@
         let order = |beat: &member_heartbeat::MemberHeartbeat| {
             rendezvous::stable_hash(&["watch", beat.name.as_str()])
         };
-        let mine = order(own);
+        let own_order = order(own);
         let before = |wanted: bool| {
-            near.iter().filter(|beat| beat.watches == wanted && order(beat) < mine).count()
+            near.iter().filter(|beat| beat.watches == wanted && order(beat) < own_order).count()
         };
         let watching = near.iter().filter(|beat| beat.watches).count();
         if own.watches {
--- a/crates/core/src/upstream_health.rs
+++ b/crates/core/src/upstream_health.rs
@@ -1,5 +1,5 @@
-//! Passive health checks of the upstreams of plain services: a failing upstream gets no calls during a pause, and then
-//! one probe at a time.
+//! Passive health checks of the upstreams of plain services: a failing upstream is avoided during a pause, and then gets one
+//! probe at a time.
 //!
 //! Load alone cannot replace this: an upstream that fails at once has no call in progress, so it would look like the best
 //! choice and get all calls.
@@ -35,7 +35,7 @@
 /// Result of a call to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallResult {
-    /// The upstream answered.
+    /// The upstream served the call.
     Good,
     /// The upstream refused the call for lack of capacity.
     Full,
@@ -69,8 +69,8 @@
         self.consecutive_failures == 0
     }
 
-    /// Whether the next call should probe the upstream, as it gets no other calls that would show its recovery. Repeatable
-    /// calls probe first.
+    /// Whether a call should probe the upstream: no other signal would show its recovery, as an avoided upstream gets no calls.
+    /// Repeatable calls probe first.
     pub fn needs_probe(&self, now: units::MonoTime, repeatable: bool) -> bool {
         let due =
             if repeatable { self.paused_until } else { self.paused_until + REPEATABLE_ONLY_TIME };
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -10,7 +10,7 @@
 
 /// Longest accepted backoff. An instance that sends nothing cannot receive a correction of a longer one.
 pub const MAX_REST: time::Duration = time::Duration::from_secs(300);
-/// How long notices of an unlisted start are kept: its entry may lapse with the list's source and return.
+/// How long notices of an unlisted start are kept: its entry may expire in an outage of the list's source and return.
 pub(crate) const NOTICE_MEMORY: time::Duration = time::Duration::from_secs(120);
 /// Timeout of a probe; its caller may have left.
 const TRIAL_TIME: time::Duration = time::Duration::from_secs(2);
@@ -344,8 +344,8 @@
                 seconds(lasts)
             ))
         });
-        let told: Vec<_> = leaving.into_iter().chain(rest).chain(limit).collect();
-        (!told.is_empty()).then(|| told.join("; "))
+        let notices: Vec<_> = leaving.into_iter().chain(rest).chain(limit).collect();
+        (!notices.is_empty()).then(|| notices.join("; "))
     }
 
     /// Starts with a leaving notice of their own.
@@ -370,10 +370,10 @@
             let is_limited = |limit: upstream_limit::LimitNotice| {
                 limit.reading.rate.is_some() || now.since(limit.reading.heard) < ENDED_LIMIT_MEMORY
             };
-            let said = notice.leaving.is_some()
+            let has_notices = notice.leaving.is_some()
                 || notice.rest.is_some_and(remembered)
                 || notice.limit.is_some_and(is_limited);
-            said && now.since(notice.known) < NOTICE_MEMORY
+            has_notices && now.since(notice.known) < NOTICE_MEMORY
         });
     }
 
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -30,8 +30,8 @@
     fn send(&mut self, now: u64, from: usize, to: usize) -> bool {
         self.messages += 1;
         let half = self.knows.len() / 2;
-        let cut = now < self.cut_until && (from < half) != (to < half);
-        !cut && self.random.random::<f64>() >= LOST
+        let partitioned = now < self.cut_until && (from < half) != (to < half);
+        !partitioned && self.random.random::<f64>() >= LOST
     }
 
     fn send_to(&mut self, now: u64, from: usize, cause: GossipCause) {
@@ -84,15 +84,15 @@
     // A leaving upstream keeps serving for two seconds; the effects of a partition last for three more after its end.
     let (within, after_cut) = (2_000, 5_000);
     for members in [6, 300] {
-        let (told, messages) = longest(members, 0, true);
+        let (broadcast, messages) = longest(members, 0, true);
         let (repeated, _) = longest(members, 0, false);
-        let (cut, _) = longest(members, 5_000, true);
+        let (partitioned, _) = longest(members, 5_000, true);
         println!(
-            "{members} members: {told} ms and {messages} messages; {repeated} ms by periodic rounds alone; \
-             {cut} ms with a partition of 5,000 ms"
+            "{members} members: {broadcast} ms and {messages} messages; {repeated} ms by periodic rounds alone; \
+             {partitioned} ms with a partition of 5,000 ms"
         );
-        assert!(told <= within, "{members}: {told} ms");
-        assert!(cut <= 5_000 + after_cut, "{members}: {cut} ms with a partition");
+        assert!(broadcast <= within, "{members}: {broadcast} ms");
+        assert!(partitioned <= 5_000 + after_cut, "{members}: {partitioned} ms with a partition");
     }
 }
 
