--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -154,8 +154,8 @@
         let is_certain =
             |entry: &&UpstreamEntry| !self.doubtful.contains_key(entry.name.identifier());
         let certain: Vec<_> = live.iter().copied().filter(is_certain).collect();
-        let doubtful = live.len() - certain.len();
-        if doubtful as f64 > live.len() as f64 * OUTAGE_SHARE { live } else { certain }
+        let doubtful_count = live.len() - certain.len();
+        if doubtful_count as f64 > live.len() as f64 * OUTAGE_SHARE { live } else { certain }
     }
 
     /// Whether an upstream may take new work, whichever its present start is; see [`Self::usable`].
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -344,8 +344,8 @@
                 seconds(lasts)
             ))
         });
-        let notices: Vec<_> = leaving.into_iter().chain(rest).chain(limit).collect();
-        (!notices.is_empty()).then(|| notices.join("; "))
+        let parts: Vec<_> = leaving.into_iter().chain(rest).chain(limit).collect();
+        (!parts.is_empty()).then(|| parts.join("; "))
     }
 
     /// Starts with a leaving notice of their own.
--- a/crates/core/tests/document_lag.rs
+++ b/crates/core/tests/document_lag.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_process_without_changes_lags_since_the_first_version_it_lacks() {
+fn a_process_that_receives_nothing_lags_since_the_first_version_it_lacks() {
     let mut lag = document_lag::DocumentLag::default();
     assert_eq!(lag.observe(at(0), 7, 7), time::Duration::ZERO);
     assert_eq!(lag.observe(at(100), 7, 8), time::Duration::ZERO);
