--- /dev/null
+++ b/crates/core/src/member_heartbeat.rs
@@ -0,0 +1,80 @@
+//! Heartbeats of members: full ones, and short ones with only the fields that may change.
+
+use std::net;
+
+use serde::{Deserialize, Serialize};
+
+use crate::{ids, store_revision};
+
+/// Number of heartbeats after which one is sent in full to all members.
+const FULL_HEARTBEAT_PERIOD: u64 = 16;
+
+/// A full heartbeat: the state of a member as it describes itself.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct MemberHeartbeat {
+    /// Name of the member.
+    pub name: ids::InstanceId,
+    /// Boot number of this start of the member.
+    pub boot: u64,
+    /// Incremented with each heartbeat of a start.
+    pub sequence: u64,
+    /// Address for heartbeats and planner messages.
+    pub address: net::SocketAddrV4,
+    /// Data centre in which the member runs.
+    pub data_center: ids::DataCenterId,
+    /// CPU that the member may use, in thousandths of a core.
+    pub cpu: u32,
+    /// Whether the member may plan for others: it is old enough, was not paused lately, and has routes and upstreams.
+    pub plans: bool,
+    /// Whether the member is leaving by plan.
+    pub leaving: bool,
+    /// Version of its routes; 0 before it has any.
+    pub routes: u64,
+    /// Revision of its list of upstreams.
+    pub list: store_revision::StoreRevision,
+    /// Whether the member watches the platform's store and other members may rely on that.
+    pub watches: bool,
+    /// Addresses of some other members.
+    pub others: Vec<net::SocketAddrV4>,
+}
+
+/// A short heartbeat, for members that know this start of the sender: only the fields that may change, in a sixth of
+/// the bytes of a full one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ShortHeartbeat {
+    /// See [`MemberHeartbeat::boot`].
+    pub boot: u64,
+    /// See [`MemberHeartbeat::sequence`].
+    pub sequence: u64,
+    /// See [`MemberHeartbeat::plans`].
+    pub plans: bool,
+    /// See [`MemberHeartbeat::leaving`].
+    pub leaving: bool,
+    /// See [`MemberHeartbeat::watches`].
+    pub watches: bool,
+    /// See [`MemberHeartbeat::routes`].
+    pub routes: u64,
+    /// See [`MemberHeartbeat::list`].
+    pub list: store_revision::StoreRevision,
+}
+
+impl MemberHeartbeat {
+    /// The short form of this heartbeat.
+    pub fn alive(&self) -> ShortHeartbeat {
+        ShortHeartbeat {
+            boot: self.boot,
+            sequence: self.sequence,
+            plans: self.plans,
+            leaving: self.leaving,
+            watches: self.watches,
+            routes: self.routes,
+            list: self.list,
+        }
+    }
+
+    /// Whether this heartbeat is sent in full even to members that know its sender, as addresses of other members spread
+    /// by full heartbeats only.
+    pub fn is_full(&self) -> bool {
+        self.sequence.is_multiple_of(FULL_HEARTBEAT_PERIOD)
+    }
+}
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use crate::{member_beat, membership, rendezvous, units};
+use crate::{member_heartbeat, membership, rendezvous, units};
 
 /// Members of a data centre that watch the store in a large fleet; one of them is redundant.
 const WATCHERS: usize = 2;
@@ -10,12 +10,12 @@
 const SMALL_DATA_CENTER: usize = 4;
 /// Delay until the next member in order replaces a missing watcher.
 const TAKE_OVER_STEP: time::Duration = time::Duration::from_millis(120);
-/// Longest such delay.
+/// Longest delay until a missing watcher is replaced.
 const TAKE_OVER_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// The delay for a member whose last attempt failed. While the store is down for all, the first in order keep trying
-/// and the others back off, so that the calls do not grow with the fleet.
+/// Delay per place in the order for a member whose last attempt failed. While the store is down for all, the first in
+/// order keep trying and the others back off, so that the calls do not grow with the fleet.
 const FAILED_STEP: time::Duration = time::Duration::from_millis(400);
-/// Longest such delay after a failure.
+/// Longest delay for a member whose last attempt failed.
 const FAILED_LIMIT: time::Duration = time::Duration::from_secs(10);
 
 impl membership::MemberView {
@@ -27,7 +27,7 @@
     pub fn should_watch(
         &self,
         now: units::MonoTime,
-        own: &member_beat::MemberBeat,
+        own: &member_heartbeat::MemberHeartbeat,
         missing_for: time::Duration,
         failed: bool,
     ) -> bool {
@@ -38,12 +38,12 @@
         if near.len() < SMALL_DATA_CENTER {
             return true;
         }
-        let order = |beat: &member_beat::MemberBeat| {
+        let order = |beat: &member_heartbeat::MemberHeartbeat| {
             rendezvous::stable_hash(&["watch", beat.name.as_str()])
         };
-        let mine = order(own);
+        let own_order = order(own);
         let before = |wanted: bool| {
-            near.iter().filter(|beat| beat.watches == wanted && order(beat) < mine).count()
+            near.iter().filter(|beat| beat.watches == wanted && order(beat) < own_order).count()
         };
         let watching = near.iter().filter(|beat| beat.watches).count();
         if own.watches {
@@ -56,7 +56,11 @@
     }
 
     /// Whether this member's data centre has too few watchers.
-    pub fn watchers_missing(&self, now: units::MonoTime, own: &member_beat::MemberBeat) -> bool {
+    pub fn watchers_missing(
+        &self,
+        now: units::MonoTime,
+        own: &member_heartbeat::MemberHeartbeat,
+    ) -> bool {
         let near = self.alive(now).filter(|beat| beat.data_center == own.data_center);
         near.filter(|beat| beat.watches).count() < WATCHERS
     }
--- /dev/null
+++ b/crates/core/src/pause_detector.rs
@@ -0,0 +1,33 @@
+//! Detects pauses of the whole process, after which its state may be out of date.
+
+use std::time;
+
+use crate::units;
+
+/// Detects pauses by the time between two events.
+#[derive(Debug)]
+pub(crate) struct PauseDetector {
+    bound: time::Duration,
+    /// Time of the last event.
+    last: Option<units::MonoTime>,
+    /// Number of pauses so far.
+    pub(crate) wakes: u64,
+    /// Whether the sources have not been asked again since the last pause, or since the start.
+    pub(crate) unrefreshed: bool,
+}
+
+impl PauseDetector {
+    /// Considers a time longer than `bound` between two events a pause.
+    pub(crate) fn new(bound: time::Duration) -> Self {
+        Self { bound, last: None, wakes: 0, unrefreshed: true }
+    }
+
+    /// Records an event.
+    pub(crate) fn notice(&mut self, now: units::MonoTime) {
+        if self.last.is_some_and(|last| now.since(last) > self.bound) {
+            self.wakes += 1;
+            self.unrefreshed = true;
+        }
+        self.last = Some(now);
+    }
+}
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -1,7 +1,7 @@
 //! Notices that upstreams send with their answers: that they are leaving, a backoff, and a limit.
 //!
-//! Leaving concerns all instances, a backoff only the one that received it, and a limit all instances together. Each
-//! belongs to one start of an upstream and ends with it. Leaving is final. After a backoff one request probes the
+//! A leaving notice concerns all instances, a backoff only the one that received it, and a limit all instances together.
+//! Each belongs to one start of an upstream and ends with it. Leaving is final. After a backoff one request probes the
 //! upstream, and the others follow its result.
 
 use std::{collections, fmt, time};
@@ -10,7 +10,7 @@
 
 /// Longest accepted backoff. An instance that sends nothing cannot receive a correction of a longer one.
 pub const MAX_REST: time::Duration = time::Duration::from_secs(300);
-/// How long notices of an unlisted start are kept: its entry may lapse with the list's source and return.
+/// How long notices of an unlisted start are kept: its entry may expire in an outage of the list's source and return.
 pub(crate) const NOTICE_MEMORY: time::Duration = time::Duration::from_secs(120);
 /// Timeout of a probe; its caller may have left.
 const TRIAL_TIME: time::Duration = time::Duration::from_secs(2);
@@ -27,7 +27,7 @@
 pub enum NoticeSource {
     /// The published list.
     List,
-    /// The published list of an era before, which the present one cannot revoke.
+    /// The published list of a previous era, which the present list cannot revoke.
     FormerList,
     /// The upstream, in the head of an answer to a request.
     Answer,
@@ -64,18 +64,18 @@
 /// A start of an upstream asked this instance for a backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RestNotice {
-    /// Requested length.
+    /// Length that the upstream asked for.
     pub asked: time::Duration,
     /// When it was received.
     pub since: units::MonoTime,
-    /// Its end: at most [`MAX_REST`] after `since`.
+    /// End of the backoff: at most [`MAX_REST`] after `since`.
     pub until: units::MonoTime,
     /// When the pending probe was sent; not before `until`.
     trial: Option<units::MonoTime>,
 }
 
 impl RestNotice {
-    /// Its accepted length.
+    /// Accepted length of the backoff.
     pub fn lasts(&self) -> time::Duration {
         self.until.since(self.since)
     }
@@ -99,7 +99,7 @@
     Begun,
     /// The backoff ends later.
     Longer,
-    /// Nothing.
+    /// Nothing changed.
     Known,
 }
 
@@ -165,7 +165,7 @@
     }
 
     /// Makes the list's leaving notices final: the list's source has returned from an older copy.
-    pub fn settle_listed(&mut self) {
+    pub fn finalize_listed(&mut self) {
         let leaving = self.notices.values_mut().filter_map(|notice| notice.leaving.as_mut());
         leaving
             .filter(|known| known.source == NoticeSource::List)
@@ -231,7 +231,7 @@
     }
 
     /// Records that a start has accepted a request; returns whether that ends its backoff.
-    pub fn receive_taken(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
+    pub fn receive_accepted(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
         let Some(notice) = self.notices.get_mut(name) else {
             return false;
         };
@@ -344,12 +344,12 @@
                 seconds(lasts)
             ))
         });
-        let told: Vec<_> = leaving.into_iter().chain(rest).chain(limit).collect();
-        (!told.is_empty()).then(|| told.join("; "))
+        let parts: Vec<_> = leaving.into_iter().chain(rest).chain(limit).collect();
+        (!parts.is_empty()).then(|| parts.join("; "))
     }
 
     /// Starts with a leaving notice of their own.
-    pub fn own_words(&self) -> impl Iterator<Item = (&ids::UpstreamId, LeavingNotice)> {
+    pub fn final_leaving(&self) -> impl Iterator<Item = (&ids::UpstreamId, LeavingNotice)> {
         let leaving =
             self.notices.iter().filter_map(|(name, notice)| Some((name, notice.leaving?)));
         leaving.filter(|(_, leaving)| leaving.source != NoticeSource::List)
@@ -370,13 +370,14 @@
             let is_limited = |limit: upstream_limit::LimitNotice| {
                 limit.reading.rate.is_some() || now.since(limit.reading.heard) < ENDED_LIMIT_MEMORY
             };
-            let said = notice.leaving.is_some()
+            let has_notices = notice.leaving.is_some()
                 || notice.rest.is_some_and(remembered)
                 || notice.limit.is_some_and(is_limited);
-            said && now.since(notice.known) < NOTICE_MEMORY
+            has_notices && now.since(notice.known) < NOTICE_MEMORY
         });
     }
 
+    /// The notices of a start, created if there are none. If the table is full the oldest ones make room.
     fn notice(&mut self, known: units::MonoTime, name: &ids::UpstreamId) -> &mut UpstreamNotice {
         if self.notices.len() >= MAX_NOTICES && !self.notices.contains_key(name) {
             let oldest = self.notices.iter().min_by_key(|(_, notice)| notice.known);
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -4,9 +4,9 @@
 
 use futures::{channel::mpsc, channel::oneshot, future};
 use slipturn_core::{
-    class_worth, connection_share, engine_place, failure_detector, fleet_budget, ids, member_beat,
-    membership, planner, planner_key, quarantine, rendezvous, search_budget, send_counts,
-    send_gate, store_belief, units,
+    class_worth, connection_share, engine_place, failure_detector, fleet_budget, ids,
+    member_heartbeat, membership, planner, planner_key, quarantine, rendezvous, search_budget,
+    send_counts, send_gate, store_tracker, units,
 };
 use slipturn_net::process;
 
@@ -104,7 +104,7 @@
     /// Number of requests and memory orders in progress.
     pub busy: cell::Cell<usize>,
     /// Believed state of the store, and document versions that other members have.
-    pub belief: cell::RefCell<store_belief::StoreBelief>,
+    pub belief: cell::RefCell<store_tracker::StoreTracker>,
     /// Number of members that joined since the last heartbeat, for the log.
     pub joined: cell::Cell<usize>,
     /// Sequence number of the last heartbeat.
@@ -231,24 +231,24 @@
     }
 
     /// Returns the next heartbeat, with the next sequence number.
-    pub fn next_heartbeat(&self) -> member_beat::MemberBeat {
+    pub fn next_heartbeat(&self) -> member_heartbeat::MemberHeartbeat {
         let sequence = self.heartbeat_sequence.get() + 1;
         self.heartbeat_sequence.set(sequence);
-        let others = self.members.borrow().named(sequence);
-        member_beat::MemberBeat { sequence, others, ..self.own_heartbeat() }
+        let others = self.members.borrow().sample_addresses(sequence);
+        member_heartbeat::MemberHeartbeat { sequence, others, ..self.own_heartbeat() }
     }
 
     /// Returns the current state of this process as a heartbeat, with the sequence number of the last
     /// one and without other members.
-    pub fn own_heartbeat(&self) -> member_beat::MemberBeat {
+    pub fn own_heartbeat(&self) -> member_heartbeat::MemberHeartbeat {
         let settings = self.settings();
         let fleet = self.fleet.borrow();
         let now = self.now();
         let awake = self.resumed_at.get() == units::MonoTime::default()
-            || membership::MemberView::old_enough(now.since(self.resumed_at.get()));
+            || membership::MemberView::is_old_enough_to_plan(now.since(self.resumed_at.get()));
         let age = now.since(units::MonoTime::default());
-        let plans = fleet.is_known() && awake && membership::MemberView::old_enough(age);
-        member_beat::MemberBeat {
+        let plans = fleet.is_known() && awake && membership::MemberView::is_old_enough_to_plan(age);
+        member_heartbeat::MemberHeartbeat {
             name: settings.name.clone(),
             boot: self.boot,
             sequence: self.heartbeat_sequence.get(),
@@ -259,20 +259,20 @@
             leaving: self.stop.asked(),
             routes: fleet.routes.version.0,
             list: fleet.list.revision(),
-            watches: self.belief.borrow().is_counted_on(),
+            watches: self.belief.borrow().is_reliable_watcher(),
             others: Vec::new(),
         }
     }
 
     /// Returns the versions of this process's routes and list of upstreams.
-    pub fn versions(&self) -> store_belief::DocumentVersions {
+    pub fn versions(&self) -> store_tracker::DocumentVersions {
         let fleet = self.fleet.borrow();
         let (routes, list) = (fleet.routes.version.0, fleet.list.revision());
-        store_belief::DocumentVersions { routes, list }
+        store_tracker::DocumentVersions { routes, list }
     }
 
     /// Returns for how long this process has lacked routes and lists that other members have.
-    pub fn lags(&self) -> store_belief::DocumentLags {
+    pub fn lags(&self) -> store_tracker::DocumentLags {
         let now = self.now();
         let newest = self.members.borrow().newest(now);
         self.belief.borrow_mut().lags(now, self.versions(), newest)
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -83,7 +83,7 @@
     let open = fleet.list.open(now, service, send_gate::ProbePermission::Yes);
     if open.is_empty() {
         let service = service.clone();
-        if let Some(first) = fleet.list.first_back(now, &service) {
+        if let Some(first) = fleet.list.first_backoff_to_end(now, &service) {
             return Some(NoUpstreamReason::Backoff { service, first, now });
         }
         let away = fleet.list.evacuated_for(now, &service)?;
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -5,8 +5,8 @@
 use futures::channel::mpsc;
 use serde::{Deserialize, Serialize};
 use slipturn_core::{
-    engine_place, failure_detector, ids, member_beat, planner_key, quota_permit, request_digest,
-    units,
+    engine_place, failure_detector, ids, member_heartbeat, planner_key, quota_permit,
+    request_digest, units,
 };
 
 /// Size of the largest datagram, in bytes. Senders keep to the limits below, so that each message fits.
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A complete heartbeat.
-    Beat(Box<member_beat::MemberBeat>),
+    Beat(Box<member_heartbeat::MemberHeartbeat>),
     /// A short heartbeat for members that have received a complete one.
-    Alive(member_beat::AliveBeat),
+    Alive(member_heartbeat::ShortHeartbeat),
     /// Requests a complete heartbeat, from an unknown member or to probe a silent one.
     Who,
     /// Requests a place on an engine from a planner.
--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -51,7 +51,7 @@
         log::info!(away_ms = units::whole_millis(away); "store.regained");
         context.fleet.borrow_mut().source_returned(now);
     }
-    if contact_change.watches_again {
+    if contact_change.resumes_watch {
         // From now on other members can rely on this one's watch.
         heartbeats::announce(context);
     }
