--- a/crates/core/src/class_worth.rs
+++ b/crates/core/src/class_worth.rs
@@ -9,9 +9,9 @@
 use crate::ids;
 
 /// Part of its class's worth that any prompt has, however small; the rest grows with its size.
-const BASE_PART: f64 = 0.3;
+const BASE_FRACTION: f64 = 0.3;
 /// Worths of a class that are believed: a goal of nothing is no reason to divide by it.
-const WORTHS: (f64, f64) = (0.1, 1_000.0);
+const WORTH_RANGE: (f64, f64) = (0.1, 1_000.0);
 /// Least weight of the newest prompt in a mean.
 const MEAN_WEIGHT: f64 = 0.02;
 /// Classes that are remembered; routes come and go.
@@ -19,7 +19,7 @@
 
 /// A request as its worth is asked for.
 #[derive(Debug, Clone, Copy)]
-pub struct WorthAsk<'a> {
+pub struct WorthQuery<'a> {
     /// Its class.
     pub class: &'a ids::ClassId,
     /// Its service.
@@ -56,7 +56,7 @@
 
 impl ClassWorth {
     /// Counts a prompt; its worth against a mean request of the service's most urgent class.
-    pub fn count(&mut self, ask: &WorthAsk<'_>) -> f64 {
+    pub fn count(&mut self, ask: &WorthQuery<'_>) -> f64 {
         let prompt = ask.prompt as f64;
         if self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(ask.class) {
             self.classes.clear();
@@ -70,7 +70,7 @@
         let urgent = self.urgent.get(ask.service).map(|urgent| urgent.tokens.max(1.0));
         let goals = ask.goal.as_secs_f64() / ask.shortest_goal.as_secs_f64().max(f64::EPSILON);
         let sizes = urgent.map_or(goals, |urgent| mean / urgent);
-        let class = (goals * sizes).sqrt().clamp(WORTHS.0, WORTHS.1);
-        class * (BASE_PART + (1.0 - BASE_PART) * prompt / mean)
+        let class = (goals * sizes).sqrt().clamp(WORTH_RANGE.0, WORTH_RANGE.1);
+        class * (BASE_FRACTION + (1.0 - BASE_FRACTION) * prompt / mean)
     }
 }
--- a/crates/core/src/engine_directory.rs
+++ b/crates/core/src/engine_directory.rs
@@ -122,10 +122,10 @@
             return Vec::new();
         }
         let groups = ranked.chunks_exact(size).take(fleet.group_limit);
-        groups.map(|members| self.in_order(members)).collect()
+        groups.map(|members| self.sorted_targets(members)).collect()
     }
 
-    fn in_order(&self, members: &[&fleet_list::EngineRecord]) -> Vec<EngineTarget> {
+    fn sorted_targets(&self, members: &[&fleet_list::EngineRecord]) -> Vec<EngineTarget> {
         let mut members: Vec<_> =
             members.iter().filter_map(|engine| self.target(engine, None)).collect();
         members.sort_by(|left, right| left.engine.cmp(&right.engine));
--- a/crates/core/src/engine_estimate.rs
+++ b/crates/core/src/engine_estimate.rs
@@ -51,7 +51,7 @@
         let backlog = self.backlog(service_rank::ServiceRank::LAST);
         let work = self.prefill_rate.time_for(backlog + queued);
         let spare =
-            self.latest_start(request).since(now).mul_f64(1.0 - engine_ledger::OVERDUE_PART);
+            self.latest_start(request).since(now).mul_f64(1.0 - engine_ledger::OVERDUE_FRACTION);
         if work <= spare {
             return Ok(());
         }
--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -15,11 +15,11 @@
 /// Longest age of a load report before its absence counts as the engine being out of reach.
 const REPORT_LIMIT: time::Duration = time::Duration::from_secs(3);
 /// After a release, how long the engine's list may lag behind it.
-const RELEASE_SETTLE: time::Duration = time::Duration::from_secs(2);
+const RELEASE_LAG: time::Duration = time::Duration::from_secs(2);
 /// How far back own prefill work is remembered; older reports are compared with the oldest.
-const HISTORY: time::Duration = time::Duration::from_secs(5);
+const HISTORY_SPAN: time::Duration = time::Duration::from_secs(5);
 /// Part of the wait that passes before an item counts as overdue.
-pub(crate) const OVERDUE_PART: f64 = 0.5;
+pub(crate) const OVERDUE_FRACTION: f64 = 0.5;
 /// After its time limit, how long a lease may still be in use by a cancel on its way.
 const LEASE_MARGIN: time::Duration = time::Duration::from_secs(2);
 
@@ -58,7 +58,7 @@
     /// Prefill work the engine reported beyond what the leases explain.
     pub(crate) foreign_prefill: f64,
     /// Prefill work that the leases explained at earlier times, oldest first, to compare an old
-    /// report with its own time. Invariant: reaches back [`HISTORY`] at most.
+    /// report with its own time. Invariant: reaches back [`HISTORY_SPAN`] at most.
     pub(crate) history: collections::VecDeque<(units::MonoTime, f64)>,
     pub(crate) advanced: units::MonoTime,
     pub(crate) reported: Option<units::MonoTime>,
@@ -135,7 +135,7 @@
         now: units::MonoTime,
         request: &placement::PlaceRequest,
     ) -> Result<placement::EngineOffer, refusal::RequestRefusal> {
-        self.work_through(now);
+        self.advance_prefill(now);
         self.check(now, request)?;
         Ok(placement::EngineOffer {
             first_token: self.first_token(now, request),
@@ -151,7 +151,7 @@
         now: units::MonoTime,
         request: placement::PlaceRequest,
     ) -> Vec<placement::LedgerAction> {
-        self.work_through(now);
+        self.advance_prefill(now);
         let known = |waiting: &fair_queue::QueueItem<placement::PlaceRequest>| {
             waiting.payload.attempt == request.attempt
         };
@@ -167,7 +167,7 @@
             customer: request.customer.clone(),
             weight: request.weight,
             cost: request.prefill() + request.output,
-            overdue: now + spare.mul_f64(OVERDUE_PART),
+            overdue: now + spare.mul_f64(OVERDUE_FRACTION),
             payload: request,
         };
         self.queue.push(item);
@@ -176,7 +176,7 @@
 
     /// Does what has become due: grants, refusals of what waited too long, cancels.
     pub fn advance(&mut self, now: units::MonoTime) -> Vec<placement::LedgerAction> {
-        self.work_through(now);
+        self.advance_prefill(now);
         let mut actions = self.expire_waiting(now);
         actions.extend(self.expire_leases(now));
         actions.extend(self.grant_waiting(now));
@@ -210,7 +210,7 @@
             self.adopt(now, request);
         }
         let named: collections::HashSet<_> = streaming.iter().map(|one| &one.attempt).collect();
-        let settled = |lease: &EngineLease| now.since(lease.renewed) >= RELEASE_SETTLE;
+        let settled = |lease: &EngineLease| now.since(lease.renewed) >= RELEASE_LAG;
         let over: Vec<_> = self
             .leases
             .values()
@@ -231,7 +231,7 @@
         now: units::MonoTime,
         report: &placement::EngineReport,
     ) -> Vec<placement::LedgerAction> {
-        self.work_through(now);
+        self.advance_prefill(now);
         self.reported = Some(now);
         self.draining = report.draining;
         if report.memory > units::TokenCount::ZERO {
@@ -253,13 +253,13 @@
         before.or_else(|| self.history.front()).map_or(0.0, |(_, own)| *own)
     }
 
-    fn keep_history(&mut self, now: units::MonoTime) {
+    fn record_history(&mut self, now: units::MonoTime) {
         let own = self.leases.values().map(|lease| lease.prefill_left).sum();
         match self.history.back_mut() {
             Some((when, last)) if *when == now => *last = own,
             _ => self.history.push_back((now, own)),
         }
-        while self.history.front().is_some_and(|(when, _)| now.since(*when) > HISTORY) {
+        while self.history.front().is_some_and(|(when, _)| now.since(*when) > HISTORY_SPAN) {
             self.history.pop_front();
         }
     }
@@ -288,7 +288,7 @@
             let fresh_release = self
                 .released
                 .get(attempt)
-                .is_some_and(|released| taken.since(*released) < RELEASE_SETTLE);
+                .is_some_and(|released| taken.since(*released) < RELEASE_LAG);
             if self.leases.contains_key(attempt) || fresh_release {
                 continue;
             }
@@ -298,7 +298,7 @@
         self.orphans = orphans;
         let held: collections::HashSet<_> = report.iter().map(|(attempt, _)| attempt).collect();
         self.released.retain(|attempt, released| {
-            held.contains(attempt) || taken.since(*released) < RELEASE_SETTLE
+            held.contains(attempt) || taken.since(*released) < RELEASE_LAG
         });
     }
 
@@ -406,7 +406,7 @@
             let attempt = request.attempt.clone();
             let lease = EngineLease { rank, prefill_left, renewed: now, request };
             self.leases.insert(attempt, lease);
-            self.keep_history(now);
+            self.record_history(now);
         }
         actions
     }
@@ -435,11 +435,11 @@
         engine_room::EngineRoom {
             free: self.free(),
             headroom: self.capacity.scale(self.options.headroom.factor()),
-            places: self.options.max_running.saturating_sub(self.leases.len()),
+            slots: self.options.max_running.saturating_sub(self.leases.len()),
             grouped: self.leases.values().any(|lease| lease.request.grouped),
             prefills: self.leases.values().map(|one| (one.rank, one.prefill_left)).collect(),
             foreign: self.foreign_prefill,
-            ahead: self.prefill_rate.tokens_in(PREFILL_AHEAD),
+            prefill_limit: self.prefill_rate.tokens_in(PREFILL_AHEAD),
             reserved: false,
         }
     }
@@ -462,7 +462,7 @@
     }
 
     /// Lets the engine's prefill run on to `now`: shorter bands first, as the engine does it.
-    fn work_through(&mut self, now: units::MonoTime) {
+    fn advance_prefill(&mut self, now: units::MonoTime) {
         let mut done = self.prefill_rate.0 * now.since(self.advanced).as_secs_f64();
         self.advanced = self.advanced.max(now);
         let mut leases: Vec<_> =
@@ -474,7 +474,7 @@
             done -= part;
         }
         self.foreign_prefill = (self.foreign_prefill - done).max(0.0);
-        self.keep_history(now);
+        self.record_history(now);
     }
 }
 
--- a/crates/core/src/engine_room.rs
+++ b/crates/core/src/engine_room.rs
@@ -7,13 +7,13 @@
 pub(crate) struct EngineRoom {
     pub(crate) free: units::TokenCount,
     pub(crate) headroom: units::TokenCount,
-    pub(crate) places: usize,
+    pub(crate) slots: usize,
     pub(crate) grouped: bool,
     /// Prefill work on the engine and the rank it has there.
     pub(crate) prefills: Vec<(service_rank::ServiceRank, f64)>,
     /// Prefill work that no lease explains.
     pub(crate) foreign: f64,
-    pub(crate) ahead: units::TokenCount,
+    pub(crate) prefill_limit: units::TokenCount,
     /// Set once an overdue request has not found room: no other but a short may take it.
     pub(crate) reserved: bool,
 }
@@ -41,19 +41,19 @@
             _ => self.free.saturating_sub(self.headroom),
         };
         let alone = !(request.grouped && self.grouped);
-        self.places > 0 && request.memory <= usable && self.is_paced(rank) && alone
+        self.slots > 0 && request.memory <= usable && self.is_within_prefill_limit(rank) && alone
     }
 
     /// Whether the engine has so little to do first that the order of the queue still matters.
     ///
     /// Of long prompts there is one at a time; one that goes before it on the engine may join it.
-    fn is_paced(&self, rank: service_rank::ServiceRank) -> bool {
+    fn is_within_prefill_limit(&self, rank: service_rank::ServiceRank) -> bool {
         let before = self.prefills.iter().filter(|(other, left)| *other <= rank && *left > 0.0);
         if rank.band == service_rank::LengthBand::Long {
             let mut long = before.filter(|(other, _)| other.band == rank.band);
             return long.next().is_none();
         }
         let backlog: f64 = before.map(|(_, left)| left).sum();
-        backlog + self.foreign <= self.ahead.0 as f64
+        backlog + self.foreign <= self.prefill_limit.0 as f64
     }
 }
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -60,7 +60,7 @@
 
 /// Requests and tokens this entry has outstanding on one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct OwnLoad {
+pub struct OutstandingLoad {
     /// Requests.
     pub requests: usize,
     /// Their tokens.
@@ -78,7 +78,7 @@
     policy_kind: settings::RoutingKind,
     purse: budget::BudgetPurse,
     retries: retry::RetryBudget,
-    own: collections::HashMap<ids::EngineId, OwnLoad>,
+    outstanding: collections::HashMap<ids::EngineId, OutstandingLoad>,
     /// Engines that refused as leaving, until the list or their scheduler says otherwise.
     ejected: collections::HashMap<ids::EngineId, units::MonoTime>,
     /// Invariant: at most [`MAX_AFFINITY`] prefixes.
@@ -108,7 +108,7 @@
             policy_kind: fleet.routing,
             purse: budget::BudgetPurse::default(),
             retries: retry::RetryBudget::new(fleet.retry_share),
-            own: collections::HashMap::new(),
+            outstanding: collections::HashMap::new(),
             ejected: collections::HashMap::new(),
             affinity: collections::HashMap::new(),
             random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
@@ -327,12 +327,12 @@
             .iter()
             .zip(offers)
             .map(|(target, offer)| {
-                let own = self.own.get(&target.engine).copied().unwrap_or_default();
+                let outstanding = self.outstanding.get(&target.engine).copied().unwrap_or_default();
                 routing::RouteCandidate {
                     engine: target.engine.clone(),
                     offer: *offer,
-                    own_requests: own.requests,
-                    own_tokens: own.tokens,
+                    own_requests: outstanding.requests,
+                    own_tokens: outstanding.tokens,
                     near: target.near,
                 }
             })
@@ -347,15 +347,15 @@
 
     /// Whether an engine whose scheduler is out of reach may be used without a lease: one request
     /// a time from this entry.
-    pub fn direct_share(&self, engine: &ids::EngineId) -> bool {
-        self.own.get(engine).is_none_or(|own| own.requests == 0)
+    pub fn may_send_unleased(&self, engine: &ids::EngineId) -> bool {
+        self.outstanding.get(engine).is_none_or(|outstanding| outstanding.requests == 0)
     }
 
     /// Counts an attempt as outstanding on an engine.
     pub fn count_start(&mut self, engine: &ids::EngineId, tokens: units::TokenCount, prefix: u64) {
-        let own = self.own.entry(engine.clone()).or_default();
-        own.requests += 1;
-        own.tokens += tokens;
+        let outstanding = self.outstanding.entry(engine.clone()).or_default();
+        outstanding.requests += 1;
+        outstanding.tokens += tokens;
         if self.affinity.len() >= MAX_AFFINITY {
             self.affinity.clear();
         }
@@ -364,13 +364,13 @@
 
     /// Counts an attempt as ended.
     pub fn count_end(&mut self, engine: &ids::EngineId, tokens: units::TokenCount) {
-        let Some(own) = self.own.get_mut(engine) else {
+        let Some(outstanding) = self.outstanding.get_mut(engine) else {
             return;
         };
-        own.requests = own.requests.saturating_sub(1);
-        own.tokens -= tokens;
-        if own.requests == 0 {
-            self.own.remove(engine);
+        outstanding.requests = outstanding.requests.saturating_sub(1);
+        outstanding.tokens -= tokens;
+        if outstanding.requests == 0 {
+            self.outstanding.remove(engine);
         }
     }
 
--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -10,15 +10,15 @@
 };
 
 /// Part of what is at stake for a long prompt that its reading may cost others.
-const HARM_PART: f64 = 0.5;
+const MAX_LOSS_FRACTION: f64 = 0.5;
 /// The same for one that comes late: its caller waits anyway.
-const LATE_HARM_PART: f64 = 0.12;
+const LATE_MAX_LOSS_FRACTION: f64 = 0.12;
 /// Shortest and latest time after which a refused prompt is asked back, milliseconds; callers obey
 /// up to a third of their time.
-const BACK_AFTER_MS: (f64, f64) = (300.0, 5_000.0);
+const RETRY_AFTER_RANGE_MS: (f64, f64) = (300.0, 5_000.0);
 
 /// A prompt that gives way.
-struct GivenUp {
+struct DisplacedPrompt {
     /// Its place in the list of those that wait.
     at: usize,
     /// When its first token was expected, milliseconds.
@@ -26,7 +26,7 @@
 }
 
 /// A reading that could be booked.
-struct PossibleRead {
+struct ReadCandidate {
     booking: timetable::ReadBooking,
     /// Whether it may begin; others would suffer too much otherwise.
     allowed: bool,
@@ -55,12 +55,12 @@
         let free = usable.saturating_sub(tight.div_ceil(self.packed_writers));
         let mut answers = Vec::new();
         // Engines may be free sooner than they were expected to be.
-        jobs.iter_mut().for_each(|job| job.late = job.goal_left(self.now) <= 0.0);
-        let earned = |at: &usize| {
+        jobs.iter_mut().for_each(|job| job.late = job.goal_left_ms(self.now) <= 0.0);
+        let worth_reading = |at: &usize| {
             // Short requests take the engines of less valuable ones for an unknown time.
-            self.price.is_earned(self.now, &self.table.shape, jobs[*at])
+            self.price.is_worth_reading(self.now, &self.table.shape, jobs[*at])
         };
-        let mut order: Vec<_> = (0..jobs.len()).filter(earned).collect();
+        let mut order: Vec<_> = (0..jobs.len()).filter(worth_reading).collect();
         loop {
             order.sort_by(|left, right| {
                 jobs[*left].due_ms(self.now).total_cmp(&jobs[*right].due_ms(self.now))
@@ -71,14 +71,14 @@
                 jobs.len(),
                 self.price.ms_per_worth(),
             );
-            let given = match self.book_all(&mut timetable, jobs, &order) {
+            let displaced = match self.book_all(&mut timetable, jobs, &order) {
                 Ok(grants) => {
                     answers.extend(grants);
                     return answers;
                 }
-                Err(given) => given,
+                Err(displaced) => displaced,
             };
-            let job = &mut jobs[given.at];
+            let job = &mut jobs[displaced.at];
             let hopeless = job.late;
             job.late = true;
             // What comes late waits for others that arrive meanwhile, too; once it is kept, it stays
@@ -87,11 +87,11 @@
             let rate = self.table.limited_rate(&job.ask.excluded);
             let limited = rate.map_or(0.0, |rate| self.price.limited_load(self.now, rate));
             let load = reading.max(limited);
-            let others = if job.kept { 1.0 } else { 1.0 / (1.0 - load) };
-            let expected_ms = given.expected_ms * others;
-            job.kept = true;
+            let others = if job.admitted_late { 1.0 } else { 1.0 / (1.0 - load) };
+            let expected_ms = displaced.expected_ms * others;
+            job.admitted_late = true;
             if hopeless || expected_ms > job.due_ms(self.now) {
-                order.retain(|at| *at != given.at);
+                order.retain(|at| *at != displaced.at);
                 let refusal = self.refuse(&job.ask, expected_ms);
                 answers.push(engine_place::PlaceAnswer::Refuse(refusal));
             }
@@ -103,26 +103,26 @@
         timetable: &mut timetable::ReadTimetable<'_>,
         jobs: &[&mut waiting_job::WaitingJob],
         order: &[usize],
-    ) -> Result<Vec<engine_place::PlaceAnswer>, GivenUp> {
+    ) -> Result<Vec<engine_place::PlaceAnswer>, DisplacedPrompt> {
         let mut grants = Vec::new();
         let mut booked = Vec::new();
         for at in order {
             let job = &jobs[*at];
-            let Some(PossibleRead { booking, allowed }) = self.best_read(timetable, job) else {
+            let Some(ReadCandidate { booking, allowed }) = self.best_read(timetable, job) else {
                 continue;
             };
             if !timetable.can_hold(&job.ask) && !job.ask.resumed {
                 // Nobody else's giving way would help.
-                return Err(GivenUp { at: *at, expected_ms: f64::INFINITY });
+                return Err(DisplacedPrompt { at: *at, expected_ms: f64::INFINITY });
             }
             let missed = booking.first_ms > job.due_ms(self.now) && !job.ask.resumed;
             if !missed && !allowed {
                 // It waits until it delays no other request.
                 continue;
             }
-            booked.push(GivenUp { at: *at, expected_ms: booking.first_ms });
+            booked.push(DisplacedPrompt { at: *at, expected_ms: booking.first_ms });
             if missed {
-                return Err(self.give_way(jobs, booked));
+                return Err(self.pick_displaced(jobs, booked));
             }
             let granted = if booking.starts_now() || job.ask.resumed && booking.has_permit() {
                 timetable.grant(job, &booking, job.waited_ms(self.now), job.ask.resumed)
@@ -141,31 +141,35 @@
         &self,
         timetable: &timetable::ReadTimetable<'_>,
         job: &waiting_job::WaitingJob,
-    ) -> Option<PossibleRead> {
-        let forced = || timetable.soonest(&job.ask, f64::INFINITY);
+    ) -> Option<ReadCandidate> {
+        let forced = || timetable.cheapest(&job.ask, f64::INFINITY);
         if job.ask.resumed {
-            return forced().map(|booking| PossibleRead { booking, allowed: true });
+            return forced().map(|booking| ReadCandidate { booking, allowed: true });
         }
         let due = job.due_ms(self.now);
         let in_time = |read: &timetable::ReadBooking| read.first_ms <= due;
-        let calm = timetable.soonest(&job.ask, 0.0);
-        if calm.as_ref().is_some_and(in_time) {
-            return calm.map(|booking| PossibleRead { booking, allowed: true });
+        let lossless = timetable.cheapest(&job.ask, 0.0);
+        if lossless.as_ref().is_some_and(in_time) {
+            return lossless.map(|booking| ReadCandidate { booking, allowed: true });
         }
-        let part = if job.late { LATE_HARM_PART } else { HARM_PART };
-        let harmful = timetable.soonest(&job.ask, job.stake() * part);
-        if let Some(booking) = harmful.filter(in_time).or(calm) {
-            return Some(PossibleRead { booking, allowed: true });
+        let part = if job.late { LATE_MAX_LOSS_FRACTION } else { MAX_LOSS_FRACTION };
+        let lossy = timetable.cheapest(&job.ask, job.loss_if_missed() * part);
+        if let Some(booking) = lossy.filter(in_time).or(lossless) {
+            return Some(ReadCandidate { booking, allowed: true });
         }
-        forced().map(|booking| PossibleRead { booking, allowed: false })
+        forced().map(|booking| ReadCandidate { booking, allowed: false })
     }
 
     /// Of prompts that cannot all be in time, the one whose engine time earns least, of equal ones the one that has
     /// waited least; the last of `booked` is the one that missed.
-    fn give_way(&self, jobs: &[&mut waiting_job::WaitingJob], mut booked: Vec<GivenUp>) -> GivenUp {
-        let density = |row: &GivenUp| {
+    fn pick_displaced(
+        &self,
+        jobs: &[&mut waiting_job::WaitingJob],
+        mut booked: Vec<DisplacedPrompt>,
+    ) -> DisplacedPrompt {
+        let density = |row: &DisplacedPrompt| {
             let job = &jobs[row.at];
-            job.stake() / pass_model::read_ms(&self.table.shape, job.ask.prompt)
+            job.loss_if_missed() / pass_model::read_ms(&self.table.shape, job.ask.prompt)
         };
         let worst = (0..booked.len()).filter(|at| !jobs[booked[*at].at].ask.resumed).min_by(
             |left, right| {
@@ -179,7 +183,7 @@
 
     /// Refuses a request: it may come back when there is room for it.
     fn refuse(&self, ask: &engine_place::PlaceAsk, expected_ms: f64) -> engine_place::PlaceRefusal {
-        let back_after_ms = expected_ms.clamp(BACK_AFTER_MS.0, BACK_AFTER_MS.1);
+        let back_after_ms = expected_ms.clamp(RETRY_AFTER_RANGE_MS.0, RETRY_AFTER_RANGE_MS.1);
         let expected_ms = Some(expected_ms).filter(|expected| expected.is_finite());
         self.table.refusal(ask.job, back_after_ms, expected_ms)
     }
--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -39,9 +39,9 @@
 }
 
 /// Part of a pause goal that a pass may fill by plan; the rest is for what the plan cannot see.
-pub(crate) const PAUSE_PART: f64 = 0.85;
+pub(crate) const PAUSE_FRACTION: f64 = 0.85;
 /// Part of its worth that an answer loses by one long pause.
-const LOST_PART: f64 = 0.75;
+const PAUSE_LOSS_FRACTION: f64 = 0.75;
 
 /// Pause goals beyond which a plan keeps no request waiting: after 8 of them callers leave.
 const MAX_PAUSES: f64 = 6.0;
@@ -70,15 +70,15 @@
     }
 
     /// Worth that those who write here lose by one more part read here.
-    pub(crate) fn harm(&self, part: f64) -> f64 {
+    pub(crate) fn pause_loss(&self, part: f64) -> f64 {
         let before = (self.steps_ms + self.pending_ms) * self.pace;
         let pause = before + part * self.pace;
-        let limit = self.pause_ms * PAUSE_PART;
+        let limit = self.pause_ms * PAUSE_FRACTION;
         if pause > self.pause_ms * MAX_PAUSES {
             return f64::INFINITY;
         }
         // A pause that is too long already is not lost twice.
-        if pause > limit && before <= limit { self.worth * LOST_PART } else { 0.0 }
+        if pause > limit && before <= limit { self.worth * PAUSE_LOSS_FRACTION } else { 0.0 }
     }
 }
 
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -18,14 +18,14 @@
 /// list says that it leaves. With a shorter one a prompt may meet two such engines in a row.
 const HELPER_EJECTION_TIME: time::Duration = time::Duration::from_millis(2_500);
 /// Paces that are believed; a report beyond them is a fault.
-const PACES: (f64, f64) = (0.5, 20.0);
+const PACE_RANGE: (f64, f64) = (0.5, 20.0);
 /// Pace above which an engine is polled like one with work.
 const SLOW_PACE: f64 = 1.2;
 /// Requests that come and go while a report is on its way; a difference up to this says nothing.
 const REPORT_SLACK: usize = 4;
 /// The same while a first token's note is on its way: some milliseconds, where reports are some 200
 /// old.
-const NOTE_SLACK: usize = 2;
+const FIRST_TOKEN_SLACK: usize = 2;
 
 /// Time without new work after which an engine is idle.
 const IDLE_TIME: time::Duration = time::Duration::from_secs(4);
@@ -235,7 +235,7 @@
 
     /// Takes over what it says of itself.
     pub(crate) fn report(&mut self, pace: f64, requests: usize) {
-        self.pace = pace.clamp(PACES.0, PACES.1);
+        self.pace = pace.clamp(PACE_RANGE.0, PACE_RANGE.1);
         self.foreign = requests.saturating_sub(self.answering.len() + REPORT_SLACK);
     }
 
@@ -244,7 +244,7 @@
     /// Answers come several times a second where reports come each two: by reports alone two planners on the sides of
     /// a cut fill the same engines.
     pub(crate) fn note_load(&mut self, requests: usize) {
-        self.foreign = requests.saturating_sub(self.answering.len() + NOTE_SLACK);
+        self.foreign = requests.saturating_sub(self.answering.len() + FIRST_TOKEN_SLACK);
     }
 
     /// Reading that waits for the next pass, milliseconds.
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -6,11 +6,11 @@
 //! admission, which says who is in time, late or refused; and a grant, noted in the place table.
 
 mod admission;
+mod baseline_choice;
 mod engine_limits;
 mod engine_view;
 mod engine_work;
 mod place_table;
-mod plain_choice;
 mod price;
 mod short_choice;
 mod timetable;
@@ -19,26 +19,24 @@
 
 use std::{collections, time};
 
-use crate::{
-    engine_place, ids, quota_ledger, return_line, route_table, send_pace, settings, units,
-};
+use crate::{engine_place, ids, quota_ledger, retry_line, route_table, send_pace, settings, units};
 
 /// Longest that a request waits; its member has given up long before.
-const WAIT_TIME: time::Duration = time::Duration::from_secs(30);
+const MAX_WAIT: time::Duration = time::Duration::from_secs(30);
 /// Part of all engines' slots that must be taken before a short request is refused; below it,
 /// engines that seem unusable may only have been slow.
-const FULL_PART: f64 = 0.6;
+const CROWDED_FRACTION: f64 = 0.6;
 /// Requests beyond its slots that an engine may get of those that come back.
-const RETURNED_EXTRA: usize = 2;
+const MAX_QUEUED_RETRIES: usize = 2;
 /// Slots that come free for each that one who comes back gets: some go to others that arrive meanwhile.
-const SLOT_SHARE: f64 = 2.0;
+const SLOTS_PER_RETRY: f64 = 2.0;
 /// Goals for the first token that a short request which came back waits for the leave of a limit: it is late by then.
-const RETURNED_GOALS: f64 = 2.0;
+const RETRY_WAIT_GOALS: f64 = 2.0;
 /// Shortest time after which a refused short request is asked back, milliseconds; spread by its
 /// member.
-const MIN_BACK_AFTER_MS: f64 = 300.0;
+const MIN_RETRY_AFTER_MS: f64 = 300.0;
 /// The latest, milliseconds.
-const MAX_BACK_AFTER_MS: f64 = 2_500.0;
+const MAX_RETRY_AFTER_MS: f64 = 2_500.0;
 
 /// How the planner weighs its choices.
 #[derive(Debug, Clone, Copy)]
@@ -64,9 +62,9 @@
     /// Requests without a place, in no order.
     waiting: Vec<waiting_job::WaitingJob>,
     /// Answers that another's ask brought about; they go out at the next look.
-    settled: Vec<engine_place::PlaceAnswer>,
+    ready_answers: Vec<engine_place::PlaceAnswer>,
     /// When those come back that limits keep from all engines.
-    returns: return_line::ReturnLine,
+    returns: retry_line::RetryLine,
 }
 
 impl ReadPlanner {
@@ -77,8 +75,8 @@
             table: place_table::PlaceTable::new(shape, options.ways.engine_faults),
             price: price::EnginePrice::default(),
             waiting: Vec::new(),
-            settled: Vec::new(),
-            returns: return_line::ReturnLine::default(),
+            ready_answers: Vec::new(),
+            returns: retry_line::RetryLine::default(),
         }
     }
 
@@ -144,7 +142,7 @@
             if self.table.limited_rate(&[]).is_some() {
                 // Permits are granted one by one: a request that asks as one is due queues after those that wait for it.
                 let answers = self.tick_short(now);
-                self.settled.extend(answers);
+                self.ready_answers.extend(answers);
             }
             let answer = self.place_short(now, &job);
             if answer.is_none() {
@@ -155,7 +153,7 @@
         self.price.note_demand(now, &self.table.shape, &job.ask);
         self.waiting.push(job);
         let (own, others) = self.plan_long(now).into_iter().partition(|answer| answer.job() == id);
-        self.settled.extend::<Vec<_>>(others);
+        self.ready_answers.extend::<Vec<_>>(others);
         let own: Vec<_> = own;
         own.into_iter().next()
     }
@@ -164,8 +162,8 @@
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<engine_place::PlaceAnswer> {
         self.table.expire(now);
         // Whoever still wants a place asks again within the lease time.
-        self.waiting.retain(|job| now.since(job.since) < WAIT_TIME);
-        let mut answers = std::mem::take(&mut self.settled);
+        self.waiting.retain(|job| now.since(job.since) < MAX_WAIT);
+        let mut answers = std::mem::take(&mut self.ready_answers);
         if self.waiting.is_empty() {
             return answers;
         }
@@ -281,7 +279,7 @@
         let views = self.table.views(now);
         if self.options.routing != settings::RoutingKind::ExpectedStart {
             let shape = &self.table.shape;
-            let grant = plain_choice::choose(shape, self.options.routing, now, job, &views)?;
+            let grant = baseline_choice::choose(shape, self.options.routing, now, job, &views)?;
             return self.take(now, &job.ask, grant);
         }
         let shape = &self.table.shape;
@@ -292,7 +290,7 @@
         }
         let grant = choice.choose(now, job, &views, false);
         if !job.ask.resumed {
-            self.price.press(now);
+            self.price.note_contention(now);
         }
         let Some(grant) = grant else {
             let refusal = self.refuse_limited(now, job);
@@ -306,7 +304,7 @@
 
     /// Whether a short request would stand in an engine's queue, or come late.
     fn is_crowded(&self, job: &waiting_job::WaitingJob, grant: &engine_place::PlaceGrant) -> bool {
-        let more = if job.ask.refusable { 0 } else { RETURNED_EXTRA };
+        let more = if job.ask.refusable { 0 } else { MAX_QUEUED_RETRIES };
         self.table.running_on(&grant.engine) >= self.table.shape.slots + more
             || grant.first_token_ms > job.ask.goal_ms * 2
     }
@@ -321,8 +319,8 @@
         grant: &engine_place::PlaceGrant,
     ) -> Option<engine_place::PlaceRefusal> {
         // Engines that it may not use have no places for it, however idle they are.
-        let (running, slots) = self.table.taken(&job.ask.excluded);
-        let full = running as f64 >= slots as f64 * FULL_PART;
+        let (running, slots) = self.table.used_slots(&job.ask.excluded);
+        let full = running as f64 >= slots as f64 * CROWDED_FRACTION;
         let hopeless = f64::from(grant.first_token_ms) > job.patience_ms(now);
         let crowded = self.options.ways.short_refusal == ways::ShortRefusalWay::Crowded
             && full
@@ -331,7 +329,7 @@
             return None;
         }
         let expected_ms = hopeless.then_some(f64::from(grant.first_token_ms));
-        Some(self.table.refusal(job.ask.job, self.room_ms(), expected_ms))
+        Some(self.table.refusal(job.ask.job, self.slot_retry_ms(), expected_ms))
     }
 
     /// Refuses a short request that limits keep from all engines for longer than it can wait: any until it is late, one
@@ -350,24 +348,25 @@
             self.is_short(&other.ask) && order(other) < order(job)
         };
         let ahead = self.waiting.iter().filter(ahead).count();
-        let wait_ms = self.table.soonest_permit_ms(now) + ahead as f64 * 1_000.0 / rate;
+        let wait_ms = self.table.next_permit_ms(now) + ahead as f64 * 1_000.0 / rate;
         let would_wait_ms = match (job.waited_ms(now) > 0.0, job.ask.refusable) {
             // Who was let into the line stays there.
             (true, _) => f64::INFINITY,
-            (false, true) => job.goal_left(now),
-            (false, false) => f64::from(job.ask.goal_ms) * RETURNED_GOALS,
+            (false, true) => job.goal_left_ms(now),
+            (false, false) => f64::from(job.ask.goal_ms) * RETRY_WAIT_GOALS,
         };
         if wait_ms <= would_wait_ms.min(job.patience_ms(now)) {
             return None;
         }
         let back = self.returns.next(now, rate);
         let back_ms = back.as_secs_f64() * 1_000.0;
-        Some(self.table.refusal(job.ask.job, back_ms.max(MIN_BACK_AFTER_MS), Some(wait_ms)))
+        Some(self.table.refusal(job.ask.job, back_ms.max(MIN_RETRY_AFTER_MS), Some(wait_ms)))
     }
 
     /// When a refused short request finds room, milliseconds: slots come free as answers end.
-    fn room_ms(&self) -> f64 {
-        (self.table.slot_ms() * SLOT_SHARE).clamp(MIN_BACK_AFTER_MS, MAX_BACK_AFTER_MS)
+    fn slot_retry_ms(&self) -> f64 {
+        (self.table.mean_slot_release_ms() * SLOTS_PER_RETRY)
+            .clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
     }
 
     /// Books all long prompts that wait; the answers of those that begin or are refused.
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -1,8 +1,8 @@
 //! Places in use: taken, renewed by their members, taken over from other planners, given back; and
 //! the work of every engine that follows from them.
 
-mod figures;
 mod occupancy;
+mod queries;
 
 use std::{collections, time};
 
@@ -15,7 +15,7 @@
 /// Leases that their member does not renew for so long are given up.
 const LEASE_TIME: time::Duration = time::Duration::from_millis(2_500);
 /// Part of an engine's memory that is given away.
-pub(crate) const MEMORY_PART: f64 = 0.96;
+pub(crate) const MEMORY_FRACTION: f64 = 0.96;
 
 /// Reports of idle engines that a planner requests a second.
 const IDLE_REPORTS: f64 = 8.0;
@@ -80,7 +80,7 @@
         let wanted: collections::BTreeSet<_> = names.iter().map(|(name, _)| name).collect();
         self.engines.retain(|name, _| wanted.contains(name));
         for (name, rank) in names {
-            let memory = (self.shape.memory.0 as f64 * MEMORY_PART) as u64;
+            let memory = (self.shape.memory.0 as f64 * MEMORY_FRACTION) as u64;
             self.engines
                 .entry(name.clone())
                 .or_insert_with(|| engine_work::EngineWork::new(*rank, memory, now));
--- a/crates/core/src/planner/place_table/figures.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -21,15 +21,16 @@
     }
 
     /// Requests that engines answer and could answer at once, of engines that are not `excluded`.
-    pub(crate) fn taken(&self, excluded: &[ids::UpstreamId]) -> (usize, usize) {
+    pub(crate) fn used_slots(&self, excluded: &[ids::UpstreamId]) -> (usize, usize) {
         let open = self.engines.iter().filter(|(name, _)| !excluded.contains(name));
-        let counts = open.map(|(name, engine)| (engine.answering.len(), self.places(name, engine)));
+        let counts =
+            open.map(|(name, engine)| (engine.answering.len(), self.usable_slots(name, engine)));
         counts.fold((0, 0), |(running, slots), one| (running + one.0, slots + one.1))
     }
 
     /// Requests that an engine could answer at once: as many as come to it within one answer where it has a limit, as
     /// its other places may not be used.
-    fn places(&self, name: &ids::UpstreamId, engine: &engine_work::EngineWork) -> usize {
+    fn usable_slots(&self, name: &ids::UpstreamId, engine: &engine_work::EngineWork) -> usize {
         let answering = engine.answering.len();
         let Some(rate) = self.limits.rate(name) else {
             return self.shape.slots;
@@ -39,7 +40,7 @@
     }
 
     /// Time until the first limit lets another request through, milliseconds.
-    pub(crate) fn soonest_permit_ms(&self, now: units::MonoTime) -> f64 {
+    pub(crate) fn next_permit_ms(&self, now: units::MonoTime) -> f64 {
         let times = self.engines.keys().map(|name| self.limits.times(now, name).wait_ms);
         times.fold(f64::INFINITY, f64::min)
     }
@@ -58,7 +59,7 @@
         back_after_ms: f64,
         expected_ms: Option<f64>,
     ) -> engine_place::PlaceRefusal {
-        let (running, slots) = self.taken(&[]);
+        let (running, slots) = self.used_slots(&[]);
         engine_place::PlaceRefusal {
             job,
             back_after_ms: back_after_ms as u32,
@@ -139,7 +140,7 @@
 
     /// Mean time until one of those who write with tight pauses has ended, milliseconds; endless
     /// where nobody does.
-    pub(crate) fn slot_ms(&self) -> f64 {
+    pub(crate) fn mean_slot_release_ms(&self) -> f64 {
         let writing = self.jobs.values().filter(|state| state.lease.ask.tight);
         let writing = writing.filter(|state| state.writing_since.is_some()).count();
         self.answer_ms / writing as f64
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -5,7 +5,7 @@
 use crate::{engine_place, pass_model, planner::waiting_job, route_table, units};
 
 /// Time after a short request found no calm place during which others are taken to find none.
-const PRESSED_TIME: time::Duration = time::Duration::from_millis(700);
+const CONTENTION_TIME: time::Duration = time::Duration::from_millis(700);
 /// Tokens of a short request's answer, for what an engine could do instead of reading.
 const SHORT_ANSWER: u64 = 1_700;
 
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct EnginePrice {
     /// Until when short requests are taken to find no room.
-    pressed_until: units::MonoTime,
+    contended_until: units::MonoTime,
     /// Engine time that earned as much as one short request with the long prompts that were read
     /// lately, milliseconds.
     ms_per_worth: f64,
@@ -39,7 +39,7 @@
 impl Default for EnginePrice {
     fn default() -> Self {
         Self {
-            pressed_until: units::MonoTime::default(),
+            contended_until: units::MonoTime::default(),
             ms_per_worth: FIRST_MS_PER_WORTH,
             demand_ms: 0.0,
             demand_count: 0.0,
@@ -111,18 +111,18 @@
     }
 
     /// Notes that a short request found no calm place.
-    pub(crate) fn press(&mut self, now: units::MonoTime) {
-        self.pressed_until = now + PRESSED_TIME;
+    pub(crate) fn note_contention(&mut self, now: units::MonoTime) {
+        self.contended_until = now + CONTENTION_TIME;
     }
 
     /// Whether a long prompt earns more than the short requests that its reading turns away.
-    pub(crate) fn is_earned(
+    pub(crate) fn is_worth_reading(
         &self,
         now: units::MonoTime,
         shape: &route_table::EngineShape,
         job: &waiting_job::WaitingJob,
     ) -> bool {
-        if job.ask.resumed || now >= self.pressed_until {
+        if job.ask.resumed || now >= self.contended_until {
             return true;
         }
         let seconds = pass_model::read_ms(shape, job.ask.prompt) / 1_000.0;
--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -8,9 +8,9 @@
 };
 
 /// Part of a short goal that a plan may use on the engine.
-const GOAL_PART: f64 = 0.75;
+const GOAL_FRACTION: f64 = 0.75;
 /// Part of a short goal within which a sooner start earns nothing.
-const EASY_PART: f64 = 0.55;
+const NO_LOSS_GOAL_FRACTION: f64 = 0.55;
 /// Losses by which short requests are ordered onto engines, in shares of one's worth: for each
 /// writer missing to the packing, for each beyond it, for each long one beside, for a pause that
 /// is too long already, for an engine without a free slot.
@@ -38,13 +38,13 @@
 }
 
 impl ShortChoice<'_> {
-    /// The engine that loses least; with `calm` only one that is in time and delays no other request.
+    /// The engine that loses least; with `strict` only one that is in time and delays no other request.
     pub(crate) fn choose(
         &self,
         now: units::MonoTime,
         job: &waiting_job::WaitingJob,
         views: &[engine_view::EngineView<'_>],
-        calm: bool,
+        strict: bool,
     ) -> Option<engine_place::PlaceGrant> {
         let part = pass_model::read_ms(self.shape, job.ask.prompt);
         let usable = engine_view::usable(views, &job.ask);
@@ -52,7 +52,7 @@
             .into_iter()
             .map(|at| &views[at])
             .filter(|view| view.has_permit())
-            .filter(|view| !calm || self.is_calm(view, &job.ask, part))
+            .filter(|view| !strict || self.meets_limits(view, &job.ask, part))
             .min_by(|left, right| {
                 let loss = self.loss(left, &job.ask, part);
                 loss.total_cmp(&self.loss(right, &job.ask, part)).then(left.rank.cmp(&right.rank))
@@ -68,7 +68,7 @@
     }
 
     /// Whether an engine can read a prompt at once without delaying other requests.
-    fn is_calm(
+    fn meets_limits(
         &self,
         view: &engine_view::EngineView<'_>,
         ask: &engine_place::PlaceAsk,
@@ -76,9 +76,9 @@
     ) -> bool {
         let pass = (view.steps_ms + view.pending_ms + part) * view.pace;
         view.answering < self.shape.slots
-            && pass <= f64::from(ask.pause_ms) * engine_view::PAUSE_PART
-            && view.first_ms(part) <= f64::from(ask.goal_ms) * GOAL_PART
-            && view.harm(part) <= 0.0
+            && pass <= f64::from(ask.pause_ms) * engine_view::PAUSE_FRACTION
+            && view.first_ms(part) <= f64::from(ask.goal_ms) * GOAL_FRACTION
+            && view.pause_loss(part) <= 0.0
     }
 
     /// Cost of reading a prompt on an engine, in shares of a short one's worth.
@@ -90,7 +90,7 @@
     ) -> f64 {
         let wait = (view.pending_ms + view.steps_ms + part) * view.pace;
         let full = if view.answering >= self.shape.slots { FULL_LOSS } else { 0.0 };
-        let pause_limit = f64::from(ask.pause_ms) * engine_view::PAUSE_PART;
+        let pause_limit = f64::from(ask.pause_ms) * engine_view::PAUSE_FRACTION;
         let paused = if wait > pause_limit { PAUSED_LOSS } else { 0.0 };
         let fill = match self.packed_writers {
             Some(packed) if view.tight < packed => (packed - view.tight) as f64 * PACK_LOSS,
@@ -100,9 +100,9 @@
         let foreign = view.foreign as f64 * FOREIGN_LOSS;
         let beside = (view.answering - view.tight - view.foreign) as f64 * BESIDE_LOSS;
         // Time that the goal leaves anyway costs nothing.
-        let easy = f64::from(ask.goal_ms) * EASY_PART;
+        let easy = f64::from(ask.goal_ms) * NO_LOSS_GOAL_FRACTION;
         let slow = (view.first_ms(part) - easy).max(0.0) / 1_000.0;
         let pace = (view.pace - 1.0).max(0.0) * PACE_LOSS;
-        view.harm(part) + slow + full + paused + fill + foreign + beside + pace
+        view.pause_loss(part) + slow + full + paused + fill + foreign + beside + pace
     }
 }
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -22,15 +22,15 @@
 /// Parts up to this length may be read before a short prompt that waits on the same engine.
 const SHORT_PART_MS: f64 = 60.0;
 /// A prompt that leaves its engine less than this part of the memory is held by several.
-const ALONE_PART: f64 = 0.85;
+const SINGLE_HOST_FRACTION: f64 = 0.85;
 /// Largest part of an engine's free memory that is set aside for a prompt answered elsewhere.
-const HELD_PART: f64 = 0.9;
+const MAX_HELD_FRACTION: f64 = 0.9;
 /// Tokens below which setting memory aside is not worth an order.
 const MIN_HELD_TOKENS: u64 = 4_096;
 /// Cost of an engine without writers as the one that answers, in short writers.
-const FRESH_HOST: f64 = 0.5;
+const FRESH_HOST_COST: f64 = 0.5;
 /// Reading that waits there and weighs as much as one short writer, milliseconds.
-const HOST_PENDING_MS: f64 = 100.0;
+const PENDING_MS_PER_REQUEST: f64 = 100.0;
 /// Cost of an engine for each request with tight pauses there, milliseconds of delay.
 const TIGHT_COST_MS: f64 = 20.0;
 
@@ -62,11 +62,11 @@
 }
 
 /// A part that one engine might read.
-struct ReadingRow {
+struct PartCandidate {
     /// The engine's place in the timetable.
     at: usize,
     /// Worth that others lose by pauses there.
-    harm: f64,
+    pause_loss: f64,
     /// Time until the part may begin, milliseconds.
     start_ms: f64,
     /// Time until it has been read, milliseconds.
@@ -98,10 +98,10 @@
 
     /// The cheapest reading of a prompt after all that is booked, at most this much worth
     /// lost by others; `None` where no engine may be used.
-    pub(crate) fn soonest(
+    pub(crate) fn cheapest(
         &self,
         ask: &engine_place::PlaceAsk,
-        max_harm: f64,
+        max_loss: f64,
     ) -> Option<ReadBooking> {
         let usable = engine_view::usable(&self.views, ask);
         let most = usable.len().min(engine_place::MAX_HELPERS + 1);
@@ -110,7 +110,7 @@
             .iter()
             .filter(|parts| **parts <= most)
             .filter(|parts| **parts == 1 || whole / **parts as f64 >= MIN_PART_MS)
-            .filter_map(|parts| self.in_parts(&usable, whole / *parts as f64, *parts, max_harm))
+            .filter_map(|parts| self.split_into(&usable, whole / *parts as f64, *parts, max_loss))
             .min_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms))
     }
 
@@ -118,29 +118,29 @@
     pub(crate) fn can_hold(&self, ask: &engine_place::PlaceAsk) -> bool {
         let engines =
             engine_view::usable(&self.views, ask).len().min(engine_place::MAX_HELPERS + 1);
-        let others = engines.saturating_sub(1) as f64 * HELD_PART;
-        (ask.prompt + ask.output) as f64 <= self.capacity() * (ALONE_PART + others)
+        let others = engines.saturating_sub(1) as f64 * MAX_HELD_FRACTION;
+        (ask.prompt + ask.output) as f64 <= self.capacity() * (SINGLE_HOST_FRACTION + others)
     }
 
     /// Tokens of one engine's memory that are given away.
     fn capacity(&self) -> f64 {
-        self.shape.memory.0 as f64 * place_table::MEMORY_PART
+        self.shape.memory.0 as f64 * place_table::MEMORY_FRACTION
     }
 
     /// The best reading in this number of parts.
-    fn in_parts(
+    fn split_into(
         &self,
         usable: &[usize],
         part: f64,
         parts: usize,
-        max_harm: f64,
+        max_loss: f64,
     ) -> Option<ReadBooking> {
         let mut rows: Vec<_> = usable
             .iter()
             .filter(|at| part <= SHORT_PART_MS || self.views[**at].unread == 0)
             .filter(|at| self.views[**at].permit.wait_ms.is_finite())
-            .map(|at| self.reading_row(*at, part))
-            .filter(|row| row.harm <= max_harm)
+            .map(|at| self.part_candidate(*at, part))
+            .filter(|row| row.pause_loss <= max_loss)
             .collect();
         if rows.len() < parts {
             return None;
@@ -150,8 +150,8 @@
             left.cost_ms.total_cmp(&right.cost_ms).then_with(rank)
         });
         rows.truncate(parts);
-        let harm: f64 = rows.iter().map(|row| row.harm).sum();
-        if harm > max_harm {
+        let pause_loss: f64 = rows.iter().map(|row| row.pause_loss).sum();
+        if pause_loss > max_loss {
             return None;
         }
         let start_ms = rows.iter().map(|row| row.start_ms).fold(0.0, f64::max);
@@ -161,24 +161,26 @@
             .iter()
             .map(|row| row.first_ms.max(start_ms + self.views[row.at].own_ms(part)))
             .fold(0.0, f64::max);
-        let taken: f64 = rows.iter().map(|row| first_ms - row.start_ms - part + PART_COST_MS).sum();
+        let overhead_ms: f64 =
+            rows.iter().map(|row| first_ms - row.start_ms - part + PART_COST_MS).sum();
         let behind = (1 + self.waiting) as f64 / self.views.len() as f64;
-        let cost_ms = first_ms + (taken + harm * self.ms_per_worth) * behind;
+        let cost_ms = first_ms + (overhead_ms + pause_loss * self.ms_per_worth) * behind;
         let engines = rows.iter().map(|row| row.at).collect();
         Some(ReadBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
     }
 
     /// A part read on one engine: when it may begin there, and its cost.
-    fn reading_row(&self, at: usize, part: f64) -> ReadingRow {
+    fn part_candidate(&self, at: usize, part: f64) -> PartCandidate {
         let view = &self.views[at];
         let own = view.own_ms(part);
-        let harm = view.harm(part);
+        let pause_loss = view.pause_loss(part);
         let start_ms = (view.unread_ms * view.pace).max(view.permit.wait_ms);
         let first_ms = view.first_ms(part).max(start_ms + own);
         let steps = if view.answering > 0 { view.steps_ms * view.pace } else { 0.0 };
         let passes = start_ms.max(view.wait_ms * view.pace) + steps;
-        let cost_ms = passes + view.sensitive() as f64 * TIGHT_COST_MS + harm * self.ms_per_worth;
-        ReadingRow { at, harm, start_ms, first_ms, cost_ms }
+        let cost_ms =
+            passes + view.sensitive() as f64 * TIGHT_COST_MS + pause_loss * self.ms_per_worth;
+        PartCandidate { at, pause_loss, start_ms, first_ms, cost_ms }
     }
 
     /// Notes a reading as booked: what is asked for next comes after it.
@@ -203,7 +205,7 @@
     ) -> Option<engine_place::PlaceGrant> {
         let ask = &job.ask;
         let capacity = self.capacity() as u64;
-        let alone = (ask.prompt + ask.output) as f64 <= capacity as f64 * ALONE_PART;
+        let alone = (ask.prompt + ask.output) as f64 <= capacity as f64 * SINGLE_HOST_FRACTION;
         let at = self.pick_host(ask, booking, alone, forced)?;
         let held = if alone { Vec::new() } else { self.hold(ask, at, booking, capacity)? };
         let set_aside: u64 = held.iter().map(|part| part.tokens).sum();
@@ -235,8 +237,8 @@
         // reading for steps.
         let cost = |at: usize| {
             let view = &self.views[at];
-            let fresh = if view.answering == 0 { FRESH_HOST } else { 0.0 };
-            view.sensitive() as f64 + fresh + view.unread_ms / HOST_PENDING_MS
+            let fresh = if view.answering == 0 { FRESH_HOST_COST } else { 0.0 };
+            view.sensitive() as f64 + fresh + view.unread_ms / PENDING_MS_PER_REQUEST
         };
         let engines = || booking.engines.iter().copied();
         let free = engines()
@@ -256,7 +258,7 @@
         booking: &ReadBooking,
         capacity: u64,
     ) -> Option<Vec<engine_place::HeldPart>> {
-        let own = self.views[host].free.min((capacity as f64 * ALONE_PART) as u64);
+        let own = self.views[host].free.min((capacity as f64 * SINGLE_HOST_FRACTION) as u64);
         let mut left = (ask.prompt + ask.output).saturating_sub(own);
         let others = booking.engines.iter().filter(|at| **at != host);
         let mut others: Vec<_> = others.map(|at| &self.views[*at]).collect();
@@ -266,7 +268,8 @@
             if left == 0 {
                 break;
             }
-            let tokens = left.min((view.free as f64 * HELD_PART) as u64).max(MIN_HELD_TOKENS);
+            let tokens =
+                left.min((view.free as f64 * MAX_HELD_FRACTION) as u64).max(MIN_HELD_TOKENS);
             if view.free < tokens {
                 continue;
             }
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -73,7 +73,8 @@
     data_center: &ids::DataCenterId,
 ) -> Option<&'a fleet_list::InstanceRecord> {
     let near = list.live_instances().filter(|instance| instance.data_center == *data_center);
-    best(engine.as_str(), near).or_else(|| best(engine.as_str(), list.live_instances()))
+    highest_ranked(engine.as_str(), near)
+        .or_else(|| highest_ranked(engine.as_str(), list.live_instances()))
 }
 
 /// The instance whose scheduler keeps a customer's token budget.
@@ -81,7 +82,7 @@
     list: &'a fleet_list::FleetList,
     customer: &ids::CustomerId,
 ) -> Option<&'a fleet_list::InstanceRecord> {
-    best(customer.as_str(), list.live_instances())
+    highest_ranked(customer.as_str(), list.live_instances())
 }
 
 /// The live instances of a data centre in an order all processes agree on.
@@ -93,7 +94,7 @@
     ranked(data_center.as_str(), near, |instance| instance.name.as_str())
 }
 
-fn best<'a>(
+fn highest_ranked<'a>(
     subject: &str,
     instances: impl Iterator<Item = &'a fleet_list::InstanceRecord>,
 ) -> Option<&'a fleet_list::InstanceRecord> {
--- a/crates/core/src/search_budget.rs
+++ b/crates/core/src/search_budget.rs
@@ -7,26 +7,26 @@
 /// Cells tried without drawing on the budget.
 const FREE_CELLS: usize = 2;
 /// Budget added by each request.
-const EXTRA_EACH: f64 = 0.25;
+const BUDGET_PER_REQUEST: f64 = 0.25;
 /// Largest budget.
-const EXTRA_MOST: f64 = 24.0;
+const MAX_BUDGET: f64 = 24.0;
 
 /// The search budget of an instance.
 #[derive(Debug)]
 pub struct SearchBudget {
-    extra: f64,
+    available: f64,
 }
 
 impl Default for SearchBudget {
     fn default() -> Self {
-        Self { extra: EXTRA_MOST }
+        Self { available: MAX_BUDGET }
     }
 }
 
 impl SearchBudget {
     /// Adds the budget of a request.
     pub fn note_request(&mut self) {
-        self.extra = (self.extra + EXTRA_EACH).min(EXTRA_MOST);
+        self.available = (self.available + BUDGET_PER_REQUEST).min(MAX_BUDGET);
     }
 
     /// Whether a request that was refused by this number of cells tries another one; draws on the budget.
@@ -34,8 +34,8 @@
         if refused < FREE_CELLS {
             return true;
         }
-        let has_room = self.extra >= 1.0;
-        self.extra -= f64::from(u8::from(has_room));
+        let has_room = self.available >= 1.0;
+        self.available -= f64::from(u8::from(has_room));
         has_room
     }
 }
--- a/crates/core/src/service_rank.rs
+++ b/crates/core/src/service_rank.rs
@@ -49,16 +49,16 @@
 }
 
 /// Time over which use is remembered.
-const MEMORY: time::Duration = time::Duration::from_secs(20);
+const USAGE_WINDOW: time::Duration = time::Duration::from_secs(20);
 /// Use beyond an equal share that is still inside it; a few long prompts come by chance.
-const TOLERANCE: f64 = 2.0;
+const SHARE_TOLERANCE: f64 = 2.0;
 /// Use below this part of the engine's work is that of a customer that has gone.
-const FORGOTTEN: f64 = 0.001;
+const IDLE_FRACTION: f64 = 0.001;
 
 /// Work that each customer has had of one engine lately.
 #[derive(Debug, Default)]
 pub struct ShareMeter {
-    /// Tokens over weight, decaying over [`MEMORY`], as of the time given.
+    /// Tokens over weight, decaying over [`USAGE_WINDOW`], as of the time given.
     used: collections::HashMap<ids::CustomerId, (f64, units::MonoTime)>,
 }
 
@@ -83,10 +83,10 @@
         customer: &ids::CustomerId,
         rate: units::TokenRate,
     ) -> bool {
-        let whole = rate.0 * MEMORY.as_secs_f64();
-        self.used.retain(|_, (used, since)| decayed(*used, *since, now) > whole * FORGOTTEN);
+        let whole = rate.0 * USAGE_WINDOW.as_secs_f64();
+        self.used.retain(|_, (used, since)| decayed(*used, *since, now) > whole * IDLE_FRACTION);
         let active = self.used.len().max(1) as f64;
-        self.used(now, customer) > whole / active * TOLERANCE
+        self.used(now, customer) > whole / active * SHARE_TOLERANCE
     }
 
     fn used(&self, now: units::MonoTime, customer: &ids::CustomerId) -> f64 {
@@ -95,5 +95,5 @@
 }
 
 fn decayed(used: f64, since: units::MonoTime, now: units::MonoTime) -> f64 {
-    used * (-now.since(since).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+    used * (-now.since(since).as_secs_f64() / USAGE_WINDOW.as_secs_f64()).exp()
 }
--- a/crates/core/tests/class_worth.rs
+++ b/crates/core/tests/class_worth.rs
@@ -2,10 +2,10 @@
 
 use std::time;
 
-use slipturn_core::class_worth::{ClassWorth, WorthAsk};
+use slipturn_core::class_worth::{ClassWorth, WorthQuery};
 
 fn worth(classes: &mut ClassWorth, class: &str, prompt: u64, goal: u64, shortest: u64) -> f64 {
-    classes.count(&WorthAsk {
+    classes.count(&WorthQuery {
         class: &class.parse().expect("a valid name"),
         service: &"service".parse().expect("a valid name"),
         prompt,
--- a/crates/core/tests/return_line.rs
+++ b/crates/core/tests/retry_line.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use slipturn_core::{return_line::ReturnLine, send_pace::PaceBound, units};
+use slipturn_core::{retry_line::RetryLine, send_pace::PaceBound, units};
 
 fn at(millis: u64) -> units::MonoTime {
     units::MonoTime::from_span(time::Duration::from_millis(millis))
@@ -11,7 +11,7 @@
 /// At half the pace of what is let through, one behind the other; a line that has passed begins anew.
 #[test]
 fn callers_come_back_one_behind_the_other_at_half_the_pace() {
-    let mut line = ReturnLine::default();
+    let mut line = RetryLine::default();
     let backs: Vec<_> = (0..4).map(|_| line.next(at(1_000), 4.0).as_millis()).collect();
     assert_eq!(backs, [500, 1_000, 1_500, 2_000]);
     assert_eq!(line.next(at(9_000), 4.0).as_millis(), 500);
@@ -21,7 +21,7 @@
 /// five.
 #[test]
 fn a_long_line_ends_within_ten_seconds_and_is_spread() {
-    let mut line = ReturnLine::default();
+    let mut line = RetryLine::default();
     let backs: Vec<_> = (0..1_000).map(|_| line.next(at(0), 2.0)).collect();
     assert!(backs.iter().all(|back| *back <= time::Duration::from_secs(10)));
     let late: Vec<_> = backs.iter().skip(100).collect();
--- a/crates/core/tests/start_wait.rs
+++ b/crates/core/tests/start_wait.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use slipturn_core::start_wait::{StartContact, goes_on};
+use slipturn_core::start_wait::{StartContact, keeps_waiting};
 
 const PATIENCE: time::Duration = time::Duration::from_secs(10);
 
@@ -11,7 +11,7 @@
 }
 
 fn waits(contact: StartContact, age: u64) -> bool {
-    goes_on(contact, at(age), at(0), PATIENCE)
+    keeps_waiting(contact, at(age), at(0), PATIENCE)
 }
 
 #[test]
@@ -28,6 +28,6 @@
 #[test]
 fn it_waits_for_a_part_of_its_callers_patience_only() {
     let short = time::Duration::from_millis(1_500);
-    assert!(goes_on(StartContact::Source, at(500), at(400), short));
-    assert!(!goes_on(StartContact::Source, at(500), at(500), short));
+    assert!(keeps_waiting(StartContact::Source, at(500), at(400), short));
+    assert!(!keeps_waiting(StartContact::Source, at(500), at(500), short));
 }
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -85,7 +85,7 @@
             }
             EntryEvent::WantsOffers(answer) => reply(answer, router.wants_offers()),
             EntryEvent::DirectShare(engine, answer) => {
-                reply(answer, router.direct_share(&engine));
+                reply(answer, router.may_send_unleased(&engine));
             }
             EntryEvent::Started(place) => self.start(place),
             EntryEvent::Ended(attempt, engine) => self.end(&attempt, &engine),
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -269,7 +269,7 @@
             return;
         }
         let contact = start_contact(context, now);
-        if !start_wait::goes_on(contact, age, now.since(arrived), patience) {
+        if !start_wait::keeps_waiting(contact, age, now.since(arrived), patience) {
             return;
         }
         monoio::time::sleep(KNOWN_POLL).await;
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -101,7 +101,7 @@
     let own = call.route.first_token_goal;
     let fleet = context.fleet.borrow();
     let shortest = fleet.routes.goals(&call.service).map_or(own, |goals| goals.first_token);
-    let ask = class_worth::WorthAsk {
+    let ask = class_worth::WorthQuery {
         class: &call.route.name,
         service: &call.service,
         prompt: call.request.prompt,
