--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -1,7 +1,8 @@
-//! Which long prompts are read in time, which late, and which are refused at once.
+//! Admission of long prompts: which are prefilled in time, which run late and which are refused.
 //!
-//! All that wait are booked in the order in which they are due. Where one would miss its time, the one
-//! whose engine time earns least gives way: out of time it becomes late, and late it is refused.
+//! All waiting prompts are scheduled by due time, earliest first. If one of them would miss its due time, the prompt
+//! with the lowest value per engine time is displaced: a prompt that could still be in time becomes late, and a late
+//! one is refused.
 
 use crate::{
     engine_place, pass_model,
@@ -9,30 +10,31 @@
     units,
 };
 
-/// Part of what is at stake for a long prompt that its reading may cost others.
+/// Largest loss that the prefill of a long prompt may cause to other requests, as a fraction of what the prompt
+/// itself loses by missing its due time.
 const MAX_LOSS_FRACTION: f64 = 0.5;
-/// The same for one that comes late: its caller waits anyway.
+/// The same fraction for a late prompt, which can afford to wait.
 const LATE_MAX_LOSS_FRACTION: f64 = 0.12;
-/// Shortest and latest time after which a refused prompt is asked back, milliseconds; callers obey
-/// up to a third of their time.
+/// Bounds of the retry delay given to a refused prompt, milliseconds. Callers obey a delay of up to a third of their
+/// time limit.
 const RETRY_AFTER_RANGE_MS: (f64, f64) = (300.0, 5_000.0);
 
-/// A prompt that gives way.
+/// A prompt that could be displaced in favor of others.
 struct DisplacedPrompt {
-    /// Its place in the list of those that wait.
+    /// Index into the waiting prompts.
     at: usize,
-    /// When its first token was expected, milliseconds.
+    /// Expected time until its first token, milliseconds.
     expected_ms: f64,
 }
 
-/// A reading that could be booked.
+/// A prefill that could be booked on the timetable.
 struct ReadCandidate {
     booking: timetable::ReadBooking,
-    /// Whether it may begin; others would suffer too much otherwise.
+    /// Whether it may start; `false` if it would cost other requests too much.
     allowed: bool,
 }
 
-/// One look at the long prompts that wait.
+/// Context of one planning round for long prompts.
 pub(crate) struct ReadAdmission<'a> {
     pub(crate) table: &'a place_table::PlaceTable,
     pub(crate) price: &'a price::EnginePrice,
@@ -41,9 +43,9 @@
 }
 
 impl ReadAdmission<'_> {
-    /// Books all long prompts that wait, and says which begin or are refused.
+    /// Schedules all waiting long prompts and returns the grants and refusals.
     ///
-    /// `jobs` are changed where one becomes late.
+    /// Updates the `late` and `admitted_late` flags of `jobs`.
     pub(crate) fn plan(
         &self,
         jobs: &mut [&mut waiting_job::WaitingJob],
@@ -51,13 +53,14 @@
         let views = self.table.views(self.now);
         let tight: usize = views.iter().map(engine_view::EngineView::sensitive).sum();
         let usable = views.iter().filter(|view| !view.ejected && view.has_permit()).count();
-        // Engines that short requests leave to long ones.
+        // Engines left to long prompts once short requests are packed onto the fewest.
         let free = usable.saturating_sub(tight.div_ceil(self.packed_writers));
         let mut answers = Vec::new();
-        // Engines may be free sooner than they were expected to be.
+        // Lateness is decided anew, because engines may be free earlier than expected.
         jobs.iter_mut().for_each(|job| job.late = job.goal_left_ms(self.now) <= 0.0);
         let worth_reading = |at: &usize| {
-            // Short requests take the engines of less valuable ones for an unknown time.
+            // A prompt worth less than the short requests that it turns away is not scheduled: it is unknown how
+            // long these will occupy the engines.
             self.price.is_worth_reading(self.now, &self.table.shape, jobs[*at])
         };
         let mut order: Vec<_> = (0..jobs.len()).filter(worth_reading).collect();
@@ -81,8 +84,9 @@
             let job = &mut jobs[displaced.at];
             let hopeless = job.late;
             job.late = true;
-            // What comes late waits for others that arrive meanwhile, too; once it is kept, it stays
-            // as long as it can.
+            // A late prompt also waits for prompts that arrive after it, so its expected time grows with the load.
+            // The load is counted only the first time: a prompt that was admitted late stays as long as its caller
+            // would still get an answer.
             let reading = self.price.load(self.now, free, &self.table.shape, &job.ask);
             let rate = self.table.limited_rate(&job.ask.excluded);
             let limited = rate.map_or(0.0, |rate| self.price.limited_load(self.now, rate));
@@ -112,12 +116,12 @@
                 continue;
             };
             if !timetable.can_hold(&job.ask) && !job.ask.resumed {
-                // Nobody else's giving way would help.
+                // Displacing another prompt would not help.
                 return Err(DisplacedPrompt { at: *at, expected_ms: f64::INFINITY });
             }
             let missed = booking.first_ms > job.due_ms(self.now) && !job.ask.resumed;
             if !missed && !allowed {
-                // It waits until it delays no other request.
+                // It waits for a start that costs others less.
                 continue;
             }
             booked.push(DisplacedPrompt { at: *at, expected_ms: booking.first_ms });
@@ -135,8 +139,14 @@
         Ok(grants)
     }
 
-    /// The best reading that is in time and costs others less than what is at stake; else the one
-    /// that shows how late it would be.
+    /// Returns the best prefill, in this order of preference:
+    ///
+    /// 1. one that is in time and costs other requests nothing,
+    /// 2. one that is in time and costs them less than the allowed fraction of the prompt's own loss,
+    /// 3. a late one that costs them nothing,
+    /// 4. any other, which must not start and only serves to estimate the first token.
+    ///
+    /// A resumed request may always start.
     fn best_read(
         &self,
         timetable: &timetable::ReadTimetable<'_>,
@@ -160,8 +170,9 @@
         forced().map(|booking| ReadCandidate { booking, allowed: false })
     }
 
-    /// Of prompts that cannot all be in time, the one whose engine time earns least, of equal ones the one that has
-    /// waited least; the last of `booked` is the one that missed.
+    /// Picks the prompt to displace: the one with the lowest value per engine time, and among equals the newest.
+    ///
+    /// The last of `booked` is the one that misses its due time.
     fn pick_displaced(
         &self,
         jobs: &[&mut waiting_job::WaitingJob],
@@ -174,14 +185,14 @@
         let worst = (0..booked.len()).filter(|at| !jobs[booked[*at].at].ask.resumed).min_by(
             |left, right| {
                 let since = |at: usize| jobs[booked[at].at].since;
-                let earns = density(&booked[*left]).total_cmp(&density(&booked[*right]));
-                earns.then(since(*right).cmp(&since(*left)))
+                let by_density = density(&booked[*left]).total_cmp(&density(&booked[*right]));
+                by_density.then(since(*right).cmp(&since(*left)))
             },
         );
         booked.swap_remove(worst.unwrap_or(booked.len() - 1))
     }
 
-    /// Refuses a request: it may come back when there is room for it.
+    /// Builds a refusal with a retry delay of about the expected time to the first token.
     fn refuse(&self, ask: &engine_place::PlaceAsk, expected_ms: f64) -> engine_place::PlaceRefusal {
         let back_after_ms = expected_ms.clamp(RETRY_AFTER_RANGE_MS.0, RETRY_AFTER_RANGE_MS.1);
         let expected_ms = Some(expected_ms).filter(|expected| expected.is_finite());
--- a/crates/core/src/planner/baseline_choice.rs
+++ b/crates/core/src/planner/baseline_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a plain router, to compare with: one engine, at once, without helpers.
+//! Baseline routing policies for comparison: each picks one engine at once, without helpers.
 
 use crate::{
     engine_place, pass_model,
@@ -6,7 +6,7 @@
     route_table, settings, units,
 };
 
-/// The engine that a plain router takes; `None` where there is none.
+/// Grants the engine that a baseline policy picks; `None` if no engine may be used.
 pub(crate) fn choose(
     shape: &route_table::EngineShape,
     routing: settings::RoutingKind,
--- a/crates/core/src/planner/engine_limits.rs
+++ b/crates/core/src/planner/engine_limits.rs
@@ -1,30 +1,29 @@
-//! Engines with a rate limit for all instances: what this process may grant of it, and what another
-//! one keeps.
+//! Fleet-wide rate limits of engines: those that this process enforces, and those that another process enforces.
 
 use std::{collections, time};
 
 use crate::{ids, quota_ledger, send_pace, units};
 
-/// Time until an engine's limit lets a request through, and between two of them, milliseconds.
+/// When an engine's rate limit permits requests, milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct PermitTimes {
-    /// 0 without a limit, endless where another process keeps it.
+    /// Time until the next permit: 0 without a limit, infinite if another process enforces it.
     pub(crate) wait_ms: f64,
-    /// 0 without a limit.
+    /// Time between two permits; 0 without a limit.
     pub(crate) interval_ms: f64,
 }
 
-/// The limits of one planner's engines.
+/// Rate limits of one planner's engines.
 #[derive(Debug, Default)]
 pub(crate) struct EngineLimits {
-    /// Those that this process keeps.
+    /// Permits of the limits that this process enforces.
     pub(crate) permits: quota_ledger::QuotaLedger<ids::UpstreamId>,
-    /// Engines whose limit another process keeps.
+    /// Engines whose limit another process enforces.
     elsewhere: collections::BTreeSet<ids::UpstreamId>,
 }
 
 impl EngineLimits {
-    /// Sets which engines have a limit.
+    /// Replaces the limits.
     pub(crate) fn set(
         &mut self,
         now: units::MonoTime,
@@ -35,13 +34,13 @@
         self.elsewhere = elsewhere;
     }
 
-    /// Requests a second that an engine gets from here; `None` without a limit.
+    /// Requests per second that this planner may send to an engine; `None` without a limit.
     pub(crate) fn rate(&self, engine: &ids::UpstreamId) -> Option<f64> {
         let kept = self.permits.bound(engine).map(|bound| bound.rate.per_second());
         kept.or_else(|| self.elsewhere.contains(engine).then_some(0.0))
     }
 
-    /// When an engine may get requests.
+    /// When this planner may send requests to an engine.
     pub(crate) fn times(&self, now: units::MonoTime, engine: &ids::UpstreamId) -> PermitTimes {
         let millis = |span: time::Duration| span.as_secs_f64() * 1_000.0;
         match (self.permits.wait(now, engine), self.permits.bound(engine)) {
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Grants a permit for each of these engines that has a limit; returns which of them do.
+    /// Takes a permit for each of these engines that has a limit, and returns those engines.
     pub(crate) fn take<'a>(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -1,75 +1,77 @@
-//! Engines as one decision of the planner sees them. Times are milliseconds as `f64`, see
+//! Snapshots of engines for one decision of the planner. Times are milliseconds as `f64`, see
 //! [`crate::pass_model`].
 
 use crate::{engine_place, ids, planner::engine_limits};
 
-/// An engine as one decision sees it.
+/// The state of an engine at the time of one decision, including what that decision has booked on it.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineView<'a> {
     pub(crate) name: &'a ids::UpstreamId,
+    /// Tie-breaker that is the same on every member.
     pub(crate) rank: u64,
-    /// Whether it failed lately and is left alone.
+    /// Whether it is excluded for a while after a recent failure or refusal.
     pub(crate) ejected: bool,
     /// Time until its next pass begins, milliseconds.
     pub(crate) wait_ms: f64,
-    /// Reading that waits for that pass, milliseconds.
+    /// Prefill time that is queued for that pass, milliseconds.
     pub(crate) pending_ms: f64,
-    /// Time until all that is to be read there has been read, milliseconds.
+    /// Time until all prefill that is running or queued there is complete, milliseconds.
     pub(crate) unread_ms: f64,
-    /// Steps of a pass there, milliseconds.
+    /// Time of the decode steps of one pass, milliseconds.
     pub(crate) steps_ms: f64,
-    /// Smallest pause goal of those that write there; infinite without any.
+    /// Smallest pause goal of the requests there, milliseconds; infinite without any.
     pub(crate) pause_ms: f64,
-    /// Worth of those that write there.
+    /// Summed worth of the requests there.
     pub(crate) worth: f64,
-    /// Requests with tight pauses there, of this planner.
+    /// This planner's requests there with tight pause goals.
     pub(crate) tight: usize,
-    /// Requests of other planners there, whose kinds are not known.
+    /// Requests of other planners there. Their pause goals are unknown.
     pub(crate) foreign: usize,
-    /// Requests with tight pauses whose prompt has not been read.
+    /// Requests with tight pause goals whose prefill is not complete.
     pub(crate) unread: usize,
-    /// Requests that it answers.
+    /// Requests that it answers, including those of other planners.
     pub(crate) answering: usize,
-    /// Tokens of its memory that are neither in use nor set aside.
+    /// Tokens of its memory that are neither in use nor reserved.
     pub(crate) free: u64,
-    /// Above 1 it is slower than its figures.
+    /// Slowdown relative to its performance model; above 1 if it is slower.
     pub(crate) pace: f64,
-    /// When its limit lets requests through.
+    /// When its rate limit permits requests.
     pub(crate) permit: engine_limits::PermitTimes,
 }
 
-/// Part of a pause goal that a pass may fill by plan; the rest is for what the plan cannot see.
+/// Fraction of a pause goal that a planned pass may take; the rest covers load that the planner cannot see.
 pub(crate) const PAUSE_FRACTION: f64 = 0.85;
-/// Part of its worth that an answer loses by one long pause.
+/// Fraction of its worth that an answer loses by one pause beyond its goal.
 const PAUSE_LOSS_FRACTION: f64 = 0.75;
 
-/// Pause goals beyond which a plan keeps no request waiting: after 8 of them callers leave.
+/// Longest pause that a plan may cause, as a multiple of the pause goal. Callers leave after 8 times their goal.
 const MAX_PAUSES: f64 = 6.0;
 
 impl EngineView<'_> {
-    /// Whether its limit lets a request through now.
+    /// Whether its rate limit permits a request now.
     pub(crate) fn has_permit(&self) -> bool {
         self.permit.wait_ms <= 0.0
     }
 
-    /// Requests there that a long part beside them may harm: those with tight pauses, and those of
-    /// other planners.
+    /// Requests there that a long prefill may delay too much: those with tight pause goals, and those of other
+    /// planners.
     pub(crate) fn sensitive(&self) -> usize {
         self.tight + self.foreign
     }
 
-    /// Expected time to the first token of a prompt of which a part is read here: it is out when
-    /// the pass that reads it ends.
+    /// Expected time to the first token if this engine prefills a part of `part` milliseconds: the token is sent at
+    /// the end of the pass that prefills it.
     pub(crate) fn first_ms(&self, part: f64) -> f64 {
         (self.wait_ms + self.pending_ms + part + self.steps_ms) * self.pace
     }
 
-    /// Time of a pass that reads a part here, milliseconds.
+    /// Time of a pass that prefills a part of `part` milliseconds here, milliseconds.
     pub(crate) fn own_ms(&self, part: f64) -> f64 {
         (part + self.steps_ms) * self.pace
     }
 
-    /// Worth that those who write here lose by one more part read here.
+    /// Worth that the requests here lose if one more part of `part` milliseconds is prefilled here; infinite if the
+    /// pause would be too long for a plan.
     pub(crate) fn pause_loss(&self, part: f64) -> f64 {
         let before = (self.steps_ms + self.pending_ms) * self.pace;
         let pause = before + part * self.pace;
@@ -77,13 +79,12 @@
         if pause > self.pause_ms * MAX_PAUSES {
             return f64::INFINITY;
         }
-        // A pause that is too long already is not lost twice.
+        // A pause that exceeds the limit without this part has been counted already.
         if pause > limit && before <= limit { self.worth * PAUSE_LOSS_FRACTION } else { 0.0 }
     }
 }
 
-/// Engines that a request may use, by their places among the views; one that failed lately is
-/// better than none.
+/// Indices of the engines that a request may use. Ejected engines are used only if there are no others.
 pub(crate) fn usable(views: &[EngineView<'_>], ask: &engine_place::PlaceAsk) -> Vec<usize> {
     let allowed = |ejected: bool| {
         let rows = views.iter().enumerate();
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -1,95 +1,98 @@
-//! The work of one engine as its planner believes it.
+//! Model of the work of one engine, as its planner estimates it.
 
 use std::{collections, time};
 
 use crate::{engine_place, planner::ways, units};
 
-/// Time an engine is left alone after a failure; doubles with each further one.
+/// How long an engine is ejected after a failure; doubles with each further one.
 const EJECTION_TIME: time::Duration = time::Duration::from_millis(600);
-/// Longest time an engine is left alone.
+/// Longest ejection after failures.
 const MAX_EJECTION_TIME: time::Duration = time::Duration::from_secs(5);
-/// Time an engine is left alone that refused a request for want of room, as its planner believed
-/// otherwise; doubles with each further refusal. Who refuses has nothing to do and looks like the best
-/// choice.
+/// How long an engine is ejected after it refused a request for lack of capacity; doubles with each further refusal.
+/// Without it, an engine that refuses everything looks idle and attracts all requests.
 const REFUSAL_TIME: time::Duration = time::Duration::from_millis(100);
-/// Doublings of these times at most.
+/// Largest number of doublings of an ejection time.
 const MAX_DOUBLINGS: u32 = 4;
-/// Time an engine is left alone that refused to read a part for another one: about the time until the
-/// list says that it leaves. With a shorter one a prompt may meet two such engines in a row.
+/// How long an engine is ejected after it refused to prefill a part for another engine. It mostly does so because it
+/// is leaving, and this is about the delay until the published list says so. With a shorter time, a prompt may meet
+/// two such engines in a row.
 const HELPER_EJECTION_TIME: time::Duration = time::Duration::from_millis(2_500);
-/// Paces that are believed; a report beyond them is a fault.
+/// Range of plausible pace reports; others are clamped to it.
 const PACE_RANGE: (f64, f64) = (0.5, 20.0);
-/// Pace above which an engine is polled like one with work.
+/// Pace above which an engine is polled as often as one with work.
 const SLOW_PACE: f64 = 1.2;
-/// Requests that come and go while a report is on its way; a difference up to this says nothing.
+/// Difference in the number of requests that may be due to requests starting and ending while a report is on its way.
 const REPORT_SLACK: usize = 4;
-/// The same while a first token's note is on its way: some milliseconds, where reports are some 200
-/// old.
+/// The same difference for the count sent with a first token, which is a few milliseconds old; reports are about 200.
 const FIRST_TOKEN_SLACK: usize = 2;
 
-/// Time without new work after which an engine is idle.
+/// Time without new work after which an engine counts as idle.
 const IDLE_TIME: time::Duration = time::Duration::from_secs(4);
 
-/// Time beyond an expected first token that says nothing: a pass, and the way to the planner.
+/// Delay of a first token that is not yet a sign of trouble: one pass and the message to the planner.
 const EXPECTED_SLACK: time::Duration = time::Duration::from_millis(120);
 
-/// Shortest pass that is believed, milliseconds; below, figures of an engine are a fault.
+/// Lower bound of a pass, milliseconds, in case the model of an engine gives an implausible time.
 const MIN_PASS_MS: f64 = 0.5;
 
-/// A part of a prompt that an engine has not read yet.
+/// A part of a prompt that an engine has still to prefill.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingPart {
     pub(crate) job: engine_place::JobId,
+    /// Its prefill time, milliseconds.
     pub(crate) left_ms: f64,
 }
 
-/// A pass under way: an engine reads what waited when the pass began, and plays the steps of those
-/// that write there. What arrives meanwhile waits for the next one.
+/// A pass in progress: the engine prefills the parts that were pending at its start and runs the decode steps of its
+/// writers. Parts that arrive during a pass wait for the next one.
 #[derive(Debug, Clone)]
 pub(crate) struct EnginePass {
+    /// Time until its end, milliseconds.
     pub(crate) left_ms: f64,
-    /// Parts that it reads.
+    /// Parts that it prefills.
     pub(crate) parts: Vec<PendingPart>,
 }
 
-/// What one engine is believed to do.
+/// Estimated state of one engine.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineWork {
-    /// Place in the order in which engines are filled.
+    /// Position in the order in which engines are filled.
     pub(crate) rank: u64,
+    /// Tokens of memory that the planner may assign.
     pub(crate) memory: u64,
-    /// Requests answered here.
+    /// Requests that this engine answers.
     pub(crate) answering: collections::BTreeSet<engine_place::JobId>,
-    /// Those of them whose prompt has been read.
+    /// Requests of `answering` whose prefill is complete and which are decoding.
     pub(crate) writers: collections::BTreeSet<engine_place::JobId>,
-    /// Time of the steps of a pass with the writers of now, milliseconds.
+    /// Time of the decode steps of one pass with the current writers, milliseconds.
     pub(crate) steps_ms: f64,
-    /// The pass under way; none while there is nothing to do.
+    /// The pass in progress; `None` while the engine has no work.
     pub(crate) pass: Option<EnginePass>,
-    /// Parts that wait for the next pass, oldest first.
+    /// Parts queued for the next pass, oldest first.
     pub(crate) pending: collections::VecDeque<PendingPart>,
-    /// Prompts read here whose first token is not out, with the time at which it was expected.
+    /// Requests prefilled here that have not sent a first token, with the time at which it is expected.
     pub(crate) expected: collections::BTreeMap<engine_place::JobId, units::MonoTime>,
-    /// Tokens in use or set aside.
+    /// Tokens of memory in use or reserved.
     pub(crate) used: u64,
-    /// Above 1 the engine is slower than its figures.
+    /// Slowdown relative to its performance model; above 1 if it is slower.
     pub(crate) pace: f64,
-    /// Requests of other planners.
+    /// Estimated number of requests of other planners.
     pub(crate) foreign: usize,
-    /// Failures since the last first token there.
+    /// Failures since the last first token.
     pub(crate) failures: u32,
-    /// Refusals for want of room since the last first token there.
+    /// Refusals for lack of capacity since the last first token.
     pub(crate) refusals: u32,
     ejected_until: units::MonoTime,
     /// When work was last placed here.
     placed: Option<units::MonoTime>,
     /// When its report was last requested.
     asked: Option<units::MonoTime>,
+    /// Time up to which the passes have been simulated.
     pub(crate) advanced: units::MonoTime,
 }
 
 impl EngineWork {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub(crate) fn new(rank: u64, memory: u64, now: units::MonoTime) -> Self {
         Self {
             rank,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Plays the passes since the last call.
+    /// Simulates the passes since the last call.
     pub(crate) fn advance(&mut self, now: units::MonoTime) {
         let mut spent = now.since(self.advanced).as_secs_f64() * 1_000.0 / self.pace;
         self.advanced = now;
@@ -129,17 +132,17 @@
             }
             spent -= pass.left_ms;
             self.pass = None;
-            // With nothing to read all passes are alike.
+            // Without pending prefill, all passes take the same time and whole ones can be skipped.
             if self.pending.is_empty() {
                 spent %= self.steps_ms.max(MIN_PASS_MS);
             }
         }
     }
 
-    /// Begins the next pass; `false` where there is nothing to do.
+    /// Starts the next pass; returns `false` if there is no work.
     fn begin_pass(&mut self) -> bool {
         if self.writers.is_empty() {
-            // Without steps in between, one part is read after the other.
+            // Without decode steps, the parts are prefilled one by one.
             let Some(part) = self.pending.pop_front() else {
                 return false;
             };
@@ -152,12 +155,12 @@
         true
     }
 
-    /// Adds a part that is to be read.
+    /// Queues a part for prefill.
     pub(crate) fn add_part(&mut self, part: PendingPart) {
         self.pending.push_back(part);
     }
 
-    /// Notes that the first token of a job is out: the pass that read its part is over.
+    /// Records the first token of a job: the pass that prefilled its part has ended.
     pub(crate) fn note_read(&mut self, job: engine_place::JobId) {
         if self.pass.as_ref().is_some_and(|pass| pass.parts.iter().any(|part| part.job == job)) {
             self.pass = None;
@@ -168,7 +171,7 @@
         self.refusals = 0;
     }
 
-    /// Takes a job's part out, read or not.
+    /// Removes a job's part, whether prefilled or not.
     pub(crate) fn drop_part(&mut self, job: engine_place::JobId) {
         self.expected.remove(&job);
         self.pending.retain(|part| part.job != job);
@@ -180,40 +183,42 @@
         }
     }
 
-    /// Leaves it alone for a while, longer after each failure in a row.
+    /// Ejects the engine for a while after a failure, longer for each failure in a row.
     pub(crate) fn eject(&mut self, now: units::MonoTime) {
         let time = EJECTION_TIME * 2_u32.pow(self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
         self.ejected_until = now + time.min(MAX_EJECTION_TIME);
     }
 
-    /// Leaves it alone for a moment, as it has refused a request for want of room.
+    /// Ejects the engine briefly after it refused a request for lack of capacity.
     pub(crate) fn note_refusal(&mut self, now: units::MonoTime) {
         let time = REFUSAL_TIME * 2_u32.pow(self.refusals.min(MAX_DOUBLINGS));
         self.refusals += 1;
         self.ejected_until = self.ejected_until.max(now + time);
     }
 
-    /// Whether it is left alone: for a while after a failure, and then until the first token of the
-    /// one request that finds out whether it is sound again.
+    /// Whether the engine is ejected.
+    ///
+    /// With [`ways::EngineFaultWay::Probe`], an engine that failed gets a single request when its ejection time is
+    /// over, and stays ejected until the first token of that request.
     pub(crate) fn is_ejected(&self, now: units::MonoTime, way: ways::EngineFaultWay) -> bool {
         let probed =
             way == ways::EngineFaultWay::Probe && self.failures > 0 && !self.expected.is_empty();
         self.ejected_until > now || probed
     }
 
-    /// Leaves it alone after it refused to read a part for another engine: mostly it is leaving, which
-    /// its own answers do not show.
+    /// Ejects the engine after it refused to prefill a part for another engine. It is mostly leaving, which its own
+    /// answers do not show.
     pub(crate) fn eject_helper(&mut self, now: units::MonoTime) {
         self.ejected_until = self.ejected_until.max(now + HELPER_EJECTION_TIME);
     }
 
-    /// Records that work is placed here.
+    /// Records that work was placed here.
     pub(crate) fn note_placed(&mut self, now: units::MonoTime) {
         self.placed = Some(now);
     }
 
-    /// Whether it has no work and no sign of trouble.
+    /// Whether the engine has no work, has had none recently, and shows no sign of trouble.
     pub(crate) fn is_idle(&self, now: units::MonoTime) -> bool {
         let has_work = !self.answering.is_empty() || self.used > 0 || self.pass.is_some();
         let is_doubted = self.foreign > 0 || self.failures > 0 || self.pace > SLOW_PACE;
@@ -221,7 +226,7 @@
         !(has_work || is_doubted || is_recent)
     }
 
-    /// Whether its report is due, which counts as requested then; `idle_interval` applies while it is idle.
+    /// Whether its report is due; if so, records it as requested. An idle engine is due once per `idle_interval`.
     pub(crate) fn take_report_due(
         &mut self,
         now: units::MonoTime,
@@ -233,21 +238,21 @@
         due
     }
 
-    /// Takes over what it says of itself.
+    /// Applies the engine's load report.
     pub(crate) fn report(&mut self, pace: f64, requests: usize) {
         self.pace = pace.clamp(PACE_RANGE.0, PACE_RANGE.1);
         self.foreign = requests.saturating_sub(self.answering.len() + REPORT_SLACK);
     }
 
-    /// Takes over how many requests it had as an answer of its own began.
+    /// Applies the number of requests that the engine had when it sent a first token.
     ///
-    /// Answers come several times a second where reports come each two: by reports alone two planners on the sides of
-    /// a cut fill the same engines.
+    /// First tokens arrive several times a second, reports every two seconds. With reports alone, two planners on
+    /// the sides of a network partition fill the same engines.
     pub(crate) fn note_load(&mut self, requests: usize) {
         self.foreign = requests.saturating_sub(self.answering.len() + FIRST_TOKEN_SLACK);
     }
 
-    /// Reading that waits for the next pass, milliseconds.
+    /// Prefill time queued for the next pass, milliseconds.
     pub(crate) fn pending_ms(&self) -> f64 {
         self.pending.iter().map(|part| part.left_ms).sum()
     }
@@ -257,15 +262,15 @@
         self.pass.as_ref().map_or(0.0, |pass| pass.left_ms) + self.behind_ms(now)
     }
 
-    /// How far it is behind what was expected of it, milliseconds: it does something that its
-    /// planner does not know of, for an unknown time.
+    /// How long its oldest expected first token is overdue, milliseconds. An overdue engine does work that its planner
+    /// does not know of, for an unknown time.
     fn behind_ms(&self, now: units::MonoTime) -> f64 {
         let oldest = self.expected.values().min();
         let late = oldest.map_or(time::Duration::ZERO, |due| now.since(*due));
         late.saturating_sub(EXPECTED_SLACK).as_secs_f64() * 1_000.0
     }
 
-    /// Time until all that is to be read by now has been read, milliseconds.
+    /// Time until all prefill that is running or queued is complete, milliseconds.
     pub(crate) fn unread_ms(&self) -> f64 {
         let reads = self.pass.as_ref().filter(|pass| !pass.parts.is_empty());
         reads.map_or(0.0, |pass| pass.left_ms) + self.pending_ms()
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -1,9 +1,12 @@
-//! Where and when prompts are read: which engine answers a request, and which engines read parts of it.
+//! Placement of requests on engines: which engine answers a request, and which engines prefill parts of its prompt.
 //!
-//! One planner holds the work of every engine of a service. A request goes through its parts in this
-//! order: [`ReadPlanner::ask`]; the place table, which shows what the engines do; for a short prompt
-//! the choice of one engine; for a long one the timetable, on which all that wait are booked, and
-//! admission, which says who is in time, late or refused; and a grant, noted in the place table.
+//! One planner tracks the work of every engine of a service, or of one cell of a large service. A request passes
+//! through these steps:
+//!
+//! 1. [`ReadPlanner::ask`] receives it, and the place table provides the current state of the engines.
+//! 2. A short prompt gets one engine. Long prompts are scheduled together on a timetable, and admission decides
+//!    which of them meet their goal, which run late and which are refused.
+//! 3. The place table records the grant.
 
 mod admission;
 mod baseline_choice;
@@ -21,29 +24,29 @@
 
 use crate::{engine_place, ids, quota_ledger, retry_line, route_table, send_pace, settings, units};
 
-/// Longest that a request waits; its member has given up long before.
+/// Longest time that a request stays queued; the member that asked for it has given up long before.
 const MAX_WAIT: time::Duration = time::Duration::from_secs(30);
-/// Part of all engines' slots that must be taken before a short request is refused; below it,
-/// engines that seem unusable may only have been slow.
+/// Fraction of all engine slots that must be in use before a short request is refused; below it, engines that seem
+/// unusable may only have been slow.
 const CROWDED_FRACTION: f64 = 0.6;
-/// Requests beyond its slots that an engine may get of those that come back.
+/// Retried requests that an engine may hold in its own queue beyond its slots.
 const MAX_QUEUED_RETRIES: usize = 2;
-/// Slots that come free for each that one who comes back gets: some go to others that arrive meanwhile.
+/// Slots that are expected to be released for each slot that a retry gets; new requests take the others.
 const SLOTS_PER_RETRY: f64 = 2.0;
-/// Goals for the first token that a short request which came back waits for the leave of a limit: it is late by then.
+/// Longest time that a retried short request waits for a rate-limit permit, as a multiple of its first-token goal.
+/// It is late by then.
 const RETRY_WAIT_GOALS: f64 = 2.0;
-/// Shortest time after which a refused short request is asked back, milliseconds; spread by its
-/// member.
+/// Shortest retry delay given to a refused short request, milliseconds. Its member adds jitter.
 const MIN_RETRY_AFTER_MS: f64 = 300.0;
-/// The latest, milliseconds.
+/// Longest retry delay given to a refused short request, milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 2_500.0;
 
-/// How the planner weighs its choices.
+/// Configuration of a planner.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannerOptions {
-    /// How engines are chosen; all but slipturn's own are there to compare with.
+    /// Routing policy. All except [`settings::RoutingKind::ExpectedStart`] are baselines for comparison.
     pub routing: settings::RoutingKind,
-    /// Ways of decisions; all but the defaults are there to compare with.
+    /// Variants of individual decisions. All except the defaults are for comparison.
     pub ways: ways::PlannerWays,
 }
 
@@ -53,22 +56,23 @@
     }
 }
 
-/// The planner of one service, or of one cell of its engines.
+/// Places the requests of one service, or of one cell of its engines.
 #[derive(Debug)]
 pub struct ReadPlanner {
     options: PlannerOptions,
     table: place_table::PlaceTable,
     price: price::EnginePrice,
-    /// Requests without a place, in no order.
+    /// Requests without a placement, unordered.
     waiting: Vec<waiting_job::WaitingJob>,
-    /// Answers that another's ask brought about; they go out at the next look.
+    /// Answers for other requests that became known during a call of [`ReadPlanner::ask`]; the next
+    /// [`ReadPlanner::tick`] returns them.
     ready_answers: Vec<engine_place::PlaceAnswer>,
-    /// When those come back that limits keep from all engines.
+    /// Retry times for requests that rate limits keep from all engines.
     returns: retry_line::RetryLine,
 }
 
 impl ReadPlanner {
-    /// A planner without engines.
+    /// Creates a planner without engines.
     pub fn new(shape: route_table::EngineShape, options: PlannerOptions) -> Self {
         Self {
             options,
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Sets which engines have a limit: at which rate where this process keeps it, and those whose limit another
-    /// process keeps, which get nothing from here.
+    /// Sets which engines have a rate limit. `kept` holds the limits that this process enforces; engines in
+    /// `elsewhere` have a limit that another process enforces, and get no requests from this planner.
     pub fn set_limits(
         &mut self,
         now: units::MonoTime,
@@ -91,37 +95,39 @@
         self.table.limits.set(now, kept, elsewhere);
     }
 
-    /// The leaves of its engines, to take and ask for, also for requests that need no place.
+    /// Rate-limit permits of this planner's engines, also for requests that need no placement.
     pub fn permits(&mut self) -> &mut quota_ledger::QuotaLedger<ids::UpstreamId> {
         &mut self.table.limits.permits
     }
 
-    /// Takes over new figures of the engines.
+    /// Replaces the performance model of the engines.
     pub fn set_shape(&mut self, shape: route_table::EngineShape) {
         self.table.shape = shape;
     }
 
-    /// Sets which engines may be used; each with a number that orders them alike everywhere.
+    /// Sets which engines may be used, each with a rank that is the same on every member.
     pub fn set_engines(&mut self, now: units::MonoTime, names: &[(ids::UpstreamId, u64)]) {
         self.table.set_engines(now, names);
     }
 
-    /// Number of requests that wait for a place.
+    /// Number of requests that wait for a placement.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Number of requests that have a place.
+    /// Number of requests that have a placement.
     pub fn placed_count(&self) -> usize {
         self.table.placed_count()
     }
 
-    /// The planner's view of its engines, one short text an engine, for the log.
+    /// Describes the engines that are not idle, for the log.
     pub fn summary(&self, now: units::MonoTime) -> String {
         self.table.summary(now)
     }
 
-    /// Asks for a place; asked again, it answers the same.
+    /// Requests a placement. Idempotent: a job that has a placement gets the same answer again.
+    ///
+    /// Returns `None` while the request waits; [`Self::tick`] returns its answer later.
     pub fn ask(
         &mut self,
         now: units::MonoTime,
@@ -132,7 +138,7 @@
             return Some(answer);
         }
         if let Some(waiting) = self.waiting.iter_mut().find(|waiting| waiting.ask.job == id) {
-            // Engines may have asked its member for rest meanwhile.
+            // The set may have changed: engines can ask a member to stop sending for a while.
             waiting.ask.excluded = ask.excluded;
             return None;
         }
@@ -140,7 +146,7 @@
         self.table.advance(now);
         if self.is_short(&job.ask) {
             if self.table.limited_rate(&[]).is_some() {
-                // Permits are granted one by one: a request that asks as one is due queues after those that wait for it.
+                // Requests that already wait get the permits that are due before this one does.
                 let answers = self.tick_short(now);
                 self.ready_answers.extend(answers);
             }
@@ -158,10 +164,10 @@
         own.into_iter().next()
     }
 
-    /// Gives places to those that wait, the most urgent first.
+    /// Drops expired requests and leases, then places waiting requests, the most urgent first.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<engine_place::PlaceAnswer> {
         self.table.expire(now);
-        // Whoever still wants a place asks again within the lease time.
+        // A member that still needs a placement asks again within the lease time.
         self.waiting.retain(|job| now.since(job.since) < MAX_WAIT);
         let mut answers = std::mem::take(&mut self.ready_answers);
         if self.waiting.is_empty() {
@@ -173,7 +179,7 @@
         answers
     }
 
-    /// Applies what a member reports of one of its requests.
+    /// Applies an update from a member about one of its requests or about an engine.
     pub fn note(&mut self, now: units::MonoTime, note: &engine_place::PlaceNote) {
         match note {
             engine_place::PlaceNote::FirstToken(job, requests) => {
@@ -185,12 +191,12 @@
         }
     }
 
-    /// Notes that a prompt has been read and its answer begins.
+    /// Records the first token of a request: its prefill is complete.
     pub fn first_token(&mut self, now: units::MonoTime, job: engine_place::JobId) {
         self.table.first_token(now, job);
     }
 
-    /// Ends a request, placed or waiting.
+    /// Removes a request, whether placed or waiting.
     pub fn end(
         &mut self,
         now: units::MonoTime,
@@ -201,12 +207,12 @@
         self.table.end(now, job, end);
     }
 
-    /// Renews a place; `false` where it is not known here.
+    /// Renews the lease of a placement; returns `false` if this planner does not know it.
     pub fn renew(&mut self, now: units::MonoTime, job: engine_place::JobId, reading: bool) -> bool {
         self.table.renew(now, job, reading)
     }
 
-    /// Takes over places that another planner gave.
+    /// Adopts placements that another planner granted.
     pub fn take_over(&mut self, now: units::MonoTime, leases: Vec<engine_place::PlaceLease>) {
         for lease in &leases {
             self.waiting.retain(|waiting| waiting.ask.job != lease.ask.job);
@@ -214,31 +220,31 @@
         self.table.take_over(now, leases);
     }
 
-    /// Leaves an engine alone for a while.
+    /// Excludes an engine from new placements for a while.
     pub fn eject(&mut self, now: units::MonoTime, name: &ids::UpstreamId) {
         self.table.eject(now, name);
     }
 
-    /// Engines that were silent since the last call.
+    /// Returns the engines reported as silent since the last call.
     pub fn take_suspects(&mut self) -> Vec<ids::UpstreamId> {
         self.table.take_suspects()
     }
 
-    /// Whether the report of an engine is due: in each round for one with work, less often for an idle one.
+    /// Whether to poll an engine in this round: always if it has work, less often if it is idle.
     pub fn take_report_due(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
         self.options.ways.reports == ways::ReportWay::All || self.table.take_report_due(now, name)
     }
 
-    /// Takes over what an engine says of itself: its pace, above 1 when it is slower than its
-    /// figures, and the requests that it runs and holds in its queue.
+    /// Applies an engine's load report.
     ///
-    /// What goes clearly beyond this planner's own is the work of another one, as on the other
-    /// side of a cut.
+    /// `pace` is above 1 when the engine is slower than its model. `requests` counts the requests that it runs or
+    /// queues; clearly more than this planner's own means that another planner uses it too, as on the other side of
+    /// a network partition.
     pub fn set_report(&mut self, name: &ids::UpstreamId, pace: f64, requests: usize) {
         self.table.set_report(name, pace, requests);
     }
 
-    /// Whether a request is read by one engine, packed with others like it.
+    /// Whether one engine prefills the whole prompt. Baseline routing policies treat every request so.
     fn is_short(&self, ask: &engine_place::PlaceAsk) -> bool {
         ask.tight || self.options.routing != settings::RoutingKind::ExpectedStart
     }
@@ -253,7 +259,7 @@
         self.table.answer(ask.job)
     }
 
-    /// Places short requests that wait: those that come back go first, then the oldest.
+    /// Places waiting short requests, retries first and then by age.
     fn tick_short(&mut self, now: units::MonoTime) -> Vec<engine_place::PlaceAnswer> {
         let waiting = std::mem::take(&mut self.waiting);
         let (mut shorts, longs): (Vec<_>, Vec<_>) =
@@ -270,7 +276,7 @@
         answers
     }
 
-    /// A short request's engine, or its refusal; `None` while it waits.
+    /// Places or refuses a short request; `None` if it has to wait.
     fn place_short(
         &mut self,
         now: units::MonoTime,
@@ -302,23 +308,22 @@
         self.take(now, &job.ask, grant)
     }
 
-    /// Whether a short request would stand in an engine's queue, or come late.
+    /// Whether a short request would queue at its engine or clearly miss its first-token goal.
     fn is_crowded(&self, job: &waiting_job::WaitingJob, grant: &engine_place::PlaceGrant) -> bool {
         let more = if job.ask.refusable { 0 } else { MAX_QUEUED_RETRIES };
         self.table.running_on(&grant.engine) >= self.table.shape.slots + more
             || grant.first_token_ms > job.ask.goal_ms * 2
     }
 
-    /// Refuses a short request whose caller would have left by its first token; and one that finds no
-    /// place in time while most are taken: in an engine's queue it would come late and make those
-    /// behind it late too.
+    /// Refuses a short request whose caller would give up before the first token, and one that would be late while
+    /// most slots are in use: queued at an engine, it would also delay the requests behind it.
     fn refuse_short(
         &self,
         now: units::MonoTime,
         job: &waiting_job::WaitingJob,
         grant: &engine_place::PlaceGrant,
     ) -> Option<engine_place::PlaceRefusal> {
-        // Engines that it may not use have no places for it, however idle they are.
+        // Slots of engines that it must not use don't count.
         let (running, slots) = self.table.used_slots(&job.ask.excluded);
         let full = running as f64 >= slots as f64 * CROWDED_FRACTION;
         let hopeless = f64::from(grant.first_token_ms) > job.patience_ms(now);
@@ -332,8 +337,10 @@
         Some(self.table.refusal(job.ask.job, self.slot_retry_ms(), expected_ms))
     }
 
-    /// Refuses a short request that limits keep from all engines for longer than it can wait: any until it is late, one
-    /// that came back for longer. It is refused at once, as a request that has waited without success has lost more.
+    /// Refuses a short request that rate limits keep from all engines for longer than it can wait.
+    ///
+    /// A first attempt can wait until it is late, a retry for longer. The refusal comes at once, because a request
+    /// that waits in vain loses time that it needs for a retry.
     fn refuse_limited(
         &mut self,
         now: units::MonoTime,
@@ -350,7 +357,7 @@
         let ahead = self.waiting.iter().filter(ahead).count();
         let wait_ms = self.table.next_permit_ms(now) + ahead as f64 * 1_000.0 / rate;
         let would_wait_ms = match (job.waited_ms(now) > 0.0, job.ask.refusable) {
-            // Who was let into the line stays there.
+            // A request that has been queued stays queued.
             (true, _) => f64::INFINITY,
             (false, true) => job.goal_left_ms(now),
             (false, false) => f64::from(job.ask.goal_ms) * RETRY_WAIT_GOALS,
@@ -363,13 +370,13 @@
         Some(self.table.refusal(job.ask.job, back_ms.max(MIN_RETRY_AFTER_MS), Some(wait_ms)))
     }
 
-    /// When a refused short request finds room, milliseconds: slots come free as answers end.
+    /// Retry delay of a refused short request, from the rate at which slots are released, milliseconds.
     fn slot_retry_ms(&self) -> f64 {
         (self.table.mean_slot_release_ms() * SLOTS_PER_RETRY)
             .clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
     }
 
-    /// Books all long prompts that wait; the answers of those that begin or are refused.
+    /// Schedules all waiting long prompts; returns the answers of those that start now or are refused.
     fn plan_long(&mut self, now: units::MonoTime) -> Vec<engine_place::PlaceAnswer> {
         let longs = self.waiting.iter_mut().filter(|job| !job.ask.tight);
         let mut jobs: Vec<_> = longs.collect();
@@ -389,7 +396,7 @@
         answers.into_iter().filter_map(settle).collect()
     }
 
-    /// Takes a long prompt's place, or lets it go.
+    /// Removes a long prompt from the waiting ones and records its placement if it has one.
     fn settle_long(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -1,5 +1,5 @@
-//! Places in use: taken, renewed by their members, taken over from other planners, given back; and
-//! the work of every engine that follows from them.
+//! Table of placements: granted, renewed by their members, adopted from other planners and released; and the
+//! estimated work of every engine that results from them.
 
 mod occupancy;
 mod queries;
@@ -12,53 +12,53 @@
     route_table, units,
 };
 
-/// Leases that their member does not renew for so long are given up.
+/// Time without renewal after which a lease expires.
 const LEASE_TIME: time::Duration = time::Duration::from_millis(2_500);
-/// Part of an engine's memory that is given away.
+/// Fraction of an engine's memory that the planner assigns to requests.
 pub(crate) const MEMORY_FRACTION: f64 = 0.96;
 
-/// Reports of idle engines that a planner requests a second.
+/// Reports of idle engines that a planner requests per second.
 const IDLE_REPORTS: f64 = 8.0;
-/// Longest interval between two reports of an engine, slightly above the delay of the list.
+/// Longest interval between two reports of an idle engine, slightly above the delay of the published list.
 const MAX_REPORT_INTERVAL: time::Duration = time::Duration::from_secs(6);
 
-/// Time that an answer is taken to last before any has been seen, milliseconds.
+/// Assumed duration of an answer before any has ended, milliseconds.
 const FIRST_ANSWER_MS: f64 = 1_500.0;
-/// Weight of the newest answer in the mean.
+/// Weight of the newest answer in the moving average of answer durations.
 const ANSWER_WEIGHT: f64 = 0.05;
 
-/// A request with a place.
+/// A request with a placement.
 #[derive(Debug, Clone)]
 struct JobState {
     lease: engine_place::PlaceLease,
     renewed: units::MonoTime,
-    /// When its answer began; nothing before.
+    /// When its first token was sent; `None` before.
     writing_since: Option<units::MonoTime>,
-    /// Engines with a limit for which it holds a permit.
+    /// Rate-limited engines for which it holds a permit.
     paced: Vec<ids::UpstreamId>,
 }
 
-/// The engines of one planner, and who has a place there.
+/// The engines of one planner and the requests placed on them.
 #[derive(Debug)]
 pub(crate) struct PlaceTable {
-    /// Figures of the engines.
+    /// Performance model of the engines.
     pub(crate) shape: route_table::EngineShape,
     engine_faults: ways::EngineFaultWay,
-    /// What each engine is believed to do; holds just what `jobs` says.
+    /// Estimated state of each engine. Invariant: reflects exactly the placements in `jobs`.
     engines: collections::BTreeMap<ids::UpstreamId, engine_work::EngineWork>,
     jobs: collections::HashMap<engine_place::JobId, JobState>,
-    /// Engines that were silent; they should be asked for a report.
+    /// Engines that were silent and should be polled.
     suspects: collections::BTreeSet<ids::UpstreamId>,
-    /// Mean time from the first token to the end of an answer with tight pauses, milliseconds; learned.
+    /// Moving average of the time from the first token to the end of answers with tight pause goals, milliseconds.
     answer_ms: f64,
-    /// Smallest pause goal seen, milliseconds; infinite before any.
+    /// Smallest pause goal of any request so far, milliseconds; infinite before the first.
     tightest_ms: f64,
-    /// Engines with a limit.
+    /// Rate limits of the engines.
     pub(crate) limits: engine_limits::EngineLimits,
 }
 
 impl PlaceTable {
-    /// A table without engines.
+    /// Creates a table without engines.
     pub(crate) fn new(
         shape: route_table::EngineShape,
         engine_faults: ways::EngineFaultWay,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Sets which engines may be used; each with a number that orders them alike everywhere.
+    /// Sets which engines may be used, each with a rank that is the same on every member.
     pub(crate) fn set_engines(&mut self, now: units::MonoTime, names: &[(ids::UpstreamId, u64)]) {
         let wanted: collections::BTreeSet<_> = names.iter().map(|(name, _)| name).collect();
         self.engines.retain(|name, _| wanted.contains(name));
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Number of requests that have a place.
+    /// Number of requests that have a placement.
     pub(crate) fn placed_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The answer that a request got which has a place.
+    /// The grant of a request that has a placement.
     pub(crate) fn answer(&self, job: engine_place::JobId) -> Option<engine_place::PlaceAnswer> {
         let state = self.jobs.get(&job)?;
         let grant = state.lease.grant.clone();
@@ -103,12 +103,12 @@
         })
     }
 
-    /// Plays the engines' passes up to now.
+    /// Simulates the engines' passes up to `now`.
     pub(crate) fn advance(&mut self, now: units::MonoTime) {
         self.engines.values_mut().for_each(|engine| engine.advance(now));
     }
 
-    /// Notes that a prompt has been read and its answer begins.
+    /// Records the first token of a request: its prefill is complete.
     pub(crate) fn first_token(&mut self, now: units::MonoTime, job: engine_place::JobId) {
         let Some(state) = self.jobs.get_mut(&job) else {
             return;
@@ -128,7 +128,7 @@
         self.refresh_steps(&grant.engine);
     }
 
-    /// Ends a place, if the request has one.
+    /// Releases the placement of a request, if it has one, and applies what its end says about the engine.
     pub(crate) fn end(
         &mut self,
         now: units::MonoTime,
@@ -160,33 +160,33 @@
         }
     }
 
-    /// Leaves an engine alone for a while.
+    /// Excludes an engine from new placements for a while.
     pub(crate) fn eject(&mut self, now: units::MonoTime, name: &ids::UpstreamId) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.eject(now);
         }
     }
 
-    /// Leaves an engine alone that refused to read a part for another one.
+    /// Ejects an engine that refused to prefill a part for another one.
     pub(crate) fn eject_helper(&mut self, now: units::MonoTime, name: &ids::UpstreamId) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.eject_helper(now);
         }
     }
 
-    /// Engines that were silent since the last call.
+    /// Returns the engines reported as silent since the last call.
     pub(crate) fn take_suspects(&mut self) -> Vec<ids::UpstreamId> {
         std::mem::take(&mut self.suspects).into_iter().collect()
     }
 
-    /// Takes over what an engine says of itself.
+    /// Applies an engine's load report.
     pub(crate) fn set_report(&mut self, name: &ids::UpstreamId, pace: f64, requests: usize) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.report(pace, requests);
         }
     }
 
-    /// Whether the report of an engine is due.
+    /// Whether the report of an engine is due; if so, records it as requested.
     pub(crate) fn take_report_due(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
         let interval = self.engines.len() as f64 / IDLE_REPORTS;
         let interval = time::Duration::from_secs_f64(interval).min(MAX_REPORT_INTERVAL);
@@ -194,7 +194,7 @@
         engine.is_some_and(|engine| engine.take_report_due(now, interval))
     }
 
-    /// Takes over how many requests the engine of a place had as its answer began.
+    /// Applies the number of requests that the engine of a placement had when it sent the first token.
     pub(crate) fn note_load(&mut self, job: engine_place::JobId, requests: Option<u16>) {
         let (Some(state), Some(requests)) = (self.jobs.get(&job), requests) else {
             return;
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Renews a place; `false` where it is not known here.
+    /// Renews the lease of a placement; returns `false` if it is unknown.
     pub(crate) fn renew(
         &mut self,
         now: units::MonoTime,
@@ -221,7 +221,7 @@
         true
     }
 
-    /// Takes over places that another planner gave.
+    /// Adopts placements that another planner granted.
     pub(crate) fn take_over(
         &mut self,
         now: units::MonoTime,
@@ -243,7 +243,7 @@
         self.refresh_steps(&engine);
     }
 
-    /// Gives up places that their members do not renew.
+    /// Releases placements whose members have stopped renewing them.
     pub(crate) fn expire(&mut self, now: units::MonoTime) {
         let silent: Vec<_> = self
             .jobs
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Notes a place as taken, and its leaves as given.
+    /// Records a grant and takes the rate-limit permits for its engines.
     pub(crate) fn take(
         &mut self,
         now: units::MonoTime,
@@ -274,7 +274,7 @@
     }
 }
 
-/// Tokens of a request's prompt that lie on its engine and slow down each step there.
+/// Prompt tokens of a request that its engine holds and that slow down each decode step there.
 fn context_of(lease: &engine_place::PlaceLease) -> u64 {
     lease.ask.prompt / (lease.grant.helpers.len() as u64 + 1)
 }
--- a/crates/core/src/planner/place_table/occupancy.rs
+++ b/crates/core/src/planner/place_table/occupancy.rs
@@ -1,4 +1,4 @@
-//! How a place that is taken or given back changes the work of its engines.
+//! How granting and releasing a placement changes the estimated work of its engines.
 
 use std::time;
 
@@ -9,7 +9,7 @@
 };
 
 impl place_table::PlaceTable {
-    /// Adds what a request brings to its engines.
+    /// Adds the prefill, decoding and memory of a placement to its engines.
     pub(super) fn occupy(&mut self, now: units::MonoTime, lease: &engine_place::PlaceLease) {
         let (ask, grant) = (&lease.ask, &lease.grant);
         self.tightest_ms = self.tightest_ms.min(f64::from(ask.pause_ms));
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes that away again.
+    /// Removes the prefill, decoding and memory of a placement from its engines.
     pub(super) fn release(&mut self, lease: &engine_place::PlaceLease) {
         let (ask, grant) = (&lease.ask, &lease.grant);
         for name in std::iter::once(&grant.engine).chain(&grant.helpers) {
@@ -65,7 +65,7 @@
         self.refresh_steps(&grant.engine);
     }
 
-    /// Works out the steps of an engine's passes anew, after its writers have changed.
+    /// Recomputes the decode time of an engine's passes after its writers have changed.
     pub(super) fn refresh_steps(&mut self, name: &ids::UpstreamId) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -1,4 +1,4 @@
-//! What the planner reads off the places in use: how many there are, what each engine does, when there is room.
+//! Queries on the place table: slots in use, snapshots of the engines, and expected release times.
 
 use crate::{
     engine_place, ids, pass_model,
@@ -6,21 +6,21 @@
     units,
 };
 
-/// Reading left at least on an engine that reads a long prompt until its first token is out,
-/// milliseconds. Engines put parts that come later first: where one was sent by plan just before the
-/// part before it had been read, the earlier prompt would come later by the whole of it.
+/// Least remaining prefill time assumed for an engine that works on a long prompt, until its first token is sent,
+/// milliseconds. Engines run newer parts first, so a part sent just before the previous one is complete would delay
+/// the earlier prompt by its whole length.
 const MIN_UNREAD_MS: f64 = 50.0;
-/// Time overdue beyond which a first token is not waited for, milliseconds: another engine of the
-/// same prompt has failed.
+/// How long a first token may be overdue before the engine no longer counts as working on it, milliseconds. Another
+/// engine of the same prompt has then failed.
 const MAX_OVERDUE_MS: f64 = 500.0;
 
 impl place_table::PlaceTable {
-    /// Requests that an engine answers.
+    /// Number of requests that an engine answers.
     pub(crate) fn running_on(&self, engine: &ids::UpstreamId) -> usize {
         self.engines.get(engine).map_or(0, |engine| engine.answering.len())
     }
 
-    /// Requests that engines answer and could answer at once, of engines that are not `excluded`.
+    /// Number of slots in use and of usable slots, over the engines that are not `excluded`.
     pub(crate) fn used_slots(&self, excluded: &[ids::UpstreamId]) -> (usize, usize) {
         let open = self.engines.iter().filter(|(name, _)| !excluded.contains(name));
         let counts =
@@ -28,8 +28,8 @@
         counts.fold((0, 0), |(running, slots), one| (running + one.0, slots + one.1))
     }
 
-    /// Requests that an engine could answer at once: as many as come to it within one answer where it has a limit, as
-    /// its other places may not be used.
+    /// Number of requests that an engine can answer concurrently. With a rate limit, this is the number that the
+    /// limit admits within the duration of one answer.
     fn usable_slots(&self, name: &ids::UpstreamId, engine: &engine_work::EngineWork) -> usize {
         let answering = engine.answering.len();
         let Some(rate) = self.limits.rate(name) else {
@@ -39,20 +39,20 @@
         within.clamp(answering.min(self.shape.slots), self.shape.slots)
     }
 
-    /// Time until the first limit lets another request through, milliseconds.
+    /// Time until the rate limit of any engine permits another request, milliseconds.
     pub(crate) fn next_permit_ms(&self, now: units::MonoTime) -> f64 {
         let times = self.engines.keys().map(|name| self.limits.times(now, name).wait_ms);
         times.fold(f64::INFINITY, f64::min)
     }
 
-    /// Requests a second that limits let through to engines that are not `excluded`; nothing while one of these has no
+    /// Summed rate limits of the engines that are not `excluded`, requests per second; `None` if one of them has no
     /// limit.
     pub(crate) fn limited_rate(&self, excluded: &[ids::UpstreamId]) -> Option<f64> {
         let open = self.engines.keys().filter(|name| !excluded.contains(name));
         open.map(|name| self.limits.rate(name)).sum()
     }
 
-    /// A refusal with the number of places taken.
+    /// Builds a refusal that states how many slots are in use.
     pub(crate) fn refusal(
         &self,
         job: engine_place::JobId,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The engines' work, one short text for each that is not idle, for the log.
+    /// Describes the engines that are not idle, for the log.
     pub(crate) fn summary(&self, now: units::MonoTime) -> String {
         let row = |(name, engine): (&ids::UpstreamId, &engine_work::EngineWork)| {
             let pending = engine.unread_ms();
@@ -88,7 +88,7 @@
         rows.join("; ")
     }
 
-    /// All engines as they are now.
+    /// Snapshots of all engines.
     pub(crate) fn views(&self, now: units::MonoTime) -> Vec<engine_view::EngineView<'_>> {
         self.engines.iter().map(|(name, engine)| self.view(now, name, engine)).collect()
     }
@@ -111,8 +111,8 @@
             unread += usize::from(ask.tight && state.lease.reading);
         }
         if engine.foreign > 0 {
-            // What another planner's requests bear is not known: taken for short ones, they are not
-            // kept waiting by a long part.
+            // The pause goals of another planner's requests are unknown. They are treated as short requests, so that
+            // long prefills do not delay them.
             pause_ms = pause_ms.min(self.tightest_ms);
             worth += engine.foreign as f64;
         }
@@ -138,15 +138,16 @@
         }
     }
 
-    /// Mean time until one of those who write with tight pauses has ended, milliseconds; endless
-    /// where nobody does.
+    /// Mean time until a decoding request with tight pause goals ends and releases its slot, milliseconds; infinite
+    /// if there is none.
     pub(crate) fn mean_slot_release_ms(&self) -> f64 {
         let writing = self.jobs.values().filter(|state| state.lease.ask.tight);
         let writing = writing.filter(|state| state.writing_since.is_some()).count();
         self.answer_ms / writing as f64
     }
 
-    /// Time until the long prompts that are read here are known to have been read, milliseconds.
+    /// Time until the first tokens of the long prompts on this engine are expected, milliseconds: only these confirm
+    /// that its prefill is complete.
     fn unconfirmed_ms(&self, now: units::MonoTime, engine: &engine_work::EngineWork) -> f64 {
         engine
             .expected
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -1,38 +1,37 @@
-//! What engine time earns with short requests while these find no room.
+//! Opportunity cost of engine time: what short requests would earn with it while they are being turned away.
 
 use std::time;
 
 use crate::{engine_place, pass_model, planner::waiting_job, route_table, units};
 
-/// Time after a short request found no calm place during which others are taken to find none.
+/// How long engines count as contended after a short request found none that meets all its limits.
 const CONTENTION_TIME: time::Duration = time::Duration::from_millis(700);
-/// Tokens of a short request's answer, for what an engine could do instead of reading.
+/// Assumed answer length of a short request, tokens.
 const SHORT_ANSWER: u64 = 1_700;
 
-/// Engine time taken to earn as much as one short request before any was seen, milliseconds.
+/// Initial estimate of the engine time that earns as much as one short request, milliseconds.
 const FIRST_MS_PER_WORTH: f64 = 150.0;
-/// Time over which the load of reading is remembered.
+/// Time constant of the decaying averages of demand.
 const LOAD_TIME: time::Duration = time::Duration::from_secs(3);
-/// Largest load that is believed: something is always left over.
+/// Upper bound of a load estimate, so that some capacity always remains.
 const MAX_LOAD: f64 = 0.95;
-/// Load of others below which a prompt takes no other request's time.
+/// Load of other prompts below which they are ignored.
 const ALONE_LOAD: f64 = 0.1;
-/// Weight of the newest prompt in the mean.
+/// Weight of the newest prompt in the moving average of engine time per worth.
 const READING_WEIGHT: f64 = 0.05;
 
-/// The price of engine time: nothing while there is room, else what short requests earn there.
+/// Price of engine time, from recent contention and demand.
 #[derive(Debug)]
 pub(crate) struct EnginePrice {
-    /// Until when short requests are taken to find no room.
+    /// Until when engines count as contended by short requests.
     contended_until: units::MonoTime,
-    /// Engine time that earned as much as one short request with the long prompts that were read
-    /// lately, milliseconds.
+    /// Engine time per unit of worth (a short request's) of recent long prompts, milliseconds; a moving average.
     ms_per_worth: f64,
-    /// Engine time that long prompts asked for, decaying over [`LOAD_TIME`], milliseconds; as of the
-    /// time beside.
+    /// Engine time requested by long prompts, decaying over [`LOAD_TIME`], milliseconds; as of `demand_since`.
     demand_ms: f64,
-    /// The same in prompts.
+    /// Number of long prompts, decaying over [`LOAD_TIME`]; as of `demand_since`.
     demand_count: f64,
+    /// Time of the last update of `demand_ms` and `demand_count`.
     demand_since: units::MonoTime,
 }
 
@@ -49,7 +48,7 @@
 }
 
 impl EnginePrice {
-    /// Notes that a long prompt gets engine time.
+    /// Records that a long prompt was granted engine time.
     pub(crate) fn note_reading(
         &mut self,
         shape: &route_table::EngineShape,
@@ -59,7 +58,7 @@
         self.ms_per_worth += (each - self.ms_per_worth) * READING_WEIGHT;
     }
 
-    /// Notes that a long prompt asks for engine time.
+    /// Records that a long prompt requests engine time.
     pub(crate) fn note_demand(
         &mut self,
         now: units::MonoTime,
@@ -71,14 +70,14 @@
         self.demand_since = now;
     }
 
-    /// Part of the summed rate limits of all engines that long prompts have asked for recently.
+    /// Fraction of `rate`, the summed rate limits of all engines, that long prompts have requested recently.
     pub(crate) fn limited_load(&self, now: units::MonoTime, rate: f64) -> f64 {
         let asked = self.demand_count * self.left(now);
         (asked / (LOAD_TIME.as_secs_f64() * rate)).min(MAX_LOAD)
     }
 
-    /// Part of the engines' time that long prompts have asked for recently; nothing where this one
-    /// was nearly alone.
+    /// Fraction of the time of `engines` engines that long prompts have requested recently; 0 if prompts other than
+    /// that of `ask` requested less than [`ALONE_LOAD`].
     pub(crate) fn load(
         &self,
         now: units::MonoTime,
@@ -99,7 +98,7 @@
         self.demand_ms * self.left(now)
     }
 
-    /// Part of a demand that is remembered by now.
+    /// Fraction of the recorded demand that remains after its decay.
     fn left(&self, now: units::MonoTime) -> f64 {
         let spent = now.since(self.demand_since).as_secs_f64();
         (-spent / LOAD_TIME.as_secs_f64()).exp()
@@ -110,12 +109,13 @@
         self.ms_per_worth
     }
 
-    /// Notes that a short request found no calm place.
+    /// Records that a short request found no engine that meets all its limits.
     pub(crate) fn note_contention(&mut self, now: units::MonoTime) {
         self.contended_until = now + CONTENTION_TIME;
     }
 
-    /// Whether a long prompt earns more than the short requests that its reading turns away.
+    /// Whether a long prompt is worth at least as much as the short requests that its prefill displaces. Always true
+    /// without contention.
     pub(crate) fn is_worth_reading(
         &self,
         now: units::MonoTime,
--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -1,5 +1,5 @@
-//! Which engine reads a short prompt: shorts are packed onto few engines, so that others stay free
-//! of writers whose pauses are tight.
+//! Choice of the engine for a short prompt. Short requests are packed onto few engines, so that the others have no
+//! decoding requests with tight pause goals and stay free for long prompts.
 
 use crate::{
     engine_place, pass_model,
@@ -7,38 +7,38 @@
     route_table, units,
 };
 
-/// Part of a short goal that a plan may use on the engine.
+/// Fraction of the first-token goal of a short request that the planned time on the engine may take.
 const GOAL_FRACTION: f64 = 0.75;
-/// Part of a short goal within which a sooner start earns nothing.
+/// Fraction of the first-token goal of a short request below which an earlier first token has no benefit.
 const NO_LOSS_GOAL_FRACTION: f64 = 0.55;
-/// Losses by which short requests are ordered onto engines, in shares of one's worth: for each
-/// writer missing to the packing, for each beyond it, for each long one beside, for a pause that
-/// is too long already, for an engine without a free slot.
+/// Loss for each request that an engine lacks to its packing target.
+///
+/// All losses are fractions of a short request's worth; the engine with the smallest sum is chosen.
 const PACK_LOSS: f64 = 0.004;
-/// See [`PACK_LOSS`].
+/// Loss for each request beyond the packing target.
 const CROWD_LOSS: f64 = 0.02;
-/// See [`PACK_LOSS`].
+/// Loss for each long request on the same engine.
 const BESIDE_LOSS: f64 = 0.03;
-/// See [`PACK_LOSS`]; for each request of another planner. Two that fill the same engine see each
-/// other's only when these have begun to write, so each keeps to engines of its own while it can.
+/// Loss for each request of another planner. Two planners see each other's requests only once these are decoding, so
+/// each prefers engines that the other does not use.
 const FOREIGN_LOSS: f64 = 0.02;
-/// See [`PACK_LOSS`].
+/// Loss if the pass that prefills the prompt would exceed the pause limit.
 const PAUSED_LOSS: f64 = 0.5;
-/// See [`PACK_LOSS`].
+/// Loss if the engine has no free slot.
 const FULL_LOSS: f64 = 1.0;
-/// Loss for each time that an engine is slower than its figures: it may get slower still.
+/// Loss for each unit by which the engine's pace exceeds 1, as it may become even slower.
 const PACE_LOSS: f64 = 0.05;
 
-/// How a choice among engines is weighed.
+/// Parameters of the choice among engines.
 pub(crate) struct ShortChoice<'a> {
     pub(crate) shape: &'a route_table::EngineShape,
-    /// Writers with tight pauses that an engine is filled up to before the next one is used, where
-    /// they are packed.
+    /// Packing target: requests with tight pause goals that an engine gets before the next one is used; `None`
+    /// without packing.
     pub(crate) packed_writers: Option<usize>,
 }
 
 impl ShortChoice<'_> {
-    /// The engine that loses least; with `strict` only one that is in time and delays no other request.
+    /// Grants the engine with the smallest loss; with `strict`, only one that meets all limits.
     pub(crate) fn choose(
         &self,
         now: units::MonoTime,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Whether an engine can read a prompt at once without delaying other requests.
+    /// Whether an engine has a free slot and can prefill a prompt in time without breaking any pause limit.
     fn meets_limits(
         &self,
         view: &engine_view::EngineView<'_>,
@@ -81,7 +81,7 @@
             && view.pause_loss(part) <= 0.0
     }
 
-    /// Cost of reading a prompt on an engine, in shares of a short one's worth.
+    /// Loss caused by placing a prompt on an engine, as a fraction of a short request's worth.
     fn loss(
         &self,
         view: &engine_view::EngineView<'_>,
@@ -99,7 +99,7 @@
         };
         let foreign = view.foreign as f64 * FOREIGN_LOSS;
         let beside = (view.answering - view.tight - view.foreign) as f64 * BESIDE_LOSS;
-        // Time that the goal leaves anyway costs nothing.
+        // Time within the goal has no cost.
         let easy = f64::from(ask.goal_ms) * NO_LOSS_GOAL_FRACTION;
         let slow = (view.first_ms(part) - easy).max(0.0) / 1_000.0;
         let pace = (view.pace - 1.0).max(0.0) * PACE_LOSS;
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -1,7 +1,7 @@
-//! When long prompts are read, and by which engines: reading is booked on the engines one prompt
-//! after the other, each in even parts, so that its first token comes soonest.
+//! Timetable for the prefill of long prompts. Prompts are booked one after the other, each split into equal parts on
+//! one or more engines at the lowest cost.
 //!
-//! What is booked and has not begun is booked anew at each look, from what the engines do then.
+//! Bookings that have not started are discarded and computed anew in each planning round.
 
 use crate::{
     engine_place, pass_model,
@@ -9,84 +9,87 @@
     route_table,
 };
 
-/// Numbers of parts that are compared.
+/// Numbers of parts that are tried.
 const PART_COUNTS: [usize; 11] = [1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 17];
-/// Shortest part that is worth a helper, milliseconds.
+/// Shortest part that is sent to a helper, milliseconds.
 const MIN_PART_MS: f64 = 20.0;
-/// What a part costs its engine beside its reading: a pass that plays the steps of those that write
-/// there, and the wait for the message that it is read. With less, prompts are cut finer than it pays.
+/// Engine time lost per part in addition to its prefill, milliseconds: a pass with the decode steps of other
+/// requests, and the wait for the message that the part is complete. With a lower value, prompts are split into
+/// too many parts.
 const PART_COST_MS: f64 = 60.0;
-/// Reading that may still wait on an engine when a part is sent there, milliseconds: about the time
-/// that the request takes to get there. Engines with a long part are out until it is known to be read.
+/// Prefill that an engine may still have left when a part is sent to it, milliseconds: about the time that the
+/// request takes to arrive. An engine with a long part gets no other until that part is known to be complete.
 const MAX_STACKED_MS: f64 = 40.0;
-/// Parts up to this length may be read before a short prompt that waits on the same engine.
+/// Longest part that may run on an engine with a short prompt that is not yet prefilled, milliseconds.
 const SHORT_PART_MS: f64 = 60.0;
-/// A prompt that leaves its engine less than this part of the memory is held by several.
+/// Largest fraction of an engine's memory that one prompt and its answer may take; larger prompts are held by several
+/// engines.
 const SINGLE_HOST_FRACTION: f64 = 0.85;
-/// Largest part of an engine's free memory that is set aside for a prompt answered elsewhere.
+/// Largest fraction of an engine's free memory that is reserved for a prompt answered by another engine.
 const MAX_HELD_FRACTION: f64 = 0.9;
-/// Tokens below which setting memory aside is not worth an order.
+/// Smallest memory reservation on another engine, tokens; less is not worth a message.
 const MIN_HELD_TOKENS: u64 = 4_096;
-/// Cost of an engine without writers as the one that answers, in short writers.
+/// Cost of letting an engine without any requests answer, in units of one latency-sensitive request on it.
 const FRESH_HOST_COST: f64 = 0.5;
-/// Reading that waits there and weighs as much as one short writer, milliseconds.
+/// Remaining prefill that costs as much as one latency-sensitive request when the answering engine is chosen,
+/// milliseconds.
 const PENDING_MS_PER_REQUEST: f64 = 100.0;
-/// Cost of an engine for each request with tight pauses there, milliseconds of delay.
+/// Cost of an engine for each latency-sensitive request on it, milliseconds of delay.
 const TIGHT_COST_MS: f64 = 20.0;
 
-/// Reading booked for one prompt.
+/// The prefill booked for one prompt.
 #[derive(Debug, Clone)]
 pub(crate) struct ReadBooking {
-    /// The engines, by their places in the timetable.
+    /// Indices of its engines in the timetable.
     pub(crate) engines: Vec<usize>,
-    /// Time until the last of them has read what it has by now, milliseconds.
+    /// Time until all of its engines can start, milliseconds.
     pub(crate) start_ms: f64,
-    /// Time until the limits of all of them let it through, milliseconds.
+    /// Time until the rate limits of all its engines permit it, milliseconds.
     permit_ms: f64,
     /// Time until the first token, milliseconds.
     pub(crate) first_ms: f64,
-    /// That time, and what later ones lose by it, milliseconds.
+    /// Cost: the time to the first token plus the delay of later prompts, milliseconds.
     pub(crate) cost_ms: f64,
 }
 
 impl ReadBooking {
-    /// Whether it can be sent now.
+    /// Whether it can be sent to its engines now.
     pub(crate) fn starts_now(&self) -> bool {
         self.start_ms <= MAX_STACKED_MS && self.has_permit()
     }
 
-    /// Whether the limits of all its engines let it through now.
+    /// Whether the rate limits of all its engines permit it now.
     pub(crate) fn has_permit(&self) -> bool {
         self.permit_ms <= 0.0
     }
 }
 
-/// A part that one engine might read.
+/// An engine considered for one part of a prompt.
 struct PartCandidate {
-    /// The engine's place in the timetable.
+    /// Index of the engine in the timetable.
     at: usize,
-    /// Worth that others lose by pauses there.
+    /// Worth that other requests lose by the pause there.
     pause_loss: f64,
-    /// Time until the part may begin, milliseconds.
+    /// Time until the part may start, milliseconds.
     start_ms: f64,
-    /// Time until it has been read, milliseconds.
+    /// Time until the part is complete, milliseconds.
     first_ms: f64,
-    /// Cost of the engine, milliseconds of delay.
+    /// Cost of using the engine, milliseconds of delay.
     cost_ms: f64,
 }
 
-/// The engines with what is booked on them.
+/// Snapshots of the engines with the bookings made on them.
 pub(crate) struct ReadTimetable<'a> {
     shape: &'a route_table::EngineShape,
     views: Vec<engine_view::EngineView<'a>>,
-    /// Prompts that wait for engine time.
+    /// Number of prompts that wait for engine time.
     waiting: usize,
     /// Engine time that earns as much as one short request, milliseconds.
     ms_per_worth: f64,
 }
 
 impl<'a> ReadTimetable<'a> {
-    /// A timetable of engines as they are now, for a number of prompts.
+    /// Creates a timetable without bookings for `waiting` prompts.
     pub(crate) fn new(
         shape: &'a route_table::EngineShape,
         views: Vec<engine_view::EngineView<'a>>,
@@ -96,8 +99,8 @@
         Self { shape, views, waiting, ms_per_worth }
     }
 
-    /// The cheapest reading of a prompt after all that is booked, at most this much worth
-    /// lost by others; `None` where no engine may be used.
+    /// The cheapest prefill of a prompt after all bookings that costs other requests at most `max_loss` worth; `None`
+    /// if there is none.
     pub(crate) fn cheapest(
         &self,
         ask: &engine_place::PlaceAsk,
@@ -122,12 +125,12 @@
         (ask.prompt + ask.output) as f64 <= self.capacity() * (SINGLE_HOST_FRACTION + others)
     }
 
-    /// Tokens of one engine's memory that are given away.
+    /// Tokens of one engine's memory that the planner assigns.
     fn capacity(&self) -> f64 {
         self.shape.memory.0 as f64 * place_table::MEMORY_FRACTION
     }
 
-    /// The best reading in this number of parts.
+    /// The cheapest prefill in `parts` parts of `part` milliseconds each.
     fn split_into(
         &self,
         usable: &[usize],
@@ -169,7 +172,7 @@
         Some(ReadBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
     }
 
-    /// A part read on one engine: when it may begin there, and its cost.
+    /// When a part of `part` milliseconds may start on an engine, and what it costs there.
     fn part_candidate(&self, at: usize, part: f64) -> PartCandidate {
         let view = &self.views[at];
         let own = view.own_ms(part);
@@ -183,7 +186,7 @@
         PartCandidate { at, pause_loss, start_ms, first_ms, cost_ms }
     }
 
-    /// Notes a reading as booked: what is asked for next comes after it.
+    /// Records a booking: later ones on the same engines start after it.
     pub(crate) fn book(&mut self, booking: &ReadBooking) {
         for at in &booking.engines {
             let view = &mut self.views[*at];
@@ -195,7 +198,7 @@
         }
     }
 
-    /// The place of a reading that starts now; `None` where no engine has the room to answer.
+    /// Builds the grant for a booking that starts now; `None` if no engine has the capacity to answer.
     pub(crate) fn grant(
         &mut self,
         job: &waiting_job::WaitingJob,
@@ -224,7 +227,7 @@
         })
     }
 
-    /// Of the engines that read a prompt, the one that answers.
+    /// Picks the engine that answers, among those that prefill the prompt.
     fn pick_host(
         &self,
         ask: &engine_place::PlaceAsk,
@@ -233,8 +236,8 @@
         forced: bool,
     ) -> Option<usize> {
         let need = ask.prompt + ask.output;
-        // Answers of long prompts are written side by side, so that few engines interrupt their
-        // reading for steps.
+        // Answers of long prompts are decoded together, so that fewer engines interrupt their prefill for decode
+        // steps.
         let cost = |at: usize| {
             let view = &self.views[at];
             let fresh = if view.answering == 0 { FRESH_HOST_COST } else { 0.0 };
@@ -245,12 +248,13 @@
             .filter(|at| self.views[*at].answering < self.shape.slots)
             .filter(|at| !alone || self.views[*at].free >= need)
             .min_by(|left, right| cost(*left).total_cmp(&cost(*right)));
-        // Without a free slot anywhere the engine's own queue takes it.
+        // Without a free slot, a forced request goes into an engine's own queue.
         let queued = || engines().min_by_key(|at| self.views[*at].answering);
         free.or_else(|| if forced && alone { queued() } else { None })
     }
 
-    /// Memory on other engines for what the answering one has no room for.
+    /// Plans reservations on other engines for the tokens that do not fit on the answering one; `None` if the free
+    /// memory does not suffice.
     fn hold(
         &self,
         ask: &engine_place::PlaceAsk,
--- a/crates/core/src/planner/waiting_job.rs
+++ b/crates/core/src/planner/waiting_job.rs
@@ -1,43 +1,46 @@
-//! A request that waits for a place, and what is left of its times.
+//! A request that waits for a placement, and its remaining time limits.
 
 use crate::{engine_place, units};
 
-/// Part of the time left until a first token is late that a plan may use.
+/// Fraction of the time left until the first token is late that a plan may use.
 const GOAL_FRACTION: f64 = 0.93;
-/// Time on the way to an engine and back, and until the planner looks again, milliseconds.
+/// Round trip to an engine plus the wait for the next planning round, milliseconds.
 const ROUND_TRIP_MS: f64 = 40.0;
-/// Part of a caller's patience that a plan may use; after it the caller has left.
+/// Fraction of a caller's remaining patience that a plan may use.
 const PATIENCE_FRACTION: f64 = 0.9;
-/// Part of its worth that a request keeps that comes late.
+/// Fraction of its worth that a late request keeps.
 pub(crate) const LATE_FRACTION: f64 = 0.25;
 
-/// A request without a place.
+/// A request without a placement.
 #[derive(Debug, Clone)]
 pub(crate) struct WaitingJob {
     pub(crate) ask: engine_place::PlaceAsk,
+    /// When it arrived at this planner.
     pub(crate) since: units::MonoTime,
-    /// Whether it is planned to be late, after all that can be in time; worked out at each plan.
+    /// Whether its first token is planned to be late; decided anew in each planning round.
     pub(crate) late: bool,
-    /// Whether it was late once and not refused.
+    /// Whether it has become late in an earlier step and was not refused then.
     pub(crate) admitted_late: bool,
 }
 
 impl WaitingJob {
-    /// A request that has just asked.
+    /// Creates a request that starts to wait at `since`.
     pub(crate) fn new(ask: engine_place::PlaceAsk, since: units::MonoTime) -> Self {
         Self { ask, since, late: false, admitted_late: false }
     }
 
+    /// Time it has waited, milliseconds.
     pub(crate) fn waited_ms(&self, now: units::MonoTime) -> f64 {
         now.since(self.since).as_secs_f64() * 1_000.0
     }
 
+    /// Time left until its first token is late, milliseconds; negative when it is.
     pub(crate) fn goal_left_ms(&self, now: units::MonoTime) -> f64 {
         f64::from(self.ask.goal_left_ms) - self.waited_ms(now)
     }
 
-    /// Time within which its first token must be planned, milliseconds: for its goal, or before its
-    /// caller leaves where it comes late.
+    /// Time within which its first token must be planned, milliseconds: to meet its goal, or if it is late, before its
+    /// caller gives up.
     pub(crate) fn due_ms(&self, now: units::MonoTime) -> f64 {
         if self.late {
             self.patience_ms(now)
@@ -46,17 +49,17 @@
         }
     }
 
-    /// Time within which its first token must be planned before its caller leaves, milliseconds.
+    /// Time within which its first token must be planned before its caller gives up, milliseconds.
     pub(crate) fn patience_ms(&self, now: units::MonoTime) -> f64 {
         (f64::from(self.ask.patience_ms) - self.waited_ms(now)) * PATIENCE_FRACTION
     }
 
-    /// What its answer is worth by now.
+    /// Worth of its answer, reduced if it is late.
     pub(crate) fn value(&self) -> f64 {
         f64::from(self.ask.worth) * if self.late { LATE_FRACTION } else { 1.0 }
     }
 
-    /// What is lost where that time is missed: the difference to a late answer, or that answer.
+    /// Worth lost if it misses its due time: the difference to a late answer, or if it is late already, that answer.
     pub(crate) fn loss_if_missed(&self) -> f64 {
         let part = if self.late { LATE_FRACTION } else { 1.0 - LATE_FRACTION };
         f64::from(self.ask.worth) * part
--- a/crates/core/src/planner/ways.rs
+++ b/crates/core/src/planner/ways.rs
@@ -1,5 +1,5 @@
-//! Ways of the planner's decisions that can be compared: one is the default, the others are there to
-//! measure against it.
+//! Experiment switches: variants of individual decisions. One variant of each is the default, the others exist for
+//! comparison.
 
 use std::fmt;
 
@@ -7,27 +7,26 @@
 
 use crate::{cold_start, retry_need, route_table, upstream_notice};
 
-/// Writers with tight pauses that an engine is filled up to before the next one is used, where the
-/// number is fixed: two of 16 slots stay for bursts.
+/// Packing target of [`PackingWay::Fixed`]: two of 16 slots stay free for bursts.
 const FIXED_WRITERS: usize = 14;
-/// The same in shares of an engine's slots.
+/// Packing target of [`PackingWay::SlotShare`] as a fraction of an engine's slots.
 const WRITERS_SHARE: f64 = 0.875;
 
-/// How short prompts are packed onto few engines, so that others stay free for long ones.
+/// How short requests are packed onto few engines, so that the others stay free for long prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PackingWay {
-    /// Up to a fixed number of writers.
+    /// Up to a fixed number of requests per engine.
     #[default]
     Fixed,
     /// Up to a share of the engine's slots.
     SlotShare,
-    /// Not at all: onto the engine with the earliest start.
+    /// No packing.
     Off,
 }
 
 impl PackingWay {
-    /// Writers that an engine is filled up to; nothing where they are not packed.
+    /// Number of short requests that an engine gets before the next one is used; `None` without packing.
     pub(crate) fn writers(self, shape: &route_table::EngineShape) -> Option<usize> {
         match self {
             Self::Fixed => Some(FIXED_WRITERS),
@@ -37,37 +36,38 @@
     }
 }
 
-/// How an engine that failed is given work again.
+/// How an engine gets work again after a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineFaultWay {
-    /// Behind a pause, one prompt until its first token; a refusal for want of room pauses, too.
+    /// After an ejection time, one request until its first token. A refusal for lack of capacity also ejects the
+    /// engine.
     #[default]
     Probe,
-    /// Behind a pause, as any other; a refusal says nothing.
+    /// After an ejection time, without restrictions. Refusals for lack of capacity are ignored.
     Pause,
 }
 
-/// When a short prompt that finds no calm place is refused.
+/// When a short request is refused that finds no engine which meets all its limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShortRefusalWay {
-    /// If its first token would come too late for its caller, or most places are taken and it would
-    /// stand in a queue.
+    /// If its caller would give up before the first token, or if most slots are in use and it would be queued or
+    /// late.
     #[default]
     Crowded,
-    /// Only if its first token would come too late.
+    /// Only if its caller would give up before the first token.
     Hopeless,
 }
 
-/// How the other instances learn that an upstream leaves.
+/// How other instances learn that an upstream is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeavingNewsWay {
-    /// A member that an upstream has informed informs all at once.
+    /// The member that the upstream informed notifies all others at once.
     #[default]
     All,
-    /// Each from the upstream itself, or from the list.
+    /// Each member hears it from the upstream itself or from the published list.
     Heard,
 }
 
@@ -75,41 +75,41 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClosedEngineWay {
-    /// By each ask of that member.
+    /// From each placement request of that member.
     #[default]
     Asked,
-    /// Not at all: the member keeps the request back and asks again.
+    /// Not at all: the member holds the request back and asks again.
     KeptBack,
 }
 
-/// Which of the upstreams of a plain service takes a call, of those that rank equal.
+/// Which upstream of a plain service takes a call, among those of equal rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadChoiceWay {
-    /// Any of the least loaded.
+    /// A random one of the least loaded.
     #[default]
     Random,
-    /// The less loaded of two that are drawn.
+    /// The less loaded of two random ones.
     TwoChoices,
-    /// The least loaded, of equal ones that which comes first in an order of this instance's own.
+    /// The least loaded; ties go by an order that differs between instances.
     OwnOrder,
-    /// The least loaded, of equal ones the first in the list.
+    /// The least loaded; ties go by list order.
     First,
 }
 
-/// In which order the retries go that all members share.
+/// Order of the retries that draw on the budget shared by all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryOrderWay {
-    /// Those that save more first.
+    /// Retries that save more come first.
     #[default]
     ByNeed,
-    /// As they come.
+    /// Order of arrival.
     Arrival,
 }
 
 impl RetryOrderWay {
-    /// What a retry counts as.
+    /// The need by which a retry is ordered; the same for all with [`Self::Arrival`].
     pub fn need(self, need: retry_need::RetryNeed) -> retry_need::RetryNeed {
         match self {
             Self::ByNeed => need,
@@ -118,40 +118,40 @@
     }
 }
 
-/// Which engines report in each round.
+/// Which engines are polled for a report in each round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportWay {
-    /// Those with work; idle ones less often.
+    /// Engines with work; idle engines less often.
     #[default]
     Used,
-    /// All.
+    /// All engines.
     All,
 }
 
-/// The way of each decision.
+/// The selected variant of each decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlannerWays {
-    /// Packing of short prompts.
+    /// Packing of short requests.
     pub packing: PackingWay,
-    /// Engines that failed.
+    /// Recovery of engines that failed.
     pub engine_faults: EngineFaultWay,
-    /// Refusal of short prompts.
+    /// Refusal of short requests.
     pub short_refusal: ShortRefusalWay,
-    /// Return after a rest.
+    /// How traffic returns to an upstream after a rest.
     pub rest_return: upstream_notice::RestReturnWay,
-    /// News of upstreams that leave.
+    /// Propagation of the news that an upstream is leaving.
     pub leaving_news: LeavingNewsWay,
-    /// Engines that a member must not send to.
+    /// How planners learn which engines a member must not send to.
     pub closed_engines: ClosedEngineWay,
     /// Choice among the upstreams of a plain service.
     pub load_choice: LoadChoiceWay,
-    /// Order of retries.
+    /// Order of shared retries.
     pub retry_order: RetryOrderWay,
-    /// Upstreams that have just started.
+    /// Limits of upstreams that have just started.
     pub cold_upstreams: cold_start::ColdUpstreamWay,
-    /// Reports of engines.
+    /// Polling of engines for reports.
     pub reports: ReportWay,
 }
 
