--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -29,7 +29,7 @@
 }
 
 fn place_row(what: &str, engines: usize, prompt: u64) -> planned_size::CostRow {
-    let mut planner = planner::ReadPlanner::new(shape(), planner::PlannerOptions::default());
+    let mut planner = planner::PlacementPlanner::new(shape(), planner::PlannerOptions::default());
     let names: Vec<_> = (0..engines).map(|number| (name("e", number), number as u64)).collect();
     planner.set_engines(at(0), &names);
     for sequence in 0..PLACED.min(engines as u64 * 8) {
--- a/crates/core/src/pass_model.rs
+++ b/crates/core/src/pass_model.rs
@@ -5,7 +5,7 @@
 use crate::route_table;
 
 /// Reading time of a whole prompt on one engine, milliseconds.
-pub fn read_ms(shape: &route_table::EngineShape, prompt: u64) -> f64 {
+pub fn prefill_ms(shape: &route_table::EngineShape, prompt: u64) -> f64 {
     part_ms(shape, prompt, 1)
 }
 
@@ -18,23 +18,23 @@
 }
 
 /// Time of the token steps of one pass, without what is read in it.
-pub fn steps_ms(shape: &route_table::EngineShape, writers: usize, context: u64) -> f64 {
-    if writers == 0 {
+pub fn steps_ms(shape: &route_table::EngineShape, decoding: usize, context: u64) -> f64 {
+    if decoding == 0 {
         return shape.step_ms;
     }
     let step = shape.step_ms
-        + shape.step_per_writer_ms * writers as f64
+        + shape.step_per_writer_ms * decoding as f64
         + shape.step_per_context_ms * context as f64 / 1_000.0;
     step * shape.stride
 }
 
 /// Time to write `tokens` on an engine with these writers, without what others read meanwhile.
-pub fn write_ms(
+pub fn decode_ms(
     shape: &route_table::EngineShape,
-    writers: usize,
+    decoding: usize,
     context: u64,
     tokens: u64,
 ) -> f64 {
     let passes = (tokens as f64 / shape.stride.max(1.0)).ceil();
-    passes * steps_ms(shape, writers.max(1), context)
+    passes * steps_ms(shape, decoding.max(1), context)
 }
--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -22,27 +22,27 @@
 /// A prompt that could be displaced in favor of others.
 struct DisplacedPrompt {
     /// Index into the waiting prompts.
-    at: usize,
+    index: usize,
     /// Expected time until its first token, milliseconds.
     expected_ms: f64,
 }
 
 /// A prefill that could be booked on the timetable.
-struct ReadCandidate {
-    booking: timetable::ReadBooking,
+struct PrefillCandidate {
+    booking: timetable::PrefillBooking,
     /// Whether it may start; `false` if it would cost other requests too much.
     allowed: bool,
 }
 
 /// Context of one planning round for long prompts.
-pub(crate) struct ReadAdmission<'a> {
+pub(crate) struct PrefillAdmission<'a> {
     pub(crate) table: &'a place_table::PlaceTable,
     pub(crate) price: &'a price::EnginePrice,
-    pub(crate) packed_writers: usize,
+    pub(crate) packing_target: usize,
     pub(crate) now: units::MonoTime,
 }
 
-impl ReadAdmission<'_> {
+impl PrefillAdmission<'_> {
     /// Schedules all waiting long prompts and returns the grants and refusals.
     ///
     /// Updates the `late` and `admitted_late` flags of `jobs`.
@@ -51,24 +51,24 @@
         jobs: &mut [&mut waiting_job::WaitingJob],
     ) -> Vec<engine_place::PlaceAnswer> {
         let views = self.table.views(self.now);
-        let tight: usize = views.iter().map(engine_view::EngineView::sensitive).sum();
+        let tight: usize = views.iter().map(engine_view::EngineView::latency_sensitive).sum();
         let usable = views.iter().filter(|view| !view.ejected && view.has_permit()).count();
         // Engines left to long prompts once short requests are packed onto the fewest.
-        let free = usable.saturating_sub(tight.div_ceil(self.packed_writers));
+        let free = usable.saturating_sub(tight.div_ceil(self.packing_target));
         let mut answers = Vec::new();
         // Lateness is decided anew, because engines may be free earlier than expected.
         jobs.iter_mut().for_each(|job| job.late = job.goal_left_ms(self.now) <= 0.0);
-        let worth_reading = |at: &usize| {
+        let worth_reading = |index: &usize| {
             // A prompt worth less than the short requests that it turns away is not scheduled: it is unknown how
             // long these will occupy the engines.
-            self.price.is_worth_reading(self.now, &self.table.shape, jobs[*at])
+            self.price.is_worth_reading(self.now, &self.table.shape, jobs[*index])
         };
         let mut order: Vec<_> = (0..jobs.len()).filter(worth_reading).collect();
         loop {
             order.sort_by(|left, right| {
                 jobs[*left].due_ms(self.now).total_cmp(&jobs[*right].due_ms(self.now))
             });
-            let mut timetable = timetable::ReadTimetable::new(
+            let mut timetable = timetable::PrefillTimetable::new(
                 &self.table.shape,
                 views.clone(),
                 jobs.len(),
@@ -81,7 +81,7 @@
                 }
                 Err(displaced) => displaced,
             };
-            let job = &mut jobs[displaced.at];
+            let job = &mut jobs[displaced.index];
             let hopeless = job.late;
             job.late = true;
             // A late prompt also waits for prompts that arrive after it, so its expected time grows with the load.
@@ -95,7 +95,7 @@
             let expected_ms = displaced.expected_ms * others;
             job.admitted_late = true;
             if hopeless || expected_ms > job.due_ms(self.now) {
-                order.retain(|at| *at != displaced.at);
+                order.retain(|index| *index != displaced.index);
                 let refusal = self.refuse(&job.ask, expected_ms);
                 answers.push(engine_place::PlaceAnswer::Refuse(refusal));
             }
@@ -104,27 +104,28 @@
 
     fn book_all(
         &self,
-        timetable: &mut timetable::ReadTimetable<'_>,
+        timetable: &mut timetable::PrefillTimetable<'_>,
         jobs: &[&mut waiting_job::WaitingJob],
         order: &[usize],
     ) -> Result<Vec<engine_place::PlaceAnswer>, DisplacedPrompt> {
         let mut grants = Vec::new();
         let mut booked = Vec::new();
-        for at in order {
-            let job = &jobs[*at];
-            let Some(ReadCandidate { booking, allowed }) = self.best_read(timetable, job) else {
+        for index in order {
+            let job = &jobs[*index];
+            let Some(PrefillCandidate { booking, allowed }) = self.best_prefill(timetable, job)
+            else {
                 continue;
             };
             if !timetable.can_hold(&job.ask) && !job.ask.resumed {
                 // Displacing another prompt would not help.
-                return Err(DisplacedPrompt { at: *at, expected_ms: f64::INFINITY });
+                return Err(DisplacedPrompt { index: *index, expected_ms: f64::INFINITY });
             }
             let missed = booking.first_ms > job.due_ms(self.now) && !job.ask.resumed;
             if !missed && !allowed {
                 // It waits for a start that costs others less.
                 continue;
             }
-            booked.push(DisplacedPrompt { at: *at, expected_ms: booking.first_ms });
+            booked.push(DisplacedPrompt { index: *index, expected_ms: booking.first_ms });
             if missed {
                 return Err(self.pick_displaced(jobs, booked));
             }
@@ -147,27 +148,27 @@
     /// 4. any other, which must not start and only serves to estimate the first token.
     ///
     /// A resumed request may always start.
-    fn best_read(
+    fn best_prefill(
         &self,
-        timetable: &timetable::ReadTimetable<'_>,
+        timetable: &timetable::PrefillTimetable<'_>,
         job: &waiting_job::WaitingJob,
-    ) -> Option<ReadCandidate> {
+    ) -> Option<PrefillCandidate> {
         let forced = || timetable.cheapest(&job.ask, f64::INFINITY);
         if job.ask.resumed {
-            return forced().map(|booking| ReadCandidate { booking, allowed: true });
+            return forced().map(|booking| PrefillCandidate { booking, allowed: true });
         }
         let due = job.due_ms(self.now);
-        let in_time = |read: &timetable::ReadBooking| read.first_ms <= due;
+        let in_time = |read: &timetable::PrefillBooking| read.first_ms <= due;
         let lossless = timetable.cheapest(&job.ask, 0.0);
         if lossless.as_ref().is_some_and(in_time) {
-            return lossless.map(|booking| ReadCandidate { booking, allowed: true });
+            return lossless.map(|booking| PrefillCandidate { booking, allowed: true });
         }
         let part = if job.late { LATE_MAX_LOSS_FRACTION } else { MAX_LOSS_FRACTION };
         let lossy = timetable.cheapest(&job.ask, job.loss_if_missed() * part);
         if let Some(booking) = lossy.filter(in_time).or(lossless) {
-            return Some(ReadCandidate { booking, allowed: true });
+            return Some(PrefillCandidate { booking, allowed: true });
         }
-        forced().map(|booking| ReadCandidate { booking, allowed: false })
+        forced().map(|booking| PrefillCandidate { booking, allowed: false })
     }
 
     /// Picks the prompt to displace: the one with the lowest value per engine time, and among equals the newest.
@@ -179,16 +180,16 @@
         mut booked: Vec<DisplacedPrompt>,
     ) -> DisplacedPrompt {
         let density = |row: &DisplacedPrompt| {
-            let job = &jobs[row.at];
-            job.loss_if_missed() / pass_model::read_ms(&self.table.shape, job.ask.prompt)
+            let job = &jobs[row.index];
+            job.loss_if_missed() / pass_model::prefill_ms(&self.table.shape, job.ask.prompt)
         };
-        let worst = (0..booked.len()).filter(|at| !jobs[booked[*at].at].ask.resumed).min_by(
-            |left, right| {
-                let since = |at: usize| jobs[booked[at].at].since;
+        let worst = (0..booked.len())
+            .filter(|index| !jobs[booked[*index].index].ask.resumed)
+            .min_by(|left, right| {
+                let since = |index: usize| jobs[booked[index].index].since;
                 let by_density = density(&booked[*left]).total_cmp(&density(&booked[*right]));
                 by_density.then(since(*right).cmp(&since(*left)))
-            },
-        );
+            });
         booked.swap_remove(worst.unwrap_or(booked.len() - 1))
     }
 
--- a/crates/core/src/planner/baseline_choice.rs
+++ b/crates/core/src/planner/baseline_choice.rs
@@ -25,7 +25,7 @@
     let turn = job.ask.job.sequence as usize % usable.len().max(1);
     let (before, behind) = usable.split_at(turn);
     let engine = behind.iter().chain(before).copied().min_by_key(load)?;
-    let part = pass_model::read_ms(shape, job.ask.prompt);
+    let part = pass_model::prefill_ms(shape, job.ask.prompt);
     Some(engine_place::PlaceGrant {
         job: job.ask.job,
         engine: engine.name.clone(),
--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -16,11 +16,11 @@
     /// Prefill time that is queued for that pass, milliseconds.
     pub(crate) pending_ms: f64,
     /// Time until all prefill that is running or queued there is complete, milliseconds.
-    pub(crate) unread_ms: f64,
+    pub(crate) prefill_left_ms: f64,
     /// Time of the decode steps of one pass, milliseconds.
     pub(crate) steps_ms: f64,
     /// Smallest pause goal of the requests there, milliseconds; infinite without any.
-    pub(crate) pause_ms: f64,
+    pub(crate) pause_goal_ms: f64,
     /// Summed worth of the requests there.
     pub(crate) worth: f64,
     /// This planner's requests there with tight pause goals.
@@ -28,7 +28,7 @@
     /// Requests of other planners there. Their pause goals are unknown.
     pub(crate) foreign: usize,
     /// Requests with tight pause goals whose prefill is not complete.
-    pub(crate) unread: usize,
+    pub(crate) prefilling: usize,
     /// Requests that it answers, including those of other planners.
     pub(crate) answering: usize,
     /// Tokens of its memory that are neither in use nor reserved.
@@ -55,7 +55,7 @@
 
     /// Requests there that a long prefill may delay too much: those with tight pause goals, and those of other
     /// planners.
-    pub(crate) fn sensitive(&self) -> usize {
+    pub(crate) fn latency_sensitive(&self) -> usize {
         self.tight + self.foreign
     }
 
@@ -75,8 +75,8 @@
     pub(crate) fn pause_loss(&self, part: f64) -> f64 {
         let before = (self.steps_ms + self.pending_ms) * self.pace;
         let pause = before + part * self.pace;
-        let limit = self.pause_ms * PAUSE_FRACTION;
-        if pause > self.pause_ms * MAX_PAUSES {
+        let limit = self.pause_goal_ms * PAUSE_FRACTION;
+        if pause > self.pause_goal_ms * MAX_PAUSES {
             return f64::INFINITY;
         }
         // A pause that exceeds the limit without this part has been counted already.
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -30,7 +30,7 @@
 const IDLE_TIME: time::Duration = time::Duration::from_secs(4);
 
 /// Delay of a first token that is not yet a sign of trouble: one pass and the message to the planner.
-const EXPECTED_SLACK: time::Duration = time::Duration::from_millis(120);
+const FIRST_TOKEN_DELAY_SLACK: time::Duration = time::Duration::from_millis(120);
 
 /// Lower bound of a pass, milliseconds, in case the model of an engine gives an implausible time.
 const MIN_PASS_MS: f64 = 0.5;
@@ -44,7 +44,7 @@
 }
 
 /// A pass in progress: the engine prefills the parts that were pending at its start and runs the decode steps of its
-/// writers. Parts that arrive during a pass wait for the next one.
+/// decoding requests. Parts that arrive during a pass wait for the next one.
 #[derive(Debug, Clone)]
 pub(crate) struct EnginePass {
     /// Time until its end, milliseconds.
@@ -63,8 +63,8 @@
     /// Requests that this engine answers.
     pub(crate) answering: collections::BTreeSet<engine_place::JobId>,
     /// Requests of `answering` whose prefill is complete and which are decoding.
-    pub(crate) writers: collections::BTreeSet<engine_place::JobId>,
-    /// Time of the decode steps of one pass with the current writers, milliseconds.
+    pub(crate) decoding: collections::BTreeSet<engine_place::JobId>,
+    /// Time of the decode steps of one pass with the current decoding requests, milliseconds.
     pub(crate) steps_ms: f64,
     /// The pass in progress; `None` while the engine has no work.
     pub(crate) pass: Option<EnginePass>,
@@ -98,7 +98,7 @@
             rank,
             memory,
             answering: collections::BTreeSet::new(),
-            writers: collections::BTreeSet::new(),
+            decoding: collections::BTreeSet::new(),
             expected: collections::BTreeMap::new(),
             steps_ms: 0.0,
             pass: None,
@@ -141,7 +141,7 @@
 
     /// Starts the next pass; returns `false` if there is no work.
     fn begin_pass(&mut self) -> bool {
-        if self.writers.is_empty() {
+        if self.decoding.is_empty() {
             // Without decode steps, the parts are prefilled one by one.
             let Some(part) = self.pending.pop_front() else {
                 return false;
@@ -161,7 +161,7 @@
     }
 
     /// Records the first token of a job: the pass that prefilled its part has ended.
-    pub(crate) fn note_read(&mut self, job: engine_place::JobId) {
+    pub(crate) fn note_first_token(&mut self, job: engine_place::JobId) {
         if self.pass.as_ref().is_some_and(|pass| pass.parts.iter().any(|part| part.job == job)) {
             self.pass = None;
         }
@@ -259,19 +259,19 @@
 
     /// Time until the next pass begins, milliseconds.
     pub(crate) fn wait_ms(&self, now: units::MonoTime) -> f64 {
-        self.pass.as_ref().map_or(0.0, |pass| pass.left_ms) + self.behind_ms(now)
+        self.pass.as_ref().map_or(0.0, |pass| pass.left_ms) + self.overdue_ms(now)
     }
 
     /// How long its oldest expected first token is overdue, milliseconds. An overdue engine does work that its planner
     /// does not know of, for an unknown time.
-    fn behind_ms(&self, now: units::MonoTime) -> f64 {
+    fn overdue_ms(&self, now: units::MonoTime) -> f64 {
         let oldest = self.expected.values().min();
         let late = oldest.map_or(time::Duration::ZERO, |due| now.since(*due));
-        late.saturating_sub(EXPECTED_SLACK).as_secs_f64() * 1_000.0
+        late.saturating_sub(FIRST_TOKEN_DELAY_SLACK).as_secs_f64() * 1_000.0
     }
 
     /// Time until all prefill that is running or queued is complete, milliseconds.
-    pub(crate) fn unread_ms(&self) -> f64 {
+    pub(crate) fn prefill_left_ms(&self) -> f64 {
         let reads = self.pass.as_ref().filter(|pass| !pass.parts.is_empty());
         reads.map_or(0.0, |pass| pass.left_ms) + self.pending_ms()
     }
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -3,7 +3,7 @@
 //! One planner tracks the work of every engine of a service, or of one cell of a large service. A request passes
 //! through these steps:
 //!
-//! 1. [`ReadPlanner::ask`] receives it, and the place table provides the current state of the engines.
+//! 1. [`PlacementPlanner::ask`] receives it, and the place table provides the current state of the engines.
 //! 2. A short prompt gets one engine. Long prompts are scheduled together on a timetable, and admission decides
 //!    which of them meet their goal, which run late and which are refused.
 //! 3. The place table records the grant.
@@ -58,20 +58,20 @@
 
 /// Places the requests of one service, or of one cell of its engines.
 #[derive(Debug)]
-pub struct ReadPlanner {
+pub struct PlacementPlanner {
     options: PlannerOptions,
     table: place_table::PlaceTable,
     price: price::EnginePrice,
     /// Requests without a placement, unordered.
     waiting: Vec<waiting_job::WaitingJob>,
-    /// Answers for other requests that became known during a call of [`ReadPlanner::ask`]; the next
-    /// [`ReadPlanner::tick`] returns them.
+    /// Answers for other requests that became known during a call of [`PlacementPlanner::ask`]; the next
+    /// [`PlacementPlanner::tick`] returns them.
     ready_answers: Vec<engine_place::PlaceAnswer>,
     /// Retry times for requests that rate limits keep from all engines.
     returns: retry_line::RetryLine,
 }
 
-impl ReadPlanner {
+impl PlacementPlanner {
     /// Creates a planner without engines.
     pub fn new(shape: route_table::EngineShape, options: PlannerOptions) -> Self {
         Self {
@@ -289,8 +289,8 @@
             return self.take(now, &job.ask, grant);
         }
         let shape = &self.table.shape;
-        let packed_writers = self.options.ways.packing.writers(shape);
-        let choice = short_choice::ShortChoice { shape, packed_writers };
+        let packing_target = self.options.ways.packing.packing_target(shape);
+        let choice = short_choice::ShortChoice { shape, packing_target };
         if let Some(grant) = choice.choose(now, job, &views, true) {
             return self.take(now, &job.ask, grant);
         }
@@ -384,20 +384,20 @@
             return Vec::new();
         }
         let shape = &self.table.shape;
-        let packed_writers = self.options.ways.packing.writers(shape).unwrap_or(shape.slots);
-        let admission = admission::ReadAdmission {
+        let packing_target = self.options.ways.packing.packing_target(shape).unwrap_or(shape.slots);
+        let admission = admission::PrefillAdmission {
             table: &self.table,
             price: &self.price,
-            packed_writers,
+            packing_target,
             now,
         };
         let answers = admission.plan(&mut jobs);
-        let settle = |answer| self.settle_long(now, answer);
-        answers.into_iter().filter_map(settle).collect()
+        let apply = |answer| self.apply_answer(now, answer);
+        answers.into_iter().filter_map(apply).collect()
     }
 
     /// Removes a long prompt from the waiting ones and records its placement if it has one.
-    fn settle_long(
+    fn apply_answer(
         &mut self,
         now: units::MonoTime,
         answer: engine_place::PlaceAnswer,
@@ -407,7 +407,7 @@
         let engine_place::PlaceAnswer::Grant(grant) = answer else {
             return Some(answer);
         };
-        self.price.note_reading(&self.table.shape, &waiting.ask);
+        self.price.note_prefill(&self.table.shape, &waiting.ask);
         self.take(now, &waiting.ask, grant)
     }
 }
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -33,7 +33,7 @@
     lease: engine_place::PlaceLease,
     renewed: units::MonoTime,
     /// When its first token was sent; `None` before.
-    writing_since: Option<units::MonoTime>,
+    first_token_at: Option<units::MonoTime>,
     /// Rate-limited engines for which it holds a permit.
     paced: Vec<ids::UpstreamId>,
 }
@@ -52,7 +52,7 @@
     /// Moving average of the time from the first token to the end of answers with tight pause goals, milliseconds.
     answer_ms: f64,
     /// Smallest pause goal of any request so far, milliseconds; infinite before the first.
-    tightest_ms: f64,
+    min_pause_goal_ms: f64,
     /// Rate limits of the engines.
     pub(crate) limits: engine_limits::EngineLimits,
 }
@@ -70,7 +70,7 @@
             jobs: collections::HashMap::new(),
             suspects: collections::BTreeSet::new(),
             answer_ms: FIRST_ANSWER_MS,
-            tightest_ms: f64::INFINITY,
+            min_pause_goal_ms: f64::INFINITY,
             limits: engine_limits::EngineLimits::default(),
         }
     }
@@ -114,16 +114,16 @@
             return;
         };
         state.lease.reading = false;
-        state.writing_since = Some(now);
+        state.first_token_at = Some(now);
         let grant = state.lease.grant.clone();
         for name in std::iter::once(&grant.engine).chain(&grant.helpers) {
             if let Some(engine) = self.engines.get_mut(name) {
                 engine.advance(now);
-                engine.note_read(job);
+                engine.note_first_token(job);
             }
         }
         if let Some(engine) = self.engines.get_mut(&grant.engine) {
-            engine.writers.insert(job);
+            engine.decoding.insert(job);
         }
         self.refresh_steps(&grant.engine);
     }
@@ -139,7 +139,7 @@
             return;
         };
         self.release(&state.lease);
-        if let Some(since) = state.writing_since.filter(|_| state.lease.ask.tight) {
+        if let Some(since) = state.first_token_at.filter(|_| state.lease.ask.tight) {
             let lasted = now.since(since).as_secs_f64() * 1_000.0;
             self.answer_ms += (lasted - self.answer_ms) * ANSWER_WEIGHT;
         }
@@ -237,9 +237,9 @@
     fn adopt(&mut self, now: units::MonoTime, lease: engine_place::PlaceLease) {
         self.occupy(now, &lease);
         let engine = lease.grant.engine.clone();
-        let writing_since = (!lease.reading).then_some(now);
+        let first_token_at = (!lease.reading).then_some(now);
         let paced = Vec::new();
-        self.jobs.insert(lease.ask.job, JobState { lease, renewed: now, writing_since, paced });
+        self.jobs.insert(lease.ask.job, JobState { lease, renewed: now, first_token_at, paced });
         self.refresh_steps(&engine);
     }
 
@@ -269,8 +269,8 @@
         let paced = self.limits.take(now, engines, ask.job.boot);
         let lease = engine_place::PlaceLease { ask: ask.clone(), grant, reading: true };
         self.occupy(now, &lease);
-        let writing_since = None;
-        self.jobs.insert(ask.job, JobState { lease, renewed: now, writing_since, paced });
+        let first_token_at = None;
+        self.jobs.insert(ask.job, JobState { lease, renewed: now, first_token_at, paced });
     }
 }
 
--- a/crates/core/src/planner/place_table/occupancy.rs
+++ b/crates/core/src/planner/place_table/occupancy.rs
@@ -12,7 +12,7 @@
     /// Adds the prefill, decoding and memory of a placement to its engines.
     pub(super) fn occupy(&mut self, now: units::MonoTime, lease: &engine_place::PlaceLease) {
         let (ask, grant) = (&lease.ask, &lease.grant);
-        self.tightest_ms = self.tightest_ms.min(f64::from(ask.pause_ms));
+        self.min_pause_goal_ms = self.min_pause_goal_ms.min(f64::from(ask.pause_ms));
         let part = pass_model::part_ms(&self.shape, ask.prompt, grant.helpers.len() + 1);
         for name in std::iter::once(&grant.engine).chain(&grant.helpers) {
             let Some(engine) = self.engines.get_mut(name) else {
@@ -31,7 +31,7 @@
             engine.answering.insert(ask.job);
             engine.used += (ask.prompt + ask.output).saturating_sub(held);
             if !lease.reading {
-                engine.writers.insert(ask.job);
+                engine.decoding.insert(ask.job);
             }
         }
         for part in &grant.held {
@@ -55,7 +55,7 @@
         {
             let own = (ask.prompt + ask.output).saturating_sub(held);
             engine.used = engine.used.saturating_sub(own);
-            engine.writers.remove(&ask.job);
+            engine.decoding.remove(&ask.job);
         }
         for part in &grant.held {
             if let Some(engine) = self.engines.get_mut(&part.engine) {
@@ -65,15 +65,15 @@
         self.refresh_steps(&grant.engine);
     }
 
-    /// Recomputes the decode time of an engine's passes after its writers have changed.
+    /// Recomputes the decode time of an engine's passes after its decoding requests have changed.
     pub(super) fn refresh_steps(&mut self, name: &ids::UpstreamId) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let asks = engine.writers.iter().filter_map(|job| self.jobs.get(job));
+        let asks = engine.decoding.iter().filter_map(|job| self.jobs.get(job));
         let context = asks.map(|state| place_table::context_of(&state.lease)).sum();
-        let writers = engine.writers.len();
+        let decoding = engine.decoding.len();
         engine.steps_ms =
-            if writers == 0 { 0.0 } else { pass_model::steps_ms(&self.shape, writers, context) };
+            if decoding == 0 { 0.0 } else { pass_model::steps_ms(&self.shape, decoding, context) };
     }
 }
--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -9,7 +9,7 @@
 /// Least remaining prefill time assumed for an engine that works on a long prompt, until its first token is sent,
 /// milliseconds. Engines run newer parts first, so a part sent just before the previous one is complete would delay
 /// the earlier prompt by its whole length.
-const MIN_UNREAD_MS: f64 = 50.0;
+const MIN_PREFILL_LEFT_MS: f64 = 50.0;
 /// How long a first token may be overdue before the engine no longer counts as working on it, milliseconds. Another
 /// engine of the same prompt has then failed.
 const MAX_OVERDUE_MS: f64 = 500.0;
@@ -72,7 +72,7 @@
     /// Describes the engines that are not idle, for the log.
     pub(crate) fn summary(&self, now: units::MonoTime) -> String {
         let row = |(name, engine): (&ids::UpstreamId, &engine_work::EngineWork)| {
-            let pending = engine.unread_ms();
+            let pending = engine.prefill_left_ms();
             let ejected = if engine.is_ejected(now, self.engine_faults) { " ejected" } else { "" };
             format!(
                 "{name}: {} running, {pending:.0} ms to read, {} tokens, pace {:.1}{ejected}",
@@ -100,20 +100,20 @@
         engine: &engine_work::EngineWork,
     ) -> engine_view::EngineView<'a> {
         let asks = engine.answering.iter().filter_map(|job| self.jobs.get(job));
-        let (mut context, mut pause_ms, mut worth) = (0, f64::INFINITY, 0.0);
-        let (mut tight, mut unread) = (0, 0);
+        let (mut context, mut pause_goal_ms, mut worth) = (0, f64::INFINITY, 0.0);
+        let (mut tight, mut prefilling) = (0, 0);
         for state in asks {
             let ask = &state.lease.ask;
             context += place_table::context_of(&state.lease);
-            pause_ms = pause_ms.min(f64::from(ask.pause_ms));
+            pause_goal_ms = pause_goal_ms.min(f64::from(ask.pause_ms));
             worth += f64::from(ask.worth);
             tight += usize::from(ask.tight);
-            unread += usize::from(ask.tight && state.lease.reading);
+            prefilling += usize::from(ask.tight && state.lease.reading);
         }
         if engine.foreign > 0 {
             // The pause goals of another planner's requests are unknown. They are treated as short requests, so that
             // long prefills do not delay them.
-            pause_ms = pause_ms.min(self.tightest_ms);
+            pause_goal_ms = pause_goal_ms.min(self.min_pause_goal_ms);
             worth += engine.foreign as f64;
         }
         let answering = engine.answering.len() + engine.foreign;
@@ -124,13 +124,13 @@
             ejected: engine.is_ejected(now, self.engine_faults),
             wait_ms: engine.wait_ms(now),
             pending_ms: engine.pending_ms(),
-            unread_ms: engine.unread_ms().max(self.unconfirmed_ms(now, engine)),
+            prefill_left_ms: engine.prefill_left_ms().max(self.unconfirmed_ms(now, engine)),
             steps_ms: pass_model::steps_ms(&self.shape, answering, context),
-            pause_ms,
+            pause_goal_ms,
             worth,
             tight,
             foreign: engine.foreign,
-            unread,
+            prefilling,
             answering,
             free: engine.memory.saturating_sub(engine.used),
             pace: engine.pace,
@@ -142,7 +142,7 @@
     /// if there is none.
     pub(crate) fn mean_slot_release_ms(&self) -> f64 {
         let writing = self.jobs.values().filter(|state| state.lease.ask.tight);
-        let writing = writing.filter(|state| state.writing_since.is_some()).count();
+        let writing = writing.filter(|state| state.first_token_at.is_some()).count();
         self.answer_ms / writing as f64
     }
 
@@ -154,7 +154,7 @@
             .iter()
             .filter(|(job, _)| self.jobs.get(job).is_some_and(|state| !state.lease.ask.tight))
             .filter(|(_, due)| now.since(**due).as_secs_f64() * 1_000.0 <= MAX_OVERDUE_MS)
-            .map(|(_, due)| (due.since(now).as_secs_f64() * 1_000.0).max(MIN_UNREAD_MS))
+            .map(|(_, due)| (due.since(now).as_secs_f64() * 1_000.0).max(MIN_PREFILL_LEFT_MS))
             .fold(0.0, f64::max)
     }
 }
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -49,12 +49,12 @@
 
 impl EnginePrice {
     /// Records that a long prompt was granted engine time.
-    pub(crate) fn note_reading(
+    pub(crate) fn note_prefill(
         &mut self,
         shape: &route_table::EngineShape,
         ask: &engine_place::PlaceAsk,
     ) {
-        let each = pass_model::read_ms(shape, ask.prompt) / f64::from(ask.worth);
+        let each = pass_model::prefill_ms(shape, ask.prompt) / f64::from(ask.worth);
         self.ms_per_worth += (each - self.ms_per_worth) * READING_WEIGHT;
     }
 
@@ -65,7 +65,7 @@
         shape: &route_table::EngineShape,
         ask: &engine_place::PlaceAsk,
     ) {
-        self.demand_ms = self.demand_ms(now) + pass_model::read_ms(shape, ask.prompt);
+        self.demand_ms = self.demand_ms(now) + pass_model::prefill_ms(shape, ask.prompt);
         self.demand_count = self.demand_count * self.left(now) + 1.0;
         self.demand_since = now;
     }
@@ -87,7 +87,7 @@
     ) -> f64 {
         let whole = LOAD_TIME.as_secs_f64() * 1_000.0 * engines.max(1) as f64;
         let demand = self.demand_ms(now);
-        let others = demand - pass_model::read_ms(shape, ask.prompt);
+        let others = demand - pass_model::prefill_ms(shape, ask.prompt);
         if others < whole * ALONE_LOAD {
             return 0.0;
         }
@@ -125,8 +125,8 @@
         if job.ask.resumed || now >= self.contended_until {
             return true;
         }
-        let seconds = pass_model::read_ms(shape, job.ask.prompt) / 1_000.0;
-        let answer_ms = pass_model::write_ms(shape, shape.slots, 0, SHORT_ANSWER);
+        let seconds = pass_model::prefill_ms(shape, job.ask.prompt) / 1_000.0;
+        let answer_ms = pass_model::decode_ms(shape, shape.slots, 0, SHORT_ANSWER);
         let shorts = shape.slots as f64 * 1_000.0 / answer_ms;
         job.value() >= seconds * shorts
     }
--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -16,14 +16,14 @@
 /// All losses are fractions of a short request's worth; the engine with the smallest sum is chosen.
 const PACK_LOSS: f64 = 0.004;
 /// Loss for each request beyond the packing target.
-const CROWD_LOSS: f64 = 0.02;
+const OVERPACKED_LOSS: f64 = 0.02;
 /// Loss for each long request on the same engine.
-const BESIDE_LOSS: f64 = 0.03;
+const LONG_NEIGHBOR_LOSS: f64 = 0.03;
 /// Loss for each request of another planner. Two planners see each other's requests only once these are decoding, so
 /// each prefers engines that the other does not use.
 const FOREIGN_LOSS: f64 = 0.02;
 /// Loss if the pass that prefills the prompt would exceed the pause limit.
-const PAUSED_LOSS: f64 = 0.5;
+const LONG_PASS_LOSS: f64 = 0.5;
 /// Loss if the engine has no free slot.
 const FULL_LOSS: f64 = 1.0;
 /// Loss for each unit by which the engine's pace exceeds 1, as it may become even slower.
@@ -34,7 +34,7 @@
     pub(crate) shape: &'a route_table::EngineShape,
     /// Packing target: requests with tight pause goals that an engine gets before the next one is used; `None`
     /// without packing.
-    pub(crate) packed_writers: Option<usize>,
+    pub(crate) packing_target: Option<usize>,
 }
 
 impl ShortChoice<'_> {
@@ -46,7 +46,7 @@
         views: &[engine_view::EngineView<'_>],
         strict: bool,
     ) -> Option<engine_place::PlaceGrant> {
-        let part = pass_model::read_ms(self.shape, job.ask.prompt);
+        let part = pass_model::prefill_ms(self.shape, job.ask.prompt);
         let usable = engine_view::usable(views, &job.ask);
         let engine = usable
             .into_iter()
@@ -91,14 +91,14 @@
         let wait = (view.pending_ms + view.steps_ms + part) * view.pace;
         let full = if view.answering >= self.shape.slots { FULL_LOSS } else { 0.0 };
         let pause_limit = f64::from(ask.pause_ms) * engine_view::PAUSE_FRACTION;
-        let paused = if wait > pause_limit { PAUSED_LOSS } else { 0.0 };
-        let fill = match self.packed_writers {
+        let paused = if wait > pause_limit { LONG_PASS_LOSS } else { 0.0 };
+        let fill = match self.packing_target {
             Some(packed) if view.tight < packed => (packed - view.tight) as f64 * PACK_LOSS,
-            Some(packed) => (view.tight - packed) as f64 * CROWD_LOSS,
+            Some(packed) => (view.tight - packed) as f64 * OVERPACKED_LOSS,
             None => 0.0,
         };
         let foreign = view.foreign as f64 * FOREIGN_LOSS;
-        let beside = (view.answering - view.tight - view.foreign) as f64 * BESIDE_LOSS;
+        let beside = (view.answering - view.tight - view.foreign) as f64 * LONG_NEIGHBOR_LOSS;
         // Time within the goal has no cost.
         let easy = f64::from(ask.goal_ms) * NO_LOSS_GOAL_FRACTION;
         let slow = (view.first_ms(part) - easy).max(0.0) / 1_000.0;
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -39,7 +39,7 @@
 
 /// The prefill booked for one prompt.
 #[derive(Debug, Clone)]
-pub(crate) struct ReadBooking {
+pub(crate) struct PrefillBooking {
     /// Indices of its engines in the timetable.
     pub(crate) engines: Vec<usize>,
     /// Time until all of its engines can start, milliseconds.
@@ -52,7 +52,7 @@
     pub(crate) cost_ms: f64,
 }
 
-impl ReadBooking {
+impl PrefillBooking {
     /// Whether it can be sent to its engines now.
     pub(crate) fn starts_now(&self) -> bool {
         self.start_ms <= MAX_STACKED_MS && self.has_permit()
@@ -67,7 +67,7 @@
 /// An engine considered for one part of a prompt.
 struct PartCandidate {
     /// Index of the engine in the timetable.
-    at: usize,
+    index: usize,
     /// Worth that other requests lose by the pause there.
     pause_loss: f64,
     /// Time until the part may start, milliseconds.
@@ -79,7 +79,7 @@
 }
 
 /// Snapshots of the engines with the bookings made on them.
-pub(crate) struct ReadTimetable<'a> {
+pub(crate) struct PrefillTimetable<'a> {
     shape: &'a route_table::EngineShape,
     views: Vec<engine_view::EngineView<'a>>,
     /// Number of prompts that wait for engine time.
@@ -88,7 +88,7 @@
     ms_per_worth: f64,
 }
 
-impl<'a> ReadTimetable<'a> {
+impl<'a> PrefillTimetable<'a> {
     /// Creates a timetable without bookings for `waiting` prompts.
     pub(crate) fn new(
         shape: &'a route_table::EngineShape,
@@ -105,10 +105,10 @@
         &self,
         ask: &engine_place::PlaceAsk,
         max_loss: f64,
-    ) -> Option<ReadBooking> {
+    ) -> Option<PrefillBooking> {
         let usable = engine_view::usable(&self.views, ask);
         let most = usable.len().min(engine_place::MAX_HELPERS + 1);
-        let whole = pass_model::read_ms(self.shape, ask.prompt);
+        let whole = pass_model::prefill_ms(self.shape, ask.prompt);
         PART_COUNTS
             .iter()
             .filter(|parts| **parts <= most)
@@ -137,19 +137,19 @@
         part: f64,
         parts: usize,
         max_loss: f64,
-    ) -> Option<ReadBooking> {
+    ) -> Option<PrefillBooking> {
         let mut rows: Vec<_> = usable
             .iter()
-            .filter(|at| part <= SHORT_PART_MS || self.views[**at].unread == 0)
-            .filter(|at| self.views[**at].permit.wait_ms.is_finite())
-            .map(|at| self.part_candidate(*at, part))
+            .filter(|index| part <= SHORT_PART_MS || self.views[**index].prefilling == 0)
+            .filter(|index| self.views[**index].permit.wait_ms.is_finite())
+            .map(|index| self.part_candidate(*index, part))
             .filter(|row| row.pause_loss <= max_loss)
             .collect();
         if rows.len() < parts {
             return None;
         }
         rows.sort_by(|left, right| {
-            let rank = || self.views[left.at].rank.cmp(&self.views[right.at].rank);
+            let rank = || self.views[left.index].rank.cmp(&self.views[right.index].rank);
             left.cost_ms.total_cmp(&right.cost_ms).then_with(rank)
         });
         rows.truncate(parts);
@@ -159,41 +159,42 @@
         }
         let start_ms = rows.iter().map(|row| row.start_ms).fold(0.0, f64::max);
         let permit_ms =
-            rows.iter().map(|row| self.views[row.at].permit.wait_ms).fold(0.0, f64::max);
+            rows.iter().map(|row| self.views[row.index].permit.wait_ms).fold(0.0, f64::max);
         let first_ms = rows
             .iter()
-            .map(|row| row.first_ms.max(start_ms + self.views[row.at].own_ms(part)))
+            .map(|row| row.first_ms.max(start_ms + self.views[row.index].own_ms(part)))
             .fold(0.0, f64::max);
         let overhead_ms: f64 =
             rows.iter().map(|row| first_ms - row.start_ms - part + PART_COST_MS).sum();
         let behind = (1 + self.waiting) as f64 / self.views.len() as f64;
         let cost_ms = first_ms + (overhead_ms + pause_loss * self.ms_per_worth) * behind;
-        let engines = rows.iter().map(|row| row.at).collect();
-        Some(ReadBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
+        let engines = rows.iter().map(|row| row.index).collect();
+        Some(PrefillBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
     }
 
     /// When a part of `part` milliseconds may start on an engine, and what it costs there.
-    fn part_candidate(&self, at: usize, part: f64) -> PartCandidate {
-        let view = &self.views[at];
+    fn part_candidate(&self, index: usize, part: f64) -> PartCandidate {
+        let view = &self.views[index];
         let own = view.own_ms(part);
         let pause_loss = view.pause_loss(part);
-        let start_ms = (view.unread_ms * view.pace).max(view.permit.wait_ms);
+        let start_ms = (view.prefill_left_ms * view.pace).max(view.permit.wait_ms);
         let first_ms = view.first_ms(part).max(start_ms + own);
         let steps = if view.answering > 0 { view.steps_ms * view.pace } else { 0.0 };
         let passes = start_ms.max(view.wait_ms * view.pace) + steps;
-        let cost_ms =
-            passes + view.sensitive() as f64 * TIGHT_COST_MS + pause_loss * self.ms_per_worth;
-        PartCandidate { at, pause_loss, start_ms, first_ms, cost_ms }
+        let cost_ms = passes
+            + view.latency_sensitive() as f64 * TIGHT_COST_MS
+            + pause_loss * self.ms_per_worth;
+        PartCandidate { index, pause_loss, start_ms, first_ms, cost_ms }
     }
 
     /// Records a booking: later ones on the same engines start after it.
-    pub(crate) fn book(&mut self, booking: &ReadBooking) {
-        for at in &booking.engines {
-            let view = &mut self.views[*at];
+    pub(crate) fn book(&mut self, booking: &PrefillBooking) {
+        for index in &booking.engines {
+            let view = &mut self.views[*index];
             let until = booking.first_ms / view.pace;
             view.wait_ms = until;
             view.pending_ms = 0.0;
-            view.unread_ms = until;
+            view.prefill_left_ms = until;
             view.permit.wait_ms += view.permit.interval_ms;
         }
     }
@@ -202,21 +203,21 @@
     pub(crate) fn grant(
         &mut self,
         job: &waiting_job::WaitingJob,
-        booking: &ReadBooking,
+        booking: &PrefillBooking,
         waited_ms: f64,
         forced: bool,
     ) -> Option<engine_place::PlaceGrant> {
         let ask = &job.ask;
         let capacity = self.capacity() as u64;
         let alone = (ask.prompt + ask.output) as f64 <= capacity as f64 * SINGLE_HOST_FRACTION;
-        let at = self.pick_host(ask, booking, alone, forced)?;
-        let held = if alone { Vec::new() } else { self.hold(ask, at, booking, capacity)? };
+        let index = self.pick_host(ask, booking, alone, forced)?;
+        let held = if alone { Vec::new() } else { self.hold(ask, index, booking, capacity)? };
         let set_aside: u64 = held.iter().map(|part| part.tokens).sum();
-        let host = &mut self.views[at];
+        let host = &mut self.views[index];
         host.answering += 1;
         host.free = host.free.saturating_sub((ask.prompt + ask.output).saturating_sub(set_aside));
         let engine = host.name.clone();
-        let others = booking.engines.iter().filter(|other| **other != at);
+        let others = booking.engines.iter().filter(|other| **other != index);
         Some(engine_place::PlaceGrant {
             job: ask.job,
             engine,
@@ -231,25 +232,25 @@
     fn pick_host(
         &self,
         ask: &engine_place::PlaceAsk,
-        booking: &ReadBooking,
+        booking: &PrefillBooking,
         alone: bool,
         forced: bool,
     ) -> Option<usize> {
         let need = ask.prompt + ask.output;
         // Answers of long prompts are decoded together, so that fewer engines interrupt their prefill for decode
         // steps.
-        let cost = |at: usize| {
-            let view = &self.views[at];
+        let cost = |index: usize| {
+            let view = &self.views[index];
             let fresh = if view.answering == 0 { FRESH_HOST_COST } else { 0.0 };
-            view.sensitive() as f64 + fresh + view.unread_ms / PENDING_MS_PER_REQUEST
+            view.latency_sensitive() as f64 + fresh + view.prefill_left_ms / PENDING_MS_PER_REQUEST
         };
         let engines = || booking.engines.iter().copied();
         let free = engines()
-            .filter(|at| self.views[*at].answering < self.shape.slots)
-            .filter(|at| !alone || self.views[*at].free >= need)
+            .filter(|index| self.views[*index].answering < self.shape.slots)
+            .filter(|index| !alone || self.views[*index].free >= need)
             .min_by(|left, right| cost(*left).total_cmp(&cost(*right)));
         // Without a free slot, a forced request goes into an engine's own queue.
-        let queued = || engines().min_by_key(|at| self.views[*at].answering);
+        let queued = || engines().min_by_key(|index| self.views[*index].answering);
         free.or_else(|| if forced && alone { queued() } else { None })
     }
 
@@ -259,13 +260,13 @@
         &self,
         ask: &engine_place::PlaceAsk,
         host: usize,
-        booking: &ReadBooking,
+        booking: &PrefillBooking,
         capacity: u64,
     ) -> Option<Vec<engine_place::HeldPart>> {
         let own = self.views[host].free.min((capacity as f64 * SINGLE_HOST_FRACTION) as u64);
         let mut left = (ask.prompt + ask.output).saturating_sub(own);
-        let others = booking.engines.iter().filter(|at| **at != host);
-        let mut others: Vec<_> = others.map(|at| &self.views[*at]).collect();
+        let others = booking.engines.iter().filter(|index| **index != host);
+        let mut others: Vec<_> = others.map(|index| &self.views[*index]).collect();
         others.sort_by_key(|view| std::cmp::Reverse(view.free));
         let mut held = Vec::new();
         for view in others {
--- a/crates/core/src/planner/ways.rs
+++ b/crates/core/src/planner/ways.rs
@@ -8,9 +8,9 @@
 use crate::{cold_start, retry_need, route_table, upstream_notice};
 
 /// Packing target of [`PackingWay::Fixed`]: two of 16 slots stay free for bursts.
-const FIXED_WRITERS: usize = 14;
+const FIXED_PACKING_TARGET: usize = 14;
 /// Packing target of [`PackingWay::SlotShare`] as a fraction of an engine's slots.
-const WRITERS_SHARE: f64 = 0.875;
+const PACKING_TARGET_FRACTION: f64 = 0.875;
 
 /// How short requests are packed onto few engines, so that the others stay free for long prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
@@ -27,10 +27,12 @@
 
 impl PackingWay {
     /// Number of short requests that an engine gets before the next one is used; `None` without packing.
-    pub(crate) fn writers(self, shape: &route_table::EngineShape) -> Option<usize> {
+    pub(crate) fn packing_target(self, shape: &route_table::EngineShape) -> Option<usize> {
         match self {
-            Self::Fixed => Some(FIXED_WRITERS),
-            Self::SlotShare => Some(((shape.slots as f64 * WRITERS_SHARE) as usize).max(1)),
+            Self::Fixed => Some(FIXED_PACKING_TARGET),
+            Self::SlotShare => {
+                Some(((shape.slots as f64 * PACKING_TARGET_FRACTION) as usize).max(1))
+            }
             Self::Off => None,
         }
     }
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use slipturn_core::planner::{
-    PlannerOptions, ReadPlanner,
+    PlacementPlanner, PlannerOptions,
     ways::{PlannerWays, ReportWay},
 };
 use support::{at, engine, shape, short};
@@ -13,16 +13,16 @@
 /// Time between two turns of all engines, milliseconds.
 const TURN: u64 = 2_000;
 
-fn planner(engines: usize, reports: ReportWay) -> ReadPlanner {
+fn planner(engines: usize, reports: ReportWay) -> PlacementPlanner {
     let ways = PlannerWays { reports, ..Default::default() };
-    let mut planner = ReadPlanner::new(shape(), PlannerOptions { ways, ..Default::default() });
+    let mut planner = PlacementPlanner::new(shape(), PlannerOptions { ways, ..Default::default() });
     let ranked: Vec<_> = (0..engines).map(engine).zip(0..).collect();
     planner.set_engines(at(0), &ranked);
     planner
 }
 
 /// Reports asked for in so many turns, of all engines and of the one that gets all prompts.
-fn asked(planner: &mut ReadPlanner, turns: u64) -> (usize, usize) {
+fn asked(planner: &mut PlacementPlanner, turns: u64) -> (usize, usize) {
     let (mut all, mut used) = (0, 0);
     for turn in 0..turns {
         planner.ask(at(turn * TURN), short(turn));
--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -6,13 +6,13 @@
 use slipturn_core::{
     engine_place::{JobId, PlaceAnswer, PlaceAsk, PlaceEnd, PlaceGrant, PlaceLease, PlaceNote},
     pass_model,
-    planner::{PlannerOptions, ReadPlanner},
+    planner::{PlacementPlanner, PlannerOptions},
     settings::RoutingKind,
 };
 use support::{MEMORY, SLOTS, at, engine, long, shape, short};
 
-fn planner(engines: usize) -> ReadPlanner {
-    let mut planner = ReadPlanner::new(shape(), PlannerOptions::default());
+fn planner(engines: usize) -> PlacementPlanner {
+    let mut planner = PlacementPlanner::new(shape(), PlannerOptions::default());
     let names: Vec<_> = (0..engines).map(|number| (engine(number), number as u64)).collect();
     planner.set_engines(at(0), &names);
     planner
@@ -25,12 +25,12 @@
     }
 }
 
-fn place(planner: &mut ReadPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
+fn place(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
     grant(planner.ask(at(now), ask))
 }
 
 /// Lets a request write: its prompt has been read.
-fn write(planner: &mut ReadPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
+fn write(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
     let grant = place(planner, now, ask);
     planner.first_token(at(now), grant.job);
     grant
@@ -72,7 +72,7 @@
     place(&mut planner, 0, long(1, 90_000));
     assert!(planner.ask(at(1), long(2, 90_000)).is_none());
     assert!(planner.tick(at(100)).is_empty());
-    let whole = pass_model::read_ms(&shape(), 90_000) as u64;
+    let whole = pass_model::prefill_ms(&shape(), 90_000) as u64;
     let answers = planner.tick(at(whole + 10));
     assert_eq!(answers.len(), 1, "{answers:?}");
 }
@@ -355,7 +355,7 @@
 fn plain_routers_take_one_engine_at_once() {
     for routing in [RoutingKind::RoundRobin, RoutingKind::LeastRequests, RoutingKind::LeastTokens] {
         let options = PlannerOptions { routing, ..PlannerOptions::default() };
-        let mut planner = ReadPlanner::new(shape(), options);
+        let mut planner = PlacementPlanner::new(shape(), options);
         let names: Vec<_> = (0..4).map(|number| (engine(number), number as u64)).collect();
         planner.set_engines(at(0), &names);
         let used: std::collections::BTreeSet<_> =
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -6,26 +6,26 @@
     engine_place::{JobId, PlaceAnswer, PlaceAsk, PlaceEnd, PlaceGrant},
     ids,
     planner::{
-        PlannerOptions, ReadPlanner,
+        PlacementPlanner, PlannerOptions,
         ways::{EngineFaultWay, PackingWay, PlannerWays, ShortRefusalWay},
     },
     settings::RoutingKind,
 };
 use support::{SLOTS, at, engine, long, shape, short};
 
-fn planner(engines: usize, ways: PlannerWays) -> ReadPlanner {
+fn planner(engines: usize, ways: PlannerWays) -> PlacementPlanner {
     let options = PlannerOptions { routing: RoutingKind::ExpectedStart, ways };
-    let mut planner = ReadPlanner::new(shape(), options);
+    let mut planner = PlacementPlanner::new(shape(), options);
     set_engines(&mut planner, 0, &(0..engines).map(engine).collect::<Vec<_>>());
     planner
 }
 
-fn set_engines(planner: &mut ReadPlanner, now: u64, names: &[ids::UpstreamId]) {
+fn set_engines(planner: &mut PlacementPlanner, now: u64, names: &[ids::UpstreamId]) {
     let ranked: Vec<_> = names.iter().cloned().zip(0..).collect();
     planner.set_engines(at(now), &ranked);
 }
 
-fn place(planner: &mut ReadPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
+fn place(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
     match planner.ask(at(now), ask) {
         Some(PlaceAnswer::Grant(grant)) => grant,
         other => panic!("expected a place, found {other:?}"),
@@ -119,7 +119,7 @@
         let ways = PlannerWays { packing, ..Default::default() };
         let options = PlannerOptions { routing: RoutingKind::ExpectedStart, ways };
         let small = slipturn_core::route_table::EngineShape { slots: 8, ..shape() };
-        let mut planner = ReadPlanner::new(small, options);
+        let mut planner = PlacementPlanner::new(small, options);
         set_engines(&mut planner, 0, &(0..4).map(engine).collect::<Vec<_>>());
         let mut engines = std::collections::BTreeMap::<_, usize>::new();
         for number in 0..8 {
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -7,21 +7,21 @@
 use slipturn_core::{
     engine_place::{PlaceAnswer, PlaceAsk, PlaceEnd},
     ids,
-    planner::{PlannerOptions, ReadPlanner},
+    planner::{PlacementPlanner, PlannerOptions},
     send_pace::PaceBound,
     units,
 };
 use support::{at, engine, long, shape, short};
 
-fn planner(engines: usize, limits: &[(usize, f64)]) -> ReadPlanner {
-    let mut planner = ReadPlanner::new(shape(), PlannerOptions::default());
+fn planner(engines: usize, limits: &[(usize, f64)]) -> PlacementPlanner {
+    let mut planner = PlacementPlanner::new(shape(), PlannerOptions::default());
     let names: Vec<_> = (0..engines).map(engine).zip(0..).collect();
     planner.set_engines(at(0), &names);
     set_limits(&mut planner, 0, limits);
     planner
 }
 
-fn set_limits(planner: &mut ReadPlanner, now: u64, limits: &[(usize, f64)]) {
+fn set_limits(planner: &mut PlacementPlanner, now: u64, limits: &[(usize, f64)]) {
     let rate = |limit| units::RequestRate::try_from(limit).expect("a rate");
     let bound = |limit| PaceBound::of_limit(rate(limit));
     let kept = limits.iter().map(|(number, limit)| (engine(*number), bound(*limit))).collect();
@@ -43,7 +43,7 @@
 
 impl PlayedLoad {
     fn play(
-        planner: &mut ReadPlanner,
+        planner: &mut PlacementPlanner,
         until: u64,
         every: u64,
         ask: impl Fn(u64) -> PlaceAsk,
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -8,7 +8,7 @@
 use slipturn_core::{
     engine_place::{JobId, PlaceAnswer, PlaceAsk, PlaceEnd, PlaceGrant, PlaceNote},
     ids,
-    planner::{PlannerOptions, ReadPlanner},
+    planner::{PlacementPlanner, PlannerOptions},
 };
 use support::{SLOTS, at, engine, long, shape, short, short_of};
 
@@ -24,7 +24,7 @@
 /// One side: its planner, and what its requests do.
 struct PlannerSide {
     boot: u64,
-    planner: ReadPlanner,
+    planner: PlacementPlanner,
     /// Requests that have a place, with the time of it.
     open: collections::BTreeMap<JobId, (ids::UpstreamId, u64)>,
 }
@@ -32,7 +32,7 @@
 impl PlannerSide {
     /// A planner that fills the engines in the same order as the other: the worst case.
     fn new(boot: u64, engines: usize) -> Self {
-        let mut planner = ReadPlanner::new(shape(), PlannerOptions::default());
+        let mut planner = PlacementPlanner::new(shape(), PlannerOptions::default());
         let names: Vec<_> = (0..engines).map(|number| (engine(number), number as u64)).collect();
         planner.set_engines(at(0), &names);
         Self { boot, planner, open: collections::BTreeMap::new() }
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -32,7 +32,7 @@
     /// The instance that they run on.
     own: ids::InstanceId,
     options: planner::PlannerOptions,
-    planners: collections::BTreeMap<planner_key::PlannerKey, planner::ReadPlanner>,
+    planners: collections::BTreeMap<planner_key::PlannerKey, planner::PlacementPlanner>,
     /// Who waits for an answer.
     origins: collections::HashMap<engine_place::JobId, AskOrigin>,
     /// Changes of the list and version of the routes that the planners know.
@@ -90,7 +90,7 @@
             let planner = self
                 .planners
                 .entry(key)
-                .or_insert_with(|| planner::ReadPlanner::new(shape.clone(), self.options));
+                .or_insert_with(|| planner::PlacementPlanner::new(shape.clone(), self.options));
             planner.set_shape(shape.clone());
             planner.set_engines(now, &engines);
         }
@@ -102,7 +102,10 @@
     }
 
     /// One planner; `None` where there are no such engines.
-    pub fn planner(&mut self, key: &planner_key::PlannerKey) -> Option<&mut planner::ReadPlanner> {
+    pub fn planner(
+        &mut self,
+        key: &planner_key::PlannerKey,
+    ) -> Option<&mut planner::PlacementPlanner> {
         self.planners.get_mut(key)
     }
 
@@ -142,7 +145,7 @@
     /// Engines that were silent for a request since the last call.
     pub fn take_suspects(&mut self) -> Vec<ids::UpstreamId> {
         let planners = self.planners.values_mut();
-        planners.flat_map(planner::ReadPlanner::take_suspects).collect()
+        planners.flat_map(planner::PlacementPlanner::take_suspects).collect()
     }
 
     /// Sets which engines have a limit, by planner: at which rate where this process keeps it, and those of others.
@@ -192,12 +195,12 @@
 
     /// Requests that wait in all planners.
     pub fn waiting(&self) -> usize {
-        self.planners.values().map(planner::ReadPlanner::waiting_count).sum()
+        self.planners.values().map(planner::PlacementPlanner::waiting_count).sum()
     }
 
     /// Requests that have a place, as all planners here know it.
     pub fn placed(&self) -> usize {
-        self.planners.values().map(planner::ReadPlanner::placed_count).sum()
+        self.planners.values().map(planner::PlacementPlanner::placed_count).sum()
     }
 
     /// Planners that were asked within the last seconds.
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -91,7 +91,7 @@
         fleet.routes.goals(&call.service).map_or(call.route.pause_goal, |goals| goals.pause);
     let engine =
         fleet.routes.services.get(&call.service).and_then(|service| service.engine.as_ref());
-    let reading = engine.map_or(0.0, |shape| pass_model::read_ms(shape, call.request.prompt));
+    let reading = engine.map_or(0.0, |shape| pass_model::prefill_ms(shape, call.request.prompt));
     let goal = call.route.first_token_goal.as_secs_f64() * 1_000.0;
     call.route.pause_goal <= tightest.mul_f64(TIGHT_PAUSES) && reading <= goal * SHORT_GOAL_PART
 }
--- a/crates/instance/tests/rest_ways.rs
+++ b/crates/instance/tests/rest_ways.rs
@@ -10,7 +10,7 @@
     fleet_list::ListState,
     ids,
     planner::{
-        PlannerOptions, ReadPlanner,
+        PlacementPlanner, PlannerOptions,
         ways::{ClosedEngineWay, PlannerWays},
     },
     route_table,
@@ -64,7 +64,7 @@
     list
 }
 
-fn planner() -> ReadPlanner {
+fn planner() -> PlacementPlanner {
     let shape = route_table::EngineShape {
         slots: 16,
         memory: units::TokenCount(315_000),
@@ -78,7 +78,7 @@
     };
     let options =
         PlannerOptions { routing: RoutingKind::ExpectedStart, ways: PlannerWays::default() };
-    let mut planner = ReadPlanner::new(shape, options);
+    let mut planner = PlacementPlanner::new(shape, options);
     let ranked: Vec<_> = (0..ENGINES).map(engine).zip(0..).collect();
     planner.set_engines(at(0), &ranked);
     planner
@@ -114,7 +114,7 @@
 
 struct Play {
     lists: Vec<UpstreamList>,
-    planner: ReadPlanner,
+    planner: PlacementPlanner,
     /// First tokens and ends that are due.
     due: collections::BTreeMap<u64, Vec<(JobId, bool)>>,
     random: ChaCha8Rng,
