--- a/crates/core/src/class_worth.rs
+++ b/crates/core/src/class_worth.rs
@@ -1,38 +1,37 @@
-//! What a streamed request is worth against others, from what operators publish and what is seen.
+//! Relative worth of streamed requests, from the published goals and the observed prompt lengths.
 //!
-//! A class is worth the more the longer it may take to its first token, and the more it asks for: the
-//! geometric mean of its goal and its mean prompt, each against the service's most urgent class. Of
-//! one class the larger prompt is worth more.
+//! The worth of a class is the geometric mean of two ratios to the service's most urgent class: that of the
+//! first-token goals and that of the mean prompt lengths. Within a class, worth grows with the prompt length.
 
 use std::{collections, time};
 
 use crate::ids;
 
-/// Part of its class's worth that any prompt has, however small; the rest grows with its size.
+/// Fraction of its class's worth that even an empty prompt has; the rest grows with the prompt length.
 const BASE_FRACTION: f64 = 0.3;
-/// Worths of a class that are believed: a goal of nothing is no reason to divide by it.
+/// Range to which the worth of a class is clamped, in case of a goal of zero.
 const WORTH_RANGE: (f64, f64) = (0.1, 1_000.0);
-/// Least weight of the newest prompt in a mean.
+/// Smallest weight of the newest prompt in a mean; turns the mean into a moving average.
 const MEAN_WEIGHT: f64 = 0.02;
-/// Classes that are remembered; routes come and go.
+/// Largest number of classes remembered, as routes come and go.
 const MAX_CLASSES: usize = 1_024;
 
-/// A request as its worth is asked for.
+/// The properties of a request that determine its worth.
 #[derive(Debug, Clone, Copy)]
 pub struct WorthQuery<'a> {
-    /// Its class.
+    /// Request class.
     pub class: &'a ids::ClassId,
-    /// Its service.
+    /// Service that the request is for.
     pub service: &'a ids::ServiceId,
-    /// Tokens of its prompt.
+    /// Prompt length, tokens.
     pub prompt: u64,
-    /// Time to its first token that is in time.
+    /// First-token goal of the class.
     pub goal: time::Duration,
-    /// The shortest of its service.
+    /// Shortest first-token goal of the service.
     pub shortest_goal: time::Duration,
 }
 
-/// Mean of the prompts seen.
+/// Mean prompt length.
 #[derive(Debug, Clone, Copy, Default)]
 struct PromptMean {
     tokens: f64,
@@ -46,16 +45,16 @@
     }
 }
 
-/// Mean prompts that one process has seen.
+/// Mean prompt lengths that one process has observed.
 #[derive(Debug, Default)]
 pub struct ClassWorth {
     classes: collections::HashMap<ids::ClassId, PromptMean>,
-    /// Of each service's most urgent requests.
+    /// Mean prompt lengths of each service's most urgent requests.
     urgent: collections::HashMap<ids::ServiceId, PromptMean>,
 }
 
 impl ClassWorth {
-    /// Counts a prompt; its worth against a mean request of the service's most urgent class.
+    /// Records a prompt and returns its worth, where 1 is an average request of the service's most urgent class.
     pub fn count(&mut self, ask: &WorthQuery<'_>) -> f64 {
         let prompt = ask.prompt as f64;
         if self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(ask.class) {
--- a/crates/core/src/cold_start.rs
+++ b/crates/core/src/cold_start.rs
@@ -1,6 +1,6 @@
-//! Cold starts: upstreams that bear fewer requests until they are warm.
+//! Cold starts: rate limits for upstreams that have just started.
 //!
-//! The limit holds for all instances together, so it is a shared quota like an announced limit.
+//! The limit applies to all instances together, so it is a shared quota like a limit that an upstream announces.
 
 use std::{collections, time};
 
@@ -12,38 +12,38 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ColdUpstreamWay {
-    /// To the rate of their service.
+    /// Limited to the cold-start rate of their service.
     #[default]
     Limited,
-    /// Not at all.
+    /// No limit.
     Full,
 }
 
 /// The cold start policy of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdPolicy {
-    /// Requests that a cold upstream bears, from all instances together.
+    /// Request rate that a cold upstream can handle, over all instances.
     pub rate: units::RequestRate,
     /// Usual length of a cold phase.
     pub lasts: time::Duration,
 }
 
-/// A cold phase of an upstream.
+/// The period in which an upstream is cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdPhase {
-    /// When it was learned.
+    /// When this process learned of it.
     pub since: units::MonoTime,
-    /// Its end.
+    /// When the upstream becomes warm.
     pub until: units::MonoTime,
 }
 
-/// Cold phases by the starts of their upstreams.
+/// Cold phases of upstreams. An upstream name includes its start, so a restarted upstream has its own entry.
 #[derive(Debug, Default)]
 pub(crate) struct ColdTable {
     way: ColdUpstreamWay,
     policies: collections::BTreeMap<ids::ServiceId, ColdPolicy>,
     phases: collections::BTreeMap<ids::UpstreamId, (ids::ServiceId, ColdPhase)>,
-    /// Incremented with each change of a limit.
+    /// Number of changes of limits.
     changes: u64,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sets the rest of an upstream's cold phase: `left`, or the usual length without it.
+    /// Sets the remaining cold phase of an upstream: `left`, or the usual length of its service if that is `None`.
     pub(crate) fn set(
         &mut self,
         now: units::MonoTime,
@@ -83,7 +83,7 @@
         self.changes += 1;
     }
 
-    /// Drops phases that are over, and starts that are not listed.
+    /// Drops phases that have ended and upstreams that are no longer listed.
     pub(crate) fn retain(
         &mut self,
         now: units::MonoTime,
@@ -94,14 +94,14 @@
         self.changes += u64::from(self.phases.len() != before);
     }
 
-    /// The limit of a cold start; `None` when it is warm or its service has no policy.
+    /// The limit of an upstream; `None` if it is warm, its service has no policy or cold upstreams aren't limited.
     pub(crate) fn limit(&self, name: &ids::UpstreamId) -> Option<(units::RequestRate, ColdPhase)> {
         let (service, phase) = self.phases.get(name)?;
         let policy = self.policies.get(service)?;
         (self.way == ColdUpstreamWay::Limited).then_some((policy.rate, *phase))
     }
 
-    /// Cold starts.
+    /// Names of the cold upstreams.
     pub(crate) fn names(&self) -> impl Iterator<Item = &ids::UpstreamId> {
         self.phases.keys()
     }
--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -1,4 +1,4 @@
-//! A record of every decision taken for a request, kept in bounded memory.
+//! Records of the decisions taken for each request, kept in bounded memory.
 
 use std::{collections, rc};
 
@@ -6,67 +6,67 @@
 
 use crate::{ids, settings_resolve};
 
-/// One setting that applied.
+/// A setting that applied to a request.
 #[derive(Debug, Clone, Serialize)]
 pub struct SettingRow {
-    /// The option's name.
+    /// Name of the option.
     pub option: &'static str,
-    /// Its value.
+    /// Value in force.
     pub value: String,
-    /// The node that gave it.
+    /// Node of the settings tree that set it.
     pub source: String,
 }
 
-/// One candidate and what was known of it.
+/// A candidate for an attempt, as known at that time.
 #[derive(Debug, Clone, Serialize)]
 pub struct CandidateRow {
-    /// The engine or upstream.
+    /// Name of the engine or upstream.
     pub name: String,
-    /// The scheduler's offer in words, or why there was none.
+    /// Description of the scheduler's offer, or of why there was none.
     pub offer: String,
 }
 
-/// One attempt.
+/// An attempt to serve a request.
 #[derive(Debug, Clone, Serialize)]
 pub struct AttemptRow {
-    /// Its id, as sent to the upstream.
+    /// Attempt id, as sent to the upstream.
     pub attempt: ids::AttemptId,
-    /// Engines or upstream it went to.
+    /// Engines or upstream that it was sent to.
     pub target: String,
-    /// Candidates at that moment.
+    /// Candidates at the time of the choice.
     pub candidates: Vec<CandidateRow>,
-    /// Why this target.
+    /// Why the target was chosen.
     pub reason: String,
-    /// Time it waited for its place, in milliseconds.
+    /// Time that it waited for a placement, in milliseconds.
     pub waited_ms: u64,
-    /// How it ended; absent while it runs.
+    /// Outcome; absent while the attempt runs.
     pub end: Option<String>,
 }
 
-/// Everything decided for one request.
+/// All decisions taken for one request.
 #[derive(Debug, Clone, Serialize)]
 pub struct DecisionRecord {
-    /// The request.
+    /// Request id assigned by slipturn.
     pub request: ids::RequestId,
-    /// The caller's own id for it.
+    /// Request id that the caller sent.
     pub caller_request: Option<String>,
-    /// What was called.
+    /// Path of the HTTP request.
     pub path: String,
-    /// Whose request it is.
+    /// Customer that the request belongs to.
     pub customer: Option<ids::CustomerId>,
-    /// For which application.
+    /// Application of the customer.
     pub application: Option<ids::ApplicationId>,
-    /// In which request class.
+    /// Request class.
     pub class: Option<ids::ClassId>,
-    /// Length of the prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
     /// Settings version in force.
     pub settings_version: u64,
     /// Revision of the published list in force.
     pub list_revision: u64,
-    /// Every setting that applied, with the node that gave it.
+    /// Settings that applied, with the node that set each.
     pub settings: Vec<SettingRow>,
-    /// Budget, votes and other decisions in the order taken.
+    /// Decisions on budgets, votes and the like, in order.
     pub notes: Vec<String>,
     /// Attempts in order.
     pub attempts: Vec<AttemptRow>,
@@ -74,12 +74,12 @@
     pub first_token_ms: Option<u64>,
     /// Time to the end, in milliseconds.
     pub total_ms: Option<u64>,
-    /// The final answer; absent while it runs.
+    /// Outcome of the request; absent while it runs.
     pub end: Option<String>,
 }
 
 impl DecisionRecord {
-    /// The record of a request that has just arrived.
+    /// Creates the record of a new request.
     pub fn new(request: ids::RequestId, caller_request: Option<String>, path: String) -> Self {
         Self {
             request,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Notes the settings that applied.
+    /// Records the settings that applied, and the customer, application and class they were resolved for.
     pub fn set_settings(&mut self, resolved: &settings_resolve::ResolvedSettings) {
         self.customer = Some(resolved.customer.clone());
         self.application = Some(resolved.application.clone());
@@ -112,7 +112,7 @@
     }
 }
 
-/// The newest records, found by slipturn's id or by the caller's own.
+/// The newest records, searchable by slipturn's request id or the caller's.
 #[derive(Debug)]
 pub struct DecisionLog {
     limit: usize,
@@ -121,12 +121,12 @@
 }
 
 impl DecisionLog {
-    /// A log of at most `limit` records.
+    /// Creates a log of at most `limit` records; at least one.
     pub fn new(limit: usize) -> Self {
         Self { limit: limit.max(1), records: collections::VecDeque::new() }
     }
 
-    /// Adds a record, dropping the oldest when full.
+    /// Adds a record; drops the oldest if the log is full.
     pub fn add(&mut self, record: DecisionRecord) {
         if self.records.len() == self.limit {
             self.records.pop_front();
@@ -134,7 +134,7 @@
         self.records.push_back(rc::Rc::new(record));
     }
 
-    /// Finds the newest record with this id.
+    /// Finds the newest record whose request id, of slipturn or of the caller, is `id`.
     pub fn find(&self, id: &str) -> Option<rc::Rc<DecisionRecord>> {
         let matches = |record: &&rc::Rc<DecisionRecord>| {
             record.request.as_str() == id || record.caller_request.as_deref() == Some(id)
@@ -142,12 +142,12 @@
         self.records.iter().rev().find(matches).cloned()
     }
 
-    /// Records held.
+    /// Number of records held.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is held.
+    /// Whether the log holds no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/core/src/engine_directory.rs
+++ b/crates/core/src/engine_directory.rs
@@ -1,4 +1,4 @@
-//! The engines of the published list, as one entry sees them.
+//! Selection of engines from the published list, from the point of view of one entry.
 
 use std::{collections, net};
 
@@ -6,20 +6,20 @@
 
 use crate::{fleet_list, ids, rendezvous, settings, units};
 
-/// Where to reach the scheduler of an engine, and the engine itself.
+/// Addresses of an engine and of its scheduler, with what matters for choosing it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineTarget {
-    /// The engine.
+    /// Name of the engine.
     pub engine: ids::EngineId,
-    /// Where it takes requests.
+    /// Address at which the engine takes requests.
     pub address: net::SocketAddr,
-    /// Its owner's scheduler.
+    /// Address of the scheduler on the instance that owns the engine.
     pub scheduler: net::SocketAddr,
-    /// Whether it is in this entry's data centre.
+    /// Whether the engine is in this entry's data centre.
     pub near: bool,
-    /// Its memory for KV cache.
+    /// KV cache capacity.
     pub memory: units::TokenCount,
-    /// Whether it probably has the prompt's prefix cached.
+    /// Whether the engine probably has the prompt's prefix cached.
     pub warm: bool,
 }
 
@@ -31,12 +31,12 @@
 }
 
 impl<'list> EngineDirectory<'list> {
-    /// The engines of `list`, seen from `data_center`.
+    /// Creates a directory of the engines of `list`, seen from `data_center`.
     pub fn new(list: &'list fleet_list::FleetList, data_center: &'list ids::DataCenterId) -> Self {
         Self { list, data_center }
     }
 
-    /// A share of the live engines of a model: the same ones for everybody.
+    /// A fraction of the live engines of a model; every entry with the same list gets the same engines.
     pub fn share_of(
         &self,
         model: &ids::ModelId,
@@ -51,7 +51,9 @@
         ranked.into_iter().take(count.max(1)).collect()
     }
 
-    /// The warm engine if it is open, one of the same data centre, and others from anywhere.
+    /// Samples from the `open` engines: the `warm` one if it is among them, one of this data centre, and random others.
+    ///
+    /// Returns at most `count` engines, plus one if `warm` is given.
     pub fn sample(
         &self,
         open: &[&'list fleet_list::EngineRecord],
@@ -71,7 +73,7 @@
         picked
     }
 
-    /// Where to reach an engine and its owner; `None` where no instance is live.
+    /// Resolves an engine and its owner to a target; `None` if no instance is live.
     pub fn target(
         &self,
         engine: &fleet_list::EngineRecord,
@@ -88,11 +90,10 @@
         })
     }
 
-    /// Groups of engines that each hold `need` together, of all data centres.
+    /// Groups of engines, each within one data centre, that together hold `need`.
     ///
-    /// For one size of group the list is cut in one order, so that no engine is in two. Groups of
-    /// different sizes may overlap; their members stand in the order of names, in which they are
-    /// taken, so that two prompts cannot each hold what the other waits for.
+    /// Groups of one size are disjoint, because all entries split the list in the same order. Groups of different
+    /// sizes may overlap. Members are sorted by name and acquired in this order, so that two prompts cannot deadlock.
     pub fn groups(
         &self,
         model: &ids::ModelId,
--- a/crates/core/src/engine_estimate.rs
+++ b/crates/core/src/engine_estimate.rs
@@ -1,11 +1,11 @@
-//! What a ledger expects of its engine, and what it refuses for that reason.
+//! Estimates of when an engine can serve a request, and the refusals that follow from them.
 
 use std::time;
 
 use crate::{engine_ledger, placement, refusal, service_rank, units};
 
 impl engine_ledger::EngineLedger {
-    /// Refuses what the engine cannot do, or not in time.
+    /// Refuses a request that the engine cannot serve, or cannot serve in time.
     pub(crate) fn check(
         &mut self,
         now: units::MonoTime,
@@ -35,10 +35,10 @@
         self.check_backlog(now, request)
     }
 
-    /// Whether all that waits leaves room for one more that shorter ones will go before.
+    /// Refuses a medium or long request if the engine cannot work through the whole queue in time.
     ///
-    /// Until a longer request is overdue, others may go first; then it is served before all that
-    /// come later. So the whole queue must be worked through in what is left from then on.
+    /// Shorter requests may go first until this one is overdue; from then on it goes before all later ones. So the
+    /// queue must fit into the time between its overdue time and its latest start.
     fn check_backlog(
         &self,
         now: units::MonoTime,
@@ -58,7 +58,7 @@
         Err(engine_ledger::overload_refusal("too much waits already", work - spare))
     }
 
-    /// The most memory one request may have, so that shorts always find the headroom.
+    /// Largest memory of one request. Only short requests may use the headroom.
     fn largest(&self, request: &placement::PlaceRequest) -> units::TokenCount {
         match self.band(request) {
             service_rank::LengthBand::Short => self.capacity,
@@ -84,7 +84,7 @@
         self.leases.len() < self.options.max_running && request.memory <= self.free()
     }
 
-    /// Expected time until enough leases end: their prefill and half their answer, at worst.
+    /// Expected time until enough leases end, each after its remaining prefill and half its longest answer.
     fn memory_wait(&self, request: &placement::PlaceRequest) -> time::Duration {
         let mut ends: Vec<_> = self
             .leases
@@ -109,7 +109,7 @@
         self.options.orphan_grace.0
     }
 
-    /// Prefill work on the engine that goes before a request of `rank`.
+    /// Prefill work on the engine that goes before a request of `rank`, including work that no lease explains.
     pub(crate) fn backlog(&self, rank: service_rank::ServiceRank) -> units::TokenCount {
         let before = self.leases.values().filter(|lease| lease.rank <= rank);
         let own: f64 = before.map(|lease| lease.prefill_left).sum();
--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -1,43 +1,44 @@
-//! What one engine has been given, what waits for it, and what it says it holds.
+//! The scheduler's ledger of one engine: leases, waiting requests, and memory that the engine reports as held.
 //!
-//! The engine is the truth: memory counts as free only once a lease is gone and the engine no
-//! longer lists the attempt. A ledger that starts empty, as after a crash, rebuilds itself from
-//! the engine's list and from the renewals of entries that still stream.
+//! The engine's report is authoritative: memory counts as free only once a lease is gone and the engine no longer
+//! lists the attempt. A ledger that starts empty, as after a crash, is rebuilt from the engine's reports and from the
+//! renewals of entries that are still streaming.
 
 use std::{collections, time};
 
 use crate::{engine_room, fair_queue, ids, placement, refusal, service_rank, settings, units};
 
-/// Expected time from one output token to the next, for estimates of the whole answer.
+/// Assumed time between two output tokens, for estimates of the whole answer.
 const TOKEN_INTERVAL: time::Duration = time::Duration::from_millis(30);
-/// Prefill work handed to an engine ahead of its pace, beyond the request being worked on.
+/// Prefill work that is queued on an engine in advance, beyond the request in progress.
 const PREFILL_AHEAD: time::Duration = time::Duration::from_millis(250);
-/// Longest age of a load report before its absence counts as the engine being out of reach.
+/// Time without a load report after which an engine counts as unreachable.
 const REPORT_LIMIT: time::Duration = time::Duration::from_secs(3);
-/// After a release, how long the engine's list may lag behind it.
+/// How long the engine's reports may still list an attempt after its release.
 const RELEASE_LAG: time::Duration = time::Duration::from_secs(2);
-/// How far back own prefill work is remembered; older reports are compared with the oldest.
+/// How far back the history of prefill work reaches. Reports older than this are compared with its oldest entry.
 const HISTORY_SPAN: time::Duration = time::Duration::from_secs(5);
-/// Part of the wait that passes before an item counts as overdue.
+/// Fraction of the time until its latest start after which a waiting request counts as overdue.
 pub(crate) const OVERDUE_FRACTION: f64 = 0.5;
-/// After its time limit, how long a lease may still be in use by a cancel on its way.
+/// How long a lease is kept after the request's time limit, while a cancel may still be on its way.
 const LEASE_MARGIN: time::Duration = time::Duration::from_secs(2);
 
-/// A place on an engine, held for one attempt.
+/// Capacity on an engine, held for one attempt.
 #[derive(Debug, Clone)]
 pub struct EngineLease {
     pub(crate) request: placement::PlaceRequest,
     pub(crate) rank: service_rank::ServiceRank,
-    /// Tokens of the prompt not worked through yet, as far as known. Only falls.
+    /// Estimated number of prompt tokens that are not prefilled yet. Never increases.
     pub(crate) prefill_left: f64,
-    /// Last time the entry said that it still streams.
+    /// When the entry last confirmed that it is still streaming.
     pub(crate) renewed: units::MonoTime,
 }
 
-/// Something the engine holds that no lease explains.
+/// Memory that the engine holds for an attempt without a lease.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OrphanRecord {
     tokens: units::TokenCount,
+    /// When it was first noticed.
     since: units::MonoTime,
 }
 
@@ -48,24 +49,26 @@
     pub(crate) prefill_rate: units::TokenRate,
     pub(crate) options: settings::FleetOptions,
     pub(crate) draining: bool,
-    /// Invariant: the sum of their memory never exceeds `capacity` less what orphans hold, as far
-    /// as the ledger knew when it granted them.
+    /// Invariant: when a lease was granted, the memory of all leases and known orphans did not exceed `capacity`.
     pub(crate) leases: collections::HashMap<ids::AttemptId, EngineLease>,
     pub(crate) orphans: collections::HashMap<ids::AttemptId, OrphanRecord>,
+    /// Attempts whose lease has ended, with the time of its end.
     pub(crate) released: collections::HashMap<ids::AttemptId, units::MonoTime>,
     pub(crate) queue: fair_queue::FairQueue<placement::PlaceRequest>,
     pub(crate) shares: service_rank::ShareMeter,
-    /// Prefill work the engine reported beyond what the leases explain.
+    /// Prefill work that the engine reported beyond that of the leases, tokens.
     pub(crate) foreign_prefill: f64,
-    /// Prefill work that the leases explained at earlier times, oldest first, to compare an old
-    /// report with its own time. Invariant: reaches back [`HISTORY_SPAN`] at most.
+    /// Prefill work of the leases at earlier times, oldest first, so that a report can be compared with the state at
+    /// its own time. Invariant: reaches back [`HISTORY_SPAN`] at most.
     pub(crate) history: collections::VecDeque<(units::MonoTime, f64)>,
+    /// Time up to which the engine's prefill has been simulated.
     pub(crate) advanced: units::MonoTime,
+    /// Time of the last report.
     pub(crate) reported: Option<units::MonoTime>,
 }
 
 impl EngineLedger {
-    /// A ledger that knows of no lease yet.
+    /// Creates a ledger without leases.
     pub fn new(
         now: units::MonoTime,
         capacity: units::TokenCount,
@@ -89,12 +92,12 @@
         }
     }
 
-    /// Takes new settings over; leases granted under the old ones stay.
+    /// Replaces the settings; leases granted under the old ones stay.
     pub fn set_options(&mut self, options: settings::FleetOptions) {
         self.options = options;
     }
 
-    /// Notes that the published list calls the engine leaving, or live again.
+    /// Sets whether the published list marks the engine as leaving.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.draining = leaving;
     }
@@ -114,12 +117,12 @@
         self.queue.len()
     }
 
-    /// Attempts the engine holds that no lease explains.
+    /// Number of attempts that the engine holds without a lease.
     pub fn orphan_count(&self) -> usize {
         self.orphans.len()
     }
 
-    /// Whether the engine takes no new work.
+    /// Whether the engine accepts no new work.
     pub fn draining(&self) -> bool {
         self.draining
     }
@@ -129,7 +132,7 @@
         self.reported.is_some_and(|reported| now.since(reported) <= REPORT_LIMIT)
     }
 
-    /// What the engine could do for a request, or why nothing.
+    /// Estimates when the engine could serve a request, or refuses it.
     pub fn offer(
         &mut self,
         now: units::MonoTime,
@@ -145,7 +148,7 @@
         })
     }
 
-    /// Takes a request into the queue, or refuses it at once.
+    /// Queues a request or refuses it at once. A repeated request has no effect.
     pub fn enqueue(
         &mut self,
         now: units::MonoTime,
@@ -156,7 +159,7 @@
             waiting.payload.attempt == request.attempt
         };
         if self.leases.contains_key(&request.attempt) || self.queue.iter().any(known) {
-            // The same message a second time: one lease is enough.
+            // A duplicate message must not create a second lease.
             return Vec::new();
         }
         if let Err(refusal) = self.check(now, &request) {
@@ -174,7 +177,7 @@
         self.advance(now)
     }
 
-    /// Does what has become due: grants, refusals of what waited too long, cancels.
+    /// Performs all due actions: refuses requests that waited too long, ends expired leases and grants new ones.
     pub fn advance(&mut self, now: units::MonoTime) -> Vec<placement::LedgerAction> {
         self.advance_prefill(now);
         let mut actions = self.expire_waiting(now);
@@ -183,7 +186,7 @@
         actions
     }
 
-    /// Gives a place back. Unknown and repeated releases do nothing.
+    /// Releases the lease of an attempt, or removes it from the queue. Unknown and repeated releases are ignored.
     pub fn release(
         &mut self,
         now: units::MonoTime,
@@ -196,9 +199,9 @@
         self.advance(now)
     }
 
-    /// Takes in what one entry says it still streams; what it leases and does not name is over.
+    /// Renews the leases of the attempts that an entry is still streaming, and ends its other leases.
     ///
-    /// Attempts no lease explains are adopted: the ledger may be newer than they are.
+    /// Attempts without a lease are adopted, because the ledger may have started after them.
     pub fn renew(
         &mut self,
         now: units::MonoTime,
@@ -225,7 +228,7 @@
         self.advance(now)
     }
 
-    /// Applies the engine's own report and cancels work without a lease.
+    /// Applies a report of the engine and cancels work without a lease.
     pub fn report(
         &mut self,
         now: units::MonoTime,
@@ -247,7 +250,7 @@
         actions
     }
 
-    /// Prefill work the leases explained at an earlier time.
+    /// Prefill work of the leases at an earlier time, tokens.
     fn own_prefill_at(&self, time: units::MonoTime) -> f64 {
         let before = self.history.iter().rev().find(|(when, _)| *when <= time);
         before.or_else(|| self.history.front()).map_or(0.0, |(_, own)| *own)
@@ -276,7 +279,7 @@
         self.leases.entry(request.attempt.clone()).or_insert_with(adopted).renewed = now;
     }
 
-    /// Takes in what the engine held at the time `taken`.
+    /// Updates the orphans from a report made at the time `taken`.
     fn update_orphans(
         &mut self,
         now: units::MonoTime,
@@ -372,7 +375,7 @@
             .collect()
     }
 
-    /// Ends a lease whose entry has not released it: the engine may still hold its memory.
+    /// Ends a lease that its entry has not released. Its memory becomes an orphan, as the engine may still hold it.
     fn drop_lease(&mut self, now: units::MonoTime, attempt: &ids::AttemptId) {
         let Some(lease) = self.leases.remove(attempt) else {
             return;
@@ -384,7 +387,7 @@
 
     fn grant_waiting(&mut self, now: units::MonoTime) -> Vec<placement::LedgerAction> {
         let mut actions = Vec::new();
-        // A scheduler that was paused knows nothing of its engine until the engine has reported.
+        // After a pause of this process, the ledger is outdated until the engine has reported.
         while self.reachable(now) && !self.queue.is_empty() {
             let mut room = self.room();
             let over = self.waiting_over_share(now);
@@ -411,7 +414,7 @@
         actions
     }
 
-    /// Customers with waiting requests that are over their share.
+    /// Customers with waiting requests that have used more than their share.
     fn waiting_over_share(
         &mut self,
         now: units::MonoTime,
@@ -461,7 +464,7 @@
         self.orphans.values().map(|orphan| orphan.tokens).sum()
     }
 
-    /// Lets the engine's prefill run on to `now`: shorter bands first, as the engine does it.
+    /// Simulates the engine's prefill up to `now`, in the engine's order of service.
     fn advance_prefill(&mut self, now: units::MonoTime) {
         let mut done = self.prefill_rate.0 * now.since(self.advanced).as_secs_f64();
         self.advanced = self.advanced.max(now);
--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -1,4 +1,4 @@
-//! Places on engines: how they are asked for, given, held and ended.
+//! Messages between members and planners about placements of requests on engines.
 
 use std::{fmt, time};
 
@@ -6,50 +6,51 @@
 
 use crate::ids;
 
-/// Most helpers of one prompt; engines accept no more.
+/// Largest number of helpers for one prompt; engines accept no more.
 pub const MAX_HELPERS: usize = 16;
 
-/// One request as the planner knows it, unique among all members and their starts.
+/// Identifies an attempt at a planner; unique across all members and their restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId {
-    /// Start of the member that holds the caller's connection.
+    /// Boot id of the member that holds the caller's connection.
     pub boot: u64,
-    /// Number of the attempt at that member.
+    /// Sequence number of the attempt at that member.
     pub sequence: u64,
 }
 
-/// What is asked of the planner.
+/// A request for a placement.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceAsk {
-    /// The attempt.
+    /// The attempt to place.
     pub job: JobId,
-    /// Tokens of the prompt.
+    /// Prompt length, tokens.
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Largest answer length, tokens.
     pub output: u64,
-    /// Longest pause between events in time, milliseconds.
+    /// Pause goal: longest pause between two events of the answer that is in time, milliseconds.
     pub pause_ms: u32,
-    /// Time from arrival within which the first token is in time, milliseconds.
+    /// First-token goal, from the arrival of the request, milliseconds.
     pub goal_ms: u32,
-    /// Time left until the first token is late, milliseconds; 0 when it is.
+    /// Time left until the first token is late, milliseconds; 0 if it is late already.
     pub goal_left_ms: u32,
     /// Time left until the caller gives up, milliseconds.
     pub patience_ms: u32,
-    /// Whether it is a short request: one engine reads it in time, and its pauses are among the
-    /// shortest of its service, so that it suffers from long parts.
+    /// Whether it is a short request: one engine can prefill it in time, and its pause goal is among the shortest of
+    /// its service, so that long prefills on the same engine delay it too much.
     pub tight: bool,
-    /// What it is worth in time, against a short request's 1.
+    /// Worth of its answer if it is in time, relative to that of a short request.
     pub worth: f32,
-    /// Whether it may be refused: it has not been refused before.
+    /// Whether it is a first attempt; `false` after a refusal or an earlier attempt.
     pub refusable: bool,
-    /// Whether an engine has had it before: what was begun goes on at once, wherever there is room.
+    /// Whether an engine has already worked on it. Such a request is placed as soon as any engine has capacity, and
+    /// never refused.
     pub resumed: bool,
     /// Engines that must not be used.
     pub excluded: Vec<ids::UpstreamId>,
 }
 
 impl PlaceAsk {
-    /// The same request, made that much later.
+    /// Returns the same request with its time limits reduced by `spent`.
     pub fn after(&self, spent: time::Duration) -> Self {
         let spent_ms = u32::try_from(spent.as_millis()).unwrap_or(u32::MAX);
         Self {
@@ -60,44 +61,44 @@
     }
 }
 
-/// Memory set aside on an engine for a prompt that another answers.
+/// Memory reserved on an engine for a prompt that another engine answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldPart {
-    /// The engine.
+    /// Engine that holds the memory.
     pub engine: ids::UpstreamId,
-    /// Tokens.
+    /// Reserved memory, tokens.
     pub tokens: u64,
 }
 
-/// Where a request goes.
+/// The placement of a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceGrant {
-    /// The attempt.
+    /// The placed attempt.
     pub job: JobId,
-    /// The engine that answers.
+    /// Engine that answers, and prefills a part of the prompt.
     pub engine: ids::UpstreamId,
-    /// Engines that read parts.
+    /// Other engines that prefill a part of the prompt.
     pub helpers: Vec<ids::UpstreamId>,
-    /// Memory to set aside first.
+    /// Memory to reserve on helpers before the request is sent.
     pub held: Vec<HeldPart>,
     /// Expected time to the first token, milliseconds.
     pub first_token_ms: u32,
-    /// Time it has waited for the place, milliseconds.
+    /// Time that the request waited at the planner, milliseconds.
     pub waited_ms: u32,
 }
 
-/// A request for which there is no place in time.
+/// The refusal of a request that cannot be placed in time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceRefusal {
-    /// The attempt.
+    /// The refused attempt.
     pub job: JobId,
-    /// When a place is likely, milliseconds from now.
+    /// Time after which a retry is likely to succeed, milliseconds.
     pub back_after_ms: u32,
-    /// Expected time to the first token of a long prompt, milliseconds.
+    /// Expected time to the first token, milliseconds, if this is the reason for the refusal.
     pub expected_ms: Option<u32>,
-    /// Running requests and the most that can run.
+    /// Number of requests that all engines together are running.
     pub running: u32,
-    /// Requests that all engines together could run.
+    /// Number of requests that all engines together can run.
     pub slots: u32,
 }
 
@@ -110,19 +111,19 @@
     }
 }
 
-/// What the planner says to a request.
+/// The planner's answer to a [`PlaceAsk`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PlaceAnswer {
-    /// It has a place.
+    /// The request is placed.
     Grant(PlaceGrant),
-    /// It will have none in time.
+    /// The request cannot be placed in time.
     Refuse(PlaceRefusal),
-    /// It has a place, and leave to send to those of its engines that have a limit.
+    /// The request is placed and holds rate-limit permits for these engines.
     Paced(PlaceGrant, Vec<ids::UpstreamId>),
 }
 
 impl PlaceAnswer {
-    /// The attempt.
+    /// The attempt that this answers.
     pub fn job(&self) -> JobId {
         match self {
             Self::Grant(grant) | Self::Paced(grant, _) => grant.job,
@@ -131,38 +132,38 @@
     }
 }
 
-/// A place in use, as its member repeats it: enough for a planner that has just taken over.
+/// A placement in use, as its member reports it to a planner that has just taken over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceLease {
-    /// The request as it was asked for.
+    /// The original request.
     pub ask: PlaceAsk,
-    /// Its place.
+    /// Its placement.
     pub grant: PlaceGrant,
-    /// Whether its prompt has been read.
+    /// Whether its prompt is still being prefilled.
     pub reading: bool,
 }
 
-/// How an attempt ended for its engine.
+/// How an attempt ended, as far as it concerns its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlaceEnd {
-    /// Well, or by the caller's own wish.
+    /// The answer is complete, or the caller cancelled.
     Done,
-    /// The engine had no room.
+    /// The engine refused for lack of capacity.
     Full,
     /// The engine failed.
     Failed,
-    /// The engine was silent for long; it may be gone, or only busy.
+    /// The engine sent nothing for a long time; it may be gone or just busy.
     Silent,
 }
 
-/// What a planner learns about a place that it granted, or about an engine.
+/// An update to a planner about a placement that it granted, or about an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlaceNote {
-    /// The prompt has been read; the answer begins. With it, the requests that its engine ran and
-    /// held in its queue just then, if the engine reports it.
+    /// The first token was sent. Includes the number of requests that the engine was running and queueing at that
+    /// time, if it reports it.
     FirstToken(JobId, Option<u16>),
-    /// The attempt is over, or waits no longer.
+    /// The attempt has ended, or no longer waits for a placement.
     Ended(JobId, PlaceEnd),
-    /// An engine has failed, or refused as another's cause.
+    /// An engine refused to prefill a part for another engine, or failed to.
     Eject(ids::UpstreamId),
 }
--- a/crates/core/src/engine_room.rs
+++ b/crates/core/src/engine_room.rs
@@ -1,25 +1,30 @@
-//! What one engine can take at one moment.
+//! Free capacity of an engine, for the choice of the next waiting request.
 
 use crate::{placement, service_rank, units};
 
-/// What an engine can take at one moment.
+/// Free capacity of an engine during one pass over its queue.
 #[derive(Debug)]
 pub(crate) struct EngineRoom {
+    /// Memory neither leased nor held by an orphan.
     pub(crate) free: units::TokenCount,
+    /// Part of the memory that only short requests may use.
     pub(crate) headroom: units::TokenCount,
+    /// Number of requests that may still start.
     pub(crate) slots: usize,
+    /// Whether a request that shares its prompt with other engines runs here.
     pub(crate) grouped: bool,
-    /// Prefill work on the engine and the rank it has there.
+    /// Remaining prefill of each lease in tokens, with its rank.
     pub(crate) prefills: Vec<(service_rank::ServiceRank, f64)>,
-    /// Prefill work that no lease explains.
+    /// Prefill work that no lease explains, tokens.
     pub(crate) foreign: f64,
+    /// Largest prefill backlog at which another request may start.
     pub(crate) prefill_limit: units::TokenCount,
-    /// Set once an overdue request has not found room: no other but a short may take it.
+    /// Set once an overdue request did not fit; from then on only short requests may start before it.
     pub(crate) reserved: bool,
 }
 
 impl EngineRoom {
-    /// Whether a waiting request can start now.
+    /// Whether a waiting request can start now; reserves the capacity for it if it is overdue and cannot.
     pub(crate) fn fits(
         &mut self,
         request: &placement::PlaceRequest,
@@ -30,7 +35,7 @@
         if self.has_room(request, rank) && (short || !self.reserved) {
             return true;
         }
-        // Memory drains towards the first that is overdue; only shorts still go before it.
+        // Free memory accumulates for the first overdue request; only short ones may still go before it.
         self.reserved |= overdue && !short;
         false
     }
@@ -44,9 +49,10 @@
         self.slots > 0 && request.memory <= usable && self.is_within_prefill_limit(rank) && alone
     }
 
-    /// Whether the engine has so little to do first that the order of the queue still matters.
+    /// Whether the prefill backlog ahead of a request is small enough for it to start.
     ///
-    /// Of long prompts there is one at a time; one that goes before it on the engine may join it.
+    /// Requests beyond the limit wait in the queue, where they can still be reordered. An engine prefills one long
+    /// prompt at a time; only one that takes precedence on the engine may join it.
     fn is_within_prefill_limit(&self, rank: service_rank::ServiceRank) -> bool {
         let before = self.prefills.iter().filter(|(other, left)| *other <= rank && *left > 0.0);
         if rank.band == service_rank::LengthBand::Long {
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -1,4 +1,4 @@
-//! An entry's decisions: who calls, under which settings, and which engines to ask.
+//! Routing decisions of an entry: identification of the caller, settings in force, and choice of engines.
 
 use std::{collections, net, rc, time};
 
@@ -9,65 +9,65 @@
     settings, settings_resolve, units, version_store, wake_watch,
 };
 
-/// Prompts whose engine is remembered, for its prefix cache.
+/// Number of prompt prefixes whose last engine is remembered, to benefit from its prefix cache.
 const MAX_AFFINITY: usize = 20_000;
 
-/// What an entry knows of a request when it asks for a plan.
+/// Properties of a model request that determine its settings and engines.
 #[derive(Debug, Clone)]
 pub struct PlanQuestion {
-    /// The caller's key.
+    /// API key of the caller.
     pub key: String,
-    /// The model asked for.
+    /// Requested model.
     pub model: ids::ModelId,
-    /// Length of the prompt, as estimated.
+    /// Estimated prompt length.
     pub prompt: units::TokenCount,
-    /// Tokens of output asked for.
+    /// Requested limit on the output.
     pub output: Option<units::TokenCount>,
-    /// The caller's own time limit.
+    /// Time limit requested by the caller.
     pub wish: Option<time::Duration>,
 }
 
-/// Settings and budget of an admitted request.
+/// Settings and limits of an admitted request.
 #[derive(Debug, Clone)]
 pub struct RequestGrant {
-    /// The settings in force for it, for its whole life.
+    /// Settings for the whole duration of the request.
     pub settings: settings_resolve::ResolvedSettings,
-    /// Fleet-wide options in force for it.
+    /// Settings tree in force, with the fleet-wide options.
     pub fleet: rc::Rc<settings::SettingsTree>,
-    /// Most tokens of output.
+    /// Largest output length.
     pub output: units::TokenCount,
-    /// Revision of the list in force.
+    /// Revision of the published list in force.
     pub list_revision: u64,
 }
 
-/// What to do about a customer's budget.
+/// Result of drawing a request's tokens from its customer's budget.
 #[derive(Debug, Clone)]
 pub enum BudgetStep {
-    /// The request may go on.
+    /// The tokens have been drawn; the request may proceed.
     Spent,
-    /// A portion must be drawn from this keeper first.
+    /// A portion must first be drawn from the instance that keeps the customer's budget.
     Draw {
-        /// The keeper's scheduler.
+        /// Address of the scheduler on that instance.
         keeper: net::SocketAddr,
-        /// The limit to state to it.
+        /// Budget limit to send with the draw.
         limit: budget::BudgetLimit,
-        /// Tokens needed.
+        /// Size of the portion to draw.
         want: units::TokenCount,
     },
-    /// The customer has used its tokens.
+    /// The budget is exhausted for this long.
     Empty(time::Duration),
 }
 
-/// Requests and tokens this entry has outstanding on one engine.
+/// Load that this entry has outstanding on one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutstandingLoad {
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Their tokens.
+    /// Summed tokens of these requests.
     pub tokens: units::TokenCount,
 }
 
-/// The state behind an entry's decisions; one task owns it.
+/// State for an entry's routing decisions, owned by a single task.
 pub struct EntryRouter {
     instance: ids::InstanceId,
     data_center: ids::DataCenterId,
@@ -79,18 +79,18 @@
     purse: budget::BudgetPurse,
     retries: retry::RetryBudget,
     outstanding: collections::HashMap<ids::EngineId, OutstandingLoad>,
-    /// Engines that refused as leaving, until the list or their scheduler says otherwise.
+    /// Engines left out of the sample after a refusal or failure, with the time at which that ends.
     ejected: collections::HashMap<ids::EngineId, units::MonoTime>,
-    /// Invariant: at most [`MAX_AFFINITY`] prefixes.
+    /// Last engine of each prompt prefix, by the prefix's hash. Invariant: at most [`MAX_AFFINITY`] entries.
     affinity: collections::HashMap<u64, ids::EngineId>,
     random: rand_chacha::ChaCha8Rng,
 }
 
-/// How long an engine that refused or broke is left out of the sample.
+/// How long an engine that refused or failed is left out of the sample.
 const EJECTION_TIME: time::Duration = time::Duration::from_secs(3);
 
 impl EntryRouter {
-    /// A router that knows neither settings nor fleet yet.
+    /// Creates a router without settings and without a list.
     pub fn new(
         instance: ids::InstanceId,
         data_center: ids::DataCenterId,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes in a settings document.
+    /// Offers a settings document and applies its fleet-wide options if it is adopted.
     pub fn offer_settings(
         &mut self,
         now: units::MonoTime,
@@ -132,19 +132,22 @@
         outcome
     }
 
-    /// Notes that a source has nothing newer, `age` being how long ago it was itself confirmed.
+    /// Records that a source has no newer settings; `age` is the time since that source was itself confirmed.
     pub fn confirm_settings(&mut self, now: units::MonoTime, age: time::Duration) {
         self.store.confirm(now, age);
     }
 
     /// Number of detected pauses of the process.
     ///
-    /// Whoever asks a source notes it before, and hands it to [`Self::heard`] with the answer.
+    /// Callers read it before they ask a source, and pass it to [`Self::heard`] with the answer.
     pub fn wakes(&self) -> u64 {
         self.wake.wakes
     }
 
-    /// Notes that the sources were asked: one answered, or all were silent.
+    /// Records that the sources have been asked, whether one answered or all were silent.
+    ///
+    /// `asked_at` is the value of [`Self::wakes`] before asking: if the process was paused since, the answer may be
+    /// outdated and does not count.
     pub fn heard(&mut self, now: units::MonoTime, asked_at: u64) {
         self.wake.notice(now);
         if asked_at == self.wake.wakes {
@@ -152,31 +155,31 @@
         }
     }
 
-    /// Takes in a list; an older one than the one in force is dropped.
+    /// Replaces the published list, unless the one in force is newer.
     pub fn offer_list(&mut self, list: fleet_list::FleetList) {
         if list.revision >= self.list.revision {
             self.list = list;
         }
     }
 
-    /// The settings in force.
+    /// The settings versions held, including the one in force.
     pub fn store(&self) -> &version_store::VersionStore {
         &self.store
     }
 
-    /// The list in force.
+    /// The published list in force.
     pub fn list(&self) -> &fleet_list::FleetList {
         &self.list
     }
 
-    /// Whether requests may be taken: settings and list are known, and the process has not been paused
-    /// since it last asked for newer ones.
+    /// Whether requests may be accepted: settings and list are known, and the process has asked for newer ones since
+    /// its last pause.
     pub fn ready(&mut self, now: units::MonoTime) -> bool {
         self.wake.notice(now);
         !self.wake.asleep && self.store.tree().is_some() && !self.list.instances.is_empty()
     }
 
-    /// Finds the caller and the settings for a model request, and checks the request against them.
+    /// Identifies the caller of a model request, resolves its settings, and checks the request against them.
     pub fn plan(
         &mut self,
         now: units::MonoTime,
@@ -207,7 +210,7 @@
         })
     }
 
-    /// Finds the caller and the settings in force for it.
+    /// Identifies the caller and resolves its settings.
     pub fn resolve(
         &mut self,
         now: units::MonoTime,
@@ -230,7 +233,7 @@
         Ok((tree, resolved))
     }
 
-    /// Takes the request's tokens from the customer's budget, if there is a portion held.
+    /// Draws the request's tokens from the portion of the customer's budget that this entry holds.
     pub fn spend(
         &mut self,
         now: units::MonoTime,
@@ -251,7 +254,7 @@
         }
     }
 
-    /// Puts a drawn portion into the purse.
+    /// Adds a portion drawn from the keeper of the customer's budget.
     pub fn add_portion(
         &mut self,
         now: units::MonoTime,
@@ -261,7 +264,7 @@
         self.purse.add(now, customer, portion);
     }
 
-    /// Takes the request's tokens without the keeper, which is out of reach.
+    /// Draws the request's tokens from this entry's own share of the budget, while the keeper is unreachable.
     pub fn spend_alone(
         &mut self,
         now: units::MonoTime,
@@ -276,7 +279,7 @@
         }
     }
 
-    /// Engines to ask about a request, already tried ones left out.
+    /// Engines to consider for a request, without those in `tried`.
     pub fn candidates(
         &mut self,
         now: units::MonoTime,
@@ -296,7 +299,7 @@
         let (ejected, mut open): (Vec<_>, Vec<_>) =
             untried.partition(|engine| self.ejected.contains_key(&engine.name));
         if open.is_empty() {
-            // One that failed a moment ago is better than none.
+            // An engine that failed recently is better than none.
             open = ejected;
         }
         if sampled {
@@ -306,7 +309,7 @@
         open.iter().filter_map(|engine| directory.target(engine, warm.as_ref())).collect()
     }
 
-    /// Engines of one data centre that may serve a prompt larger than any of them together.
+    /// A random group of engines of one data centre that together can hold a prompt too large for one engine.
     pub fn group(
         &mut self,
         model: &ids::ModelId,
@@ -317,7 +320,7 @@
         groups.choose(&mut self.random).cloned().unwrap_or_default()
     }
 
-    /// Chooses among candidates whose offers have come in.
+    /// Chooses among `targets`, given the `offers` of their schedulers in the same order.
     pub fn choose(
         &mut self,
         targets: &[engine_directory::EngineTarget],
@@ -340,13 +343,13 @@
         self.policy.choose(&candidates)
     }
 
-    /// Whether the policy in force asks schedulers for offers.
+    /// Whether the routing policy in force needs offers from schedulers.
     pub fn wants_offers(&self) -> bool {
         self.policy.wants_offers()
     }
 
-    /// Whether an engine whose scheduler is out of reach may be used without a lease: one request
-    /// a time from this entry.
+    /// Whether an engine whose scheduler is unreachable may be used without a lease: this entry sends one such request
+    /// at a time.
     pub fn may_send_unleased(&self, engine: &ids::EngineId) -> bool {
         self.outstanding.get(engine).is_none_or(|outstanding| outstanding.requests == 0)
     }
@@ -374,12 +377,12 @@
         }
     }
 
-    /// Leaves an engine out for a while after it refused or broke.
+    /// Leaves an engine out of the sample for a while after it refused or failed.
     pub fn eject(&mut self, now: units::MonoTime, engine: &ids::EngineId) {
         self.ejected.insert(engine.clone(), now + EJECTION_TIME);
     }
 
-    /// Decides on another attempt.
+    /// Decides whether a request gets another attempt.
     pub fn ask_retry(
         &mut self,
         now: units::MonoTime,
@@ -388,12 +391,12 @@
         self.retries.ask(now, question)
     }
 
-    /// Counts a request against which retries are measured.
+    /// Counts a request towards the retry budget.
     pub fn count_request(&mut self, now: units::MonoTime) {
         self.retries.count_request(now);
     }
 
-    /// Upstreams of a plain service, nearest first, in an order that differs by call.
+    /// Live upstreams of a plain service in random order, those in this data centre first.
     pub fn upstreams(&mut self, service: &ids::ServiceId) -> Vec<fleet_list::UpstreamRecord> {
         use rand::seq::SliceRandom as _;
         let live = |upstream: &&fleet_list::UpstreamRecord| {
@@ -405,12 +408,12 @@
         upstreams
     }
 
-    /// Spreads a time to come back.
+    /// Adds jitter to a retry delay.
     pub fn spread_retry(&mut self, expected: time::Duration) -> time::Duration {
         refusal::spread_retry(expected, &mut self.random)
     }
 
-    /// Does what is due now and then.
+    /// Performs periodic cleanup.
     pub fn tick(&mut self, now: units::MonoTime) {
         self.wake.notice(now);
         self.purse.prune(now);
@@ -421,7 +424,7 @@
         engine_directory::EngineDirectory::new(&self.list, &self.data_center)
     }
 
-    /// The instance this entry runs on.
+    /// The instance that this entry runs on.
     pub fn instance(&self) -> &ids::InstanceId {
         &self.instance
     }
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -1,38 +1,39 @@
-//! Weighted fair queueing by tokens: between customers by use, within a customer shortest first.
+//! Weighted fair queueing by tokens: fair between customers, shortest first within a customer.
 //!
-//! The next item is the one with the earliest finish tag: what its customer has used so far plus
-//! the item's own cost, both divided by the customer's weight. So a flooding customer's items fall
-//! after all others', and a short item of an idle customer goes first. An item that has
-//! waited past its `overdue` time goes before all others, so that long ones still finish in time.
+//! The next item is the one with the smallest finish tag, which is the customer's usage so far plus the item's cost,
+//! both divided by the customer's weight. So the items of a customer that floods the queue come after all others, and
+//! a short item of an idle customer comes first. An item that has waited past its `overdue` time goes before all
+//! others, so that long items still finish in time.
 
 use std::collections;
 
 use crate::{ids, units};
 
-/// One waiting item and what its order depends on.
+/// A queued item with the properties that determine its order.
 #[derive(Debug, Clone)]
 pub struct QueueItem<T> {
-    /// Whose it is.
+    /// Customer that the item belongs to.
     pub customer: ids::CustomerId,
-    /// The customer's weight; above zero.
+    /// Weight of the customer; above zero.
     pub weight: f64,
-    /// What serving it costs.
+    /// Cost of serving the item.
     pub cost: units::TokenCount,
-    /// From then on it goes before items that are not overdue.
+    /// Time from which the item goes before items that are not overdue.
     pub overdue: units::MonoTime,
-    /// The item itself.
+    /// The queued value.
     pub payload: T,
 }
 
-/// Queue of items of several customers.
+/// A queue shared by several customers.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     items: Vec<QueueItem<T>>,
-    /// Tokens over weight that each customer has used. Invariant: a customer that starts to wait
-    /// starts no lower than `clock`, so that idling earns no credit; while it waits, only service
-    /// moves it on. Present for all that wait.
+    /// Usage of each customer, in tokens divided by weight.
+    ///
+    /// Invariants: contains all customers with queued items. A customer that starts to wait starts no lower than
+    /// `clock`, so that idle time earns no credit. While it waits, only service increases its usage.
     used: collections::HashMap<ids::CustomerId, f64>,
-    /// Virtual time: the least use among those that wait. Never falls.
+    /// Virtual time: the smallest usage among waiting customers. Never decreases.
     clock: f64,
 }
 
@@ -53,23 +54,25 @@
         self.items.push(item);
     }
 
-    /// Number of waiting items.
+    /// Number of queued items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// All waiting items, in no order.
+    /// Iterates over the queued items in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = &QueueItem<T>> {
         self.items.iter()
     }
 
-    /// Takes the first item that `fits`, in the order of service. `fits` also learns whether the
-    /// item is overdue. Items for which `yields` holds go after the others.
+    /// Removes and returns the first item in the order of service for which `fits` is true.
+    ///
+    /// The second argument of `fits` tells whether the item is overdue. Items that are not overdue and for which
+    /// `yields` is true come after all others.
     pub fn pop_where(
         &mut self,
         now: units::MonoTime,
@@ -83,7 +86,7 @@
         first.map(|index| self.take(index))
     }
 
-    /// Removes all items for which `permits` holds.
+    /// Removes and returns all items for which `permits` is true.
     pub fn remove_where(&mut self, mut permits: impl FnMut(&T) -> bool) -> Vec<QueueItem<T>> {
         let (gone, kept) = self.items.drain(..).partition(|item| permits(&item.payload));
         self.items = kept;
@@ -91,7 +94,7 @@
         gone
     }
 
-    /// Cost of the items that would be served before one of `customer` with `cost`.
+    /// Total cost of the items that would be served before a new item of `customer` with `cost`.
     pub fn cost_ahead(
         &self,
         now: units::MonoTime,
@@ -133,15 +136,15 @@
             self.items.iter().map(|item| &item.customer).collect();
         let least = waiting.iter().filter_map(|customer| self.used.get(*customer)).copied();
         let least = least.min_by(f64::total_cmp);
-        // With an empty queue the next item starts level with the one served last.
+        // If the queue is empty, the next item starts level with the customer with the highest usage.
         let least = least.or_else(|| self.used.values().copied().max_by(f64::total_cmp));
         self.clock = self.clock.max(least.unwrap_or(self.clock));
-        // An idle customer behind the clock is treated like a new one and need not be remembered.
+        // An idle customer behind the clock is treated like a new one, so its usage can be dropped.
         let clock = self.clock;
         self.used.retain(|customer, used| *used > clock || waiting.contains(customer));
     }
 
-    /// Where a customer's next item starts: its use while it waits, else no lower than the clock.
+    /// Start tag of a customer's next item: its usage if it has queued items, otherwise at least the virtual time.
     fn start_tag(&self, customer: &ids::CustomerId) -> f64 {
         let used = self.used.get(customer).copied();
         let waits = self.items.iter().any(|item| item.customer == *customer);
--- a/crates/core/src/histogram.rs
+++ b/crates/core/src/histogram.rs
@@ -1,4 +1,4 @@
-//! Histograms by customer and by request class with prompt length, bounded in number.
+//! Latency histograms by customer, and by request class and prompt length, bounded in number.
 
 use std::{collections, time};
 
@@ -6,21 +6,21 @@
 
 use crate::units;
 
-/// What is measured.
+/// A measured latency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MeasureKind {
     /// From the last byte of the request to the first token of the answer.
     FirstToken,
-    /// Between two pieces of the answer.
+    /// Between two chunks of the answer.
     TokenInterval,
     /// From the last byte of the request to the end of the answer.
     Total,
-    /// From asking for a place to getting it.
+    /// From the request for a placement to its grant.
     PlaceWait,
 }
 
-/// Upper bounds of the prompt length bands, in tokens.
+/// Upper bounds of the prompt length bands in tokens, with the names of the bands.
 pub const BAND_BOUNDS: [(u64, &str); 6] = [
     (2_000, "up_to_2k"),
     (8_000, "up_to_8k"),
@@ -36,23 +36,23 @@
     band.map_or("over_300k", |(_, name)| name)
 }
 
-/// Largest value that is distinguished, in milliseconds.
+/// Largest recorded value, in milliseconds; larger ones are counted as this.
 const MAX_MILLIS: u64 = 3_600_000;
-/// Significant digits kept.
+/// Significant decimal digits of recorded values.
 const DIGITS: u8 = 2;
-/// Series held at most; what comes later is counted under [`OVERFLOW`].
+/// Largest number of series; values of further ones are counted in [`OVERFLOW`].
 const MAX_SERIES: usize = 2_000;
-/// The series that takes what has no room of its own.
+/// Name of the series for values beyond [`MAX_SERIES`].
 const OVERFLOW: &str = "other";
 
 /// Percentiles of one series, in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct HistogramRow {
-    /// What is measured.
+    /// Measured latency.
     pub measure: MeasureKind,
-    /// Customer, or request class and length band.
+    /// Name of the series: a customer, or a request class and length band.
     pub series: String,
-    /// Values counted.
+    /// Number of recorded values.
     pub count: u64,
     /// Median.
     pub p50_ms: f64,
@@ -60,20 +60,20 @@
     pub p95_ms: f64,
     /// 99th percentile.
     pub p99_ms: f64,
-    /// Largest.
+    /// Largest value.
     pub max_ms: f64,
 }
 
 /// A bounded set of histograms.
 #[derive(Debug, Default)]
 pub struct HistogramSet {
-    /// Invariant: at most [`MAX_SERIES`] and one overflow series for each measure. Values are in
-    /// tenths of a millisecond.
+    /// Histograms in tenths of a millisecond. Invariant: at most [`MAX_SERIES`], plus one overflow series for each
+    /// measure.
     series: collections::BTreeMap<(MeasureKind, String), hdrhistogram::Histogram<u32>>,
 }
 
 impl HistogramSet {
-    /// Counts values.
+    /// Records values in a series.
     pub fn record_all(&mut self, measure: MeasureKind, series: &str, spans: &[time::Duration]) {
         if spans.is_empty() {
             return;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decision logic of slipturn.
 //!
-//! Nothing here opens a socket or reads a clock: the time and messages come in as arguments, and
-//! actions go out as values. One test can therefore freeze, cut, reorder and repeat anything.
+//! This crate opens no sockets and reads no clock: the time and messages are passed in as arguments, and actions are
+//! returned as values. So tests can pause processes, partition the network, and reorder or repeat messages.
 
 pub mod beat_clock;
 pub mod budget;
--- a/crates/core/src/pass_model.rs
+++ b/crates/core/src/pass_model.rs
@@ -1,15 +1,17 @@
-//! How long an engine takes: a pass reads what waits and plays the steps of those that write.
+//! Performance model of an engine: each pass prefills the pending parts of prompts and runs the decode steps of the
+//! requests that are decoding.
 //!
-//! All times are milliseconds as `f64`: they are sums of many small parts, never points in time.
+//! All times are durations in milliseconds as `f64`, because they are sums of many small terms.
 
 use crate::route_table;
 
-/// Reading time of a whole prompt on one engine, milliseconds.
+/// Time to prefill a whole prompt of `prompt` tokens on one engine, milliseconds.
 pub fn prefill_ms(shape: &route_table::EngineShape, prompt: u64) -> f64 {
     part_ms(shape, prompt, 1)
 }
 
-/// Reading time of one of `parts` even parts, each with its share of the pairs.
+/// Time to prefill one of `parts` equal parts of a prompt, milliseconds; the quadratic cost of token pairs is divided
+/// equally, too.
 pub fn part_ms(shape: &route_table::EngineShape, prompt: u64, parts: usize) -> f64 {
     let tokens = prompt as f64;
     let million_pairs = tokens * tokens / 2.0 / 1e6;
@@ -17,7 +19,8 @@
     whole / parts.max(1) as f64
 }
 
-/// Time of the token steps of one pass, without what is read in it.
+/// Time of the decode steps of one pass without its prefill, milliseconds. `context` is the summed number of prompt
+/// tokens of the requests that are decoding.
 pub fn steps_ms(shape: &route_table::EngineShape, decoding: usize, context: u64) -> f64 {
     if decoding == 0 {
         return shape.step_ms;
@@ -28,7 +31,7 @@
     step * shape.stride
 }
 
-/// Time to write `tokens` on an engine with these writers, without what others read meanwhile.
+/// Time to decode `tokens` on an engine with `decoding` requests, without any prefill in between, milliseconds.
 pub fn decode_ms(
     shape: &route_table::EngineShape,
     decoding: usize,
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,93 +1,93 @@
-//! What entries ask of a ledger, what engines tell it, and what it answers.
+//! Inputs and outputs of an engine ledger: requests from entries, reports from engines, and the resulting actions.
 
 use std::time;
 
 use crate::{ids, refusal, service_rank, units};
 
-/// A request for a place on an engine.
+/// A request for capacity on an engine.
 #[derive(Debug, Clone)]
 pub struct PlaceRequest {
-    /// The attempt it is for.
+    /// Attempt that needs the capacity.
     pub attempt: ids::AttemptId,
-    /// The entry that makes it.
+    /// Entry that sends the request.
     pub entry: ids::InstanceId,
-    /// That entry's start.
+    /// Boot id of that entry.
     pub boot: ids::BootId,
-    /// Whose request it is.
+    /// Customer that the request belongs to.
     pub customer: ids::CustomerId,
-    /// The customer's weight.
+    /// Weight of the customer in fair queueing.
     pub weight: f64,
-    /// Length of the prompt.
+    /// Prompt length.
     pub prompt: units::TokenCount,
-    /// Part of the prompt the engine has probably cached.
+    /// Prefix of the prompt that the engine has probably cached.
     pub cached: units::TokenCount,
-    /// Most tokens of output.
+    /// Largest output length.
     pub output: units::TokenCount,
-    /// Memory it needs on this engine; less than prompt and output for a member of a group.
+    /// Memory needed on this engine; less than prompt and output together if several engines share the request.
     pub memory: units::TokenCount,
-    /// Whether this engine is one of several that serve the prompt together.
+    /// Whether this engine is one of a group that serves the prompt together.
     pub grouped: bool,
-    /// When it must have finished.
+    /// When the answer must be complete.
     pub deadline: units::MonoTime,
-    /// Until when it is willing to wait for its place.
+    /// How long the request may wait in the queue.
     pub patience: units::MonoTime,
 }
 
 impl PlaceRequest {
-    /// The part of the prompt that the engine has to work through.
+    /// Length of the prompt without its cached prefix.
     pub fn prefill(&self) -> units::TokenCount {
         self.prompt.saturating_sub(self.cached)
     }
 }
 
-/// What an engine says of itself.
+/// A load report of an engine.
 #[derive(Debug, Clone, Default)]
 pub struct EngineReport {
-    /// Whether it takes no new work.
+    /// Whether the engine accepts no new work.
     pub draining: bool,
-    /// Its whole memory.
+    /// Total memory of the engine; zero if unknown.
     pub memory: units::TokenCount,
-    /// Prefill work it has not done yet.
+    /// Prefill work still to be done.
     pub prefill_backlog: units::TokenCount,
-    /// How old the report is.
+    /// Age of the report.
     pub age: time::Duration,
-    /// The attempts it holds memory for.
+    /// Attempts that the engine holds memory for.
     pub held: Vec<(ids::AttemptId, units::TokenCount)>,
 }
 
-/// What the ledger wants done.
+/// An action requested by the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerAction {
-    /// Tell the entry to start, and with which rank.
+    /// Tells the entry to start the attempt with this rank.
     Grant(ids::AttemptId, service_rank::ServiceRank),
-    /// Tell the entry that there is no place, and why.
+    /// Tells the entry that the attempt is refused.
     Refuse(ids::AttemptId, refusal::RequestRefusal),
-    /// Tell the engine to give an attempt up, and why.
+    /// Tells the engine to cancel the attempt.
     Cancel(ids::AttemptId, CancelReason),
 }
 
-/// Why an engine is ordered to cancel an attempt.
+/// Why an engine is told to cancel an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelReason {
-    /// Its entry has not renewed its lease for the whole grace.
+    /// The entry has not renewed the lease within the grace period.
     EntrySilent,
-    /// Its time limit has passed.
+    /// The time limit of the request has passed.
     PastLimit,
-    /// Its lease was given back, and the engine still holds it.
+    /// The lease was released, but the engine still holds the attempt.
     StillHeld,
-    /// The engine holds it, and no lease explained it for the whole grace.
+    /// The engine has held the attempt without a lease for the whole grace period.
     Unexplained,
 }
 
-/// What an engine could do for a request.
+/// An estimate of how an engine could serve a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineOffer {
-    /// Expected time until the first token.
+    /// Expected time to the first token.
     pub first_token: time::Duration,
-    /// Memory not spoken for.
+    /// Memory that is neither leased nor held otherwise.
     pub free: units::TokenCount,
-    /// Requests running.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: usize,
 }
--- a/crates/core/src/planner_key.rs
+++ b/crates/core/src/planner_key.rs
@@ -1,8 +1,8 @@
-//! Which planner an engine belongs to: large services are planned in cells.
+//! Assignment of engines to planners: the engines of a large service are split into cells with one planner each.
 //!
-//! One planner holds the work of at most some hundred engines, so that a choice among them stays
-//! a fraction of a millisecond and no member plans for a whole fleet. Members whose lists differ
-//! may see other cells for a while; that costs throughput, never safety.
+//! A cell has about a hundred engines, so that a placement takes a fraction of a millisecond and no member plans for
+//! a whole fleet. Members with different lists may disagree on the cells for a while; that costs throughput, never
+//! safety.
 
 use std::fmt;
 
@@ -10,16 +10,15 @@
 
 use crate::{ids, rendezvous};
 
-/// Engines that one planner is meant for; `slipturn-compare --planned-size` shows what a choice
-/// among them costs.
+/// Target number of engines per cell; `slipturn-compare --planned-size` measures the cost of a placement among them.
 const CELL_ENGINES: usize = 96;
 
-/// One planner of a service.
+/// Identifies a planner: a service and one of its cells.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlannerKey {
-    /// The service.
+    /// Service whose engines are planned.
     pub service: ids::ServiceId,
-    /// Number of the cell, below [`cell_count`] of the service's engines.
+    /// Number of the cell; below [`cell_count`] for cells of engines.
     pub cell: u16,
 }
 
@@ -30,38 +29,40 @@
 }
 
 impl PlannerKey {
-    /// The key by which a member is found that keeps what concerns one plain upstream: it is a cell of its own.
+    /// Key for the member that coordinates one plain upstream, which forms a cell of its own.
     pub fn of_plain(service: &ids::ServiceId, upstream: &ids::UpstreamId) -> Self {
         let hash = rendezvous::stable_hash(&["plain", service.as_str(), upstream.identifier()]);
         Self { service: service.clone(), cell: hash as u16 }
     }
 
-    /// The key by which a member is found that keeps what concerns all retries to a service.
+    /// Key for the member that coordinates the retries to a service.
     pub fn of_retries(service: &ids::ServiceId) -> Self {
         let hash = rendezvous::stable_hash(&["retries", service.as_str()]);
         Self { service: service.clone(), cell: hash as u16 }
     }
 }
 
-/// Number of cells for a number of listed engines. Engines that take no new work count, as planners lose the state of
-/// engines that change cells.
+/// Number of cells for a number of listed engines. Engines that accept no new work are included: fewer cells would
+/// move engines, and planners lose the state of engines that change cells.
 pub fn cell_count(engines: usize) -> u16 {
     u16::try_from(engines.div_ceil(CELL_ENGINES).max(1)).unwrap_or(u16::MAX)
 }
 
-/// The cell of an engine. Adding a cell moves only the engines of that cell.
+/// The cell of an engine. Adding a cell moves engines only to the new cell.
 pub fn cell_of(service: &ids::ServiceId, engine: &ids::UpstreamId, cells: u16) -> u16 {
-    // Members that know different starts of an engine must agree on its cell.
+    // Hashes the identifier without the start, so that members that know different starts of an engine agree.
     let hash = rendezvous::stable_hash(&["cell", service.as_str(), engine.identifier()]);
     rendezvous::jump_bucket(hash, cells.max(1))
 }
 
-/// The planner that a request asks, of a service with this number of cells and these engines: that of an engine
-/// `drawn` among them, so that each cell is asked as often as it has engines. Cells differ: two of
-/// 150 engines have 72 and 78, and asked alike the smaller one is a twelfth fuller.
+/// Picks the planner for a request to a service with `cells` cells and these `engines`.
 ///
-/// Of cells that have `refused` the request none is asked again, and none all of whose engines are `closed` to
-/// it; nothing where that leaves none.
+/// `drawn` is a random number that selects an engine, and with it its cell, so that each cell gets requests in
+/// proportion to its engines. Cells differ in size: with 150 engines, two cells have 72 and 78, and with equal shares
+/// the smaller one would be a twelfth fuller.
+///
+/// Skips cells that have `refused` the request and cells all of whose engines are `closed` to it; returns `None` if no
+/// cell remains.
 pub fn pick(
     service: &ids::ServiceId,
     cells: u16,
@@ -72,7 +73,7 @@
 ) -> Option<PlannerKey> {
     let key = |cell| PlannerKey { service: service.clone(), cell };
     if engines.is_empty() || cells == 1 {
-        // Also a planner without engines gives an answer.
+        // A planner without engines answers, too.
         return Some(key(0)).filter(|key| !refused.contains(&key.cell));
     }
     let in_turn = engines.iter().cycle().skip(drawn % engines.len()).take(engines.len());
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -1,13 +1,13 @@
-//! Rendezvous hashing: every process works out the same owner from the same list, unasked.
+//! Rendezvous hashing: all processes with the same list compute the same owner without communication.
 //!
-//! Two processes with different lists may name different owners for a while. No promise rests on
-//! an owner being the only one: a double owner costs throughput, never safety.
+//! Processes with different lists may compute different owners for a while. No guarantee depends on a unique owner:
+//! two owners cost throughput, never safety.
 
 use std::hash;
 
 use crate::{fleet_list, ids};
 
-/// FNV-1a, fixed so that every build and every process agrees.
+/// FNV-1a hasher; the result is the same in every build and process.
 struct StableHasher(u64);
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -15,7 +15,7 @@
 
 impl hash::Hasher for StableHasher {
     fn finish(&self) -> u64 {
-        // FNV leaves the high bits poorly mixed for short names.
+        // FNV-1a mixes the high bits poorly for short inputs.
         mixed_hash(self.0)
     }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A number all of whose bits depend on all bits of `value`: MurmurHash3's finaliser.
+/// Mixes `value` so that all bits of the result depend on all of its bits (the finalizer of MurmurHash3).
 pub fn mixed_hash(value: u64) -> u64 {
     let mut mixed = value;
     mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -34,7 +34,7 @@
     mixed ^ (mixed >> 33)
 }
 
-/// The same number for the same texts on every build and machine.
+/// Hashes a sequence of strings; the result is the same in every build and on every instance.
 pub fn stable_hash(parts: &[&str]) -> u64 {
     use hash::Hasher as _;
     let mut hasher = StableHasher(FNV_OFFSET);
@@ -45,7 +45,7 @@
     hasher.finish()
 }
 
-/// The same number for the same bytes on every build and machine: distinguishes texts, and proves nothing
+/// Hashes bytes; the result is the same in every build and on every instance. Not cryptographic: it does not protect
 /// against forgery.
 pub fn stable_digest(bytes: &[u8]) -> u64 {
     use hash::Hasher as _;
@@ -54,7 +54,7 @@
     hasher.finish()
 }
 
-/// Orders `candidates` by preference for `subject`, most preferred first.
+/// Sorts `candidates` by their rendezvous hash with `subject`, most preferred first.
 pub fn ranked<'a, T>(
     subject: &str,
     candidates: impl Iterator<Item = &'a T>,
@@ -66,7 +66,7 @@
     scored.into_iter().map(|(_, candidate)| candidate).collect()
 }
 
-/// The instance whose scheduler owns an engine: in the engine's data centre while one lives there.
+/// The instance whose scheduler owns an engine: one in the engine's data centre, or any if none is live there.
 pub fn engine_owner<'a>(
     list: &'a fleet_list::FleetList,
     engine: &ids::EngineId,
@@ -85,7 +85,7 @@
     highest_ranked(customer.as_str(), list.live_instances())
 }
 
-/// The live instances of a data centre in an order all processes agree on.
+/// The live instances of a data centre, in an order that is the same for all processes with the same list.
 pub fn exchange_order<'a>(
     list: &'a fleet_list::FleetList,
     data_center: &ids::DataCenterId,
@@ -105,7 +105,7 @@
     })
 }
 
-/// The bucket of a key by jump consistent hashing: adding a bucket moves only the keys of that bucket.
+/// The bucket of a key by jump consistent hashing: adding a bucket moves keys only to the new bucket.
 pub fn jump_bucket(key: u64, buckets: u16) -> u16 {
     let mut state = key;
     let mut bucket = 0;
--- a/crates/core/src/retry_line.rs
+++ b/crates/core/src/retry_line.rs
@@ -1,4 +1,4 @@
-//! Retry-After times of callers that limits keep from all upstreams of their service.
+//! Retry-After times for callers that rate limits keep from all upstreams of their service.
 
 use std::time;
 
@@ -6,22 +6,23 @@
 
 use crate::units;
 
-/// Part of the permitted rate that is reserved for returning callers; the rest is for first attempts, which can still
-/// be in time.
+/// Fraction of the permitted rate that is reserved for retries; the rest is for first attempts, which can still be in
+/// time.
 const RETRY_FRACTION: f64 = 0.5;
-/// Longest Retry-After: limits have mostly changed by then.
+/// Longest Retry-After time. Limits have mostly changed after this time.
 const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(10);
 
-/// Returning callers, spaced by the rate at which they can be served.
+/// Assigns retry times, spaced by the rate at which retries can be served.
 #[derive(Debug, Default)]
 pub struct RetryLine {
-    /// When the last of them returns.
+    /// Latest retry time assigned so far.
     tail: units::MonoTime,
 }
 
 impl RetryLine {
-    /// Retry-After of the next caller, at a permitted rate of `rate` requests a second. Beyond the longest time it is
-    /// random within its second half.
+    /// Returns the Retry-After time for the next caller, at a permitted rate of `rate` requests per second.
+    ///
+    /// If it would exceed the longest time, it is random between half of that and the whole.
     pub fn next(&mut self, now: units::MonoTime, rate: f64) -> time::Duration {
         let step = 1.0 / (rate * RETRY_FRACTION).max(f64::MIN_POSITIVE);
         let step =
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,46 +1,45 @@
-//! Which of the sampled engines takes a request: slipturn's own way and the baselines.
+//! Routing policies: choice of an engine among candidates, by slipturn's own policy or one of the baselines.
 
 use std::time;
 
 use crate::{ids, placement, settings, units};
 
-/// One engine a request could go to, with what is known of it.
+/// An engine that a request could be sent to, with what this entry knows about it.
 #[derive(Debug, Clone)]
 pub struct RouteCandidate {
-    /// The engine.
+    /// Name of the engine.
     pub engine: ids::EngineId,
-    /// Its scheduler's offer; `None` where the scheduler did not answer.
+    /// Offer of its scheduler; `None` if the scheduler did not answer.
     pub offer: Option<placement::EngineOffer>,
-    /// Requests this entry itself has running there.
+    /// Number of requests that this entry has outstanding on it.
     pub own_requests: usize,
-    /// Tokens of those requests.
+    /// Summed tokens of those requests.
     pub own_tokens: units::TokenCount,
-    /// Whether it is in this entry's data centre.
+    /// Whether the engine is in this entry's data centre.
     pub near: bool,
 }
 
-/// A choice and the reason an operator will read.
+/// A chosen candidate, with the reason shown to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteChoice {
     /// Index into the candidates.
     pub index: usize,
-    /// Why this one.
+    /// Why it was chosen.
     pub reason: &'static str,
 }
 
-/// A way of choosing among candidates.
+/// A strategy for choosing among candidates.
 pub trait RoutingPolicy {
-    /// Chooses one, or `None` where there is none.
+    /// Chooses a candidate; `None` if none is suitable.
     fn choose(&mut self, candidates: &[RouteCandidate]) -> Option<RouteChoice>;
 
-    /// Whether the choice rests on offers of schedulers, taken from a sample of the engines.
+    /// Whether the policy needs the offers of schedulers, which are requested for a sample of the engines.
     ///
-    /// The baselines look at all engines and at what the entry itself has sent, as common
-    /// routers do.
+    /// The baselines consider all engines and only the load that the entry itself has sent, like common routers.
     fn wants_offers(&self) -> bool;
 }
 
-/// Makes the policy that the settings name.
+/// Creates the policy selected in the settings.
 pub fn policy_for(kind: settings::RoutingKind) -> Box<dyn RoutingPolicy> {
     match kind {
         settings::RoutingKind::ExpectedStart => Box::new(ExpectedStart),
@@ -50,7 +49,7 @@
     }
 }
 
-/// What leaving the data centre costs, in expected time to the first token.
+/// Penalty for engines in other data centres, added to their expected time to the first token.
 const FAR_PENALTY: time::Duration = time::Duration::from_millis(5);
 
 #[derive(Debug)]
--- a/crates/core/src/search_budget.rs
+++ b/crates/core/src/search_budget.rs
@@ -1,8 +1,8 @@
-//! Budget for the search of a place over several cells of engines.
+//! Budget for placement attempts at several cells of a service.
 //!
-//! A request refused by one cell may find room in another, but in a flood all refuse, and an exhaustive search would
-//! multiply the messages by the number of cells. Two cells are always tried; further ones draw on a budget that fills
-//! with the requests.
+//! A request refused by one cell may find capacity in another. But under overload all cells refuse, and trying every
+//! cell would multiply the messages by their number. So two cells are always tried, and further ones draw on a budget
+//! that grows with each request.
 
 /// Cells tried without drawing on the budget.
 const FREE_CELLS: usize = 2;
@@ -24,12 +24,12 @@
 }
 
 impl SearchBudget {
-    /// Adds the budget of a request.
+    /// Adds the budget for a new request.
     pub fn note_request(&mut self) {
         self.available = (self.available + BUDGET_PER_REQUEST).min(MAX_BUDGET);
     }
 
-    /// Whether a request that was refused by this number of cells tries another one; draws on the budget.
+    /// Whether a request that `refused` cells have refused may try another one; if so, draws on the budget.
     pub fn take(&mut self, refused: usize) -> bool {
         if refused < FREE_CELLS {
             return true;
--- a/crates/core/src/service_rank.rs
+++ b/crates/core/src/service_rank.rs
@@ -1,18 +1,17 @@
-//! Order in which engines work on prompts: shorter bands first, and within a band customers inside
-//! their share before customers over it.
+//! Order in which engines prefill prompts: by length band, and within a band customers within their share first.
 
 use std::{collections, time};
 
 use crate::{ids, settings, units};
 
-/// Prompts grouped by length; the number is the priority sent to engines, 0 being first.
+/// Length band of a prompt. The order of the variants is the order of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LengthBand {
     /// Up to `short_tokens`.
     Short,
-    /// Between the two.
+    /// Above `short_tokens`, up to `long_tokens`.
     Medium,
-    /// Beyond `long_tokens`.
+    /// Above `long_tokens`.
     Long,
 }
 
@@ -29,41 +28,41 @@
     }
 }
 
-/// Order of work on an engine; lower goes first.
+/// Order of service on an engine; lower ranks are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceRank {
-    /// The prompt's band.
+    /// Length band of the prompt.
     pub band: LengthBand,
-    /// Whether the customer has lately used more than its share of the engine.
+    /// Whether the customer has recently used more than its share of the engine.
     pub over_share: bool,
 }
 
 impl ServiceRank {
-    /// The rank that goes after all others.
+    /// The rank that is served last.
     pub const LAST: Self = Self { band: LengthBand::Long, over_share: true };
 
-    /// The priority sent to engines, 0 first.
+    /// Priority number sent to engines; 0 is served first.
     pub fn priority(self) -> u8 {
         self.band as u8 * 2 + u8::from(self.over_share)
     }
 }
 
-/// Time over which use is remembered.
+/// Time constant of the exponential decay of recorded usage.
 const USAGE_WINDOW: time::Duration = time::Duration::from_secs(20);
-/// Use beyond an equal share that is still inside it; a few long prompts come by chance.
+/// Multiple of an equal share up to which a customer is within its share, as a few long prompts may come by chance.
 const SHARE_TOLERANCE: f64 = 2.0;
-/// Use below this part of the engine's work is that of a customer that has gone.
+/// Fraction of the engine's work below which a customer's usage is dropped and it counts as inactive.
 const IDLE_FRACTION: f64 = 0.001;
 
-/// Work that each customer has had of one engine lately.
+/// Recent usage of one engine by customer.
 #[derive(Debug, Default)]
 pub struct ShareMeter {
-    /// Tokens over weight, decaying over [`USAGE_WINDOW`], as of the time given.
+    /// Usage in tokens divided by weight, with the time of its last update. Decays over [`USAGE_WINDOW`].
     used: collections::HashMap<ids::CustomerId, (f64, units::MonoTime)>,
 }
 
 impl ShareMeter {
-    /// Counts work given to a customer.
+    /// Records work assigned to a customer.
     pub fn count(
         &mut self,
         now: units::MonoTime,
@@ -75,8 +74,8 @@
         self.used.insert(customer.clone(), (used, now));
     }
 
-    /// Whether a customer has had more than its share of what an engine with this rate works
-    /// through, counting those that have used it lately.
+    /// Whether a customer has used more than its share of an engine that processes `rate`. The capacity is shared
+    /// equally by the customers that have used the engine recently.
     pub fn over_share(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/start_wait.rs
+++ b/crates/core/src/start_wait.rs
@@ -1,29 +1,29 @@
-//! How long requests wait at a starting process that knows no routes yet.
+//! How long requests wait at a process that has just started and has no routes yet.
 
 use std::time;
 
-/// Age of the process up to which requests wait without any contact. A partitioned process can only send its callers
-/// elsewhere.
+/// Process age up to which requests wait while the process has no contact. A partitioned process can only send its
+/// callers elsewhere.
 const NO_CONTACT_AGE: time::Duration = time::Duration::from_millis(350);
-/// The same in contact with members that know no routes either.
+/// Process age up to which requests wait while the process is only in contact with members without routes.
 const MEMBER_CONTACT_AGE: time::Duration = time::Duration::from_millis(700);
-/// The same in contact with a member or the store that has them.
+/// Process age up to which requests wait while the process is in contact with a source of routes.
 const SOURCE_CONTACT_AGE: time::Duration = time::Duration::from_millis(1_500);
-/// Largest part of its deadline that a request waits; the rest is for its answer or another attempt.
+/// Fraction of its time limit that a request waits at most; the rest is for its answer or for an attempt elsewhere.
 const PATIENCE_FRACTION: f64 = 0.3;
 
-/// Contact of a process since its start.
+/// Whom a process has been in contact with since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartContact {
-    /// None.
+    /// No contact.
     Nobody,
-    /// Members without routes.
+    /// Only members without routes.
     Members,
-    /// A member with routes, or the store.
+    /// A source of routes: a member that has them, or the store.
     Source,
 }
 
-/// Whether a request that has waited for `waited` continues to wait at a process of this age.
+/// Whether a request that has waited for `waited` keeps waiting at a process of this age; `patience` is its time limit.
 pub fn keeps_waiting(
     contact: StartContact,
     age: time::Duration,
