--- a/crates/core/src/planner_key.rs
+++ b/crates/core/src/planner_key.rs
@@ -62,7 +62,7 @@
 /// the smaller one would be a twelfth fuller.
 ///
 /// Skips cells that have `refused` the request and cells all of whose engines are `closed` to it; returns `None` if no
-/// cell remains.
+/// cell remains. A single cell is skipped only if it has refused.
 pub fn pick(
     service: &ids::ServiceId,
     cells: u16,
--- a/crates/core/tests/class_worth.rs
+++ b/crates/core/tests/class_worth.rs
@@ -1,4 +1,4 @@
-//! What requests of unlike classes are worth against each other.
+//! Relative worth of requests of different classes.
 
 use std::time;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_class_is_worth_more_by_its_goal_and_its_size() {
+fn worth_of_a_class_grows_with_its_goal_and_its_mean_prompt() {
     let mut classes = ClassWorth::default();
     for _ in 0..10 {
         assert!((worth(&mut classes, "short", 5_000, 300, 300) - 1.0).abs() < 1e-9);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn of_one_class_the_larger_prompt_is_worth_more_and_none_nothing() {
+fn within_a_class_worth_grows_with_the_prompt_and_is_never_zero() {
     let mut classes = ClassWorth::default();
     for _ in 0..50 {
         worth(&mut classes, "class", 100_000, 2_000, 2_000);
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn before_an_urgent_request_was_seen_the_goals_alone_tell() {
+fn without_an_urgent_request_worth_follows_the_goals_alone() {
     let mut classes = ClassWorth::default();
     assert!((worth(&mut classes, "long", 180_000, 3_000, 300) - 10.0).abs() < 1e-9);
 }
 
 #[test]
-fn many_classes_take_no_more_memory() {
+fn more_classes_than_the_limit_are_accepted() {
     let mut classes = ClassWorth::default();
     for number in 0..5_000 {
         assert!(worth(&mut classes, &format!("class-{number}"), 1_000, 300, 300) > 0.0);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn goals_of_nothing_give_a_worth_that_can_be_reckoned_with() {
+fn zero_goals_give_a_finite_positive_worth() {
     let mut classes = ClassWorth::default();
     for (goal, shortest) in [(0, 0), (3_000, 0), (0, 300)] {
         let worth = worth(&mut classes, "class", 0, goal, shortest);
--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! Upstreams that have just started: how many requests they get of all instances, and until when.
+//! Rate limits of upstreams that have just started.
 
 #[path = "support/list_entries.rs"]
 mod list_entries;
@@ -22,8 +22,8 @@
     UpstreamEntry { cold: time::Duration::from_millis(cold_ms), ..list_entries::entry(number) }
 }
 
-/// Upstreams 1 and 2 of a service whose cold upstreams bear 17 requests a second for 3 s.
-fn full() -> UpstreamList {
+/// A list with upstreams 1 and 2 of a service whose cold upstreams are limited to 17 requests per second for 3 s.
+fn list_with_policy() -> UpstreamList {
     let mut list = UpstreamList::default();
     let policy = ColdPolicy { rate: rate(17.0), lasts: time::Duration::from_secs(3) };
     list.set_cold_policies([("s".parse().expect("a valid name"), policy)].into());
@@ -38,11 +38,11 @@
 
 #[test]
 fn a_cold_upstream_has_a_limit_until_it_is_warm() {
-    let mut list = full();
+    let mut list = list_with_policy();
     let before = list.limit_changes();
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
     assert_eq!((limit(&list, 1), limit(&list, 2)), (Some(17.0), None));
-    assert!(list.limit_changes() > before, "who keeps limits is to look again");
+    assert!(list.limit_changes() > before, "the new limit must be noticed");
     assert_eq!(list.limits().len(), 1);
     list.tick(at(3_900));
     assert_eq!(limit(&list, 1), Some(17.0));
@@ -53,20 +53,20 @@
 }
 
 #[test]
-fn it_is_warm_as_soon_as_it_says_so() {
-    let mut list = full();
+fn an_upstream_without_a_cold_phase_in_its_entry_is_warm_at_once() {
+    let mut list = list_with_policy();
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
     list.apply(at(1_500), vec![ListChange::Present(entry(1, 0))], 12.into());
     assert_eq!(limit(&list, 1), None);
-    // And may be cold again at any moment.
+    // It may become cold again at any time.
     list.apply(at(9_000), vec![ListChange::Present(entry(1, 2_000))], 13.into());
     assert_eq!(limit(&list, 1), Some(17.0));
 }
 
-/// An entry stays as it was written: members that read the list anew later see the same number.
+/// An entry is not updated while the upstream warms up, so members that read the list again see the same number.
 #[test]
-fn an_entry_that_is_read_again_says_nothing_new() {
-    let mut list = full();
+fn rereading_an_unchanged_entry_does_not_restart_the_cold_phase() {
+    let mut list = list_with_policy();
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
     list.tick(at(5_000));
     list.apply(at(6_000), vec![ListChange::Present(entry(1, 3_000))], 12.into());
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn upstreams_of_a_restored_data_center_are_taken_for_cold() {
-    let mut list = full();
+fn upstreams_of_a_restored_data_center_are_cold() {
+    let mut list = list_with_policy();
     let data_center: ids::DataCenterId = "a".parse().expect("a valid name");
     list.apply(at(1_000), vec![ListChange::Evacuated(data_center.clone())], 11.into());
     assert_eq!(limit(&list, 1), None);
@@ -86,23 +86,23 @@
 }
 
 #[test]
-fn of_two_limits_the_lower_one_holds() {
-    let mut list = full();
+fn the_lower_of_two_limits_applies() {
+    let mut list = list_with_policy();
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
-    for (named, heard, holds) in [(30.0, 1_100, 17.0), (5.0, 1_200, 5.0)] {
-        let (rate, at) = (Some(rate(named)), at(heard));
+    for (announced, heard, expected) in [(30.0, 1_100, 17.0), (5.0, 1_200, 5.0)] {
+        let (rate, at) = (Some(rate(announced)), at(heard));
         let reading = LimitReading { rate, asked: at, heard: at, source: NoticeSource::Answer };
         list.notices_mut().receive_limit(&name(1), reading);
-        assert_eq!(limit(&list, 1), Some(holds), "{named} named");
+        assert_eq!(limit(&list, 1), Some(expected), "announced: {announced}");
     }
 }
 
 #[test]
-fn a_service_without_a_bound_and_the_way_without_limits_have_none() {
+fn without_a_policy_or_with_limits_switched_off_there_is_no_limit() {
     let mut list = UpstreamList::default();
     list.replace(at(0), vec![entry(1, 3_000)], 10.into());
     assert_eq!(limit(&list, 1), None);
-    let mut list = full();
+    let mut list = list_with_policy();
     list.set_cold_way(ColdUpstreamWay::Full);
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
     assert_eq!(limit(&list, 1), None);
--- a/crates/core/tests/engine_ledger.rs
+++ b/crates/core/tests/engine_ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of one engine: leases, queue order, what the engine says, lost and late messages.
+//! The ledger of one engine: leases, queue order, engine reports, and lost or late messages.
 
 #![allow(clippy::unwrap_used)]
 
@@ -55,7 +55,7 @@
 }
 
 fn granted(attempt: &str) -> placement::LedgerAction {
-    // Prompts of 1,000 to 4,000 tokens are short here, those over 32,000 long.
+    // With the default options, prompts of 1,000 to 4,000 tokens are short and those over 32,000 are long.
     ranked(attempt, service_rank::LengthBand::Long)
 }
 
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_engine_that_has_not_told_of_itself_gets_nothing() {
+fn an_engine_without_a_report_gets_no_requests() {
     let options = settings::FleetOptions::default();
     let (capacity, rate) = (units::TokenCount(CAPACITY), units::TokenRate(RATE));
     let mut ledger = engine_ledger::EngineLedger::new(at(0), capacity, rate, options);
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn a_scheduler_that_wakes_late_grants_nothing_before_a_fresh_report() {
+fn a_scheduler_that_was_paused_grants_nothing_before_a_fresh_report() {
     let mut ledger = ledger();
     assert_eq!(
         ledger.enqueue(at(0), request("a:1:2:1", 60_000, 600_000)),
         vec![granted("a:1:2:1")]
     );
     assert_eq!(ledger.enqueue(at(0), request("a:1:3:1", 60_000, 600_000)), vec![]);
-    // Frozen for a minute; the release arrives first, from the socket's buffer.
+    // The scheduler is paused for a minute; the release arrives first, from the socket's buffer.
     assert_eq!(ledger.release(at(60_000), &name("a:1:2:1")), vec![]);
     assert_eq!(ledger.waiting(), 1);
     // Another scheduler has filled the engine meanwhile.
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_same_request_twice_takes_one_lease() {
+fn a_duplicate_request_gets_no_second_lease() {
     let mut ledger = ledger();
     assert_eq!(
         ledger.enqueue(at(0), request("a:1:1:1", 1_000, 60_000)),
@@ -130,20 +130,20 @@
 }
 
 #[test]
-fn a_release_may_come_twice_late_or_for_nothing() {
+fn duplicate_late_and_unknown_releases_are_ignored() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 1_000, 60_000));
     ledger.release(at(5), &name("a:1:1:1"));
     ledger.release(at(6), &name("a:1:1:1"));
     ledger.release(at(7), &name("never:1:1:1"));
     assert_eq!(ledger.free(), units::TokenCount(CAPACITY));
-    // A renewal that was on its way does not bring the lease back.
+    // A renewal that was in flight does not restore the lease.
     ledger.renew(at(8), &name("instance-1"), ids::BootId(1), &[request("a:1:1:1", 1_000, 60_000)]);
     assert_eq!(ledger.running(), 0);
 }
 
 #[test]
-fn shorts_find_the_headroom_that_longer_ones_leave() {
+fn only_short_requests_use_the_headroom() {
     let mut ledger = ledger();
     assert_eq!(
         ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000)),
@@ -157,10 +157,10 @@
 }
 
 #[test]
-fn memory_drains_towards_the_overdue_while_shorts_go_on() {
+fn memory_is_kept_for_an_overdue_request_while_short_ones_continue() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000));
-    // It has 20 s of time, so that it is overdue after some 8.
+    // It has a deadline of 20 s, so it becomes overdue after about 8 s.
     ledger.enqueue(at(0), request("a:1:2:1", 60_000, 20_000));
     for millis in (500..9_500).step_by(500) {
         ledger.report(at(millis), &holding(&[("a:1:1:1", 60_100)]));
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn what_cannot_finish_in_time_is_refused_at_once_with_a_time_to_come_back() {
+fn a_request_that_cannot_finish_in_time_is_refused_at_once_with_retry_after() {
     let mut ledger = ledger();
     for number in 0..6 {
         ledger.enqueue(at(0), request(&format!("a:1:{number}:1"), 50_000, 600_000));
@@ -195,11 +195,11 @@
 }
 
 #[test]
-fn what_waits_past_its_latest_start_is_refused_then_and_not_later() {
+fn a_waiting_request_is_refused_at_its_latest_start() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000));
     assert_eq!(ledger.enqueue(at(0), request("a:1:2:1", 60_000, 30_000)), vec![]);
-    // 1.2 s of prefill and 3 s of answer: it must start by 25.8 s.
+    // Prefill takes 1.2 s and the answer 3 s, so it must start by 25.8 s.
     ledger.report(at(25_700), &holding(&[("a:1:1:1", 60_100)]));
     ledger.renew(
         at(25_700),
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn what_no_lease_explains_is_cancelled_after_the_grace_until_the_engine_confirms() {
+fn an_attempt_without_a_lease_is_cancelled_after_the_grace_until_it_is_gone() {
     let mut ledger = ledger();
     let lost = holding(&[("lost:1:1:1", 40_000)]);
     assert_eq!(ledger.report(at(1_000), &lost), vec![]);
@@ -224,7 +224,7 @@
         ledger.report(at(16_000), &lost),
         vec![cancelled("lost:1:1:1", placement::CancelReason::Unexplained)]
     );
-    // The cancel is lost on its way.
+    // The first cancel is lost.
     assert_eq!(
         ledger.report(at(16_500), &lost),
         vec![cancelled("lost:1:1:1", placement::CancelReason::Unexplained)]
@@ -238,7 +238,7 @@
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 40_000, 600_000));
     ledger.release(at(1_000), &name("a:1:1:1"));
-    // A report from before the release says nothing.
+    // A report from before the release is no evidence.
     let old = placement::EngineReport {
         age: time::Duration::from_secs(1),
         ..holding(&[("a:1:1:1", 40_100)])
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_new_ledger_adopts_what_entries_still_stream() {
+fn a_new_ledger_adopts_attempts_that_entries_are_streaming() {
     let mut ledger = ledger();
     let held = holding(&[("a:1:1:1", 40_100)]);
     ledger.report(at(100), &held);
@@ -267,12 +267,12 @@
 }
 
 #[test]
-fn leases_of_an_entry_that_started_again_end_with_its_first_renewal() {
+fn leases_of_a_restarted_entry_end_with_its_first_renewal() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 40_000, 600_000));
     ledger.renew(at(500), &name("instance-1"), ids::BootId(2), &[]);
     assert_eq!(ledger.running(), 0);
-    // The memory counts as free only when the engine says so.
+    // The memory counts as free only once the engine no longer reports it.
     assert_eq!(ledger.free(), units::TokenCount(CAPACITY - 40_100));
     let held = holding(&[("a:1:1:1", 40_100)]);
     let reason = placement::CancelReason::StillHeld;
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_lease_ends_soon_after_its_time_limit_whatever_its_entry_says() {
+fn a_lease_ends_after_its_time_limit_even_if_renewed() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 40_000, 9_000));
     for millis in (1_000..11_000).step_by(1_000) {
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_leaving_engine_refuses_what_waits_and_what_comes() {
+fn a_leaving_engine_refuses_waiting_and_new_requests() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000));
     ledger.enqueue(at(0), request("a:1:2:1", 60_000, 600_000));
@@ -318,12 +318,12 @@
     assert_eq!(refusals(&actions)[0].ran, refusal::RanState::No);
     let actions = ledger.enqueue(at(600), request("a:1:3:1", 1_000, 600_000));
     assert_eq!(refusals(&actions).len(), 1);
-    // What runs there goes on.
+    // The running request continues.
     assert_eq!(ledger.running(), 1);
 }
 
 #[test]
-fn two_groups_are_never_on_one_engine_and_the_later_waits_no_longer_than_it_would() {
+fn two_groups_never_share_an_engine_and_the_second_waits_within_its_patience() {
     let mut ledger = ledger();
     let grouped = |attempt: &str, patience: u64| placement::PlaceRequest {
         grouped: true,
@@ -341,18 +341,18 @@
 }
 
 #[test]
-fn the_expected_first_token_counts_work_that_others_sent() {
+fn the_expected_first_token_includes_work_without_a_lease() {
     let mut ledger = ledger();
-    let asked = request("a:1:1:1", 2_000, 60_000);
-    let before = ledger.offer(at(0), &asked).unwrap().first_token;
+    let request = request("a:1:1:1", 2_000, 60_000);
+    let before = ledger.offer(at(0), &request).unwrap().first_token;
     let loaded = placement::EngineReport { prefill_backlog: units::TokenCount(50_000), ..idle() };
     ledger.report(at(0), &loaded);
-    let after = ledger.offer(at(0), &asked).unwrap().first_token;
+    let after = ledger.offer(at(0), &request).unwrap().first_token;
     assert_eq!(after - before, time::Duration::from_secs(1));
 }
 
 #[test]
-fn a_renewal_of_what_still_waits_makes_no_lease() {
+fn renewing_a_waiting_request_creates_no_lease() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000));
     ledger.enqueue(at(0), request("a:1:2:1", 60_000, 600_000));
@@ -363,18 +363,18 @@
 }
 
 #[test]
-fn an_old_report_is_compared_with_its_own_time() {
+fn an_old_report_is_compared_with_the_state_at_its_time() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 50_000, 60_000));
-    // Half a second later half the prompt is done; the report is from the start.
+    // Half a second later, half of the prompt is prefilled, but the report is from the start.
     let old = placement::EngineReport {
         age: time::Duration::from_millis(500),
         prefill_backlog: units::TokenCount(50_000),
         ..holding(&[("a:1:1:1", 50_100)])
     };
     ledger.report(at(500), &old);
-    let asked = request("a:1:2:1", 40_000, 60_000);
-    // 25,000 tokens of the first and 40,000 of its own at 50,000 a second.
-    let expected = ledger.offer(at(500), &asked).unwrap().first_token;
+    let request = request("a:1:2:1", 40_000, 60_000);
+    // 25,000 tokens of the first prompt and 40,000 of its own, at 50,000 tokens per second.
+    let expected = ledger.offer(at(500), &request).unwrap().first_token;
     assert_eq!(expected, time::Duration::from_millis(1_300));
 }
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -1,4 +1,4 @@
-//! Which engines are asked for reports, and how often.
+//! How often engines are polled for reports.
 
 mod support;
 
@@ -8,10 +8,10 @@
 };
 use support::{at, engine, shape, short};
 
-/// Engines of the largest cells.
+/// Number of engines of a full cell.
 const ENGINES: usize = 96;
-/// Time between two turns of all engines, milliseconds.
-const TURN: u64 = 2_000;
+/// Time between two polling rounds, milliseconds.
+const ROUND_MS: u64 = 2_000;
 
 fn planner(engines: usize, reports: ReportWay) -> PlacementPlanner {
     let ways = PlannerWays { reports, ..Default::default() };
@@ -21,19 +21,19 @@
     planner
 }
 
-/// Reports asked for in so many turns, of all engines and of the one that gets all prompts.
-fn asked(planner: &mut PlacementPlanner, turns: u64) -> (usize, usize) {
+/// Number of reports requested in `rounds` rounds: from all engines, and from the one that gets all prompts.
+fn requested_reports(planner: &mut PlacementPlanner, rounds: u64) -> (usize, usize) {
     let (mut all, mut used) = (0, 0);
-    for turn in 0..turns {
-        planner.ask(at(turn * TURN), short(turn));
+    for round in 0..rounds {
+        planner.ask(at(round * ROUND_MS), short(round));
         for number in 0..ENGINES {
-            let due = planner.take_report_due(at(turn * TURN + 1), &engine(number));
+            let due = planner.take_report_due(at(round * ROUND_MS + 1), &engine(number));
             all += usize::from(due);
             used += usize::from(due && number == 0);
         }
         planner.end(
-            at(turn * TURN + 1_500),
-            short(turn).job,
+            at(round * ROUND_MS + 1_500),
+            short(round).job,
             slipturn_core::engine_place::PlaceEnd::Done,
         );
     }
@@ -41,35 +41,38 @@
 }
 
 #[test]
-fn idle_engines_are_asked_a_third_as_often() {
-    let (all, used) = asked(&mut planner(ENGINES, ReportWay::All), 30);
+fn idle_engines_are_polled_about_a_third_as_often() {
+    let (all, used) = requested_reports(&mut planner(ENGINES, ReportWay::All), 30);
     assert_eq!((all, used), (30 * ENGINES, 30));
-    let (all, used) = asked(&mut planner(ENGINES, ReportWay::Used), 30);
-    println!("{all} reports of {} before", 30 * ENGINES);
-    assert_eq!(used, 30, "one with work is asked at each turn");
+    let (all, used) = requested_reports(&mut planner(ENGINES, ReportWay::Used), 30);
+    println!("{all} reports instead of {}", 30 * ENGINES);
+    assert_eq!(used, 30, "an engine with work is polled in each round");
     assert!(all <= 30 * ENGINES / 3 + ENGINES, "{all} reports");
 }
 
 #[test]
-fn where_engines_are_few_all_are_asked_at_each_turn() {
+fn a_small_cell_polls_all_engines_in_each_round() {
     let mut planner = planner(16, ReportWay::Used);
-    for turn in 0..10 {
-        let asked =
-            (0..16).filter(|number| planner.take_report_due(at(turn * TURN), &engine(*number)));
-        assert_eq!(asked.count(), 16, "turn {turn}");
+    for round in 0..10 {
+        let requested_reports = (0..16)
+            .filter(|number| planner.take_report_due(at(round * ROUND_MS), &engine(*number)));
+        assert_eq!(requested_reports.count(), 16, "round {round}");
     }
 }
 
 #[test]
-fn an_engine_that_is_slow_or_has_failed_is_asked_at_each_turn() {
+fn an_engine_that_is_slow_shared_or_failed_is_polled_in_each_round() {
     let mut planner = planner(ENGINES, ReportWay::Used);
-    assert!(planner.take_report_due(at(0), &engine(1)), "nothing is known of it");
-    assert!(!planner.take_report_due(at(TURN), &engine(1)));
+    assert!(planner.take_report_due(at(0), &engine(1)), "it has not reported yet");
+    assert!(!planner.take_report_due(at(ROUND_MS), &engine(1)));
     planner.set_report(&engine(1), 4.0, 0);
-    assert!(planner.take_report_due(at(TURN * 2), &engine(1)), "it is slow");
+    assert!(planner.take_report_due(at(ROUND_MS * 2), &engine(1)), "it is slow");
     planner.set_report(&engine(1), 1.0, 9);
-    assert!(planner.take_report_due(at(TURN * 3), &engine(1)), "others have placed there");
+    assert!(
+        planner.take_report_due(at(ROUND_MS * 3), &engine(1)),
+        "it has requests of other planners"
+    );
     planner.set_report(&engine(1), 1.0, 0);
-    planner.eject(at(TURN * 3), &engine(1));
-    assert!(planner.take_report_due(at(TURN * 4), &engine(1)), "it has failed");
+    planner.eject(at(ROUND_MS * 3), &engine(1));
+    assert!(planner.take_report_due(at(ROUND_MS * 4), &engine(1)), "it has failed");
 }
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_flood_falls_behind_everybody_else() {
+fn a_customer_that_floods_the_queue_does_not_delay_others() {
     let mut queue = fair_queue::FairQueue::default();
     for number in 0..100 {
         queue.push(item("flood", 1.0, 100, LATER, number));
@@ -43,12 +43,12 @@
         queue.pop_where(units::MonoTime(0), |_| false, |_, _| true).unwrap();
     }
     queue.push(item("small", 1.0, 100, LATER, 1_000));
-    // A newcomer starts level with the flood, so at most one item of the flood goes before it.
+    // A new customer starts level with the flooding one, so at most one item of the latter goes first.
     assert!(drain(&mut queue, 0)[..2].contains(&1_000));
 }
 
 #[test]
-fn weights_share_the_service_out() {
+fn service_is_shared_by_weight() {
     let mut queue = fair_queue::FairQueue::default();
     for number in 0..60 {
         queue.push(item("heavy", 3.0, 100, LATER, number));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_overdue_go_first_the_longest_overdue_before_all() {
+fn overdue_items_come_first_the_longest_overdue_before_all() {
     let mut queue = fair_queue::FairQueue::default();
     queue.push(item("a", 1.0, 10, LATER, 1));
     queue.push(item("a", 1.0, 90_000, 50, 2));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_passed_over_and_stays() {
+fn an_item_that_does_not_fit_is_skipped_and_stays_queued() {
     let mut queue = fair_queue::FairQueue::default();
     queue.push(item("a", 1.0, 10, LATER, 1));
     queue.push(item("a", 1.0, 20, LATER, 2));
