--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Where prompts are read: the choices, one by one.
+//! Individual decisions of the planner.
 
 mod support;
 
@@ -21,7 +21,7 @@
 fn grant(answer: Option<PlaceAnswer>) -> PlaceGrant {
     match answer {
         Some(PlaceAnswer::Grant(grant)) => grant,
-        other => panic!("expected a place, found {other:?}"),
+        other => panic!("expected a placement, found {other:?}"),
     }
 }
 
@@ -29,25 +29,26 @@
     grant(planner.ask(at(now), ask))
 }
 
-/// Lets a request write: its prompt has been read.
-fn write(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
+/// Places a request and reports its first token, so that it is decoding.
+fn place_decoding(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
     let grant = place(planner, now, ask);
     planner.first_token(at(now), grant.job);
     grant
 }
 
 #[test]
-fn shorts_are_packed_onto_few_engines() {
+fn short_prompts_are_packed_onto_few_engines() {
     let mut planner = planner(8);
-    let used: std::collections::BTreeSet<_> =
-        (0..8).map(|number| write(&mut planner, number * 100, short(number)).engine).collect();
+    let used: std::collections::BTreeSet<_> = (0..8)
+        .map(|number| place_decoding(&mut planner, number * 100, short(number)).engine)
+        .collect();
     assert_eq!(used.len(), 1, "{used:?}");
 }
 
 #[test]
-fn a_long_prompt_is_read_in_parts_away_from_short_writers() {
+fn a_long_prompt_is_split_over_engines_without_short_requests() {
     let mut planner = planner(8);
-    let busy = write(&mut planner, 0, short(1)).engine;
+    let busy = place_decoding(&mut planner, 0, short(1)).engine;
     let grant = place(&mut planner, 50, long(2, 154_000));
     assert!(grant.helpers.len() >= 3, "{grant:?}");
     assert!(grant.engine != busy && !grant.helpers.contains(&busy), "{grant:?}");
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn long_parts_are_not_stacked() {
+fn long_prompts_do_not_share_engines() {
     let mut planner = planner(4);
     let first = place(&mut planner, 0, long(1, 154_000));
     let second = planner.ask(at(10), long(2, 154_000));
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_waiting_long_prompt_gets_its_place_when_the_parts_before_it_are_read() {
+fn a_waiting_long_prompt_is_placed_once_the_parts_before_it_are_prefilled() {
     let mut planner = planner(2);
     place(&mut planner, 0, long(1, 90_000));
     assert!(planner.ask(at(1), long(2, 90_000)).is_none());
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn what_is_due_first_goes_first_where_all_can_be_in_time() {
+fn the_earliest_due_prompt_goes_first_if_all_can_be_in_time() {
     let mut planner = planner(1);
     place(&mut planner, 0, long(1, 60_000));
     assert!(planner.ask(at(1), long(2, 50_000)).is_none());
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn what_would_be_late_soon_goes_before_smaller_ones() {
+fn an_urgent_prompt_goes_before_a_smaller_one() {
     let mut planner = planner(1);
     place(&mut planner, 0, long(1, 60_000));
     let urgent = PlaceAsk { goal_left_ms: 1_900, goal_ms: 1_900, ..long(2, 80_000) };
@@ -101,21 +102,24 @@
 }
 
 #[test]
-fn a_late_long_prompt_does_not_break_the_pauses_of_many_writers() {
+fn a_late_long_prompt_does_not_break_the_pause_goals_of_many_requests() {
     let mut planner = planner(2);
     for number in 0..28 {
-        write(&mut planner, number * 20, short(number));
+        place_decoding(&mut planner, number * 20, short(number));
     }
     let late = PlaceAsk { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 200_000) };
-    assert!(planner.ask(at(1_000), late).is_none(), "it waits for a calm place");
+    assert!(
+        planner.ask(at(1_000), late).is_none(),
+        "it waits for an engine where it delays no others"
+    );
     assert!(planner.tick(at(2_000)).is_empty());
 }
 
 #[test]
-fn a_short_prompt_is_refused_at_once_when_every_slot_is_taken_and_not_when_one_is_free() {
+fn a_short_prompt_is_refused_at_once_only_if_all_slots_are_in_use() {
     let mut planner = planner(1);
     for number in 0..SLOTS as u64 {
-        write(&mut planner, number * 60, short(number));
+        place_decoding(&mut planner, number * 60, short(number));
     }
     let answer = planner.ask(at(2_000), short(50));
     let Some(PlaceAnswer::Refuse(refusal)) = answer else {
@@ -123,15 +127,15 @@
     };
     assert_eq!((refusal.running, refusal.slots), (16, 16));
     assert!(refusal.back_after_ms >= 300, "{refusal:?}");
-    assert_eq!(planner.waiting_count(), 0, "nothing is held that was given up");
+    assert_eq!(planner.waiting_count(), 0, "a refused request must not stay queued");
     planner.end(at(2_100), JobId { boot: 1, sequence: 0 }, PlaceEnd::Done);
     place(&mut planner, 2_100, short(51));
 }
 
 #[test]
-fn a_short_prompt_is_not_sent_for_a_caller_who_will_have_left() {
+fn a_short_prompt_is_refused_if_its_caller_would_give_up_first() {
     let mut planner = planner(1);
-    // The only engine reads for seconds; few of its slots are taken.
+    // The only engine prefills for seconds; few of its slots are in use.
     let late = PlaceAsk { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 250_000) };
     place(&mut planner, 0, late);
     let answer = planner.ask(at(100), short(1));
@@ -141,37 +145,37 @@
 }
 
 #[test]
-fn engines_that_read_for_seconds_are_no_free_slots() {
+fn slots_of_an_engine_that_prefills_for_seconds_do_not_count_as_free() {
     let mut planner = planner(3);
-    // One engine only may read it, which takes 7.2 s: late, but still waited for.
+    // Only one engine may prefill it, which takes 7.2 s: late, but within the caller's patience.
     let late = PlaceAsk { goal_left_ms: 0, patience_ms: 8_000, ..long(99, 250_000) };
     let long = place(&mut planner, 0, PlaceAsk { excluded: vec![engine(1), engine(2)], ..late });
     assert_eq!(long.engine, engine(0));
     for number in 0..2 * SLOTS as u64 {
-        write(&mut planner, 10 + number, short(number));
+        place_decoding(&mut planner, 10 + number, short(number));
     }
     let answer = planner.ask(at(100), short(70));
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "{answer:?}");
 }
 
 #[test]
-fn one_that_comes_back_may_stand_in_an_engines_queue() {
+fn at_most_two_retries_may_queue_at_an_engine() {
     let mut planner = planner(1);
     for number in 0..SLOTS as u64 {
-        write(&mut planner, number * 60, short(number));
+        place_decoding(&mut planner, number * 60, short(number));
     }
     let back = |sequence| PlaceAsk { refusable: false, ..short(sequence) };
     place(&mut planner, 2_000, back(60));
     place(&mut planner, 2_001, back(61));
     let answer = planner.ask(at(2_002), back(62));
-    assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "two at most: {answer:?}");
+    assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "at most two: {answer:?}");
 }
 
 #[test]
-fn what_was_begun_goes_on_at_once_though_every_slot_is_taken() {
+fn a_resumed_request_is_placed_even_if_all_slots_are_in_use() {
     let mut planner = planner(2);
     for number in 0..2 * SLOTS as u64 {
-        write(&mut planner, number * 30, short(number));
+        place_decoding(&mut planner, number * 30, short(number));
     }
     let resumed = PlaceAsk { refusable: false, resumed: true, ..short(80) };
     place(&mut planner, 2_000, resumed);
@@ -180,7 +184,7 @@
 }
 
 #[test]
-fn a_prompt_larger_than_an_engine_is_held_by_several() {
+fn a_prompt_larger_than_one_engine_is_held_by_several() {
     let mut planner = planner(6);
     let grant = place(&mut planner, 0, long(1, 600_000));
     let held: u64 = grant.held.iter().map(|part| part.tokens).sum();
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn a_prompt_larger_than_all_engines_is_refused_in_the_same_turn() {
+fn a_prompt_larger_than_all_engines_is_refused_at_once() {
     let mut planner = planner(2);
     let ask = PlaceAsk { patience_ms: 600_000, goal_left_ms: 500_000, ..long(1, 900_000) };
     let answer = planner.ask(at(0), ask);
@@ -201,23 +205,23 @@
 }
 
 #[test]
-fn a_long_prompt_without_a_chance_is_refused_in_the_same_turn() {
+fn a_long_prompt_that_cannot_be_in_time_is_refused_at_once() {
     let mut planner = planner(2);
     place(&mut planner, 0, long(1, 250_000));
     let answer = planner.ask(at(5), PlaceAsk { patience_ms: 6_000, ..long(2, 250_000) });
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
-    assert!(refusal.back_after_ms >= 3_000, "not before the first is read: {refusal:?}");
+    assert!(refusal.back_after_ms >= 3_000, "not before the first is prefilled: {refusal:?}");
     let back = PlaceAsk { refusable: false, patience_ms: 6_000, ..long(3, 250_000) };
     let answer = planner.ask(at(460), back);
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
-    assert_eq!(refusal.job.sequence, 3, "one that has come back has no better chance");
-    assert_eq!(planner.waiting_count(), 0, "nothing is held that was given up");
+    assert_eq!(refusal.job.sequence, 3, "a retry is refused, too");
+    assert_eq!(planner.waiting_count(), 0, "a refused request must not stay queued");
 }
 
 #[test]
-fn what_others_would_keep_from_its_turn_is_refused_in_the_same_turn() {
+fn a_late_prompt_is_refused_at_once_under_high_load() {
     let mut planner = planner(2);
-    // It comes late, after 5 s; nobody else is there.
+    // Without any load it is placed, though late: its first token takes about 5 s.
     let alone = place(&mut planner, 0, long(1, 300_000));
     assert!(alone.first_token_ms > 3_000, "{alone:?}");
     planner.end(at(10), alone.job, PlaceEnd::Done);
@@ -232,7 +236,7 @@
 }
 
 #[test]
-fn asked_again_a_planner_answers_the_same() {
+fn a_repeated_request_gets_the_same_answer() {
     let mut planner = planner(4);
     let first = place(&mut planner, 0, long(1, 154_000));
     assert_eq!(place(&mut planner, 40, long(1, 154_000)), first);
@@ -240,7 +244,7 @@
 }
 
 #[test]
-fn leases_that_nobody_renews_are_given_up() {
+fn leases_that_are_not_renewed_expire() {
     let mut planner = planner(1);
     let kept = place(&mut planner, 0, short(1));
     place(&mut planner, 0, short(2));
@@ -251,11 +255,11 @@
 }
 
 #[test]
-fn a_planner_that_takes_over_learns_of_places_in_use() {
+fn a_new_planner_adopts_placements_in_use() {
     let mut before = planner(1);
     let leases: Vec<_> = (0..SLOTS as u64)
         .map(|number| {
-            let grant = write(&mut before, number * 60, short(number));
+            let grant = place_decoding(&mut before, number * 60, short(number));
             PlaceLease { ask: short(number), grant, reading: false }
         })
         .collect();
@@ -263,11 +267,11 @@
     after.take_over(at(2_000), leases);
     assert_eq!(after.placed_count(), SLOTS);
     let answer = after.ask(at(2_001), short(90));
-    assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "the slots are taken: {answer:?}");
+    assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "all slots are in use: {answer:?}");
 }
 
 #[test]
-fn a_failed_engine_is_left_alone_and_a_silent_one_is_asked() {
+fn a_failed_engine_is_ejected_and_a_silent_one_is_suspected() {
     let mut planner = planner(2);
     let grant = place(&mut planner, 0, short(1));
     planner.end(at(10), grant.job, PlaceEnd::Failed);
@@ -279,18 +283,18 @@
 }
 
 #[test]
-fn an_engine_that_refused_to_help_gets_no_more_parts_until_the_list_may_say_why() {
+fn an_engine_that_refused_to_help_is_ejected_until_the_list_may_mark_it_leaving() {
     let mut planner = planner(3);
     planner.note(at(0), &PlaceNote::Eject(engine(1)));
     let grant = place(&mut planner, 2_000, long(1, 154_000));
     assert!(grant.engine != engine(1) && !grant.helpers.contains(&engine(1)), "{grant:?}");
     planner.end(at(2_001), grant.job, PlaceEnd::Done);
     let grant = place(&mut planner, 2_600, long(2, 154_000));
-    assert_eq!(grant.helpers.len(), 2, "all three read: {grant:?}");
+    assert_eq!(grant.helpers.len(), 2, "all three prefill: {grant:?}");
 }
 
 #[test]
-fn an_excluded_engine_is_not_used_and_a_failed_one_is_better_than_none() {
+fn an_excluded_engine_is_never_used_and_a_failed_one_only_as_the_last() {
     let mut planner = planner(2);
     let ask = PlaceAsk { excluded: vec![engine(0)], ..short(1) };
     assert_eq!(place(&mut planner, 0, ask).engine, engine(1));
@@ -300,21 +304,25 @@
 }
 
 #[test]
-fn an_engine_full_of_anothers_requests_is_not_filled_further() {
+fn an_engine_full_of_another_planners_requests_gets_no_more() {
     let mut planner = planner(2);
     planner.set_report(&engine(0), 1.0, SLOTS + 6);
     for number in 0..SLOTS as u64 {
-        assert_eq!(write(&mut planner, number * 60, short(number)).engine, engine(1));
+        assert_eq!(place_decoding(&mut planner, number * 60, short(number)).engine, engine(1));
     }
     planner.set_report(&engine(0), 1.0, 3);
-    assert_eq!(place(&mut planner, 2_000, short(90)).engine, engine(0), "a few mean nothing");
+    assert_eq!(
+        place(&mut planner, 2_000, short(90)).engine,
+        engine(0),
+        "a small excess is ignored"
+    );
 }
 
 #[test]
-fn a_late_long_prompt_waits_while_short_ones_find_no_room() {
+fn a_late_long_prompt_waits_while_short_ones_are_refused() {
     let mut planner = planner(3);
     for number in 0..3 * SLOTS as u64 {
-        write(&mut planner, number * 10, short(number));
+        place_decoding(&mut planner, number * 10, short(number));
     }
     let answer = planner.ask(at(1_150), short(90));
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "{answer:?}");
@@ -324,11 +332,11 @@
     let late = PlaceAsk { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 150_000) };
     assert!(planner.ask(at(1_170), late).is_none());
     assert!(planner.tick(at(1_300)).is_empty());
-    assert_eq!(planner.tick(at(2_000)).len(), 1, "nobody was turned away since");
+    assert_eq!(planner.tick(at(2_000)).len(), 1, "no short prompt was refused recently");
 }
 
 #[test]
-fn a_long_prompt_is_not_read_for_a_caller_who_will_have_left() {
+fn a_long_prompt_is_refused_if_its_caller_would_give_up_first() {
     let mut planner = planner(2);
     place(&mut planner, 0, long(1, 250_000));
     let late = PlaceAsk { goal_left_ms: 0, patience_ms: 900, ..long(2, 150_000) };
@@ -339,20 +347,20 @@
 }
 
 #[test]
-fn nobody_is_harmed_for_a_long_prompt_that_comes_late_anyway() {
+fn a_long_prompt_that_is_late_anyway_does_not_delay_others() {
     let mut planner = planner(1);
     for number in 0..10 {
-        write(&mut planner, number * 50, short(number));
+        place_decoding(&mut planner, number * 50, short(number));
     }
-    // It takes 2.9 s, in which ten writers would stand still, and is due in 1.5 s.
+    // It takes 2.9 s, which would pause ten decoding requests, and is due in 1.5 s.
     let hurried = PlaceAsk { goal_left_ms: 1_500, refusable: false, ..long(99, 150_000) };
     let answer = planner.ask(at(600), hurried);
     assert!(answer.is_none(), "{answer:?}");
-    assert!(planner.tick(at(900)).is_empty(), "it waits for a calm place");
+    assert!(planner.tick(at(900)).is_empty(), "it waits for an engine where it delays no others");
 }
 
 #[test]
-fn plain_routers_take_one_engine_at_once() {
+fn baseline_policies_place_each_prompt_on_one_engine_at_once() {
     for routing in [RoutingKind::RoundRobin, RoutingKind::LeastRequests, RoutingKind::LeastTokens] {
         let options = PlannerOptions { routing, ..PlannerOptions::default() };
         let mut planner = PlacementPlanner::new(shape(), options);
@@ -372,56 +380,59 @@
 }
 
 #[test]
-fn what_arrives_during_a_pass_waits_for_the_next_one() {
+fn a_prompt_that_arrives_during_a_pass_waits_for_the_next_one() {
     let mut planner = planner(1);
     for number in 0..8 {
-        write(&mut planner, number * 100, short(number));
+        place_decoding(&mut planner, number * 100, short(number));
     }
-    // A pass has just ended; the one that begins plays 51 steps, some 55 ms, and the one behind it
-    // reads 19,000 tokens, some 140 ms, beside as many steps.
-    let first = write(&mut planner, 1_000, short(20));
+    // A pass has just ended. The next one runs 51 decode steps, about 55 ms, and the one after it also prefills
+    // 19,000 tokens, about 140 ms.
+    let first = place_decoding(&mut planner, 1_000, short(20));
     let second = place(&mut planner, 1_000, PlaceAsk { prompt: 19_000, ..short(21) });
     assert!(second.first_token_ms > first.first_token_ms + 100, "{first:?} {second:?}");
-    // That pass still has some 50 ms to go, as it plays steps too, and the next one reads this.
+    // That pass still has about 50 ms to go because of its decode steps; the next one prefills this prompt.
     let third = place(&mut planner, 1_150, short(22));
     assert!(third.first_token_ms > 120, "{third:?}");
-    // The first token shows that the pass is over.
+    // The first token shows that the pass has ended.
     planner.first_token(at(1_200), second.job);
     let fourth = place(&mut planner, 1_201, PlaceAsk { prompt: 500, ..short(23) });
     assert!(fourth.first_token_ms < 180, "{fourth:?}");
 }
 
 #[test]
-fn reading_takes_longer_beside_writers() {
+fn prefill_takes_longer_beside_decoding_requests() {
     let mut planner = planner(2);
     for number in 0..8 {
-        write(&mut planner, number * 100, short(number));
+        place_decoding(&mut planner, number * 100, short(number));
     }
     let ask = PlaceAsk { excluded: vec![engine(1)], ..short(20) };
     let beside = place(&mut planner, 1_000, ask).first_token_ms;
     let ask = PlaceAsk { excluded: vec![engine(0)], ..short(21) };
     let alone = place(&mut planner, 1_000, ask).first_token_ms;
-    assert!(beside >= alone + 40, "a pass with eight writers plays 51 steps: {beside}, {alone}");
+    assert!(
+        beside >= alone + 40,
+        "a pass with eight decoding requests runs 51 steps: {beside}, {alone}"
+    );
 }
 
 #[test]
-fn an_engine_that_is_behind_gets_no_more_shorts() {
+fn an_engine_with_an_overdue_first_token_gets_no_short_prompts() {
     let mut planner = planner(2);
-    let silent = write(&mut planner, 0, short(1)).engine;
+    let silent = place_decoding(&mut planner, 0, short(1)).engine;
     let grant = place(&mut planner, 100, short(2));
-    assert_eq!(grant.engine, silent, "shorts are packed");
-    // Nothing was heard of it, long after its first token was due.
+    assert_eq!(grant.engine, silent, "short prompts are packed");
+    // Its first token is long overdue.
     let now = 100 + u64::from(grant.first_token_ms) + 400;
     assert_ne!(place(&mut planner, now, short(3)).engine, silent);
     planner.first_token(at(now + 10), grant.job);
-    assert_eq!(place(&mut planner, now + 200, short(4)).engine, silent, "it goes on");
+    assert_eq!(place(&mut planner, now + 200, short(4)).engine, silent, "it is no longer overdue");
 }
 
 proptest! {
-    /// Whatever comes in whatever order, a place names only known engines, each once, and nothing
-    /// is left in use when all have ended.
+    /// For any sequence of calls, a grant names each engine once, and no slot or memory stays in use when all requests
+    /// have ended.
     #[test]
-    fn nothing_is_lost(steps in prop::collection::vec((0_u8..5, 0_u64..40, 1_000_u64..700_000), 1..120)) {
+    fn all_placements_are_released_when_all_requests_end(steps in prop::collection::vec((0_u8..5, 0_u64..40, 1_000_u64..700_000), 1..120)) {
         let mut planner = planner(5);
         let mut now = 0;
         let mut jobs = std::collections::BTreeSet::new();
@@ -455,7 +466,7 @@
         prop_assert_eq!(planner.waiting_count(), 0);
         let summary = planner.summary(at(now));
         prop_assert!(!summary.contains("1 running"), "{}", summary);
-        // Idle engines, which hold nothing, are counted; the others are listed with what they hold.
+        // Idle engines, which hold nothing, are only counted; the others are listed with their tokens.
         let idle = summary.rsplit("; ").next().and_then(|last| last.strip_suffix(" idle"));
         let idle = idle.and_then(|count| count.parse::<usize>().ok());
         let empty = summary.matches(" 0 tokens").count() + idle.unwrap_or(0);
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -1,4 +1,4 @@
-//! Engines that fail, refuse or start again: who gets prompts meanwhile.
+//! Placement while engines fail, refuse requests or restart.
 
 mod support;
 
@@ -28,21 +28,21 @@
 fn place(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
     match planner.ask(at(now), ask) {
         Some(PlaceAnswer::Grant(grant)) => grant,
-        other => panic!("expected a place, found {other:?}"),
+        other => panic!("expected a placement, found {other:?}"),
     }
 }
 
-/// Sends prompts, one each 20 ms, to two engines of which the first ends each at once as `end` says, and
-/// the other answers in a second; how many of so many the first one got.
-fn asked(way: EngineFaultWay, end: PlaceEnd, prompts: u64) -> usize {
+/// Sends a prompt every 20 ms to two engines: the first one ends each at once with `end`, the other answers within
+/// about 250 ms. Returns the number of prompts that the first one got.
+fn prompts_to_faulty(way: EngineFaultWay, end: PlaceEnd, prompts: u64) -> usize {
     let ways = PlannerWays { engine_faults: way, ..Default::default() };
     let mut planner = planner(2, ways);
-    let mut asked = 0;
+    let mut count = 0;
     for number in 0..prompts {
         let now = number * 20;
         let grant = place(&mut planner, now, short(number));
         if grant.engine == engine(0) {
-            asked += 1;
+            count += 1;
             planner.end(at(now + 4), grant.job, end);
         } else {
             planner.first_token(at(now + 15), grant.job);
@@ -51,29 +51,29 @@
             planner.end(at(now + 16), JobId { boot: 1, sequence: done }, PlaceEnd::Done);
         }
     }
-    asked
+    count
 }
 
-/// Where a refusal said nothing, all prompts went to the engine that refused them at once.
+/// When refusals were ignored, all prompts went to the engine that refused them, because it looked idle.
 #[test]
-fn an_engine_that_refuses_at_once_gets_few_prompts() {
-    assert_eq!(asked(EngineFaultWay::Pause, PlaceEnd::Full, 150), 150);
-    let asked = asked(EngineFaultWay::Probe, PlaceEnd::Full, 150);
-    assert!(asked <= 6, "{asked} of 150 in three seconds");
+fn an_engine_that_refuses_all_prompts_gets_few() {
+    assert_eq!(prompts_to_faulty(EngineFaultWay::Pause, PlaceEnd::Full, 150), 150);
+    let count = prompts_to_faulty(EngineFaultWay::Probe, PlaceEnd::Full, 150);
+    assert!(count <= 6, "{count} of 150 in three seconds");
 }
 
 #[test]
-fn an_engine_that_fails_gets_few_prompts() {
-    let asked = asked(EngineFaultWay::Probe, PlaceEnd::Failed, 150);
-    assert!(asked <= 4, "{asked} of 150 in three seconds");
+fn an_engine_that_fails_all_prompts_gets_few() {
+    let count = prompts_to_faulty(EngineFaultWay::Probe, PlaceEnd::Failed, 150);
+    assert!(count <= 4, "{count} of 150 in three seconds");
 }
 
 #[test]
-fn behind_a_failure_one_prompt_at_a_time_until_a_first_token() {
+fn after_a_failure_an_engine_gets_one_prompt_until_its_first_token() {
     let mut planner = planner(2, PlannerWays::default());
     let failed = place(&mut planner, 0, short(0));
     planner.end(at(5), failed.job, PlaceEnd::Failed);
-    // Its pause is over, and as packing goes it is the first choice.
+    // Its ejection time is over, and packing makes it the first choice.
     let probe = place(&mut planner, 700, short(1));
     assert_eq!(probe.engine, failed.engine);
     let beside = place(&mut planner, 710, short(2));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_last_engine_left_gets_prompts_whatever_it_did() {
+fn the_only_engine_gets_prompts_despite_failures() {
     let mut planner = planner(1, PlannerWays::default());
     for number in 0..5 {
         let grant = place(&mut planner, number * 10, short(number));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn another_start_of_an_engine_has_no_past_and_holds_nothing() {
+fn a_restarted_engine_has_no_failures_and_no_placements() {
     let starts = [7, 8].map(|start| engine(0).with_start(ids::UpstreamStart(start)));
     let mut planner = planner(0, PlannerWays::default());
     set_engines(&mut planner, 0, &starts[..1]);
@@ -103,18 +103,18 @@
     set_engines(&mut planner, 20, &starts[1..]);
     let after = place(&mut planner, 30, short(2));
     assert_eq!((&after.engine, after.first_token_ms < 120), (&starts[1], true), "{after:?}");
-    // What its member still tells of the start before changes nothing.
+    // Late updates about the previous start have no effect.
     planner.first_token(at(40), under_way.job);
     planner.end(at(50), under_way.job, PlaceEnd::Failed);
     let next = place(&mut planner, 60, PlaceAsk { excluded: vec![starts[0].clone()], ..short(3) });
     assert_eq!(next.engine, starts[1]);
 }
 
-/// An engine is filled beyond the number, until what crowds it outweighs an empty one's: by up to two.
-/// So the ways differ only where a share of the slots is less than that below them.
+/// An engine gets up to two requests more than its packing target, until the loss of overpacking exceeds that of an
+/// empty engine. So with eight slots, where the share is one below, both packing variants fill all slots.
 #[test]
-fn packing_fills_an_engine_by_up_to_two_beyond_its_number() {
-    // The most prompts that one of some engines with 8 slots gets of 8 that come slowly.
+fn packing_fills_an_engine_up_to_two_beyond_its_target() {
+    // The largest number of prompts on one engine with 8 slots, when 8 prompts arrive slowly.
     let fullest = |packing| {
         let ways = PlannerWays { packing, ..Default::default() };
         let options = PlannerOptions { routing: RoutingKind::ExpectedStart, ways };
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_refusal_for_want_of_calm_can_be_switched_off() {
+fn refusals_of_crowded_short_prompts_can_be_switched_off() {
     let refused = |short_refusal| {
         let mut planner = planner(1, PlannerWays { short_refusal, ..Default::default() });
         (0..24).any(|number| {
@@ -143,9 +143,9 @@
     assert!(refused(ShortRefusalWay::Crowded) && !refused(ShortRefusalWay::Hopeless));
 }
 
-/// An engine that wants rest of one member stands idle for its requests: its free places are none of theirs.
+/// Engines that ask a member to rest look idle to its requests, which must not count the free slots there.
 #[test]
-fn places_that_a_member_must_not_use_are_not_counted_for_it() {
+fn slots_of_excluded_engines_do_not_count_as_free() {
     let mut planner = planner(3, PlannerWays::default());
     let closed = vec![engine(0), engine(1)];
     let closed_to = |number| PlaceAsk { excluded: closed.clone(), ..short(number) };
@@ -157,14 +157,17 @@
     }
     let now = SLOTS as u64 * 100;
     let answer = planner.ask(at(now), closed_to(100));
-    assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "at once, not in a queue: {answer:?}");
+    assert!(
+        matches!(answer, Some(PlaceAnswer::Refuse(_))),
+        "refused at once, not queued: {answer:?}"
+    );
     let other = place(&mut planner, now, short(101));
-    assert_ne!(other.engine, engine(2), "another member's request has two engines of its own");
+    assert_ne!(other.engine, engine(2), "a request of another member may use the other engines");
 }
 
-/// Its engine may ask a member for rest while a prompt of that member waits for its turn there.
+/// An engine may ask a member to rest while a prompt of that member waits for the engine.
 #[test]
-fn a_prompt_that_waits_follows_what_its_member_asks_again() {
+fn a_waiting_prompt_uses_the_excluded_engines_of_its_latest_request() {
     let mut planner = planner(2, PlannerWays::default());
     let patient = |number| PlaceAsk {
         goal_ms: 20_000,
@@ -182,7 +185,7 @@
         }
     }
     waiting.retain(|number| planner.ask(at(10), closed(*number)).is_none());
-    assert!(!waiting.is_empty(), "there is more than both can read at once");
+    assert!(!waiting.is_empty(), "some prompts must wait for engine time");
     let mut answered = std::collections::BTreeSet::new();
     for now in (20..60_000).step_by(10) {
         for answer in planner.tick(at(now)) {
@@ -202,6 +205,6 @@
         }
         reading.retain(|(since, grant)| now < since + u64::from(grant.first_token_ms));
     }
-    let told = waiting.iter().filter(|number| answered.contains(*number)).count();
-    assert_eq!(told, waiting.len(), "each has its turn elsewhere, or is told that it has none");
+    let settled = waiting.iter().filter(|number| answered.contains(*number)).count();
+    assert_eq!(settled, waiting.len(), "each is placed elsewhere or refused");
 }
