--- a/crates/core/tests/planner_key.rs
+++ b/crates/core/tests/planner_key.rs
@@ -1,4 +1,4 @@
-//! Cells: every engine is in one, all members agree, and none grows without end.
+//! Assignment of engines to cells, and of requests to the planners of cells.
 
 use slipturn_core::{
     ids,
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn a_key_tells_its_service_and_cell() {
+fn a_key_is_displayed_as_service_and_cell() {
     let key = PlannerKey { service: service(), cell: 4 };
     assert_eq!(key.to_string(), "models/4");
 }
 
-/// Two cells of 150 engines are of unlike size; asked alike, the smaller is the fuller.
+/// The two cells of 150 engines differ in size; with equal shares of the requests, the smaller one would be fuller.
 #[test]
-fn each_cell_is_asked_as_often_as_it_has_engines() {
+fn cells_get_requests_in_proportion_to_their_engines() {
     let engines = engines(150);
     let names: Vec<_> = engines.iter().collect();
     let cells = cell_count(names.len());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_cell_that_refused_is_not_asked_again() {
+fn a_cell_that_refused_is_not_picked_again() {
     let engines = engines(600);
     let names: Vec<_> = engines.iter().collect();
     let cells = cell_count(names.len());
@@ -74,9 +74,9 @@
     assert_eq!(pick(&service(), 1, &[], &[], &[0], 0), None);
 }
 
-/// A cell all of whose engines are closed to a request would keep it waiting in vain.
+/// In a cell all of whose engines are closed to a request, the request would wait in vain.
 #[test]
-fn a_cell_that_is_closed_to_a_request_is_not_asked() {
+fn a_cell_that_is_closed_to_a_request_is_not_picked() {
     let engines = engines(150);
     let names: Vec<_> = engines.iter().collect();
     let cells = cell_count(names.len());
@@ -89,10 +89,10 @@
     assert_eq!(pick(&service(), cells, &names, &names, &[], 0), None, "none is open");
 }
 
-/// Planners lose what they know of an engine that goes to another cell. Of 960 engines in ten cells, one more
-/// engine makes an eleventh.
+/// A planner loses the state of an engine that moves to another cell, and a single new engine can add a cell: ten
+/// cells hold 960 engines, one more makes an eleventh.
 #[test]
-fn one_cell_more_moves_its_own_engines_only() {
+fn adding_a_cell_moves_engines_only_to_it() {
     for cells in [1, 2, 10, 21] {
         let engines = engines(96 * usize::from(cells));
         let before = |engine| cell_of(&service(), engine, cells);
@@ -102,13 +102,17 @@
         let share = moved.len() as f64 / engines.len() as f64;
         println!("{cells} cells: {share:.3} moved");
         assert!(share <= 1.5 / f64::from(cells + 1), "{cells} cells: {share:.3} moved");
-        assert!(moved.iter().all(|engine| after(engine) == cells), "to the new cell alone");
+        assert!(
+            moved.iter().all(|engine| after(engine) == cells),
+            "engines move only to the new cell"
+        );
     }
 }
 
-/// The largest cell bounds what one member plans: at most 1.4 times the mean, at twice the planned size as well.
+/// The largest cell determines the load of one member's planner: at most 1.4 times the mean, also at twice the planned
+/// size.
 #[test]
-fn cells_are_of_like_size() {
+fn cells_are_of_similar_size() {
     for count in [300, 600, 960, 2_000, 4_000] {
         let engines = engines(count);
         let cells = cell_count(count);
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -1,4 +1,4 @@
-//! Engines that take so many requests a second of all instances: who gets a place there, and who is told what.
+//! Placement on engines with a fleet-wide rate limit.
 
 mod support;
 
@@ -28,21 +28,21 @@
     planner.set_limits(at(now), &kept, collections::BTreeSet::new());
 }
 
-/// What became of requests that arrive one each so many milliseconds, each answered within 1 s of its place.
+/// Outcome of a simulated load: requests arrive at a fixed interval and are answered within 1 s of their placement.
 #[derive(Debug, Default)]
-struct PlayedLoad {
-    /// When each engine got a request that it answers or reads a part of.
+struct SimulatedLoad {
+    /// Times at which each engine got a request, to answer or to prefill a part of it, milliseconds.
     sent: collections::BTreeMap<ids::UpstreamId, Vec<u64>>,
-    /// How long each refused one had waited, milliseconds, and when it was asked back.
+    /// Waiting time and retry delay of each refused request, milliseconds.
     refused: Vec<(u64, u32)>,
-    /// How long each one waited that got a place.
+    /// Waiting time of each placed request, milliseconds.
     waited: Vec<u32>,
-    /// Places given without the leave of an engine's limit.
-    without_leave: usize,
+    /// Number of requests sent to engines without a permit.
+    without_permit: usize,
 }
 
-impl PlayedLoad {
-    fn play(
+impl SimulatedLoad {
+    fn run(
         planner: &mut PlacementPlanner,
         until: u64,
         every: u64,
@@ -76,7 +76,7 @@
         load
     }
 
-    /// Notes an answer; whether it gave a place.
+    /// Records an answer; returns whether it is a placement.
     fn note(&mut self, now: u64, asked: u64, answer: &PlaceAnswer) -> bool {
         let (grant, paced) = match answer {
             PlaceAnswer::Refuse(refusal) => {
@@ -89,7 +89,7 @@
         self.waited.push(grant.waited_ms);
         for name in std::iter::once(&grant.engine).chain(&grant.helpers) {
             self.sent.entry(name.clone()).or_default().push(now);
-            self.without_leave += usize::from(!paced.contains(name));
+            self.without_permit += usize::from(!paced.contains(name));
         }
         true
     }
@@ -98,7 +98,7 @@
         self.sent.get(&engine(number)).map_or(0, Vec::len)
     }
 
-    /// Most that an engine got within 4 s.
+    /// Largest number of requests that an engine got within 4 s.
     fn most(&self, number: usize) -> usize {
         let sent = self.sent.get(&engine(number)).map_or(&[][..], Vec::as_slice);
         let within =
@@ -107,86 +107,88 @@
     }
 }
 
-/// Three other engines hold all who ask: they are served at once. Two are full: what the one with a limit takes is used.
+/// With three unlimited engines, all requests are served at once. With two, these are full, and the limited one is used
+/// up to its limit.
 #[test]
-fn an_engine_with_a_limit_is_used_where_the_others_are_full_and_not_beyond() {
+fn a_limited_engine_is_used_up_to_its_limit_when_the_others_are_full() {
     let mut roomy = planner(4, &[(0, 2.0)]);
-    let load = PlayedLoad::play(&mut roomy, 20_000, 30, short);
+    let load = SimulatedLoad::run(&mut roomy, 20_000, 30, short);
     assert!(load.refused.is_empty() && load.waited.iter().all(|waited| *waited == 0));
     assert!(load.most(0) <= 9);
     let mut full = planner(3, &[(0, 2.0)]);
-    let load = PlayedLoad::play(&mut full, 20_000, 30, short);
+    let load = SimulatedLoad::run(&mut full, 20_000, 30, short);
     println!(
-        "{} of 667, most {} in 4 s, {} refused",
+        "{} of 667, at most {} in 4 s, {} refused",
         load.count(0),
         load.most(0),
         load.refused.len()
     );
     assert!(load.most(0) <= 9 && load.count(0) >= 2 * 20 * 8 / 10);
-    assert_eq!(load.without_leave, load.count(1) + load.count(2));
+    assert_eq!(load.without_permit, load.count(1) + load.count(2));
 }
 
-/// All are limited, and asked for far more: what they take is used, who gets no place is told so at once, and those are
-/// asked back one behind the other.
+/// All engines are limited and the load far exceeds the limits: the limits are used up, and the excess requests are
+/// refused at once with spread retry delays.
 #[test]
-fn where_all_engines_have_a_limit_the_rest_is_refused_at_once() {
+fn excess_requests_are_refused_at_once_if_all_engines_are_limited() {
     let mut planner = planner(3, &[(0, 2.0), (1, 2.0), (2, 2.0)]);
-    let load = PlayedLoad::play(&mut planner, 20_000, 20, short);
+    let load = SimulatedLoad::run(&mut planner, 20_000, 20, short);
     let sent: usize = (0..3).map(|number| load.count(number)).sum();
     println!("{sent} of 1,000 sent, {} refused", load.refused.len());
     assert!(sent >= 6 * 20 * 8 / 10 && (0..3).all(|number| load.most(number) <= 9));
-    assert_eq!(load.without_leave, 0);
-    assert!(load.refused.iter().all(|(waited, _)| *waited == 0), "nobody waits in vain");
-    assert!(load.waited.iter().all(|waited| *waited <= 300), "nobody waits until it is late");
+    assert_eq!(load.without_permit, 0);
+    assert!(load.refused.iter().all(|(waited, _)| *waited == 0), "no refused request has waited");
+    assert!(load.waited.iter().all(|waited| *waited <= 300), "no request waits until it is late");
     let backs: collections::BTreeSet<_> = load.refused.iter().map(|(_, back)| *back).collect();
-    assert!(backs.len() > 20 && backs.last() > Some(&5_000), "they come back spread");
+    assert!(backs.len() > 20 && backs.last() > Some(&5_000), "retry delays are spread");
 }
 
-/// Just as many as are taken ask: all are served, those that come a moment early wait for their turn.
+/// The load just matches the limits: requests that arrive slightly early wait, and all are served.
 #[test]
-fn nobody_is_refused_who_can_be_served_in_time() {
+fn requests_within_the_limits_are_not_refused() {
     let mut planner = planner(2, &[(0, 4.0), (1, 4.0)]);
-    let load = PlayedLoad::play(&mut planner, 20_000, 130, short);
+    let load = SimulatedLoad::run(&mut planner, 20_000, 130, short);
     println!("{} served, {} refused", load.waited.len(), load.refused.len());
     assert!(load.refused.len() <= 2, "{:?}", load.refused);
 }
 
-/// Each part of a long prompt that an engine reads is a request to it.
+/// Each part of a long prompt is a request to the engine that prefills it.
 #[test]
-fn parts_of_long_prompts_take_leave_too() {
+fn parts_of_long_prompts_take_permits() {
     let mut planner = planner(6, &[(0, 0.5), (1, 0.5)]);
-    let load = PlayedLoad::play(&mut planner, 20_000, 700, |number| long(number, 154_000));
+    let load = SimulatedLoad::run(&mut planner, 20_000, 700, |number| long(number, 154_000));
     println!("{} and {} of {}", load.count(0), load.count(1), load.waited.len());
     assert!(load.most(0) <= 3 && load.most(1) <= 3);
-    assert!((2..6).any(|number| load.count(number) > load.count(0)), "the others read");
-    assert_eq!(load.without_leave, (2..6).map(|number| load.count(number)).sum::<usize>());
+    assert!((2..6).any(|number| load.count(number) > load.count(0)), "the others prefill more");
+    assert_eq!(load.without_permit, (2..6).map(|number| load.count(number)).sum::<usize>());
 }
 
-/// A long prompt that limits keep from all engines is told at once that there is no place in time.
+/// A long prompt that rate limits keep from all engines is refused at once.
 #[test]
-fn long_prompts_wait_for_leave_or_are_refused() {
+fn long_prompts_wait_for_permits_or_are_refused_at_once() {
     let mut planner = planner(2, &[(0, 0.2), (1, 0.2)]);
-    let load = PlayedLoad::play(&mut planner, 40_000, 1_000, |number| long(number, 45_000));
+    let load = SimulatedLoad::run(&mut planner, 40_000, 1_000, |number| long(number, 45_000));
     println!("{} served, {} refused", load.waited.len(), load.refused.len());
-    assert!(load.count(0) + load.count(1) >= 12, "what they take is used");
+    assert!(load.count(0) + load.count(1) >= 12, "the limits are used up");
     assert!(load.most(0) <= 2 && load.most(1) <= 2);
     let at_once = load.refused.iter().filter(|(waited, _)| *waited <= 20).count();
     assert!(at_once * 10 >= load.refused.len() * 9, "{:?}", load.refused);
 }
 
-/// Whose limit another process keeps gets nothing from here, and counts as no room.
+/// An engine whose limit another process enforces gets no requests and its slots do not count.
 #[test]
-fn an_engine_whose_limit_another_keeps_gets_nothing() {
+fn an_engine_whose_limit_another_process_enforces_gets_nothing() {
     let mut planner = planner(2, &[]);
     planner.set_limits(at(0), &collections::BTreeMap::new(), [engine(0)].into());
-    let load = PlayedLoad::play(&mut planner, 5_000, 100, short);
+    let load = SimulatedLoad::run(&mut planner, 5_000, 100, short);
     assert_eq!(load.count(0), 0);
     assert!(load.refused.is_empty());
 }
 
-/// A limit that ends lets all through at once; one that begins counts what others may just have sent.
+/// When a limit ends, requests are permitted at once. A new limit starts with one interval, because other processes may
+/// just have sent requests.
 #[test]
-fn a_limit_begins_behind_one_interval_and_ends_at_once() {
+fn a_new_limit_starts_with_one_interval_and_ends_at_once() {
     let mut planner = planner(1, &[(0, 0.5)]);
     assert!(
         planner.ask(at(1), short(1)).is_none_or(|answer| matches!(answer, PlaceAnswer::Refuse(_)))
@@ -194,15 +196,15 @@
     set_limits(&mut planner, 500, &[]);
     assert!(matches!(planner.ask(at(501), short(2)), Some(PlaceAnswer::Grant(_))));
     set_limits(&mut planner, 1_000, &[(0, 4.0)]);
-    assert!(planner.ask(at(1_200), short(3)).is_none(), "it waits for its turn");
+    assert!(planner.ask(at(1_200), short(3)).is_none(), "it waits for a permit");
     assert!(planner.tick(at(1_260)).iter().any(|answer| matches!(answer, PlaceAnswer::Paced(..))));
 }
 
-/// Who waits for its turn is not overtaken by who asks at the moment at which it comes.
+/// A waiting request is not overtaken by one that arrives at the moment when a permit is due.
 #[test]
-fn who_asks_as_a_leave_is_due_stands_behind_who_waits_for_it() {
+fn a_new_request_does_not_take_the_permit_of_a_waiting_one() {
     let mut planner = planner(1, &[(0, 4.0)]);
-    assert!(planner.ask(at(1), short(1)).is_none(), "it waits for its turn");
+    assert!(planner.ask(at(1), short(1)).is_none(), "it waits for a permit");
     let later = planner.ask(at(251), short(2));
     assert!(!matches!(later, Some(PlaceAnswer::Paced(..))), "{later:?}");
     let answers = planner.tick(at(255));
--- a/crates/core/tests/search_budget.rs
+++ b/crates/core/tests/search_budget.rs
@@ -1,4 +1,4 @@
-//! Cells asked for a place: enough where few are full, a bounded number where all are.
+//! Number of cells that requests try: enough if few are full, and bounded if all are.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -6,8 +6,9 @@
 
 const REQUESTS: usize = 2_000;
 
-/// Requests refused of those sent, and cells asked for each, where so many of ten cells are full.
-fn played(full: usize, budget: impl Fn(&mut SearchBudget, usize) -> bool) -> (f64, f64) {
+/// Simulates requests to ten cells of which `full` refuse everything. Returns the fraction of requests refused and the
+/// mean number of cells tried.
+fn simulate(full: usize, budget: impl Fn(&mut SearchBudget, usize) -> bool) -> (f64, f64) {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut own = SearchBudget::default();
     let (mut refused, mut asked) = (0_usize, 0_usize);
@@ -31,17 +32,20 @@
     (refused as f64 / REQUESTS as f64, asked as f64 / REQUESTS as f64)
 }
 
-/// The same with a fixed number of cells, as it was, is there to compare with.
+/// Compares the budget with the earlier limit of two cells per request.
 #[test]
-fn a_request_is_refused_where_all_cells_refuse_it() {
+fn no_more_requests_are_refused_than_with_a_fixed_number_of_cells() {
     for full in [1, 3, 5, 8, 10] {
-        let (refused, asked) = played(full, SearchBudget::take);
-        let (fixed, fixed_asked) = played(full, |_, tried| tried < 2);
+        let (refused, asked) = simulate(full, SearchBudget::take);
+        let (fixed, fixed_asked) = simulate(full, |_, tried| tried < 2);
         println!(
-            "{full} of 10 full: refused {refused:.3} ({fixed:.3}), asked {asked:.2} ({fixed_asked:.2})"
+            "{full} of 10 full: refused {refused:.3} ({fixed:.3}), tried {asked:.2} ({fixed_asked:.2})"
         );
         assert!(refused <= fixed, "{full}: {refused}");
-        assert!(asked <= 2.3, "{full}: {asked} cells asked each");
+        assert!(asked <= 2.3, "{full}: {asked} cells tried per request");
     }
-    assert!(played(3, SearchBudget::take).0 <= 0.005, "few are full");
+    assert!(
+        simulate(3, SearchBudget::take).0 <= 0.005,
+        "with few full cells, almost no request is refused"
+    );
 }
--- a/crates/core/tests/start_wait.rs
+++ b/crates/core/tests/start_wait.rs
@@ -1,4 +1,4 @@
-//! Requests at a process that has just started: who waits, and who is sent elsewhere.
+//! How long requests wait at a process that has just started.
 
 use std::time;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn it_waits_for_as_long_as_there_is_somebody_to_hear_from() {
+fn requests_wait_longer_the_better_the_contact_of_the_process() {
     let contacts = [StartContact::Nobody, StartContact::Members, StartContact::Source];
     let at_age = |age| contacts.map(|contact| waits(contact, age));
     assert_eq!(at_age(200), [true, true, true]);
@@ -24,9 +24,9 @@
     assert_eq!(at_age(1_600), [false, false, false]);
 }
 
-/// A caller of little patience needs the rest of it for its answer, or for another process.
+/// A request with a short time limit needs the rest of it for its answer or for an attempt at another process.
 #[test]
-fn it_waits_for_a_part_of_its_callers_patience_only() {
+fn requests_wait_only_a_fraction_of_their_time_limit() {
     let short = time::Duration::from_millis(1_500);
     assert!(keeps_waiting(StartContact::Source, at(500), at(400), short));
     assert!(!keeps_waiting(StartContact::Source, at(500), at(500), short));
--- a/crates/core/tests/support/event_queue.rs
+++ b/crates/core/tests/support/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in virtual time, in the order of their times and then of their scheduling.
+//! Event queue in virtual time, ordered by time and then by the order of scheduling.
 
 use std::{cmp, collections};
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Scheduled events.
+/// A queue of scheduled events.
 #[derive(Debug)]
 pub(crate) struct EventQueue<T> {
     /// Number of the last scheduled event.
@@ -49,7 +49,7 @@
         self.events.push(QueuedEvent { at, order: self.order, event });
     }
 
-    /// Takes the next event if it is due by `end`.
+    /// Removes and returns the next event if it is due by `end`.
     pub(crate) fn pop_until(&mut self, end: units::MonoTime) -> Option<(units::MonoTime, T)> {
         self.events.peek().filter(|next| next.at <= end)?;
         self.events.pop().map(|next| (next.at, next.event))
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Engines and requests that tests of the planner share.
+//! Engines and requests shared by the planner tests.
 
 use std::time;
 
@@ -7,9 +7,9 @@
     ids, route_table, units,
 };
 
-#[allow(dead_code, reason = "each test file uses its part")]
+#[allow(dead_code, reason = "not every test file uses it")]
 pub(crate) const SLOTS: usize = 16;
-#[allow(dead_code, reason = "each test file uses its part")]
+#[allow(dead_code, reason = "not every test file uses it")]
 pub(crate) const MEMORY: u64 = 315_000;
 
 pub(crate) fn shape() -> route_table::EngineShape {
@@ -34,7 +34,7 @@
     format!("e{number}").parse().expect("a valid name")
 }
 
-/// A short request of a member's start.
+/// A short request of the member with this boot id.
 pub(crate) fn short_of(boot: u64, sequence: u64) -> PlaceAsk {
     PlaceAsk {
         job: JobId { boot, sequence },
@@ -52,7 +52,8 @@
     }
 }
 
-#[allow(dead_code, reason = "each test file uses its part")]
+/// A long request of the member with boot id 1.
+#[allow(dead_code, reason = "not every test file uses it")]
 pub(crate) fn long(sequence: u64, prompt: u64) -> PlaceAsk {
     PlaceAsk {
         prompt,
@@ -67,7 +68,7 @@
     }
 }
 
-/// The same of the first member.
+/// A short request of the member with boot id 1.
 pub(crate) fn short(sequence: u64) -> PlaceAsk {
     short_of(1, sequence)
 }
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -1,5 +1,5 @@
-//! Two planners of the same engines, as on the two sides of a cut: neither hears of the other but
-//! through the engines.
+//! Two planners of the same engines, as on the two sides of a network partition: each learns of the other's requests
+//! only through the engines.
 
 mod support;
 
@@ -13,24 +13,26 @@
 use support::{SLOTS, at, engine, long, shape, short, short_of};
 
 const ENGINES: usize = 12;
-/// Time from a place to the first token, and from there to the end, milliseconds.
+/// Time from the placement to the first token, milliseconds.
 const FIRST_MS: u64 = 120;
+/// Time from the first token to the end, milliseconds.
 const WRITE_MS: u64 = 1_600;
-/// Time between two requests of each side: 45 write at once on each, together half of all slots.
+/// Time between two requests on each side, milliseconds: about 45 requests decode concurrently on each, together half
+/// of all slots.
 const ARRIVAL_MS: u64 = 36;
-/// Age of the reports that engines give every two seconds, milliseconds.
+/// Interval of engine reports, milliseconds.
 const REPORT_MS: u64 = 2_000;
 
-/// One side: its planner, and what its requests do.
+/// One side of the partition: its planner and its requests.
 struct PlannerSide {
     boot: u64,
     planner: PlacementPlanner,
-    /// Requests that have a place, with the time of it.
+    /// Placed requests with their engine and the time of the placement.
     open: collections::BTreeMap<JobId, (ids::UpstreamId, u64)>,
 }
 
 impl PlannerSide {
-    /// A planner that fills the engines in the same order as the other: the worst case.
+    /// Creates a planner that fills the engines in the same order as the other one, which is the worst case.
     fn new(boot: u64, engines: usize) -> Self {
         let mut planner = PlacementPlanner::new(shape(), PlannerOptions::default());
         let names: Vec<_> = (0..engines).map(|number| (engine(number), number as u64)).collect();
@@ -50,24 +52,24 @@
     }
 }
 
-/// What callers get of two planners.
+/// Outcome of a load on two planners.
 #[derive(Debug, Default, PartialEq)]
 struct SharedLoad {
     placed: usize,
     refused: usize,
-    /// Requests that found all slots of their engine taken.
+    /// Number of requests placed on an engine whose slots were all in use.
     queued: usize,
 }
 
-/// Both sides place short requests for ten seconds; what engines tell with first tokens is passed on
-/// where `told`, and their reports always.
-fn share_engines(told: bool) -> SharedLoad {
+/// Places short requests on both sides for ten seconds. The planners always get the engines' reports, and the request
+/// counts sent with first tokens if `with_counts` is set.
+fn simulate(with_counts: bool) -> SharedLoad {
     let mut sides = [PlannerSide::new(1, ENGINES), PlannerSide::new(2, ENGINES)];
     let mut load = SharedLoad::default();
     for now in 0..10_000_u64 {
         for side in 0..2 {
             let other = 1 - side;
-            step(&mut sides, side, now, told);
+            step(&mut sides, side, now, with_counts);
             if (now + side as u64 * ARRIVAL_MS / 2).is_multiple_of(ARRIVAL_MS) {
                 let ask = short_of(sides[side].boot, now);
                 match sides[side].ask(now, ask) {
@@ -84,13 +86,13 @@
     load
 }
 
-/// First tokens, ends and reports of one side that are due.
-fn step(sides: &mut [PlannerSide; 2], side: usize, now: u64, told: bool) {
+/// Delivers the due first tokens, ends and reports to one side.
+fn step(sides: &mut [PlannerSide; 2], side: usize, now: u64, with_counts: bool) {
     let due: Vec<_> = sides[side].open.iter().map(|(job, place)| (*job, place.clone())).collect();
     for (job, (engine, since)) in due {
         if now == since + FIRST_MS {
             let requests = sides.iter().map(|side| side.on(&engine)).sum::<usize>();
-            let requests = told.then_some(requests as u16);
+            let requests = with_counts.then_some(requests as u16);
             sides[side].planner.note(at(now), &PlaceNote::FirstToken(job, requests));
         }
         if now == since + FIRST_MS + WRITE_MS {
@@ -107,29 +109,32 @@
     sides[side].planner.tick(at(now));
 }
 
-/// With reports alone, each two seconds, 316 of 556 requests queue behind an engine's slots.
+/// With reports alone, every two seconds, 316 of 556 requests queue at engines whose slots are all in use.
 #[test]
-fn two_planners_keep_to_engines_of_their_own() {
-    let load = share_engines(true);
+fn two_planners_avoid_each_others_engines() {
+    let load = simulate(true);
     assert_eq!(load.refused, 0, "{load:?}");
-    // Until the first answers begin neither knows of the other.
+    // Neither planner knows of the other until the first tokens arrive.
     assert!(load.queued <= load.placed / 100, "{load:?}");
-    let blind = share_engines(false);
-    println!("{load:?}; by reports alone {blind:?}");
-    assert!(blind.queued > 0, "without what engines tell there is nothing to show: {blind:?}");
+    let reports_only = simulate(false);
+    println!("{load:?}; by reports alone {reports_only:?}");
+    assert!(
+        reports_only.queued > 0,
+        "with reports alone some requests must queue: {reports_only:?}"
+    );
 }
 
-/// Read on all three engines it would be out soonest, and five answers would stand still on each of
+/// Splitting the prompt over all three engines would give the earliest first token, but pause five answers on each of
 /// two of them for half a second.
 #[test]
-fn a_long_part_is_read_away_from_anothers_writers() {
+fn a_long_prompt_avoids_engines_with_another_planners_requests() {
     let mut side = PlannerSide::new(1, 3);
     let mut shared = Vec::new();
     for number in 0..2 {
         let ask = PlaceAsk { excluded: shared.clone(), ..short(number) };
         let grant = side.ask(number, ask).expect("a place");
-        let told = PlaceNote::FirstToken(grant.job, Some(8));
-        side.planner.note(at(number + FIRST_MS), &told);
+        let note = PlaceNote::FirstToken(grant.job, Some(8));
+        side.planner.note(at(number + FIRST_MS), &note);
         shared.push(grant.engine);
     }
     for number in 0..2 {
