--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -58,12 +58,12 @@
         let mut answers = Vec::new();
         // Lateness is decided anew, because engines may be free earlier than expected.
         jobs.iter_mut().for_each(|job| job.late = job.goal_left_ms(self.now) <= 0.0);
-        let worth_reading = |index: &usize| {
+        let worth_prefill = |index: &usize| {
             // A prompt worth less than the short requests that it turns away is not scheduled: it is unknown how
             // long these will occupy the engines.
-            self.price.is_worth_reading(self.now, &self.table.shape, jobs[*index])
+            self.price.is_worth_prefill(self.now, &self.table.shape, jobs[*index])
         };
-        let mut order: Vec<_> = (0..jobs.len()).filter(worth_reading).collect();
+        let mut order: Vec<_> = (0..jobs.len()).filter(worth_prefill).collect();
         loop {
             order.sort_by(|left, right| {
                 jobs[*left].due_ms(self.now).total_cmp(&jobs[*right].due_ms(self.now))
@@ -82,19 +82,19 @@
                 Err(displaced) => displaced,
             };
             let job = &mut jobs[displaced.index];
-            let hopeless = job.late;
+            let was_late = job.late;
             job.late = true;
             // A late prompt also waits for prompts that arrive after it, so its expected time grows with the load.
             // The load is counted only the first time: a prompt that was admitted late stays as long as its caller
             // would still get an answer.
-            let reading = self.price.load(self.now, free, &self.table.shape, &job.ask);
+            let prefill_load = self.price.load(self.now, free, &self.table.shape, &job.ask);
             let rate = self.table.limited_rate(&job.ask.excluded);
-            let limited = rate.map_or(0.0, |rate| self.price.limited_load(self.now, rate));
-            let load = reading.max(limited);
-            let others = if job.admitted_late { 1.0 } else { 1.0 / (1.0 - load) };
-            let expected_ms = displaced.expected_ms * others;
+            let limit_load = rate.map_or(0.0, |rate| self.price.limited_load(self.now, rate));
+            let load = prefill_load.max(limit_load);
+            let load_factor = if job.admitted_late { 1.0 } else { 1.0 / (1.0 - load) };
+            let expected_ms = displaced.expected_ms * load_factor;
             job.admitted_late = true;
-            if hopeless || expected_ms > job.due_ms(self.now) {
+            if was_late || expected_ms > job.due_ms(self.now) {
                 order.retain(|index| *index != displaced.index);
                 let refusal = self.refuse(&job.ask, expected_ms);
                 answers.push(engine_place::PlaceAnswer::Refuse(refusal));
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -86,7 +86,7 @@
     /// When work was last placed here.
     placed: Option<units::MonoTime>,
     /// When its report was last requested.
-    asked: Option<units::MonoTime>,
+    requested: Option<units::MonoTime>,
     /// Time up to which the passes have been simulated.
     pub(crate) advanced: units::MonoTime,
 }
@@ -110,7 +110,7 @@
             refusals: 0,
             ejected_until: units::MonoTime::default(),
             placed: None,
-            asked: None,
+            requested: None,
             advanced: now,
         }
     }
@@ -150,8 +150,9 @@
             return true;
         }
         let parts: Vec<_> = self.pending.drain(..).collect();
-        let reading: f64 = parts.iter().map(|part| part.left_ms).sum();
-        self.pass = Some(EnginePass { left_ms: self.steps_ms.max(MIN_PASS_MS) + reading, parts });
+        let prefill_ms: f64 = parts.iter().map(|part| part.left_ms).sum();
+        self.pass =
+            Some(EnginePass { left_ms: self.steps_ms.max(MIN_PASS_MS) + prefill_ms, parts });
         true
     }
 
@@ -232,9 +233,10 @@
         now: units::MonoTime,
         idle_interval: time::Duration,
     ) -> bool {
-        let asked = self.asked.is_some_and(|asked| now.since(asked) < idle_interval);
-        let due = !(asked && self.is_idle(now));
-        self.asked = if due { Some(now) } else { self.asked };
+        let requested =
+            self.requested.is_some_and(|requested| now.since(requested) < idle_interval);
+        let due = !(requested && self.is_idle(now));
+        self.requested = if due { Some(now) } else { self.requested };
         due
     }
 
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -22,7 +22,9 @@
 
 use std::{collections, time};
 
-use crate::{engine_place, ids, quota_ledger, retry_line, route_table, send_pace, settings, units};
+use crate::{
+    engine_place, ids, quota_ledger, retry_schedule, route_table, send_pace, settings, units,
+};
 
 /// Longest time that a request stays queued; the member that asked for it has given up long before.
 const MAX_WAIT: time::Duration = time::Duration::from_secs(30);
@@ -68,7 +70,7 @@
     /// [`PlacementPlanner::tick`] returns them.
     ready_answers: Vec<engine_place::PlaceAnswer>,
     /// Retry times for requests that rate limits keep from all engines.
-    returns: retry_line::RetryLine,
+    retry_schedule: retry_schedule::RetrySchedule,
 }
 
 impl PlacementPlanner {
@@ -80,7 +82,7 @@
             price: price::EnginePrice::default(),
             waiting: Vec::new(),
             ready_answers: Vec::new(),
-            returns: retry_line::RetryLine::default(),
+            retry_schedule: retry_schedule::RetrySchedule::default(),
         }
     }
 
@@ -308,7 +310,7 @@
         self.take(now, &job.ask, grant)
     }
 
-    /// Whether a short request would queue at its engine or clearly miss its first-token goal.
+    /// Whether a short request would queue at its engine or take more than twice its first-token goal.
     fn is_crowded(&self, job: &waiting_job::WaitingJob, grant: &engine_place::PlaceGrant) -> bool {
         let more = if job.ask.refusable { 0 } else { MAX_QUEUED_RETRIES };
         self.table.running_on(&grant.engine) >= self.table.shape.slots + more
@@ -365,7 +367,7 @@
         if wait_ms <= would_wait_ms.min(job.patience_ms(now)) {
             return None;
         }
-        let back = self.returns.next(now, rate);
+        let back = self.retry_schedule.next(now, rate);
         let back_ms = back.as_secs_f64() * 1_000.0;
         Some(self.table.refusal(job.ask.job, back_ms.max(MIN_RETRY_AFTER_MS), Some(wait_ms)))
     }
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -72,8 +72,8 @@
 
     /// Fraction of `rate`, the summed rate limits of all engines, that long prompts have requested recently.
     pub(crate) fn limited_load(&self, now: units::MonoTime, rate: f64) -> f64 {
-        let asked = self.demand_count * self.left(now);
-        (asked / (LOAD_TIME.as_secs_f64() * rate)).min(MAX_LOAD)
+        let requested = self.demand_count * self.left(now);
+        (requested / (LOAD_TIME.as_secs_f64() * rate)).min(MAX_LOAD)
     }
 
     /// Fraction of the time of `engines` engines that long prompts have requested recently; 0 if prompts other than
@@ -116,7 +116,7 @@
 
     /// Whether a long prompt is worth at least as much as the short requests that its prefill displaces. Always true
     /// without contention.
-    pub(crate) fn is_worth_reading(
+    pub(crate) fn is_worth_prefill(
         &self,
         now: units::MonoTime,
         shape: &route_table::EngineShape,
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -138,37 +138,43 @@
         parts: usize,
         max_loss: f64,
     ) -> Option<PrefillBooking> {
-        let mut rows: Vec<_> = usable
+        let mut candidates: Vec<_> = usable
             .iter()
             .filter(|index| part <= SHORT_PART_MS || self.views[**index].prefilling == 0)
             .filter(|index| self.views[**index].permit.wait_ms.is_finite())
             .map(|index| self.part_candidate(*index, part))
-            .filter(|row| row.pause_loss <= max_loss)
+            .filter(|candidate| candidate.pause_loss <= max_loss)
             .collect();
-        if rows.len() < parts {
+        if candidates.len() < parts {
             return None;
         }
-        rows.sort_by(|left, right| {
+        candidates.sort_by(|left, right| {
             let rank = || self.views[left.index].rank.cmp(&self.views[right.index].rank);
             left.cost_ms.total_cmp(&right.cost_ms).then_with(rank)
         });
-        rows.truncate(parts);
-        let pause_loss: f64 = rows.iter().map(|row| row.pause_loss).sum();
+        candidates.truncate(parts);
+        let pause_loss: f64 = candidates.iter().map(|candidate| candidate.pause_loss).sum();
         if pause_loss > max_loss {
             return None;
         }
-        let start_ms = rows.iter().map(|row| row.start_ms).fold(0.0, f64::max);
-        let permit_ms =
-            rows.iter().map(|row| self.views[row.index].permit.wait_ms).fold(0.0, f64::max);
-        let first_ms = rows
+        let start_ms = candidates.iter().map(|candidate| candidate.start_ms).fold(0.0, f64::max);
+        let permit_ms = candidates
             .iter()
-            .map(|row| row.first_ms.max(start_ms + self.views[row.index].own_ms(part)))
+            .map(|candidate| self.views[candidate.index].permit.wait_ms)
             .fold(0.0, f64::max);
-        let overhead_ms: f64 =
-            rows.iter().map(|row| first_ms - row.start_ms - part + PART_COST_MS).sum();
+        let first_ms = candidates
+            .iter()
+            .map(|candidate| {
+                candidate.first_ms.max(start_ms + self.views[candidate.index].own_ms(part))
+            })
+            .fold(0.0, f64::max);
+        let overhead_ms: f64 = candidates
+            .iter()
+            .map(|candidate| first_ms - candidate.start_ms - part + PART_COST_MS)
+            .sum();
         let behind = (1 + self.waiting) as f64 / self.views.len() as f64;
         let cost_ms = first_ms + (overhead_ms + pause_loss * self.ms_per_worth) * behind;
-        let engines = rows.iter().map(|row| row.index).collect();
+        let engines = candidates.iter().map(|candidate| candidate.index).collect();
         Some(PrefillBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
     }
 
@@ -212,10 +218,10 @@
         let alone = (ask.prompt + ask.output) as f64 <= capacity as f64 * SINGLE_HOST_FRACTION;
         let index = self.pick_host(ask, booking, alone, forced)?;
         let held = if alone { Vec::new() } else { self.hold(ask, index, booking, capacity)? };
-        let set_aside: u64 = held.iter().map(|part| part.tokens).sum();
+        let reserved: u64 = held.iter().map(|part| part.tokens).sum();
         let host = &mut self.views[index];
         host.answering += 1;
-        host.free = host.free.saturating_sub((ask.prompt + ask.output).saturating_sub(set_aside));
+        host.free = host.free.saturating_sub((ask.prompt + ask.output).saturating_sub(reserved));
         let engine = host.name.clone();
         let others = booking.engines.iter().filter(|other| **other != index);
         Some(engine_place::PlaceGrant {
--- a/crates/core/src/retry_line.rs
+++ b/crates/core/src/retry_schedule.rs
@@ -14,12 +14,12 @@
 
 /// Assigns retry times, spaced by the rate at which retries can be served.
 #[derive(Debug, Default)]
-pub struct RetryLine {
+pub struct RetrySchedule {
     /// Latest retry time assigned so far.
     tail: units::MonoTime,
 }
 
-impl RetryLine {
+impl RetrySchedule {
     /// Returns the Retry-After time for the next caller, at a permitted rate of `rate` requests per second.
     ///
     /// If it would exceed the longest time, it is random between half of that and the whole.
--- a/crates/core/tests/retry_line.rs
+++ b/crates/core/tests/retry_schedule.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use slipturn_core::{retry_line::RetryLine, send_pace::PaceBound, units};
+use slipturn_core::{retry_schedule::RetrySchedule, send_pace::PaceBound, units};
 
 fn at(millis: u64) -> units::MonoTime {
     units::MonoTime::from_span(time::Duration::from_millis(millis))
@@ -11,22 +11,22 @@
 /// Retry times are spaced at half the permitted rate, and start again from the present once all have passed.
 #[test]
 fn retries_are_spaced_at_half_the_permitted_rate() {
-    let mut line = RetryLine::default();
-    let backs: Vec<_> = (0..4).map(|_| line.next(at(1_000), 4.0).as_millis()).collect();
+    let mut schedule = RetrySchedule::default();
+    let backs: Vec<_> = (0..4).map(|_| schedule.next(at(1_000), 4.0).as_millis()).collect();
     assert_eq!(backs, [500, 1_000, 1_500, 2_000]);
-    assert_eq!(line.next(at(9_000), 4.0).as_millis(), 500);
+    assert_eq!(schedule.next(at(9_000), 4.0).as_millis(), 500);
 }
 
 /// A Retry-After of minutes would be useless: times beyond ten seconds are spread over the second half of that.
 #[test]
 fn retry_after_is_at_most_ten_seconds_and_spread() {
-    let mut line = RetryLine::default();
-    let backs: Vec<_> = (0..1_000).map(|_| line.next(at(0), 2.0)).collect();
+    let mut schedule = RetrySchedule::default();
+    let backs: Vec<_> = (0..1_000).map(|_| schedule.next(at(0), 2.0)).collect();
     assert!(backs.iter().all(|back| *back <= time::Duration::from_secs(10)));
     let late: Vec<_> = backs.iter().skip(100).collect();
     let first_half = late.iter().filter(|back| back.as_millis() < 7_500).count();
     assert!((300..600).contains(&first_half), "{first_half} of {}", late.len());
-    assert!(line.next(at(0), 0.0) <= time::Duration::from_secs(10), "nothing is permitted");
+    assert!(schedule.next(at(0), 0.0) <= time::Duration::from_secs(10), "nothing is permitted");
 }
 
 /// Only an answer of the upstream can tell that a limit of zero has ended.
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -8,8 +8,8 @@
 use std::{cell, collections, time};
 
 use slipturn_core::{
-    ids, member_beat, permit_cache, planner_key, quota_ledger, quota_permit, retry_line, send_pace,
-    units, upstream_list,
+    ids, member_beat, permit_cache, planner_key, quota_ledger, quota_permit, retry_schedule,
+    send_pace, units, upstream_list,
 };
 
 use crate::{context, fleet_state, limit_gossip, peer_message, peers, permit_request, planner_set};
@@ -33,7 +33,8 @@
     /// Pending requests for permits.
     pub(crate) asks: permit_request::PendingRequests,
     /// Retry-After times by service.
-    pub(crate) returns: cell::RefCell<collections::HashMap<ids::ServiceId, retry_line::RetryLine>>,
+    pub(crate) returns:
+        cell::RefCell<collections::HashMap<ids::ServiceId, retry_schedule::RetrySchedule>>,
     /// When changes of limits were last logged.
     pub(crate) limit_log: cell::RefCell<limit_gossip::LimitLog>,
     /// Inputs and time of the last check.
