--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -72,13 +72,13 @@
     let mut router = entry_router::EntryRouter::new(name("instance-0"), center, hour, 1);
     router.offer_settings(now, text);
     router.offer_list(list);
-    router.heard(now, 0);
+    router.note_sources_asked(now, 0);
     let question = entry_router::PlanQuestion {
         key: key(17),
         model: "model-0".parse().expect("a valid name"),
         prompt: units::TokenCount(5_000),
         output: None,
-        wish: None,
+        requested_limit: None,
     };
     let grant = router.plan(now, &question).expect("the caller is known");
     let fleet = grant.fleet.fleet.clone();
--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -96,7 +96,7 @@
             let mut router = entry_router::EntryRouter::new(instance, center, hour, seed);
             router.offer_settings(start, &text);
             router.offer_list(scenario.list());
-            router.heard(start, 0);
+            router.note_sources_asked(start, 0);
             router
         });
         let entries = entries.collect();
@@ -143,7 +143,7 @@
             model: "invitation".parse().expect("a valid name"),
             prompt: units::TokenCount(arrival.prompt),
             output: Some(units::TokenCount(arrival.output)),
-            wish: None,
+            requested_limit: None,
         };
         let request = self.place_request(&arrival, entry, arrived, attempts);
         let mut asking = time::Duration::ZERO;
--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -6,7 +6,7 @@
 
 use std::{collections, time};
 
-use crate::{engine_room, fair_queue, ids, placement, refusal, service_rank, settings, units};
+use crate::{fair_queue, free_capacity, ids, placement, refusal, service_rank, settings, units};
 
 /// Assumed time between two output tokens, for estimates of the whole answer.
 const TOKEN_INTERVAL: time::Duration = time::Duration::from_millis(30);
@@ -389,7 +389,7 @@
         let mut actions = Vec::new();
         // After a pause of this process, the ledger is outdated until the engine has reported.
         while self.reachable(now) && !self.queue.is_empty() {
-            let mut room = self.room();
+            let mut free_capacity = self.free_capacity();
             let over = self.waiting_over_share(now);
             let options = &self.options;
             let rank = |request: &placement::PlaceRequest| service_rank::ServiceRank {
@@ -398,7 +398,7 @@
             };
             let yields = |request: &placement::PlaceRequest| over.contains(&request.customer);
             let fits = |item: &fair_queue::QueueItem<placement::PlaceRequest>, overdue| {
-                room.fits(&item.payload, rank(&item.payload), overdue)
+                free_capacity.fits(&item.payload, rank(&item.payload), overdue)
             };
             let Some(item) = self.queue.pop_where(now, yields, fits) else { break };
             let rank = rank(&item.payload);
@@ -434,8 +434,8 @@
         service_rank::ServiceRank { band: self.band(request), over_share }
     }
 
-    fn room(&self) -> engine_room::EngineRoom {
-        engine_room::EngineRoom {
+    fn free_capacity(&self) -> free_capacity::FreeCapacity {
+        free_capacity::FreeCapacity {
             free: self.free(),
             headroom: self.capacity.scale(self.options.headroom.factor()),
             slots: self.options.max_running.saturating_sub(self.leases.len()),
--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -38,7 +38,7 @@
     /// Whether it is a short request: one engine can prefill it in time, and its pause goal is among the shortest of
     /// its service, so that long prefills on the same engine delay it too much.
     pub tight: bool,
-    /// Worth of its answer if it is in time, relative to that of a short request.
+    /// Worth of its answer if it is in time; that of a short request is 1.
     pub worth: f32,
     /// Whether it is a first attempt; `false` after a refusal or an earlier attempt.
     pub refusable: bool,
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -24,7 +24,7 @@
     /// Requested limit on the output.
     pub output: Option<units::TokenCount>,
     /// Time limit requested by the caller.
-    pub wish: Option<time::Duration>,
+    pub requested_limit: Option<time::Duration>,
 }
 
 /// Settings and limits of an admitted request.
@@ -139,7 +139,7 @@
 
     /// Number of detected pauses of the process.
     ///
-    /// Callers read it before they ask a source, and pass it to [`Self::heard`] with the answer.
+    /// Callers read it before they ask a source, and pass it to [`Self::note_sources_asked`] with the answer.
     pub fn wakes(&self) -> u64 {
         self.wake.wakes
     }
@@ -148,7 +148,7 @@
     ///
     /// `asked_at` is the value of [`Self::wakes`] before asking: if the process was paused since, the answer may be
     /// outdated and does not count.
-    pub fn heard(&mut self, now: units::MonoTime, asked_at: u64) {
+    pub fn note_sources_asked(&mut self, now: units::MonoTime, asked_at: u64) {
         self.wake.notice(now);
         if asked_at == self.wake.wakes {
             self.wake.asleep = false;
@@ -186,8 +186,8 @@
         question: &PlanQuestion,
     ) -> Result<RequestGrant, refusal::RequestRefusal> {
         let (tree, mut resolved) = self.resolve(now, &question.key, question.prompt)?;
-        if let Some(wish) = question.wish {
-            resolved.shorten_limit(wish);
+        if let Some(requested_limit) = question.requested_limit {
+            resolved.shorten_limit(requested_limit);
         }
         check_model(&resolved, &question.model)?;
         if !self.list.engines.iter().any(|engine| engine.model == question.model) {
@@ -200,7 +200,7 @@
             return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
         }
         let most = resolved.max_output_tokens.value;
-        let output = question.output.map_or(most, |wish| wish.min(most));
+        let output = question.output.map_or(most, |requested| requested.min(most));
         self.retries.count_request(now);
         Ok(RequestGrant {
             settings: resolved,
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -31,15 +31,15 @@
     /// Usage of each customer, in tokens divided by weight.
     ///
     /// Invariants: contains all customers with queued items. A customer that starts to wait starts no lower than
-    /// `clock`, so that idle time earns no credit. While it waits, only service increases its usage.
+    /// `virtual_time`, so that idle time earns no credit. While it waits, only service increases its usage.
     used: collections::HashMap<ids::CustomerId, f64>,
     /// Virtual time: the smallest usage among waiting customers. Never decreases.
-    clock: f64,
+    virtual_time: f64,
 }
 
 impl<T> Default for FairQueue<T> {
     fn default() -> Self {
-        Self { items: Vec::new(), used: collections::HashMap::new(), clock: 0.0 }
+        Self { items: Vec::new(), used: collections::HashMap::new(), virtual_time: 0.0 }
     }
 }
 
@@ -90,7 +90,7 @@
     pub fn remove_where(&mut self, mut permits: impl FnMut(&T) -> bool) -> Vec<QueueItem<T>> {
         let (gone, kept) = self.items.drain(..).partition(|item| permits(&item.payload));
         self.items = kept;
-        self.advance_clock();
+        self.advance_virtual_time();
         gone
     }
 
@@ -125,23 +125,23 @@
 
     fn take(&mut self, index: usize) -> QueueItem<T> {
         let item = self.items.remove(index);
-        let used = self.used.entry(item.customer.clone()).or_insert(self.clock);
+        let used = self.used.entry(item.customer.clone()).or_insert(self.virtual_time);
         *used += item.cost.0 as f64 / item.weight;
-        self.advance_clock();
+        self.advance_virtual_time();
         item
     }
 
-    fn advance_clock(&mut self) {
+    fn advance_virtual_time(&mut self) {
         let waiting: collections::HashSet<_> =
             self.items.iter().map(|item| &item.customer).collect();
         let least = waiting.iter().filter_map(|customer| self.used.get(*customer)).copied();
         let least = least.min_by(f64::total_cmp);
         // If the queue is empty, the next item starts level with the customer with the highest usage.
         let least = least.or_else(|| self.used.values().copied().max_by(f64::total_cmp));
-        self.clock = self.clock.max(least.unwrap_or(self.clock));
-        // An idle customer behind the clock is treated like a new one, so its usage can be dropped.
-        let clock = self.clock;
-        self.used.retain(|customer, used| *used > clock || waiting.contains(customer));
+        self.virtual_time = self.virtual_time.max(least.unwrap_or(self.virtual_time));
+        // An idle customer behind the virtual time is treated like a new one, so its usage can be dropped.
+        let virtual_time = self.virtual_time;
+        self.used.retain(|customer, used| *used > virtual_time || waiting.contains(customer));
     }
 
     /// Start tag of a customer's next item: its usage if it has queued items, otherwise at least the virtual time.
@@ -150,12 +150,12 @@
         let waits = self.items.iter().any(|item| item.customer == *customer);
         match used {
             Some(used) if waits => used,
-            used => used.unwrap_or(self.clock).max(self.clock),
+            used => used.unwrap_or(self.virtual_time).max(self.virtual_time),
         }
     }
 
     fn finish_tag(&self, item: &QueueItem<T>) -> f64 {
-        let used = self.used.get(&item.customer).copied().unwrap_or(self.clock);
+        let used = self.used.get(&item.customer).copied().unwrap_or(self.virtual_time);
         used + item.cost.0 as f64 / item.weight
     }
 }
--- a/crates/core/src/engine_room.rs
+++ b/crates/core/src/free_capacity.rs
@@ -4,7 +4,7 @@
 
 /// Free capacity of an engine during one pass over its queue.
 #[derive(Debug)]
-pub(crate) struct EngineRoom {
+pub(crate) struct FreeCapacity {
     /// Memory neither leased nor held by an orphan.
     pub(crate) free: units::TokenCount,
     /// Part of the memory that only short requests may use.
@@ -23,7 +23,7 @@
     pub(crate) reserved: bool,
 }
 
-impl EngineRoom {
+impl FreeCapacity {
     /// Whether a waiting request can start now; reserves the capacity for it if it is overdue and cannot.
     pub(crate) fn fits(
         &mut self,
@@ -32,7 +32,7 @@
         overdue: bool,
     ) -> bool {
         let short = rank.band == service_rank::LengthBand::Short;
-        if self.has_room(request, rank) && (short || !self.reserved) {
+        if self.has_capacity(request, rank) && (short || !self.reserved) {
             return true;
         }
         // Free memory accumulates for the first overdue request; only short ones may still go before it.
@@ -40,7 +40,11 @@
         false
     }
 
-    fn has_room(&self, request: &placement::PlaceRequest, rank: service_rank::ServiceRank) -> bool {
+    fn has_capacity(
+        &self,
+        request: &placement::PlaceRequest,
+        rank: service_rank::ServiceRank,
+    ) -> bool {
         let usable = match rank.band {
             service_rank::LengthBand::Short => self.free,
             _ => self.free.saturating_sub(self.headroom),
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -84,9 +84,9 @@
     pub(crate) refusals: u32,
     ejected_until: units::MonoTime,
     /// When work was last placed here.
-    placed: Option<units::MonoTime>,
+    last_placed: Option<units::MonoTime>,
     /// When its report was last requested.
-    requested: Option<units::MonoTime>,
+    report_requested: Option<units::MonoTime>,
     /// Time up to which the passes have been simulated.
     pub(crate) advanced: units::MonoTime,
 }
@@ -109,8 +109,8 @@
             failures: 0,
             refusals: 0,
             ejected_until: units::MonoTime::default(),
-            placed: None,
-            requested: None,
+            last_placed: None,
+            report_requested: None,
             advanced: now,
         }
     }
@@ -216,14 +216,15 @@
 
     /// Records that work was placed here.
     pub(crate) fn note_placed(&mut self, now: units::MonoTime) {
-        self.placed = Some(now);
+        self.last_placed = Some(now);
     }
 
     /// Whether the engine has no work, has had none recently, and shows no sign of trouble.
     pub(crate) fn is_idle(&self, now: units::MonoTime) -> bool {
         let has_work = !self.answering.is_empty() || self.used > 0 || self.pass.is_some();
         let is_doubted = self.foreign > 0 || self.failures > 0 || self.pace > SLOW_PACE;
-        let is_recent = self.placed.is_some_and(|placed| now.since(placed) < IDLE_TIME);
+        let is_recent =
+            self.last_placed.is_some_and(|last_placed| now.since(last_placed) < IDLE_TIME);
         !(has_work || is_doubted || is_recent)
     }
 
@@ -233,10 +234,11 @@
         now: units::MonoTime,
         idle_interval: time::Duration,
     ) -> bool {
-        let requested =
-            self.requested.is_some_and(|requested| now.since(requested) < idle_interval);
-        let due = !(requested && self.is_idle(now));
-        self.requested = if due { Some(now) } else { self.requested };
+        let report_requested = self
+            .report_requested
+            .is_some_and(|report_requested| now.since(report_requested) < idle_interval);
+        let due = !(report_requested && self.is_idle(now));
+        self.report_requested = if due { Some(now) } else { self.report_requested };
         due
     }
 
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -54,8 +54,8 @@
         shape: &route_table::EngineShape,
         ask: &engine_place::PlaceAsk,
     ) {
-        let each = pass_model::prefill_ms(shape, ask.prompt) / f64::from(ask.worth);
-        self.ms_per_worth += (each - self.ms_per_worth) * READING_WEIGHT;
+        let sample = pass_model::prefill_ms(shape, ask.prompt) / f64::from(ask.worth);
+        self.ms_per_worth += (sample - self.ms_per_worth) * READING_WEIGHT;
     }
 
     /// Records that a long prompt requests engine time.
@@ -66,13 +66,13 @@
         ask: &engine_place::PlaceAsk,
     ) {
         self.demand_ms = self.demand_ms(now) + pass_model::prefill_ms(shape, ask.prompt);
-        self.demand_count = self.demand_count * self.left(now) + 1.0;
+        self.demand_count = self.demand_count * self.remaining_fraction(now) + 1.0;
         self.demand_since = now;
     }
 
     /// Fraction of `rate`, the summed rate limits of all engines, that long prompts have requested recently.
     pub(crate) fn limited_load(&self, now: units::MonoTime, rate: f64) -> f64 {
-        let requested = self.demand_count * self.left(now);
+        let requested = self.demand_count * self.remaining_fraction(now);
         (requested / (LOAD_TIME.as_secs_f64() * rate)).min(MAX_LOAD)
     }
 
@@ -95,13 +95,13 @@
     }
 
     fn demand_ms(&self, now: units::MonoTime) -> f64 {
-        self.demand_ms * self.left(now)
+        self.demand_ms * self.remaining_fraction(now)
     }
 
     /// Fraction of the recorded demand that remains after its decay.
-    fn left(&self, now: units::MonoTime) -> f64 {
-        let spent = now.since(self.demand_since).as_secs_f64();
-        (-spent / LOAD_TIME.as_secs_f64()).exp()
+    fn remaining_fraction(&self, now: units::MonoTime) -> f64 {
+        let elapsed = now.since(self.demand_since).as_secs_f64();
+        (-elapsed / LOAD_TIME.as_secs_f64()).exp()
     }
 
     /// Engine time that earns as much as one short request, milliseconds.
--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -89,20 +89,28 @@
         part: f64,
     ) -> f64 {
         let wait = (view.pending_ms + view.steps_ms + part) * view.pace;
-        let full = if view.answering >= self.shape.slots { FULL_LOSS } else { 0.0 };
+        let full_loss = if view.answering >= self.shape.slots { FULL_LOSS } else { 0.0 };
         let pause_limit = f64::from(ask.pause_ms) * engine_view::PAUSE_FRACTION;
-        let paused = if wait > pause_limit { LONG_PASS_LOSS } else { 0.0 };
-        let fill = match self.packing_target {
+        let long_pass_loss = if wait > pause_limit { LONG_PASS_LOSS } else { 0.0 };
+        let packing_loss = match self.packing_target {
             Some(packed) if view.tight < packed => (packed - view.tight) as f64 * PACK_LOSS,
             Some(packed) => (view.tight - packed) as f64 * OVERPACKED_LOSS,
             None => 0.0,
         };
         let foreign = view.foreign as f64 * FOREIGN_LOSS;
-        let beside = (view.answering - view.tight - view.foreign) as f64 * LONG_NEIGHBOR_LOSS;
-        // Time within the goal has no cost.
-        let easy = f64::from(ask.goal_ms) * NO_LOSS_GOAL_FRACTION;
-        let slow = (view.first_ms(part) - easy).max(0.0) / 1_000.0;
+        let neighbor_loss =
+            (view.answering - view.tight - view.foreign) as f64 * LONG_NEIGHBOR_LOSS;
+        // A first token within this time has no cost.
+        let goal_without_loss = f64::from(ask.goal_ms) * NO_LOSS_GOAL_FRACTION;
+        let delay_loss = (view.first_ms(part) - goal_without_loss).max(0.0) / 1_000.0;
         let pace = (view.pace - 1.0).max(0.0) * PACE_LOSS;
-        view.pause_loss(part) + slow + full + paused + fill + foreign + beside + pace
+        view.pause_loss(part)
+            + delay_loss
+            + full_loss
+            + long_pass_loss
+            + packing_loss
+            + foreign
+            + neighbor_loss
+            + pace
     }
 }
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -86,7 +86,7 @@
 }
 
 /// The live instances of a data centre, in an order that is the same for all processes with the same list.
-pub fn exchange_order<'a>(
+pub fn data_center_order<'a>(
     list: &'a fleet_list::FleetList,
     data_center: &ids::DataCenterId,
 ) -> Vec<&'a fleet_list::InstanceRecord> {
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -113,7 +113,7 @@
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
             EntryEvent::Documents(update, asked_at) => self.documents(now, &update, asked_at),
-            EntryEvent::AllSilent(asked_at) => router.heard(now, asked_at),
+            EntryEvent::AllSilent(asked_at) => router.note_sources_asked(now, asked_at),
             EntryEvent::Tick => self.tick(now),
         }
     }
@@ -173,7 +173,7 @@
                 Err(fault) => log::error!("list refused: {fault}"),
             }
         }
-        self.router.heard(now, asked_at);
+        self.router.note_sources_asked(now, asked_at);
         self.summarise();
     }
 
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -58,10 +58,10 @@
     pub fn question(
         &self,
         key: String,
-        wish: Option<std::time::Duration>,
+        requested_limit: Option<std::time::Duration>,
     ) -> entry_router::PlanQuestion {
         let (model, prompt, output) = (self.model.clone(), self.tokens, self.output);
-        entry_router::PlanQuestion { key, model, prompt, output, wish }
+        entry_router::PlanQuestion { key, model, prompt, output, requested_limit }
     }
 
     /// The body to send to an engine: the caller's, with the output cut to what is allowed.
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -68,7 +68,7 @@
     data_center: &ids::DataCenterId,
     platform: &[net::SocketAddr],
 ) -> Vec<document_feed::FeedSource> {
-    let order = rendezvous::exchange_order(list, data_center);
+    let order = rendezvous::data_center_order(list, data_center);
     let position = order.iter().position(|one| one.name == *instance);
     let from_platform = platform.iter().copied().map(document_feed::FeedSource::Platform);
     let peer =
