--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -1,43 +1,44 @@
-//! What one engine has been given, what waits for it, and what it says it holds.
+//! The scheduler's ledger of one engine: leases, waiting requests, and memory that the engine reports as held.
 //!
-//! The engine is the truth: memory counts as free only once a lease is gone and the engine no
-//! longer lists the attempt. A ledger that starts empty, as after a crash, rebuilds itself from
-//! the engine's list and from the renewals of entries that still stream.
+//! The engine's report is authoritative: memory counts as free only once a lease is gone and the engine no longer
+//! lists the attempt. A ledger that starts empty, as after a crash, is rebuilt from the engine's reports and from the
+//! renewals of entries that are still streaming.
 
 use std::{collections, time};
 
-use crate::{engine_room, fair_queue, ids, placement, refusal, service_rank, settings, units};
+use crate::{fair_queue, free_capacity, ids, placement, refusal, service_rank, settings, units};
 
-/// Expected time from one output token to the next, for estimates of the whole answer.
+/// Assumed time between two output tokens, for estimates of the whole answer.
 const TOKEN_INTERVAL: time::Duration = time::Duration::from_millis(30);
-/// Prefill work handed to an engine ahead of its pace, beyond the request being worked on.
+/// Prefill work that is queued on an engine in advance, beyond the request in progress.
 const PREFILL_AHEAD: time::Duration = time::Duration::from_millis(250);
-/// Longest age of a load report before its absence counts as the engine being out of reach.
+/// Time without a load report after which an engine counts as unreachable.
 const REPORT_LIMIT: time::Duration = time::Duration::from_secs(3);
-/// After a release, how long the engine's list may lag behind it.
-const RELEASE_SETTLE: time::Duration = time::Duration::from_secs(2);
-/// How far back own prefill work is remembered; older reports are compared with the oldest.
-const HISTORY: time::Duration = time::Duration::from_secs(5);
-/// Part of the wait that passes before an item counts as overdue.
-pub(crate) const OVERDUE_PART: f64 = 0.5;
-/// After its time limit, how long a lease may still be in use by a cancel on its way.
+/// How long the engine's reports may still list an attempt after its release.
+const RELEASE_LAG: time::Duration = time::Duration::from_secs(2);
+/// How far back the history of prefill work reaches. Reports older than this are compared with its oldest entry.
+const HISTORY_SPAN: time::Duration = time::Duration::from_secs(5);
+/// Fraction of the time until its latest start after which a waiting request counts as overdue.
+pub(crate) const OVERDUE_FRACTION: f64 = 0.5;
+/// How long a lease is kept after the request's time limit, while a cancel may still be on its way.
 const LEASE_MARGIN: time::Duration = time::Duration::from_secs(2);
 
-/// A place on an engine, held for one attempt.
+/// Capacity on an engine, held for one attempt.
 #[derive(Debug, Clone)]
 pub struct EngineLease {
     pub(crate) request: placement::PlaceRequest,
     pub(crate) rank: service_rank::ServiceRank,
-    /// Tokens of the prompt not worked through yet, as far as known. Only falls.
+    /// Estimated number of prompt tokens that are not prefilled yet. Never increases.
     pub(crate) prefill_left: f64,
-    /// Last time the entry said that it still streams.
+    /// When the entry last confirmed that it is still streaming.
     pub(crate) renewed: units::MonoTime,
 }
 
-/// Something the engine holds that no lease explains.
+/// Memory that the engine holds for an attempt without a lease.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OrphanRecord {
     tokens: units::TokenCount,
+    /// When it was first noticed.
     since: units::MonoTime,
 }
 
@@ -48,24 +49,26 @@
     pub(crate) prefill_rate: units::TokenRate,
     pub(crate) options: settings::FleetOptions,
     pub(crate) draining: bool,
-    /// Invariant: the sum of their memory never exceeds `capacity` less what orphans hold, as far
-    /// as the ledger knew when it granted them.
+    /// Invariant: when a lease was granted, the memory of all leases and known orphans did not exceed `capacity`.
     pub(crate) leases: collections::HashMap<ids::AttemptId, EngineLease>,
     pub(crate) orphans: collections::HashMap<ids::AttemptId, OrphanRecord>,
+    /// Attempts whose lease has ended, with the time of its end.
     pub(crate) released: collections::HashMap<ids::AttemptId, units::MonoTime>,
     pub(crate) queue: fair_queue::FairQueue<placement::PlaceRequest>,
     pub(crate) shares: service_rank::ShareMeter,
-    /// Prefill work the engine reported beyond what the leases explain.
+    /// Prefill work that the engine reported beyond that of the leases, tokens.
     pub(crate) foreign_prefill: f64,
-    /// Prefill work that the leases explained at earlier times, oldest first, to compare an old
-    /// report with its own time. Invariant: reaches back [`HISTORY`] at most.
+    /// Prefill work of the leases at earlier times, oldest first, so that a report can be compared with the state at
+    /// its own time. Invariant: reaches back [`HISTORY_SPAN`] at most.
     pub(crate) history: collections::VecDeque<(units::MonoTime, f64)>,
+    /// Time up to which the engine's prefill has been simulated.
     pub(crate) advanced: units::MonoTime,
+    /// Time of the last report.
     pub(crate) reported: Option<units::MonoTime>,
 }
 
 impl EngineLedger {
-    /// A ledger that knows of no lease yet.
+    /// Creates a ledger without leases.
     pub fn new(
         now: units::MonoTime,
         capacity: units::TokenCount,
@@ -89,12 +92,12 @@
         }
     }
 
-    /// Takes new settings over; leases granted under the old ones stay.
+    /// Replaces the settings; leases granted under the old ones stay.
     pub fn set_options(&mut self, options: settings::FleetOptions) {
         self.options = options;
     }
 
-    /// Notes that the published list calls the engine leaving, or live again.
+    /// Sets whether the published list marks the engine as leaving.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.draining = leaving;
     }
@@ -114,12 +117,12 @@
         self.queue.len()
     }
 
-    /// Attempts the engine holds that no lease explains.
+    /// Number of attempts that the engine holds without a lease.
     pub fn orphan_count(&self) -> usize {
         self.orphans.len()
     }
 
-    /// Whether the engine takes no new work.
+    /// Whether the engine accepts no new work.
     pub fn draining(&self) -> bool {
         self.draining
     }
@@ -129,13 +132,13 @@
         self.reported.is_some_and(|reported| now.since(reported) <= REPORT_LIMIT)
     }
 
-    /// What the engine could do for a request, or why nothing.
+    /// Estimates when the engine could serve a request, or refuses it.
     pub fn offer(
         &mut self,
         now: units::MonoTime,
         request: &placement::PlaceRequest,
     ) -> Result<placement::EngineOffer, refusal::RequestRefusal> {
-        self.work_through(now);
+        self.advance_prefill(now);
         self.check(now, request)?;
         Ok(placement::EngineOffer {
             first_token: self.first_token(now, request),
@@ -145,18 +148,18 @@
         })
     }
 
-    /// Takes a request into the queue, or refuses it at once.
+    /// Queues a request or refuses it at once. A repeated request has no effect.
     pub fn enqueue(
         &mut self,
         now: units::MonoTime,
         request: placement::PlaceRequest,
     ) -> Vec<placement::LedgerAction> {
-        self.work_through(now);
+        self.advance_prefill(now);
         let known = |waiting: &fair_queue::QueueItem<placement::PlaceRequest>| {
             waiting.payload.attempt == request.attempt
         };
         if self.leases.contains_key(&request.attempt) || self.queue.iter().any(known) {
-            // The same message a second time: one lease is enough.
+            // A duplicate message must not create a second lease.
             return Vec::new();
         }
         if let Err(refusal) = self.check(now, &request) {
@@ -167,23 +170,23 @@
             customer: request.customer.clone(),
             weight: request.weight,
             cost: request.prefill() + request.output,
-            overdue: now + spare.mul_f64(OVERDUE_PART),
+            overdue: now + spare.mul_f64(OVERDUE_FRACTION),
             payload: request,
         };
         self.queue.push(item);
         self.advance(now)
     }
 
-    /// Does what has become due: grants, refusals of what waited too long, cancels.
+    /// Performs all due actions: refuses requests that waited too long, ends expired leases and grants new ones.
     pub fn advance(&mut self, now: units::MonoTime) -> Vec<placement::LedgerAction> {
-        self.work_through(now);
+        self.advance_prefill(now);
         let mut actions = self.expire_waiting(now);
         actions.extend(self.expire_leases(now));
         actions.extend(self.grant_waiting(now));
         actions
     }
 
-    /// Gives a place back. Unknown and repeated releases do nothing.
+    /// Releases the lease of an attempt, or removes it from the queue. Unknown and repeated releases are ignored.
     pub fn release(
         &mut self,
         now: units::MonoTime,
@@ -196,9 +199,9 @@
         self.advance(now)
     }
 
-    /// Takes in what one entry says it still streams; what it leases and does not name is over.
+    /// Renews the leases of the attempts that an entry is still streaming, and ends its other leases.
     ///
-    /// Attempts no lease explains are adopted: the ledger may be newer than they are.
+    /// Attempts without a lease are adopted, because the ledger may have started after them.
     pub fn renew(
         &mut self,
         now: units::MonoTime,
@@ -210,7 +213,7 @@
             self.adopt(now, request);
         }
         let named: collections::HashSet<_> = streaming.iter().map(|one| &one.attempt).collect();
-        let settled = |lease: &EngineLease| now.since(lease.renewed) >= RELEASE_SETTLE;
+        let settled = |lease: &EngineLease| now.since(lease.renewed) >= RELEASE_LAG;
         let over: Vec<_> = self
             .leases
             .values()
@@ -225,13 +228,13 @@
         self.advance(now)
     }
 
-    /// Applies the engine's own report and cancels work without a lease.
+    /// Applies a report of the engine and cancels work without a lease.
     pub fn report(
         &mut self,
         now: units::MonoTime,
         report: &placement::EngineReport,
     ) -> Vec<placement::LedgerAction> {
-        self.work_through(now);
+        self.advance_prefill(now);
         self.reported = Some(now);
         self.draining = report.draining;
         if report.memory > units::TokenCount::ZERO {
@@ -247,19 +250,19 @@
         actions
     }
 
-    /// Prefill work the leases explained at an earlier time.
+    /// Prefill work of the leases at an earlier time, tokens.
     fn own_prefill_at(&self, time: units::MonoTime) -> f64 {
         let before = self.history.iter().rev().find(|(when, _)| *when <= time);
         before.or_else(|| self.history.front()).map_or(0.0, |(_, own)| *own)
     }
 
-    fn keep_history(&mut self, now: units::MonoTime) {
+    fn record_history(&mut self, now: units::MonoTime) {
         let own = self.leases.values().map(|lease| lease.prefill_left).sum();
         match self.history.back_mut() {
             Some((when, last)) if *when == now => *last = own,
             _ => self.history.push_back((now, own)),
         }
-        while self.history.front().is_some_and(|(when, _)| now.since(*when) > HISTORY) {
+        while self.history.front().is_some_and(|(when, _)| now.since(*when) > HISTORY_SPAN) {
             self.history.pop_front();
         }
     }
@@ -276,7 +279,7 @@
         self.leases.entry(request.attempt.clone()).or_insert_with(adopted).renewed = now;
     }
 
-    /// Takes in what the engine held at the time `taken`.
+    /// Updates the orphans from a report made at the time `taken`.
     fn update_orphans(
         &mut self,
         now: units::MonoTime,
@@ -288,7 +291,7 @@
             let fresh_release = self
                 .released
                 .get(attempt)
-                .is_some_and(|released| taken.since(*released) < RELEASE_SETTLE);
+                .is_some_and(|released| taken.since(*released) < RELEASE_LAG);
             if self.leases.contains_key(attempt) || fresh_release {
                 continue;
             }
@@ -298,7 +301,7 @@
         self.orphans = orphans;
         let held: collections::HashSet<_> = report.iter().map(|(attempt, _)| attempt).collect();
         self.released.retain(|attempt, released| {
-            held.contains(attempt) || taken.since(*released) < RELEASE_SETTLE
+            held.contains(attempt) || taken.since(*released) < RELEASE_LAG
         });
     }
 
@@ -372,7 +375,7 @@
             .collect()
     }
 
-    /// Ends a lease whose entry has not released it: the engine may still hold its memory.
+    /// Ends a lease that its entry has not released. Its memory becomes an orphan, as the engine may still hold it.
     fn drop_lease(&mut self, now: units::MonoTime, attempt: &ids::AttemptId) {
         let Some(lease) = self.leases.remove(attempt) else {
             return;
@@ -384,9 +387,9 @@
 
     fn grant_waiting(&mut self, now: units::MonoTime) -> Vec<placement::LedgerAction> {
         let mut actions = Vec::new();
-        // A scheduler that was paused knows nothing of its engine until the engine has reported.
+        // After a pause of this process, the ledger is outdated until the engine has reported.
         while self.reachable(now) && !self.queue.is_empty() {
-            let mut room = self.room();
+            let mut free_capacity = self.free_capacity();
             let over = self.waiting_over_share(now);
             let options = &self.options;
             let rank = |request: &placement::PlaceRequest| service_rank::ServiceRank {
@@ -395,7 +398,7 @@
             };
             let yields = |request: &placement::PlaceRequest| over.contains(&request.customer);
             let fits = |item: &fair_queue::QueueItem<placement::PlaceRequest>, overdue| {
-                room.fits(&item.payload, rank(&item.payload), overdue)
+                free_capacity.fits(&item.payload, rank(&item.payload), overdue)
             };
             let Some(item) = self.queue.pop_where(now, yields, fits) else { break };
             let rank = rank(&item.payload);
@@ -406,12 +409,12 @@
             let attempt = request.attempt.clone();
             let lease = EngineLease { rank, prefill_left, renewed: now, request };
             self.leases.insert(attempt, lease);
-            self.keep_history(now);
+            self.record_history(now);
         }
         actions
     }
 
-    /// Customers with waiting requests that are over their share.
+    /// Customers with waiting requests that have used more than their share.
     fn waiting_over_share(
         &mut self,
         now: units::MonoTime,
@@ -431,15 +434,15 @@
         service_rank::ServiceRank { band: self.band(request), over_share }
     }
 
-    fn room(&self) -> engine_room::EngineRoom {
-        engine_room::EngineRoom {
+    fn free_capacity(&self) -> free_capacity::FreeCapacity {
+        free_capacity::FreeCapacity {
             free: self.free(),
             headroom: self.capacity.scale(self.options.headroom.factor()),
-            places: self.options.max_running.saturating_sub(self.leases.len()),
+            slots: self.options.max_running.saturating_sub(self.leases.len()),
             grouped: self.leases.values().any(|lease| lease.request.grouped),
             prefills: self.leases.values().map(|one| (one.rank, one.prefill_left)).collect(),
             foreign: self.foreign_prefill,
-            ahead: self.prefill_rate.tokens_in(PREFILL_AHEAD),
+            prefill_limit: self.prefill_rate.tokens_in(PREFILL_AHEAD),
             reserved: false,
         }
     }
@@ -461,8 +464,8 @@
         self.orphans.values().map(|orphan| orphan.tokens).sum()
     }
 
-    /// Lets the engine's prefill run on to `now`: shorter bands first, as the engine does it.
-    fn work_through(&mut self, now: units::MonoTime) {
+    /// Simulates the engine's prefill up to `now`, in the engine's order of service.
+    fn advance_prefill(&mut self, now: units::MonoTime) {
         let mut done = self.prefill_rate.0 * now.since(self.advanced).as_secs_f64();
         self.advanced = self.advanced.max(now);
         let mut leases: Vec<_> =
@@ -474,7 +477,7 @@
             done -= part;
         }
         self.foreign_prefill = (self.foreign_prefill - done).max(0.0);
-        self.keep_history(now);
+        self.record_history(now);
     }
 }
 
--- /dev/null
+++ b/crates/core/src/free_capacity.rs
@@ -0,0 +1,69 @@
+//! Free capacity of an engine, for the choice of the next waiting request.
+
+use crate::{placement, service_rank, units};
+
+/// Free capacity of an engine during one pass over its queue.
+#[derive(Debug)]
+pub(crate) struct FreeCapacity {
+    /// Memory neither leased nor held by an orphan.
+    pub(crate) free: units::TokenCount,
+    /// Part of the memory that only short requests may use.
+    pub(crate) headroom: units::TokenCount,
+    /// Number of requests that may still start.
+    pub(crate) slots: usize,
+    /// Whether a request that shares its prompt with other engines runs here.
+    pub(crate) grouped: bool,
+    /// Remaining prefill of each lease in tokens, with its rank.
+    pub(crate) prefills: Vec<(service_rank::ServiceRank, f64)>,
+    /// Prefill work that no lease explains, tokens.
+    pub(crate) foreign: f64,
+    /// Largest prefill backlog at which another request may start.
+    pub(crate) prefill_limit: units::TokenCount,
+    /// Set once an overdue request did not fit; from then on only short requests may start before it.
+    pub(crate) reserved: bool,
+}
+
+impl FreeCapacity {
+    /// Whether a waiting request can start now; reserves the capacity for it if it is overdue and cannot.
+    pub(crate) fn fits(
+        &mut self,
+        request: &placement::PlaceRequest,
+        rank: service_rank::ServiceRank,
+        overdue: bool,
+    ) -> bool {
+        let short = rank.band == service_rank::LengthBand::Short;
+        if self.has_capacity(request, rank) && (short || !self.reserved) {
+            return true;
+        }
+        // Free memory accumulates for the first overdue request; only short ones may still go before it.
+        self.reserved |= overdue && !short;
+        false
+    }
+
+    fn has_capacity(
+        &self,
+        request: &placement::PlaceRequest,
+        rank: service_rank::ServiceRank,
+    ) -> bool {
+        let usable = match rank.band {
+            service_rank::LengthBand::Short => self.free,
+            _ => self.free.saturating_sub(self.headroom),
+        };
+        let alone = !(request.grouped && self.grouped);
+        self.slots > 0 && request.memory <= usable && self.is_within_prefill_limit(rank) && alone
+    }
+
+    /// Whether the prefill backlog ahead of a request is small enough for it to start.
+    ///
+    /// Requests beyond the limit wait in the queue, where they can still be reordered. An engine prefills one long
+    /// prompt at a time; only one that takes precedence on the engine may join it.
+    fn is_within_prefill_limit(&self, rank: service_rank::ServiceRank) -> bool {
+        let before = self.prefills.iter().filter(|(other, left)| *other <= rank && *left > 0.0);
+        if rank.band == service_rank::LengthBand::Long {
+            let mut long = before.filter(|(other, _)| other.band == rank.band);
+            return long.next().is_none();
+        }
+        let backlog: f64 = before.map(|(_, left)| left).sum();
+        backlog + self.foreign <= self.prefill_limit.0 as f64
+    }
+}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decision logic of slipturn.
 //!
-//! Nothing here opens a socket or reads a clock: the time and messages come in as arguments, and
-//! actions go out as values. One test can therefore freeze, cut, reorder and repeat anything.
+//! This crate opens no sockets and reads no clock: the time and messages are passed in as arguments, and actions are
+//! returned as values. So tests can pause processes, partition the network, and reorder or repeat messages.
 
 pub mod budget;
 pub mod class_worth;
@@ -15,13 +15,13 @@
 mod engine_estimate;
 pub mod engine_ledger;
 pub mod engine_place;
-mod engine_room;
 pub mod entry_router;
 mod evacuation;
 pub mod failure_detector;
 pub mod fair_queue;
 pub mod fleet_budget;
 pub mod fleet_list;
+mod free_capacity;
 pub mod gossip;
 pub mod heartbeat_timer;
 pub mod histogram;
@@ -48,7 +48,7 @@
 mod request_limits;
 pub mod retry;
 pub mod retry_need;
-pub mod return_line;
+pub mod retry_schedule;
 pub mod route_table;
 pub mod routing;
 pub mod search_budget;
--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -1,7 +1,8 @@
-//! Which long prompts are read in time, which late, and which are refused at once.
+//! Admission of long prompts: which are prefilled in time, which run late and which are refused.
 //!
-//! All that wait are booked in the order in which they are due. Where one would miss its time, the one
-//! whose engine time earns least gives way: out of time it becomes late, and late it is refused.
+//! All waiting prompts are scheduled by due time, earliest first. If one of them would miss its due time, the prompt
+//! with the lowest value per engine time is displaced: a prompt that could still be in time becomes late, and a late
+//! one is refused.
 
 use crate::{
     engine_place, pass_model,
@@ -9,89 +10,92 @@
     units,
 };
 
-/// Part of what is at stake for a long prompt that its reading may cost others.
-const HARM_PART: f64 = 0.5;
-/// The same for one that comes late: its caller waits anyway.
-const LATE_HARM_PART: f64 = 0.12;
-/// Shortest and latest time after which a refused prompt is asked back, milliseconds; callers obey
-/// up to a third of their time.
-const BACK_AFTER_MS: (f64, f64) = (300.0, 5_000.0);
+/// Largest loss that the prefill of a long prompt may cause to other requests, as a fraction of what the prompt
+/// itself loses by missing its due time.
+const MAX_LOSS_FRACTION: f64 = 0.5;
+/// The same fraction for a late prompt, which can afford to wait.
+const LATE_MAX_LOSS_FRACTION: f64 = 0.12;
+/// Bounds of the retry delay given to a refused prompt, milliseconds. Callers obey a delay of up to a third of their
+/// time limit.
+const RETRY_AFTER_RANGE_MS: (f64, f64) = (300.0, 5_000.0);
 
-/// A prompt that gives way.
-struct GivenUp {
-    /// Its place in the list of those that wait.
-    at: usize,
-    /// When its first token was expected, milliseconds.
+/// A prompt that could be displaced in favor of others.
+struct DisplacedPrompt {
+    /// Index into the waiting prompts.
+    index: usize,
+    /// Expected time until its first token, milliseconds.
     expected_ms: f64,
 }
 
-/// A reading that could be booked.
-struct PossibleRead {
-    booking: timetable::ReadBooking,
-    /// Whether it may begin; others would suffer too much otherwise.
+/// A prefill that could be booked on the timetable.
+struct PrefillCandidate {
+    booking: timetable::PrefillBooking,
+    /// Whether it may start; `false` if it would cost other requests too much.
     allowed: bool,
 }
 
-/// One look at the long prompts that wait.
-pub(crate) struct ReadAdmission<'a> {
+/// Context of one planning round for long prompts.
+pub(crate) struct PrefillAdmission<'a> {
     pub(crate) table: &'a place_table::PlaceTable,
     pub(crate) price: &'a price::EnginePrice,
-    pub(crate) packed_writers: usize,
+    pub(crate) packing_target: usize,
     pub(crate) now: units::MonoTime,
 }
 
-impl ReadAdmission<'_> {
-    /// Books all long prompts that wait, and says which begin or are refused.
+impl PrefillAdmission<'_> {
+    /// Schedules all waiting long prompts and returns the grants and refusals.
     ///
-    /// `jobs` are changed where one becomes late.
+    /// Updates the `late` and `admitted_late` flags of `jobs`.
     pub(crate) fn plan(
         &self,
         jobs: &mut [&mut waiting_job::WaitingJob],
     ) -> Vec<engine_place::PlaceAnswer> {
         let views = self.table.views(self.now);
-        let tight: usize = views.iter().map(engine_view::EngineView::sensitive).sum();
+        let tight: usize = views.iter().map(engine_view::EngineView::latency_sensitive).sum();
         let usable = views.iter().filter(|view| !view.ejected && view.has_permit()).count();
-        // Engines that short requests leave to long ones.
-        let free = usable.saturating_sub(tight.div_ceil(self.packed_writers));
+        // Engines left to long prompts once short requests are packed onto the fewest.
+        let free = usable.saturating_sub(tight.div_ceil(self.packing_target));
         let mut answers = Vec::new();
-        // Engines may be free sooner than they were expected to be.
-        jobs.iter_mut().for_each(|job| job.late = job.goal_left(self.now) <= 0.0);
-        let earned = |at: &usize| {
-            // Short requests take the engines of less valuable ones for an unknown time.
-            self.price.is_earned(self.now, &self.table.shape, jobs[*at])
+        // Lateness is decided anew, because engines may be free earlier than expected.
+        jobs.iter_mut().for_each(|job| job.late = job.goal_left_ms(self.now) <= 0.0);
+        let worth_prefill = |index: &usize| {
+            // A prompt worth less than the short requests that it turns away is not scheduled: it is unknown how
+            // long these will occupy the engines.
+            self.price.is_worth_prefill(self.now, &self.table.shape, jobs[*index])
         };
-        let mut order: Vec<_> = (0..jobs.len()).filter(earned).collect();
+        let mut order: Vec<_> = (0..jobs.len()).filter(worth_prefill).collect();
         loop {
             order.sort_by(|left, right| {
                 jobs[*left].due_ms(self.now).total_cmp(&jobs[*right].due_ms(self.now))
             });
-            let mut timetable = timetable::ReadTimetable::new(
+            let mut timetable = timetable::PrefillTimetable::new(
                 &self.table.shape,
                 views.clone(),
                 jobs.len(),
                 self.price.ms_per_worth(),
             );
-            let given = match self.book_all(&mut timetable, jobs, &order) {
+            let displaced = match self.book_all(&mut timetable, jobs, &order) {
                 Ok(grants) => {
                     answers.extend(grants);
                     return answers;
                 }
-                Err(given) => given,
+                Err(displaced) => displaced,
             };
-            let job = &mut jobs[given.at];
-            let hopeless = job.late;
+            let job = &mut jobs[displaced.index];
+            let was_late = job.late;
             job.late = true;
-            // What comes late waits for others that arrive meanwhile, too; once it is kept, it stays
-            // as long as it can.
-            let reading = self.price.load(self.now, free, &self.table.shape, &job.ask);
+            // A late prompt also waits for prompts that arrive after it, so its expected time grows with the load.
+            // The load is counted only the first time: a prompt that was admitted late stays as long as its caller
+            // would still get an answer.
+            let prefill_load = self.price.load(self.now, free, &self.table.shape, &job.ask);
             let rate = self.table.limited_rate(&job.ask.excluded);
-            let limited = rate.map_or(0.0, |rate| self.price.limited_load(self.now, rate));
-            let load = reading.max(limited);
-            let others = if job.kept { 1.0 } else { 1.0 / (1.0 - load) };
-            let expected_ms = given.expected_ms * others;
-            job.kept = true;
-            if hopeless || expected_ms > job.due_ms(self.now) {
-                order.retain(|at| *at != given.at);
+            let limit_load = rate.map_or(0.0, |rate| self.price.limited_load(self.now, rate));
+            let load = prefill_load.max(limit_load);
+            let load_factor = if job.admitted_late { 1.0 } else { 1.0 / (1.0 - load) };
+            let expected_ms = displaced.expected_ms * load_factor;
+            job.admitted_late = true;
+            if was_late || expected_ms > job.due_ms(self.now) {
+                order.retain(|index| *index != displaced.index);
                 let refusal = self.refuse(&job.ask, expected_ms);
                 answers.push(engine_place::PlaceAnswer::Refuse(refusal));
             }
@@ -100,29 +104,30 @@
 
     fn book_all(
         &self,
-        timetable: &mut timetable::ReadTimetable<'_>,
+        timetable: &mut timetable::PrefillTimetable<'_>,
         jobs: &[&mut waiting_job::WaitingJob],
         order: &[usize],
-    ) -> Result<Vec<engine_place::PlaceAnswer>, GivenUp> {
+    ) -> Result<Vec<engine_place::PlaceAnswer>, DisplacedPrompt> {
         let mut grants = Vec::new();
         let mut booked = Vec::new();
-        for at in order {
-            let job = &jobs[*at];
-            let Some(PossibleRead { booking, allowed }) = self.best_read(timetable, job) else {
+        for index in order {
+            let job = &jobs[*index];
+            let Some(PrefillCandidate { booking, allowed }) = self.best_prefill(timetable, job)
+            else {
                 continue;
             };
             if !timetable.can_hold(&job.ask) && !job.ask.resumed {
-                // Nobody else's giving way would help.
-                return Err(GivenUp { at: *at, expected_ms: f64::INFINITY });
+                // Displacing another prompt would not help.
+                return Err(DisplacedPrompt { index: *index, expected_ms: f64::INFINITY });
             }
             let missed = booking.first_ms > job.due_ms(self.now) && !job.ask.resumed;
             if !missed && !allowed {
-                // It waits until it delays no other request.
+                // It waits for a start that costs others less.
                 continue;
             }
-            booked.push(GivenUp { at: *at, expected_ms: booking.first_ms });
+            booked.push(DisplacedPrompt { index: *index, expected_ms: booking.first_ms });
             if missed {
-                return Err(self.give_way(jobs, booked));
+                return Err(self.pick_displaced(jobs, booked));
             }
             let granted = if booking.starts_now() || job.ask.resumed && booking.has_permit() {
                 timetable.grant(job, &booking, job.waited_ms(self.now), job.ask.resumed)
@@ -135,51 +140,62 @@
         Ok(grants)
     }
 
-    /// The best reading that is in time and costs others less than what is at stake; else the one
-    /// that shows how late it would be.
-    fn best_read(
+    /// Returns the best prefill, in this order of preference:
+    ///
+    /// 1. one that is in time and costs other requests nothing,
+    /// 2. one that is in time and costs them less than the allowed fraction of the prompt's own loss,
+    /// 3. a late one that costs them nothing,
+    /// 4. any other, which must not start and only serves to estimate the first token.
+    ///
+    /// A resumed request may always start.
+    fn best_prefill(
         &self,
-        timetable: &timetable::ReadTimetable<'_>,
+        timetable: &timetable::PrefillTimetable<'_>,
         job: &waiting_job::WaitingJob,
-    ) -> Option<PossibleRead> {
-        let forced = || timetable.soonest(&job.ask, f64::INFINITY);
+    ) -> Option<PrefillCandidate> {
+        let forced = || timetable.cheapest(&job.ask, f64::INFINITY);
         if job.ask.resumed {
-            return forced().map(|booking| PossibleRead { booking, allowed: true });
+            return forced().map(|booking| PrefillCandidate { booking, allowed: true });
         }
         let due = job.due_ms(self.now);
-        let in_time = |read: &timetable::ReadBooking| read.first_ms <= due;
-        let calm = timetable.soonest(&job.ask, 0.0);
-        if calm.as_ref().is_some_and(in_time) {
-            return calm.map(|booking| PossibleRead { booking, allowed: true });
+        let in_time = |read: &timetable::PrefillBooking| read.first_ms <= due;
+        let lossless = timetable.cheapest(&job.ask, 0.0);
+        if lossless.as_ref().is_some_and(in_time) {
+            return lossless.map(|booking| PrefillCandidate { booking, allowed: true });
         }
-        let part = if job.late { LATE_HARM_PART } else { HARM_PART };
-        let harmful = timetable.soonest(&job.ask, job.stake() * part);
-        if let Some(booking) = harmful.filter(in_time).or(calm) {
-            return Some(PossibleRead { booking, allowed: true });
+        let part = if job.late { LATE_MAX_LOSS_FRACTION } else { MAX_LOSS_FRACTION };
+        let lossy = timetable.cheapest(&job.ask, job.loss_if_missed() * part);
+        if let Some(booking) = lossy.filter(in_time).or(lossless) {
+            return Some(PrefillCandidate { booking, allowed: true });
         }
-        forced().map(|booking| PossibleRead { booking, allowed: false })
+        forced().map(|booking| PrefillCandidate { booking, allowed: false })
     }
 
-    /// Of prompts that cannot all be in time, the one whose engine time earns least, of equal ones the one that has
-    /// waited least; the last of `booked` is the one that missed.
-    fn give_way(&self, jobs: &[&mut waiting_job::WaitingJob], mut booked: Vec<GivenUp>) -> GivenUp {
-        let density = |row: &GivenUp| {
-            let job = &jobs[row.at];
-            job.stake() / pass_model::read_ms(&self.table.shape, job.ask.prompt)
+    /// Picks the prompt to displace: the one with the lowest value per engine time, and among equals the newest.
+    ///
+    /// The last of `booked` is the one that misses its due time.
+    fn pick_displaced(
+        &self,
+        jobs: &[&mut waiting_job::WaitingJob],
+        mut booked: Vec<DisplacedPrompt>,
+    ) -> DisplacedPrompt {
+        let density = |row: &DisplacedPrompt| {
+            let job = &jobs[row.index];
+            job.loss_if_missed() / pass_model::prefill_ms(&self.table.shape, job.ask.prompt)
         };
-        let worst = (0..booked.len()).filter(|at| !jobs[booked[*at].at].ask.resumed).min_by(
-            |left, right| {
-                let since = |at: usize| jobs[booked[at].at].since;
-                let earns = density(&booked[*left]).total_cmp(&density(&booked[*right]));
-                earns.then(since(*right).cmp(&since(*left)))
-            },
-        );
+        let worst = (0..booked.len())
+            .filter(|index| !jobs[booked[*index].index].ask.resumed)
+            .min_by(|left, right| {
+                let since = |index: usize| jobs[booked[index].index].since;
+                let by_density = density(&booked[*left]).total_cmp(&density(&booked[*right]));
+                by_density.then(since(*right).cmp(&since(*left)))
+            });
         booked.swap_remove(worst.unwrap_or(booked.len() - 1))
     }
 
-    /// Refuses a request: it may come back when there is room for it.
+    /// Builds a refusal with a retry delay of about the expected time to the first token.
     fn refuse(&self, ask: &engine_place::PlaceAsk, expected_ms: f64) -> engine_place::PlaceRefusal {
-        let back_after_ms = expected_ms.clamp(BACK_AFTER_MS.0, BACK_AFTER_MS.1);
+        let back_after_ms = expected_ms.clamp(RETRY_AFTER_RANGE_MS.0, RETRY_AFTER_RANGE_MS.1);
         let expected_ms = Some(expected_ms).filter(|expected| expected.is_finite());
         self.table.refusal(ask.job, back_after_ms, expected_ms)
     }
--- a/crates/core/src/planner/plain_choice.rs
+++ b/crates/core/src/planner/baseline_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a plain router, to compare with: one engine, at once, without helpers.
+//! Baseline routing policies for comparison: each picks one engine at once, without helpers.
 
 use crate::{
     engine_place, pass_model,
@@ -6,7 +6,7 @@
     route_table, settings, units,
 };
 
-/// The engine that a plain router takes; `None` where there is none.
+/// Grants the engine that a baseline policy picks; `None` if no engine may be used.
 pub(crate) fn choose(
     shape: &route_table::EngineShape,
     routing: settings::RoutingKind,
@@ -25,7 +25,7 @@
     let turn = job.ask.job.sequence as usize % usable.len().max(1);
     let (before, behind) = usable.split_at(turn);
     let engine = behind.iter().chain(before).copied().min_by_key(load)?;
-    let part = pass_model::read_ms(shape, job.ask.prompt);
+    let part = pass_model::prefill_ms(shape, job.ask.prompt);
     Some(engine_place::PlaceGrant {
         job: job.ask.job,
         engine: engine.name.clone(),
--- a/crates/core/src/planner/place_table/figures.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -1,4 +1,4 @@
-//! What the planner reads off the places in use: how many there are, what each engine does, when there is room.
+//! Queries on the place table: slots in use, snapshots of the engines, and expected release times.
 
 use crate::{
     engine_place, ids, pass_model,
@@ -6,30 +6,31 @@
     units,
 };
 
-/// Reading left at least on an engine that reads a long prompt until its first token is out,
-/// milliseconds. Engines put parts that come later first: where one was sent by plan just before the
-/// part before it had been read, the earlier prompt would come later by the whole of it.
-const MIN_UNREAD_MS: f64 = 50.0;
-/// Time overdue beyond which a first token is not waited for, milliseconds: another engine of the
-/// same prompt has failed.
+/// Least remaining prefill time assumed for an engine that works on a long prompt, until its first token is sent,
+/// milliseconds. Engines run newer parts first, so a part sent just before the previous one is complete would delay
+/// the earlier prompt by its whole length.
+const MIN_PREFILL_LEFT_MS: f64 = 50.0;
+/// How long a first token may be overdue before the engine no longer counts as working on it, milliseconds. Another
+/// engine of the same prompt has then failed.
 const MAX_OVERDUE_MS: f64 = 500.0;
 
 impl place_table::PlaceTable {
-    /// Requests that an engine answers.
+    /// Number of requests that an engine answers.
     pub(crate) fn running_on(&self, engine: &ids::UpstreamId) -> usize {
         self.engines.get(engine).map_or(0, |engine| engine.answering.len())
     }
 
-    /// Requests that engines answer and could answer at once, of engines that are not `excluded`.
-    pub(crate) fn taken(&self, excluded: &[ids::UpstreamId]) -> (usize, usize) {
+    /// Number of slots in use and of usable slots, over the engines that are not `excluded`.
+    pub(crate) fn used_slots(&self, excluded: &[ids::UpstreamId]) -> (usize, usize) {
         let open = self.engines.iter().filter(|(name, _)| !excluded.contains(name));
-        let counts = open.map(|(name, engine)| (engine.answering.len(), self.places(name, engine)));
+        let counts =
+            open.map(|(name, engine)| (engine.answering.len(), self.usable_slots(name, engine)));
         counts.fold((0, 0), |(running, slots), one| (running + one.0, slots + one.1))
     }
 
-    /// Requests that an engine could answer at once: as many as come to it within one answer where it has a limit, as
-    /// its other places may not be used.
-    fn places(&self, name: &ids::UpstreamId, engine: &engine_work::EngineWork) -> usize {
+    /// Number of requests that an engine can answer concurrently. With a rate limit, this is the number that the
+    /// limit admits within the duration of one answer.
+    fn usable_slots(&self, name: &ids::UpstreamId, engine: &engine_work::EngineWork) -> usize {
         let answering = engine.answering.len();
         let Some(rate) = self.limits.rate(name) else {
             return self.shape.slots;
@@ -38,27 +39,27 @@
         within.clamp(answering.min(self.shape.slots), self.shape.slots)
     }
 
-    /// Time until the first limit lets another request through, milliseconds.
-    pub(crate) fn soonest_permit_ms(&self, now: units::MonoTime) -> f64 {
+    /// Time until the rate limit of any engine permits another request, milliseconds.
+    pub(crate) fn next_permit_ms(&self, now: units::MonoTime) -> f64 {
         let times = self.engines.keys().map(|name| self.limits.times(now, name).wait_ms);
         times.fold(f64::INFINITY, f64::min)
     }
 
-    /// Requests a second that limits let through to engines that are not `excluded`; nothing while one of these has no
+    /// Summed rate limits of the engines that are not `excluded`, requests per second; `None` if one of them has no
     /// limit.
     pub(crate) fn limited_rate(&self, excluded: &[ids::UpstreamId]) -> Option<f64> {
         let open = self.engines.keys().filter(|name| !excluded.contains(name));
         open.map(|name| self.limits.rate(name)).sum()
     }
 
-    /// A refusal with the number of places taken.
+    /// Builds a refusal that states how many slots are in use.
     pub(crate) fn refusal(
         &self,
         job: engine_place::JobId,
         back_after_ms: f64,
         expected_ms: Option<f64>,
     ) -> engine_place::PlaceRefusal {
-        let (running, slots) = self.taken(&[]);
+        let (running, slots) = self.used_slots(&[]);
         engine_place::PlaceRefusal {
             job,
             back_after_ms: back_after_ms as u32,
@@ -68,10 +69,10 @@
         }
     }
 
-    /// The engines' work, one short text for each that is not idle, for the log.
+    /// Describes the engines that are not idle, for the log.
     pub(crate) fn summary(&self, now: units::MonoTime) -> String {
         let row = |(name, engine): (&ids::UpstreamId, &engine_work::EngineWork)| {
-            let pending = engine.unread_ms();
+            let pending = engine.prefill_left_ms();
             let ejected = if engine.is_ejected(now, self.engine_faults) { " ejected" } else { "" };
             format!(
                 "{name}: {} running, {pending:.0} ms to read, {} tokens, pace {:.1}{ejected}",
@@ -87,7 +88,7 @@
         rows.join("; ")
     }
 
-    /// All engines as they are now.
+    /// Snapshots of all engines.
     pub(crate) fn views(&self, now: units::MonoTime) -> Vec<engine_view::EngineView<'_>> {
         self.engines.iter().map(|(name, engine)| self.view(now, name, engine)).collect()
     }
@@ -99,20 +100,20 @@
         engine: &engine_work::EngineWork,
     ) -> engine_view::EngineView<'a> {
         let asks = engine.answering.iter().filter_map(|job| self.jobs.get(job));
-        let (mut context, mut pause_ms, mut worth) = (0, f64::INFINITY, 0.0);
-        let (mut tight, mut unread) = (0, 0);
+        let (mut context, mut pause_goal_ms, mut worth) = (0, f64::INFINITY, 0.0);
+        let (mut tight, mut prefilling) = (0, 0);
         for state in asks {
             let ask = &state.lease.ask;
             context += place_table::context_of(&state.lease);
-            pause_ms = pause_ms.min(f64::from(ask.pause_ms));
+            pause_goal_ms = pause_goal_ms.min(f64::from(ask.pause_ms));
             worth += f64::from(ask.worth);
             tight += usize::from(ask.tight);
-            unread += usize::from(ask.tight && state.lease.reading);
+            prefilling += usize::from(ask.tight && state.lease.reading);
         }
         if engine.foreign > 0 {
-            // What another planner's requests bear is not known: taken for short ones, they are not
-            // kept waiting by a long part.
-            pause_ms = pause_ms.min(self.tightest_ms);
+            // The pause goals of another planner's requests are unknown. They are treated as short requests, so that
+            // long prefills do not delay them.
+            pause_goal_ms = pause_goal_ms.min(self.min_pause_goal_ms);
             worth += engine.foreign as f64;
         }
         let answering = engine.answering.len() + engine.foreign;
@@ -123,13 +124,13 @@
             ejected: engine.is_ejected(now, self.engine_faults),
             wait_ms: engine.wait_ms(now),
             pending_ms: engine.pending_ms(),
-            unread_ms: engine.unread_ms().max(self.unconfirmed_ms(now, engine)),
+            prefill_left_ms: engine.prefill_left_ms().max(self.unconfirmed_ms(now, engine)),
             steps_ms: pass_model::steps_ms(&self.shape, answering, context),
-            pause_ms,
+            pause_goal_ms,
             worth,
             tight,
             foreign: engine.foreign,
-            unread,
+            prefilling,
             answering,
             free: engine.memory.saturating_sub(engine.used),
             pace: engine.pace,
@@ -137,22 +138,23 @@
         }
     }
 
-    /// Mean time until one of those who write with tight pauses has ended, milliseconds; endless
-    /// where nobody does.
-    pub(crate) fn slot_ms(&self) -> f64 {
+    /// Mean time until a decoding request with tight pause goals ends and releases its slot, milliseconds; infinite
+    /// if there is none.
+    pub(crate) fn mean_slot_release_ms(&self) -> f64 {
         let writing = self.jobs.values().filter(|state| state.lease.ask.tight);
-        let writing = writing.filter(|state| state.writing_since.is_some()).count();
+        let writing = writing.filter(|state| state.first_token_at.is_some()).count();
         self.answer_ms / writing as f64
     }
 
-    /// Time until the long prompts that are read here are known to have been read, milliseconds.
+    /// Time until the first tokens of the long prompts on this engine are expected, milliseconds: only these confirm
+    /// that its prefill is complete.
     fn unconfirmed_ms(&self, now: units::MonoTime, engine: &engine_work::EngineWork) -> f64 {
         engine
             .expected
             .iter()
             .filter(|(job, _)| self.jobs.get(job).is_some_and(|state| !state.lease.ask.tight))
             .filter(|(_, due)| now.since(**due).as_secs_f64() * 1_000.0 <= MAX_OVERDUE_MS)
-            .map(|(_, due)| (due.since(now).as_secs_f64() * 1_000.0).max(MIN_UNREAD_MS))
+            .map(|(_, due)| (due.since(now).as_secs_f64() * 1_000.0).max(MIN_PREFILL_LEFT_MS))
             .fold(0.0, f64::max)
     }
 }
--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -1,5 +1,5 @@
-//! Which engine reads a short prompt: shorts are packed onto few engines, so that others stay free
-//! of writers whose pauses are tight.
+//! Choice of the engine for a short prompt. Short requests are packed onto few engines, so that the others have no
+//! decoding requests with tight pause goals and stay free for long prompts.
 
 use crate::{
     engine_place, pass_model,
@@ -7,52 +7,52 @@
     route_table, units,
 };
 
-/// Part of a short goal that a plan may use on the engine.
-const GOAL_PART: f64 = 0.75;
-/// Part of a short goal within which a sooner start earns nothing.
-const EASY_PART: f64 = 0.55;
-/// Losses by which short requests are ordered onto engines, in shares of one's worth: for each
-/// writer missing to the packing, for each beyond it, for each long one beside, for a pause that
-/// is too long already, for an engine without a free slot.
+/// Fraction of the first-token goal of a short request that the planned time on the engine may take.
+const GOAL_FRACTION: f64 = 0.75;
+/// Fraction of the first-token goal of a short request below which an earlier first token has no benefit.
+const NO_LOSS_GOAL_FRACTION: f64 = 0.55;
+/// Loss for each request that an engine lacks to its packing target.
+///
+/// All losses are fractions of a short request's worth; the engine with the smallest sum is chosen.
 const PACK_LOSS: f64 = 0.004;
-/// See [`PACK_LOSS`].
-const CROWD_LOSS: f64 = 0.02;
-/// See [`PACK_LOSS`].
-const BESIDE_LOSS: f64 = 0.03;
-/// See [`PACK_LOSS`]; for each request of another planner. Two that fill the same engine see each
-/// other's only when these have begun to write, so each keeps to engines of its own while it can.
+/// Loss for each request beyond the packing target.
+const OVERPACKED_LOSS: f64 = 0.02;
+/// Loss for each long request on the same engine.
+const LONG_NEIGHBOR_LOSS: f64 = 0.03;
+/// Loss for each request of another planner. Two planners see each other's requests only once these are decoding, so
+/// each prefers engines that the other does not use.
 const FOREIGN_LOSS: f64 = 0.02;
-/// See [`PACK_LOSS`].
-const PAUSED_LOSS: f64 = 0.5;
-/// See [`PACK_LOSS`].
+/// Loss if the pass that prefills the prompt would exceed the pause limit.
+const LONG_PASS_LOSS: f64 = 0.5;
+/// Loss if the engine has no free slot.
 const FULL_LOSS: f64 = 1.0;
-/// Loss for each time that an engine is slower than its figures: it may get slower still.
+/// Loss for each unit by which the engine's pace exceeds 1, as it may become even slower.
 const PACE_LOSS: f64 = 0.05;
 
-/// How a choice among engines is weighed.
+/// Parameters of the choice among engines.
 pub(crate) struct ShortChoice<'a> {
     pub(crate) shape: &'a route_table::EngineShape,
-    /// Writers with tight pauses that an engine is filled up to before the next one is used, where
-    /// they are packed.
-    pub(crate) packed_writers: Option<usize>,
+    /// Packing target: requests with tight pause goals that an engine gets before the next one is used; `None`
+    /// without packing.
+    pub(crate) packing_target: Option<usize>,
 }
 
 impl ShortChoice<'_> {
-    /// The engine that loses least; with `calm` only one that is in time and delays no other request.
+    /// Grants the engine with the smallest loss; with `strict`, only one that meets all limits.
     pub(crate) fn choose(
         &self,
         now: units::MonoTime,
         job: &waiting_job::WaitingJob,
         views: &[engine_view::EngineView<'_>],
-        calm: bool,
+        strict: bool,
     ) -> Option<engine_place::PlaceGrant> {
-        let part = pass_model::read_ms(self.shape, job.ask.prompt);
+        let part = pass_model::prefill_ms(self.shape, job.ask.prompt);
         let usable = engine_view::usable(views, &job.ask);
         let engine = usable
             .into_iter()
             .map(|at| &views[at])
             .filter(|view| view.has_permit())
-            .filter(|view| !calm || self.is_calm(view, &job.ask, part))
+            .filter(|view| !strict || self.meets_limits(view, &job.ask, part))
             .min_by(|left, right| {
                 let loss = self.loss(left, &job.ask, part);
                 loss.total_cmp(&self.loss(right, &job.ask, part)).then(left.rank.cmp(&right.rank))
@@ -67,8 +67,8 @@
         })
     }
 
-    /// Whether an engine can read a prompt at once without delaying other requests.
-    fn is_calm(
+    /// Whether an engine has a free slot and can prefill a prompt in time without breaking any pause limit.
+    fn meets_limits(
         &self,
         view: &engine_view::EngineView<'_>,
         ask: &engine_place::PlaceAsk,
@@ -76,12 +76,12 @@
     ) -> bool {
         let pass = (view.steps_ms + view.pending_ms + part) * view.pace;
         view.answering < self.shape.slots
-            && pass <= f64::from(ask.pause_ms) * engine_view::PAUSE_PART
-            && view.first_ms(part) <= f64::from(ask.goal_ms) * GOAL_PART
-            && view.harm(part) <= 0.0
+            && pass <= f64::from(ask.pause_ms) * engine_view::PAUSE_FRACTION
+            && view.first_ms(part) <= f64::from(ask.goal_ms) * GOAL_FRACTION
+            && view.pause_loss(part) <= 0.0
     }
 
-    /// Cost of reading a prompt on an engine, in shares of a short one's worth.
+    /// Loss caused by placing a prompt on an engine, as a fraction of a short request's worth.
     fn loss(
         &self,
         view: &engine_view::EngineView<'_>,
@@ -89,20 +89,28 @@
         part: f64,
     ) -> f64 {
         let wait = (view.pending_ms + view.steps_ms + part) * view.pace;
-        let full = if view.answering >= self.shape.slots { FULL_LOSS } else { 0.0 };
-        let pause_limit = f64::from(ask.pause_ms) * engine_view::PAUSE_PART;
-        let paused = if wait > pause_limit { PAUSED_LOSS } else { 0.0 };
-        let fill = match self.packed_writers {
+        let full_loss = if view.answering >= self.shape.slots { FULL_LOSS } else { 0.0 };
+        let pause_limit = f64::from(ask.pause_ms) * engine_view::PAUSE_FRACTION;
+        let long_pass_loss = if wait > pause_limit { LONG_PASS_LOSS } else { 0.0 };
+        let packing_loss = match self.packing_target {
             Some(packed) if view.tight < packed => (packed - view.tight) as f64 * PACK_LOSS,
-            Some(packed) => (view.tight - packed) as f64 * CROWD_LOSS,
+            Some(packed) => (view.tight - packed) as f64 * OVERPACKED_LOSS,
             None => 0.0,
         };
         let foreign = view.foreign as f64 * FOREIGN_LOSS;
-        let beside = (view.answering - view.tight - view.foreign) as f64 * BESIDE_LOSS;
-        // Time that the goal leaves anyway costs nothing.
-        let easy = f64::from(ask.goal_ms) * EASY_PART;
-        let slow = (view.first_ms(part) - easy).max(0.0) / 1_000.0;
+        let neighbor_loss =
+            (view.answering - view.tight - view.foreign) as f64 * LONG_NEIGHBOR_LOSS;
+        // A first token within this time has no cost.
+        let goal_without_loss = f64::from(ask.goal_ms) * NO_LOSS_GOAL_FRACTION;
+        let delay_loss = (view.first_ms(part) - goal_without_loss).max(0.0) / 1_000.0;
         let pace = (view.pace - 1.0).max(0.0) * PACE_LOSS;
-        view.harm(part) + slow + full + paused + fill + foreign + beside + pace
+        view.pause_loss(part)
+            + delay_loss
+            + full_loss
+            + long_pass_loss
+            + packing_loss
+            + foreign
+            + neighbor_loss
+            + pace
     }
 }
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -1,7 +1,7 @@
-//! When long prompts are read, and by which engines: reading is booked on the engines one prompt
-//! after the other, each in even parts, so that its first token comes soonest.
+//! Timetable for the prefill of long prompts. Prompts are booked one after the other, each split into equal parts on
+//! one or more engines at the lowest cost.
 //!
-//! What is booked and has not begun is booked anew at each look, from what the engines do then.
+//! Bookings that have not started are discarded and computed anew in each planning round.
 
 use crate::{
     engine_place, pass_model,
@@ -9,84 +9,87 @@
     route_table,
 };
 
-/// Numbers of parts that are compared.
+/// Numbers of parts that are tried.
 const PART_COUNTS: [usize; 11] = [1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 17];
-/// Shortest part that is worth a helper, milliseconds.
+/// Shortest part that is sent to a helper, milliseconds.
 const MIN_PART_MS: f64 = 20.0;
-/// What a part costs its engine beside its reading: a pass that plays the steps of those that write
-/// there, and the wait for the message that it is read. With less, prompts are cut finer than it pays.
+/// Engine time lost per part in addition to its prefill, milliseconds: a pass with the decode steps of other
+/// requests, and the wait for the message that the part is complete. With a lower value, prompts are split into
+/// too many parts.
 const PART_COST_MS: f64 = 60.0;
-/// Reading that may still wait on an engine when a part is sent there, milliseconds: about the time
-/// that the request takes to get there. Engines with a long part are out until it is known to be read.
+/// Prefill that an engine may still have left when a part is sent to it, milliseconds: about the time that the
+/// request takes to arrive. An engine with a long part gets no other until that part is known to be complete.
 const MAX_STACKED_MS: f64 = 40.0;
-/// Parts up to this length may be read before a short prompt that waits on the same engine.
+/// Longest part that may run on an engine with a short prompt that is not yet prefilled, milliseconds.
 const SHORT_PART_MS: f64 = 60.0;
-/// A prompt that leaves its engine less than this part of the memory is held by several.
-const ALONE_PART: f64 = 0.85;
-/// Largest part of an engine's free memory that is set aside for a prompt answered elsewhere.
-const HELD_PART: f64 = 0.9;
-/// Tokens below which setting memory aside is not worth an order.
+/// Largest fraction of an engine's memory that one prompt and its answer may take; larger prompts are held by several
+/// engines.
+const SINGLE_HOST_FRACTION: f64 = 0.85;
+/// Largest fraction of an engine's free memory that is reserved for a prompt answered by another engine.
+const MAX_HELD_FRACTION: f64 = 0.9;
+/// Smallest memory reservation on another engine, tokens; less is not worth a message.
 const MIN_HELD_TOKENS: u64 = 4_096;
-/// Cost of an engine without writers as the one that answers, in short writers.
-const FRESH_HOST: f64 = 0.5;
-/// Reading that waits there and weighs as much as one short writer, milliseconds.
-const HOST_PENDING_MS: f64 = 100.0;
-/// Cost of an engine for each request with tight pauses there, milliseconds of delay.
+/// Cost of letting an engine without any requests answer, in units of one latency-sensitive request on it.
+const FRESH_HOST_COST: f64 = 0.5;
+/// Remaining prefill that costs as much as one latency-sensitive request when the answering engine is chosen,
+/// milliseconds.
+const PENDING_MS_PER_REQUEST: f64 = 100.0;
+/// Cost of an engine for each latency-sensitive request on it, milliseconds of delay.
 const TIGHT_COST_MS: f64 = 20.0;
 
-/// Reading booked for one prompt.
+/// The prefill booked for one prompt.
 #[derive(Debug, Clone)]
-pub(crate) struct ReadBooking {
-    /// The engines, by their places in the timetable.
+pub(crate) struct PrefillBooking {
+    /// Indices of its engines in the timetable.
     pub(crate) engines: Vec<usize>,
-    /// Time until the last of them has read what it has by now, milliseconds.
+    /// Time until all of its engines can start, milliseconds.
     pub(crate) start_ms: f64,
-    /// Time until the limits of all of them let it through, milliseconds.
+    /// Time until the rate limits of all its engines permit it, milliseconds.
     permit_ms: f64,
     /// Time until the first token, milliseconds.
     pub(crate) first_ms: f64,
-    /// That time, and what later ones lose by it, milliseconds.
+    /// Cost: the time to the first token plus the delay of later prompts, milliseconds.
     pub(crate) cost_ms: f64,
 }
 
-impl ReadBooking {
-    /// Whether it can be sent now.
+impl PrefillBooking {
+    /// Whether it can be sent to its engines now.
     pub(crate) fn starts_now(&self) -> bool {
         self.start_ms <= MAX_STACKED_MS && self.has_permit()
     }
 
-    /// Whether the limits of all its engines let it through now.
+    /// Whether the rate limits of all its engines permit it now.
     pub(crate) fn has_permit(&self) -> bool {
         self.permit_ms <= 0.0
     }
 }
 
-/// A part that one engine might read.
-struct ReadingRow {
-    /// The engine's place in the timetable.
-    at: usize,
-    /// Worth that others lose by pauses there.
-    harm: f64,
-    /// Time until the part may begin, milliseconds.
+/// An engine considered for one part of a prompt.
+struct PartCandidate {
+    /// Index of the engine in the timetable.
+    index: usize,
+    /// Worth that other requests lose by the pause there.
+    pause_loss: f64,
+    /// Time until the part may start, milliseconds.
     start_ms: f64,
-    /// Time until it has been read, milliseconds.
+    /// Time until the part is complete, milliseconds.
     first_ms: f64,
-    /// Cost of the engine, milliseconds of delay.
+    /// Cost of using the engine, milliseconds of delay.
     cost_ms: f64,
 }
 
-/// The engines with what is booked on them.
-pub(crate) struct ReadTimetable<'a> {
+/// Snapshots of the engines with the bookings made on them.
+pub(crate) struct PrefillTimetable<'a> {
     shape: &'a route_table::EngineShape,
     views: Vec<engine_view::EngineView<'a>>,
-    /// Prompts that wait for engine time.
+    /// Number of prompts that wait for engine time.
     waiting: usize,
     /// Engine time that earns as much as one short request, milliseconds.
     ms_per_worth: f64,
 }
 
-impl<'a> ReadTimetable<'a> {
-    /// A timetable of engines as they are now, for a number of prompts.
+impl<'a> PrefillTimetable<'a> {
+    /// Creates a timetable without bookings for `waiting` prompts.
     pub(crate) fn new(
         shape: &'a route_table::EngineShape,
         views: Vec<engine_view::EngineView<'a>>,
@@ -96,21 +99,21 @@
         Self { shape, views, waiting, ms_per_worth }
     }
 
-    /// The cheapest reading of a prompt after all that is booked, at most this much worth
-    /// lost by others; `None` where no engine may be used.
-    pub(crate) fn soonest(
+    /// The cheapest prefill of a prompt after all bookings that costs other requests at most `max_loss` worth; `None`
+    /// if there is none.
+    pub(crate) fn cheapest(
         &self,
         ask: &engine_place::PlaceAsk,
-        max_harm: f64,
-    ) -> Option<ReadBooking> {
+        max_loss: f64,
+    ) -> Option<PrefillBooking> {
         let usable = engine_view::usable(&self.views, ask);
         let most = usable.len().min(engine_place::MAX_HELPERS + 1);
-        let whole = pass_model::read_ms(self.shape, ask.prompt);
+        let whole = pass_model::prefill_ms(self.shape, ask.prompt);
         PART_COUNTS
             .iter()
             .filter(|parts| **parts <= most)
             .filter(|parts| **parts == 1 || whole / **parts as f64 >= MIN_PART_MS)
-            .filter_map(|parts| self.in_parts(&usable, whole / *parts as f64, *parts, max_harm))
+            .filter_map(|parts| self.split_into(&usable, whole / *parts as f64, *parts, max_loss))
             .min_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms))
     }
 
@@ -118,100 +121,109 @@
     pub(crate) fn can_hold(&self, ask: &engine_place::PlaceAsk) -> bool {
         let engines =
             engine_view::usable(&self.views, ask).len().min(engine_place::MAX_HELPERS + 1);
-        let others = engines.saturating_sub(1) as f64 * HELD_PART;
-        (ask.prompt + ask.output) as f64 <= self.capacity() * (ALONE_PART + others)
+        let others = engines.saturating_sub(1) as f64 * MAX_HELD_FRACTION;
+        (ask.prompt + ask.output) as f64 <= self.capacity() * (SINGLE_HOST_FRACTION + others)
     }
 
-    /// Tokens of one engine's memory that are given away.
+    /// Tokens of one engine's memory that the planner assigns.
     fn capacity(&self) -> f64 {
-        self.shape.memory.0 as f64 * place_table::MEMORY_PART
+        self.shape.memory.0 as f64 * place_table::MEMORY_FRACTION
     }
 
-    /// The best reading in this number of parts.
-    fn in_parts(
+    /// The cheapest prefill in `parts` parts of `part` milliseconds each.
+    fn split_into(
         &self,
         usable: &[usize],
         part: f64,
         parts: usize,
-        max_harm: f64,
-    ) -> Option<ReadBooking> {
-        let mut rows: Vec<_> = usable
+        max_loss: f64,
+    ) -> Option<PrefillBooking> {
+        let mut candidates: Vec<_> = usable
             .iter()
-            .filter(|at| part <= SHORT_PART_MS || self.views[**at].unread == 0)
-            .filter(|at| self.views[**at].permit.wait_ms.is_finite())
-            .map(|at| self.reading_row(*at, part))
-            .filter(|row| row.harm <= max_harm)
+            .filter(|index| part <= SHORT_PART_MS || self.views[**index].prefilling == 0)
+            .filter(|index| self.views[**index].permit.wait_ms.is_finite())
+            .map(|index| self.part_candidate(*index, part))
+            .filter(|candidate| candidate.pause_loss <= max_loss)
             .collect();
-        if rows.len() < parts {
+        if candidates.len() < parts {
             return None;
         }
-        rows.sort_by(|left, right| {
-            let rank = || self.views[left.at].rank.cmp(&self.views[right.at].rank);
+        candidates.sort_by(|left, right| {
+            let rank = || self.views[left.index].rank.cmp(&self.views[right.index].rank);
             left.cost_ms.total_cmp(&right.cost_ms).then_with(rank)
         });
-        rows.truncate(parts);
-        let harm: f64 = rows.iter().map(|row| row.harm).sum();
-        if harm > max_harm {
+        candidates.truncate(parts);
+        let pause_loss: f64 = candidates.iter().map(|candidate| candidate.pause_loss).sum();
+        if pause_loss > max_loss {
             return None;
         }
-        let start_ms = rows.iter().map(|row| row.start_ms).fold(0.0, f64::max);
-        let permit_ms =
-            rows.iter().map(|row| self.views[row.at].permit.wait_ms).fold(0.0, f64::max);
-        let first_ms = rows
+        let start_ms = candidates.iter().map(|candidate| candidate.start_ms).fold(0.0, f64::max);
+        let permit_ms = candidates
             .iter()
-            .map(|row| row.first_ms.max(start_ms + self.views[row.at].own_ms(part)))
+            .map(|candidate| self.views[candidate.index].permit.wait_ms)
             .fold(0.0, f64::max);
-        let taken: f64 = rows.iter().map(|row| first_ms - row.start_ms - part + PART_COST_MS).sum();
+        let first_ms = candidates
+            .iter()
+            .map(|candidate| {
+                candidate.first_ms.max(start_ms + self.views[candidate.index].own_ms(part))
+            })
+            .fold(0.0, f64::max);
+        let overhead_ms: f64 = candidates
+            .iter()
+            .map(|candidate| first_ms - candidate.start_ms - part + PART_COST_MS)
+            .sum();
         let behind = (1 + self.waiting) as f64 / self.views.len() as f64;
-        let cost_ms = first_ms + (taken + harm * self.ms_per_worth) * behind;
-        let engines = rows.iter().map(|row| row.at).collect();
-        Some(ReadBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
+        let cost_ms = first_ms + (overhead_ms + pause_loss * self.ms_per_worth) * behind;
+        let engines = candidates.iter().map(|candidate| candidate.index).collect();
+        Some(PrefillBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
     }
 
-    /// A part read on one engine: when it may begin there, and its cost.
-    fn reading_row(&self, at: usize, part: f64) -> ReadingRow {
-        let view = &self.views[at];
+    /// When a part of `part` milliseconds may start on an engine, and what it costs there.
+    fn part_candidate(&self, index: usize, part: f64) -> PartCandidate {
+        let view = &self.views[index];
         let own = view.own_ms(part);
-        let harm = view.harm(part);
-        let start_ms = (view.unread_ms * view.pace).max(view.permit.wait_ms);
+        let pause_loss = view.pause_loss(part);
+        let start_ms = (view.prefill_left_ms * view.pace).max(view.permit.wait_ms);
         let first_ms = view.first_ms(part).max(start_ms + own);
         let steps = if view.answering > 0 { view.steps_ms * view.pace } else { 0.0 };
         let passes = start_ms.max(view.wait_ms * view.pace) + steps;
-        let cost_ms = passes + view.sensitive() as f64 * TIGHT_COST_MS + harm * self.ms_per_worth;
-        ReadingRow { at, harm, start_ms, first_ms, cost_ms }
+        let cost_ms = passes
+            + view.latency_sensitive() as f64 * TIGHT_COST_MS
+            + pause_loss * self.ms_per_worth;
+        PartCandidate { index, pause_loss, start_ms, first_ms, cost_ms }
     }
 
-    /// Notes a reading as booked: what is asked for next comes after it.
-    pub(crate) fn book(&mut self, booking: &ReadBooking) {
-        for at in &booking.engines {
-            let view = &mut self.views[*at];
+    /// Records a booking: later ones on the same engines start after it.
+    pub(crate) fn book(&mut self, booking: &PrefillBooking) {
+        for index in &booking.engines {
+            let view = &mut self.views[*index];
             let until = booking.first_ms / view.pace;
             view.wait_ms = until;
             view.pending_ms = 0.0;
-            view.unread_ms = until;
+            view.prefill_left_ms = until;
             view.permit.wait_ms += view.permit.interval_ms;
         }
     }
 
-    /// The place of a reading that starts now; `None` where no engine has the room to answer.
+    /// Builds the grant for a booking that starts now; `None` if no engine has the capacity to answer.
     pub(crate) fn grant(
         &mut self,
         job: &waiting_job::WaitingJob,
-        booking: &ReadBooking,
+        booking: &PrefillBooking,
         waited_ms: f64,
         forced: bool,
     ) -> Option<engine_place::PlaceGrant> {
         let ask = &job.ask;
         let capacity = self.capacity() as u64;
-        let alone = (ask.prompt + ask.output) as f64 <= capacity as f64 * ALONE_PART;
-        let at = self.pick_host(ask, booking, alone, forced)?;
-        let held = if alone { Vec::new() } else { self.hold(ask, at, booking, capacity)? };
-        let set_aside: u64 = held.iter().map(|part| part.tokens).sum();
-        let host = &mut self.views[at];
+        let alone = (ask.prompt + ask.output) as f64 <= capacity as f64 * SINGLE_HOST_FRACTION;
+        let index = self.pick_host(ask, booking, alone, forced)?;
+        let held = if alone { Vec::new() } else { self.hold(ask, index, booking, capacity)? };
+        let reserved: u64 = held.iter().map(|part| part.tokens).sum();
+        let host = &mut self.views[index];
         host.answering += 1;
-        host.free = host.free.saturating_sub((ask.prompt + ask.output).saturating_sub(set_aside));
+        host.free = host.free.saturating_sub((ask.prompt + ask.output).saturating_sub(reserved));
         let engine = host.name.clone();
-        let others = booking.engines.iter().filter(|other| **other != at);
+        let others = booking.engines.iter().filter(|other| **other != index);
         Some(engine_place::PlaceGrant {
             job: ask.job,
             engine,
@@ -222,51 +234,53 @@
         })
     }
 
-    /// Of the engines that read a prompt, the one that answers.
+    /// Picks the engine that answers, among those that prefill the prompt.
     fn pick_host(
         &self,
         ask: &engine_place::PlaceAsk,
-        booking: &ReadBooking,
+        booking: &PrefillBooking,
         alone: bool,
         forced: bool,
     ) -> Option<usize> {
         let need = ask.prompt + ask.output;
-        // Answers of long prompts are written side by side, so that few engines interrupt their
-        // reading for steps.
-        let cost = |at: usize| {
-            let view = &self.views[at];
-            let fresh = if view.answering == 0 { FRESH_HOST } else { 0.0 };
-            view.sensitive() as f64 + fresh + view.unread_ms / HOST_PENDING_MS
+        // Answers of long prompts are decoded together, so that fewer engines interrupt their prefill for decode
+        // steps.
+        let cost = |index: usize| {
+            let view = &self.views[index];
+            let fresh = if view.answering == 0 { FRESH_HOST_COST } else { 0.0 };
+            view.latency_sensitive() as f64 + fresh + view.prefill_left_ms / PENDING_MS_PER_REQUEST
         };
         let engines = || booking.engines.iter().copied();
         let free = engines()
-            .filter(|at| self.views[*at].answering < self.shape.slots)
-            .filter(|at| !alone || self.views[*at].free >= need)
+            .filter(|index| self.views[*index].answering < self.shape.slots)
+            .filter(|index| !alone || self.views[*index].free >= need)
             .min_by(|left, right| cost(*left).total_cmp(&cost(*right)));
-        // Without a free slot anywhere the engine's own queue takes it.
-        let queued = || engines().min_by_key(|at| self.views[*at].answering);
+        // Without a free slot, a forced request goes into an engine's own queue.
+        let queued = || engines().min_by_key(|index| self.views[*index].answering);
         free.or_else(|| if forced && alone { queued() } else { None })
     }
 
-    /// Memory on other engines for what the answering one has no room for.
+    /// Plans reservations on other engines for the tokens that do not fit on the answering one; `None` if the free
+    /// memory does not suffice.
     fn hold(
         &self,
         ask: &engine_place::PlaceAsk,
         host: usize,
-        booking: &ReadBooking,
+        booking: &PrefillBooking,
         capacity: u64,
     ) -> Option<Vec<engine_place::HeldPart>> {
-        let own = self.views[host].free.min((capacity as f64 * ALONE_PART) as u64);
+        let own = self.views[host].free.min((capacity as f64 * SINGLE_HOST_FRACTION) as u64);
         let mut left = (ask.prompt + ask.output).saturating_sub(own);
-        let others = booking.engines.iter().filter(|at| **at != host);
-        let mut others: Vec<_> = others.map(|at| &self.views[*at]).collect();
+        let others = booking.engines.iter().filter(|index| **index != host);
+        let mut others: Vec<_> = others.map(|index| &self.views[*index]).collect();
         others.sort_by_key(|view| std::cmp::Reverse(view.free));
         let mut held = Vec::new();
         for view in others {
             if left == 0 {
                 break;
             }
-            let tokens = left.min((view.free as f64 * HELD_PART) as u64).max(MIN_HELD_TOKENS);
+            let tokens =
+                left.min((view.free as f64 * MAX_HELD_FRACTION) as u64).max(MIN_HELD_TOKENS);
             if view.free < tokens {
                 continue;
             }
--- /dev/null
+++ b/crates/core/src/retry_schedule.rs
@@ -0,0 +1,37 @@
+//! Retry-After times for callers that rate limits keep from all upstreams of their service.
+
+use std::time;
+
+use rand::RngExt as _;
+
+use crate::units;
+
+/// Fraction of the permitted rate that is reserved for retries; the rest is for first attempts, which can still be in
+/// time.
+const RETRY_FRACTION: f64 = 0.5;
+/// Longest Retry-After time. Limits have mostly changed after this time.
+const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(10);
+
+/// Assigns retry times, spaced by the rate at which retries can be served.
+#[derive(Debug, Default)]
+pub struct RetrySchedule {
+    /// Latest retry time assigned so far.
+    tail: units::MonoTime,
+}
+
+impl RetrySchedule {
+    /// Returns the Retry-After time for the next caller, at a permitted rate of `rate` requests per second.
+    ///
+    /// If it would exceed the longest time, it is random between half of that and the whole.
+    pub fn next(&mut self, now: units::MonoTime, rate: f64) -> time::Duration {
+        let step = 1.0 / (rate * RETRY_FRACTION).max(f64::MIN_POSITIVE);
+        let step =
+            time::Duration::try_from_secs_f64(step).unwrap_or(MAX_RETRY_AFTER).min(MAX_RETRY_AFTER);
+        let back = self.tail.max(now) + step;
+        if back.since(now) >= MAX_RETRY_AFTER {
+            return MAX_RETRY_AFTER.mul_f64(rand::rng().random_range(0.5..1.0));
+        }
+        self.tail = back;
+        back.since(now)
+    }
+}
--- a/crates/core/src/start_wait.rs
+++ b/crates/core/src/start_wait.rs
@@ -1,39 +1,39 @@
-//! How long requests wait at a starting process that knows no routes yet.
+//! How long requests wait at a process that has just started and has no routes yet.
 
 use std::time;
 
-/// Age of the process up to which requests wait without any contact. A partitioned process can only send its callers
-/// elsewhere.
-const LONE_AGE: time::Duration = time::Duration::from_millis(350);
-/// The same in contact with members that know no routes either.
-const MET_AGE: time::Duration = time::Duration::from_millis(700);
-/// The same in contact with a member or the store that has them.
-const SOURCE_AGE: time::Duration = time::Duration::from_millis(1_500);
-/// Largest part of its deadline that a request waits; the rest is for its answer or another attempt.
-const PATIENCE_PART: f64 = 0.3;
+/// Process age up to which requests wait while the process has no contact. A partitioned process can only send its
+/// callers elsewhere.
+const NO_CONTACT_AGE: time::Duration = time::Duration::from_millis(350);
+/// Process age up to which requests wait while the process is only in contact with members without routes.
+const MEMBER_CONTACT_AGE: time::Duration = time::Duration::from_millis(700);
+/// Process age up to which requests wait while the process is in contact with a source of routes.
+const SOURCE_CONTACT_AGE: time::Duration = time::Duration::from_millis(1_500);
+/// Fraction of its time limit that a request waits at most; the rest is for its answer or for an attempt elsewhere.
+const PATIENCE_FRACTION: f64 = 0.3;
 
-/// Contact of a process since its start.
+/// Whom a process has been in contact with since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartContact {
-    /// None.
+    /// No contact.
     Nobody,
-    /// Members without routes.
+    /// Only members without routes.
     Members,
-    /// A member with routes, or the store.
+    /// A source of routes: a member that has them, or the store.
     Source,
 }
 
-/// Whether a request that has waited for `waited` continues to wait at a process of this age.
-pub fn goes_on(
+/// Whether a request that has waited for `waited` keeps waiting at a process of this age; `patience` is its time limit.
+pub fn keeps_waiting(
     contact: StartContact,
     age: time::Duration,
     waited: time::Duration,
     patience: time::Duration,
 ) -> bool {
     let limit = match contact {
-        StartContact::Nobody => LONE_AGE,
-        StartContact::Members => MET_AGE,
-        StartContact::Source => SOURCE_AGE,
+        StartContact::Nobody => NO_CONTACT_AGE,
+        StartContact::Members => MEMBER_CONTACT_AGE,
+        StartContact::Source => SOURCE_CONTACT_AGE,
     };
-    age < limit && waited < patience.mul_f64(PATIENCE_PART)
+    age < limit && waited < patience.mul_f64(PATIENCE_FRACTION)
 }
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -85,7 +85,7 @@
             }
             EntryEvent::WantsOffers(answer) => reply(answer, router.wants_offers()),
             EntryEvent::DirectShare(engine, answer) => {
-                reply(answer, router.direct_share(&engine));
+                reply(answer, router.may_send_unleased(&engine));
             }
             EntryEvent::Started(place) => self.start(place),
             EntryEvent::Ended(attempt, engine) => self.end(&attempt, &engine),
@@ -113,7 +113,7 @@
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
             EntryEvent::Documents(update, asked_at) => self.documents(now, &update, asked_at),
-            EntryEvent::AllSilent(asked_at) => router.heard(now, asked_at),
+            EntryEvent::AllSilent(asked_at) => router.note_sources_asked(now, asked_at),
             EntryEvent::Tick => self.tick(now),
         }
     }
@@ -173,7 +173,7 @@
                 Err(fault) => log::error!("list refused: {fault}"),
             }
         }
-        self.router.heard(now, asked_at);
+        self.router.note_sources_asked(now, asked_at);
         self.summarise();
     }
 
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -271,7 +271,7 @@
             return;
         }
         let contact = start_contact(context, now);
-        if !start_wait::goes_on(contact, age, now.since(arrived), max_wait) {
+        if !start_wait::keeps_waiting(contact, age, now.since(arrived), max_wait) {
             return;
         }
         monoio::time::sleep(READY_POLL_INTERVAL).await;
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -33,7 +33,7 @@
     /// Name of this instance.
     own: ids::InstanceId,
     options: planner::PlannerOptions,
-    planners: collections::BTreeMap<planner_key::PlannerKey, planner::ReadPlanner>,
+    planners: collections::BTreeMap<planner_key::PlannerKey, planner::PlacementPlanner>,
     /// Origins of queued requests.
     origins: collections::HashMap<engine_place::JobId, AskOrigin>,
     /// Change count of the list and version of the routes at the last [`Self::sync`].
@@ -92,7 +92,7 @@
             let planner = self
                 .planners
                 .entry(key)
-                .or_insert_with(|| planner::ReadPlanner::new(shape.clone(), self.options));
+                .or_insert_with(|| planner::PlacementPlanner::new(shape.clone(), self.options));
             planner.set_shape(shape.clone());
             planner.set_engines(now, &engines);
         }
@@ -104,7 +104,10 @@
     }
 
     /// Returns the planner of a key, or `None` if there is no such cell.
-    pub fn planner(&mut self, key: &planner_key::PlannerKey) -> Option<&mut planner::ReadPlanner> {
+    pub fn planner(
+        &mut self,
+        key: &planner_key::PlannerKey,
+    ) -> Option<&mut planner::PlacementPlanner> {
         self.planners.get_mut(key)
     }
 
@@ -144,7 +147,7 @@
     /// Returns the engines that were silent during a request since the last call.
     pub fn take_suspects(&mut self) -> Vec<ids::UpstreamId> {
         let planners = self.planners.values_mut();
-        planners.flat_map(planner::ReadPlanner::take_suspects).collect()
+        planners.flat_map(planner::PlacementPlanner::take_suspects).collect()
     }
 
     /// Sets the engines with a limit, by planner.
@@ -194,12 +197,12 @@
 
     /// Returns the number of requests queued in all planners.
     pub fn waiting(&self) -> usize {
-        self.planners.values().map(planner::ReadPlanner::waiting_count).sum()
+        self.planners.values().map(planner::PlacementPlanner::waiting_count).sum()
     }
 
     /// Returns the number of places in use that the planners know of.
     pub fn placed(&self) -> usize {
-        self.planners.values().map(planner::ReadPlanner::placed_count).sum()
+        self.planners.values().map(planner::PlacementPlanner::placed_count).sum()
     }
 
     /// Returns the planners that are not idle.
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -8,7 +8,7 @@
 use std::{cell, collections, time};
 
 use slipturn_core::{
-    ids, member_heartbeat, permit_cache, planner_key, quota_ledger, quota_permit, return_line,
+    ids, member_heartbeat, permit_cache, planner_key, quota_ledger, quota_permit, retry_schedule,
     send_pace, units, upstream_list,
 };
 
@@ -34,7 +34,7 @@
     pub(crate) pending: permit_request::PendingRequests,
     /// Retry-After times by service.
     pub(crate) returns:
-        cell::RefCell<collections::HashMap<ids::ServiceId, return_line::ReturnLine>>,
+        cell::RefCell<collections::HashMap<ids::ServiceId, retry_schedule::RetrySchedule>>,
     /// When changes of limits were last logged.
     pub(crate) limit_log: cell::RefCell<limit_gossip::LimitLog>,
     /// Inputs and time of the last check of which quotas are coordinated here.
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -97,7 +97,7 @@
         fleet.routes.goals(&call.service).map_or(call.route.pause_goal, |goals| goals.pause);
     let engine =
         fleet.routes.services.get(&call.service).and_then(|service| service.engine.as_ref());
-    let reading = engine.map_or(0.0, |shape| pass_model::read_ms(shape, call.request.prompt));
+    let reading = engine.map_or(0.0, |shape| pass_model::prefill_ms(shape, call.request.prompt));
     let goal = call.route.first_token_goal.as_secs_f64() * 1_000.0;
     call.route.pause_goal <= tightest.mul_f64(TIGHT_PAUSE_FACTOR)
         && reading <= goal * SHORT_GOAL_FRACTION
@@ -109,7 +109,7 @@
     let own = call.route.first_token_goal;
     let fleet = context.fleet.borrow();
     let shortest = fleet.routes.goals(&call.service).map_or(own, |goals| goals.first_token);
-    let ask = class_worth::WorthAsk {
+    let ask = class_worth::WorthQuery {
         class: &call.route.name,
         service: &call.service,
         prompt: call.request.prompt,
--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -11,7 +11,7 @@
     fleet_list::ListState,
     ids,
     planner::{
-        PlannerOptions, ReadPlanner,
+        PlacementPlanner, PlannerOptions,
         ways::{ClosedEngineWay, PlannerWays},
     },
     route_table,
@@ -67,7 +67,7 @@
     list
 }
 
-fn planner() -> ReadPlanner {
+fn planner() -> PlacementPlanner {
     let shape = route_table::EngineShape {
         slots: 16,
         memory: units::TokenCount(315_000),
@@ -81,7 +81,7 @@
     };
     let options =
         PlannerOptions { routing: RoutingKind::ExpectedStart, ways: PlannerWays::default() };
-    let mut planner = ReadPlanner::new(shape, options);
+    let mut planner = PlacementPlanner::new(shape, options);
     let ranked: Vec<_> = (0..ENGINES).map(engine).zip(0..).collect();
     planner.set_engines(at(0), &ranked);
     planner
@@ -119,7 +119,7 @@
 
 struct Simulation {
     lists: Vec<UpstreamList>,
-    planner: ReadPlanner,
+    planner: PlacementPlanner,
     /// Scheduled first tokens and ends by time: the job, and whether it is its end.
     due: collections::BTreeMap<u64, Vec<(JobId, bool)>>,
     random: ChaCha8Rng,
