--- a/crates/soak/src/closing.rs
+++ b/crates/soak/src/closing.rs
@@ -85,7 +85,7 @@
                 self.evidence.found.push(format!("a planned stop ended a stream: {outcome:?}"));
             }
         }
-        match self.fleet.wait_end(0, GRACE) {
+        match self.fleet.wait_for_exit(0, GRACE) {
             Some(_) => self.end(FaultEnd::Start(0)),
             None => self.evidence.found.push(format!("instance 0 has not ended in {GRACE:?}")),
         }
--- a/crates/soak/src/config_probe.rs
+++ b/crates/soak/src/config_probe.rs
@@ -49,7 +49,7 @@
         routes.push(route.clone());
         let names: Vec<_> = routes.iter().map(String::as_str).collect();
         let keys: Vec<_> = STEADY_KEYS.into_iter().chain([key.as_str()]).collect();
-        fleet.publish_all(&names, &keys);
+        fleet.publish_routes_and_keys(&names, &keys);
         self.entries().push(Publication { route, key, at: time::Instant::now() });
     }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -84,8 +84,8 @@
     let violations = check::violations(&struck.evidence);
     let sent = &struck.evidence.sent;
     let good = sent.iter().filter(|sent| sent.outcome == Some(Outcome::Good)).count();
-    struck.fleet.keep = !violations.is_empty();
-    let logs = struck.fleet.keep.then(|| struck.fleet.folder().to_owned());
+    struck.fleet.keep_folder = !violations.is_empty();
+    let logs = struck.fleet.keep_folder.then(|| struck.fleet.folder().to_owned());
     if let Some(folder) = &logs {
         let lines = [&[began][..], &struck.strikes, &violations].concat();
         fs::write(folder.join(STRIKES_FILE), lines.join("\n"))?;
@@ -121,7 +121,7 @@
             id: arrival.id,
             at: arrival.at,
             leaving: arrival.told,
-            rest: arrival.turned_away,
+            rest: arrival.rejection,
             limited: arrival.limited,
         }));
         evidence.limits.extend(named_limits(upstream, &runner.limits()));
@@ -130,7 +130,7 @@
                 let ended = record.ended.unwrap_or(*at);
                 RequestArrival { upstream, id: id.clone(), at: *at, ended }
             };
-            evidence.arrivals.extend(record.begun.iter().map(arrival));
+            evidence.arrivals.extend(record.run_starts.iter().map(arrival));
             if id.starts_with("probe") {
                 continue;
             }
--- a/crates/soak/src/store_drill.rs
+++ b/crates/soak/src/store_drill.rs
@@ -31,11 +31,11 @@
     }
 
     /// Returns the store from a copy of such an age.
-    pub(crate) fn return_from(&self, now: Instant, age: Duration, store: &Store) {
+    pub(crate) fn restore_copy(&self, now: Instant, age: Duration, store: &Store) {
         let old_enough = |(at, _): &&(Instant, StoreCopy)| now - *at >= age;
         let copy = self.copies.iter().rev().find(old_enough).or(self.copies.front());
         if let Some((_, copy)) = copy {
-            store.return_from(copy, 1);
+            store.restore_copy(copy, 1);
         }
         store.set_mode(StoreMode::Good);
     }
--- a/crates/soak/src/struck_fleet.rs
+++ b/crates/soak/src/struck_fleet.rs
@@ -8,7 +8,7 @@
 use slipturn_platform_standin::{
     fleet::Fleet,
     proxy::{LinkMode, Proxy},
-    runner::{RunnerMode, TurnAway},
+    runner::{Rejection, RunnerMode},
     store::StoreMode,
 };
 
@@ -146,7 +146,7 @@
                 let [age, rewrite] = [age_ms, rewrite_ms].map(Duration::from_millis);
                 self.ends.push((until, FaultEnd::StoreReturn(age, rewrite)));
             }
-            Fault::Forget => self.fleet.store.forget(),
+            Fault::Forget => self.fleet.store.drop_history(),
             Fault::Publish => self.publish(),
             Fault::Upstream(number, mode) => {
                 self.fleet.runners()[usize::from(number)].set_mode(mode);
@@ -167,19 +167,19 @@
                 self.ends.push((until, FaultEnd::Return(number)));
             }
             Fault::SayLeaving(number) => {
-                self.fleet.runners()[usize::from(number)].say_leaving(true);
+                self.fleet.runners()[usize::from(number)].announce_leaving(true);
                 self.ends.push((until, FaultEnd::Restart(number)));
             }
             Fault::AskRest(number, millis) => {
                 let seconds = format!("{:.3}", millis as f64 / 1_000.0);
-                let how = Some(TurnAway::for_seconds(&seconds));
-                self.fleet.runners()[usize::from(number)].turn_away(how);
+                let how = Some(Rejection::with_retry_after(&seconds));
+                self.fleet.runners()[usize::from(number)].set_rejection(how);
                 self.disturb_outside(until);
                 self.ends.push((until, FaultEnd::RestOver(number)));
             }
             Fault::NameLimit(number, thousandths) => {
                 let rate = f64::from(thousandths) / 1_000.0;
-                self.fleet.runners()[usize::from(number)].name_limit(&rate.to_string());
+                self.fleet.runners()[usize::from(number)].announce_limit(&rate.to_string());
                 self.disturb_outside(until);
                 self.ends.push((until, FaultEnd::LimitOver(number)));
             }
@@ -239,7 +239,11 @@
             }
             _ => return,
         };
-        store.iter().chain(members).chain(upstreams).for_each(|link| link.silence_open());
+        store
+            .iter()
+            .chain(members)
+            .chain(upstreams)
+            .for_each(|link| link.silence_open_connections());
         let numbers = match fault {
             Fault::SilenceUpstream(number) => number..number + 1,
             Fault::SilenceAll => 0..self.fleet.links.len() as u8,
@@ -259,7 +263,7 @@
         }
         for number in 0..self.fleet.instances.len() as u8 {
             // One that was asked to end and has is started again.
-            if self.fleet.wait_end(number, Duration::from_millis(1)).is_some() {
+            if self.fleet.wait_for_exit(number, Duration::from_millis(1)).is_some() {
                 self.end(FaultEnd::Start(number));
             }
         }
@@ -287,12 +291,12 @@
             }
             FaultEnd::StoreReturn(age, rewrite) => {
                 if let Some(copies) = &self.copies {
-                    copies.return_from(now, age, &self.fleet.store);
+                    copies.restore_copy(now, age, &self.fleet.store);
                 }
                 self.lose_contact(None, now + rewrite);
                 self.ends.push((now + rewrite, FaultEnd::Rewrite));
             }
-            FaultEnd::Rewrite => self.fleet.store.write_again(),
+            FaultEnd::Rewrite => self.fleet.store.rewrite_lost(),
             FaultEnd::StoreLinkGood(None) => {
                 self.set_store_links(0..self.fleet.instances.len() as u8, LinkMode::Good);
                 self.lose_contact(None, now);
@@ -331,10 +335,10 @@
                 self.list(number, false);
             }
             FaultEnd::LimitOver(number) => {
-                self.fleet.runners()[usize::from(number)].name_limit("");
+                self.fleet.runners()[usize::from(number)].announce_limit("");
             }
             FaultEnd::RestOver(number) => {
-                self.fleet.runners()[usize::from(number)].turn_away(None);
+                self.fleet.runners()[usize::from(number)].set_rejection(None);
             }
         }
     }
--- a/crates/trial/tests/configuration.rs
+++ b/crates/trial/tests/configuration.rs
@@ -172,7 +172,7 @@
     thread::sleep(SECOND);
     let link = fleet.platform_link.as_ref().unwrap();
     for version in 2..5 {
-        link.silence_open();
+        link.silence_open_connections();
         fleet.publish_settings(version, FLEET, DEFAULTS);
         let spent = fleet.wait_version(version);
         assert!(spent < IN_FORCE, "version {version}: {spent:?}");
--- a/crates/trial/tests/silent_upstreams.rs
+++ b/crates/trial/tests/silent_upstreams.rs
@@ -73,7 +73,7 @@
     }
 
     fn silence(&self) {
-        self.links.iter().for_each(|link| link.silence_open());
+        self.links.iter().for_each(|link| link.silence_open_connections());
     }
 }
 
