--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -51,7 +51,7 @@
     if once && runs > 1 {
         return Some(format!("ran {runs} times"));
     }
-    if record.is_some_and(|record| record.tenant != "t1") {
+    if record.is_some_and(|record| record.customer != "t1") {
         return Some("ran for another customer".to_owned());
     }
     match request.outcome.as_ref()? {
--- a/crates/soak/src/closing.rs
+++ b/crates/soak/src/closing.rs
@@ -125,14 +125,15 @@
         let until = Instant::now() + RELEASE;
         loop {
             let runners = self.fleet.runners();
-            let held: u64 = runners.iter().map(|runner| runner.held()).sum();
+            let reserved_tokens: u64 = runners.iter().map(|runner| runner.reserved_tokens()).sum();
             let running: u32 = runners.iter().map(|runner| runner.running()).sum();
-            if held == 0 && running == 0 {
+            if reserved_tokens == 0 && running == 0 {
                 return;
             }
             if Instant::now() > until {
-                let fault =
-                    format!("{held} tokens set aside and {running} requests running at the end");
+                let fault = format!(
+                    "{reserved_tokens} tokens set aside and {running} requests running at the end"
+                );
                 self.evidence.found.push(fault);
                 return;
             }
--- a/crates/soak/src/struck_fleet.rs
+++ b/crates/soak/src/struck_fleet.rs
@@ -393,7 +393,7 @@
     /// Puts each upstream into a data centre of its own, away from the instances.
     fn divide(&mut self) {
         for (number, runner) in self.fleet.runners().into_iter().enumerate() {
-            self.fleet.zones.insert(runner.name.clone(), zone_of(number));
+            self.fleet.data_centers.insert(runner.name.clone(), zone_of(number));
         }
         self.fleet.list_all();
     }
