--- a/crates/compare/src/main.rs
+++ b/crates/compare/src/main.rs
@@ -28,15 +28,15 @@
     options.optopt("", "cases", "only cases whose title has this in it", "TEXT");
     options.optopt("", "seed", "seed of arrivals and choices (default 1)", "N");
     let matches = match command_line::parse(INFO, options) {
-        command_line::ParsedLine::Run(matches) => matches,
-        command_line::ParsedLine::Leave(code) => return process::ExitCode::from(code),
+        command_line::ParsedArguments::Run(matches) => matches,
+        command_line::ParsedArguments::Exit(code) => return process::ExitCode::from(code),
     };
     if matches.opt_present("planned-size") {
         let rows = planned_size::measure().into_iter().chain(planner_cost::measure());
         for row in rows {
             println!("{:<46} {}", row.what, row.value);
         }
-        return process::ExitCode::from(command_line::EXIT_GOOD);
+        return process::ExitCode::from(command_line::EXIT_SUCCESS);
     }
     let number = |name: &str, default: u64| {
         matches.opt_str(name).map_or(Some(default), |text| text.parse().ok())
@@ -57,7 +57,7 @@
             print_case(profile, title, *change, &base);
         }
     }
-    process::ExitCode::from(command_line::EXIT_GOOD)
+    process::ExitCode::from(command_line::EXIT_SUCCESS)
 }
 
 /// What all runs of a call have in common.
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -27,11 +27,11 @@
     options.optopt("", "prompt", "settings: for a prompt of this many tokens", "N");
     options.optflag("", "json", "print JSON");
     let matches = match command_line::parse(INFO, options) {
-        command_line::ParsedLine::Run(matches) => matches,
-        command_line::ParsedLine::Leave(code) => return process::ExitCode::from(code),
+        command_line::ParsedArguments::Run(matches) => matches,
+        command_line::ParsedArguments::Exit(code) => return process::ExitCode::from(code),
     };
     match run(&matches) {
-        Ok(()) => process::ExitCode::from(command_line::EXIT_GOOD),
+        Ok(()) => process::ExitCode::from(command_line::EXIT_SUCCESS),
         Err(CommandError::Failed(text)) => command_line::fail(INFO, &text),
         Err(CommandError::Usage(text)) => {
             eprintln!("{}: {text}\nTry '{} --help'.", INFO.name, INFO.name);
--- a/crates/ctl/src/question.rs
+++ b/crates/ctl/src/question.rs
@@ -77,7 +77,7 @@
     let pool = http_client::ConnectionPool::default();
     let asking = async {
         let fresh = http_client::ConnectionUse::Fresh;
-        let calling = pool.call_whole(address, fresh, call, MAX_ANSWER);
+        let calling = pool.call_buffered(address, fresh, call, MAX_ANSWER);
         monoio::time::timeout(ANSWER_LIMIT, calling).await
     };
     let Ok(answer) = process::run(asking).context(LoopSnafu)? else {
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -57,7 +57,7 @@
     names: &RequestNames,
     refusal: &refusal::RequestRefusal,
 ) -> http::Response<Bytes> {
-    let mut answer = http_server::json_answer(refusal.code.status(), &error_body(refusal));
+    let mut answer = http_server::json_response(refusal.code.status(), &error_body(refusal));
     let headers = answer.headers_mut();
     names.mark(headers);
     if let Some(wait) = refusal.retry_after {
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -221,7 +221,7 @@
     let models = context.events.ask(event::EntryEvent::Models).await;
     let row = |id| ModelRow { id, object: "model", owned_by: "slipturn" };
     let list = ModelList { object: "list", data: models.into_iter().map(row).collect() };
-    let mut answer = http_server::json_answer(200, &list);
+    let mut answer = http_server::json_response(200, &list);
     names.mark(answer.headers_mut());
     answer
 }
--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -64,7 +64,7 @@
         self.events.send_to(event::EntryEvent::Documents(update, self.asked_at.get()));
     }
 
-    fn all_silent(&self) {
+    fn sources_unreachable(&self) {
         self.events.send_to(event::EntryEvent::AllSilent(self.asked_at.get()));
     }
 
--- a/crates/entry/src/model_answer.rs
+++ b/crates/entry/src/model_answer.rs
@@ -17,13 +17,13 @@
     pub(crate) async fn pass_stream(
         &mut self,
         connection: &mut http_server::ServerConnection,
-        answer: &mut http_client::StreamedAnswer<'_>,
+        answer: &mut http_client::StreamedResponse<'_>,
     ) -> model_request::AttemptEnd {
         let mut tail = Vec::new();
         let mut last = None;
         loop {
             let limited = monoio::time::timeout(self.left(), answer.next_piece(MAX_PIECE));
-            let piece = match connection.while_present(limited).await {
+            let piece = match connection.while_connected(limited).await {
                 None => return model_request::AttemptEnd::CallerGone,
                 Some(Err(_)) => return model_request::AttemptEnd::TimedOut,
                 Some(Ok(Err(error))) => {
@@ -87,11 +87,11 @@
     pub(crate) async fn pass_whole(
         &mut self,
         connection: &mut http_server::ServerConnection,
-        answer: &mut http_client::StreamedAnswer<'_>,
+        answer: &mut http_client::StreamedResponse<'_>,
     ) -> model_request::AttemptEnd {
         let limit = self.context.local.limits.max_answer.0;
-        let limited = monoio::time::timeout(self.left(), answer.read_whole(limit));
-        let body = match connection.while_present(limited).await {
+        let limited = monoio::time::timeout(self.left(), answer.read_full_body(limit));
+        let body = match connection.while_connected(limited).await {
             None => return model_request::AttemptEnd::CallerGone,
             Some(Err(_)) => return model_request::AttemptEnd::TimedOut,
             Some(Ok(Err(error))) => {
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -166,7 +166,7 @@
             let question = self.place_question(number);
             let finding = place::find(&self.context, &question);
             let limited = monoio::time::timeout(self.left(), finding);
-            let Some(found) = connection.while_present(limited).await else {
+            let Some(found) = connection.while_connected(limited).await else {
                 return Ok(RequestEnd::Close);
             };
             let found = found.unwrap_or_else(|_| Err(no_place_in_time()));
@@ -262,7 +262,7 @@
         let pooled = http_client::ConnectionUse::Pooled;
         let calling = context.pool.call(place.engine().address, pooled, call);
         let limited = monoio::time::timeout(self.left(), calling);
-        let mut answer = match connection.while_present(limited).await {
+        let mut answer = match connection.while_connected(limited).await {
             None => return AttemptEnd::CallerGone,
             Some(Err(_)) => return AttemptEnd::TimedOut,
             Some(Ok(Err(error))) => {
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -57,7 +57,7 @@
         "/v1/settings" => settings(context, incoming.head.uri.query().unwrap_or("")).await,
         "/v1/histograms" => {
             let rows = context.events.ask(event::EntryEvent::Histograms).await;
-            http_server::json_answer(200, &rows)
+            http_server::json_response(200, &rows)
         }
         "/v1/drain" if post => {
             log::info!("an operator asked for a stop");
@@ -94,7 +94,7 @@
         Ok(json) => serde_json::from_str(&json).unwrap_or(serde_json::Value::Null),
         Err(error) => serde_json::json!({ "unreachable": error.to_string() }),
     };
-    http_server::json_answer(200, &InstanceStatus { entry, scheduler })
+    http_server::json_response(200, &InstanceStatus { entry, scheduler })
 }
 
 #[derive(Serialize)]
@@ -127,7 +127,7 @@
             (customer.to_string(), node.applications.keys().collect::<Vec<_>>())
         });
         let customers: std::collections::BTreeMap<_, _> = tree.collect();
-        return http_server::json_answer(200, &customers);
+        return http_server::json_response(200, &customers);
     };
     let prompt =
         value("prompt").and_then(|text| text.parse().ok()).unwrap_or(units::TokenCount::ZERO);
@@ -148,7 +148,7 @@
             .map(|(option, value, source)| SettingAnswer { option, value, source })
             .collect(),
     };
-    http_server::json_answer(200, &answer)
+    http_server::json_response(200, &answer)
 }
 
 /// The record of a request, from here or from the instance that took it.
@@ -159,7 +159,7 @@
 ) -> http::Response<Bytes> {
     let ask = |answer| event::EntryEvent::Find(id.to_owned(), answer);
     if let Some(record) = context.events.ask(ask).await {
-        return http_server::json_answer(200, &*record);
+        return http_server::json_response(200, &*record);
     }
     let unknown = || short(404, "no record: unknown, or older than what is remembered");
     if passed_on {
@@ -200,7 +200,7 @@
     *call.uri_mut() = format!("/v1/decisions/{id}").parse().ok()?;
     call.headers_mut().insert(PASSED_HEADER, http::HeaderValue::from_static("1"));
     let pooled = http_client::ConnectionUse::Pooled;
-    let calling = context.pool.call_whole(peer.operators, pooled, call, MAX_PEER_ANSWER);
+    let calling = context.pool.call_buffered(peer.operators, pooled, call, MAX_PEER_ANSWER);
     let answer = monoio::time::timeout(PEER_LIMIT, calling).await.ok()?.ok()?;
     if answer.status() != http::StatusCode::OK {
         return None;
@@ -212,5 +212,5 @@
 }
 
 fn short(status: u16, text: &str) -> http::Response<Bytes> {
-    http_server::json_answer(status, &ShortAnswer { status: text })
+    http_server::json_response(status, &ShortAnswer { status: text })
 }
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -153,7 +153,7 @@
         let arrived = self.call.arrived;
         let left = self.left();
         let serving = monoio::time::timeout(left, self.attempts());
-        let served = connection.while_present(serving).await;
+        let served = connection.while_connected(serving).await;
         let end = match &served {
             None => "caller gone".to_owned(),
             Some(Ok(Ok(_))) => "answered".to_owned(),
@@ -265,7 +265,7 @@
         };
         let connecting = self.context.pool.connect(upstream.address, which);
         let connection = connecting.await.map_err(before_answer)?;
-        let rested = connection.has_rested();
+        let rested = connection.is_reused();
         let sent = time::Instant::now();
         let call = self.upstream_call(attempt);
         let context = rc::Rc::clone(&self.context);
@@ -281,7 +281,7 @@
             return exchange.await;
         }
         self.late = Some(exchange);
-        let closed = self.context.pool.close_rested(upstream.address, sent);
+        let closed = self.context.pool.close_idle_since(upstream.address, sent);
         Err(silent(wait, closed))
     }
 
@@ -378,7 +378,8 @@
     attempt: ids::AttemptId,
 ) -> AttemptResult {
     let mut answer = context.pool.send(connection, call).await.map_err(before_answer)?;
-    let body = answer.read_whole(context.local.limits.max_answer.0).await.map_err(before_answer)?;
+    let body =
+        answer.read_full_body(context.local.limits.max_answer.0).await.map_err(before_answer)?;
     upstream_call::check_head(&answer.head, &attempt)?;
     let mut whole = http::Response::new(body);
     *whole.status_mut() = answer.head.status;
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -141,7 +141,7 @@
     let body = Bytes::from(body.to_string());
     let order = call(http::Method::POST, path, &attempt, ORDER_LIMIT, body);
     let pooled = http_client::ConnectionUse::Pooled;
-    let calling = pool.call_whole(address, pooled, order, MAX_ORDER_ANSWER);
+    let calling = pool.call_buffered(address, pooled, order, MAX_ORDER_ANSWER);
     let fault = |failure, text: &str| AttemptFault { failure, text: format!("{path}: {text}") };
     match monoio::time::timeout(ORDER_LIMIT, calling).await {
         Ok(Ok(answer)) if answer.status().is_success() => Ok(()),
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -49,7 +49,8 @@
         self.begun = true;
         let mut headers = head.headers.clone();
         h1::strip_connection_headers(&mut headers);
-        let mut bytes = h1::answer_bytes(head.status, &headers, Some(body.len()), self.closing());
+        let mut bytes =
+            h1::encode_response_head(head.status, &headers, Some(body.len()), self.closing());
         bytes.extend_from_slice(body);
         self.writer.write(bytes).await
     }
@@ -63,9 +64,9 @@
         self.begun = true;
         let mut headers = head.headers.clone();
         h1::strip_connection_headers(&mut headers);
-        let mut bytes = h1::answer_bytes(head.status, &headers, None, self.closing());
+        let mut bytes = h1::encode_response_head(head.status, &headers, None, self.closing());
         if !events.is_empty() {
-            bytes.extend_from_slice(&h1::chunk_bytes(events));
+            bytes.extend_from_slice(&h1::encode_chunk(events));
         }
         self.writer.write(bytes).await
     }
@@ -84,7 +85,7 @@
         self.begun = true;
         let mut headers = head.headers.clone();
         h1::strip_connection_headers(&mut headers);
-        let mut bytes = h1::answer_bytes(head.status, &headers, length, self.closing());
+        let mut bytes = h1::encode_response_head(head.status, &headers, length, self.closing());
         bytes.extend_from_slice(leading);
         self.writer.write(bytes).await
     }
@@ -98,12 +99,12 @@
         if known_length {
             return self.writer.write(piece).await;
         }
-        self.writer.write(h1::chunk_bytes(&piece)).await
+        self.writer.write(h1::encode_chunk(&piece)).await
     }
 
     /// Sends further events of a stream.
     pub async fn send_events(&mut self, events: &[u8]) -> Result<(), h1::MessageError> {
-        self.writer.write(h1::chunk_bytes(events)).await
+        self.writer.write(h1::encode_chunk(events)).await
     }
 
     /// Ends a chunked body.
@@ -129,7 +130,8 @@
             "message": refusal.message,
         }});
         let body = body.to_string();
-        let mut bytes = h1::answer_bytes(status, &headers, Some(body.len()), self.closing());
+        let mut bytes =
+            h1::encode_response_head(status, &headers, Some(body.len()), self.closing());
         bytes.extend_from_slice(body.as_bytes());
         self.writer.write(bytes).await
     }
@@ -164,7 +166,7 @@
     writer: &mut h1::MessageWriter,
 ) -> Result<ConnectionNext, h1::MessageError> {
     let limits = context.fleet.borrow().routes.limits;
-    if !reader.has_surplus() {
+    if !reader.has_unread_bytes() {
         reader.rest();
         let resting = std::pin::pin!(monoio::time::timeout(limits.idle, reader.fill()));
         match future::select(resting, context.closing.clone()).await {
--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -150,12 +150,12 @@
     request.extend_from_slice(b"\r\n");
     request.extend_from_slice(&body);
     writer.write(request).await.context(MessageSnafu)?;
-    let head = reader.answer_head().await.context(MessageSnafu)?;
-    let mut framing = h1::BodyFraming::of_answer(&head).context(MessageSnafu)?;
+    let head = reader.response_head().await.context(MessageSnafu)?;
+    let mut framing = h1::BodyFraming::of_response(&head).context(MessageSnafu)?;
     let until_close = framing == h1::BodyFraming::UntilClose;
     let body = reader.whole_body(&mut framing, MAX_DOCUMENT_BYTES).await.context(MessageSnafu)?;
     let reusable =
-        !until_close && !h1::closes(head.version, &head.headers) && !reader.has_surplus();
+        !until_close && !h1::closes(head.version, &head.headers) && !reader.has_unread_bytes();
     reader.rest();
     Ok((DocumentResponse { head, body }, reusable))
 }
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -98,7 +98,7 @@
     ) -> Result<(), h1::MessageError> {
         let status = http::StatusCode::from_u16(self.status).unwrap_or_default();
         let headers = http::HeaderMap::new();
-        let head = h1::answer_bytes(status, &headers, Some(self.body.len()), close);
+        let head = h1::encode_response_head(status, &headers, Some(self.body.len()), close);
         // Written separately, as the body is shared with responses to other members.
         writer.write(head).await?;
         writer.write(self.body).await?;
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -60,8 +60,8 @@
     adapter: rc::Rc<dyn adapter::InstanceAdapter>,
 ) -> std_process::ExitCode {
     let matches = match command_line::parse(info, command_line::server_options()) {
-        command_line::ParsedLine::Run(matches) => matches,
-        command_line::ParsedLine::Leave(code) => return std_process::ExitCode::from(code),
+        command_line::ParsedArguments::Run(matches) => matches,
+        command_line::ParsedArguments::Exit(code) => return std_process::ExitCode::from(code),
     };
     let settings_file =
         matches.opt_str("settings").or_else(|| std::env::var(settings_variable).ok());
@@ -76,13 +76,13 @@
     };
     if matches.opt_present("check") {
         println!("{file}: valid");
-        return std_process::ExitCode::from(command_line::EXIT_GOOD);
+        return std_process::ExitCode::from(command_line::EXIT_SUCCESS);
     }
     if let Err(error) = log_sink::install(log::LevelFilter::Info) {
         return command_line::fail(info, &error);
     }
     match process::run(run(settings, path, adapter)) {
-        Ok(Ok(())) => std_process::ExitCode::from(command_line::EXIT_GOOD),
+        Ok(Ok(())) => std_process::ExitCode::from(command_line::EXIT_SUCCESS),
         Ok(Err(error)) => command_line::fail(info, &error),
         Err(error) => command_line::fail(info, &error),
     }
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -143,9 +143,9 @@
     /// Returns the connection to the pool if it can be reused.
     pub fn finish(self, context: &context::InstanceContext, upstream: &ids::UpstreamId) {
         if self.reusable && self.framing.ended() {
-            let keep_alive = h1::keep_alive(&self.head.headers);
+            let keep_alive_timeout = h1::keep_alive_timeout(&self.head.headers);
             let max_idle = context.idle_connection_limit(upstream);
-            context.pool.put(self.address, self.connection, keep_alive, max_idle);
+            context.pool.put(self.address, self.connection, keep_alive_timeout, max_idle);
         }
     }
 }
@@ -275,7 +275,7 @@
     let (head, sent) = {
         let (reader, writer) = connection.sides(&pass);
         let writing = std::pin::pin!(writer.write(request_message));
-        let reading = std::pin::pin!(reader.answer_head());
+        let reading = std::pin::pin!(reader.response_head());
         match future::select(writing, reading).await {
             future::Either::Left((Ok(()), reading)) => (reading.await, true),
             future::Either::Left((Err(error), reading)) => {
@@ -301,7 +301,7 @@
         let asked = upstream_signals::SignalOrigin { at: asked_at, source };
         upstream_signals::receive(context, &target.upstream, head.status, &head_fields, asked);
     }
-    let framing = h1::BodyFraming::of_answer(&head).map_err(AttemptFault::broke)?;
+    let framing = h1::BodyFraming::of_response(&head).map_err(AttemptFault::broke)?;
     let reusable =
         sent && framing != h1::BodyFraming::UntilClose && !h1::closes(head.version, &head.headers);
     let address = target.address;
@@ -368,7 +368,7 @@
     h1::strip_connection_headers(&mut head.headers);
     let bodiless = call.body.is_empty() && head.method == http::Method::GET;
     let length = (!bodiless).then_some(call.body.len());
-    let mut bytes = h1::request_bytes(&head, length);
+    let mut bytes = h1::encode_request_head(&head, length);
     bytes.extend_from_slice(&call.body);
     bytes
 }
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -159,7 +159,7 @@
         keep_alive: Option<time::Duration>,
         max_idle: usize,
     ) {
-        if connection.reader.has_surplus() {
+        if connection.reader.has_unread_bytes() {
             return;
         }
         connection.reader.rest();
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -165,11 +165,11 @@
 }
 
 async fn refused(
-    answer: &mut http_client::StreamedAnswer<'_>,
+    answer: &mut http_client::StreamedResponse<'_>,
     started: time::Instant,
 ) -> CallOutcome {
     let status = answer.head.status.as_u16();
-    let body = answer.read_whole(MAX_PIECE).await.unwrap_or_default();
+    let body = answer.read_full_body(MAX_PIECE).await.unwrap_or_default();
     let after = started.elapsed();
     match serde_json::from_slice::<ErrorBody>(&body) {
         Ok(body) => CallOutcome::Refused {
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -57,8 +57,8 @@
     options.optflag("", "json", "report as JSON");
     command_line::ToolOptions::declare(&mut options);
     let matches = match command_line::parse(INFO, options) {
-        command_line::ParsedLine::Run(matches) => matches,
-        command_line::ParsedLine::Leave(code) => return process::ExitCode::from(code),
+        command_line::ParsedArguments::Run(matches) => matches,
+        command_line::ParsedArguments::Exit(code) => return process::ExitCode::from(code),
     };
     let options = command_line::ToolOptions::load(matches, &OPTIONS);
     let plan = match options.and_then(|options| read_plan(&options)) {
@@ -72,11 +72,11 @@
     match own_process::run(run(plan)) {
         Ok(report) if json => {
             println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
-            process::ExitCode::from(command_line::EXIT_GOOD)
+            process::ExitCode::from(command_line::EXIT_SUCCESS)
         }
         Ok(report) => {
             print!("{}", report.table());
-            process::ExitCode::from(command_line::EXIT_GOOD)
+            process::ExitCode::from(command_line::EXIT_SUCCESS)
         }
         Err(error) => command_line::fail(INFO, &error),
     }
--- a/crates/net/src/command_line.rs
+++ b/crates/net/src/command_line.rs
@@ -7,9 +7,9 @@
 use crate::{local_settings, logging, process as own_process};
 
 /// The program has done what it was asked.
-pub const EXIT_GOOD: u8 = 0;
+pub const EXIT_SUCCESS: u8 = 0;
 /// The program has failed.
-pub const EXIT_FAILED: u8 = 1;
+pub const EXIT_FAILURE: u8 = 1;
 /// The command line is wrong.
 pub const EXIT_USAGE: u8 = 2;
 
@@ -27,15 +27,15 @@
 }
 
 /// A command line that made sense, or what to do instead of running.
-pub enum ParsedLine {
+pub enum ParsedArguments {
     /// Run with these options.
     Run(getopts::Matches),
     /// Leave with this code; what there was to say has been said.
-    Leave(u8),
+    Exit(u8),
 }
 
 /// Reads the command line; handles `--help`, `--version` and wrong usage.
-pub fn parse(info: ProgramInfo, mut options: getopts::Options) -> ParsedLine {
+pub fn parse(info: ProgramInfo, mut options: getopts::Options) -> ParsedArguments {
     options.optflag("h", "help", "print this help and exit");
     options.optflag("V", "version", "print the version and exit");
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -43,19 +43,19 @@
         Ok(matches) => matches,
         Err(error) => {
             eprintln!("{}: {error}\nTry '{} --help'.", info.name, info.name);
-            return ParsedLine::Leave(EXIT_USAGE);
+            return ParsedArguments::Exit(EXIT_USAGE);
         }
     };
     if matches.opt_present("help") {
         let brief = format!("{}\n\nUsage: {} {}", info.about, info.name, info.arguments);
         print!("{}", options.usage(&brief));
-        return ParsedLine::Leave(EXIT_GOOD);
+        return ParsedArguments::Exit(EXIT_SUCCESS);
     }
     if matches.opt_present("version") {
         println!("{} {}", info.name, info.version);
-        return ParsedLine::Leave(EXIT_GOOD);
+        return ParsedArguments::Exit(EXIT_SUCCESS);
     }
-    ParsedLine::Run(matches)
+    ParsedArguments::Run(matches)
 }
 
 /// Options of the programs that serve.
@@ -117,7 +117,7 @@
     }
 
     /// The words that are no options.
-    pub fn words(&self) -> Vec<&str> {
+    pub fn positional(&self) -> Vec<&str> {
         self.matches.free.iter().map(String::as_str).collect()
     }
 }
@@ -148,14 +148,14 @@
 /// Says what went wrong and gives the exit code for it.
 pub fn fail(info: ProgramInfo, error: &dyn fmt::Display) -> process::ExitCode {
     eprintln!("{}: {error}", info.name);
-    process::ExitCode::from(EXIT_FAILED)
+    process::ExitCode::from(EXIT_FAILURE)
 }
 
 /// Reads a server's command line and its local settings. `Err` is the code to leave with.
 pub fn load_server(info: ProgramInfo) -> Result<local_settings::LocalSettings, process::ExitCode> {
     let matches = match parse(info, server_options()) {
-        ParsedLine::Run(matches) => matches,
-        ParsedLine::Leave(code) => return Err(process::ExitCode::from(code)),
+        ParsedArguments::Run(matches) => matches,
+        ParsedArguments::Exit(code) => return Err(process::ExitCode::from(code)),
     };
     let Some(file) = matches.opt_str("settings") else {
         eprintln!("{}: -s FILE is needed\nTry '{} --help'.", info.name, info.name);
@@ -165,7 +165,7 @@
         .map_err(|error| fail(info, &error))?;
     if matches.opt_present("check") {
         println!("{file}: valid");
-        return Err(process::ExitCode::from(EXIT_GOOD));
+        return Err(process::ExitCode::from(EXIT_SUCCESS));
     }
     Ok(local)
 }
@@ -185,7 +185,7 @@
         return fail(info, &error);
     }
     match own_process::run(run(local)) {
-        Ok(Ok(())) => process::ExitCode::from(EXIT_GOOD),
+        Ok(Ok(())) => process::ExitCode::from(EXIT_SUCCESS),
         Ok(Err(error)) => fail(info, &error),
         Err(error) => fail(info, &error),
     }
--- a/crates/net/src/document_client.rs
+++ b/crates/net/src/document_client.rs
@@ -58,8 +58,10 @@
     *call.uri_mut() = path.try_into().expect("the path is made of valid characters");
     let limit = settings::MAX_DOCUMENT_BYTES as u64;
     let pooled = http_client::ConnectionUse::Pooled;
-    let answer =
-        monoio::time::timeout(wait + ANSWER_SLACK, pool.call_whole(address, pooled, call, limit));
+    let answer = monoio::time::timeout(
+        wait + ANSWER_SLACK,
+        pool.call_buffered(address, pooled, call, limit),
+    );
     let Ok(answer) = answer.await else {
         return TimedOutSnafu { address }.fail();
     };
--- a/crates/net/src/document_feed.rs
+++ b/crates/net/src/document_feed.rs
@@ -47,7 +47,7 @@
     /// Takes in an answer. One without documents confirms what is held.
     fn take(&self, update: scheduler_link::DocumentUpdate);
     /// Learns that no source answered.
-    fn all_silent(&self);
+    fn sources_unreachable(&self);
     /// A number between 0 and 1, to spread pauses.
     fn jitter(&self) -> f64;
 }
@@ -64,7 +64,7 @@
             mode = AskMode::Watch;
             monoio::time::sleep(MIN_PAUSE).await;
         } else {
-            holder.all_silent();
+            holder.sources_unreachable();
             mode = AskMode::AtOnce;
             monoio::time::sleep(SILENCE_PAUSE.mul_f64(1.0 + holder.jitter())).await;
         }
--- a/crates/net/src/h1.rs
+++ b/crates/net/src/h1.rs
@@ -19,7 +19,7 @@
 /// Bytes read at once.
 const READ_BYTES: usize = 8 * 1024;
 /// Largest head of an answer.
-pub const MAX_ANSWER_HEAD: usize = 32 * 1024;
+pub const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
 /// Longest line that announces a chunk, or trailer line.
 const MAX_CHUNK_LINE: usize = 1_024;
 /// Headers that concern one connection only.
@@ -104,7 +104,7 @@
     }
 
     /// Whether bytes have arrived that belong to no message read so far.
-    pub fn has_surplus(&self) -> bool {
+    pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Reads an answer's head, passing over interim ones.
-    pub async fn answer_head(&mut self) -> Result<http::response::Parts, MessageError> {
+    pub async fn response_head(&mut self) -> Result<http::response::Parts, MessageError> {
         loop {
             if let Some(head) = self.parse_answer()? {
                 if head.status.is_informational() {
@@ -148,8 +148,8 @@
                 }
                 return Ok(head);
             }
-            if self.buffer.len() > MAX_ANSWER_HEAD {
-                return HeadTooLargeSnafu { limit: MAX_ANSWER_HEAD }.fail();
+            if self.buffer.len() > MAX_RESPONSE_HEAD_BYTES {
+                return HeadTooLargeSnafu { limit: MAX_RESPONSE_HEAD_BYTES }.fail();
             }
             if self.fill().await? == 0 {
                 return ClosedSnafu.fail();
@@ -359,7 +359,7 @@
     }
 
     /// How the body of an answer ends.
-    pub fn of_answer(head: &http::response::Parts) -> Result<Self, MessageError> {
+    pub fn of_response(head: &http::response::Parts) -> Result<Self, MessageError> {
         if matches!(head.status.as_u16(), 204 | 304) {
             return Ok(Self::Ended);
         }
@@ -400,7 +400,7 @@
 }
 
 /// A request's head as bytes. Its body, if any, has `length` bytes.
-pub fn request_bytes(head: &http::request::Parts, length: Option<usize>) -> Vec<u8> {
+pub fn encode_request_head(head: &http::request::Parts, length: Option<usize>) -> Vec<u8> {
     let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
     let mut text = format!("{} {path} HTTP/1.1\r\n", head.method).into_bytes();
     put_headers(&mut text, &head.headers);
@@ -412,7 +412,7 @@
 }
 
 /// An answer's head as bytes; without a length the body is sent in chunks.
-pub fn answer_bytes(
+pub fn encode_response_head(
     status: http::StatusCode,
     headers: &http::HeaderMap,
     length: Option<usize>,
@@ -435,7 +435,7 @@
 }
 
 /// A piece of a chunked body as bytes.
-pub fn chunk_bytes(piece: &[u8]) -> Vec<u8> {
+pub fn encode_chunk(piece: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", piece.len()).into_bytes();
     chunk.extend_from_slice(piece);
     chunk.extend_from_slice(b"\r\n");
@@ -475,7 +475,7 @@
 }
 
 /// For how long the other side keeps a resting connection, where it says so.
-pub fn keep_alive(headers: &http::HeaderMap) -> Option<time::Duration> {
+pub fn keep_alive_timeout(headers: &http::HeaderMap) -> Option<time::Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
     timeout.unwrap_or(value.trim()).parse().ok().map(time::Duration::from_secs)
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -120,7 +120,7 @@
 
 impl CallConnection {
     /// Whether it had been idle, and so may have fallen silent meanwhile.
-    pub fn has_rested(&self) -> bool {
+    pub fn is_reused(&self) -> bool {
         self.rested
     }
 }
@@ -138,7 +138,7 @@
         address: std_net::SocketAddr,
         which: ConnectionUse,
         call: http::Request<Bytes>,
-    ) -> Result<StreamedAnswer<'_>, CallError> {
+    ) -> Result<StreamedResponse<'_>, CallError> {
         let connection = self.connect(address, which).await?;
         self.send(connection, call).await
     }
@@ -166,7 +166,7 @@
         &self,
         taken: CallConnection,
         call: http::Request<Bytes>,
-    ) -> Result<StreamedAnswer<'_>, CallError> {
+    ) -> Result<StreamedResponse<'_>, CallError> {
         let CallConnection { mut connection, address, .. } = taken;
         let (mut head, body) = call.into_parts();
         if !head.headers.contains_key(http::header::HOST) {
@@ -177,7 +177,7 @@
         connection.encoder.send_and_flush(call).await.map_err(broken)?;
         connection.allowance.set(HEAD_ALLOWANCE);
         let (head, body) = read_head(&mut connection).await?;
-        Ok(StreamedAnswer {
+        Ok(StreamedResponse {
             pool: self,
             address,
             connection: Some(connection),
@@ -188,7 +188,7 @@
     }
 
     /// Sends a request and waits for its whole answer, at most `limit` bytes of it.
-    pub async fn call_whole(
+    pub async fn call_buffered(
         &self,
         address: std_net::SocketAddr,
         which: ConnectionUse,
@@ -196,7 +196,7 @@
         limit: u64,
     ) -> Result<http::Response<Bytes>, CallError> {
         let mut answer = self.call(address, which, call).await?;
-        let body = answer.read_whole(limit).await?;
+        let body = answer.read_full_body(limit).await?;
         let (status, headers) = (answer.head.status, answer.head.headers.clone());
         let mut whole = http::Response::new(body);
         *whole.status_mut() = status;
@@ -224,7 +224,7 @@
 
     /// Closes the connections to an address that have idled since `moment` or longer, and counts
     /// them: where another that had rested until then has fallen silent, so may they have.
-    pub fn close_rested(&self, address: std_net::SocketAddr, moment: time::Instant) -> usize {
+    pub fn close_idle_since(&self, address: std_net::SocketAddr, moment: time::Instant) -> usize {
         let mut idle = self.idle.borrow_mut();
         let Some(kept) = idle.get_mut(&address) else {
             return 0;
@@ -244,7 +244,7 @@
 }
 
 /// An answer whose body is still arriving. Dropped before its end, it closes its connection.
-pub struct StreamedAnswer<'pool> {
+pub struct StreamedResponse<'pool> {
     pool: &'pool ConnectionPool,
     address: std_net::SocketAddr,
     /// Invariant: present until the body has ended or failed.
@@ -255,7 +255,7 @@
     ended: bool,
 }
 
-impl StreamedAnswer<'_> {
+impl StreamedResponse<'_> {
     /// The value of a header, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
@@ -306,7 +306,7 @@
     }
 
     /// The rest of the body, at most `limit` bytes of it.
-    pub async fn read_whole(&mut self, limit: u64) -> Result<Bytes, CallError> {
+    pub async fn read_full_body(&mut self, limit: u64) -> Result<Bytes, CallError> {
         let mut pieces = Vec::new();
         let mut length = 0;
         while let Some(piece) = self.next_piece(limit).await? {
--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -236,7 +236,7 @@
     ///
     /// A caller that sends something while it waits for its answer is not gone; what it sent stays
     /// in the read buffer.
-    pub async fn while_present<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn while_connected<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let mut work = pin::pin!(work);
         self.allowance.set(MAX_HEAD_BYTES);
         let mut peek = Box::pin(self.reader.peek_data());
@@ -316,7 +316,7 @@
 }
 
 /// A JSON answer.
-pub fn json_answer(status: u16, body: &impl serde::Serialize) -> http::Response<Bytes> {
+pub fn json_response(status: u16, body: &impl serde::Serialize) -> http::Response<Bytes> {
     let text = serde_json::to_vec(body).unwrap_or_else(|_| b"{}".to_vec());
     let mut answer = http::Response::new(Bytes::from(text));
     *answer.status_mut() =
--- a/crates/net/src/local_settings.rs
+++ b/crates/net/src/local_settings.rs
@@ -10,7 +10,7 @@
 
 /// Why a local settings file cannot be used.
 #[derive(Debug, Snafu)]
-pub enum LocalError {
+pub enum LocalSettingsError {
     /// The file cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
@@ -137,7 +137,7 @@
 
 impl LocalSettings {
     /// Reads and checks a file.
-    pub fn load(file: &path::Path) -> Result<Self, LocalError> {
+    pub fn load(file: &path::Path) -> Result<Self, LocalSettingsError> {
         let text = fs::read_to_string(file).context(ReadSnafu { file })?;
         let local: Self = settings::parse_yaml(&text).context(ContentSnafu { file })?;
         let platform = &local.platform;
--- a/crates/net/tests/h1.rs
+++ b/crates/net/tests/h1.rs
@@ -29,8 +29,8 @@
 /// The body of an answer, or what is wrong with it.
 fn answer(text: &str) -> Result<(u16, Vec<u8>), String> {
     with_bytes(text.as_bytes().to_vec(), |mut reader| async move {
-        let head = reader.answer_head().await.map_err(|error| error.to_string())?;
-        let mut framing = h1::BodyFraming::of_answer(&head).map_err(|error| error.to_string())?;
+        let head = reader.response_head().await.map_err(|error| error.to_string())?;
+        let mut framing = h1::BodyFraming::of_response(&head).map_err(|error| error.to_string())?;
         let body = reader.whole_body(&mut framing, 64 * 1024).await;
         let body = body.map_err(|error| error.to_string())?;
         Ok((head.status.as_u16(), body.to_vec()))
@@ -111,7 +111,7 @@
         headers.insert(name, http::HeaderValue::from_static(value));
     }
     assert!(h1::closes(http::Version::HTTP_11, &headers));
-    assert_eq!(h1::keep_alive(&headers), Some(std::time::Duration::from_secs(5)));
+    assert_eq!(h1::keep_alive_timeout(&headers), Some(std::time::Duration::from_secs(5)));
     h1::strip_connection_headers(&mut headers);
     assert_eq!(headers.keys().map(http::HeaderName::as_str).collect::<Vec<_>>(), ["x-kept"]);
 }
--- a/crates/scheduler/src/engine_client.rs
+++ b/crates/scheduler/src/engine_client.rs
@@ -93,7 +93,7 @@
         call: http::Request<Bytes>,
     ) -> Result<Bytes, EngineError> {
         let pooled = http_client::ConnectionUse::Pooled;
-        let calling = self.pool.call_whole(address, pooled, call, MAX_ANSWER);
+        let calling = self.pool.call_buffered(address, pooled, call, MAX_ANSWER);
         let Ok(answer) = monoio::time::timeout(ANSWER_LIMIT, calling).await else {
             return TimedOutSnafu.fail();
         };
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -50,7 +50,7 @@
         let _ = self.events.unbounded_send(event::SchedulerEvent::Documents(update));
     }
 
-    fn all_silent(&self) {
+    fn sources_unreachable(&self) {
         log::warn!("neither platform nor peers answer; working from the documents held");
     }
 
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -30,12 +30,12 @@
     options.optopt("", "program", "the instances' program (beside this one)", "FILE");
     options.optflag("", "plan", "print the plan of each seed, and play nothing");
     let matches = match command_line::parse(INFO, options) {
-        command_line::ParsedLine::Run(matches) => matches,
-        command_line::ParsedLine::Leave(code) => return process::ExitCode::from(code),
+        command_line::ParsedArguments::Run(matches) => matches,
+        command_line::ParsedArguments::Exit(code) => return process::ExitCode::from(code),
     };
     match soak(&matches) {
-        Ok(0) => process::ExitCode::from(command_line::EXIT_GOOD),
-        Ok(_) => process::ExitCode::from(command_line::EXIT_FAILED),
+        Ok(0) => process::ExitCode::from(command_line::EXIT_SUCCESS),
+        Ok(_) => process::ExitCode::from(command_line::EXIT_FAILURE),
         Err(error) => command_line::fail(INFO, &error),
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -174,9 +174,9 @@
     match serde_json::from_slice(body) {
         Ok(plan) => {
             faults.set(plan);
-            http_server::json_answer(200, &true)
+            http_server::json_response(200, &true)
         }
-        Err(error) => http_server::json_answer(400, &error.to_string()),
+        Err(error) => http_server::json_response(400, &error.to_string()),
     }
 }
 
@@ -189,17 +189,17 @@
 
 fn answer_order(state: &EngineState, path: &str, body: &[u8]) -> http::Response<Bytes> {
     match path {
-        "/v1/load" => http_server::json_answer(200, &lagging_report(state)),
-        "/counts" => http_server::json_answer(200, &*state.counts.borrow()),
+        "/v1/load" => http_server::json_response(200, &lagging_report(state)),
+        "/counts" => http_server::json_response(200, &*state.counts.borrow()),
         "/v1/cancel" | "/v1/kv/reserve" => match serde_json::from_slice::<OrderBody>(body) {
             Ok(order) if path == "/v1/cancel" => cancel(state, &order.attempt),
             Ok(order) => {
                 let kept = state.model.borrow_mut().reserve(&order.attempt, order.tokens);
-                http_server::json_answer(if kept { 200 } else { 503 }, &kept)
+                http_server::json_response(if kept { 200 } else { 503 }, &kept)
             }
-            Err(error) => http_server::json_answer(400, &error.to_string()),
+            Err(error) => http_server::json_response(400, &error.to_string()),
         },
-        _ => http_server::json_answer(404, &"not found"),
+        _ => http_server::json_response(404, &"not found"),
     }
 }
 
@@ -225,9 +225,9 @@
 
 fn cancel(state: &EngineState, attempt: &str) -> http::Response<Bytes> {
     if state.faults.plan().ignore_cancels {
-        return http_server::json_answer(200, &false);
+        return http_server::json_response(200, &false);
     }
-    http_server::json_answer(200, &give_up(state, attempt))
+    http_server::json_response(200, &give_up(state, attempt))
 }
 
 fn give_up(state: &EngineState, attempt: &str) -> bool {
@@ -261,7 +261,7 @@
     let asked: CompletionBody = match serde_json::from_slice(body) {
         Ok(asked) => asked,
         Err(error) => {
-            let answer = http_server::json_answer(400, &error.to_string());
+            let answer = http_server::json_response(400, &error.to_string());
             return connection.respond(answer).await.is_ok();
         }
     };
@@ -271,7 +271,7 @@
     let attempt = request.attempt.clone();
     if plan.draining || plan.refuse || !state.model.borrow_mut().start(request) {
         state.counts.borrow_mut().refused += 1;
-        let mut answer = http_server::json_answer(503, &"refused, not run");
+        let mut answer = http_server::json_response(503, &"refused, not run");
         answer.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
         return connection.respond(answer).await.is_ok();
     }
@@ -347,7 +347,7 @@
         let mut words = String::new();
         let mut sent = 0;
         loop {
-            let Some(next) = connection.while_present(pieces.next()).await else {
+            let Some(next) = connection.while_connected(pieces.next()).await else {
                 return false;
             };
             let Some(engine_model::EngineOutput::Tokens(_, first, count)) = next else {
@@ -363,7 +363,7 @@
             if self.plan.hang_after.is_some_and(|limit| sent >= limit) {
                 self.state.model.borrow_mut().hang(&self.attempt);
                 let hour = time::Duration::from_secs(3_600);
-                let _ = connection.while_present(monoio::time::sleep(hour)).await;
+                let _ = connection.while_connected(monoio::time::sleep(hour)).await;
                 return false;
             }
             let text = self.words(first, count);
@@ -381,7 +381,8 @@
             return done && connection.finish_stream().await.is_ok();
         }
         let choice = serde_json::json!({ "index": 0, "message": { "content": words } });
-        let mut answer = http_server::json_answer(200, &serde_json::json!({ "choices": [choice] }));
+        let mut answer =
+            http_server::json_response(200, &serde_json::json!({ "choices": [choice] }));
         self.mark_head(answer.headers_mut());
         connection.respond(answer).await.is_ok()
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -26,12 +26,12 @@
     options.optflag("", "checks-keys", "service: refuse a key it has seen");
     command_line::ToolOptions::declare(&mut options);
     let matches = match command_line::parse(INFO, options) {
-        command_line::ParsedLine::Run(matches) => matches,
-        command_line::ParsedLine::Leave(code) => return process::ExitCode::from(code),
+        command_line::ParsedArguments::Run(matches) => matches,
+        command_line::ParsedArguments::Exit(code) => return process::ExitCode::from(code),
     };
     let options = command_line::ToolOptions::load(matches, &OPTIONS);
     match options.and_then(|options| run(&options)) {
-        Ok(()) => process::ExitCode::from(command_line::EXIT_GOOD),
+        Ok(()) => process::ExitCode::from(command_line::EXIT_SUCCESS),
         Err(text) => {
             eprintln!("{}: {text}", INFO.name);
             process::ExitCode::from(command_line::EXIT_USAGE)
@@ -40,8 +40,8 @@
 }
 
 fn run(options: &command_line::ToolOptions) -> Result<(), String> {
-    let words = options.words();
-    if let ["publish", name, document, file] = words.as_slice() {
+    let positional = options.positional();
+    if let ["publish", name, document, file] = positional.as_slice() {
         let text = std::fs::read(file).map_err(|error| format!("{file}: {error}"))?;
         return publish(address(options, "to")?, name, document, text.into());
     }
@@ -65,7 +65,7 @@
             *call.method_mut() = http::Method::PUT;
             *call.uri_mut() = path.parse().unwrap_or_default();
             let fresh = http_client::ConnectionUse::Fresh;
-            if let Ok(answer) = pool.call_whole(address, fresh, call, 1 << 16).await {
+            if let Ok(answer) = pool.call_buffered(address, fresh, call, 1 << 16).await {
                 return answer.status().is_success();
             }
             monoio::time::sleep(time::Duration::from_millis(100)).await;
@@ -88,7 +88,7 @@
         batch_knee: 64.0,
     };
     let checks_keys = options.flag("checks-keys");
-    let kind = options.words().first().copied().unwrap_or_default().to_owned();
+    let kind = options.positional().first().copied().unwrap_or_default().to_owned();
     let serving = async move {
         let listener = own_process::listen(address).map_err(|error| error.to_string())?;
         match kind.as_str() {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -56,11 +56,11 @@
         let query = uri.query().unwrap_or_default();
         let answer = match uri.path() {
             "/faults" => engine::set_faults(&state.faults, &body),
-            "/counts" => http_server::json_answer(200, &*state.counts.borrow()),
+            "/counts" => http_server::json_response(200, &*state.counts.borrow()),
             path if path.starts_with("/documents/") => publish(&state, name, query, body),
             _ if state.faults.plan().down => return,
-            _ if !state.admit() => http_server::json_answer(429, &"too many reads"),
-            _ => match connection.while_present(read(&state, name, query)).await {
+            _ if !state.admit() => http_server::json_response(429, &"too many reads"),
+            _ => match connection.while_connected(read(&state, name, query)).await {
                 Some(answer) => answer,
                 None => return,
             },
@@ -96,11 +96,11 @@
 
 fn publish(state: &PlatformState, name: &str, query: &str, body: Bytes) -> http::Response<Bytes> {
     let Some(number) = number(query, "number") else {
-        return http_server::json_answer(400, &"number is missing");
+        return http_server::json_response(400, &"number is missing");
     };
     let mut documents = state.documents.borrow_mut();
     documents.entry(name.to_owned()).or_default().insert(number, body);
-    http_server::json_answer(200, &number)
+    http_server::json_response(200, &number)
 }
 
 async fn read(state: &PlatformState, name: &str, query: &str) -> http::Response<Bytes> {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -49,7 +49,7 @@
         };
         let answer = match incoming.head.uri.path() {
             "/faults" => engine::set_faults(&state.faults, &body),
-            "/counts" => http_server::json_answer(200, &*state.counts.borrow()),
+            "/counts" => http_server::json_response(200, &*state.counts.borrow()),
             path => match run_call(&state, &incoming, path).await {
                 Some(answer) => answer,
                 None => return,
@@ -69,7 +69,7 @@
 ) -> Option<http::Response<bytes::Bytes>> {
     let plan = state.faults.plan();
     if plan.draining || plan.refuse {
-        let mut answer = http_server::json_answer(503, &"refused, not run");
+        let mut answer = http_server::json_response(503, &"refused, not run");
         answer.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
         return Some(answer);
     }
@@ -78,14 +78,14 @@
     let request = attempt.rsplit_once(':').map_or(attempt, |(request, _)| request).to_owned();
     if state.checks_keys && state.counts.borrow().by_key.contains_key(&key) && !key.is_empty() {
         state.counts.borrow_mut().key_refusals += 1;
-        return Some(http_server::json_answer(409, &"this key has run"));
+        return Some(http_server::json_response(409, &"this key has run"));
     }
     count(&mut state.counts.borrow_mut(), key, request);
     monoio::time::sleep(time::Duration::from_millis(plan.delay_ms)).await;
     if plan.close_before_answer {
         return None;
     }
-    let mut answer = http_server::json_answer(200, &format!("done {path}"));
+    let mut answer = http_server::json_response(200, &format!("done {path}"));
     if let Ok(value) = http::HeaderValue::from_str(attempt) {
         answer.headers_mut().insert("x-attempt-id", value);
     }
