--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,5 @@
-//! What slipturn's programs share apart from their decisions: sockets, HTTP, RPC, command line, logs.
+//! Networking and process support shared by slipturn's programs: sockets, HTTP, RPC, command lines,
+//! logging and metrics.
 
 mod body;
 pub mod boot_clock;
