--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,10 +1,11 @@
-//! Bodies that are known whole.
+//! Message bodies that are completely in memory.
 
 use bytes::Bytes;
 use monoio_http::h1::payload;
 
-/// The payload of a whole body; an empty one has none, so that no length is stated twice.
-pub(crate) fn whole(body: Bytes) -> payload::Payload {
+/// Wraps a complete body as a payload. An empty body becomes [`payload::Payload::None`], so that its
+/// length is not stated twice.
+pub(crate) fn full_payload(body: Bytes) -> payload::Payload {
     if body.is_empty() {
         payload::Payload::None
     } else {
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -1,7 +1,7 @@
-//! Client side of HTTP/1.1: one request a time on a connection, few idle ones kept.
+//! HTTP/1.1 client with a connection pool and one request at a time per connection.
 //!
-//! A connection goes back to the pool only after a whole answer. After a cancel, a time-out or an
-//! error it is closed, so that no late answer can reach another request.
+//! A connection returns to the pool only after a complete response. After a cancellation, a timeout or
+//! an error it is closed, so that a late response cannot be taken for that of another request.
 
 use std::{cell, collections, io, net as std_net, time};
 
@@ -18,13 +18,14 @@
 
 use crate::{body, metered_read};
 
-/// Time for a connection to come about.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(1_000);
-/// Idle connections kept for each address.
-const MAX_IDLE: usize = 32;
-/// Longest an idle connection is kept.
-const IDLE_LIMIT: time::Duration = time::Duration::from_secs(20);
-/// Largest answer head, and the slack of the read buffer.
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
+/// Maximum number of idle connections per address.
+const MAX_IDLE_CONNECTIONS: usize = 32;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+/// Bytes that may be read for a response head. Also added to the limit of a body, because the reader
+/// may buffer more than the part that is being decoded.
 const HEAD_ALLOWANCE: u64 = 64 * 1024;
 
 type HeadDecoder = decoder::GenericHeadDecoder<
@@ -36,27 +37,27 @@
 type Reader =
     monoio_codec::FramedRead<metered_read::MeteredRead<OwnedReadHalf<net::TcpStream>>, HeadDecoder>;
 
-/// How a call failed, by whether the upstream can have seen any of it.
+/// Error of a call. The variants tell whether the upstream may have received a part of the request.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection; not a byte was written.
+    /// The connection could not be established; nothing was sent.
     #[snafu(display("cannot connect to {address}: {reason}"))]
     NotConnected {
-        /// The upstream.
+        /// Address of the upstream.
         address: std_net::SocketAddr,
-        /// Why.
+        /// Description of the cause.
         reason: String,
     },
-    /// It broke off after at least one byte may have been written.
+    /// The call failed after a part of the request may have been sent.
     #[snafu(display("the call broke off: {reason}"))]
     Broken {
-        /// Why.
+        /// Description of the cause.
         reason: String,
     },
-    /// The answer is larger than allowed.
+    /// The response is larger than allowed.
     #[snafu(display("the answer has more than {limit} bytes"))]
     TooLarge {
-        /// Most bytes allowed.
+        /// Maximum size in bytes.
         limit: u64,
     },
 }
@@ -72,7 +73,7 @@
         let not_connected =
             |error: &dyn ToString| CallError::NotConnected { address, reason: error.to_string() };
         let connecting = net::TcpStream::connect_addr(address);
-        let connected = monoio::time::timeout(CONNECT_LIMIT, connecting).await;
+        let connected = monoio::time::timeout(CONNECT_TIMEOUT, connecting).await;
         let stream = match connected {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(not_connected(&error)),
@@ -88,10 +89,11 @@
         })
     }
 
-    /// Whether the upstream has closed an idle connection, or sent something unasked.
+    /// Returns whether the upstream has closed the idle connection or sent data that no request
+    /// asked for.
     async fn is_stale(&mut self) -> bool {
         self.allowance.set(HEAD_ALLOWANCE);
-        // A peek that has to wait means that nothing has come, not even an end.
+        // If the peek would have to wait, neither data nor the end of the stream has arrived.
         monoio::time::timeout(time::Duration::ZERO, self.reader.peek_data()).await.is_ok()
     }
 }
@@ -101,80 +103,85 @@
     since: time::Instant,
 }
 
-/// Which connection a call goes over.
+/// Whether a call may use a pooled connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// An idle one where there is one. The upstream may be closing it at this moment, which makes
-    /// the call fail as broken; that is for calls that may be repeated.
+    /// Use an idle connection if there is one. The upstream may be about to close it, in which case
+    /// the call fails with [`CallError::Broken`], so this is for calls that may be repeated.
     Pooled,
-    /// A new one, so that a call that must not run twice cannot fail for an old one's sake.
+    /// Open a new connection, so that a call that must not run twice cannot fail because an idle
+    /// connection was closed.
     Fresh,
 }
 
-/// A connection taken for one call.
+/// A connection that is reserved for one call.
 pub struct CallConnection {
     connection: ClientConnection,
     address: std_net::SocketAddr,
-    rested: bool,
+    reused: bool,
 }
 
 impl CallConnection {
-    /// Whether it had been idle, and so may have fallen silent meanwhile.
+    /// Returns whether the connection comes from the pool. The upstream may have become unreachable
+    /// over it while it was idle.
     pub fn is_reused(&self) -> bool {
-        self.rested
+        self.reused
     }
 }
 
-/// Idle connections by address.
+/// A client that keeps idle connections by address.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: cell::RefCell<collections::HashMap<std_net::SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn call(
         &self,
         address: std_net::SocketAddr,
-        which: ConnectionUse,
-        call: http::Request<Bytes>,
+        connection_use: ConnectionUse,
+        request: http::Request<Bytes>,
     ) -> Result<StreamedResponse<'_>, CallError> {
-        let connection = self.connect(address, which).await?;
-        self.send(connection, call).await
+        let connection = self.connect(address, connection_use).await?;
+        self.send(connection, request).await
     }
 
-    /// Takes or opens a connection for a call.
+    /// Takes an idle connection from the pool or opens a new one.
     pub async fn connect(
         &self,
         address: std_net::SocketAddr,
-        which: ConnectionUse,
+        connection_use: ConnectionUse,
     ) -> Result<CallConnection, CallError> {
-        let pooled = match which {
-            ConnectionUse::Pooled => self.pooled(address).await,
+        let pooled = match connection_use {
+            ConnectionUse::Pooled => self.take_idle(address).await,
             ConnectionUse::Fresh => None,
         };
-        let rested = pooled.is_some();
+        let reused = pooled.is_some();
         let connection = match pooled {
             Some(connection) => connection,
             None => ClientConnection::open(address).await?,
         };
-        Ok(CallConnection { connection, address, rested })
+        Ok(CallConnection { connection, address, reused })
     }
 
-    /// Sends a request over a connection taken for it and waits for the head of its answer.
+    /// Sends a request over a reserved connection and waits for the head of the response.
     pub async fn send(
         &self,
-        taken: CallConnection,
-        call: http::Request<Bytes>,
+        reserved: CallConnection,
+        request: http::Request<Bytes>,
     ) -> Result<StreamedResponse<'_>, CallError> {
-        let CallConnection { mut connection, address, .. } = taken;
-        let (mut head, body) = call.into_parts();
+        let CallConnection { mut connection, address, .. } = reserved;
+        let (mut head, body) = request.into_parts();
         if !head.headers.contains_key(http::header::HOST) {
             let host = http::HeaderValue::try_from(address.to_string());
-            head.headers.insert(http::header::HOST, host.expect("an address is a valid value"));
+            head.headers.insert(
+                http::header::HOST,
+                host.expect("a socket address is a valid header value"),
+            );
         }
-        let call = request::Request::from_parts(head, body::whole(body));
-        connection.encoder.send_and_flush(call).await.map_err(broken)?;
+        let request = request::Request::from_parts(head, body::full_payload(body));
+        connection.encoder.send_and_flush(request).await.map_err(broken)?;
         connection.allowance.set(HEAD_ALLOWANCE);
         let (head, body) = read_head(&mut connection).await?;
         Ok(StreamedResponse {
@@ -187,28 +194,28 @@
         })
     }
 
-    /// Sends a request and waits for its whole answer, at most `limit` bytes of it.
+    /// Sends a request and waits for the complete response, whose body may have at most `limit` bytes.
     pub async fn call_buffered(
         &self,
         address: std_net::SocketAddr,
-        which: ConnectionUse,
-        call: http::Request<Bytes>,
+        connection_use: ConnectionUse,
+        request: http::Request<Bytes>,
         limit: u64,
     ) -> Result<http::Response<Bytes>, CallError> {
-        let mut answer = self.call(address, which, call).await?;
-        let body = answer.read_full_body(limit).await?;
-        let (status, headers) = (answer.head.status, answer.head.headers.clone());
-        let mut whole = http::Response::new(body);
-        *whole.status_mut() = status;
-        *whole.headers_mut() = headers;
-        Ok(whole)
+        let mut streamed = self.call(address, connection_use, request).await?;
+        let body = streamed.read_full_body(limit).await?;
+        let (status, headers) = (streamed.head.status, streamed.head.headers.clone());
+        let mut response = http::Response::new(body);
+        *response.status_mut() = status;
+        *response.headers_mut() = headers;
+        Ok(response)
     }
 
-    async fn pooled(&self, address: std_net::SocketAddr) -> Option<ClientConnection> {
+    async fn take_idle(&self, address: std_net::SocketAddr) -> Option<ClientConnection> {
         loop {
             let mut idle = self.idle.borrow_mut().get_mut(&address)?.pop()?;
-            let fresh = idle.since.elapsed() < IDLE_LIMIT;
-            if fresh && !idle.connection.is_stale().await {
+            let recent = idle.since.elapsed() < IDLE_TIMEOUT;
+            if recent && !idle.connection.is_stale().await {
                 return Some(idle.connection);
             }
         }
@@ -217,37 +224,41 @@
     fn put_back(&self, address: std_net::SocketAddr, connection: ClientConnection) {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.entry(address).or_default();
-        if kept.len() < MAX_IDLE {
+        if kept.len() < MAX_IDLE_CONNECTIONS {
             kept.push(IdleConnection { connection, since: time::Instant::now() });
         }
     }
 
-    /// Closes the connections to an address that have idled since `moment` or longer, and counts
-    /// them: where another that had rested until then has fallen silent, so may they have.
-    pub fn close_idle_since(&self, address: std_net::SocketAddr, moment: time::Instant) -> usize {
+    /// Closes the connections to an address that have been idle since `instant` or longer and returns
+    /// their number.
+    ///
+    /// If a reused connection has become unresponsive, those that were idle at the same time may have
+    /// too.
+    pub fn close_idle_since(&self, address: std_net::SocketAddr, instant: time::Instant) -> usize {
         let mut idle = self.idle.borrow_mut();
         let Some(kept) = idle.get_mut(&address) else {
             return 0;
         };
         let before = kept.len();
-        kept.retain(|idle| idle.since > moment);
+        kept.retain(|idle| idle.since > instant);
         before - kept.len()
     }
 
-    /// Closes connections that have idled too long.
+    /// Closes the connections whose idle timeout has expired.
     pub fn prune(&self) {
         self.idle.borrow_mut().retain(|_, kept| {
-            kept.retain(|idle| idle.since.elapsed() < IDLE_LIMIT);
+            kept.retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
             !kept.is_empty()
         });
     }
 }
 
-/// An answer whose body is still arriving. Dropped before its end, it closes its connection.
+/// A response whose body is still arriving. If it is dropped before the end of the body, its connection
+/// is closed.
 pub struct StreamedResponse<'pool> {
     pool: &'pool ConnectionPool,
     address: std_net::SocketAddr,
-    /// Invariant: present until the body has ended or failed.
+    /// Invariant: `Some` until the end of the body or an error.
     connection: Option<ClientConnection>,
     /// Status and headers.
     pub head: response::ResponseHead,
@@ -256,14 +267,15 @@
 }
 
 impl StreamedResponse<'_> {
-    /// The value of a header, if it is text.
+    /// Returns the value of a header if it is visible ASCII text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
 
-    /// The next piece of the body; `None` at its proper end.
+    /// Returns the next piece of the body, or `None` after the last one.
     ///
-    /// A piece may be as long as `limit` bytes and no longer.
+    /// Fails with [`CallError::TooLarge`] if a piece cannot be decoded from `limit` bytes and the
+    /// allowance for a head.
     pub async fn next_piece(&mut self, limit: u64) -> Result<Option<Bytes>, CallError> {
         if self.ended {
             return Ok(None);
@@ -294,18 +306,18 @@
         match piece {
             Ok(Some(piece)) => Ok(Some(piece)),
             Ok(None) => {
-                self.end();
+                self.finish();
                 Ok(None)
             }
             Err(error) => {
-                let used_up = connection.allowance.used_up();
+                let limit_reached = connection.allowance.is_exhausted();
                 self.connection = None;
-                if used_up { TooLargeSnafu { limit }.fail() } else { Err(error) }
+                if limit_reached { TooLargeSnafu { limit }.fail() } else { Err(error) }
             }
         }
     }
 
-    /// The rest of the body, at most `limit` bytes of it.
+    /// Reads the rest of the body. Fails with [`CallError::TooLarge`] if it has more than `limit` bytes.
     pub async fn read_full_body(&mut self, limit: u64) -> Result<Bytes, CallError> {
         let mut pieces = Vec::new();
         let mut length = 0;
@@ -323,7 +335,8 @@
         }
     }
 
-    fn end(&mut self) {
+    /// Marks the body as read and returns the connection to the pool unless the upstream closes it.
+    fn finish(&mut self) {
         self.ended = true;
         let close =
             self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -173,7 +173,7 @@
     /// Sends a whole answer.
     pub async fn respond(&mut self, answer: http::Response<Bytes>) -> Result<(), ServeError> {
         let (head, body) = answer.into_parts();
-        let answer = response::Response::from_parts(head, body::whole(body));
+        let answer = response::Response::from_parts(head, body::full_payload(body));
         self.encoder.send_and_flush(answer).await.map_err(malformed)
     }
 
@@ -284,7 +284,7 @@
     }
 
     fn body_error(&self, error: error::HttpError, limit: u64) -> ServeError {
-        if self.allowance.used_up() {
+        if self.allowance.is_exhausted() {
             return ServeError::BodyTooLarge { limit };
         }
         malformed(error)
--- a/crates/net/src/metered_read.rs
+++ b/crates/net/src/metered_read.rs
@@ -1,4 +1,4 @@
-//! A read half that stops after an allowance, so that no peer can make a buffer grow without end.
+//! A reader with a byte limit, so that no peer can make a read buffer grow without bound.
 
 use std::{cell, io, rc};
 
@@ -8,18 +8,19 @@
     io::AsyncReadRent,
 };
 
-/// Bytes that may still be read; shared by the reader and whoever sets the allowance.
+/// Number of bytes that a [`MeteredRead`] may still read. Clones share one counter.
 #[derive(Debug, Clone, Default)]
 pub struct ReadAllowance(rc::Rc<cell::Cell<u64>>);
 
 impl ReadAllowance {
-    /// Allows `bytes` more from now on.
+    /// Sets the number of bytes that may be read from now on; what was left of the previous allowance
+    /// is discarded.
     pub fn set(&self, bytes: u64) {
         self.0.set(bytes);
     }
 
-    /// Whether nothing is left of it.
-    pub fn used_up(&self) -> bool {
+    /// Returns whether no more bytes may be read.
+    pub fn is_exhausted(&self) -> bool {
         self.0.get() == 0
     }
 
@@ -28,7 +29,9 @@
     }
 }
 
-/// A reader that fails once its allowance is used up.
+/// A reader that fails with [`io::ErrorKind::FileTooLarge`] once its allowance is exhausted.
+///
+/// The last read before that may exceed the allowance by the length of its buffer.
 #[derive(Debug)]
 pub struct MeteredRead<R> {
     inner: R,
@@ -36,7 +39,7 @@
 }
 
 impl<R> MeteredRead<R> {
-    /// Puts `inner` under an allowance, which starts at nothing.
+    /// Wraps `inner`. Reads fail until the returned allowance is set.
     pub fn new(inner: R) -> (Self, ReadAllowance) {
         let allowance = ReadAllowance::default();
         (Self { inner, allowance: allowance.clone() }, allowance)
@@ -45,8 +48,8 @@
 
 impl<R: AsyncReadRent> AsyncReadRent for MeteredRead<R> {
     async fn read<T: IoBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if self.allowance.used_up() {
-            return (Err(used_up()), buf);
+        if self.allowance.is_exhausted() {
+            return (Err(limit_exceeded()), buf);
         }
         let (result, buf) = self.inner.read(buf).await;
         if let Ok(count) = &result {
@@ -56,8 +59,8 @@
     }
 
     async fn readv<T: IoVecBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if self.allowance.used_up() {
-            return (Err(used_up()), buf);
+        if self.allowance.is_exhausted() {
+            return (Err(limit_exceeded()), buf);
         }
         let (result, buf) = self.inner.readv(buf).await;
         if let Ok(count) = &result {
@@ -67,6 +70,6 @@
     }
 }
 
-fn used_up() -> io::Error {
+fn limit_exceeded() -> io::Error {
     io::Error::new(io::ErrorKind::FileTooLarge, "more bytes than allowed")
 }
