--- a/crates/net/src/process.rs
+++ b/crates/net/src/process.rs
@@ -1,4 +1,4 @@
-//! Matters of a whole process: its clock, its event loop, and its planned stop.
+//! Process-wide facilities: the clock, the event loop, listening sockets and graceful shutdown.
 
 use std::{
     io, net,
@@ -10,10 +10,10 @@
 
 use crate::boot_clock;
 
-/// Time between two looks at whether a stop was asked for.
-const STOP_POLL: time::Duration = time::Duration::from_millis(50);
+/// Interval at which [`StopSignal::wait`] checks for a stop request.
+const STOP_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// The process's monotonic clock. It goes on while the process is paused, and while the machine is
+/// The process's monotonic clock. It keeps counting while the process is paused or the machine is
 /// suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
@@ -21,50 +21,50 @@
 }
 
 impl ProcessClock {
-    /// A clock that starts now.
+    /// Creates a clock whose time starts at zero now.
     pub fn start() -> Self {
         Self { started: boot_clock::BootInstant::now() }
     }
 
-    /// The time since the start.
+    /// Returns the time since the clock was started.
     pub fn now(&self) -> units::MonoTime {
         units::MonoTime::from_span(self.started.elapsed())
     }
 }
 
-/// A number that no other start of the same program is likely to have.
+/// Generates an identifier that is unlikely to be used by another run of the same program.
 pub fn new_boot_id() -> ids::BootId {
     let since_epoch = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
     let nanos = u64::try_from(since_epoch.as_nanos()).unwrap_or(u64::MAX);
-    // The process number distinguishes two starts in one clock tick.
+    // The process id distinguishes two processes that start within one clock tick.
     ids::BootId(nanos ^ (u64::from(std::process::id()) << 40))
 }
 
-/// Runs a future on the event loop of this thread.
+/// Runs a future to completion on a new event loop on the current thread.
 ///
-/// The driver is named because a dependency turns monoio's default features back on, and with them
-/// the choice of io_uring, which must not be used.
-pub fn run<F: Future>(work: F) -> io::Result<F::Output> {
+/// The driver is given explicitly because a dependency enables monoio's default features, with which
+/// monoio may select io_uring, which must not be used.
+pub fn run<F: Future>(future: F) -> io::Result<F::Output> {
     let mut runtime =
         monoio::RuntimeBuilder::<monoio::LegacyDriver>::new().enable_timer().build()?;
-    Ok(runtime.block_on(work))
+    Ok(runtime.block_on(future))
 }
 
-/// Listens on an address exclusively.
+/// Listens on an address without sharing the port.
 ///
-/// The library would share it with another process by default, and callers would then reach
-/// either.
+/// monoio sets `SO_REUSEPORT` by default. Another process could then listen on the same port, and
+/// callers would reach either process.
 pub fn listen(address: net::SocketAddr) -> io::Result<monoio::net::TcpListener> {
     let options = monoio::net::ListenerOpts::new().reuse_port(false).reuse_addr(true);
     monoio::net::TcpListener::bind_with_config(address, &options)
 }
 
-/// Whether a planned stop was asked for, by SIGTERM, SIGINT or an operator.
+/// A flag that is set by SIGTERM, SIGINT or an operator to request a graceful stop. Clones share it.
 #[derive(Debug, Clone)]
 pub struct StopSignal(sync::Arc<atomic::AtomicBool>);
 
 impl StopSignal {
-    /// Installs the handlers of SIGTERM and SIGINT.
+    /// Installs handlers for SIGTERM and SIGINT that set the flag.
     pub fn install() -> io::Result<Self> {
         let flag = sync::Arc::new(atomic::AtomicBool::new(false));
         for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
@@ -73,20 +73,20 @@
         Ok(Self(flag))
     }
 
-    /// Asks for a stop.
+    /// Requests a stop.
     pub fn ask(&self) {
         self.0.store(true, atomic::Ordering::SeqCst);
     }
 
-    /// Whether a stop was asked for.
+    /// Returns whether a stop was requested.
     pub fn asked(&self) -> bool {
         self.0.load(atomic::Ordering::SeqCst)
     }
 
-    /// Waits until a stop is asked for.
+    /// Waits until a stop is requested.
     pub async fn wait(&self) {
         while !self.asked() {
-            monoio::time::sleep(STOP_POLL).await;
+            monoio::time::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 }
