--- a/crates/net/src/logging.rs
+++ b/crates/net/src/logging.rs
@@ -1,31 +1,31 @@
-//! Structured logs on standard error, by `log4rs`.
+//! Logging to standard error with `log4rs`.
 
 use log4rs::{append::console, config, encode};
 use snafu::{ResultExt as _, Snafu};
 
 use crate::local_settings;
 
-/// Text for a person: time, level, module, message.
+/// Line pattern of the text format: time, level, target and message.
 const TEXT_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f)} {l} {t} {m}{n}";
 
-/// Why logging could not be set up.
+/// Error that occurs when logging is set up.
 #[derive(Debug, Snafu)]
 pub enum LoggingError {
-    /// The configuration does not hold together.
+    /// The configuration is inconsistent.
     #[snafu(display("logs: {source}"))]
     Build {
-        /// What the library found.
+        /// The errors that `log4rs` reports.
         source: config::runtime::ConfigErrors,
     },
-    /// Logging was set up before.
+    /// A logger is already installed.
     #[snafu(display("logs: {source}"))]
-    Twice {
-        /// What the library found.
+    AlreadyInstalled {
+        /// The error that `log` reports.
         source: log::SetLoggerError,
     },
 }
 
-/// Sets logging up for the whole process.
+/// Installs the logger of the process.
 pub fn install(options: &local_settings::LogOptions) -> Result<(), LoggingError> {
     let encoder: Box<dyn encode::Encode> = match options.format {
         local_settings::LogFormat::Json => Box::new(encode::json::JsonEncoder::new()),
@@ -40,6 +40,6 @@
     let root = config::Root::builder().appender("stderr").build(options.level);
     let appender = config::Appender::builder().build("stderr", Box::new(appender));
     let config = config::Config::builder().appender(appender).build(root).context(BuildSnafu)?;
-    log4rs::init_config(config).context(TwiceSnafu)?;
+    log4rs::init_config(config).context(AlreadyInstalledSnafu)?;
     Ok(())
 }
--- a/crates/net/src/metrics.rs
+++ b/crates/net/src/metrics.rs
@@ -1,35 +1,35 @@
-//! Metrics by `cadence`, over UDP in the statsd format.
+//! Metrics in the statsd format over UDP, sent with `cadence`.
 //!
-//! The sink is the buffered one without a queue: it needs no thread, and on a non-blocking socket
-//! it drops a metric rather than wait.
+//! The sink is buffered but has no queue, so it needs no thread. On the non-blocking socket it drops
+//! metrics instead of blocking.
 
 use std::{io, net, time};
 
 use cadence::{Counted as _, Gauged as _, Timed as _};
 use snafu::{ResultExt as _, Snafu};
 
-/// Why metrics cannot be sent.
+/// Error that occurs when a metrics sender is created.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// No socket.
+    /// The socket cannot be opened.
     #[snafu(display("metrics: {source}"))]
     Socket {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The library refused the sink.
+    /// The sink cannot be created.
     #[snafu(display("metrics: {source}"))]
     Sink {
-        /// What it said.
+        /// Error of `cadence`.
         source: cadence::MetricError,
     },
 }
 
-/// Where measured values go.
+/// Sends metrics to a statsd server, or discards them if none is configured.
 pub struct MetricSender(Option<cadence::StatsdClient>);
 
 impl MetricSender {
-    /// A sender to `address`; with `None` values go nowhere.
+    /// Creates a sender to `address`. With `None`, metrics are discarded.
     pub fn new(prefix: &str, address: Option<net::SocketAddr>) -> Result<Self, MetricsError> {
         let Some(address) = address else {
             return Ok(Self(None));
@@ -40,29 +40,29 @@
         Ok(Self(Some(cadence::StatsdClient::from_sink(prefix, sink))))
     }
 
-    /// Counts an event.
+    /// Increments a counter by one.
     pub fn count(&self, name: &str) {
         if let Some(client) = &self.0 {
-            // Losing a metric is better than holding a request up.
+            // A lost metric is preferable to a delayed request.
             let _ = client.count(name, 1);
         }
     }
 
-    /// Sends a level.
+    /// Sets a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         if let Some(client) = &self.0 {
             let _ = client.gauge(name, value);
         }
     }
 
-    /// Sends a length of time.
+    /// Records a duration.
     pub fn time(&self, name: &str, span: time::Duration) {
         if let Some(client) = &self.0 {
             let _ = client.time(name, span);
         }
     }
 
-    /// Sends what is buffered.
+    /// Sends the buffered metrics.
     pub fn flush(&self) {
         if let Some(client) = &self.0 {
             let _ = client.flush();
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,4 @@
-//! What entry and scheduler have in common as servers: their start and why it fails.
+//! Startup errors and the accept loop of the entry and the scheduler.
 
 use std::{io, net, time};
 
@@ -6,44 +6,44 @@
 
 use crate::{metrics, process};
 
-/// Why a server could not run.
+/// Error that prevents a server from running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ServerError {
-    /// An address cannot be listened on.
+    /// The server cannot listen on an address.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// Address that was requested.
         address: net::SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Signals cannot be handled.
+    /// The signal handlers cannot be installed.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Metrics cannot be sent.
+    /// The metrics sender cannot be created.
     #[snafu(display("{source}"))]
     Metrics {
-        /// What is wrong.
+        /// Underlying error.
         source: metrics::MetricsError,
     },
 }
 
-/// Listens on an address, or says which one cannot be had.
+/// Listens on an address. The error contains the address.
 pub fn listen(address: net::SocketAddr) -> Result<monoio::net::TcpListener, ServerError> {
     process::listen(address).context(ListenSnafu { address })
 }
 
-/// Accepts connections for ever and hands each to `serve` in a task of its own.
+/// Accepts connections forever and runs `serve` for each in its own task.
 pub async fn accept_all<F, Fut>(listener: monoio::net::TcpListener, serve: F)
 where
     F: Fn(monoio::net::TcpStream) -> Fut,
     Fut: Future<Output = ()> + 'static,
 {
-    /// Pause after a failed accept, most often for want of file descriptors.
+    /// Pause after a failed accept, whose usual cause is a lack of file descriptors.
     const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
     loop {
         match listener.accept().await {
