--- a/crates/net/src/boot_clock.rs
+++ b/crates/net/src/boot_clock.rs
@@ -1,30 +1,30 @@
-//! Time that goes on while the machine is suspended.
+//! A monotonic clock that keeps counting while the machine is suspended.
 //!
-//! The steady clock of the standard library does not count that time. Whoever wakes by it believes that what
-//! it knew before is still fresh: leases, the age of the list, who is alive, connections that rest.
+//! [`time::Instant`] does not count that time. After a suspension, a process that used it would take its
+//! leases, its list, the liveness of members and its idle connections for fresh.
 
 use std::{ops, time};
 
-/// A moment by the clock that counts from the machine's start and goes on while it is suspended.
+/// A point in time on `CLOCK_BOOTTIME`, which counts from the boot of the machine and includes suspensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(time::Duration);
 
 impl BootInstant {
-    /// This moment.
+    /// Returns the current time.
     pub fn now() -> Self {
-        let read = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-        // The clock counts up from zero; its fields are never negative.
-        let seconds = u64::try_from(read.tv_sec).unwrap_or_default();
-        let nanos = u32::try_from(read.tv_nsec).unwrap_or_default();
+        let timespec = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+        // The clock counts up from zero, so neither field is negative.
+        let seconds = u64::try_from(timespec.tv_sec).unwrap_or_default();
+        let nanos = u32::try_from(timespec.tv_nsec).unwrap_or_default();
         Self(time::Duration::new(seconds, nanos))
     }
 
-    /// Time since this moment.
+    /// Returns the time that has passed since `self`.
     pub fn elapsed(self) -> time::Duration {
         Self::now().since(self)
     }
 
-    /// Time from an earlier moment to this one; nothing where that is not earlier.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> time::Duration {
         self.0.saturating_sub(earlier.0)
     }
