--- a/crates/net/src/document_client.rs
+++ b/crates/net/src/document_client.rs
@@ -1,8 +1,8 @@
-//! Reads the platform's configuration service.
+//! Client of the platform's configuration service.
 //!
-//! `GET /v1/documents/NAME?after=N&wait_ms=M` answers 200 with the document and its number in
-//! `x-document-number`, or 304 when there is none newer within the wait. A waiting call counts as
-//! one read.
+//! `GET /v1/documents/NAME?after=N&wait_ms=M` returns 200 with the document, and its number in
+//! `x-document-number`, or 304 if no newer document appears within the wait. The platform counts a
+//! request that waits as one read.
 
 use std::{net, time};
 
@@ -14,38 +14,39 @@
 
 /// Name of the settings document.
 pub const SETTINGS_DOCUMENT: &str = "settings";
-/// Name of the list of instances, engines and upstreams.
+/// Name of the document that lists instances, engines and upstreams.
 pub const LIST_DOCUMENT: &str = "list";
-/// Time for an answer beyond the wait that was asked for.
-const ANSWER_SLACK: time::Duration = time::Duration::from_secs(2);
+/// Time allowed for a response in addition to the requested wait.
+const RESPONSE_MARGIN: time::Duration = time::Duration::from_secs(2);
 
-/// Why the platform gave no answer.
+/// Error that occurs when a document is read from the platform.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
     /// The call failed.
     #[snafu(display("platform: {source}"))]
     Call {
-        /// How.
+        /// Underlying error.
         source: http_client::CallError,
     },
-    /// No answer in time.
+    /// The platform did not respond in time.
     #[snafu(display("platform {address} did not answer in time"))]
     TimedOut {
-        /// The service's address.
+        /// Address of the configuration service.
         address: net::SocketAddr,
     },
-    /// An answer other than a document.
+    /// The response has a status other than 200 and 304.
     #[snafu(display("platform answered {status}"))]
     Refused {
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// The document is not text.
+    /// The document is not valid UTF-8.
     #[snafu(display("platform sent a document that is not text"))]
     NotText,
 }
 
-/// Asks for a document newer than `after`, waiting up to `wait` for one.
+/// Requests a document with a number above `after` and waits up to `wait` for one. Returns `None` if
+/// there is none.
 pub async fn read_document(
     pool: &http_client::ConnectionPool,
     address: net::SocketAddr,
@@ -58,20 +59,20 @@
     *call.uri_mut() = path.try_into().expect("the path is made of valid characters");
     let limit = settings::MAX_DOCUMENT_BYTES as u64;
     let pooled = http_client::ConnectionUse::Pooled;
-    let answer = monoio::time::timeout(
-        wait + ANSWER_SLACK,
+    let response = monoio::time::timeout(
+        wait + RESPONSE_MARGIN,
         pool.call_buffered(address, pooled, call, limit),
     );
-    let Ok(answer) = answer.await else {
+    let Ok(response) = response.await else {
         return TimedOutSnafu { address }.fail();
     };
-    let answer = answer.context(CallSnafu)?;
-    let status = answer.status();
+    let response = response.context(CallSnafu)?;
+    let status = response.status();
     if status == http::StatusCode::NOT_MODIFIED {
         return Ok(None);
     }
     ensure!(status == http::StatusCode::OK, RefusedSnafu { status: status.as_u16() });
-    match String::from_utf8(answer.into_body().to_vec()) {
+    match String::from_utf8(response.into_body().to_vec()) {
         Ok(text) => Ok(Some(text)),
         Err(_) => NotTextSnafu.fail(),
     }
--- a/crates/net/src/document_feed.rs
+++ b/crates/net/src/document_feed.rs
@@ -1,8 +1,8 @@
-//! Keeps a process's settings and list up to date from peers and from the platform.
+//! Keeps the settings and the list of a process up to date from peers and from the platform.
 //!
-//! Few instances of a data centre watch the platform; the others watch one of them, and entries
-//! watch their own scheduler. So the platform's reads do not grow with the fleet. Whoever
-//! finds its source silent asks the next one.
+//! Only a few instances of a data centre watch the platform. The other instances watch one of these,
+//! and entries watch their own scheduler, so the load on the platform does not grow with the fleet. If
+//! a source does not respond, the next one is asked.
 
 use std::{net, rc, time};
 
@@ -10,82 +10,84 @@
 
 use crate::{document_client, http_client, scheduler_link};
 
-/// How long one watch of a peer waits for something newer. A peer that is frozen costs this and an
-/// answer's time, before the next source is asked.
+/// Time that one watch of a peer waits for a newer document. If the peer hangs, the next source is
+/// asked after this time and the margin for the response.
 const PEER_WAIT: time::Duration = time::Duration::from_secs(3);
-/// How long one watch of the platform waits, where each counts as a read.
+/// Time that one watch of the platform waits for a newer document. The platform counts each watch as a
+/// read.
 const PLATFORM_WAIT: time::Duration = time::Duration::from_secs(5);
-/// Pause after all sources were silent, before jitter.
-const SILENCE_PAUSE: time::Duration = time::Duration::from_millis(500);
-/// Pause after a source answered without waiting.
+/// Pause after no source responded. Jitter adds up to the same time again.
+const RETRY_PAUSE: time::Duration = time::Duration::from_millis(500);
+/// Pause after every response, in case the source responds without waiting.
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(20);
 
-/// How the next question is asked.
+/// How the next round of requests is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum AskMode {
-    /// Answer at once.
-    AtOnce,
-    /// Wait for something newer.
+enum FetchMode {
+    /// The source responds at once.
+    Immediate,
+    /// The first source waits for a newer document.
     Watch,
 }
 
-/// Where documents may come from.
+/// A source of documents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedSource {
-    /// The scheduler of another instance, or an entry's own.
+    /// The scheduler of another instance or, for an entry, of its own instance.
     Peer(net::SocketAddr),
     /// The platform's configuration service.
     Platform(net::SocketAddr),
 }
 
-/// Whoever holds the documents.
+/// The part of a process that holds the current documents.
 pub trait DocumentHolder {
-    /// What it has.
+    /// Returns the versions of the documents that are held.
     fn known(&self) -> scheduler_link::KnownDocuments;
-    /// Whom to ask now, in this order.
+    /// Returns the sources to ask, in order of preference.
     fn sources(&self) -> Vec<FeedSource>;
-    /// Takes in an answer. One without documents confirms what is held.
+    /// Applies an update. An update without documents confirms that the held ones are current.
     fn take(&self, update: scheduler_link::DocumentUpdate);
-    /// Learns that no source answered.
+    /// Called after a round in which no source responded.
     fn sources_unreachable(&self);
-    /// A number between 0 and 1, to spread pauses.
+    /// Returns a number between 0 and 1 that spreads the pauses of the processes.
     fn jitter(&self) -> f64;
 }
 
-/// Follows the sources for ever.
+/// Keeps the documents of `holder` up to date. Never returns.
 pub async fn follow(
     holder: rc::Rc<dyn DocumentHolder>,
     pool: rc::Rc<http_client::ConnectionPool>,
     links: rc::Rc<scheduler_link::LinkPool>,
 ) {
-    let mut mode = AskMode::AtOnce;
+    let mut mode = FetchMode::Immediate;
     loop {
-        if ask_all(&*holder, &pool, &links, mode).await {
-            mode = AskMode::Watch;
+        if fetch_from_any(&*holder, &pool, &links, mode).await {
+            mode = FetchMode::Watch;
             monoio::time::sleep(MIN_PAUSE).await;
         } else {
             holder.sources_unreachable();
-            mode = AskMode::AtOnce;
-            monoio::time::sleep(SILENCE_PAUSE.mul_f64(1.0 + holder.jitter())).await;
+            mode = FetchMode::Immediate;
+            monoio::time::sleep(RETRY_PAUSE.mul_f64(1.0 + holder.jitter())).await;
         }
     }
 }
 
-/// Asks one source after the other until one answers.
-async fn ask_all(
+/// Asks the sources in order until one responds and applies its update. Returns whether one responded.
+async fn fetch_from_any(
     holder: &dyn DocumentHolder,
     pool: &http_client::ConnectionPool,
     links: &scheduler_link::LinkPool,
-    mode: AskMode,
+    mode: FetchMode,
 ) -> bool {
     for (index, source) in holder.sources().into_iter().enumerate() {
-        // Only the first choice is worth waiting at; the others stand in for it.
+        // Only the preferred source is watched. The others are asked when it has failed, and respond at
+        // once.
         let wait = match (mode, source) {
-            (AskMode::Watch, FeedSource::Peer(_)) if index == 0 => PEER_WAIT,
-            (AskMode::Watch, FeedSource::Platform(_)) if index == 0 => PLATFORM_WAIT,
+            (FetchMode::Watch, FeedSource::Peer(_)) if index == 0 => PEER_WAIT,
+            (FetchMode::Watch, FeedSource::Platform(_)) if index == 0 => PLATFORM_WAIT,
             _ => time::Duration::ZERO,
         };
-        if let Some(update) = ask(holder.known(), pool, links, source, wait).await {
+        if let Some(update) = fetch(holder.known(), pool, links, source, wait).await {
             holder.take(update);
             return true;
         }
@@ -93,8 +95,8 @@
     false
 }
 
-/// Asks one source once; `None` when it does not answer.
-pub async fn ask(
+/// Fetches newer documents from one source. Returns `None` if the request fails.
+pub async fn fetch(
     known: scheduler_link::KnownDocuments,
     pool: &http_client::ConnectionPool,
     links: &scheduler_link::LinkPool,
@@ -109,11 +111,11 @@
                 None
             }
         },
-        FeedSource::Platform(address) => ask_platform(known, pool, address, wait).await,
+        FeedSource::Platform(address) => fetch_from_platform(known, pool, address, wait).await,
     }
 }
 
-async fn ask_platform(
+async fn fetch_from_platform(
     known: scheduler_link::KnownDocuments,
     pool: &http_client::ConnectionPool,
     address: net::SocketAddr,
@@ -123,16 +125,16 @@
     let settings = Box::pin(read(document_client::SETTINGS_DOCUMENT, known.settings));
     let list = Box::pin(read(document_client::LIST_DOCUMENT, known.list));
     let mut update = scheduler_link::DocumentUpdate::default();
-    let answers = if wait.is_zero() {
+    let results = if wait.is_zero() {
         future::join(settings, list).await
     } else {
-        // Whichever has something newer comes first; the other is asked again in the next round.
+        // The first response ends the wait. The other document is requested again in the next round.
         match future::select(settings, list).await {
             future::Either::Left((settings, _)) => (settings, Ok(None)),
             future::Either::Right((list, _)) => (Ok(None), list),
         }
     };
-    match answers {
+    match results {
         (Ok(settings), Ok(list)) => {
             update.settings = settings;
             update.list = list;
