--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -1,4 +1,4 @@
-//! Connections to schedulers, and the calls on them.
+//! RPC connections to schedulers.
 
 use std::{cell, collections, net as std_net, rc, time};
 
@@ -10,67 +10,68 @@
 use snafu::Snafu;
 use tokio_util::compat::TokioAsyncReadCompatExt as _;
 
-/// Time for a connection to come about.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(500);
-/// Time for an answer that needs no waiting at the other end.
-const ANSWER_LIMIT: time::Duration = time::Duration::from_millis(1_000);
-/// Time for a vote: a call waits for two rounds of them.
-const VOTE_LIMIT: time::Duration = time::Duration::from_millis(400);
-/// Time for documents that are asked for without waiting; there are other sources.
-const PROMPT_LIMIT: time::Duration = time::Duration::from_millis(500);
-/// Time for an answer beyond the wait that was asked for.
-const WAIT_SLACK: time::Duration = time::Duration::from_millis(1_500);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Timeout for a call that the scheduler answers without waiting.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
+/// Timeout for a vote. It is short because a request waits for two rounds of votes.
+const VOTE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+/// Timeout for documents that are requested without a wait. It is short because there are other sources.
+const IMMEDIATE_WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Time allowed for an answer in addition to the requested wait.
+const WAIT_MARGIN: time::Duration = time::Duration::from_millis(1_500);
 
-/// Why a call of a scheduler has no answer.
+/// Error of a call to a scheduler.
 #[derive(Debug, Snafu)]
 pub enum LinkError {
-    /// No connection.
+    /// The connection could not be established.
     #[snafu(display("cannot connect to scheduler {address}: {reason}"))]
     NotConnected {
-        /// The scheduler.
+        /// Address of the scheduler.
         address: std_net::SocketAddr,
-        /// Why.
+        /// Description of the cause.
         reason: String,
     },
-    /// The call failed.
+    /// The call failed, or its answer could not be decoded.
     #[snafu(display("scheduler {address}: {reason}"))]
     Failed {
-        /// The scheduler.
+        /// Address of the scheduler.
         address: std_net::SocketAddr,
-        /// Why.
+        /// Description of the cause.
         reason: String,
     },
-    /// No answer in time.
+    /// The scheduler did not answer in time.
     #[snafu(display("scheduler {address} did not answer within {limit:?}"))]
     TimedOut {
-        /// The scheduler.
+        /// Address of the scheduler.
         address: std_net::SocketAddr,
-        /// The time it had.
+        /// Timeout of the call.
         limit: time::Duration,
     },
 }
 
-/// Documents of the platform as handed on by a scheduler.
+/// Documents of the platform, as received from a scheduler or from the platform.
 #[derive(Debug, Clone, Default)]
 pub struct DocumentUpdate {
-    /// Newer settings, if there are any.
+    /// Settings document, if there is a newer one.
     pub settings: Option<String>,
-    /// A newer list, if there is one.
+    /// List document, if there is a newer one.
     pub list: Option<String>,
-    /// How long ago the scheduler's own copy was confirmed.
+    /// Time since the scheduler's own copy was confirmed; zero if the platform sent the documents.
     pub age: time::Duration,
 }
 
-/// What the holder of documents has, so that only newer ones are sent.
+/// Versions of the documents that the asking process has. Only newer ones are sent to it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KnownDocuments {
-    /// Version of the settings.
+    /// Version of the settings document.
     pub settings: u64,
-    /// Revision of the list.
+    /// Revision of the list document.
     pub list: u64,
 }
 
-/// A connection to one scheduler, made when first needed and again after a failure.
+/// A connection to one scheduler. It is opened by the first call, and again by the first call after it
+/// was lost.
 pub struct SchedulerLink {
     address: std_net::SocketAddr,
     client: cell::RefCell<Option<scheduler_capnp::scheduler::Client>>,
@@ -81,14 +82,14 @@
         Self { address, client: cell::RefCell::new(None) }
     }
 
-    /// Asks what an engine could do for a request.
+    /// Asks for an engine's offer for a request: its expected time to the first token and its load.
     pub async fn offer(
         &self,
         engine: &ids::EngineId,
         request: &placement::PlaceRequest,
         now: units::MonoTime,
     ) -> Result<Result<placement::EngineOffer, refusal::RequestRefusal>, LinkError> {
-        self.call(ANSWER_LIMIT, async |client| {
+        self.call(CALL_TIMEOUT, async |client| {
             let mut call = client.offer_request();
             convert::write_place(call.get().init_place(), engine, request, now);
             let reply = call.send().promise.await?;
@@ -97,14 +98,14 @@
         .await
     }
 
-    /// Waits for a place on an engine; answers with the priority to send to it.
+    /// Waits for a place on an engine. Returns the priority to send to the engine.
     pub async fn acquire(
         &self,
         engine: &ids::EngineId,
         request: &placement::PlaceRequest,
         now: units::MonoTime,
     ) -> Result<Result<u8, refusal::RequestRefusal>, LinkError> {
-        let limit = request.patience.min(request.deadline).since(now) + WAIT_SLACK;
+        let limit = request.patience.min(request.deadline).since(now) + WAIT_MARGIN;
         self.call(limit, async |client| {
             let mut call = client.acquire_request();
             convert::write_place(call.get().init_place(), engine, request, now);
@@ -114,13 +115,13 @@
         .await
     }
 
-    /// Gives a place back.
+    /// Releases the place of an attempt.
     pub async fn release(
         &self,
         engine: &ids::EngineId,
         attempt: &ids::AttemptId,
     ) -> Result<(), LinkError> {
-        self.call(ANSWER_LIMIT, async |client| {
+        self.call(CALL_TIMEOUT, async |client| {
             let mut call = client.release_request();
             call.get().set_engine(engine.as_str());
             call.get().set_attempt(attempt.as_str());
@@ -130,7 +131,7 @@
         .await
     }
 
-    /// Says which attempts an entry streams from the scheduler's engines.
+    /// Reports which attempts the entry is streaming from the scheduler's engines.
     pub async fn renew(
         &self,
         entry: &ids::InstanceId,
@@ -138,7 +139,7 @@
         places: &[(ids::EngineId, placement::PlaceRequest)],
         now: units::MonoTime,
     ) -> Result<(), LinkError> {
-        self.call(ANSWER_LIMIT, async |client| {
+        self.call(CALL_TIMEOUT, async |client| {
             let mut call = client.renew_request();
             call.get().set_entry(entry.as_str());
             call.get().set_boot(boot.0);
@@ -153,14 +154,14 @@
         .await
     }
 
-    /// Draws a portion of a customer's budget.
+    /// Requests a portion of a customer's budget.
     pub async fn draw(
         &self,
         customer: &ids::CustomerId,
         limit: budget::BudgetLimit,
         want: units::TokenCount,
     ) -> Result<Result<budget::BudgetPortion, budget::BudgetExhausted>, LinkError> {
-        self.call(ANSWER_LIMIT, async |client| {
+        self.call(CALL_TIMEOUT, async |client| {
             let mut call = client.draw_request();
             call.get().set_customer(customer.as_str());
             call.get().set_rate(limit.rate.0);
@@ -172,13 +173,13 @@
         .await
     }
 
-    /// Asks for a vote on an idempotency key.
+    /// Requests a vote on an idempotency key for the request `asker`.
     pub async fn vote(
         &self,
         key: &key_vote::ScopedKey,
         asker: &ids::RequestId,
     ) -> Result<key_vote::VoteAnswer, LinkError> {
-        self.call(VOTE_LIMIT, async |client| {
+        self.call(VOTE_TIMEOUT, async |client| {
             let mut call = client.vote_request();
             call.get().set_key(&key.0);
             call.get().set_asker(asker.as_str());
@@ -188,14 +189,14 @@
         .await
     }
 
-    /// Waits for documents newer than the ones known.
+    /// Waits up to `wait` for documents newer than `known`.
     pub async fn watch(
         &self,
         known: KnownDocuments,
         wait: time::Duration,
     ) -> Result<DocumentUpdate, LinkError> {
-        let slack = if wait.is_zero() { PROMPT_LIMIT } else { WAIT_SLACK };
-        self.call(wait + slack, async |client| {
+        let margin = if wait.is_zero() { IMMEDIATE_WATCH_TIMEOUT } else { WAIT_MARGIN };
+        self.call(wait + margin, async |client| {
             let mut call = client.watch_request();
             call.get().set_settings_version(known.settings);
             call.get().set_list_revision(known.list);
@@ -216,24 +217,24 @@
         .await
     }
 
-    /// The scheduler's state for operators, as JSON.
+    /// Returns the scheduler's status page as JSON.
     pub async fn status(&self) -> Result<String, LinkError> {
-        self.call(ANSWER_LIMIT, async |client| {
+        self.call(CALL_TIMEOUT, async |client| {
             let reply = client.status_request().send().promise.await?;
             Ok(convert::read_text(reply.get()?.get_json()?)?.to_owned())
         })
         .await
     }
 
-    /// Runs one call; any failure closes the connection, so that the next call makes a new one.
+    /// Runs one call. After a disconnection or a timeout the next call opens a new connection.
     async fn call<T>(
         &self,
         limit: time::Duration,
-        work: impl AsyncFnOnce(scheduler_capnp::scheduler::Client) -> Result<T, capnp::Error>,
+        operation: impl AsyncFnOnce(scheduler_capnp::scheduler::Client) -> Result<T, capnp::Error>,
     ) -> Result<T, LinkError> {
         let address = self.address;
         let client = self.connected().await?;
-        match monoio::time::timeout(limit, work(client)).await {
+        match monoio::time::timeout(limit, operation(client)).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) => {
                 if error.kind == capnp::ErrorKind::Disconnected {
@@ -254,7 +255,7 @@
         }
         let address = self.address;
         let connecting = net::TcpStream::connect_addr(address);
-        let stream = match monoio::time::timeout(CONNECT_LIMIT, connecting).await {
+        let stream = match monoio::time::timeout(CONNECT_TIMEOUT, connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => {
                 return NotConnectedSnafu { address, reason: error.to_string() }.fail();
@@ -269,21 +270,21 @@
     }
 }
 
-/// Links by address.
+/// Links to schedulers by address.
 #[derive(Default)]
 pub struct LinkPool {
     links: cell::RefCell<collections::HashMap<std_net::SocketAddr, rc::Rc<SchedulerLink>>>,
 }
 
 impl LinkPool {
-    /// The link to a scheduler.
+    /// Returns the link to the scheduler at `address`.
     pub fn link(&self, address: std_net::SocketAddr) -> rc::Rc<SchedulerLink> {
         let mut links = self.links.borrow_mut();
         let link = links.entry(address).or_insert_with(|| rc::Rc::new(SchedulerLink::new(address)));
         rc::Rc::clone(link)
     }
 
-    /// Forgets links to addresses that are no longer listed.
+    /// Removes the links to addresses for which `listed` returns false.
     pub fn retain(&self, listed: impl Fn(&std_net::SocketAddr) -> bool) {
         self.links.borrow_mut().retain(|address, _| listed(address));
     }
@@ -301,7 +302,7 @@
     client
 }
 
-/// Serves one connection of an entry or a scheduler until it ends.
+/// Serves the connection of an entry or another scheduler until it ends.
 pub async fn serve(stream: net::TcpStream, service: scheduler_capnp::scheduler::Client) {
     let network = network(stream, rpc_twoparty_capnp::Side::Server);
     let system = RpcSystem::new(Box::new(network), Some(service.client));
@@ -316,7 +317,7 @@
     stream: net::TcpStream,
     side: rpc_twoparty_capnp::Side,
 ) -> twoparty::VatNetwork<ReadHalf> {
-    // A socket whose option cannot be set is slower, not wrong.
+    // Without the option the socket is slower, but works.
     let _ = stream.set_nodelay(true);
     let stream = monoio_compat::TcpStreamCompat::new(stream).compat();
     let (reader, writer) = stream.split();
