--- a/crates/net/src/local_settings.rs
+++ b/crates/net/src/local_settings.rs
@@ -1,6 +1,6 @@
-//! The local settings file of an instance's programs: who they are and where they listen.
+//! The local settings file of an instance's programs: names, addresses and process limits.
 //!
-//! Everything else comes from the settings tree that the platform publishes.
+//! All other settings come from the settings tree that the platform publishes.
 
 use std::{fs, io, net, path};
 
@@ -8,35 +8,35 @@
 use slipturn_core::{ids, settings, units};
 use snafu::{ResultExt as _, Snafu, ensure};
 
-/// Why a local settings file cannot be used.
+/// Error that occurs when a local settings file is loaded.
 #[derive(Debug, Snafu)]
 pub enum LocalSettingsError {
     /// The file cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         file: path::PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file's content is not valid.
+    /// The content of the file is not valid.
     #[snafu(display("{}: {source}", file.display()))]
     Content {
-        /// The file.
+        /// Path of the file.
         file: path::PathBuf,
-        /// What is wrong with it.
+        /// Error of the parser.
         source: settings::SettingsError,
     },
-    /// A value out of its range.
+    /// A value is out of range.
     #[snafu(display("{}: {field}: found {found}, expected {expected}", file.display()))]
     Range {
-        /// The file.
+        /// Path of the file.
         file: path::PathBuf,
-        /// The value's path.
+        /// Path of the setting within the file.
         field: &'static str,
-        /// The value.
+        /// Value in the file.
         found: String,
-        /// What would be valid.
+        /// Description of the valid values.
         expected: &'static str,
     },
 }
@@ -45,29 +45,29 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenAddresses {
-    /// Callers' requests; the entry's.
+    /// Address of the entry for requests of callers.
     pub callers: net::SocketAddr,
-    /// Operators' requests; the entry's.
+    /// Address of the entry for requests of operators.
     pub operators: net::SocketAddr,
-    /// Entries' and schedulers' messages; the scheduler's.
+    /// Address of the scheduler for messages of entries and other schedulers.
     pub scheduler: net::SocketAddr,
 }
 
-/// Bounds on memory and time of one process.
+/// Limits on the memory and time that a process spends.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProcessLimits {
-    /// Largest body of one request. A prompt of a million tokens is some 4 MB.
+    /// Largest body of a request. A prompt of a million tokens has about 4 MB.
     pub max_body: units::ByteCount,
-    /// Bodies held at once, all requests together.
+    /// Limit on the bodies in memory, over all requests.
     pub held_bodies: units::ByteCount,
-    /// Largest answer to a request that does not stream.
+    /// Largest body of a response to a request that does not stream.
     pub max_answer: units::ByteCount,
-    /// Time for a body to arrive.
+    /// Time within which the body of a request must arrive.
     pub body_time: units::TimeSpan,
-    /// Decisions remembered.
+    /// Number of decisions that are kept for operators.
     pub decisions: usize,
-    /// A pause of the process longer than this makes it confirm its settings before it serves.
+    /// After a pause longer than this, the process confirms its settings before it serves requests.
     pub sleep_bound: units::TimeSpan,
 }
 
@@ -85,24 +85,24 @@
     }
 }
 
-/// Shape of a log line.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// Text for a person.
+    /// Plain text for human readers.
     Text,
 }
 
-/// What is logged, and how.
+/// Level and format of the log.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogOptions {
     /// Least severe level logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: log::LevelFilter,
-    /// Shape of a line.
+    /// Format of a line.
     pub format: LogFormat,
 }
 
@@ -112,31 +112,31 @@
     }
 }
 
-/// A whole local settings file.
+/// Content of a local settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LocalSettings {
-    /// Name of the instance, as in the published list.
+    /// Name of the instance in the published list.
     pub instance: ids::InstanceId,
-    /// Data centre it runs in.
+    /// Data centre that the instance runs in.
     pub data_center: ids::DataCenterId,
     /// Addresses to listen on.
     pub listen: ListenAddresses,
     /// Addresses of the platform's configuration service.
     pub platform: Vec<net::SocketAddr>,
-    /// Bounds on memory and time.
+    /// Limits on memory and time.
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// What is logged.
+    /// Level and format of the log.
     #[serde(default)]
     pub log: LogOptions,
-    /// Where to send metrics over UDP; absent means nowhere.
+    /// Address to which metrics are sent over UDP. Without it, no metrics are sent.
     #[serde(default)]
     pub statsd: Option<net::SocketAddr>,
 }
 
 impl LocalSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn load(file: &path::Path) -> Result<Self, LocalSettingsError> {
         let text = fs::read_to_string(file).context(ReadSnafu { file })?;
         let local: Self = settings::parse_yaml(&text).context(ContentSnafu { file })?;
@@ -146,8 +146,8 @@
         let limits = &local.limits;
         let (field, expected) = ("limits.held_bodies", "at least limits.max_body");
         let found = limits.held_bodies.to_string();
-        let enough = limits.held_bodies >= limits.max_body;
-        ensure!(enough, RangeSnafu { file, field, found, expected });
+        let fits_one_body = limits.held_bodies >= limits.max_body;
+        ensure!(fits_one_body, RangeSnafu { file, field, found, expected });
         Ok(local)
     }
 }
