--- a/crates/net/src/command_line.rs
+++ b/crates/net/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Command lines of the programs: common options and exit codes.
+//! Command-line parsing, tool settings files and exit codes shared by the programs.
 
 use std::{collections, fmt, fs, path, process, str};
 
@@ -6,35 +6,35 @@
 
 use crate::{local_settings, logging, process as own_process};
 
-/// The program has done what it was asked.
+/// Exit code after success.
 pub const EXIT_SUCCESS: u8 = 0;
-/// The program has failed.
+/// Exit code after a failure.
 pub const EXIT_FAILURE: u8 = 1;
-/// The command line is wrong.
+/// Exit code after an invalid command line.
 pub const EXIT_USAGE: u8 = 2;
 
 /// A program's description for `--help` and `--version`.
 #[derive(Debug, Clone, Copy)]
 pub struct ProgramInfo {
-    /// Its name.
+    /// Name of the program.
     pub name: &'static str,
-    /// Its version.
+    /// Version of the program.
     pub version: &'static str,
-    /// What follows the name in the usage line.
+    /// Text after the name in the usage line.
     pub arguments: &'static str,
-    /// What it does, one line.
+    /// One-line description of the program.
     pub about: &'static str,
 }
 
-/// A command line that made sense, or what to do instead of running.
+/// Result of parsing a command line.
 pub enum ParsedArguments {
-    /// Run with these options.
+    /// Run the program with these options.
     Run(getopts::Matches),
-    /// Leave with this code; what there was to say has been said.
+    /// Exit with this code. All output has been printed.
     Exit(u8),
 }
 
-/// Reads the command line; handles `--help`, `--version` and wrong usage.
+/// Parses the arguments of the process. Prints the output of `--help` and `--version`, and errors.
 pub fn parse(info: ProgramInfo, mut options: getopts::Options) -> ParsedArguments {
     options.optflag("h", "help", "print this help and exit");
     options.optflag("V", "version", "print the version and exit");
@@ -58,7 +58,7 @@
     ParsedArguments::Run(matches)
 }
 
-/// Options of the programs that serve.
+/// Returns the options of the server programs.
 pub fn server_options() -> getopts::Options {
     let mut options = getopts::Options::new();
     options.optopt("s", "settings", "local settings file (YAML)", "FILE");
@@ -66,8 +66,8 @@
     options
 }
 
-/// Options of a tool from its command line and then from a settings file: a YAML mapping
-/// of the options' long names to their values.
+/// Options of a tool. Options on the command line take precedence over those in the settings file, a
+/// YAML mapping of long option names to values.
 #[derive(Debug)]
 pub struct ToolOptions {
     matches: getopts::Matches,
@@ -75,12 +75,12 @@
 }
 
 impl ToolOptions {
-    /// Adds the option that names the settings file.
+    /// Adds the `--settings` option.
     pub fn declare(options: &mut getopts::Options) {
         options.optopt("s", "settings", "YAML file with values for options not given here", "FILE");
     }
 
-    /// Reads the settings file, if one is named. `known` are the names that it may hold.
+    /// Reads the settings file if `--settings` is given. `known` lists the options that it may contain.
     pub fn load(matches: getopts::Matches, known: &[&str]) -> Result<Self, String> {
         let Some(name) = matches.opt_str("settings") else {
             return Ok(Self { matches, file: collections::BTreeMap::new() });
@@ -96,12 +96,12 @@
         Ok(Self { matches, file })
     }
 
-    /// An option's value as text.
+    /// Returns the value of an option as text.
     pub fn text(&self, name: &str) -> Option<String> {
         self.matches.opt_str(name).or_else(|| self.file.get(name).cloned())
     }
 
-    /// An option's value, or its default.
+    /// Returns the value of an option, or `default` if it is not set.
     pub fn value<T: str::FromStr>(&self, name: &str, default: T) -> Result<T, String> {
         match self.text(name) {
             None => Ok(default),
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Whether a flag is set.
+    /// Returns whether a flag is set.
     pub fn flag(&self, name: &str) -> bool {
         self.matches.opt_present(name) || self.file.get(name).is_some_and(|text| text == "true")
     }
 
-    /// The words that are no options.
+    /// Returns the positional arguments.
     pub fn positional(&self) -> Vec<&str> {
         self.matches.free.iter().map(String::as_str).collect()
     }
@@ -145,13 +145,14 @@
     }
 }
 
-/// Says what went wrong and gives the exit code for it.
+/// Prints an error and returns [`EXIT_FAILURE`].
 pub fn fail(info: ProgramInfo, error: &dyn fmt::Display) -> process::ExitCode {
     eprintln!("{}: {error}", info.name);
     process::ExitCode::from(EXIT_FAILURE)
 }
 
-/// Reads a server's command line and its local settings. `Err` is the code to leave with.
+/// Reads the command line of a server and its local settings. `Err` contains the exit code of the process;
+/// it is also returned after `--help`, `--version` and a successful `--check`.
 pub fn load_server(info: ProgramInfo) -> Result<local_settings::LocalSettings, process::ExitCode> {
     let matches = match parse(info, server_options()) {
         ParsedArguments::Run(matches) => matches,
@@ -170,7 +171,7 @@
     Ok(local)
 }
 
-/// Sets logging up and runs a server to its end.
+/// Installs the logger and runs a server until it stops.
 pub fn serve<F, Fut, E>(
     info: ProgramInfo,
     local: local_settings::LocalSettings,
