--- a/crates/net/src/h1.rs
+++ b/crates/net/src/h1.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 messages on a socket, both sides, for an instance that passes them on byte for byte.
+//! HTTP/1.1 client and server messages for an instance that forwards bodies unchanged.
 //!
-//! Heads are parsed by `httparse`. `monoio-http` is not used here because it takes an answer
-//! without a length for an empty one, writes a whole request before it looks for an answer, and
-//! keeps its buffers while a connection rests.
+//! Heads are parsed by `httparse`. `monoio-http` is not used here because it treats a response without
+//! a length as empty, writes a complete request before it reads the response, and keeps its buffers
+//! while a connection is idle.
 
 use std::{io, time};
 
@@ -14,16 +14,16 @@
 };
 use snafu::{ResultExt as _, Snafu};
 
-/// Most headers of one message; more than any client or upstream of ours sends.
+/// Maximum number of headers in a message. No known client or upstream sends that many.
 const MAX_HEADERS: usize = 64;
-/// Bytes read at once.
+/// Maximum number of bytes per read from the socket.
 const READ_BYTES: usize = 8 * 1024;
-/// Largest head of an answer.
+/// Size in bytes above which an incomplete response head is rejected.
 pub const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
-/// Longest line that announces a chunk, or trailer line.
-const MAX_CHUNK_LINE: usize = 1_024;
-/// Headers that concern one connection only.
-const CONNECTION_HEADERS: [&str; 9] = [
+/// Maximum length in bytes of a chunk-size line or trailer line that is still incomplete.
+const MAX_CHUNK_LINE_BYTES: usize = 1_024;
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -35,54 +35,55 @@
     "upgrade",
 ];
 
-/// Why a message could not be read or written.
+/// Error that occurs when a message is read or written.
 #[derive(Debug, Snafu)]
 pub enum MessageError {
     /// The socket failed.
     #[snafu(display("connection: {source}"))]
     Socket {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The other side closed in the middle of a message.
+    /// The peer closed the connection within a message.
     #[snafu(display("closed before the end of a message"))]
     Closed,
-    /// The bytes are not HTTP/1.1.
+    /// The message is not valid HTTP/1.1.
     #[snafu(display("not HTTP/1.1: {reason}"))]
     Malformed {
-        /// Why.
+        /// Description of the cause.
         reason: String,
     },
     /// The head is larger than allowed.
     #[snafu(display("the head has more than {limit} bytes"))]
     HeadTooLarge {
-        /// Most bytes allowed.
+        /// Maximum size in bytes.
         limit: usize,
     },
     /// The body is larger than allowed.
     #[snafu(display("the body has more than {limit} bytes"))]
     BodyTooLarge {
-        /// Most bytes allowed.
+        /// Maximum size in bytes.
         limit: usize,
     },
 }
 
-/// The reading side of a connection, with what has arrived and is not used yet.
+/// The reading half of a connection, with a buffer of bytes that have arrived but are not consumed.
 #[derive(Debug)]
 pub struct MessageReader {
     half: OwnedReadHalf<net::TcpStream>,
     buffer: BytesMut,
 }
 
-/// The writing side of a connection.
+/// The writing half of a connection.
 #[derive(Debug)]
 pub struct MessageWriter {
     half: OwnedWriteHalf<net::TcpStream>,
 }
 
-/// Takes a connected socket over.
+/// Splits a connected socket into a reader and a writer and disables Nagle's algorithm.
 pub fn split(stream: net::TcpStream) -> (MessageReader, MessageWriter) {
-    // Without it small events wait for an acknowledgement; a socket that refuses still works.
+    // Without this option small events wait for an acknowledgement. A socket that rejects it still
+    // works.
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("set_nodelay: {error}");
     }
@@ -92,10 +93,11 @@
 }
 
 impl MessageReader {
-    /// Reads what has arrived; 0 when the other side has closed.
+    /// Waits for bytes and appends them to the buffer. Returns their number, 0 if the peer has closed the
+    /// connection.
     pub async fn fill(&mut self) -> Result<usize, MessageError> {
-        // The future may be dropped while it waits; with the poll driver nothing is lost then,
-        // because bytes leave the socket only at the poll that completes.
+        // The future may be dropped while it waits. With the poll driver no data is lost, because bytes
+        // are only taken from the socket by the poll that completes the read.
         let buffer = Vec::with_capacity(READ_BYTES);
         let (result, buffer) = self.half.read(buffer).await;
         let count = result.context(SocketSnafu)?;
@@ -103,24 +105,24 @@
         Ok(count)
     }
 
-    /// Whether bytes have arrived that belong to no message read so far.
+    /// Returns whether the buffer contains bytes that are not consumed.
     pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Bytes that have arrived and are not used yet.
+    /// Returns the number of bytes in the buffer.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Gives the buffer's memory back while nothing is in it.
+    /// Frees the memory of the buffer if it is empty. Called before a connection becomes idle.
     pub fn rest(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
     }
 
-    /// Reads a request's head; `None` when the other side closes between two requests.
+    /// Reads the head of a request. Returns `None` if the peer closes the connection before it starts one.
     pub async fn request_head(
         &mut self,
         limit: usize,
@@ -133,16 +135,16 @@
                 return HeadTooLargeSnafu { limit }.fail();
             }
             if self.fill().await? == 0 {
-                let between = self.buffer.is_empty();
-                return if between { Ok(None) } else { ClosedSnafu.fail() };
+                let between_requests = self.buffer.is_empty();
+                return if between_requests { Ok(None) } else { ClosedSnafu.fail() };
             }
         }
     }
 
-    /// Reads an answer's head, passing over interim ones.
+    /// Reads the head of a response and skips interim responses (status 1xx).
     pub async fn response_head(&mut self) -> Result<http::response::Parts, MessageError> {
         loop {
-            if let Some(head) = self.parse_answer()? {
+            if let Some(head) = self.parse_response()? {
                 if head.status.is_informational() {
                     continue;
                 }
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Reads a whole body.
+    /// Reads a complete body of at most `limit` bytes.
     pub async fn whole_body(
         &mut self,
         framing: &mut BodyFraming,
@@ -178,7 +180,7 @@
         Ok(body.freeze())
     }
 
-    /// The next piece of a body; `None` at its end.
+    /// Returns the next piece of a body, or `None` at its end.
     pub async fn next_piece(
         &mut self,
         framing: &mut BodyFraming,
@@ -219,7 +221,7 @@
         Ok(Some(request.into_parts().0))
     }
 
-    fn parse_answer(&mut self) -> Result<Option<http::response::Parts>, MessageError> {
+    fn parse_response(&mut self) -> Result<Option<http::response::Parts>, MessageError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
         let status = parsed.parse(&self.buffer).map_err(malformed)?;
@@ -232,9 +234,9 @@
         for header in parsed.headers.iter() {
             builder = builder.header(header.name, header.value);
         }
-        let answer = builder.body(()).map_err(malformed)?;
+        let response = builder.body(()).map_err(malformed)?;
         self.buffer.advance(length);
-        Ok(Some(answer.into_parts().0))
+        Ok(Some(response.into_parts().0))
     }
 
     fn take_piece(&mut self, framing: &mut BodyFraming) -> Result<Option<Bytes>, MessageError> {
@@ -253,9 +255,10 @@
         }
     }
 
-    fn take(&mut self, most: u64) -> Option<Bytes> {
-        let most = usize::try_from(most).unwrap_or(usize::MAX).min(self.buffer.len());
-        (most > 0).then(|| self.buffer.split_to(most).freeze())
+    /// Removes up to `limit` bytes from the buffer; `None` if it is empty.
+    fn take(&mut self, limit: u64) -> Option<Bytes> {
+        let length = usize::try_from(limit).unwrap_or(usize::MAX).min(self.buffer.len());
+        (length > 0).then(|| self.buffer.split_to(length).freeze())
     }
 
     fn take_chunk(&mut self, framing: &mut BodyFraming) -> Result<Option<Bytes>, MessageError> {
@@ -270,7 +273,7 @@
                         *state =
                             if size == 0 { ChunkState::Trailer } else { ChunkState::Data(size) };
                     }
-                    Ok(httparse::Status::Partial) if self.buffer.len() <= MAX_CHUNK_LINE => {
+                    Ok(httparse::Status::Partial) if self.buffer.len() <= MAX_CHUNK_LINE_BYTES => {
                         return Ok(None);
                     }
                     _ => return MalformedSnafu { reason: "length of a chunk" }.fail(),
@@ -296,7 +299,7 @@
                 }
                 ChunkState::Trailer => {
                     let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\r\n") else {
-                        if self.buffer.len() > MAX_CHUNK_LINE {
+                        if self.buffer.len() > MAX_CHUNK_LINE_BYTES {
                             return MalformedSnafu { reason: "trailer" }.fail();
                         }
                         return Ok(None);
@@ -312,73 +315,74 @@
 }
 
 impl MessageWriter {
-    /// Writes bytes and sends them at once.
+    /// Writes bytes and flushes them.
     pub async fn write(&mut self, data: impl Into<Bytes>) -> Result<(), MessageError> {
         let (result, _) = self.half.write_all(data.into()).await;
         result.context(SocketSnafu)?;
         self.half.flush().await.context(SocketSnafu)
     }
 
-    /// Closes the sending direction, so that what was written still arrives.
+    /// Closes the sending direction. Data that was written before still arrives.
     pub async fn shutdown(&mut self) -> Result<(), MessageError> {
         self.half.shutdown().await.context(SocketSnafu)
     }
 }
 
-/// Where a body ends.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// It has ended.
+    /// The body is complete, or there is none.
     Ended,
-    /// After this number of further bytes.
+    /// The body ends after this number of further bytes.
     Length(u64),
-    /// By chunks.
+    /// The body is sent in chunks and ends with an empty one.
     Chunked(ChunkState),
-    /// With its connection.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// What comes next in a chunked body.
+/// The next part to be read of a chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChunkState {
-    /// The line with a chunk's length.
+    /// The line with the size of a chunk.
     Size,
-    /// So many bytes of a chunk.
+    /// The data of a chunk, of which this number of bytes is left.
     Data(u64),
-    /// The end of a chunk.
+    /// The line break after the data of a chunk.
     DataEnd,
-    /// Lines after the last chunk.
+    /// The trailer lines after the last chunk.
     Trailer,
 }
 
 impl BodyFraming {
-    /// How the body of a request ends.
+    /// Determines the framing of a request body from its headers.
     pub fn of_request(head: &http::request::Parts) -> Result<Self, MessageError> {
-        let given = Self::given(&head.headers)?;
-        Ok(given.unwrap_or(Self::Ended))
+        let declared = Self::declared(&head.headers)?;
+        Ok(declared.unwrap_or(Self::Ended))
     }
 
-    /// How the body of an answer ends.
+    /// Determines the framing of a response body from its status and headers.
     pub fn of_response(head: &http::response::Parts) -> Result<Self, MessageError> {
         if matches!(head.status.as_u16(), 204 | 304) {
             return Ok(Self::Ended);
         }
-        let given = Self::given(&head.headers)?;
-        Ok(given.unwrap_or(Self::UntilClose))
+        let declared = Self::declared(&head.headers)?;
+        Ok(declared.unwrap_or(Self::UntilClose))
     }
 
-    /// Whether the body has ended.
+    /// Returns whether the body is complete.
     pub fn ended(&self) -> bool {
         *self == Self::Ended
     }
 
-    fn given(headers: &http::HeaderMap) -> Result<Option<Self>, MessageError> {
+    /// Returns the framing that the headers declare, if any.
+    fn declared(headers: &http::HeaderMap) -> Result<Option<Self>, MessageError> {
         let lengths: Vec<_> = headers.get_all(http::header::CONTENT_LENGTH).iter().collect();
-        let coded = headers.get_all(http::header::TRANSFER_ENCODING).iter().next_back();
-        match (coded, lengths.as_slice()) {
+        let encoding = headers.get_all(http::header::TRANSFER_ENCODING).iter().next_back();
+        match (encoding, lengths.as_slice()) {
             (None, []) => Ok(None),
-            (Some(coded), []) => {
-                let chunked = coded.as_bytes().to_ascii_lowercase().ends_with(b"chunked");
+            (Some(encoding), []) => {
+                let chunked = encoding.as_bytes().to_ascii_lowercase().ends_with(b"chunked");
                 if !chunked {
                     return MalformedSnafu { reason: "unknown transfer encoding" }.fail();
                 }
@@ -393,13 +397,13 @@
                     None => MalformedSnafu { reason: "length of the body" }.fail(),
                 }
             }
-            // Two readings of where a body ends let one caller write another's request.
+            // A body whose end is ambiguous allows request smuggling.
             _ => MalformedSnafu { reason: "more than one length of the body" }.fail(),
         }
     }
 }
 
-/// A request's head as bytes. Its body, if any, has `length` bytes.
+/// Encodes the head of a request. `length` is the length of its body in bytes, `None` if it has none.
 pub fn encode_request_head(head: &http::request::Parts, length: Option<usize>) -> Vec<u8> {
     let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
     let mut text = format!("{} {path} HTTP/1.1\r\n", head.method).into_bytes();
@@ -411,7 +415,7 @@
     text
 }
 
-/// An answer's head as bytes; without a length the body is sent in chunks.
+/// Encodes the head of a response. Without a `length`, the body is sent in chunks.
 pub fn encode_response_head(
     status: http::StatusCode,
     headers: &http::HeaderMap,
@@ -434,7 +438,7 @@
     text
 }
 
-/// A piece of a chunked body as bytes.
+/// Encodes a chunk of a chunked body. An empty piece would end the body.
 pub fn encode_chunk(piece: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", piece.len()).into_bytes();
     chunk.extend_from_slice(piece);
@@ -442,51 +446,53 @@
     chunk
 }
 
-/// The end of a chunked body.
+/// The empty chunk that ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Removes what concerns one connection only, and the length, which is stated anew.
+/// Removes hop-by-hop headers, also those that `Connection` names, and `Content-Length`, which is added
+/// again when the head is encoded.
 pub fn strip_connection_headers(headers: &mut http::HeaderMap) {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all(http::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named.iter().map(String::as_str).chain(CONNECTION_HEADERS) {
+    for name in listed.iter().map(String::as_str).chain(HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
     headers.remove(http::header::CONTENT_LENGTH);
 }
 
-/// Whether the sender of these headers closes the connection after this message.
+/// Returns whether the sender of these headers closes the connection after the message.
 pub fn closes(version: http::Version, headers: &http::HeaderMap) -> bool {
-    let mut words = headers
+    let mut options = headers
         .get_all(http::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
-        .map(|word| word.trim().to_ascii_lowercase());
+        .map(|option| option.trim().to_ascii_lowercase());
     match version {
-        http::Version::HTTP_10 => !words.any(|word| word == "keep-alive"),
-        _ => words.any(|word| word == "close"),
+        http::Version::HTTP_10 => !options.any(|option| option == "keep-alive"),
+        _ => options.any(|option| option == "close"),
     }
 }
 
-/// For how long the other side keeps a resting connection, where it says so.
+/// Returns how long the peer keeps an idle connection, if its `Keep-Alive` header says so: as `timeout=SECONDS`
+/// or as a bare number of seconds.
 pub fn keep_alive_timeout(headers: &http::HeaderMap) -> Option<time::Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
     timeout.unwrap_or(value.trim()).parse().ok().map(time::Duration::from_secs)
 }
 
-fn put_headers(text: &mut Vec<u8>, headers: &http::HeaderMap) {
+fn put_headers(bytes: &mut Vec<u8>, headers: &http::HeaderMap) {
     for (name, value) in headers {
-        text.extend_from_slice(name.as_str().as_bytes());
-        text.extend_from_slice(b": ");
-        text.extend_from_slice(value.as_bytes());
-        text.extend_from_slice(b"\r\n");
+        bytes.extend_from_slice(name.as_str().as_bytes());
+        bytes.extend_from_slice(b": ");
+        bytes.extend_from_slice(value.as_bytes());
+        bytes.extend_from_slice(b"\r\n");
     }
 }
 
