--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -1,7 +1,8 @@
-//! Server side of HTTP/1.1: one request a time on a connection.
+//! HTTP/1.1 server with one request at a time per connection.
 //!
-//! Heads and bodies are decoded by `monoio-http`. Streamed answers are written here, a chunk and a
-//! flush for each piece, because the library's encoder holds pieces back until its buffer fills.
+//! Heads and bodies are decoded by `monoio-http`. Streamed responses are encoded in this module, with
+//! one chunk and one flush per piece, because the encoder of `monoio-http` delays pieces until its
+//! buffer is full.
 
 use std::{future, io, pin, rc, time};
 
@@ -21,19 +22,19 @@
 
 use crate::{body, metered_read, server};
 
-/// Largest accepted request head.
+/// Maximum size of a request head.
 const MAX_HEAD_BYTES: u64 = 32 * 1024;
-/// Read buffers may run ahead of what is being decoded by this much.
-const READ_SLACK: u64 = 16 * 1024;
-/// Longest pause between two requests on a connection.
-const IDLE_LIMIT: time::Duration = time::Duration::from_secs(75);
+/// Number of bytes that the reader may buffer beyond the part of a message that is being decoded.
+const READ_AHEAD_BYTES: u64 = 16 * 1024;
+/// Time to wait for a request head before an idle connection is closed.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(75);
 
-/// Bytes of an unwanted body that are read and dropped.
+/// Maximum number of bytes that [`ServerConnection::linger`] reads and discards.
 const LINGER_BYTES: u64 = 64 << 20;
-/// Time for reading and dropping them.
-const LINGER_LIMIT: time::Duration = time::Duration::from_secs(2);
-/// Bytes read at once.
-const LINGER_BUFFER: usize = 64 * 1024;
+/// Maximum time that [`ServerConnection::linger`] takes.
+const LINGER_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// Size of the buffer into which [`ServerConnection::linger`] reads.
+const LINGER_BUFFER_BYTES: usize = 64 * 1024;
 
 type HeadDecoder = decoder::GenericHeadDecoder<
     request::RequestHead,
@@ -44,45 +45,45 @@
 type Reader =
     monoio_codec::FramedRead<metered_read::MeteredRead<OwnedReadHalf<net::TcpStream>>, HeadDecoder>;
 
-/// What went wrong on a connection from a caller.
+/// Error on a connection from a caller.
 #[derive(Debug, Snafu)]
 pub enum ServeError {
     /// The socket failed.
     #[snafu(display("connection: {source}"))]
     Socket {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The request cannot be read.
+    /// The request cannot be decoded, or a response cannot be sent.
     #[snafu(display("the request cannot be read: {reason}"))]
     Malformed {
-        /// Why.
+        /// Description of the cause.
         reason: String,
     },
     /// The body is larger than allowed.
     #[snafu(display("the body has more than {limit} bytes"))]
     BodyTooLarge {
-        /// Most bytes allowed.
+        /// Maximum size in bytes.
         limit: u64,
     },
     /// The body did not arrive in time.
     #[snafu(display("the body did not arrive within {limit:?}"))]
     BodyTimeout {
-        /// The time allowed.
+        /// Time within which the body had to arrive.
         limit: time::Duration,
     },
 }
 
-/// Bounds on what a caller may send.
+/// Limits on the body of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyLimits {
-    /// Most bytes of a body.
+    /// Maximum size in bytes.
     pub max_bytes: u64,
-    /// Time for a body to arrive.
+    /// Time within which the body must arrive.
     pub time: time::Duration,
 }
 
-/// A request whose body has not been read.
+/// The head of a request whose body has not been read yet.
 pub struct IncomingHead {
     /// Method, path and headers.
     pub head: request::RequestHead,
@@ -90,7 +91,7 @@
 }
 
 impl IncomingHead {
-    /// Length the caller declares; `None` for a chunked body.
+    /// Returns the length of the body as declared by the caller, `None` for a chunked body.
     pub fn declared_length(&self) -> Option<u64> {
         match &self.body {
             decoder::PayloadDecoder::None => Some(0),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The value of a header, if it is text.
+    /// Returns the value of a header if it is visible ASCII text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
@@ -117,9 +118,9 @@
 }
 
 impl ServerConnection {
-    /// Takes an accepted socket over.
+    /// Wraps an accepted socket and disables Nagle's algorithm.
     pub fn new(stream: net::TcpStream) -> Self {
-        // A socket whose option cannot be set is not worth refusing the caller for.
+        // The connection works without the option, so a failure is ignored.
         let _ = stream.set_nodelay(true);
         let (read_half, writer) = stream.into_split();
         let second_writer = OwnedWriteHalf(rc::Rc::clone(&writer.0));
@@ -132,11 +133,12 @@
         }
     }
 
-    /// Waits for the next request's head; `None` when the caller has closed or idles too long.
+    /// Reads the head of the next request. Returns `None` if the caller closes the connection or the idle
+    /// timeout expires.
     pub async fn next_head(&mut self) -> Result<Option<IncomingHead>, ServeError> {
         use monoio::io::stream::Stream as _;
-        self.allowance.set(MAX_HEAD_BYTES + READ_SLACK);
-        let next = monoio::time::timeout(IDLE_LIMIT, self.reader.next()).await;
+        self.allowance.set(MAX_HEAD_BYTES + READ_AHEAD_BYTES);
+        let next = monoio::time::timeout(IDLE_TIMEOUT, self.reader.next()).await;
         let Ok(Some(decoded)) = next else {
             return Ok(None);
         };
@@ -145,13 +147,14 @@
             && head.headers.contains_key(http::header::CONTENT_LENGTH);
         let lengths = head.headers.get_all(http::header::CONTENT_LENGTH).iter().count();
         if both || lengths > 1 {
-            // Two readings of where a body ends let one caller write another's request.
+            // A body whose end is ambiguous allows request smuggling.
             return MalformedSnafu { reason: "more than one length of the body" }.fail();
         }
         Ok(Some(IncomingHead { head, body }))
     }
 
-    /// Reads the body of the request whose head was read last.
+    /// Reads the body of the request whose head is `incoming`, which must be the latest one. Sends
+    /// `100 Continue` first if the caller expects it.
     pub async fn read_body(
         &mut self,
         incoming: &mut IncomingHead,
@@ -164,20 +167,20 @@
         if expects_continue(&incoming.head) {
             self.write_all(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n")).await?;
         }
-        self.allowance.set(limit.saturating_add(READ_SLACK));
+        self.allowance.set(limit.saturating_add(READ_AHEAD_BYTES));
         let body =
             monoio::time::timeout(limits.time, self.collect(&mut incoming.body, limit)).await;
         body.unwrap_or_else(|_| BodyTimeoutSnafu { limit: limits.time }.fail())
     }
 
-    /// Sends a whole answer.
-    pub async fn respond(&mut self, answer: http::Response<Bytes>) -> Result<(), ServeError> {
-        let (head, body) = answer.into_parts();
-        let answer = response::Response::from_parts(head, body::full_payload(body));
-        self.encoder.send_and_flush(answer).await.map_err(malformed)
+    /// Sends a complete response.
+    pub async fn respond(&mut self, response: http::Response<Bytes>) -> Result<(), ServeError> {
+        let (head, body) = response.into_parts();
+        let response = response::Response::from_parts(head, body::full_payload(body));
+        self.encoder.send_and_flush(response).await.map_err(malformed)
     }
 
-    /// Sends the head of a streamed answer.
+    /// Sends the head of a streamed response.
     pub async fn start_stream(&mut self, head: &http::Response<()>) -> Result<(), ServeError> {
         let mut text = BytesMut::with_capacity(256);
         let status = head.status();
@@ -193,10 +196,10 @@
         self.write_all(text.freeze()).await
     }
 
-    /// Sends one piece of a streamed answer at once.
+    /// Sends one piece of a streamed response as a chunk and flushes it.
     pub async fn send_piece(&mut self, piece: &[u8]) -> Result<(), ServeError> {
         if piece.is_empty() {
-            // An empty chunk would end the answer.
+            // An empty chunk would end the response.
             return Ok(());
         }
         let mut chunk = BytesMut::with_capacity(piece.len() + 16);
@@ -206,20 +209,20 @@
         self.write_all(chunk.freeze()).await
     }
 
-    /// Ends a streamed answer.
+    /// Ends a streamed response.
     pub async fn finish_stream(&mut self) -> Result<(), ServeError> {
         self.write_all(Bytes::from_static(b"0\r\n\r\n")).await
     }
 
-    /// Reads and drops what the caller still sends, for a while, before the connection is closed.
+    /// Reads and discards data from the caller for a limited time. Called before the connection is closed.
     ///
-    /// A socket closed with unread data resets the connection, and the caller may lose the answer
-    /// that it was just sent.
+    /// Closing a socket with unread data resets the connection, and the caller may lose the response
+    /// that was just sent.
     pub async fn linger(&mut self) {
         self.allowance.set(LINGER_BYTES);
         let reader = &mut self.reader;
-        let dropping = async {
-            let mut buffer = vec![0; LINGER_BUFFER];
+        let discarding = async {
+            let mut buffer = vec![0; LINGER_BUFFER_BYTES];
             loop {
                 let (result, returned) = reader.read(buffer).await;
                 buffer = returned;
@@ -228,26 +231,26 @@
                 }
             }
         };
-        // A caller that takes longer has had its answer for as long.
-        let _ = monoio::time::timeout(LINGER_LIMIT, dropping).await;
+        // After the timeout, the caller has had enough time to read the response.
+        let _ = monoio::time::timeout(LINGER_TIMEOUT, discarding).await;
     }
 
-    /// Runs `work` unless the caller goes away first; `None` then.
+    /// Runs `future` until it completes or the caller disconnects. Returns `None` after a disconnection.
     ///
-    /// A caller that sends something while it waits for its answer is not gone; what it sent stays
-    /// in the read buffer.
-    pub async fn while_connected<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
-        let mut work = pin::pin!(work);
+    /// Data that the caller sends in the meantime is not a disconnection and stays in the read buffer.
+    /// After that data, a disconnection is no longer detected.
+    pub async fn while_connected<T>(&mut self, future: impl Future<Output = T>) -> Option<T> {
+        let mut future = pin::pin!(future);
         self.allowance.set(MAX_HEAD_BYTES);
         let mut peek = Box::pin(self.reader.peek_data());
-        let mut watching = true;
+        let mut peeking = true;
         future::poll_fn(move |cx| {
-            if let std::task::Poll::Ready(done) = work.as_mut().poll(cx) {
+            if let std::task::Poll::Ready(done) = future.as_mut().poll(cx) {
                 return std::task::Poll::Ready(Some(done));
             }
-            if watching && let std::task::Poll::Ready(seen) = peek.as_mut().poll(cx) {
-                watching = false;
-                if seen.map_or(true, |data| data.is_empty()) {
+            if peeking && let std::task::Poll::Ready(peeked) = peek.as_mut().poll(cx) {
+                peeking = false;
+                if peeked.map_or(true, |data| data.is_empty()) {
                     return std::task::Poll::Ready(None);
                 }
             }
@@ -265,17 +268,17 @@
                 None => MalformedSnafu { reason: "the body ends early" }.fail(),
             },
             decoder::PayloadDecoder::Streamed(chunks) => {
-                let mut whole = BytesMut::new();
+                let mut collected = BytesMut::new();
                 loop {
                     match self.reader.next_with(chunks).await {
-                        Some(Ok(Some(chunk))) => whole.put(chunk),
-                        Some(Ok(None)) => return Ok(whole.freeze()),
+                        Some(Ok(Some(chunk))) => collected.put(chunk),
+                        Some(Ok(None)) => return Ok(collected.freeze()),
                         Some(Err(error)) => return Err(self.body_error(error.into(), limit)),
                         None => {
                             return MalformedSnafu { reason: "the body ends early" }.fail();
                         }
                     }
-                    if whole.len() as u64 > limit {
+                    if collected.len() as u64 > limit {
                         return BodyTooLargeSnafu { limit }.fail();
                     }
                 }
@@ -297,7 +300,7 @@
     }
 }
 
-/// Accepts connections for ever and hands each to `serve` in a task of its own.
+/// Accepts connections forever and runs `serve` for each in its own task.
 pub async fn accept_all<F, Fut>(listener: net::TcpListener, serve: F)
 where
     F: Fn(ServerConnection) -> Fut,
@@ -306,7 +309,7 @@
     server::accept_all(listener, |stream| serve(ServerConnection::new(stream))).await;
 }
 
-/// Whether a request asks for its connection to be closed after the answer.
+/// Returns whether the connection is to be closed after the response to a request.
 pub fn wants_close(head: &request::RequestHead) -> bool {
     let value = head.headers.get(http::header::CONNECTION).and_then(|value| value.to_str().ok());
     match value {
@@ -315,15 +318,15 @@
     }
 }
 
-/// A JSON answer.
+/// Builds a JSON response. A body that cannot be serialized is replaced by `{}`.
 pub fn json_response(status: u16, body: &impl serde::Serialize) -> http::Response<Bytes> {
     let text = serde_json::to_vec(body).unwrap_or_else(|_| b"{}".to_vec());
-    let mut answer = http::Response::new(Bytes::from(text));
-    *answer.status_mut() =
+    let mut response = http::Response::new(Bytes::from(text));
+    *response.status_mut() =
         http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
-    let kind = http::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(http::header::CONTENT_TYPE, kind);
-    answer
+    let content_type = http::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
+    response
 }
 
 fn expects_continue(head: &request::RequestHead) -> bool {
@@ -332,7 +335,7 @@
 }
 
 fn malformed(error: error::HttpError) -> ServeError {
-    // The library's own text calls some faults of HTTP/1 "http2"; only the cause is of use.
+    // The display text of `HttpError` calls some HTTP/1 errors "http2", so only their cause is shown.
     match error {
         error::HttpError::H1DecodeError(cause) => {
             ServeError::Malformed { reason: cause.to_string() }
