--- a/crates/net/tests/h1.rs
+++ b/crates/net/tests/h1.rs
@@ -1,33 +1,33 @@
-//! HTTP/1.1 messages over real sockets: framing, limits, answers without a length, garbage.
+//! HTTP/1.1 messages over real sockets: framing, limits, responses without a length, invalid bytes.
 
 use std::{io::Write as _, net, thread};
 
 use proptest::prelude::*;
 use slipturn_net::{h1, process};
 
-/// Writes `bytes` to a new connection, closes it, and hands the reading side to `work`.
-fn with_bytes<T, F>(bytes: Vec<u8>, work: impl FnOnce(h1::MessageReader) -> F) -> T
+/// Sends `bytes` over a new connection, closes it, and runs `read` with the receiving end.
+fn with_bytes<T, F>(bytes: Vec<u8>, read: impl FnOnce(h1::MessageReader) -> F) -> T
 where
     F: Future<Output = T>,
 {
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let writing = thread::spawn(move || {
+    let writer = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
-        // The reader may close before everything is written.
+        // The reader may close the connection before all bytes are written.
         let _ = stream.write_all(&bytes);
     });
-    let done = process::run(async {
+    let result = process::run(async {
         let stream = monoio::net::TcpStream::connect_addr(address).await.expect("it connects");
         let (reader, _writer) = h1::split(stream);
-        work(reader).await
+        read(reader).await
     });
-    writing.join().expect("no panic");
-    done.expect("an event loop")
+    writer.join().expect("the writer does not panic");
+    result.expect("an event loop")
 }
 
-/// The body of an answer, or what is wrong with it.
-fn answer(text: &str) -> Result<(u16, Vec<u8>), String> {
+/// Reads a response: its status and body, or the text of the error.
+fn read_response(text: &str) -> Result<(u16, Vec<u8>), String> {
     with_bytes(text.as_bytes().to_vec(), |mut reader| async move {
         let head = reader.response_head().await.map_err(|error| error.to_string())?;
         let mut framing = h1::BodyFraming::of_response(&head).map_err(|error| error.to_string())?;
@@ -38,38 +38,42 @@
 }
 
 #[test]
-fn bodies_by_length_by_chunks_and_by_the_connections_end() {
-    let whole = Ok((200, b"hello".to_vec()));
-    assert_eq!(answer("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello"), whole);
+fn bodies_end_by_length_by_chunks_or_with_the_connection() {
+    let complete = Ok((200, b"hello".to_vec()));
+    assert_eq!(read_response("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello"), complete);
     let chunks = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nt: v\r\n\r\n";
-    assert_eq!(answer(chunks), whole);
-    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\nhello"), whole, "an answer may have no length");
-    assert_eq!(answer("HTTP/1.1 204 No\r\n\r\n"), Ok((204, Vec::new())));
-    let early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
-    assert_eq!(answer(early), whole);
+    assert_eq!(read_response(chunks), complete);
+    assert_eq!(
+        read_response("HTTP/1.1 200 OK\r\n\r\nhello"),
+        complete,
+        "a response may have no length"
+    );
+    assert_eq!(read_response("HTTP/1.1 204 No\r\n\r\n"), Ok((204, Vec::new())));
+    let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
+    assert_eq!(read_response(interim), complete);
 }
 
 #[test]
-fn a_body_cut_short_is_never_whole() {
+fn a_truncated_message_is_an_error() {
     for text in [
         "HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhel",
         "HTTP/1.1 200 OK\r\ncontent-len",
     ] {
-        assert!(answer(text).is_err(), "{text:?}");
+        assert!(read_response(text).is_err(), "{text:?}");
     }
 }
 
 #[test]
-fn two_readings_of_a_length_are_refused() {
+fn ambiguous_or_unknown_framing_is_rejected() {
     for text in [
         "HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 6\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\ncontent-length: +5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: gzip\r\n\r\nhello",
     ] {
-        assert!(answer(text).is_err(), "{text:?}");
+        assert!(read_response(text).is_err(), "{text:?}");
     }
 }
 
@@ -81,7 +85,7 @@
     });
     assert!(error.is_some_and(|error| error.contains("2000")));
     let large = "HTTP/1.1 200 OK\r\ncontent-length: 70000\r\n\r\n";
-    assert!(answer(large).is_err_and(|error| error.contains("65536")));
+    assert!(read_response(large).is_err_and(|error| error.contains("65536")));
 }
 
 #[test]
@@ -99,7 +103,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut headers = http::HeaderMap::new();
     for (name, value) in [
         ("connection", "close, x-own"),
@@ -120,10 +124,10 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn garbage_never_hangs_or_panics(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn invalid_chunks_cause_neither_a_hang_nor_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut message = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_vec();
         message.extend_from_slice(&bytes);
         let text = String::from_utf8_lossy(&message).into_owned();
-        let _ = answer(&text);
+        let _ = read_response(&text);
     }
 }
