--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,6 +1,6 @@
-//! Turns messages into the types of the decision logic and back.
+//! Conversion between Cap'n Proto messages and the types of `slipturn-core`.
 //!
-//! Points in time travel as what is left of them, so that no two clocks need to agree.
+//! Points in time are sent as the time left until them, so that the clocks of the processes need not agree.
 
 use std::{str, time};
 
@@ -9,44 +9,44 @@
 
 use crate::scheduler_capnp;
 
-/// Why a message cannot be understood.
+/// Error that occurs when a message is decoded.
 #[derive(Debug, Snafu)]
 pub enum WireError {
-    /// The message is not what the schema says.
+    /// The message does not match the schema.
     #[snafu(display("message: {source}"))]
-    Shape {
-        /// What the library found.
+    Schema {
+        /// Error of the `capnp` crate.
         source: capnp::Error,
     },
     /// A text is not UTF-8.
     #[snafu(display("text: {source}"))]
     Text {
-        /// What the standard library found.
+        /// Error of the UTF-8 decoder.
         source: str::Utf8Error,
     },
     /// A name is not valid.
     #[snafu(display("name: {source}"))]
     Name {
-        /// What is wrong with it.
+        /// Error of the name's parser.
         source: ids::NameError,
     },
-    /// A variant this build does not know.
+    /// The message contains a union variant that this version does not know.
     #[snafu(display("unknown variant {number}"))]
-    Variant {
-        /// Its number.
+    UnknownVariant {
+        /// Number of the variant in the schema.
         number: u16,
     },
-    /// A refusal code this build does not know.
-    #[snafu(display("unknown refusal code '{word}'"))]
-    Code {
-        /// The code.
-        word: String,
+    /// The message contains a refusal code that this version does not know.
+    #[snafu(display("unknown refusal code '{label}'"))]
+    UnknownCode {
+        /// Label of the code.
+        label: String,
     },
 }
 
 impl From<capnp::Error> for WireError {
     fn from(source: capnp::Error) -> Self {
-        Self::Shape { source }
+        Self::Schema { source }
     }
 }
 
@@ -100,14 +100,15 @@
     Ok((read_name(reader.get_engine()?)?, request))
 }
 
-/// Writes a refusal. Only what was not run is ever refused between own processes.
+/// Writes a refusal. Whether the request was run is not sent: between slipturn's processes, only requests that
+/// were not run are refused.
 pub fn write_refusal(
     mut builder: scheduler_capnp::refusal::Builder<'_>,
     refusal: &refusal::RequestRefusal,
 ) {
     builder.set_code(refusal.code.label());
     builder.set_message(&refusal.message);
-    // Zero stands for no time at all, so a wait of less than a millisecond counts as one.
+    // Zero means that there is no retry time, so a wait below one millisecond is sent as one.
     builder
         .set_retry_after_ms(refusal.retry_after.map_or(0, |wait| units::whole_millis(wait).max(1)));
 }
@@ -116,8 +117,9 @@
 pub fn read_refusal(
     reader: scheduler_capnp::refusal::Reader<'_>,
 ) -> Result<refusal::RequestRefusal, WireError> {
-    let word = read_text(reader.get_code()?)?;
-    let code = refusal::RefusalCode::from_label(word).ok_or_else(|| CodeSnafu { word }.build())?;
+    let label = read_text(reader.get_code()?)?;
+    let code = refusal::RefusalCode::from_label(label)
+        .ok_or_else(|| UnknownCodeSnafu { label }.build())?;
     let mut refusal = refusal::RequestRefusal::not_run(code, read_text(reader.get_message()?)?);
     if reader.get_retry_after_ms() > 0 {
         refusal.retry_after = Some(time::Duration::from_millis(reader.get_retry_after_ms()));
@@ -125,7 +127,7 @@
     Ok(refusal)
 }
 
-/// Writes what an engine could do, or why nothing.
+/// Writes the offer of an engine or the refusal.
 pub fn write_offer(
     builder: scheduler_capnp::offer_reply::Builder<'_>,
     answer: &Result<placement::EngineOffer, refusal::RequestRefusal>,
@@ -144,7 +146,7 @@
     }
 }
 
-/// Reads what an engine could do, or why nothing.
+/// Reads the offer of an engine or the refusal.
 pub fn read_offer(
     reader: scheduler_capnp::offer_reply::Reader<'_>,
 ) -> Result<Result<placement::EngineOffer, refusal::RequestRefusal>, WireError> {
@@ -160,7 +162,7 @@
     }
 }
 
-/// Writes the end of a wait for a place.
+/// Writes the result of a wait for a place: the priority to send to the engine, or the refusal.
 pub fn write_place_reply(
     mut builder: scheduler_capnp::place_reply::Builder<'_>,
     answer: &Result<u8, refusal::RequestRefusal>,
@@ -171,7 +173,7 @@
     }
 }
 
-/// Reads the end of a wait for a place: the priority to send to the engine.
+/// Reads the result of a wait for a place: the priority to send to the engine, or the refusal.
 pub fn read_place_reply(
     reader: scheduler_capnp::place_reply::Reader<'_>,
 ) -> Result<Result<u8, refusal::RequestRefusal>, WireError> {
@@ -182,7 +184,7 @@
     }
 }
 
-/// Writes a portion of a budget, or when there will be one.
+/// Writes a portion of a budget or, if the budget is exhausted, the time until one is available.
 pub fn write_portion(
     mut builder: scheduler_capnp::portion_reply::Builder<'_>,
     answer: Result<budget::BudgetPortion, budget::BudgetExhausted>,
@@ -197,7 +199,7 @@
     }
 }
 
-/// Reads a portion of a budget, or when there will be one.
+/// Reads a portion of a budget or, if the budget is exhausted, the time until one is available.
 pub fn read_portion(
     reader: scheduler_capnp::portion_reply::Reader<'_>,
 ) -> Result<Result<budget::BudgetPortion, budget::BudgetExhausted>, WireError> {
@@ -211,20 +213,20 @@
     }
 }
 
-/// Writes a vote.
+/// Writes a vote on an idempotency key.
 pub fn write_vote(
     mut builder: scheduler_capnp::vote_reply::Builder<'_>,
     answer: &key_vote::VoteAnswer,
 ) {
-    let narrow = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
+    let saturate = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
     match answer {
-        key_vote::VoteAnswer::Granted { group } => builder.set_granted(narrow(*group)),
+        key_vote::VoteAnswer::Granted { group } => builder.set_granted(saturate(*group)),
         key_vote::VoteAnswer::Abstained => builder.set_abstained(()),
         key_vote::VoteAnswer::Taken(first) => builder.set_taken(first.as_str()),
     }
 }
 
-/// Reads a vote.
+/// Reads a vote on an idempotency key.
 pub fn read_vote(
     reader: scheduler_capnp::vote_reply::Reader<'_>,
 ) -> Result<key_vote::VoteAnswer, WireError> {
@@ -236,12 +238,12 @@
     })
 }
 
-/// Reads a text.
+/// Reads a text and checks that it is UTF-8.
 pub fn read_text(reader: capnp::text::Reader<'_>) -> Result<&str, WireError> {
     reader.to_str().context(TextSnafu)
 }
 
-/// Reads a name of any kind.
+/// Reads and validates a name.
 pub fn read_name<T>(reader: capnp::text::Reader<'_>) -> Result<T, WireError>
 where
     T: str::FromStr<Err = ids::NameError>,
@@ -250,5 +252,5 @@
 }
 
 fn unknown_variant(error: capnp::NotInSchema) -> WireError {
-    WireError::Variant { number: error.0 }
+    WireError::UnknownVariant { number: error.0 }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between slipturn's own processes, in Cap'n Proto.
+//! Cap'n Proto messages between the processes of slipturn.
 //!
-//! `schema/scheduler.capnp` is the source of the generated module, which is committed so that the
-//! build needs no generator. [`convert`] turns messages into the types of the decision logic.
+//! [`scheduler_capnp`] is generated from `schema/scheduler.capnp` and committed, so that the build needs
+//! no schema compiler. [`convert`] converts the messages to and from the types of `slipturn-core`.
 
 pub mod convert;
 
