--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -1,4 +1,4 @@
-//! Messages read as they were written.
+//! Round trips of refusals and places through their messages.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,7 +8,8 @@
 use slipturn_core::{placement, refusal, units};
 use slipturn_wire::{convert, scheduler_capnp};
 
-fn sent(refusal: &refusal::RequestRefusal) -> refusal::RequestRefusal {
+/// Writes a refusal into a message and reads it back.
+fn round_trip(refusal: &refusal::RequestRefusal) -> refusal::RequestRefusal {
     let mut builder = message::Builder::new_default();
     convert::write_refusal(builder.init_root(), refusal);
     let reader: scheduler_capnp::refusal::Reader<'_> = builder.get_root_as_reader().unwrap();
@@ -16,21 +17,22 @@
 }
 
 #[test]
-fn every_refusal_keeps_its_code_and_whether_to_come_back() {
+fn every_refusal_keeps_its_code_and_its_retry_time() {
     for code in refusal::ALL_CODES {
         let plain = refusal::RequestRefusal::not_run(code, "why");
-        assert_eq!(sent(&plain), plain);
+        assert_eq!(round_trip(&plain), plain);
         for wait in [time::Duration::from_micros(1), time::Duration::from_secs(90)] {
             let waiting = plain.clone().retry_after(wait);
             assert!(
-                sent(&waiting).retry_after.unwrap() >= wait.min(time::Duration::from_millis(1))
+                round_trip(&waiting).retry_after.unwrap()
+                    >= wait.min(time::Duration::from_millis(1))
             );
         }
     }
 }
 
 #[test]
-fn a_place_keeps_what_is_left_of_its_time_on_another_clock() {
+fn a_place_keeps_its_remaining_times_on_another_clock() {
     let now = units::MonoTime(5_000_000);
     let request = placement::PlaceRequest {
         attempt: "instance-1:a:b:1".parse().unwrap(),
@@ -50,11 +52,11 @@
     let mut builder = message::Builder::new_default();
     convert::write_place(builder.init_root(), &engine, &request, now);
     let reader: scheduler_capnp::place::Reader<'_> = builder.get_root_as_reader().unwrap();
-    let there = units::MonoTime(77);
-    let (read_engine, read) = convert::read_place(reader, there).unwrap();
+    let receiver_now = units::MonoTime(77);
+    let (read_engine, read) = convert::read_place(reader, receiver_now).unwrap();
     assert_eq!(read_engine, engine);
     assert_eq!(read.attempt, request.attempt);
     assert_eq!((read.prompt, read.memory, read.grouped), (request.prompt, request.memory, true));
-    assert_eq!(read.deadline.since(there), time::Duration::from_secs(60));
-    assert_eq!(read.patience.since(there), time::Duration::from_secs(2));
+    assert_eq!(read.deadline.since(receiver_now), time::Duration::from_secs(60));
+    assert_eq!(read.patience.since(receiver_now), time::Duration::from_secs(2));
 }
