--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! Questions to an instance, and the check of a settings document.
+//! Requests to an instance's address for operators, and validation of a settings document.
 
 use std::{fs, net, path, time};
 
@@ -7,85 +7,86 @@
 use slipturn_net::{http_client, process};
 use snafu::{ResultExt as _, Snafu};
 
-/// Time for an answer.
-const ANSWER_LIMIT: time::Duration = time::Duration::from_secs(5);
-/// Largest answer.
-const MAX_ANSWER: u64 = 64 << 20;
+/// Timeout for the complete response.
+const RESPONSE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Why there is no answer.
+/// Error of a command.
 #[derive(Debug, Snafu)]
-pub enum QuestionError {
-    /// The instance could not be asked.
+pub enum CommandError {
+    /// The call to the instance failed.
     #[snafu(display("{source}"))]
     Call {
-        /// How the call failed.
+        /// Error of the HTTP client.
         source: http_client::CallError,
     },
-    /// No answer in time.
-    #[snafu(display("{address} did not answer within {ANSWER_LIMIT:?}"))]
+    /// The instance did not respond in time.
+    #[snafu(display("{address} did not answer within {RESPONSE_TIMEOUT:?}"))]
     TimedOut {
-        /// The instance.
+        /// Address of the instance.
         address: net::SocketAddr,
     },
-    /// The event loop could not be made.
+    /// The event loop could not be started.
     #[snafu(display("event loop: {source}"))]
     Loop {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The answer is not JSON.
+    /// The response is not valid JSON.
     #[snafu(display("the answer cannot be read: {source}"))]
-    Shape {
-        /// What the library found.
+    InvalidJson {
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The instance refused.
+    /// The instance responded with an error status.
     #[snafu(display("{status}: {text}"))]
     Refused {
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// What it said.
+        /// Error text of the response.
         text: String,
     },
-    /// A file cannot be read.
+    /// The settings document cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         file: path::PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A settings document is not valid.
+    /// The settings document is not valid.
     #[snafu(display("{}: {source}", file.display()))]
     Settings {
-        /// The file.
+        /// Path of the file.
         file: path::PathBuf,
-        /// What is wrong.
+        /// Error of the parser.
         source: settings::SettingsError,
     },
 }
 
-/// Asks an instance's operators' address.
-pub fn ask(
+/// Sends a request to an instance's address for operators and returns the JSON of the response.
+pub fn call_instance(
     address: net::SocketAddr,
     method: http::Method,
     path: &str,
-) -> Result<serde_json::Value, QuestionError> {
-    let mut call = http::Request::new(Bytes::new());
-    *call.method_mut() = method;
-    *call.uri_mut() = path.parse().unwrap_or_default();
+) -> Result<serde_json::Value, CommandError> {
+    let mut request = http::Request::new(Bytes::new());
+    *request.method_mut() = method;
+    *request.uri_mut() = path.parse().unwrap_or_default();
     let pool = http_client::ConnectionPool::default();
-    let asking = async {
+    let call = async {
         let fresh = http_client::ConnectionUse::Fresh;
-        let calling = pool.call_buffered(address, fresh, call, MAX_ANSWER);
-        monoio::time::timeout(ANSWER_LIMIT, calling).await
+        let response = pool.call_buffered(address, fresh, request, MAX_RESPONSE_BYTES);
+        monoio::time::timeout(RESPONSE_TIMEOUT, response).await
     };
-    let Ok(answer) = process::run(asking).context(LoopSnafu)? else {
+    let Ok(response) = process::run(call).context(LoopSnafu)? else {
         return TimedOutSnafu { address }.fail();
     };
-    let answer = answer.context(CallSnafu)?;
-    let status = answer.status();
-    let value: serde_json::Value = serde_json::from_slice(answer.body()).context(ShapeSnafu)?;
+    let response = response.context(CallSnafu)?;
+    let status = response.status();
+    let value: serde_json::Value =
+        serde_json::from_slice(response.body()).context(InvalidJsonSnafu)?;
     if status.is_success() {
         return Ok(value);
     }
@@ -93,8 +94,8 @@
     RefusedSnafu { status: status.as_u16(), text }.fail()
 }
 
-/// Checks a settings document as instances would, and tells its version.
-pub fn check(file: &path::Path) -> Result<settings::SettingsVersion, QuestionError> {
+/// Validates a settings document in the same way as an instance and returns its version.
+pub fn check_settings(file: &path::Path) -> Result<settings::SettingsVersion, CommandError> {
     let text = fs::read_to_string(file).context(ReadSnafu { file })?;
     let tree = settings::SettingsTree::parse(&text).context(SettingsSnafu { file })?;
     Ok(tree.version)
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! What an operator asks of an instance: one question, one answer, as a table or as JSON.
+//! Commands of `slipturnctl` and the formatting of their results.
 
-pub mod question;
+pub mod commands;
 pub mod table;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,9 +1,9 @@
-//! `slipturnctl`: see the library of the same name.
+//! Command-line tool for operators: sends requests to an instance or validates a settings document.
 
 use std::{net, path, process};
 
 use slipturn_net::{command_line, local_settings};
-use slipturnctl::{question, table};
+use slipturnctl::{commands, table};
 
 const INFO: command_line::ProgramInfo = command_line::ProgramInfo {
     name: "slipturnctl",
@@ -12,9 +12,11 @@
     about: "Asks an instance of slipturn, or checks a settings document before it is published.",
 };
 
-/// Why the command line cannot be followed, or what it asked for did not work.
-enum CommandError {
+/// Error of the program. The variants have different exit codes.
+enum CliError {
+    /// The command line is invalid.
     Usage(String),
+    /// The command failed.
     Failed(String),
 }
 
@@ -32,20 +34,20 @@
     };
     match run(&matches) {
         Ok(()) => process::ExitCode::from(command_line::EXIT_SUCCESS),
-        Err(CommandError::Failed(text)) => command_line::fail(INFO, &text),
-        Err(CommandError::Usage(text)) => {
+        Err(CliError::Failed(text)) => command_line::fail(INFO, &text),
+        Err(CliError::Usage(text)) => {
             eprintln!("{}: {text}\nTry '{} --help'.", INFO.name, INFO.name);
             process::ExitCode::from(command_line::EXIT_USAGE)
         }
     }
 }
 
-fn run(matches: &getopts::Matches) -> Result<(), CommandError> {
-    let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
+fn run(matches: &getopts::Matches) -> Result<(), CliError> {
+    let arguments: Vec<&str> = matches.free.iter().map(String::as_str).collect();
     let get = http::Method::GET;
-    match words.as_slice() {
+    match arguments.as_slice() {
         ["check", file] => {
-            let version = question::check(path::Path::new(file)).map_err(failed)?;
+            let version = commands::check_settings(path::Path::new(file)).map_err(failed)?;
             println!("{file}: valid, version {version}");
             Ok(())
         }
@@ -59,12 +61,13 @@
             show(matches, http::Method::POST, &format!("/v1/quarantine/{digest}/release"))
         }
         ["drain"] => show(matches, http::Method::POST, "/v1/drain"),
-        [] => Err(CommandError::Usage("a command is missing".to_owned())),
-        other => Err(CommandError::Usage(format!("'{}' is not a command", other.join(" ")))),
+        [] => Err(CliError::Usage("a command is missing".to_owned())),
+        other => Err(CliError::Usage(format!("'{}' is not a command", other.join(" ")))),
     }
 }
 
-fn settings_path(matches: &getopts::Matches) -> Result<String, CommandError> {
+/// Returns the path of a query for the settings of a customer's application, or for the whole settings tree.
+fn settings_path(matches: &getopts::Matches) -> Result<String, CliError> {
     let (customer, application) = (matches.opt_str("customer"), matches.opt_str("application"));
     match (customer, application) {
         (None, None) => Ok("/v1/settings".to_owned()),
@@ -73,12 +76,13 @@
             let query = format!("customer={customer}&application={application}&prompt={prompt}");
             Ok(format!("/v1/settings?{query}"))
         }
-        _ => Err(CommandError::Usage("--customer and --application go together".to_owned())),
+        _ => Err(CliError::Usage("--customer and --application go together".to_owned())),
     }
 }
 
-fn show(matches: &getopts::Matches, method: http::Method, path: &str) -> Result<(), CommandError> {
-    let value = question::ask(address(matches)?, method, path).map_err(failed)?;
+/// Sends a request to the instance and prints the result as a table or as JSON.
+fn show(matches: &getopts::Matches, method: http::Method, path: &str) -> Result<(), CliError> {
+    let value = commands::call_instance(address(matches)?, method, path).map_err(failed)?;
     if matches.opt_present("json") {
         println!("{}", serde_json::to_string_pretty(&value).unwrap_or_default());
     } else {
@@ -87,18 +91,19 @@
     Ok(())
 }
 
-fn address(matches: &getopts::Matches) -> Result<net::SocketAddr, CommandError> {
+/// Returns the instance's address for operators from `--address` or from the local settings file.
+fn address(matches: &getopts::Matches) -> Result<net::SocketAddr, CliError> {
     if let Some(text) = matches.opt_str("address") {
-        let fault = |_| CommandError::Usage(format!("--address: found '{text}', expected IP:PORT"));
-        return text.parse().map_err(fault);
+        let invalid = |_| CliError::Usage(format!("--address: found '{text}', expected IP:PORT"));
+        return text.parse().map_err(invalid);
     }
     let Some(file) = matches.opt_str("settings") else {
-        return Err(CommandError::Usage("--address or --settings is needed".to_owned()));
+        return Err(CliError::Usage("--address or --settings is needed".to_owned()));
     };
     let local = local_settings::LocalSettings::load(path::Path::new(&file)).map_err(failed)?;
     Ok(local.listen.operators)
 }
 
-fn failed(error: impl ToString) -> CommandError {
-    CommandError::Failed(error.to_string())
+fn failed(error: impl ToString) -> CliError {
+    CliError::Failed(error.to_string())
 }
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,8 +1,9 @@
-//! JSON answers as text for a person.
+//! Formatting of JSON as plain text for human readers.
 
 use serde_json::Value;
 
-/// Renders a value: objects as indented `name: value` lines, lists of objects as tables.
+/// Renders a value as text. Objects become indented `name: value` lines without the null fields, and arrays of
+/// flat objects become tables with the columns of their first row.
 pub fn render(value: &Value) -> String {
     let mut text = String::new();
     write_value(&mut text, value, 0);
@@ -23,7 +24,7 @@
                 text.push('\n');
             }
         }
-        other => line(text, depth, &cell(other)),
+        other => push_line(text, depth, &format_scalar(other)),
     }
 }
 
@@ -34,10 +35,10 @@
         _ => false,
     };
     if nested {
-        line(text, depth, &format!("{name}:"));
+        push_line(text, depth, &format!("{name}:"));
         write_value(text, field, depth + 1);
     } else {
-        line(text, depth, &format!("{name}: {}", cell(field)));
+        push_line(text, depth, &format!("{name}: {}", format_scalar(field)));
     }
 }
 
@@ -45,26 +46,27 @@
     let Some(Value::Object(first)) = rows.first() else {
         return;
     };
-    let names: Vec<&String> = first.keys().collect();
-    let cells = |row: &Value| names.iter().map(|name| cell(&row[name.as_str()])).collect();
-    let mut table: Vec<Vec<String>> = vec![names.iter().map(|name| (*name).clone()).collect()];
+    let columns: Vec<&String> = first.keys().collect();
+    let cells =
+        |row: &Value| columns.iter().map(|name| format_scalar(&row[name.as_str()])).collect();
+    let mut table: Vec<Vec<String>> = vec![columns.iter().map(|name| (*name).clone()).collect()];
     table.extend(rows.iter().map(cells));
-    let widths: Vec<usize> = (0..names.len())
+    let widths: Vec<usize> = (0..columns.len())
         .map(|column| table.iter().map(|row| row[column].chars().count()).max().unwrap_or(0))
         .collect();
     for row in &table {
         let padded: Vec<_> =
             row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
-        line(text, depth, padded.join("  ").trim_end());
+        push_line(text, depth, padded.join("  ").trim_end());
     }
 }
 
 fn is_flat_object(value: &Value) -> bool {
-    let flat = |field: &Value| !field.is_object() && !field.is_array();
-    value.as_object().is_some_and(|fields| fields.values().all(flat))
+    let is_scalar = |field: &Value| !field.is_object() && !field.is_array();
+    value.as_object().is_some_and(|fields| fields.values().all(is_scalar))
 }
 
-fn cell(value: &Value) -> String {
+fn format_scalar(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
@@ -72,7 +74,7 @@
     }
 }
 
-fn line(text: &mut String, depth: usize, content: &str) {
+fn push_line(text: &mut String, depth: usize, content: &str) {
     text.push_str(&"  ".repeat(depth));
     text.push_str(content);
     text.push('\n');
