--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -77,8 +77,8 @@
     let pool = http_client::ConnectionPool::default();
     let call = async {
         let fresh = http_client::ConnectionUse::Fresh;
-        let response = pool.call_buffered(address, fresh, request, MAX_RESPONSE_BYTES);
-        monoio::time::timeout(RESPONSE_TIMEOUT, response).await
+        let pending = pool.call_buffered(address, fresh, request, MAX_RESPONSE_BYTES);
+        monoio::time::timeout(RESPONSE_TIMEOUT, pending).await
     };
     let Ok(response) = process::run(call).context(LoopSnafu)? else {
         return TimedOutSnafu { address }.fail();
--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -235,17 +235,17 @@
         let _ = monoio::time::timeout(LINGER_TIMEOUT, discarding).await;
     }
 
-    /// Runs `future` until it completes or the caller disconnects. Returns `None` after a disconnection.
+    /// Runs `operation` until it completes or the caller disconnects. Returns `None` after a disconnection.
     ///
     /// Data that the caller sends in the meantime is not a disconnection and stays in the read buffer.
     /// After that data, a disconnection is no longer detected.
-    pub async fn while_connected<T>(&mut self, future: impl Future<Output = T>) -> Option<T> {
-        let mut future = pin::pin!(future);
+    pub async fn while_connected<T>(&mut self, operation: impl Future<Output = T>) -> Option<T> {
+        let mut operation = pin::pin!(operation);
         self.allowance.set(MAX_HEAD_BYTES);
         let mut peek = Box::pin(self.reader.peek_data());
         let mut peeking = true;
         future::poll_fn(move |cx| {
-            if let std::task::Poll::Ready(done) = future.as_mut().poll(cx) {
+            if let std::task::Poll::Ready(done) = operation.as_mut().poll(cx) {
                 return std::task::Poll::Ready(Some(done));
             }
             if peeking && let std::task::Poll::Ready(peeked) = peek.as_mut().poll(cx) {
--- a/crates/net/src/process.rs
+++ b/crates/net/src/process.rs
@@ -78,7 +78,7 @@
         self.0.store(true, atomic::Ordering::SeqCst);
     }
 
-    /// Returns whether a stop was requested.
+    /// Returns whether a stop has been requested.
     pub fn asked(&self) -> bool {
         self.0.load(atomic::Ordering::SeqCst)
     }
