--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -32,16 +32,16 @@
 
 /// Ids of one request, as callers see them.
 #[derive(Debug, Clone)]
-pub struct RequestNames {
+pub struct RequestIds {
     /// slipturn's own.
     pub request: ids::RequestId,
     /// The caller's, if it sent one.
     pub caller: Option<String>,
 }
 
-impl RequestNames {
+impl RequestIds {
     /// Adds the ids to an answer's headers.
-    pub fn mark(&self, headers: &mut http::HeaderMap) {
+    pub fn add_headers(&self, headers: &mut http::HeaderMap) {
         let own = self.request.as_str();
         let caller = self.caller.as_deref().unwrap_or(own);
         for (name, value) in [(REQUEST_HEADER, own), (CALLER_HEADER, caller)] {
@@ -54,12 +54,12 @@
 
 /// The whole answer to a request that is refused or has failed before its answer began.
 pub fn refusal_answer(
-    names: &RequestNames,
+    request_ids: &RequestIds,
     refusal: &refusal::RequestRefusal,
 ) -> http::Response<Bytes> {
     let mut answer = http_server::json_answer(refusal.code.status(), &error_body(refusal));
     let headers = answer.headers_mut();
-    names.mark(headers);
+    request_ids.add_headers(headers);
     if let Some(wait) = refusal.retry_after {
         headers.insert(http::header::RETRY_AFTER, whole_seconds(wait).into());
     }
@@ -73,7 +73,7 @@
 }
 
 /// Adds `connection: close` when the process is stopping, so that callers turn elsewhere.
-pub fn mark_closing(headers: &mut http::HeaderMap, stop: &process::StopSignal) {
+pub fn add_close_header(headers: &mut http::HeaderMap, stop: &process::StopSignal) {
     if stop.asked() {
         let close = http::HeaderValue::from_static("close");
         headers.insert(http::header::CONNECTION, close);
--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -19,7 +19,7 @@
     let spend = |answer| event::EntryEvent::Spend(settings.clone(), want, answer);
     let mut step = context.events.ask(spend).await;
     if matches!(step, entry_router::BudgetStep::Draw { .. }) {
-        let lock = context.draws.of(&settings.customer);
+        let lock = context.draws.for_customer(&settings.customer);
         let _drawing = lock.lock().await;
         // Another request may have drawn enough meanwhile.
         step = context.events.ask(spend).await;
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -30,12 +30,12 @@
             Ok(Some(incoming)) => incoming,
             Ok(None) => return,
             Err(error) => {
-                refuse_unread(&context, &mut connection, &error).await;
+                refuse_bad_head(&context, &mut connection, &error).await;
                 return;
             }
         };
         let close = http_server::wants_close(&incoming.head);
-        let active = context.enter();
+        let active = context.begin_request();
         let end = serve_one(&context, &mut connection, incoming).await;
         drop(active);
         match end {
@@ -50,15 +50,15 @@
 }
 
 /// A request whose head cannot be read has no id of the caller's; the connection ends with it.
-async fn refuse_unread(
+async fn refuse_bad_head(
     context: &request_context::EntryContext,
     connection: &mut http_server::ServerConnection,
     error: &http_server::ServeError,
 ) {
-    let names = answer::RequestNames { request: context.next_request(), caller: None };
+    let request_ids = answer::RequestIds { request: context.next_request(), caller: None };
     let code = refusal::RefusalCode::BadRequest;
     let refusal = refusal::RequestRefusal::not_run(code, error.to_string());
-    if let Err(error) = connection.respond(answer::refusal_answer(&names, &refusal)).await {
+    if let Err(error) = connection.respond(answer::refusal_answer(&request_ids, &refusal)).await {
         log::debug!("caller: {error}");
     }
     connection.linger().await;
@@ -71,18 +71,18 @@
 ) -> Result<RequestEnd, http_server::ServeError> {
     let caller = incoming.header(answer::CALLER_HEADER);
     let caller = caller.filter(|id| id.len() <= MAX_CALLER_ID).map(str::to_owned);
-    let names = answer::RequestNames { request: context.next_request(), caller };
+    let request_ids = answer::RequestIds { request: context.next_request(), caller };
     let (body, _hold) = match read_body(context, connection, &mut incoming).await {
         Ok(body) => body,
         Err(refusal) => {
-            let refusal = context.spread(refusal).await;
+            let refusal = context.spread_retry_after(refusal).await;
             // What is left of the body would be taken for the next request.
-            connection.respond(answer::refusal_answer(&names, &refusal)).await?;
+            connection.respond(answer::refusal_answer(&request_ids, &refusal)).await?;
             connection.linger().await;
             return Ok(RequestEnd::Close);
         }
     };
-    match route(context, names.clone(), &incoming) {
+    match route(context, request_ids.clone(), &incoming) {
         Ok(RoutedCall::Model(call)) => {
             model_request::serve(rc::Rc::clone(context), connection, call, body).await
         }
@@ -90,11 +90,11 @@
             service_request::serve(rc::Rc::clone(context), connection, *call, body).await
         }
         Ok(RoutedCall::Models) => {
-            connection.respond(models_answer(context, &names).await).await?;
+            connection.respond(models_answer(context, &request_ids).await).await?;
             Ok(RequestEnd::Answered)
         }
         Err(refusal) => {
-            connection.respond(answer::refusal_answer(&names, &refusal)).await?;
+            connection.respond(answer::refusal_answer(&request_ids, &refusal)).await?;
             Ok(RequestEnd::Answered)
         }
     }
@@ -133,7 +133,7 @@
 
 fn route(
     context: &request_context::EntryContext,
-    names: answer::RequestNames,
+    request_ids: answer::RequestIds,
     incoming: &http_server::IncomingHead,
 ) -> Result<RoutedCall, refusal::RequestRefusal> {
     let refuse = |code, text: &str| refusal::RequestRefusal::not_run(code, text);
@@ -142,22 +142,28 @@
         return Ok(RoutedCall::Models);
     }
     let is_model = MODEL_PATHS.contains(&path) && incoming.head.method == http::Method::POST;
-    let behind = path.strip_prefix(SERVICES_PREFIX);
-    if !is_model && behind.is_none() {
+    let service_path = path.strip_prefix(SERVICES_PREFIX);
+    if !is_model && service_path.is_none() {
         let text = format!("{} {path} is not served", incoming.head.method);
         return Err(refuse(refusal::RefusalCode::NotFound, &text));
     }
     let key = bearer_key(incoming).ok_or_else(|| {
         refuse(refusal::RefusalCode::Unauthorized, "no key: send 'Authorization: Bearer KEY'")
     })?;
-    let (wish, arrived) = (time_wish(incoming)?, context.clock.now());
-    match behind {
+    let (requested_limit, arrived) = (parse_timeout_header(incoming)?, context.clock.now());
+    match service_path {
         None => {
             let path = path.to_owned();
-            Ok(RoutedCall::Model(model_request::ModelCall { names, key, wish, path, arrived }))
+            Ok(RoutedCall::Model(model_request::ModelCall {
+                request_ids,
+                key,
+                requested_limit,
+                path,
+                arrived,
+            }))
         }
-        Some(behind) => {
-            let (service, rest) = behind.split_once('/').unwrap_or((behind, ""));
+        Some(service_path) => {
+            let (service, rest) = service_path.split_once('/').unwrap_or((service_path, ""));
             let service: ids::ServiceId = service
                 .parse()
                 .map_err(|_| refuse(refusal::RefusalCode::NotFound, "not a name of a service"))?;
@@ -168,9 +174,9 @@
                 .map_err(|_| refuse(refusal::RefusalCode::BadRequest, "not a valid path"))?;
             let idempotency = incoming.header(answer::KEY_HEADER).map(str::to_owned);
             let call = service_request::ServiceCall {
-                names,
+                request_ids,
                 key,
-                wish,
+                requested_limit,
                 idempotency,
                 service,
                 head,
@@ -186,7 +192,7 @@
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim().to_owned())
 }
 
-fn time_wish(
+fn parse_timeout_header(
     incoming: &http_server::IncomingHead,
 ) -> Result<Option<time::Duration>, refusal::RequestRefusal> {
     let Some(text) = incoming.header(answer::TIMEOUT_HEADER) else {
@@ -216,12 +222,12 @@
 
 async fn models_answer(
     context: &request_context::EntryContext,
-    names: &answer::RequestNames,
+    request_ids: &answer::RequestIds,
 ) -> http::Response<Bytes> {
     let models = context.events.ask(event::EntryEvent::Models).await;
     let row = |id| ModelRow { id, object: "model", owned_by: "slipturn" };
     let list = ModelList { object: "list", data: models.into_iter().map(row).collect() };
     let mut answer = http_server::json_answer(200, &list);
-    names.mark(answer.headers_mut());
+    request_ids.add_headers(answer.headers_mut());
     answer
 }
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -52,16 +52,16 @@
         mut incoming: mpsc::UnboundedReceiver<event::EntryEvent>,
         clock: process::ProcessClock,
     ) {
-        while let Some(happened) = incoming.next().await {
-            self.handle(clock.now(), happened);
+        while let Some(message) = incoming.next().await {
+            self.handle(clock.now(), message);
         }
     }
 
     /// Handles one event.
-    fn handle(&mut self, now: units::MonoTime, happened: event::EntryEvent) {
+    fn handle(&mut self, now: units::MonoTime, message: event::EntryEvent) {
         use event::EntryEvent;
         let router = &mut self.router;
-        match happened {
+        match message {
             EntryEvent::Plan(question, answer) => reply(answer, router.plan(now, &question)),
             EntryEvent::Resolve(key, answer) => {
                 reply(answer, router.resolve(now, &key, units::TokenCount::ZERO));
@@ -105,15 +105,19 @@
                     self.histograms.record_all(measure, series, &spans);
                 }
             }
-            EntryEvent::Decision(record) => self.remember(*record),
+            EntryEvent::Decision(record) => self.record_decision(*record),
             EntryEvent::Find(id, answer) => reply(answer, self.decisions.find(&id)),
             EntryEvent::Models(answer) => reply(answer, models(router.list())),
             EntryEvent::List(answer) => reply(answer, router.list().clone()),
             EntryEvent::Histograms(answer) => reply(answer, self.histograms.rows()),
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
-            EntryEvent::Documents(update, asked_at) => self.documents(now, &update, asked_at),
-            EntryEvent::AllSilent(asked_at) => router.note_sources_asked(now, asked_at),
+            EntryEvent::Documents(update, wakes_when_asked) => {
+                self.documents(now, &update, wakes_when_asked)
+            }
+            EntryEvent::AllSilent(wakes_when_asked) => {
+                router.note_sources_asked(now, wakes_when_asked)
+            }
             EntryEvent::Tick => self.tick(now),
         }
     }
@@ -146,7 +150,7 @@
         batches.into_iter().collect()
     }
 
-    fn remember(&mut self, record: decision::DecisionRecord) {
+    fn record_decision(&mut self, record: decision::DecisionRecord) {
         self.sender.count("requests");
         if let Some(total) = record.total_ms {
             self.sender.time("total", std::time::Duration::from_millis(total));
@@ -161,10 +165,10 @@
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
-        asked_at: u64,
+        wakes_when_asked: u64,
     ) {
         match &update.settings {
-            Some(text) => self.take_settings(now, text),
+            Some(text) => self.apply_settings(now, text),
             None => self.router.confirm_settings(now, update.age),
         }
         if let Some(text) = &update.list {
@@ -173,11 +177,11 @@
                 Err(fault) => log::error!("list refused: {fault}"),
             }
         }
-        self.router.note_sources_asked(now, asked_at);
-        self.summarise();
+        self.router.note_sources_asked(now, wakes_when_asked);
+        self.update_summary();
     }
 
-    fn take_settings(&mut self, now: units::MonoTime, text: &str) {
+    fn apply_settings(&mut self, now: units::MonoTime, text: &str) {
         match self.router.offer_settings(now, text) {
             live_settings::OfferOutcome::Accepted => {
                 log::info!("settings version {} is in force", self.router.store().version());
@@ -188,7 +192,7 @@
         }
     }
 
-    fn summarise(&self) {
+    fn update_summary(&self) {
         let list = self.router.list();
         let known = scheduler_link::KnownDocuments {
             settings: self.router.store().version().0,
--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -27,7 +27,7 @@
     summary: rc::Rc<DocumentSummary>,
     events: event::EventSender,
     /// Wakes when the sources were last asked.
-    asked_at: cell::Cell<u64>,
+    wakes_when_asked: cell::Cell<u64>,
 }
 
 impl EntryDocuments {
@@ -37,7 +37,7 @@
         summary: rc::Rc<DocumentSummary>,
         events: event::EventSender,
     ) -> Self {
-        Self { local, summary, events, asked_at: cell::Cell::new(0) }
+        Self { local, summary, events, wakes_when_asked: cell::Cell::new(0) }
     }
 }
 
@@ -47,11 +47,12 @@
     }
 
     fn sources(&self) -> Vec<document_feed::FeedSource> {
-        self.asked_at.set(self.summary.wakes.get());
-        let beside = self.local.listen.scheduler;
+        self.wakes_when_asked.set(self.summary.wakes.get());
+        let local_scheduler = self.local.listen.scheduler;
         let schedulers = self.summary.schedulers.borrow();
-        let others = schedulers.iter().filter(|one| **one != beside).take(OTHER_SCHEDULERS);
-        let peers = std::iter::once(&beside).chain(others);
+        let others =
+            schedulers.iter().filter(|one| **one != local_scheduler).take(OTHER_SCHEDULERS);
+        let peers = std::iter::once(&local_scheduler).chain(others);
         let platform = self.local.platform.iter().copied();
         peers
             .copied()
@@ -61,11 +62,11 @@
     }
 
     fn take(&self, update: scheduler_link::DocumentUpdate) {
-        self.events.send_to(event::EntryEvent::Documents(update, self.asked_at.get()));
+        self.events.send_to(event::EntryEvent::Documents(update, self.wakes_when_asked.get()));
     }
 
     fn all_silent(&self) {
-        self.events.send_to(event::EntryEvent::AllSilent(self.asked_at.get()));
+        self.events.send_to(event::EntryEvent::AllSilent(self.wakes_when_asked.get()));
     }
 
     fn jitter(&self) -> f64 {
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -162,15 +162,15 @@
     }
 
     /// Tells something.
-    pub fn send_to(&self, told: EntryEvent) {
+    pub fn send_to(&self, message: EntryEvent) {
         // The director ends only with the process.
-        let _ = self.0.unbounded_send(told);
+        let _ = self.0.unbounded_send(message);
     }
 
     /// Asks something and waits for the answer.
-    pub async fn ask<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> EntryEvent) -> T {
+    pub async fn ask<T>(&self, to_event: impl FnOnce(oneshot::Sender<T>) -> EntryEvent) -> T {
         let (answer, answered) = oneshot::channel();
-        self.send_to(make(answer));
+        self.send_to(to_event(answer));
         answered.await.expect("the director answers all it is asked while the process lives")
     }
 }
--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -12,11 +12,11 @@
     question: &place::PlaceQuestion,
 ) -> Result<place::HeldPlace, refusal::RequestRefusal> {
     let need = question.need();
-    let make = |answer| {
+    let to_event = |answer| {
         let tree = rc::Rc::clone(&question.grant.fleet);
         event::EntryEvent::Group(question.plan.model.clone(), need, tree, answer)
     };
-    let members = context.events.ask(make).await;
+    let members = context.events.ask(to_event).await;
     if members.is_empty() {
         let text = format!("no group of engines holds {need}");
         return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -58,6 +58,6 @@
 }
 
 /// Whether a majority may still be used.
-pub fn usable(verdict: &key_vote::VoteVerdict, now: units::MonoTime) -> bool {
+pub fn permits_run(verdict: &key_vote::VoteVerdict, now: units::MonoTime) -> bool {
     matches!(verdict, key_vote::VoteVerdict::Run { until } if now < *until)
 }
--- a/crates/entry/src/model_answer.rs
+++ b/crates/entry/src/model_answer.rs
@@ -14,7 +14,7 @@
 
 impl model_request::ModelRequest {
     /// Passes a streamed answer on, piece by piece.
-    pub(crate) async fn pass_stream(
+    pub(crate) async fn forward_stream(
         &mut self,
         connection: &mut http_server::ServerConnection,
         answer: &mut http_client::StreamedAnswer<'_>,
@@ -22,23 +22,26 @@
         let mut tail = Vec::new();
         let mut last = None;
         loop {
-            let limited = monoio::time::timeout(self.left(), answer.next_piece(MAX_PIECE));
+            let limited =
+                monoio::time::timeout(self.remaining_time(), answer.next_piece(MAX_PIECE));
             let piece = match connection.while_present(limited).await {
                 None => return model_request::AttemptEnd::CallerGone,
                 Some(Err(_)) => return model_request::AttemptEnd::TimedOut,
                 Some(Ok(Err(error))) => {
-                    return model_request::AttemptEnd::Failed(self.broke(&error.to_string()));
+                    return model_request::AttemptEnd::Failed(
+                        self.broken_answer(&error.to_string()),
+                    );
                 }
                 Some(Ok(Ok(None))) => return self.end_stream(connection, &tail).await,
                 Some(Ok(Ok(Some(piece)))) => piece,
             };
-            if self.first_token.is_none() && self.start_answer(connection).await.is_err() {
+            if self.first_token.is_none() && self.send_stream_head(connection).await.is_err() {
                 return model_request::AttemptEnd::CallerGone;
             }
             self.measure_piece(&mut last);
             keep_tail(&mut tail, &piece);
             let sending = connection.send_piece(&piece);
-            match monoio::time::timeout(self.left(), sending).await {
+            match monoio::time::timeout(self.remaining_time(), sending).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return model_request::AttemptEnd::CallerGone,
                 Err(_) => return model_request::AttemptEnd::TimedOut,
@@ -46,7 +49,7 @@
         }
     }
 
-    async fn start_answer(
+    async fn send_stream_head(
         &mut self,
         connection: &mut http_server::ServerConnection,
     ) -> Result<(), http_server::ServeError> {
@@ -57,12 +60,12 @@
         self.measure(histogram::MeasureKind::FirstToken, spent);
         let mut head = http::Response::new(());
         let headers = head.headers_mut();
-        let kind = http::HeaderValue::from_static("text/event-stream");
-        headers.insert(http::header::CONTENT_TYPE, kind);
+        let content_type = http::HeaderValue::from_static("text/event-stream");
+        headers.insert(http::header::CONTENT_TYPE, content_type);
         let cache = http::HeaderValue::from_static("no-cache");
         headers.insert(http::header::CACHE_CONTROL, cache);
-        self.call.names.mark(headers);
-        answer::mark_closing(headers, &self.context.stop);
+        self.call.request_ids.add_headers(headers);
+        answer::add_close_header(headers, &self.context.stop);
         connection.start_stream(&head).await
     }
 
@@ -74,7 +77,7 @@
     ) -> model_request::AttemptEnd {
         if !tail.trim_ascii_end().ends_with(DONE_EVENT) {
             return model_request::AttemptEnd::Failed(
-                self.broke("the answer ends without its last event"),
+                self.broken_answer("the answer ends without its last event"),
             );
         }
         match connection.finish_stream().await {
@@ -84,13 +87,13 @@
     }
 
     /// Passes an answer on that is not streamed.
-    pub(crate) async fn pass_whole(
+    pub(crate) async fn forward_body(
         &mut self,
         connection: &mut http_server::ServerConnection,
         answer: &mut http_client::StreamedAnswer<'_>,
     ) -> model_request::AttemptEnd {
         let limit = self.context.local.limits.max_answer.0;
-        let limited = monoio::time::timeout(self.left(), answer.read_whole(limit));
+        let limited = monoio::time::timeout(self.remaining_time(), answer.read_whole(limit));
         let body = match connection.while_present(limited).await {
             None => return model_request::AttemptEnd::CallerGone,
             Some(Err(_)) => return model_request::AttemptEnd::TimedOut,
@@ -106,10 +109,10 @@
         let mut whole = http::Response::new(body);
         *whole.status_mut() = answer.head.status;
         let headers = whole.headers_mut();
-        let kind = http::HeaderValue::from_static("application/json");
-        headers.insert(http::header::CONTENT_TYPE, kind);
-        self.call.names.mark(headers);
-        answer::mark_closing(headers, &self.context.stop);
+        let content_type = http::HeaderValue::from_static("application/json");
+        headers.insert(http::header::CONTENT_TYPE, content_type);
+        self.call.request_ids.add_headers(headers);
+        answer::add_close_header(headers, &self.context.stop);
         match connection.respond(whole).await {
             Ok(()) => model_request::AttemptEnd::Whole,
             Err(_) => model_request::AttemptEnd::CallerGone,
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -14,11 +14,11 @@
 /// What a caller sent, apart from the prompt.
 pub struct ModelCall {
     /// Its ids.
-    pub names: answer::RequestNames,
+    pub request_ids: answer::RequestIds,
     /// Its key.
     pub key: String,
     /// Its own time limit.
-    pub wish: Option<time::Duration>,
+    pub requested_limit: Option<time::Duration>,
     /// Path called.
     pub path: String,
     /// When its last body byte had arrived.
@@ -64,10 +64,10 @@
     call: ModelCall,
     body: Bytes,
 ) -> Result<RequestEnd, http_server::ServeError> {
-    let names = call.names.clone();
+    let request_ids = call.request_ids.clone();
     let mut record = decision::DecisionRecord::new(
-        names.request.clone(),
-        names.caller.clone(),
+        request_ids.request.clone(),
+        request_ids.caller.clone(),
         call.path.clone(),
     );
     match admit(&context, &call, body, &mut record).await {
@@ -85,11 +85,11 @@
             request.run(connection).await
         }
         Err(refusal) => {
-            let refusal = context.spread(refusal).await;
+            let refusal = context.spread_retry_after(refusal).await;
             record.end = Some(format!("refused: {}", refusal.message));
             record.total_ms = Some(units::whole_millis(context.clock.now().since(call.arrived)));
             context.events.send_to(event::EntryEvent::Decision(Box::new(record)));
-            let refused = answer::refusal_answer(&names, &refusal);
+            let refused = answer::refusal_answer(&request_ids, &refusal);
             connection.respond(refused).await?;
             Ok(RequestEnd::Answered)
         }
@@ -114,9 +114,9 @@
     body: Bytes,
     record: &mut decision::DecisionRecord,
 ) -> Result<AdmittedRequest, refusal::RequestRefusal> {
-    let shape = prompt::PromptShape::read(&body)?;
+    let parsed = prompt::ParsedRequest::read(&body)?;
     drop(body);
-    let plan = shape.question(call.key.clone(), call.wish);
+    let plan = parsed.question(call.key.clone(), call.requested_limit);
     let question = plan.clone();
     let grant = context.events.ask(|answer| event::EntryEvent::Plan(question, answer)).await?;
     record.set_settings(&grant.settings);
@@ -124,8 +124,8 @@
     record.list_revision = grant.list_revision;
     budget_step::take(context, &grant, plan.prompt + grant.output, record).await?;
     let deadline = call.arrived + grant.settings.time_limit.value.0;
-    let (prefix, prefix_tokens, stream) = (shape.prefix, shape.prefix_tokens, shape.stream);
-    let body = shape.into_body(grant.output);
+    let (prefix, prefix_tokens, stream) = (parsed.prefix, parsed.prefix_tokens, parsed.stream);
+    let body = parsed.into_body(grant.output);
     Ok(AdmittedRequest { plan, grant, body, prefix, prefix_tokens, stream, deadline })
 }
 
@@ -140,7 +140,7 @@
                 self.finish(word.to_owned());
                 return Ok(end);
             }
-            Err(refusal) => self.context.spread(refusal).await,
+            Err(refusal) => self.context.spread_retry_after(refusal).await,
         };
         let started = self.first_token.is_some();
         let word = if started { "cut" } else { "refused" };
@@ -151,7 +151,7 @@
             connection.finish_stream().await?;
             return Ok(RequestEnd::Close);
         }
-        let refused = answer::refusal_answer(&self.call.names, &refusal);
+        let refused = answer::refusal_answer(&self.call.request_ids, &refusal);
         connection.respond(refused).await?;
         Ok(RequestEnd::Answered)
     }
@@ -165,16 +165,16 @@
             number += 1;
             let question = self.place_question(number);
             let finding = place::find(&self.context, &question);
-            let limited = monoio::time::timeout(self.left(), finding);
+            let limited = monoio::time::timeout(self.remaining_time(), finding);
             let Some(found) = connection.while_present(limited).await else {
                 return Ok(RequestEnd::Close);
             };
             let found = found.unwrap_or_else(|_| Err(no_place_in_time()));
             // That this attempt found no place says nothing of the ones before.
-            let place = found.map_err(|refusal| self.after_attempts(refusal))?;
+            let place = found.map_err(|refusal| self.add_last_failure(refusal))?;
             self.measure_wait(&place);
             let end = self.attempt(connection, &place, &question.attempt).await;
-            self.note_attempt(&place, &end);
+            self.record_attempt(&place, &end);
             match end {
                 AttemptEnd::Whole => {
                     place.free_members().await;
@@ -194,14 +194,14 @@
                     } else {
                         place.cancel();
                     }
-                    self.after_fault(&place, &fault, number).await?;
+                    self.handle_fault(&place, &fault, number).await?;
                 }
             }
         }
     }
 
     /// Decides whether another attempt follows a failed one.
-    async fn after_fault(
+    async fn handle_fault(
         &mut self,
         place: &place::HeldPlace,
         fault: &upstream_call::AttemptFault,
@@ -217,7 +217,7 @@
             repeatable: true,
             attempts,
             max_attempts: self.admitted.grant.settings.max_attempts.value,
-            time_left: !self.left().is_zero(),
+            time_left: !self.remaining_time().is_zero(),
         };
         let ask = |answer| event::EntryEvent::Retry(question, answer);
         match self.context.events.ask(ask).await {
@@ -235,7 +235,7 @@
     }
 
     /// The refusal of a request whose earlier attempts have failed.
-    fn after_attempts(&self, refusal: refusal::RequestRefusal) -> refusal::RequestRefusal {
+    fn add_last_failure(&self, refusal: refusal::RequestRefusal) -> refusal::RequestRefusal {
         let last = self.record.attempts.last().and_then(|row| row.end.clone());
         match last {
             Some(last) => refusal::RequestRefusal {
@@ -261,7 +261,7 @@
         let call = self.engine_call(place, attempt);
         let pooled = http_client::ConnectionUse::Pooled;
         let calling = context.pool.call(place.engine().address, pooled, call);
-        let limited = monoio::time::timeout(self.left(), calling);
+        let limited = monoio::time::timeout(self.remaining_time(), calling);
         let mut answer = match connection.while_present(limited).await {
             None => return AttemptEnd::CallerGone,
             Some(Err(_)) => return AttemptEnd::TimedOut,
@@ -279,9 +279,9 @@
             return AttemptEnd::Failed(upstream_call::AttemptFault { failure, text });
         }
         if self.admitted.stream && answer.head.status.is_success() {
-            self.pass_stream(connection, &mut answer).await
+            self.forward_stream(connection, &mut answer).await
         } else {
-            self.pass_whole(connection, &mut answer).await
+            self.forward_body(connection, &mut answer).await
         }
     }
 
@@ -309,7 +309,8 @@
         attempt: &ids::AttemptId,
     ) -> http::Request<Bytes> {
         let (path, body) = (&self.call.path, self.admitted.body.clone());
-        let mut call = upstream_call::call(http::Method::POST, path, attempt, self.left(), body);
+        let mut call =
+            upstream_call::call(http::Method::POST, path, attempt, self.remaining_time(), body);
         upstream_call::set_header(&mut call, "content-type", "application/json");
         if let Some(priority) = place.priority {
             let priority = priority.to_string();
@@ -325,7 +326,7 @@
 
     fn place_question(&self, number: u32) -> place::PlaceQuestion {
         place::PlaceQuestion {
-            attempt: ids::AttemptId::new(&self.call.names.request, number),
+            attempt: ids::AttemptId::new(&self.call.request_ids.request, number),
             plan: self.admitted.plan.clone(),
             grant: self.admitted.grant.clone(),
             prefix: self.admitted.prefix,
@@ -335,11 +336,11 @@
         }
     }
 
-    pub(crate) fn left(&self) -> time::Duration {
+    pub(crate) fn remaining_time(&self) -> time::Duration {
         self.admitted.deadline.since(self.context.clock.now())
     }
 
-    pub(crate) fn broke(&self, text: &str) -> upstream_call::AttemptFault {
+    pub(crate) fn broken_answer(&self, text: &str) -> upstream_call::AttemptFault {
         let failure = match self.first_token {
             Some(_) => retry::AttemptFailure::BrokeMidAnswer,
             None => retry::AttemptFailure::BrokeBeforeAnswer,
@@ -357,7 +358,7 @@
         refusal::RequestRefusal::not_run(refusal::RefusalCode::TimedOut, text).ran(ran)
     }
 
-    fn note_attempt(&mut self, place: &place::HeldPlace, end: &AttemptEnd) {
+    fn record_attempt(&mut self, place: &place::HeldPlace, end: &AttemptEnd) {
         let mut row = place.row.clone();
         row.end = Some(match end {
             AttemptEnd::Whole => "whole answer".to_owned(),
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -17,7 +17,7 @@
 /// Largest body of an operator's request.
 const MAX_BODY: u64 = 64 * 1024;
 /// Header that keeps a question from being passed on a second time.
-const PASSED_HEADER: &str = "slipturn-passed-on";
+const FORWARDED_HEADER: &str = "slipturn-passed-on";
 /// Other instances asked at once for an id that does not tell its instance.
 const PEERS_AT_ONCE: usize = 16;
 
@@ -40,7 +40,7 @@
 }
 
 #[derive(Serialize)]
-struct ShortAnswer<'text> {
+struct StatusMessage<'text> {
     status: &'text str,
 }
 
@@ -51,7 +51,7 @@
     let path = incoming.head.uri.path();
     let post = incoming.head.method == http::Method::POST;
     match path {
-        "/healthz" => short(200, "alive"),
+        "/healthz" => status_message(200, "alive"),
         "/readyz" => ready(context).await,
         "/v1/status" => status(context).await,
         "/v1/settings" => settings(context, incoming.head.uri.query().unwrap_or("")).await,
@@ -62,11 +62,11 @@
         "/v1/drain" if post => {
             log::info!("an operator asked for a stop");
             context.stop.ask();
-            short(200, "stopping")
+            status_message(200, "stopping")
         }
         _ => match path.strip_prefix("/v1/decisions/") {
-            Some(id) => decision(context, id, incoming.header(PASSED_HEADER).is_some()).await,
-            None => short(404, "not found"),
+            Some(id) => decision(context, id, incoming.header(FORWARDED_HEADER).is_some()).await,
+            None => status_message(404, "not found"),
         },
     }
 }
@@ -74,9 +74,9 @@
 async fn ready(context: &request_context::EntryContext) -> http::Response<Bytes> {
     let status = context.events.ask(event::EntryEvent::Status).await;
     match (status.ready, context.stop.asked()) {
-        (_, true) => short(503, "stopping"),
-        (false, _) => short(503, "settings or list not known yet"),
-        (true, false) => short(200, "ready"),
+        (_, true) => status_message(503, "stopping"),
+        (false, _) => status_message(503, "settings or list not known yet"),
+        (true, false) => status_message(200, "ready"),
     }
 }
 
@@ -116,7 +116,7 @@
 /// `?customer=C&application=A&prompt=N`; without them, what there is to ask for.
 async fn settings(context: &request_context::EntryContext, query: &str) -> http::Response<Bytes> {
     let Some(tree) = context.events.ask(event::EntryEvent::Settings).await else {
-        return short(503, "settings not known yet");
+        return status_message(503, "settings not known yet");
     };
     let value = |name: &str| {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -136,7 +136,7 @@
         .map(|(customer, application)| settings_resolve::CallerIdentity { customer, application });
     let resolved = caller.and_then(|caller| tree.resolve(&caller, prompt));
     let Some(resolved) = resolved else {
-        return short(404, "no such customer or application");
+        return status_message(404, "no such customer or application");
     };
     let rows = resolved.rows().into_iter();
     let answer = SettingsAnswer {
@@ -155,14 +155,14 @@
 async fn decision(
     context: &request_context::EntryContext,
     id: &str,
-    passed_on: bool,
+    forwarded: bool,
 ) -> http::Response<Bytes> {
     let ask = |answer| event::EntryEvent::Find(id.to_owned(), answer);
     if let Some(record) = context.events.ask(ask).await {
         return http_server::json_answer(200, &*record);
     }
-    let unknown = || short(404, "no record: unknown, or older than what is remembered");
-    if passed_on {
+    let unknown = || status_message(404, "no record: unknown, or older than what is remembered");
+    if forwarded {
         return unknown();
     }
     let list = context.events.ask(event::EntryEvent::List).await;
@@ -198,7 +198,7 @@
 ) -> Option<http::Response<Bytes>> {
     let mut call = http::Request::new(Bytes::new());
     *call.uri_mut() = format!("/v1/decisions/{id}").parse().ok()?;
-    call.headers_mut().insert(PASSED_HEADER, http::HeaderValue::from_static("1"));
+    call.headers_mut().insert(FORWARDED_HEADER, http::HeaderValue::from_static("1"));
     let pooled = http_client::ConnectionUse::Pooled;
     let calling = context.pool.call_whole(peer.operators, pooled, call, MAX_PEER_ANSWER);
     let answer = monoio::time::timeout(PEER_LIMIT, calling).await.ok()?.ok()?;
@@ -206,11 +206,11 @@
         return None;
     }
     let mut found = http::Response::new(answer.into_body());
-    let kind = http::HeaderValue::from_static("application/json");
-    found.headers_mut().insert(http::header::CONTENT_TYPE, kind);
+    let content_type = http::HeaderValue::from_static("application/json");
+    found.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
     Some(found)
 }
 
-fn short(status: u16, text: &str) -> http::Response<Bytes> {
-    http_server::json_answer(status, &ShortAnswer { status: text })
+fn status_message(status: u16, text: &str) -> http::Response<Bytes> {
+    http_server::json_answer(status, &StatusMessage { status: text })
 }
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -117,7 +117,7 @@
             self.context.events.send_to(ended);
             if self.leased {
                 let context = rc::Rc::clone(&self.context);
-                monoio::spawn(give_back(context, member.clone(), self.attempt.clone()));
+                monoio::spawn(release_lease(context, member.clone(), self.attempt.clone()));
             }
         }
     }
@@ -140,7 +140,7 @@
         }
         match try_candidates(context, question, targets, &mut tried).await {
             Ok(place) => return Ok(place),
-            Err(refusal) => refused = Some(sooner(refused, refusal)),
+            Err(refusal) => refused = Some(shorter_wait(refused, refusal)),
         }
     }
     Err(refused.unwrap_or_else(no_engine))
@@ -151,12 +151,12 @@
     question: &PlaceQuestion,
     tried: &[ids::EngineId],
 ) -> Vec<engine_directory::EngineTarget> {
-    let make = |answer| {
+    let to_event = |answer| {
         let tree = rc::Rc::clone(&question.grant.fleet);
         let plan = question.plan.clone();
         event::EntryEvent::Candidates(plan, tree, question.prefix, tried.to_vec(), answer)
     };
-    context.events.ask(make).await
+    context.events.ask(to_event).await
 }
 
 /// Whether the prompt is larger than the largest of the engines can take.
@@ -179,9 +179,9 @@
     let answers = ask_offers(context, question, &targets).await;
     let rows = targets.iter().zip(&answers).map(offer_row).collect();
     let offers: Vec<_> = answers.iter().map(OfferOutcome::offer).collect();
-    let make = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
-    let Some(choice) = context.events.ask(make).await else {
-        return refused_by_all(context, question, targets, answers, rows, tried).await;
+    let to_event = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
+    let Some(choice) = context.events.ask(to_event).await else {
+        return without_offers(context, question, targets, answers, rows, tried).await;
     };
     let target = targets[choice.index].clone();
     tried.push(target.engine.clone());
@@ -240,7 +240,7 @@
 }
 
 /// No scheduler made an offer: refused where one refused, else the engine is used directly.
-async fn refused_by_all(
+async fn without_offers(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
     targets: Vec<engine_directory::EngineTarget>,
@@ -252,11 +252,12 @@
     for (target, answer) in targets.into_iter().zip(answers) {
         tried.push(target.engine.clone());
         match answer {
-            OfferOutcome::Refused(refusal) => refused = Some(sooner(refused, refusal)),
+            OfferOutcome::Refused(refusal) => refused = Some(shorter_wait(refused, refusal)),
             OfferOutcome::Offered(_) => {}
             OfferOutcome::Silent(_) => {
-                let make = |answer| event::EntryEvent::DirectShare(target.engine.clone(), answer);
-                if context.events.ask(make).await {
+                let to_event =
+                    |answer| event::EntryEvent::DirectShare(target.engine.clone(), answer);
+                if context.events.ask(to_event).await {
                     let reason = "its scheduler is out of reach: direct share".to_owned();
                     return Ok(hold(context, question, vec![target], false, rows, reason));
                 }
@@ -274,8 +275,8 @@
     tried: &mut Vec<ids::EngineId>,
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
     let offers = vec![None; targets.len()];
-    let make = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
-    let choice = context.events.ask(make).await.ok_or_else(no_engine)?;
+    let to_event = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
+    let choice = context.events.ask(to_event).await.ok_or_else(no_engine)?;
     let target = targets[choice.index].clone();
     tried.push(target.engine.clone());
     Ok(hold(context, question, vec![target], false, Vec::new(), choice.reason.to_owned()))
@@ -302,7 +303,7 @@
         Err(error) => {
             // The lease may have been given all the same.
             let (attempt, context) = (question.attempt.clone(), rc::Rc::clone(context));
-            monoio::spawn(give_back(context, target, attempt));
+            monoio::spawn(release_lease(context, target, attempt));
             let code = refusal::RefusalCode::NoUpstream;
             Err(refusal::RequestRefusal::not_run(code, error.to_string()))
         }
@@ -358,7 +359,7 @@
     place.members.push(member);
 }
 
-async fn give_back(
+async fn release_lease(
     context: rc::Rc<request_context::EntryContext>,
     target: engine_directory::EngineTarget,
     attempt: ids::AttemptId,
@@ -375,7 +376,7 @@
 }
 
 /// Of two refusals the one that lets the caller come back sooner.
-fn sooner(
+fn shorter_wait(
     earlier: Option<refusal::RequestRefusal>,
     later: refusal::RequestRefusal,
 ) -> refusal::RequestRefusal {
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -116,9 +116,10 @@
         context.pool.prune();
         context.draws.prune();
         let list = context.events.ask(event::EntryEvent::List).await;
-        let beside = context.local.listen.scheduler;
+        let local_scheduler = context.local.listen.scheduler;
         context.links.retain(|address| {
-            *address == beside || list.instances.iter().any(|one| one.scheduler == *address)
+            *address == local_scheduler
+                || list.instances.iter().any(|one| one.scheduler == *address)
         });
     }
 }
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -14,7 +14,7 @@
 
 /// The part of the prompt an engine may have cached, and what else routing needs.
 #[derive(Debug, Clone)]
-pub struct PromptShape {
+pub struct ParsedRequest {
     /// The model asked for.
     pub model: ids::ModelId,
     /// Estimated length.
@@ -31,7 +31,7 @@
     members: collections::BTreeMap<String, Box<value::RawValue>>,
 }
 
-impl PromptShape {
+impl ParsedRequest {
     /// Reads a body of `POST /v1/chat/completions` or `/v1/completions`.
     pub fn read(body: &[u8]) -> Result<Self, refusal::RequestRefusal> {
         let members: collections::BTreeMap<String, Box<value::RawValue>> =
@@ -45,8 +45,8 @@
         let prefix = &text.as_bytes()[..text.len().min(PREFIX_BYTES)];
         Ok(Self {
             model,
-            tokens: tokens_of(text.len()),
-            prefix_tokens: tokens_of(prefix.len()),
+            tokens: estimate_tokens(text.len()),
+            prefix_tokens: estimate_tokens(prefix.len()),
             prefix: rendezvous::stable_hash(&[&String::from_utf8_lossy(prefix)]),
             output: output.map(units::TokenCount),
             stream: optional(&members, "stream")?.unwrap_or(false),
@@ -73,7 +73,7 @@
     }
 }
 
-fn tokens_of(bytes: usize) -> units::TokenCount {
+fn estimate_tokens(bytes: usize) -> units::TokenCount {
     units::TokenCount((bytes as u64).div_ceil(BYTES_PER_TOKEN))
 }
 
--- a/crates/entry/src/renewal.rs
+++ b/crates/entry/src/renewal.rs
@@ -13,13 +13,13 @@
 const RENEWALS_PER_GRACE: u32 = 4;
 
 /// Time between two looks at whether a renewal is due; settings may shorten the interval.
-const LOOK_INTERVAL: time::Duration = time::Duration::from_millis(200);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Renews for ever.
 pub async fn run(context: rc::Rc<request_context::EntryContext>) {
     let mut last = context.clock.now();
     loop {
-        monoio::time::sleep(LOOK_INTERVAL).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
         let tree = context.events.ask(event::EntryEvent::Settings).await;
         let fleet = tree.map(|tree| tree.fleet.clone()).unwrap_or_default();
         if context.clock.now().since(last) < fleet.orphan_grace.0 / RENEWALS_PER_GRACE {
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -43,7 +43,10 @@
     }
 
     /// Spreads the time to come back, where there is one, so that callers do not return as one wave.
-    pub async fn spread(&self, mut refusal: refusal::RequestRefusal) -> refusal::RequestRefusal {
+    pub async fn spread_retry_after(
+        &self,
+        mut refusal: refusal::RequestRefusal,
+    ) -> refusal::RequestRefusal {
         if let Some(expected) = refusal.retry_after {
             let ask = |answer| event::EntryEvent::SpreadRetry(expected, answer);
             refusal.retry_after = Some(self.events.ask(ask).await);
@@ -52,7 +55,7 @@
     }
 
     /// Counts a request as being served for as long as the guard lives.
-    pub fn enter(self: &rc::Rc<Self>) -> ActiveRequest {
+    pub fn begin_request(self: &rc::Rc<Self>) -> ActiveRequest {
         self.active.set(self.active.get() + 1);
         ActiveRequest(rc::Rc::clone(self))
     }
@@ -73,7 +76,7 @@
 
 impl DrawLocks {
     /// The customer's lock.
-    pub fn of(&self, customer: &ids::CustomerId) -> rc::Rc<lock::Mutex<()>> {
+    pub fn for_customer(&self, customer: &ids::CustomerId) -> rc::Rc<lock::Mutex<()>> {
         let mut locks = self.0.borrow_mut();
         rc::Rc::clone(locks.entry(customer.clone()).or_default())
     }
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -13,7 +13,7 @@
 use crate::{answer, event, key_claim, model_request::RequestEnd, request_context, upstream_call};
 
 /// Headers of a caller that concern its own connection, or are slipturn's to read.
-const OWN_HEADERS: [&str; 10] = [
+const UNFORWARDED_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -28,16 +28,16 @@
 
 /// Part of the time left for which a repeatable call waits at a connection that had rested, before
 /// it goes out anew: under a half, so that the new one has at least as long. As on the platform.
-const SILENCE_PART: f64 = 0.45;
+const SILENCE_FRACTION: f64 = 0.45;
 
 /// What a caller sent.
 pub struct ServiceCall {
     /// Its ids.
-    pub names: answer::RequestNames,
+    pub request_ids: answer::RequestIds,
     /// Its key.
     pub key: String,
     /// Its own time limit.
-    pub wish: Option<time::Duration>,
+    pub requested_limit: Option<time::Duration>,
     /// Key for what must not run twice.
     pub idempotency: Option<String>,
     /// The service called.
@@ -72,7 +72,7 @@
     verdict: Option<key_vote::VoteVerdict>,
     /// Whether a connection has fallen silent under it. From then on it takes new ones, so that no
     /// call meets two silent connections.
-    anew: bool,
+    new_connections_only: bool,
     /// What that connection may still bring. The upstream may only be slow.
     late: Option<LateAnswer>,
 }
@@ -84,9 +84,13 @@
     call: ServiceCall,
     body: Bytes,
 ) -> Result<RequestEnd, http_server::ServeError> {
-    let names = call.names.clone();
+    let request_ids = call.request_ids.clone();
     let path = call.head.uri.path().to_owned();
-    let record = decision::DecisionRecord::new(names.request.clone(), names.caller.clone(), path);
+    let record = decision::DecisionRecord::new(
+        request_ids.request.clone(),
+        request_ids.caller.clone(),
+        path,
+    );
     let refusal = match admit(context.clone(), call, body, record).await {
         Ok(request) => match request.run(connection).await {
             Ok(Some(answered)) => {
@@ -98,8 +102,8 @@
         },
         Err(refusal) => refusal,
     };
-    let refusal = context.spread(refusal).await;
-    connection.respond(answer::refusal_answer(&names, &refusal)).await?;
+    let refusal = context.spread_retry_after(refusal).await;
+    connection.respond(answer::refusal_answer(&request_ids, &refusal)).await?;
     Ok(RequestEnd::Answered)
 }
 
@@ -124,7 +128,9 @@
     };
     record.set_settings(&settings);
     context.events.send_to(event::EntryEvent::CountRequest);
-    let limit = call.wish.map_or(node.time_limit.0, |wish| wish.min(node.time_limit.0));
+    let limit = call
+        .requested_limit
+        .map_or(node.time_limit.0, |requested_limit| requested_limit.min(node.time_limit.0));
     let deadline = call.arrived + limit;
     let repeatability = node.repeatability(call.head.method.as_str());
     let repeatable = repeatability == settings::Repeatability::Repeatable;
@@ -138,7 +144,7 @@
         deadline,
         record,
         verdict: None,
-        anew: false,
+        new_connections_only: false,
         late: None,
     })
 }
@@ -151,8 +157,8 @@
     ) -> Result<Option<http::Response<Bytes>>, refusal::RequestRefusal> {
         let context = rc::Rc::clone(&self.context);
         let arrived = self.call.arrived;
-        let left = self.left();
-        let serving = monoio::time::timeout(left, self.attempts());
+        let remaining_time = self.remaining_time();
+        let serving = monoio::time::timeout(remaining_time, self.attempts());
         let served = connection.while_present(serving).await;
         let end = match &served {
             None => "caller gone".to_owned(),
@@ -172,7 +178,7 @@
             None => Ok(None),
             Some(Ok(answered)) => answered.map(Some),
             Some(Err(_)) => {
-                let text = format!("the time limit of {left:?} has passed");
+                let text = format!("the time limit of {remaining_time:?} has passed");
                 let code = refusal::RefusalCode::TimedOut;
                 Err(refusal::RequestRefusal::not_run(code, text).ran(refusal::RanState::Unknown))
             }
@@ -190,11 +196,11 @@
         let mut late = None;
         while let Some(upstream) = upstreams.pop_front() {
             number += 1;
-            let attempt = ids::AttemptId::new(&self.call.names.request, number);
-            let result = first_good(self.attempt(&upstream, &attempt, number), &mut late).await;
-            self.note_attempt(&upstream, attempt, &result);
+            let attempt = ids::AttemptId::new(&self.call.request_ids.request, number);
+            let result = first_success(self.attempt(&upstream, &attempt, number), &mut late).await;
+            self.record_attempt(&upstream, attempt, &result);
             let fault = match result {
-                Ok(answer) => return Ok(self.marked(answer.whole)),
+                Ok(answer) => return Ok(self.add_answer_headers(answer.whole)),
                 Err(fault) => fault,
             };
             ran = ran.or(fault.ran());
@@ -222,7 +228,8 @@
             return Ok(());
         }
         let scoped = key_vote::ScopedKey::new(&self.settings.customer, &self.call.service, key);
-        let verdict = key_claim::claim(&self.context, &scoped, &self.call.names.request).await;
+        let verdict =
+            key_claim::claim(&self.context, &scoped, &self.call.request_ids.request).await;
         self.record.notes.push(format!("key: {verdict:?}"));
         self.verdict = Some(verdict.clone());
         match verdict {
@@ -251,33 +258,33 @@
         number: u32,
     ) -> AttemptResult {
         let now = self.context.clock.now();
-        if self.verdict.as_ref().is_some_and(|verdict| !key_claim::usable(verdict, now)) {
+        if self.verdict.as_ref().is_some_and(|verdict| !key_claim::permits_run(verdict, now)) {
             let text = "the votes are too old to be used".to_owned();
             return Err(upstream_call::AttemptFault {
                 failure: retry::AttemptFailure::NotConnected,
                 text,
             });
         }
-        let which = if self.repeatable && !self.anew {
+        let connection_use = if self.repeatable && !self.new_connections_only {
             http_client::ConnectionUse::Pooled
         } else {
             http_client::ConnectionUse::Fresh
         };
-        let connecting = self.context.pool.connect(upstream.address, which);
+        let connecting = self.context.pool.connect(upstream.address, connection_use);
         let connection = connecting.await.map_err(before_answer)?;
-        let rested = connection.has_rested();
+        let was_idle = connection.has_rested();
         let sent = time::Instant::now();
         let call = self.upstream_call(attempt);
         let context = rc::Rc::clone(&self.context);
         let mut exchange = exchange(context, connection, call, attempt.clone()).boxed_local();
-        if !rested {
+        if !was_idle {
             return exchange.await;
         }
-        let wait = self.left().mul_f64(SILENCE_PART);
+        let wait = self.remaining_time().mul_f64(SILENCE_FRACTION);
         if let Ok(result) = monoio::time::timeout(wait, exchange.as_mut()).await {
             return result;
         }
-        if !self.goes_out_anew(number).await {
+        if !self.retry_on_new_connection(number).await {
             return exchange.await;
         }
         self.late = Some(exchange);
@@ -286,16 +293,16 @@
     }
 
     /// Takes a retry for a call whose connection is silent. Without one the call waits on.
-    async fn goes_out_anew(&mut self, attempts: u32) -> bool {
+    async fn retry_on_new_connection(&mut self, attempts: u32) -> bool {
         // What was written may have run.
         let failure = retry::AttemptFailure::BrokeBeforeAnswer;
-        self.anew = self.may_retry(failure, attempts).await;
-        self.anew
+        self.new_connections_only = self.may_retry(failure, attempts).await;
+        self.new_connections_only
     }
 
-    fn marked(&self, mut whole: http::Response<Bytes>) -> http::Response<Bytes> {
-        self.call.names.mark(whole.headers_mut());
-        answer::mark_closing(whole.headers_mut(), &self.context.stop);
+    fn add_answer_headers(&self, mut whole: http::Response<Bytes>) -> http::Response<Bytes> {
+        self.call.request_ids.add_headers(whole.headers_mut());
+        answer::add_close_header(whole.headers_mut(), &self.context.stop);
         whole
     }
 
@@ -303,7 +310,8 @@
         let head = &self.call.head;
         let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
         let body = self.body.clone();
-        let mut call = upstream_call::call(head.method.clone(), path, attempt, self.left(), body);
+        let mut call =
+            upstream_call::call(head.method.clone(), path, attempt, self.remaining_time(), body);
         let (own, headers) = (call.headers().clone(), call.headers_mut());
         copy_headers(&head.headers, headers);
         // What slipturn itself states is not for a caller to overwrite.
@@ -317,13 +325,13 @@
             repeatable: self.repeatable,
             attempts,
             max_attempts: self.settings.max_attempts.value,
-            time_left: !self.left().is_zero(),
+            time_left: !self.remaining_time().is_zero(),
         };
         let ask = |answer| event::EntryEvent::Retry(question, answer);
         self.context.events.ask(ask).await == retry::RetryVerdict::Retry
     }
 
-    fn note_attempt(
+    fn record_attempt(
         &mut self,
         upstream: &fleet_list::UpstreamRecord,
         attempt: ids::AttemptId,
@@ -346,7 +354,7 @@
         });
     }
 
-    fn left(&self) -> time::Duration {
+    fn remaining_time(&self) -> time::Duration {
         self.deadline.since(self.context.clock.now())
     }
 }
@@ -364,7 +372,7 @@
 
 fn copy_headers(from: &http::HeaderMap, to: &mut http::HeaderMap) {
     for (name, value) in from {
-        if !OWN_HEADERS.contains(&name.as_str()) {
+        if !UNFORWARDED_HEADERS.contains(&name.as_str()) {
             to.append(name.clone(), value.clone());
         }
     }
@@ -387,7 +395,7 @@
 }
 
 /// The end of an attempt, or the good answer of an earlier one if that comes first.
-async fn first_good(
+async fn first_success(
     attempt: impl Future<Output = AttemptResult>,
     late: &mut Option<LateAnswer>,
 ) -> AttemptResult {
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -74,14 +74,14 @@
     method: http::Method,
     path: &str,
     attempt: &ids::AttemptId,
-    left: time::Duration,
+    remaining_time: time::Duration,
     body: Bytes,
 ) -> http::Request<Bytes> {
     let mut call = http::Request::new(body);
     *call.method_mut() = method;
     *call.uri_mut() = path.parse().unwrap_or_default();
     set_header(&mut call, ATTEMPT_HEADER, attempt.as_str());
-    set_header(&mut call, DEADLINE_HEADER, &left.as_millis().to_string());
+    set_header(&mut call, DEADLINE_HEADER, &remaining_time.as_millis().to_string());
     call
 }
 
