--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask an entry, on an address of its own.
+//! HTTP interface for operators, served on its own address.
 
 use std::{rc, time};
 
@@ -10,18 +10,18 @@
 
 use crate::{event, request_context};
 
-/// Time for another instance's answer.
+/// Time limit for the answer of another instance, and for reading the body of an operator's request.
 const PEER_LIMIT: time::Duration = time::Duration::from_secs(2);
-/// Largest answer of another instance.
+/// Largest accepted answer of another instance, in bytes.
 const MAX_PEER_ANSWER: u64 = 4 << 20;
-/// Largest body of an operator's request.
+/// Largest accepted body of an operator's request, in bytes.
 const MAX_BODY: u64 = 64 * 1024;
-/// Header that keeps a question from being passed on a second time.
+/// Header that marks a query forwarded by another instance; the receiver doesn't forward it again.
 const FORWARDED_HEADER: &str = "slipturn-passed-on";
-/// Other instances asked at once for an id that does not tell its instance.
+/// Number of other instances queried concurrently for the record of a request.
 const PEERS_AT_ONCE: usize = 16;
 
-/// Serves one operator's connection.
+/// Serves a connection of an operator until either side closes it.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     mut connection: http_server::ServerConnection,
@@ -113,7 +113,10 @@
     settings: Vec<SettingAnswer>,
 }
 
-/// `?customer=C&application=A&prompt=N`; without them, what there is to ask for.
+/// Answers `?customer=C&application=A&prompt=N` with the resolved settings and their sources.
+///
+/// `prompt` is the prompt length in tokens, 0 by default. Without a customer or an application, the
+/// answer lists the applications of every customer.
 async fn settings(context: &request_context::EntryContext, query: &str) -> http::Response<Bytes> {
     let Some(tree) = context.events.ask(event::EntryEvent::Settings).await else {
         return status_message(503, "settings not known yet");
@@ -151,7 +154,7 @@
     http_server::json_answer(200, &answer)
 }
 
-/// The record of a request, from here or from the instance that took it.
+/// Looks up the decision record of a request on this instance, then on other instances.
 async fn decision(
     context: &request_context::EntryContext,
     id: &str,
@@ -176,7 +179,8 @@
     unknown()
 }
 
-/// The instance that the id names, or all others for an id that is the caller's own.
+/// Instances that may hold the record of a request: the listed instance that the id names, otherwise
+/// all others. An id chosen by a caller names no instance.
 fn peers_to_ask<'list>(
     context: &request_context::EntryContext,
     list: &'list fleet_list::FleetList,
