--- a/crates/entry/src/body_budget.rs
+++ b/crates/entry/src/body_budget.rs
@@ -1,22 +1,26 @@
-//! Bytes of bodies held by one process, all requests together.
+//! Limit on the total size of the request bodies that a process holds in memory.
 
 use std::{cell, rc};
 
 use slipturn_core::{refusal, units};
 
-/// The bytes left.
+/// Number of bytes that can still be held. Clones share one count.
 #[derive(Debug, Clone)]
 pub struct BodyBudget {
     available: rc::Rc<cell::Cell<u64>>,
 }
 
 impl BodyBudget {
-    /// A budget of `limit` bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: units::ByteCount) -> Self {
         Self { available: rc::Rc::new(cell::Cell::new(limit.0)) }
     }
 
-    /// Takes `bytes` for as long as the hold lives.
+    /// Takes `bytes` from the budget until the returned hold is dropped.
+    ///
+    /// # Errors
+    ///
+    /// Refuses with `OutOfMemory` if fewer bytes are available.
     pub fn hold(&self, bytes: u64) -> Result<BodyHold, refusal::RequestRefusal> {
         let Some(available) = self.available.get().checked_sub(bytes) else {
             let text = "this instance holds as many bytes of requests as it may";
@@ -28,13 +32,13 @@
         Ok(BodyHold { budget: self.clone(), bytes })
     }
 
-    /// Bytes not held.
+    /// Number of bytes that are not held.
     pub fn available(&self) -> u64 {
         self.available.get()
     }
 }
 
-/// Bytes held for one request.
+/// Bytes held for one request, returned to the budget on drop.
 #[derive(Debug)]
 pub struct BodyHold {
     budget: BodyBudget,
@@ -42,7 +46,7 @@
 }
 
 impl BodyHold {
-    /// Gives back what a body turned out not to need.
+    /// Reduces the hold to `bytes` once the actual size of the body is known. Never enlarges it.
     pub fn shrink(&mut self, bytes: u64) {
         let surplus = self.bytes.saturating_sub(bytes);
         self.budget.available.set(self.budget.available.get() + surplus);
