--- a/crates/entry/src/model_answer.rs
+++ b/crates/entry/src/model_answer.rs
@@ -1,19 +1,19 @@
-//! Passes an engine's answer on to the caller, and distinguishes a whole one from a cut one.
+//! Forwards an engine's answer to the caller and detects truncated answers.
 
 use slipturn_core::{histogram, units};
 use slipturn_net::{http_client, http_server};
 
 use crate::{answer, model_request, upstream_call};
 
-/// Largest piece of a streamed answer.
+/// Largest piece of a streamed answer, in bytes.
 const MAX_PIECE: u64 = 4 << 20;
-/// The last event of a whole streamed answer.
+/// Final event of a complete streamed answer.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
-/// Bytes at the end of a stream that are kept to look for the last event.
+/// Number of bytes kept from the end of a stream to check for [`DONE_EVENT`].
 const TAIL_BYTES: usize = 32;
 
 impl model_request::ModelRequest {
-    /// Passes a streamed answer on, piece by piece.
+    /// Forwards a streamed answer piece by piece.
     pub(crate) async fn forward_stream(
         &mut self,
         connection: &mut http_server::ServerConnection,
@@ -49,6 +49,7 @@
         }
     }
 
+    /// Sends the head of the streamed answer and records the time to the first token.
     async fn send_stream_head(
         &mut self,
         connection: &mut http_server::ServerConnection,
@@ -69,7 +70,10 @@
         connection.start_stream(&head).await
     }
 
-    /// The engine has ended its answer properly; it is whole only with the last event.
+    /// Finishes the stream to the caller if the engine's answer is complete.
+    ///
+    /// A body that ends properly at the HTTP level may still be truncated: only an answer that ends
+    /// with [`DONE_EVENT`] is complete.
     async fn end_stream(
         &self,
         connection: &mut http_server::ServerConnection,
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Passes an answer on that is not streamed.
+    /// Forwards an answer that is not streamed, once its whole body has been read.
     pub(crate) async fn forward_body(
         &mut self,
         connection: &mut http_server::ServerConnection,
@@ -120,6 +124,7 @@
     }
 }
 
+/// Appends a piece to the tail of the stream, of which the last [`TAIL_BYTES`] are kept.
 fn keep_tail(tail: &mut Vec<u8>, piece: &[u8]) {
     tail.extend_from_slice(&piece[piece.len().saturating_sub(TAIL_BYTES)..]);
     let surplus = tail.len().saturating_sub(TAIL_BYTES);
