--- a/crates/entry/src/renewal.rs
+++ b/crates/entry/src/renewal.rs
@@ -1,7 +1,8 @@
-//! Tells schedulers, now and then, which places are still in use.
+//! Periodic renewal of the leases that attempts hold on engines.
 //!
-//! The scheduler asked may be another than the one that gave the place: whoever owns the engine by
-//! the list in force learns of the attempt, and so does not take it for an abandoned one.
+//! A renewal goes to the scheduler that owns the engine according to the list in force, which may
+//! differ from the one that granted the lease. A new owner thus learns of the attempt and doesn't
+//! treat it as abandoned.
 
 use std::{rc, time};
 
@@ -9,13 +10,15 @@
 
 use crate::{event, request_context};
 
-/// Renewals in the time after which a silent entry's leases end, so that several may be lost.
+/// Number of renewals within `orphan_grace`, after which the leases of an unresponsive entry end.
+/// More than one, so that leases survive the loss of several renewals in a row.
 const RENEWALS_PER_GRACE: u32 = 4;
 
-/// Time between two looks at whether a renewal is due; settings may shorten the interval.
+/// Interval of the checks whether a renewal is due. Short, because a change of the settings can
+/// shorten the renewal interval at any time.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Renews for ever.
+/// Renews the leases of all running attempts until the process ends.
 pub async fn run(context: rc::Rc<request_context::EntryContext>) {
     let mut last = context.clock.now();
     loop {
@@ -33,7 +36,7 @@
             let link = context.links.link(scheduler);
             let renewed = link.renew(&context.local.instance, context.boot, &places, now).await;
             if let Err(error) = renewed {
-                log::debug!("renewal: {error}");
+                log::debug!("cannot renew leases: {error}");
             }
         });
         future::join_all(renewals).await;
