--- a/crates/entry/src/model_measure.rs
+++ b/crates/entry/src/model_measure.rs
@@ -1,4 +1,4 @@
-//! What is measured of a model request, by customer and by request class and prompt length.
+//! Latency measurements of model requests, by customer and by request class and prompt length.
 
 use std::time;
 
@@ -7,10 +7,12 @@
 use crate::{event, model_request, place};
 
 impl model_request::ModelRequest {
+    /// Records one duration in the histograms of the request's customer and class.
     pub(crate) fn measure(&self, measure: histogram::MeasureKind, span: time::Duration) {
         self.measure_all(measure, vec![span]);
     }
 
+    /// Records several durations in the histograms of the request's customer and class.
     pub(crate) fn measure_all(&self, measure: histogram::MeasureKind, spans: Vec<time::Duration>) {
         let settings = &self.admitted.grant.settings;
         let class = settings.class.as_ref().map_or("-", ids::ClassId::as_str);
@@ -20,11 +22,14 @@
         self.context.events.send_to(event::EntryEvent::Measure(measure, series, spans));
     }
 
+    /// Records the time that the attempt waited for its place.
     pub(crate) fn measure_wait(&self, place: &place::HeldPlace) {
         let waited = time::Duration::from_millis(place.row.waited_ms);
         self.measure(histogram::MeasureKind::PlaceWait, waited);
     }
 
+    /// Notes the interval since the previous piece of the answer, whose time is `last`. The
+    /// intervals are recorded when the request ends.
     pub(crate) fn measure_piece(&mut self, last: &mut Option<units::MonoTime>) {
         let now = self.context.clock.now();
         if let Some(last) = last.replace(now) {
