--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -1,4 +1,4 @@
-//! Finds an attempt its place on an engine, and holds it for as long as the attempt lives.
+//! Finds a place on an engine for an attempt and holds it until the attempt ends.
 
 use std::{rc, time};
 
@@ -7,34 +7,37 @@
 
 use crate::{event, group_place, request_context, upstream_call::EngineOrders as _};
 
-/// Rounds of candidates before a request is refused.
+/// Number of times that candidates are sampled before a request is refused.
 const MAX_ROUNDS: usize = 3;
-/// Pause before a release that failed is sent once more.
+/// Pause before the only retry of a failed release.
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(300);
 
-/// What is asked for.
+/// Request for a place for one attempt.
 pub struct PlaceQuestion {
-    /// The attempt.
+    /// Attempt that needs the place.
     pub attempt: ids::AttemptId,
-    /// What the router knows of the request.
+    /// Routing data of the request: its key, model, prompt length and requested limits.
     pub plan: entry_router::PlanQuestion,
-    /// Settings in force for it.
+    /// Settings that the router resolved for the request.
     pub grant: entry_router::RequestGrant,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Estimated length of that prefix.
+    /// Estimated length of the prompt's prefix.
     pub prefix_tokens: units::TokenCount,
-    /// Engines tried before.
+    /// Engines used by earlier attempts, which are not considered again.
     pub tried: Vec<ids::EngineId>,
-    /// When the request must have finished.
+    /// When the answer must be complete.
     pub deadline: units::MonoTime,
 }
 
 impl PlaceQuestion {
+    /// Memory needed for the prompt and the output together.
     pub(crate) fn need(&self) -> units::TokenCount {
         self.plan.prompt + self.grant.output
     }
 
+    /// Builds the request to the scheduler of `target`, as for an engine that serves the prompt
+    /// alone.
     pub(crate) fn request(
         &self,
         context: &request_context::EntryContext,
@@ -58,52 +61,56 @@
     }
 }
 
-/// A place on one engine, or on each of a group. Dropping it gives it back.
+/// A place on one engine or on each engine of a group. Dropping it releases its leases.
 pub struct HeldPlace {
     context: rc::Rc<request_context::EntryContext>,
     attempt: ids::AttemptId,
-    /// The first one gives the answer.
+    /// Engines of the place. The first one sends the answer, the others only reserve memory.
     pub members: Vec<engine_directory::EngineTarget>,
-    /// What each of the others keeps memory for.
+    /// Memory needed on each member of a group; zero for a single engine.
     pub member_memory: units::TokenCount,
-    /// Whether schedulers hold leases for it.
+    /// Whether schedulers granted leases, which have to be released.
     leased: bool,
-    /// The priority that the first member's scheduler gave it.
+    /// Priority assigned by the first member's scheduler; `None` without a lease.
     pub priority: Option<u8>,
-    /// Candidates, offers and choice, for the record.
+    /// Candidates, offers and choice, for the decision record.
     pub row: decision::AttemptRow,
 }
 
 impl HeldPlace {
-    /// The engine that gives the answer.
+    /// The engine that sends the answer.
     pub fn engine(&self) -> &engine_directory::EngineTarget {
         &self.members[0]
     }
 
-    /// Has the members that only keep memory give it back: the answer is whole, or nothing runs.
+    /// Frees the memory that the other members of a group have reserved. Called when the answer is
+    /// complete, or when the attempt certainly did not run.
     ///
-    /// The leases are released after that: a ledger counts the memory as free from then on.
+    /// The leases must be released only afterwards, because a ledger counts the memory as free as
+    /// soon as its lease is released.
     pub async fn free_members(&self) {
         let others = self.members.iter().skip(1);
         let freeing =
             others.map(|member| self.context.pool.cancel(member.address, self.attempt.clone()));
         for freed in future::join_all(freeing).await {
-            // The engine's scheduler does the same once its report still lists the attempt.
+            // A lost cancel is made up for by the engine's scheduler, which cancels the attempt when
+            // it still appears in the engine's report.
             if let Err(fault) = freed {
-                log::debug!("cancel: {}", fault.text);
+                log::debug!("cannot free reserved memory: {}", fault.text);
             }
         }
     }
 
-    /// Tells the engines to give the attempt up, without waiting for it.
+    /// Cancels the attempt on all members in the background.
     pub fn cancel(&self) {
         for member in &self.members {
             let context = rc::Rc::clone(&self.context);
             let (address, attempt) = (member.address, self.attempt.clone());
             monoio::spawn(async move {
-                // The engine's scheduler does the same once its report still lists the attempt.
+                // A lost cancel is made up for by the engine's scheduler, which cancels the attempt
+                // when it still appears in the engine's report.
                 if let Err(fault) = context.pool.cancel(address, attempt).await {
-                    log::debug!("cancel: {}", fault.text);
+                    log::debug!("cannot cancel an attempt: {}", fault.text);
                 }
             });
         }
@@ -123,7 +130,11 @@
     }
 }
 
-/// Finds a place; waits for it as long as the time limit allows.
+/// Finds a place and waits for it at most until the request's deadline.
+///
+/// # Errors
+///
+/// If no candidate in any round grants a place, returns the refusal with the shortest retry delay.
 pub async fn find(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
@@ -159,7 +170,7 @@
     context.events.ask(to_event).await
 }
 
-/// Whether the prompt is larger than the largest of the engines can take.
+/// Whether prompt and output need more memory than any of the candidates has without its headroom.
 fn needs_group(question: &PlaceQuestion, targets: &[engine_directory::EngineTarget]) -> bool {
     let headroom = question.grant.fleet.fleet.headroom.factor();
     let largest = targets.iter().map(|target| target.memory.scale(1.0 - headroom)).max();
@@ -188,10 +199,11 @@
     acquire(context, question, target, rows, choice.reason.to_owned()).await
 }
 
-/// What came of asking one scheduler.
+/// Result of asking one scheduler for an offer.
 enum OfferOutcome {
     Offered(placement::EngineOffer),
     Refused(refusal::RequestRefusal),
+    /// The scheduler could not be reached, with the text of the error.
     Silent(String),
 }
 
@@ -239,7 +251,10 @@
     decision::CandidateRow { name: target.engine.to_string(), offer }
 }
 
-/// No scheduler made an offer: refused where one refused, else the engine is used directly.
+/// Handles candidates of which none was chosen from the schedulers' offers.
+///
+/// An engine whose scheduler is unreachable is used without a lease if this entry may still do so;
+/// otherwise the request is refused.
 async fn without_offers(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
@@ -267,7 +282,8 @@
     Err(refused.unwrap_or_else(no_engine))
 }
 
-/// The baselines' way: the entry's own choice, the engine's own queue.
+/// Chooses a candidate without asking schedulers, as the baseline routing policies do. The request
+/// then waits in the engine's own queue.
 async fn without_leases(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
@@ -282,6 +298,7 @@
     Ok(hold(context, question, vec![target], false, Vec::new(), choice.reason.to_owned()))
 }
 
+/// Acquires a lease from the scheduler of the chosen engine.
 async fn acquire(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
@@ -301,7 +318,7 @@
         }
         Ok(Err(refusal)) => Err(refusal),
         Err(error) => {
-            // The lease may have been given all the same.
+            // The scheduler may have granted the lease although its answer did not arrive.
             let (attempt, context) = (question.attempt.clone(), rc::Rc::clone(context));
             monoio::spawn(release_lease(context, target, attempt));
             let code = refusal::RefusalCode::NoUpstream;
@@ -310,6 +327,7 @@
     }
 }
 
+/// Creates a held place on `members` and counts the attempt as running on each of them.
 pub(crate) fn hold(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
@@ -342,6 +360,7 @@
     place
 }
 
+/// Adds an engine to a place and counts the attempt as running on it.
 pub(crate) fn add_member(
     context: &request_context::EntryContext,
     question: &PlaceQuestion,
@@ -359,6 +378,7 @@
     place.members.push(member);
 }
 
+/// Releases the lease of an attempt, with one retry.
 async fn release_lease(
     context: rc::Rc<request_context::EntryContext>,
     target: engine_directory::EngineTarget,
@@ -368,14 +388,14 @@
     if link.release(&target.engine, &attempt).await.is_ok() {
         return;
     }
-    // Lost for good, a release is made up for by the next renewal, which no longer names it.
+    // If the retry fails too, the next renewal, which no longer names the lease, ends it.
     monoio::time::sleep(RELEASE_PAUSE).await;
     if let Err(error) = link.release(&target.engine, &attempt).await {
-        log::debug!("release: {error}");
+        log::debug!("cannot release a lease: {error}");
     }
 }
 
-/// Of two refusals the one that lets the caller come back sooner.
+/// Returns the refusal with the shorter retry delay; one without a delay counts as the longest.
 fn shorter_wait(
     earlier: Option<refusal::RequestRefusal>,
     later: refusal::RequestRefusal,
@@ -394,6 +414,7 @@
         .retry_after(time::Duration::from_secs(1))
 }
 
+/// Whole milliseconds since `started`.
 pub(crate) fn millis_since(
     context: &request_context::EntryContext,
     started: units::MonoTime,
