--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -1,4 +1,4 @@
-//! Finds a prompt larger than one engine its places on a group of engines.
+//! Placement of a prompt that is too large for one engine on a group of engines.
 
 use std::rc;
 
@@ -6,7 +6,9 @@
 
 use crate::{event, place, request_context};
 
-/// All members or none, in one fixed order, and given back on any failure.
+/// Acquires a lease on every member of a group, one after the other in the group's order.
+///
+/// If one of them is refused or fails, the leases acquired so far are released.
 pub(crate) async fn find(
     context: &rc::Rc<request_context::EntryContext>,
     question: &place::PlaceQuestion,
@@ -33,7 +35,8 @@
         request.grouped = true;
         request.patience = patience.min(question.deadline);
         let link = context.links.link(member.scheduler);
-        // Counted before the answer, so that a lease whose answer is lost is given back too.
+        // Added before the scheduler answers, so that the lease is released even if the answer is
+        // lost.
         place::add_member(context, question, &mut held, member.clone(), request.clone());
         match link.acquire(&member.engine, &request, context.clock.now()).await {
             Ok(Ok(priority)) => held.priority = held.priority.or(Some(priority)),
