--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -1,4 +1,4 @@
-//! Calls of engines and upstreams, and what their failures say.
+//! Calls to engines and upstreams, and the classification of their failures.
 
 use std::{net, time};
 
@@ -6,32 +6,32 @@
 use slipturn_core::{ids, refusal, retry, units};
 use slipturn_net::http_client;
 
-/// Header with the attempt's id; an engine that echoes another one answers another request.
+/// Header with the attempt's id. An answer that echoes a different id belongs to another attempt.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
-/// Header with the priority, 0 first.
+/// Header with the request's priority, where 0 is served first.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Header with what is left of the time limit.
+/// Header with the rest of the request's time limit, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-timeout-ms";
-/// Header with the engines that hold parts of a prompt larger than one engine.
+/// Header with the addresses of the other engines that hold parts of a prompt, separated by commas.
 pub const PEERS_HEADER: &str = "x-kv-peers";
-/// Header in which an upstream says that it did not run a call: `no`.
+/// Header in which an upstream states with `no` that it did not run a call.
 pub const RAN_HEADER: &str = "x-ran";
-/// Largest answer to an order.
+/// Largest accepted answer to an order, in bytes.
 const MAX_ORDER_ANSWER: u64 = 64 * 1024;
-/// Time for an engine to carry an order out.
+/// Time limit for an engine to carry out an order.
 const ORDER_LIMIT: time::Duration = time::Duration::from_millis(1_000);
 
-/// A failed attempt: how, and in words.
+/// Failure of an attempt, with a description.
 #[derive(Debug)]
 pub struct AttemptFault {
-    /// How it failed.
+    /// Class of the failure, which decides whether the request may be retried.
     pub failure: retry::AttemptFailure,
-    /// In words, for the record.
+    /// Description for the decision record and the caller.
     pub text: String,
 }
 
 impl AttemptFault {
-    /// A fault before anything reached the caller.
+    /// Classifies a failed call of which nothing has reached the caller.
     pub fn before_answer(error: &http_client::CallError) -> Self {
         let failure = match error {
             http_client::CallError::NotConnected { .. } => retry::AttemptFailure::NotConnected,
@@ -42,7 +42,7 @@
         Self { failure, text: error.to_string() }
     }
 
-    /// Whether the request ran, as far as this fault shows.
+    /// Whether the request ran, as far as this failure tells.
     pub fn ran(&self) -> refusal::RanState {
         match self.failure {
             retry::AttemptFailure::BrokeMidAnswer => refusal::RanState::Yes,
@@ -52,7 +52,12 @@
     }
 }
 
-/// Checks the head of an answer: whose it is, and whether the upstream ran the call.
+/// Checks the head of an answer.
+///
+/// # Errors
+///
+/// Fails if the answer belongs to another attempt, or if the upstream states that it did not run the
+/// call.
 pub fn check_head(
     head: &http::response::Parts,
     attempt: &ids::AttemptId,
@@ -69,7 +74,7 @@
     Ok(())
 }
 
-/// A call of an upstream with the headers every attempt carries.
+/// Builds a call to an upstream with the headers that every attempt carries.
 pub fn call(
     method: http::Method,
     path: &str,
@@ -85,16 +90,16 @@
     call
 }
 
-/// Sets a header whose value slipturn made and so knows to be valid; others are left out.
+/// Sets a header; a value that is not valid in a header is left out.
 pub fn set_header(call: &mut http::Request<Bytes>, name: &'static str, value: &str) {
     if let Ok(value) = http::HeaderValue::from_str(value) {
         call.headers_mut().insert(name, value);
     }
 }
 
-/// Orders that an entry gives to engines; the users' own engines may take them otherwise.
+/// Orders that an entry sends to engines. An implementation adapts them to the engine's interface.
 pub trait EngineOrders {
-    /// Keeps memory for a part of a prompt whose answer another engine gives.
+    /// Reserves memory for a part of a prompt whose answer another engine sends.
     fn reserve(
         &self,
         address: net::SocketAddr,
@@ -102,7 +107,7 @@
         tokens: units::TokenCount,
     ) -> futures::future::LocalBoxFuture<'_, Result<(), AttemptFault>>;
 
-    /// Gives an attempt up.
+    /// Cancels an attempt, which also frees the memory reserved for it.
     fn cancel(
         &self,
         address: net::SocketAddr,
@@ -131,6 +136,7 @@
     }
 }
 
+/// Posts an order to an engine; any successful status counts as carried out.
 async fn order(
     pool: &http_client::ConnectionPool,
     address: net::SocketAddr,
