--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -1,4 +1,4 @@
-//! The task that owns what an entry's requests share: router, records, histograms.
+//! The task that owns the state shared by an entry's requests: router, decision records, histograms.
 
 use std::{collections, rc};
 
@@ -13,21 +13,21 @@
 
 use crate::{documents, event};
 
-/// State behind the events.
+/// State that handles [`event::EntryEvent`] messages one at a time.
 pub struct EntryDirector {
     router: entry_router::EntryRouter,
     boot: ids::BootId,
     decisions: decision::DecisionLog,
     histograms: histogram::HistogramSet,
-    /// By attempt and engine: the members of a group share an attempt.
+    /// Places in use by attempt and engine, because the members of a group share an attempt.
     running: collections::HashMap<(ids::AttemptId, ids::EngineId), event::RunningPlace>,
-    /// Told of whenever documents or wakes change.
+    /// Updated whenever the documents or the number of detected pauses change.
     summary: rc::Rc<documents::DocumentSummary>,
     sender: metrics::MetricSender,
 }
 
 impl EntryDirector {
-    /// A director that remembers `decisions` records.
+    /// Creates a director that keeps the last `decisions` decision records.
     pub fn new(
         router: entry_router::EntryRouter,
         boot: ids::BootId,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Handles events for ever.
+    /// Handles messages until all senders are dropped.
     pub async fn run(
         mut self,
         mut incoming: mpsc::UnboundedReceiver<event::EntryEvent>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles one message.
     fn handle(&mut self, now: units::MonoTime, message: event::EntryEvent) {
         use event::EntryEvent;
         let router = &mut self.router;
@@ -113,7 +113,7 @@
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
             EntryEvent::Documents(update, wakes_when_asked) => {
-                self.documents(now, &update, wakes_when_asked)
+                self.apply_documents(now, &update, wakes_when_asked)
             }
             EntryEvent::AllSilent(wakes_when_asked) => {
                 router.note_sources_asked(now, wakes_when_asked)
@@ -134,6 +134,8 @@
         }
     }
 
+    /// Groups the places in use by the scheduler that owns their engine according to the list in
+    /// force. Places on engines without an owner are left out.
     fn renewals(&self) -> event::RenewalBatch {
         let list = self.router.list();
         let mut batches: collections::BTreeMap<_, Vec<_>> = collections::BTreeMap::new();
@@ -150,6 +152,7 @@
         batches.into_iter().collect()
     }
 
+    /// Counts an ended request in the metrics and keeps its record.
     fn record_decision(&mut self, record: decision::DecisionRecord) {
         self.sender.count("requests");
         if let Some(total) = record.total_ms {
@@ -161,7 +164,8 @@
         self.decisions.add(record);
     }
 
-    fn documents(
+    /// Applies settings and list from an update; without new settings, it confirms those in force.
+    fn apply_documents(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
@@ -229,20 +233,24 @@
     }
 }
 
-/// Answers an asker; one that has gone needs no answer.
-fn reply<T>(asker: oneshot::Sender<T>, answer: T) {
-    let _ = asker.send(answer);
+/// Sends an answer. The task that asked may have been dropped; the answer is then lost on purpose.
+fn reply<T>(reply_to: oneshot::Sender<T>, answer: T) {
+    let _ = reply_to.send(answer);
 }
 
-/// Instances to ask for a key, the same one first from everywhere, so that of two requests with
-/// one key the later learns of the earlier at once and neither splits the votes.
+/// Instances to ask for votes on a key, ranked by the key.
+///
+/// Every entry asks the same instance first. Of two requests with one key, the later thus learns of
+/// the earlier at once, and the votes are not split between them.
 fn voters(list: &fleet_list::FleetList, key: &key_vote::ScopedKey) -> event::VoterList {
     let ranked =
         rendezvous::ranked(&key.0, list.instances.iter(), |instance| instance.name.as_str());
-    let voters = ranked.iter().map(|one| (one.name.clone(), one.scheduler)).collect();
+    let voters =
+        ranked.iter().map(|instance| (instance.name.clone(), instance.scheduler)).collect();
     event::VoterList { voters }
 }
 
+/// Models of all listed engines, sorted and without duplicates.
 fn models(list: &fleet_list::FleetList) -> Vec<ids::ModelId> {
     let mut models: Vec<_> = list.engines.iter().map(|engine| engine.model.clone()).collect();
     models.sort();
