--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry tell and ask its director.
+//! Messages from the tasks of an entry to its director.
 
 use std::{net, rc, time};
 
@@ -9,56 +9,56 @@
 };
 use slipturn_net::scheduler_link;
 
-/// A place in use, for renewals.
+/// A place in use, with the data that renewals of its lease carry.
 #[derive(Debug, Clone)]
 pub struct RunningPlace {
-    /// The engine.
+    /// Engine of the place.
     pub engine: ids::EngineId,
-    /// What was asked for.
+    /// Request for the place, which renewals repeat.
     pub request: placement::PlaceRequest,
-    /// Hash of the prompt's prefix, which the engine will have cached.
+    /// Hash of the prompt's prefix, which the engine is expected to cache.
     pub prefix: u64,
 }
 
-/// Places in use by scheduler.
+/// Places in use, by the address of the scheduler that owns their engine.
 pub type RenewalBatch = Vec<(net::SocketAddr, Vec<(ids::EngineId, placement::PlaceRequest)>)>;
-/// Settings of a caller of a plain service.
+/// Settings tree in force and the settings resolved for a caller of a plain service.
 pub type ResolveAnswer = Result<
     (rc::Rc<settings::SettingsTree>, settings_resolve::ResolvedSettings),
     refusal::RequestRefusal,
 >;
 
-/// Instances to ask for votes, and how many were listed lately.
+/// Instances to ask for votes on an idempotency key.
 #[derive(Debug, Clone)]
 pub struct VoterList {
-    /// Schedulers by instance, in the order to ask them.
+    /// Instances with the addresses of their schedulers, in the order in which to ask them.
     pub voters: Vec<(ids::InstanceId, net::SocketAddr)>,
 }
 
-/// A message to the director.
+/// A message to the director. Messages with a `oneshot::Sender` are answered through it.
 pub enum EntryEvent {
-    /// Who calls, and may it?
+    /// Identifies the caller of a model request, resolves its settings and checks the request.
     Plan(
         entry_router::PlanQuestion,
         oneshot::Sender<Result<entry_router::RequestGrant, refusal::RequestRefusal>>,
     ),
-    /// Who calls a plain service?
+    /// Identifies the caller of a plain service by its key and resolves its settings.
     Resolve(String, oneshot::Sender<ResolveAnswer>),
-    /// Take tokens from the budget.
+    /// Takes tokens from the portion of the customer's budget that this entry holds.
     Spend(
         settings_resolve::ResolvedSettings,
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
     ),
-    /// Take tokens without the keeper.
+    /// Takes tokens from this entry's own share of the budget, while the keeper is unreachable.
     SpendAlone(
         settings_resolve::ResolvedSettings,
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
     ),
-    /// A portion was drawn.
+    /// Adds a portion drawn from the keeper of the customer's budget.
     Portion(ids::CustomerId, budget::BudgetPortion),
-    /// Which engines to ask?
+    /// Selects the engines to consider for a prompt with this prefix hash, without those listed.
     Candidates(
         entry_router::PlanQuestion,
         rc::Rc<settings::SettingsTree>,
@@ -66,111 +66,117 @@
         Vec<ids::EngineId>,
         oneshot::Sender<Vec<engine_directory::EngineTarget>>,
     ),
-    /// Which engines together serve a prompt larger than one?
+    /// Selects a group of engines for a prompt that needs more memory than one engine has.
     Group(
         ids::ModelId,
         units::TokenCount,
         rc::Rc<settings::SettingsTree>,
         oneshot::Sender<Vec<engine_directory::EngineTarget>>,
     ),
-    /// Which of the engines asked?
+    /// Chooses among candidates, given the offers of their schedulers in the same order.
     Choose(
         Vec<engine_directory::EngineTarget>,
         Vec<Option<placement::EngineOffer>>,
         oneshot::Sender<Option<routing::RouteChoice>>,
     ),
-    /// Does the policy in force ask schedulers?
+    /// Returns whether the routing policy in force needs offers from schedulers.
     WantsOffers(oneshot::Sender<bool>),
-    /// May this engine be used although its scheduler is out of reach?
+    /// Returns whether an engine may be used without a lease while its scheduler is unreachable.
     DirectShare(ids::EngineId, oneshot::Sender<bool>),
-    /// An attempt starts on an engine.
+    /// Counts an attempt as running on an engine.
     Started(RunningPlace),
-    /// An attempt has ended.
+    /// Counts an attempt as ended on an engine.
     Ended(ids::AttemptId, ids::EngineId),
-    /// An engine refused or broke.
+    /// Excludes an engine from the candidates for a while after it refused or failed.
     Eject(ids::EngineId),
-    /// Is there to be another attempt?
+    /// Decides whether a request gets another attempt.
     Retry(retry::FailedAttempt, oneshot::Sender<retry::RetryVerdict>),
-    /// A request of a plain service arrived, against which retries are measured.
+    /// Counts a request to a plain service towards the retry budget.
     CountRequest,
-    /// Which upstreams has a service?
+    /// Returns the live upstreams of a plain service, in the order in which to try them.
     Upstreams(ids::ServiceId, oneshot::Sender<Vec<fleet_list::UpstreamRecord>>),
-    /// Whom to ask for votes on a key?
+    /// Returns the instances to ask for votes on an idempotency key.
     Voters(key_vote::ScopedKey, oneshot::Sender<VoterList>),
-    /// When should refused callers come back?
+    /// Adds jitter to the retry delay of a refused request.
     SpreadRetry(time::Duration, oneshot::Sender<time::Duration>),
-    /// Which places are in use?
+    /// Returns the places in use, whose leases have to be renewed.
     Renewals(oneshot::Sender<RenewalBatch>),
-    /// Values were measured, each to be counted in each of the series.
+    /// Records measured durations, each of them in each of the named series.
     Measure(histogram::MeasureKind, Vec<String>, Vec<time::Duration>),
-    /// A request has ended.
+    /// Stores the decision record of a request that has ended.
     Decision(Box<decision::DecisionRecord>),
-    /// Where is the record of a request?
+    /// Looks up the decision record of a request by its id.
     Find(String, oneshot::Sender<Option<rc::Rc<decision::DecisionRecord>>>),
-    /// Which models are served?
+    /// Returns the models of all listed engines.
     Models(oneshot::Sender<Vec<ids::ModelId>>),
-    /// What list is in force?
+    /// Returns the published list in force.
     List(oneshot::Sender<fleet_list::FleetList>),
-    /// What do the histograms show?
+    /// Returns the rows of all histograms.
     Histograms(oneshot::Sender<Vec<histogram::HistogramRow>>),
-    /// What settings are in force?
+    /// Returns the settings tree in force, if settings are known.
     Settings(oneshot::Sender<Option<rc::Rc<settings::SettingsTree>>>),
-    /// How does the entry do?
+    /// Returns the state of the entry for operators.
     Status(oneshot::Sender<EntryStatus>),
-    /// Documents, or a confirmation of those held, came in; with the wakes when they were asked.
+    /// Applies received documents, or a confirmation of those held. The number is the count of
+    /// detected process pauses at the time of the query.
     Documents(scheduler_link::DocumentUpdate, u64),
-    /// No source answered; with the wakes when they were asked.
+    /// Reports that no source of documents answered. The number is the count of detected process
+    /// pauses at the time of the query.
     AllSilent(u64),
-    /// Time has passed.
+    /// Runs the periodic work of the director.
     Tick,
 }
 
-/// An entry's state as operators see it.
+/// State of an entry, as shown to operators.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct EntryStatus {
-    /// Its instance.
+    /// Instance that the entry belongs to.
     pub instance: ids::InstanceId,
-    /// This start of the process.
+    /// Boot id, which differs for every start of the process.
     pub boot: String,
-    /// Whether it takes requests.
+    /// Whether the entry accepts requests.
     pub ready: bool,
-    /// Settings in force.
+    /// Version of the settings in force.
     pub settings_version: u64,
-    /// Fault of the last settings that were refused, if none were accepted since.
+    /// Error of the last rejected settings, if none have been accepted since.
     pub settings_rejected: Option<String>,
-    /// How long ago a source confirmed the settings.
+    /// Time since a source last confirmed the settings, in milliseconds.
     pub settings_age_ms: u64,
-    /// List in force.
+    /// Revision of the published list in force.
     pub list_revision: u64,
-    /// Attempts running on engines.
+    /// Number of places in use; an attempt on a group of engines has one on each member.
     pub running: usize,
-    /// Decisions remembered.
+    /// Number of decision records kept.
     pub decisions: usize,
-    /// Requests being served, plain services included.
+    /// Number of requests being served, including those to plain services.
     pub requests: usize,
 }
 
-/// Where events go.
+/// Handle by which the tasks of an entry send messages to the director.
 #[derive(Clone)]
 pub struct EventSender(mpsc::UnboundedSender<EntryEvent>);
 
 impl EventSender {
-    /// A sender and the receiver of what it sends.
+    /// Creates a sender and the receiver for the director.
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<EntryEvent>) {
         let (sender, receiver) = mpsc::unbounded();
         (Self(sender), receiver)
     }
 
-    /// Tells something.
+    /// Sends a message without waiting for it to be handled.
     pub fn send_to(&self, message: EntryEvent) {
-        // The director ends only with the process.
+        // Sending fails only when the director has ended, which happens only with the process.
         let _ = self.0.unbounded_send(message);
     }
 
-    /// Asks something and waits for the answer.
+    /// Sends the message that `to_event` builds around an answer channel, and waits for the answer.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the director ends without an answer.
     pub async fn ask<T>(&self, to_event: impl FnOnce(oneshot::Sender<T>) -> EntryEvent) -> T {
         let (answer, answered) = oneshot::channel();
         self.send_to(to_event(answer));
-        answered.await.expect("the director answers all it is asked while the process lives")
+        answered.await.expect("the director runs as long as the process and answers every message")
     }
 }
