--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: reads requests, hands each to what serves it.
+//! Connections of callers: reads requests and dispatches them by path.
 
 use std::{rc, time};
 
@@ -15,12 +15,13 @@
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 /// Path of the list of models.
 const MODELS_PATH: &str = "/v1/models";
-/// Start of the paths of plain services.
+/// Prefix of the paths of plain services.
 const SERVICES_PREFIX: &str = "/services/";
-/// Longest id of its own that a caller may send.
+/// Longest request id accepted from a caller, in bytes; a longer one is ignored.
 const MAX_CALLER_ID: usize = 128;
 
-/// Serves a connection until the caller leaves it, or a request ends it.
+/// Serves a connection until the caller closes it, a request requires it to be closed, or the
+/// process stops.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     mut connection: http_server::ServerConnection,
@@ -42,14 +43,15 @@
             Ok(RequestEnd::Answered) if !close && !context.stop.asked() => {}
             Ok(_) => return,
             Err(error) => {
-                log::debug!("caller: {error}");
+                log::debug!("caller connection: {error}");
                 return;
             }
         }
     }
 }
 
-/// A request whose head cannot be read has no id of the caller's; the connection ends with it.
+/// Refuses a request whose head can't be read. The caller's own id is unknown then, and the
+/// connection must be closed afterwards.
 async fn refuse_bad_head(
     context: &request_context::EntryContext,
     connection: &mut http_server::ServerConnection,
@@ -59,7 +61,7 @@
     let code = refusal::RefusalCode::BadRequest;
     let refusal = refusal::RequestRefusal::not_run(code, error.to_string());
     if let Err(error) = connection.respond(answer::refusal_answer(&request_ids, &refusal)).await {
-        log::debug!("caller: {error}");
+        log::debug!("cannot send a refusal to the caller: {error}");
     }
     connection.linger().await;
 }
@@ -76,7 +78,8 @@
         Ok(body) => body,
         Err(refusal) => {
             let refusal = context.spread_retry_after(refusal).await;
-            // What is left of the body would be taken for the next request.
+            // The connection is closed, because the unread rest of the body would be parsed as the
+            // next request.
             connection.respond(answer::refusal_answer(&request_ids, &refusal)).await?;
             connection.linger().await;
             return Ok(RequestEnd::Close);
@@ -100,17 +103,18 @@
     }
 }
 
+/// Reads a request's body and holds its size in the body budget.
 async fn read_body(
     context: &request_context::EntryContext,
     connection: &mut http_server::ServerConnection,
     incoming: &mut http_server::IncomingHead,
 ) -> Result<(Bytes, crate::body_budget::BodyHold), refusal::RequestRefusal> {
     let limits = &context.local.limits;
-    let most = limits.max_body.0;
-    // A chunked body may turn out as long as the longest.
-    let expected = incoming.declared_length().unwrap_or(most).min(most);
+    let body_limit = limits.max_body.0;
+    // The length of a chunked body is unknown, so the largest allowed is held until it has been read.
+    let expected = incoming.declared_length().unwrap_or(body_limit).min(body_limit);
     let mut hold = context.bodies.hold(expected)?;
-    let bounds = http_server::BodyLimits { max_bytes: most, time: limits.body_time.0 };
+    let bounds = http_server::BodyLimits { max_bytes: body_limit, time: limits.body_time.0 };
     let body = connection.read_body(incoming, bounds).await.map_err(body_refusal)?;
     hold.shrink(body.len() as u64);
     Ok((body, hold))
@@ -125,12 +129,14 @@
     refusal::RequestRefusal::not_run(code, error.to_string())
 }
 
+/// A request, by the part of the entry that serves it.
 enum RoutedCall {
     Model(model_request::ModelCall),
     Service(Box<service_request::ServiceCall>),
     Models,
 }
 
+/// Determines by method and path what serves a request, and reads the headers that it needs.
 fn route(
     context: &request_context::EntryContext,
     request_ids: answer::RequestIds,
@@ -187,11 +193,13 @@
     }
 }
 
+/// The key in the `Authorization` header, if its scheme is `Bearer`.
 fn bearer_key(incoming: &http_server::IncomingHead) -> Option<String> {
     let (scheme, key) = incoming.header("authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim().to_owned())
 }
 
+/// Reads the time limit requested by the caller, a positive number of milliseconds.
 fn parse_timeout_header(
     incoming: &http_server::IncomingHead,
 ) -> Result<Option<time::Duration>, refusal::RequestRefusal> {
