--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that slipturn itself gives to callers.
+//! Refusals, error events and response headers that slipturn itself sends to callers.
 
 use std::time;
 
@@ -7,13 +7,14 @@
 use slipturn_core::{ids, refusal, units};
 use slipturn_net::{http_server, process};
 
-/// Header with slipturn's own id of a request, to be asked about later.
+/// Header with the id that slipturn gave a request, by which its decision record can be looked up.
 pub const REQUEST_HEADER: &str = "slipturn-request-id";
-/// Header with the caller's id, echoed.
+/// Header with the caller's own id of a request. The answer echoes it, or carries slipturn's id if
+/// the caller sent none.
 pub const CALLER_HEADER: &str = "x-request-id";
-/// Header with which a caller shortens its time limit.
+/// Header with a shorter time limit requested by a caller, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "slipturn-timeout-ms";
-/// Header with a caller's key for what must not run twice.
+/// Header with a caller's idempotency key, for calls that must run at most once.
 pub const KEY_HEADER: &str = "idempotency-key";
 
 #[derive(Serialize)]
@@ -30,12 +31,12 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Ids of one request, as callers see them.
+/// Ids of a request that are shown to its caller.
 #[derive(Debug, Clone)]
 pub struct RequestIds {
-    /// slipturn's own.
+    /// Id assigned by slipturn.
     pub request: ids::RequestId,
-    /// The caller's, if it sent one.
+    /// Id sent by the caller, if any.
     pub caller: Option<String>,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// The whole answer to a request that is refused or has failed before its answer began.
+/// Builds the answer to a request that is refused or has failed before its answer began.
 pub fn refusal_answer(
     request_ids: &RequestIds,
     refusal: &refusal::RequestRefusal,
@@ -66,13 +67,14 @@
     answer
 }
 
-/// The last event of a streamed answer that has failed; no `[DONE]` follows it.
+/// Encodes the event that ends a streamed answer after a failure; no `[DONE]` follows it.
 pub fn error_event(refusal: &refusal::RequestRefusal) -> Vec<u8> {
     let body = serde_json::to_string(&error_body(refusal)).unwrap_or_else(|_| "{}".to_owned());
     format!("event: error\ndata: {body}\n\n").into_bytes()
 }
 
-/// Adds `connection: close` when the process is stopping, so that callers turn elsewhere.
+/// Adds `connection: close` when the process is stopping, so that callers connect to another
+/// instance.
 pub fn add_close_header(headers: &mut http::HeaderMap, stop: &process::StopSignal) {
     if stop.asked() {
         let close = http::HeaderValue::from_static("close");
@@ -92,7 +94,8 @@
     }
 }
 
-/// `Retry-After` has whole seconds; rounding up never asks a caller back too early.
+/// Rounds a delay up to whole seconds, the unit of `Retry-After`, so that no caller returns too
+/// early.
 fn whole_seconds(wait: time::Duration) -> u64 {
     wait.as_secs() + u64::from(wait.subsec_nanos() > 0)
 }
