--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -1,4 +1,4 @@
-//! Takes a request's tokens from its customer's budget.
+//! Charging of a request's tokens to its customer's budget.
 
 use std::net;
 
@@ -7,8 +7,14 @@
 
 use crate::{event, request_context};
 
-/// Takes the tokens from a portion held, or from one drawn from the customer's keeper, or
-/// without the keeper where that is out of reach.
+/// Takes the tokens from the portion of the customer's budget that this entry holds.
+///
+/// If that doesn't suffice, a new portion is drawn from the customer's keeper, the instance that
+/// keeps the budget. While the keeper is unreachable, this entry's own share is used.
+///
+/// # Errors
+///
+/// Refuses with `OverBudget` if the budget is exhausted.
 pub async fn take(
     context: &request_context::EntryContext,
     grant: &entry_router::RequestGrant,
@@ -21,14 +27,15 @@
     if matches!(step, entry_router::BudgetStep::Draw { .. }) {
         let lock = context.draws.for_customer(&settings.customer);
         let _drawing = lock.lock().await;
-        // Another request may have drawn enough meanwhile.
+        // Another request may have drawn enough while this one waited for the lock.
         step = context.events.ask(spend).await;
         if let entry_router::BudgetStep::Draw { keeper, limit, want } = step {
             step = draw(context, settings, (keeper, limit, want), spend, record).await;
         }
     }
     match step {
-        // A portion that expired between drawing and spending has been paid for all the same.
+        // `Draw` after a draw means that the portion expired before it was spent. The keeper has
+        // charged it to the customer, so the request proceeds.
         entry_router::BudgetStep::Spent | entry_router::BudgetStep::Draw { .. } => Ok(()),
         entry_router::BudgetStep::Empty(wait) => {
             let text = format!("customer {} has used its tokens", settings.customer);
@@ -38,7 +45,7 @@
     }
 }
 
-/// Draws a portion from the customer's keeper and spends from it.
+/// Draws a portion from the customer's keeper and takes the request's tokens from it.
 async fn draw(
     context: &request_context::EntryContext,
     settings: &settings_resolve::ResolvedSettings,
