--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,10 @@
-//! The entry of one instance: it owns callers' connections and their requests, from the first byte
-//! to the final answer.
+//! The entry of an instance: it accepts callers' connections and serves their requests, from the
+//! first byte to the final answer.
 //!
-//! By life span: [`program`] lives as long as the process, [`caller_connection`] as long as a
-//! connection, [`model_request`] and [`service_request`] as long as a request, [`place`] as long
-//! as an attempt. One task owns what requests share ([`director`]).
+//! The modules follow the lifetimes of what they hold: [`program`] lasts as long as the process,
+//! [`caller_connection`] as long as a connection, [`model_request`] and [`service_request`] as long
+//! as a request, and [`place`] as long as an attempt. State shared by requests is owned by one task,
+//! the [`director`].
 
 pub mod answer;
 pub mod body_budget;
