--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-entry`: see the library of the same name.
+//! Command line of `slipturn-entry`, which runs [`slipturn_entry::program`].
 
 use std::process;
 
