--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -1,4 +1,4 @@
-//! Claims an idempotency key for one request, by the votes of the key's voters.
+//! Claiming of an idempotency key for one request by a vote of the key's voters.
 
 use std::net;
 
@@ -7,10 +7,10 @@
 
 use crate::{event, request_context};
 
-/// Asks the voters and counts their answers.
+/// Asks the voters of a key for their votes and returns the result.
 ///
-/// The one that ranks first for the key is asked alone before the others: of two requests with one
-/// key the later then learns of the earlier at once, and the votes are not split between them.
+/// The voter that ranks first for the key is asked before the others, alone. Of two requests with
+/// one key, the later thus learns of the earlier at once, and the votes are not split between them.
 pub async fn claim(
     context: &request_context::EntryContext,
     key: &key_vote::ScopedKey,
@@ -27,7 +27,8 @@
         let verdict = tally.verdict(now);
         let all = (tally.group() - 1).min(others.len());
         let decided = !matches!(verdict, key_vote::VoteVerdict::InDoubt { .. });
-        // One vote may be enough by its own count of voters; it takes all of them to know.
+        // The first vote alone can look like a majority, by that voter's own count of voters. Only
+        // the answers of the others show how many there are.
         if next >= all
             || matches!(verdict, key_vote::VoteVerdict::Taken(_))
             || (decided && next > 0)
@@ -39,6 +40,7 @@
     }
 }
 
+/// Asks several voters at once and adds their answers to the tally.
 async fn ask_all(
     context: &request_context::EntryContext,
     key: &key_vote::ScopedKey,
@@ -52,12 +54,12 @@
     for (name, answer) in future::join_all(asked).await {
         match answer {
             Ok(answer) => tally.add(name, answer),
-            Err(error) => log::debug!("vote: {error}"),
+            Err(error) => log::debug!("vote request failed: {error}"),
         }
     }
 }
 
-/// Whether a majority may still be used.
+/// Whether the verdict allows the call to be sent at `now`: it is a majority that is not too old.
 pub fn permits_run(verdict: &key_vote::VoteVerdict, now: units::MonoTime) -> bool {
     matches!(verdict, key_vote::VoteVerdict::Run { until } if now < *until)
 }
