--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -1,4 +1,4 @@
-//! Reads what an OpenAI-style request asks for, without taking its prompt apart.
+//! Parsing of OpenAI-style request bodies. The prompt itself is not decoded.
 
 use std::collections;
 
@@ -7,32 +7,38 @@
 use serde_json::value;
 use slipturn_core::{entry_router, ids, refusal, rendezvous, units};
 
-/// Bytes of prompt that count as one token, where no tokenizer is at hand.
+/// Number of prompt bytes estimated as one token, because the entry has no tokenizer.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Bytes at the prompt's start that must be alike for an engine's prefix cache to be of use.
+/// Length in bytes of the prompt prefix that two requests must share for routing to expect a hit in
+/// an engine's prefix cache.
 const PREFIX_BYTES: usize = 4_096;
 
-/// The part of the prompt an engine may have cached, and what else routing needs.
+/// A request body, with the values that routing needs.
 #[derive(Debug, Clone)]
 pub struct ParsedRequest {
-    /// The model asked for.
+    /// Requested model.
     pub model: ids::ModelId,
-    /// Estimated length.
+    /// Estimated length of the prompt.
     pub tokens: units::TokenCount,
-    /// Estimated length of the prefix that is compared.
+    /// Estimated length of the hashed prefix.
     pub prefix_tokens: units::TokenCount,
-    /// Hash of the prefix.
+    /// Hash of the prompt's prefix, by which routing finds an engine that may have it cached.
     pub prefix: u64,
-    /// Tokens of output asked for.
+    /// Requested limit on the output, if any.
     pub output: Option<units::TokenCount>,
-    /// Whether the answer is to be streamed.
+    /// Whether the caller requested a streamed answer.
     pub stream: bool,
-    /// The request's members, their values unread.
+    /// Members of the JSON object, with undecoded values.
     members: collections::BTreeMap<String, Box<value::RawValue>>,
 }
 
 impl ParsedRequest {
-    /// Reads a body of `POST /v1/chat/completions` or `/v1/completions`.
+    /// Parses the body of a `POST /v1/chat/completions` or `/v1/completions`.
+    ///
+    /// # Errors
+    ///
+    /// Refuses with `BadRequest` if the body is not a JSON object, or if a member that routing needs
+    /// is missing or malformed.
     pub fn read(body: &[u8]) -> Result<Self, refusal::RequestRefusal> {
         let members: collections::BTreeMap<String, Box<value::RawValue>> =
             serde_json::from_slice(body).map_err(|error| bad_request(&error.to_string()))?;
@@ -54,7 +60,7 @@
         })
     }
 
-    /// What the router needs to know.
+    /// Builds the question by which the router resolves the settings of the request.
     pub fn question(
         &self,
         key: String,
@@ -64,7 +70,7 @@
         entry_router::PlanQuestion { key, model, prompt, output, requested_limit }
     }
 
-    /// The body to send to an engine: the caller's, with the output cut to what is allowed.
+    /// Encodes the body for the engine: the caller's members, with the output limited to `output`.
     pub fn into_body(mut self, output: units::TokenCount) -> Bytes {
         let limit = value::to_raw_value(&output.0).expect("a number is valid JSON");
         self.members.remove("max_completion_tokens");
@@ -77,6 +83,7 @@
     units::TokenCount((bytes as u64).div_ceil(BYTES_PER_TOKEN))
 }
 
+/// Decodes a member that must be present.
 fn required<'de, T: serde::Deserialize<'de>>(
     members: &'de collections::BTreeMap<String, Box<value::RawValue>>,
     name: &str,
@@ -84,6 +91,7 @@
     optional(members, name)?.ok_or_else(|| bad_request(&format!("'{name}' is missing")))
 }
 
+/// Decodes a member that may be absent or null.
 fn optional<'de, T: serde::Deserialize<'de>>(
     members: &'de collections::BTreeMap<String, Box<value::RawValue>>,
     name: &str,
