--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -1,4 +1,4 @@
-//! The documents an entry holds, as the feed sees them.
+//! Access of the document feed to the settings and the list that an entry holds.
 
 use std::{cell, net, rc};
 
@@ -7,31 +7,31 @@
 
 use crate::event;
 
-/// Schedulers of other instances that an entry asks when its own one is silent.
+/// Number of schedulers of other instances to ask after the one of this instance.
 const OTHER_SCHEDULERS: usize = 2;
 
-/// What the director makes known of its documents.
+/// Summary of the director's documents, shared with the document feed.
 #[derive(Debug, Default)]
 pub struct DocumentSummary {
-    /// Their numbers.
+    /// Version of the settings and revision of the list in force.
     pub known: cell::Cell<scheduler_link::KnownDocuments>,
-    /// Pauses of the process noticed so far.
+    /// Number of detected pauses of the process.
     pub wakes: cell::Cell<u64>,
-    /// Schedulers of other instances, nearest first.
+    /// Addresses of the schedulers of all live instances, in the order of the list.
     pub schedulers: cell::RefCell<Vec<net::SocketAddr>>,
 }
 
-/// An entry's documents.
+/// [`document_feed::DocumentHolder`] of an entry.
 pub struct EntryDocuments {
     local: rc::Rc<local_settings::LocalSettings>,
     summary: rc::Rc<DocumentSummary>,
     events: event::EventSender,
-    /// Wakes when the sources were last asked.
+    /// Number of detected pauses when the sources were last asked.
     wakes_when_asked: cell::Cell<u64>,
 }
 
 impl EntryDocuments {
-    /// The documents in `summary`, which change only through `events`.
+    /// Creates a holder that reads from `summary` and sends updates to the director by `events`.
     pub fn new(
         local: rc::Rc<local_settings::LocalSettings>,
         summary: rc::Rc<DocumentSummary>,
@@ -51,7 +51,7 @@
         let local_scheduler = self.local.listen.scheduler;
         let schedulers = self.summary.schedulers.borrow();
         let others =
-            schedulers.iter().filter(|one| **one != local_scheduler).take(OTHER_SCHEDULERS);
+            schedulers.iter().filter(|address| **address != local_scheduler).take(OTHER_SCHEDULERS);
         let peers = std::iter::once(&local_scheduler).chain(others);
         let platform = self.local.platform.iter().copied();
         peers
@@ -70,7 +70,7 @@
     }
 
     fn jitter(&self) -> f64 {
-        // Two processes need only differ, and their names do.
+        // The jitter only has to differ between processes. A hash of the instance name does.
         let hash = rendezvous::stable_hash(&["entry", self.local.instance.as_str()]);
         (hash % 1_000) as f64 / 1_000.0
     }
