--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -60,7 +60,7 @@
             http_server::json_answer(200, &rows)
         }
         "/v1/drain" if post => {
-            log::info!("an operator asked for a stop");
+            log::info!("stop requested by an operator");
             context.stop.ask();
             status_message(200, "stopping")
         }
@@ -188,7 +188,7 @@
 ) -> Vec<&'list fleet_list::InstanceRecord> {
     let request = id.parse::<ids::RequestId>().ok();
     let named = request.and_then(|request| request.instance());
-    let others = list.instances.iter().filter(|one| one.name != context.local.instance);
+    let others = list.instances.iter().filter(|instance| instance.name != context.local.instance);
     match named.and_then(|name| list.instance(&name)) {
         Some(instance) => vec![instance],
         None => others.collect(),
