--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -1,4 +1,4 @@
-//! What every request of an entry can reach.
+//! State and connections shared by all requests of an entry.
 
 use std::{cell, collections, rc};
 
@@ -8,41 +8,42 @@
 
 use crate::{body_budget, event};
 
-/// Lives as long as the process.
+/// Shared context of an entry, which lives as long as the process.
 pub struct EntryContext {
-    /// The local settings file.
+    /// Settings from the local settings file.
     pub local: rc::Rc<local_settings::LocalSettings>,
-    /// This start of the process.
+    /// Boot id, which differs for every start of the process.
     pub boot: ids::BootId,
-    /// The process's clock.
+    /// Monotonic clock of the process.
     pub clock: process::ProcessClock,
-    /// The director.
+    /// Sender of messages to the director.
     pub events: event::EventSender,
-    /// Connections to engines, upstreams and other entries.
+    /// Pool of connections to engines, upstreams and other entries.
     pub pool: rc::Rc<http_client::ConnectionPool>,
-    /// Connections to schedulers.
+    /// Pool of connections to schedulers.
     pub links: rc::Rc<scheduler_link::LinkPool>,
-    /// Bytes of bodies held.
+    /// Budget for the request bodies held in memory.
     pub bodies: body_budget::BodyBudget,
-    /// Whether a stop was asked for.
+    /// Signal that the process is to stop.
     pub stop: process::StopSignal,
-    /// Held by whoever draws from a customer's budget, so that others spend what is drawn instead
-    /// of drawing too.
+    /// Locks held while a portion of a customer's budget is drawn, so that concurrent requests of
+    /// the customer wait for that portion instead of drawing their own.
     pub draws: DrawLocks,
-    /// Requests being served.
+    /// Number of requests being served.
     pub active: cell::Cell<usize>,
-    /// Requests taken so far.
+    /// Number of request ids assigned so far.
     pub sequence: cell::Cell<u64>,
 }
 
 impl EntryContext {
-    /// The id of the next request.
+    /// Assigns the id of the next request.
     pub fn next_request(&self) -> ids::RequestId {
         self.sequence.set(self.sequence.get() + 1);
         ids::RequestId::new(&self.local.instance, self.boot, self.sequence.get())
     }
 
-    /// Spreads the time to come back, where there is one, so that callers do not return as one wave.
+    /// Adds jitter to the retry delay of a refusal, if it has one, so that refused callers don't all
+    /// return at the same time.
     pub async fn spread_retry_after(
         &self,
         mut refusal: refusal::RequestRefusal,
@@ -54,14 +55,14 @@
         refusal
     }
 
-    /// Counts a request as being served for as long as the guard lives.
+    /// Counts a request as being served until the returned guard is dropped.
     pub fn begin_request(self: &rc::Rc<Self>) -> ActiveRequest {
         self.active.set(self.active.get() + 1);
         ActiveRequest(rc::Rc::clone(self))
     }
 }
 
-/// A request being served.
+/// Guard that counts a request in [`EntryContext::active`].
 pub struct ActiveRequest(rc::Rc<EntryContext>);
 
 impl Drop for ActiveRequest {
@@ -70,18 +71,18 @@
     }
 }
 
-/// One lock for each customer from whose budget somebody draws.
+/// One lock for each customer whose budget is being drawn from.
 #[derive(Default)]
 pub struct DrawLocks(cell::RefCell<collections::HashMap<ids::CustomerId, rc::Rc<lock::Mutex<()>>>>);
 
 impl DrawLocks {
-    /// The customer's lock.
+    /// Returns the customer's lock, which is created on first use.
     pub fn for_customer(&self, customer: &ids::CustomerId) -> rc::Rc<lock::Mutex<()>> {
         let mut locks = self.0.borrow_mut();
         rc::Rc::clone(locks.entry(customer.clone()).or_default())
     }
 
-    /// Drops unused locks.
+    /// Drops the locks that no request holds or waits for.
     pub fn prune(&self) {
         self.0.borrow_mut().retain(|_, lock| rc::Rc::strong_count(lock) > 1);
     }
