--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -1,4 +1,4 @@
-//! The running entry: its listeners, its director and the tasks around them.
+//! Startup and shutdown of an entry: its listeners, its director and its background tasks.
 
 use std::{cell, rc, time};
 
@@ -14,27 +14,31 @@
     body_budget, caller_connection, director, documents, event, operators, renewal, request_context,
 };
 
-/// Time between two ticks of the director.
+/// Interval of the director's periodic work.
 const TICK: time::Duration = time::Duration::from_millis(50);
-/// Time between two clean-ups of idle connections.
+/// Interval at which idle connections and unused locks are dropped.
 const PRUNE_INTERVAL: time::Duration = time::Duration::from_secs(5);
-/// After a stop was asked for, how long new connections are still taken: the balancer and the
-/// published list need that time to send callers elsewhere.
+/// Time for which new connections are still accepted after a stop is requested. The load balancer
+/// and the published list need that time to direct callers to other instances.
 const UNREADY_GRACE: time::Duration = time::Duration::from_secs(3);
-/// Longest a planned stop waits for requests in progress; more than any time limit in use.
+/// Longest time for which a stop waits for requests in progress; above any time limit in use.
 const STOP_LIMIT: time::Duration = time::Duration::from_secs(3_600);
-/// Time between two looks at whether requests are in progress.
+/// Interval of the checks whether requests are still in progress.
 const STOP_POLL: time::Duration = time::Duration::from_millis(20);
 
-/// Runs an entry until a stop is asked for and its requests are done.
+/// Runs an entry until a stop is requested and its requests have ended.
+///
+/// # Errors
+///
+/// Fails if the signal handlers, the metrics socket or the listeners cannot be set up.
 pub async fn run(local: local_settings::LocalSettings) -> Result<(), server::ServerError> {
     let stop = process::StopSignal::install().context(server::SignalsSnafu)?;
     let clock = process::ProcessClock::start();
     let boot = process::new_boot_id();
     let sender =
         metrics::MetricSender::new("slipturn.entry", local.statsd).context(server::MetricsSnafu)?;
-    let callers = server::listen(local.listen.callers)?;
-    let for_operators = server::listen(local.listen.operators)?;
+    let caller_listener = server::listen(local.listen.callers)?;
+    let operator_listener = server::listen(local.listen.operators)?;
     let local = rc::Rc::new(local);
 
     let (events, incoming) = event::EventSender::channel();
@@ -72,37 +76,40 @@
     monoio::spawn(prune(rc::Rc::clone(&context)));
 
     let operators_context = rc::Rc::clone(&context);
-    monoio::spawn(http_server::accept_all(for_operators, move |connection| {
+    monoio::spawn(http_server::accept_all(operator_listener, move |connection| {
         operators::serve(rc::Rc::clone(&operators_context), connection)
     }));
     let callers_context = rc::Rc::clone(&context);
-    let accepting = http_server::accept_all(callers, move |connection| {
+    let accepting = http_server::accept_all(caller_listener, move |connection| {
         caller_connection::serve(rc::Rc::clone(&callers_context), connection)
     });
     let (close, closed) = oneshot::channel::<()>();
-    // A task goes on when its handle is dropped; only losing this race ends the listener.
+    // Dropping a task's handle doesn't stop the task, so the listener is closed by dropping `close`,
+    // which ends the `select`.
     monoio::spawn(async move {
         future::select(Box::pin(accepting), closed).await;
     });
     log::info!("entry listens on {}", local.listen.callers);
 
     stop.wait().await;
-    log::info!("stop asked for, {} requests in progress", context.active.get());
+    log::info!("stop requested, {} requests in progress", context.active.get());
     monoio::time::sleep(UNREADY_GRACE).await;
     drop(close);
     finish_requests(&context).await;
     Ok(())
 }
 
+/// Waits for the requests in progress, for at most [`STOP_LIMIT`].
 async fn finish_requests(context: &request_context::EntryContext) {
     let started = context.clock.now();
     while context.active.get() > 0 && context.clock.now().since(started) < STOP_LIMIT {
         monoio::time::sleep(STOP_POLL).await;
     }
-    // Places given back by the last requests are on their way to the schedulers.
+    // Gives the last requests' background tasks time to send their releases to the schedulers.
     monoio::time::sleep(STOP_POLL * 5).await;
 }
 
+/// Sends the director a message for its periodic work at every interval.
 async fn tick(events: event::EventSender) {
     loop {
         events.send_to(event::EntryEvent::Tick);
@@ -110,6 +117,7 @@
     }
 }
 
+/// Drops idle connections and unused locks, and the links to schedulers that are not listed.
 async fn prune(context: rc::Rc<request_context::EntryContext>) {
     loop {
         monoio::time::sleep(PRUNE_INTERVAL).await;
@@ -119,7 +127,7 @@
         let local_scheduler = context.local.listen.scheduler;
         context.links.retain(|address| {
             *address == local_scheduler
-                || list.instances.iter().any(|one| one.scheduler == *address)
+                || list.instances.iter().any(|instance| instance.scheduler == *address)
         });
     }
 }
