--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service, from its read body to its final answer.
+//! Serving of a call to a plain service, from the received body to the final answer.
 
 use std::{collections, pin, rc, time};
 
@@ -12,7 +12,8 @@
 
 use crate::{answer, event, key_claim, model_request::RequestEnd, request_context, upstream_call};
 
-/// Headers of a caller that concern its own connection, or are slipturn's to read.
+/// Headers that are not copied between caller and upstream, because they concern one connection or
+/// are meant for slipturn.
 const UNFORWARDED_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -26,34 +27,35 @@
     "authorization",
 ];
 
-/// Part of the time left for which a repeatable call waits at a connection that had rested, before
-/// it goes out anew: under a half, so that the new one has at least as long. As on the platform.
+/// Fraction of the remaining time for which a repeatable call waits for an answer over a connection
+/// that had been idle, before it is sent again over a new one. Less than half, so that the new
+/// connection has at least as much time. The platform uses the same fraction.
 const SILENCE_FRACTION: f64 = 0.45;
 
-/// What a caller sent.
+/// A call as sent by the caller, without its body.
 pub struct ServiceCall {
-    /// Its ids.
+    /// Ids of the request.
     pub request_ids: answer::RequestIds,
-    /// Its key.
+    /// Key that identifies the caller.
     pub key: String,
-    /// Its own time limit.
+    /// Time limit requested by the caller.
     pub requested_limit: Option<time::Duration>,
-    /// Key for what must not run twice.
+    /// Idempotency key, for calls that must run at most once.
     pub idempotency: Option<String>,
-    /// The service called.
+    /// Service that is called.
     pub service: ids::ServiceId,
-    /// Method, headers and the path after the service's name.
+    /// Method, headers, and the path and query after the service's name.
     pub head: http::request::Parts,
-    /// When its last body byte had arrived.
+    /// When the last byte of the body had arrived.
     pub arrived: units::MonoTime,
 }
 
-/// An attempt's answer, or why there is none.
+/// Answer of an attempt, or its failure.
 type AttemptResult = Result<AttemptAnswer, upstream_call::AttemptFault>;
-/// The answer of an attempt after which the call has gone out anew.
+/// Pending answer of an attempt whose call has meanwhile been sent again.
 type LateAnswer = future::LocalBoxFuture<'static, AttemptResult>;
 
-/// A whole answer, and the attempt whose it is.
+/// A complete answer, with the attempt that it belongs to.
 struct AttemptAnswer {
     attempt: ids::AttemptId,
     whole: http::Response<Bytes>,
@@ -70,14 +72,14 @@
     deadline: units::MonoTime,
     record: decision::DecisionRecord,
     verdict: Option<key_vote::VoteVerdict>,
-    /// Whether a connection has fallen silent under it. From then on it takes new ones, so that no
-    /// call meets two silent connections.
+    /// Whether the call was sent again because an idle connection brought no answer. From then on
+    /// only new connections are used, so that a call meets at most one unresponsive connection.
     new_connections_only: bool,
-    /// What that connection may still bring. The upstream may only be slow.
+    /// Pending answer over the unresponsive connection. The upstream may merely be slow.
     late: Option<LateAnswer>,
 }
 
-/// Serves a call of a plain service.
+/// Serves a call to a plain service.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     connection: &mut http_server::ServerConnection,
@@ -107,6 +109,7 @@
     Ok(RequestEnd::Answered)
 }
 
+/// Identifies the caller and the service, and resolves their settings.
 async fn admit(
     context: rc::Rc<request_context::EntryContext>,
     call: ServiceCall,
@@ -150,7 +153,8 @@
 }
 
 impl ServiceRequest {
-    /// `None` when the caller has gone.
+    /// Runs the attempts within the time limit and records their outcome; `None` if the caller has
+    /// gone.
     async fn run(
         mut self,
         connection: &mut http_server::ServerConnection,
@@ -185,6 +189,7 @@
         }
     }
 
+    /// Tries upstreams one after the other until one answers or no retry is allowed.
     async fn attempts(&mut self) -> Result<http::Response<Bytes>, refusal::RequestRefusal> {
         self.claim_key().await?;
         let service = self.call.service.clone();
@@ -204,10 +209,10 @@
                 Err(fault) => fault,
             };
             ran = ran.or(fault.ran());
-            if let Some(silent) = self.late.take() {
-                late = Some(silent);
-                // Its retry has been taken. Only a connection has failed; where no other upstream
-                // is left, this one takes the call over a new connection.
+            if let Some(pending) = self.late.take() {
+                late = Some(pending);
+                // The retry budget has already been charged. Only the connection is known to have
+                // failed, so this upstream may be tried again over a new one, after all others.
                 upstreams.push_back(upstream);
             } else if !self.may_retry(fault.failure, number).await {
                 return Err(failed(&fault, ran));
@@ -217,8 +222,10 @@
         Err(last.map_or_else(|| no_upstream(&self.call.service), |fault| failed(&fault, ran)))
     }
 
-    /// Without a key, a call that must run at most once has this one request only. With a key, all
-    /// requests that carry it have one run between them.
+    /// Claims the idempotency key of a call that must run at most once.
+    ///
+    /// Without a key, that holds for the attempts of this request only. With a key, at most one of
+    /// all requests that carry the key runs.
     async fn claim_key(&mut self) -> Result<(), refusal::RequestRefusal> {
         let Some(key) = self.call.idempotency.as_deref().filter(|_| !self.repeatable) else {
             return Ok(());
@@ -251,6 +258,10 @@
         }
     }
 
+    /// Sends the call to one upstream and waits for the complete answer.
+    ///
+    /// A repeatable call over a connection that had been idle fails early if no answer arrives in
+    /// time and another attempt is allowed; its pending answer is then kept in `late`.
     async fn attempt(
         &mut self,
         upstream: &fleet_list::UpstreamRecord,
@@ -289,23 +300,26 @@
         }
         self.late = Some(exchange);
         let closed = self.context.pool.close_rested(upstream.address, sent);
-        Err(silent(wait, closed))
+        Err(silence_fault(wait, closed))
     }
 
-    /// Takes a retry for a call whose connection is silent. Without one the call waits on.
+    /// Asks for a retry of a call whose connection brings no answer. If it is denied, the call keeps
+    /// waiting on that connection.
     async fn retry_on_new_connection(&mut self, attempts: u32) -> bool {
-        // What was written may have run.
+        // The call was sent and may have run.
         let failure = retry::AttemptFailure::BrokeBeforeAnswer;
         self.new_connections_only = self.may_retry(failure, attempts).await;
         self.new_connections_only
     }
 
+    /// Adds the request's ids to an answer, and `connection: close` if the process is stopping.
     fn add_answer_headers(&self, mut whole: http::Response<Bytes>) -> http::Response<Bytes> {
         self.call.request_ids.add_headers(whole.headers_mut());
         answer::add_close_header(whole.headers_mut(), &self.context.stop);
         whole
     }
 
+    /// Builds the call to an upstream from the caller's method, path, headers and body.
     fn upstream_call(&self, attempt: &ids::AttemptId) -> http::Request<Bytes> {
         let head = &self.call.head;
         let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
@@ -314,7 +328,7 @@
             upstream_call::call(head.method.clone(), path, attempt, self.remaining_time(), body);
         let (own, headers) = (call.headers().clone(), call.headers_mut());
         copy_headers(&head.headers, headers);
-        // What slipturn itself states is not for a caller to overwrite.
+        // Headers set by slipturn replace those of the same name from the caller.
         headers.extend(own);
         call
     }
@@ -359,6 +373,7 @@
     }
 }
 
+/// Completes a decision record and sends it to the director.
 fn finish(
     context: &request_context::EntryContext,
     mut record: decision::DecisionRecord,
@@ -370,6 +385,7 @@
     context.events.send_to(event::EntryEvent::Decision(Box::new(record)));
 }
 
+/// Appends all headers except [`UNFORWARDED_HEADERS`].
 fn copy_headers(from: &http::HeaderMap, to: &mut http::HeaderMap) {
     for (name, value) in from {
         if !UNFORWARDED_HEADERS.contains(&name.as_str()) {
@@ -378,7 +394,7 @@
     }
 }
 
-/// Sends a call over a connection taken for it and reads its whole answer.
+/// Sends a call over a connection and reads the complete answer.
 async fn exchange(
     context: rc::Rc<request_context::EntryContext>,
     connection: http_client::CallConnection,
@@ -394,7 +410,8 @@
     Ok(AttemptAnswer { attempt, whole })
 }
 
-/// The end of an attempt, or the good answer of an earlier one if that comes first.
+/// Returns the result of `attempt`, or the answer of the earlier attempt `late` if that succeeds
+/// first.
 async fn first_success(
     attempt: impl Future<Output = AttemptResult>,
     late: &mut Option<LateAnswer>,
@@ -416,15 +433,16 @@
     upstream_call::AttemptFault::before_answer(&error)
 }
 
-/// The fault of a call that goes out anew, as its connection brought no answer for `wait`.
-fn silent(wait: time::Duration, closed: usize) -> upstream_call::AttemptFault {
+/// Failure of an attempt whose idle connection brought no complete answer within `wait`. `closed` is
+/// the number of other idle connections to the upstream that were closed as well.
+fn silence_fault(wait: time::Duration, closed: usize) -> upstream_call::AttemptFault {
     let text = format!(
         "no whole answer within {wait:?} over a connection that had rested; {closed} more closed"
     );
     upstream_call::AttemptFault { failure: retry::AttemptFailure::BrokeBeforeAnswer, text }
 }
 
-/// The last attempt's fault, and whether any attempt ran.
+/// Refusal of a call whose last attempt failed with `fault`; `ran` covers all attempts.
 fn failed(fault: &upstream_call::AttemptFault, ran: refusal::RanState) -> refusal::RequestRefusal {
     let code = match fault.failure {
         retry::AttemptFailure::NotConnected | retry::AttemptFailure::SaidNotRun => {
