--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -1,4 +1,4 @@
-//! One model request, from its read body to its final answer.
+//! Serving of a model request, from the received body to the final answer.
 
 use std::{rc, time};
 
@@ -11,34 +11,39 @@
     upstream_call::EngineOrders as _,
 };
 
-/// What a caller sent, apart from the prompt.
+/// A model request as sent by the caller, without its body.
 pub struct ModelCall {
-    /// Its ids.
+    /// Ids of the request.
     pub request_ids: answer::RequestIds,
-    /// Its key.
+    /// Key that identifies the caller.
     pub key: String,
-    /// Its own time limit.
+    /// Time limit requested by the caller.
     pub requested_limit: Option<time::Duration>,
-    /// Path called.
+    /// Path of the request, which is also the path on the engine.
     pub path: String,
-    /// When its last body byte had arrived.
+    /// When the last byte of the body had arrived.
     pub arrived: units::MonoTime,
 }
 
-/// How a request ended, and whether its connection can go on.
+/// How a request ended, and whether its connection can be used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// The answer is whole; the connection can take another request.
+    /// A complete answer or refusal was sent; the connection can serve another request.
     Answered,
-    /// The answer was cut, or the caller is gone; the connection must be closed.
+    /// The answer was truncated, the caller is gone, or the request's body was not read completely;
+    /// the connection must be closed.
     Close,
 }
 
 /// How an attempt ended.
 pub(crate) enum AttemptEnd {
+    /// The complete answer was sent to the caller.
     Whole,
+    /// The caller closed its connection.
     CallerGone,
+    /// The time limit of the request has passed.
     TimedOut,
+    /// The attempt failed; another one may follow.
     Failed(upstream_call::AttemptFault),
 }
 
@@ -49,11 +54,11 @@
     pub(crate) admitted: AdmittedRequest,
     pub(crate) record: decision::DecisionRecord,
     pub(crate) tried: Vec<ids::EngineId>,
-    /// Whether any attempt so far ran, as far as is known. Never goes back to `No`.
+    /// Whether any attempt so far ran, as far as is known. Never returns to `No`.
     pub(crate) ran: refusal::RanState,
-    /// Times between pieces of the answer, reported to the director once, at the end.
+    /// Intervals between pieces of the answer, sent to the director when the request ends.
     pub(crate) intervals: Vec<time::Duration>,
-    /// Set when the first piece goes out; from then on there is no other attempt.
+    /// When the first piece was forwarded; from then on there is no other attempt.
     pub(crate) first_token: Option<units::MonoTime>,
 }
 
@@ -96,7 +101,7 @@
     }
 }
 
-/// What is known of a request once it may run.
+/// Data of a request that has passed admission.
 pub(crate) struct AdmittedRequest {
     pub(crate) plan: entry_router::PlanQuestion,
     pub(crate) grant: entry_router::RequestGrant,
@@ -107,7 +112,7 @@
     pub(crate) deadline: units::MonoTime,
 }
 
-/// Finds the settings and takes the tokens from the customer's budget.
+/// Parses the body, resolves the settings and takes the tokens from the customer's budget.
 async fn admit(
     context: &request_context::EntryContext,
     call: &ModelCall,
@@ -130,6 +135,7 @@
 }
 
 impl ModelRequest {
+    /// Runs the attempts and sends the refusal or error event if they fail.
     async fn run(
         mut self,
         connection: &mut http_server::ServerConnection,
@@ -146,7 +152,7 @@
         let word = if started { "cut" } else { "refused" };
         self.finish(format!("{word}: {} (ran: {})", refusal.message, refusal.ran.label()));
         if started && self.admitted.stream {
-            // Whoever reads up to the end of the stream finds an error there and no `[DONE]`.
+            // A caller that reads the stream to its end finds an error event and no `[DONE]`.
             connection.send_piece(&answer::error_event(&refusal)).await?;
             connection.finish_stream().await?;
             return Ok(RequestEnd::Close);
@@ -156,6 +162,7 @@
         Ok(RequestEnd::Answered)
     }
 
+    /// Makes attempts until one succeeds, the caller leaves, or no retry is allowed.
     async fn attempts(
         &mut self,
         connection: &mut http_server::ServerConnection,
@@ -170,7 +177,7 @@
                 return Ok(RequestEnd::Close);
             };
             let found = found.unwrap_or_else(|_| Err(no_place_in_time()));
-            // That this attempt found no place says nothing of the ones before.
+            // Earlier attempts may have run although this one found no place.
             let place = found.map_err(|refusal| self.add_last_failure(refusal))?;
             self.measure_wait(&place);
             let end = self.attempt(connection, &place, &question.attempt).await;
@@ -200,7 +207,7 @@
         }
     }
 
-    /// Decides whether another attempt follows a failed one.
+    /// Ejects the engines of a failed attempt and decides whether another attempt follows.
     async fn handle_fault(
         &mut self,
         place: &place::HeldPlace,
@@ -234,7 +241,7 @@
         }
     }
 
-    /// The refusal of a request whose earlier attempts have failed.
+    /// Adds the failure of the previous attempt, if there was one, to the refusal of the next.
     fn add_last_failure(&self, refusal: refusal::RequestRefusal) -> refusal::RequestRefusal {
         let last = self.record.attempts.last().and_then(|row| row.end.clone());
         match last {
@@ -248,6 +255,7 @@
         }
     }
 
+    /// Sends the request to the engine of a place and forwards the answer.
     async fn attempt(
         &mut self,
         connection: &mut http_server::ServerConnection,
@@ -285,7 +293,7 @@
         }
     }
 
-    /// Has the other members of a group keep memory, before the first one gets the prompt.
+    /// Reserves memory on the other members of a group, before the prompt is sent to the first one.
     async fn reserve_members(
         &self,
         place: &place::HeldPlace,
@@ -295,7 +303,7 @@
             let tokens = place.member_memory;
             let reserved = self.context.pool.reserve(member.address, attempt.clone(), tokens).await;
             if let Err(fault) = reserved {
-                // The prompt itself has reached no engine.
+                // The prompt has not been sent to any engine.
                 let failure = retry::AttemptFailure::SaidNotRun;
                 return Err(upstream_call::AttemptFault { failure, ..fault });
             }
@@ -303,6 +311,7 @@
         Ok(())
     }
 
+    /// Builds the call to the engine, with the priority and the other members of a group.
     fn engine_call(
         &self,
         place: &place::HeldPlace,
@@ -336,10 +345,12 @@
         }
     }
 
+    /// Time until the deadline of the request, or zero.
     pub(crate) fn remaining_time(&self) -> time::Duration {
         self.admitted.deadline.since(self.context.clock.now())
     }
 
+    /// Fault of an answer that broke, before or after its first piece was forwarded.
     pub(crate) fn broken_answer(&self, text: &str) -> upstream_call::AttemptFault {
         let failure = match self.first_token {
             Some(_) => retry::AttemptFailure::BrokeMidAnswer,
@@ -358,6 +369,7 @@
         refusal::RequestRefusal::not_run(refusal::RefusalCode::TimedOut, text).ran(ran)
     }
 
+    /// Adds an attempt and its end to the decision record.
     fn record_attempt(&mut self, place: &place::HeldPlace, end: &AttemptEnd) {
         let mut row = place.row.clone();
         row.end = Some(match end {
@@ -369,6 +381,7 @@
         self.record.attempts.push(row);
     }
 
+    /// Records the measurements of an ended request and sends its decision record to the director.
     fn finish(&mut self, end: String) {
         let total = self.context.clock.now().since(self.call.arrived);
         self.measure(histogram::MeasureKind::Total, total);
@@ -381,6 +394,7 @@
     }
 }
 
+/// Refusal of a request that found no place within its time limit.
 fn no_place_in_time() -> refusal::RequestRefusal {
     let code = refusal::RefusalCode::Overloaded;
     refusal::RequestRefusal::not_run(code, "no engine took it within its time limit")
