--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -117,7 +117,8 @@
     }
 }
 
-/// Drops idle connections and unused locks, and the links to schedulers that are not listed.
+/// Drops idle connections, unused locks, and the links to schedulers that are neither local nor
+/// listed.
 async fn prune(context: rc::Rc<request_context::EntryContext>) {
     loop {
         monoio::time::sleep(PRUNE_INTERVAL).await;
