--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -13,25 +13,26 @@
     context: &rc::Rc<request_context::EntryContext>,
     question: &place::PlaceQuestion,
 ) -> Result<place::HeldPlace, refusal::RequestRefusal> {
-    let need = question.need();
+    let required_memory = question.required_memory();
     let to_event = |answer| {
         let tree = rc::Rc::clone(&question.grant.fleet);
-        event::EntryEvent::Group(question.plan.model.clone(), need, tree, answer)
+        event::EntryEvent::Group(question.plan.model.clone(), required_memory, tree, answer)
     };
     let members = context.events.ask(to_event).await;
     if members.is_empty() {
-        let text = format!("no group of engines holds {need}");
+        let text = format!("no group of engines holds {required_memory}");
         return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
     }
     let started = context.clock.now();
     let patience = started + question.grant.fleet.fleet.group_wait.0;
-    let part = units::TokenCount(need.0.div_ceil(members.len() as u64));
-    let reason = format!("a group of {}, {part} each", members.len());
-    let mut held = place::hold(context, question, Vec::new(), true, Vec::new(), reason);
-    held.member_memory = part;
+    let memory_per_member = units::TokenCount(required_memory.0.div_ceil(members.len() as u64));
+    let reason = format!("a group of {}, {memory_per_member} each", members.len());
+    let mut held =
+        place::create_held_place(context, question, Vec::new(), true, Vec::new(), reason);
+    held.member_memory = memory_per_member;
     for member in members {
         let mut request = question.request(context, &member);
-        request.memory = part;
+        request.memory = memory_per_member;
         request.grouped = true;
         request.patience = patience.min(question.deadline);
         let link = context.links.link(member.scheduler);
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -16,9 +16,9 @@
     key: &key_vote::ScopedKey,
     request: &ids::RequestId,
 ) -> key_vote::VoteVerdict {
-    let asked = context.clock.now();
+    let asked_at = context.clock.now();
     let list = context.events.ask(|answer| event::EntryEvent::Voters(key.clone(), answer)).await;
-    let mut tally = key_vote::VoteTally::new(asked);
+    let mut tally = key_vote::VoteTally::new(asked_at);
     let (first, others) = list.voters.split_at(list.voters.len().min(1));
     ask_all(context, key, request, first, &mut tally).await;
     let mut next = 0;
@@ -48,10 +48,10 @@
     voters: &[(ids::InstanceId, net::SocketAddr)],
     tally: &mut key_vote::VoteTally,
 ) {
-    let asked = voters.iter().map(|(name, scheduler)| async move {
+    let queries = voters.iter().map(|(name, scheduler)| async move {
         (name, context.links.link(*scheduler).vote(key, request).await)
     });
-    for (name, answer) in future::join_all(asked).await {
+    for (name, answer) in future::join_all(queries).await {
         match answer {
             Ok(answer) => tally.add(name, answer),
             Err(error) => log::debug!("vote request failed: {error}"),
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -142,15 +142,15 @@
     ) -> Result<RequestEnd, http_server::ServeError> {
         let refusal = match self.attempts(connection).await {
             Ok(end) => {
-                let word = if end == RequestEnd::Answered { "answered" } else { "caller gone" };
-                self.finish(word.to_owned());
+                let outcome = if end == RequestEnd::Answered { "answered" } else { "caller gone" };
+                self.finish(outcome.to_owned());
                 return Ok(end);
             }
             Err(refusal) => self.context.spread_retry_after(refusal).await,
         };
         let started = self.first_token.is_some();
-        let word = if started { "cut" } else { "refused" };
-        self.finish(format!("{word}: {} (ran: {})", refusal.message, refusal.ran.label()));
+        let outcome = if started { "cut" } else { "refused" };
+        self.finish(format!("{outcome}: {} (ran: {})", refusal.message, refusal.ran.label()));
         if started && self.admitted.stream {
             // A caller that reads the stream to its end finds an error event and no `[DONE]`.
             connection.send_piece(&answer::error_event(&refusal)).await?;
@@ -226,14 +226,14 @@
             max_attempts: self.admitted.grant.settings.max_attempts.value,
             time_left: !self.remaining_time().is_zero(),
         };
-        let ask = |answer| event::EntryEvent::Retry(question, answer);
-        match self.context.events.ask(ask).await {
+        let to_event = |answer| event::EntryEvent::Retry(question, answer);
+        match self.context.events.ask(to_event).await {
             retry::RetryVerdict::Retry => {
                 self.record.notes.push(format!("retry: {}", fault.text));
                 Ok(())
             }
-            retry::RetryVerdict::GiveUp(why) => {
-                self.record.notes.push(format!("no retry: {why}"));
+            retry::RetryVerdict::GiveUp(reason) => {
+                self.record.notes.push(format!("no retry: {reason}"));
                 let code = refusal::RefusalCode::UpstreamFailed;
                 let refusal = refusal::RequestRefusal::not_run(code, fault.text.clone());
                 Err(refusal.ran(self.ran).retry_after(time::Duration::from_secs(1)))
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -160,8 +160,8 @@
     id: &str,
     forwarded: bool,
 ) -> http::Response<Bytes> {
-    let ask = |answer| event::EntryEvent::Find(id.to_owned(), answer);
-    if let Some(record) = context.events.ask(ask).await {
+    let to_event = |answer| event::EntryEvent::Find(id.to_owned(), answer);
+    if let Some(record) = context.events.ask(to_event).await {
         return http_server::json_answer(200, &*record);
     }
     let unknown = || status_message(404, "no record: unknown, or older than what is remembered");
@@ -170,8 +170,8 @@
     }
     let list = context.events.ask(event::EntryEvent::List).await;
     for peers in peers_to_ask(context, &list, id).chunks(PEERS_AT_ONCE) {
-        let asked = peers.iter().map(|peer| ask_peer(context, peer, id));
-        let found = future::join_all(asked).await.into_iter().flatten().next();
+        let queries = peers.iter().map(|peer| ask_peer(context, peer, id));
+        let found = future::join_all(queries).await.into_iter().flatten().next();
         if let Some(found) = found {
             return found;
         }
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -32,7 +32,7 @@
 
 impl PlaceQuestion {
     /// Memory needed for the prompt and the output together.
-    pub(crate) fn need(&self) -> units::TokenCount {
+    pub(crate) fn required_memory(&self) -> units::TokenCount {
         self.plan.prompt + self.grant.output
     }
 
@@ -53,7 +53,7 @@
             prompt: self.plan.prompt,
             cached: cached.min(self.plan.prompt),
             output: self.grant.output,
-            memory: self.need(),
+            memory: self.required_memory(),
             grouped: false,
             deadline: self.deadline,
             patience: self.deadline,
@@ -174,7 +174,7 @@
 fn needs_group(question: &PlaceQuestion, targets: &[engine_directory::EngineTarget]) -> bool {
     let headroom = question.grant.fleet.fleet.headroom.factor();
     let largest = targets.iter().map(|target| target.memory.scale(1.0 - headroom)).max();
-    largest.is_some_and(|largest| question.need() > largest)
+    largest.is_some_and(|largest| question.required_memory() > largest)
 }
 
 async fn try_candidates(
@@ -185,14 +185,14 @@
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
     let wants_offers = context.events.ask(event::EntryEvent::WantsOffers).await;
     if !wants_offers {
-        return without_leases(context, question, targets, tried).await;
+        return choose_without_lease(context, question, targets, tried).await;
     }
     let answers = ask_offers(context, question, &targets).await;
     let rows = targets.iter().zip(&answers).map(offer_row).collect();
     let offers: Vec<_> = answers.iter().map(OfferOutcome::offer).collect();
     let to_event = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
     let Some(choice) = context.events.ask(to_event).await else {
-        return without_offers(context, question, targets, answers, rows, tried).await;
+        return handle_no_choice(context, question, targets, answers, rows, tried).await;
     };
     let target = targets[choice.index].clone();
     tried.push(target.engine.clone());
@@ -222,7 +222,7 @@
     targets: &[engine_directory::EngineTarget],
 ) -> Vec<OfferOutcome> {
     let now = context.clock.now();
-    let asked = targets.iter().map(|target| async move {
+    let queries = targets.iter().map(|target| async move {
         let request = question.request(context, target);
         match context.links.link(target.scheduler).offer(&target.engine, &request, now).await {
             Ok(Ok(offer)) => OfferOutcome::Offered(offer),
@@ -230,7 +230,7 @@
             Err(error) => OfferOutcome::Silent(error.to_string()),
         }
     });
-    future::join_all(asked).await
+    future::join_all(queries).await
 }
 
 fn offer_row(
@@ -255,7 +255,7 @@
 ///
 /// An engine whose scheduler is unreachable is used without a lease if this entry may still do so;
 /// otherwise the request is refused.
-async fn without_offers(
+async fn handle_no_choice(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
     targets: Vec<engine_directory::EngineTarget>,
@@ -274,7 +274,14 @@
                     |answer| event::EntryEvent::DirectShare(target.engine.clone(), answer);
                 if context.events.ask(to_event).await {
                     let reason = "its scheduler is out of reach: direct share".to_owned();
-                    return Ok(hold(context, question, vec![target], false, rows, reason));
+                    return Ok(create_held_place(
+                        context,
+                        question,
+                        vec![target],
+                        false,
+                        rows,
+                        reason,
+                    ));
                 }
             }
         }
@@ -284,7 +291,7 @@
 
 /// Chooses a candidate without asking schedulers, as the baseline routing policies do. The request
 /// then waits in the engine's own queue.
-async fn without_leases(
+async fn choose_without_lease(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
     targets: Vec<engine_directory::EngineTarget>,
@@ -295,7 +302,14 @@
     let choice = context.events.ask(to_event).await.ok_or_else(no_engine)?;
     let target = targets[choice.index].clone();
     tried.push(target.engine.clone());
-    Ok(hold(context, question, vec![target], false, Vec::new(), choice.reason.to_owned()))
+    Ok(create_held_place(
+        context,
+        question,
+        vec![target],
+        false,
+        Vec::new(),
+        choice.reason.to_owned(),
+    ))
 }
 
 /// Acquires a lease from the scheduler of the chosen engine.
@@ -311,7 +325,7 @@
     let link = context.links.link(target.scheduler);
     match link.acquire(&target.engine, &request, started).await {
         Ok(Ok(priority)) => {
-            let mut place = hold(context, question, vec![target], true, rows, reason);
+            let mut place = create_held_place(context, question, vec![target], true, rows, reason);
             place.priority = Some(priority);
             place.row.waited_ms = millis_since(context, started);
             Ok(place)
@@ -328,7 +342,7 @@
 }
 
 /// Creates a held place on `members` and counts the attempt as running on each of them.
-pub(crate) fn hold(
+pub(crate) fn create_held_place(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
     members: Vec<engine_directory::EngineTarget>,
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -49,8 +49,8 @@
         mut refusal: refusal::RequestRefusal,
     ) -> refusal::RequestRefusal {
         if let Some(expected) = refusal.retry_after {
-            let ask = |answer| event::EntryEvent::SpreadRetry(expected, answer);
-            refusal.retry_after = Some(self.events.ask(ask).await);
+            let to_event = |answer| event::EntryEvent::SpreadRetry(expected, answer);
+            refusal.retry_after = Some(self.events.ask(to_event).await);
         }
         refusal
     }
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -193,8 +193,8 @@
     async fn attempts(&mut self) -> Result<http::Response<Bytes>, refusal::RequestRefusal> {
         self.claim_key().await?;
         let service = self.call.service.clone();
-        let ask = |answer| event::EntryEvent::Upstreams(service, answer);
-        let mut upstreams = collections::VecDeque::from(self.context.events.ask(ask).await);
+        let to_event = |answer| event::EntryEvent::Upstreams(service, answer);
+        let mut upstreams = collections::VecDeque::from(self.context.events.ask(to_event).await);
         let mut last = None;
         let mut ran = refusal::RanState::No;
         let mut number = 0;
@@ -341,8 +341,8 @@
             max_attempts: self.settings.max_attempts.value,
             time_left: !self.remaining_time().is_zero(),
         };
-        let ask = |answer| event::EntryEvent::Retry(question, answer);
-        self.context.events.ask(ask).await == retry::RetryVerdict::Retry
+        let to_event = |answer| event::EntryEvent::Retry(question, answer);
+        self.context.events.ask(to_event).await == retry::RetryVerdict::Retry
     }
 
     fn record_attempt(
