--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -112,12 +112,8 @@
             EntryEvent::Histograms(answer) => reply(answer, self.histograms.rows()),
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
-            EntryEvent::Documents(update, wakes_when_asked) => {
-                self.apply_documents(now, &update, wakes_when_asked)
-            }
-            EntryEvent::AllSilent(wakes_when_asked) => {
-                router.note_sources_asked(now, wakes_when_asked)
-            }
+            EntryEvent::Documents(update, wakes) => self.apply_documents(now, &update, wakes),
+            EntryEvent::AllSilent(wakes) => router.note_sources_asked(now, wakes),
             EntryEvent::Tick => self.tick(now),
         }
     }
@@ -165,11 +161,12 @@
     }
 
     /// Applies settings and list from an update; without new settings, it confirms those in force.
+    /// `wakes` is the number of detected process pauses when the sources were asked.
     fn apply_documents(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
-        wakes_when_asked: u64,
+        wakes: u64,
     ) {
         match &update.settings {
             Some(text) => self.apply_settings(now, text),
@@ -181,7 +178,7 @@
                 Err(fault) => log::error!("list refused: {fault}"),
             }
         }
-        self.router.note_sources_asked(now, wakes_when_asked);
+        self.router.note_sources_asked(now, wakes);
         self.update_summary();
     }
 
