--- a/crates/entry/src/model_answer.rs
+++ b/crates/entry/src/model_answer.rs
@@ -56,9 +56,9 @@
     ) -> Result<(), http_server::ServeError> {
         let now = self.context.clock.now();
         self.first_token = Some(now);
-        let spent = now.since(self.call.arrived);
-        self.record.first_token_ms = Some(units::whole_millis(spent));
-        self.measure(histogram::MeasureKind::FirstToken, spent);
+        let elapsed = now.since(self.call.arrived);
+        self.record.first_token_ms = Some(units::whole_millis(elapsed));
+        self.measure(histogram::MeasureKind::FirstToken, elapsed);
         let mut head = http::Response::new(());
         let headers = head.headers_mut();
         let content_type = http::HeaderValue::from_static("text/event-stream");
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -174,9 +174,9 @@
         };
         let settings = &self.settings;
         let series = vec![format!("service/{}/{}", self.call.service, settings.customer)];
-        let spent = context.clock.now().since(arrived);
+        let elapsed = context.clock.now().since(arrived);
         let total = histogram::MeasureKind::Total;
-        context.events.send_to(event::EntryEvent::Measure(total, series, vec![spent]));
+        context.events.send_to(event::EntryEvent::Measure(total, series, vec![elapsed]));
         finish(&context, self.record, arrived, end);
         match served {
             None => Ok(None),
@@ -284,7 +284,7 @@
         let connecting = self.context.pool.connect(upstream.address, connection_use);
         let connection = connecting.await.map_err(before_answer)?;
         let was_idle = connection.has_rested();
-        let sent = time::Instant::now();
+        let sent_at = time::Instant::now();
         let call = self.upstream_call(attempt);
         let context = rc::Rc::clone(&self.context);
         let mut exchange = exchange(context, connection, call, attempt.clone()).boxed_local();
@@ -299,7 +299,7 @@
             return exchange.await;
         }
         self.late = Some(exchange);
-        let closed = self.context.pool.close_rested(upstream.address, sent);
+        let closed = self.context.pool.close_rested(upstream.address, sent_at);
         Err(silence_fault(wait, closed))
     }
 
