--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -111,7 +111,8 @@
 ) -> Result<(Bytes, crate::body_budget::BodyHold), refusal::RequestRefusal> {
     let limits = &context.local.limits;
     let body_limit = limits.max_body.0;
-    // The length of a chunked body is unknown, so the largest allowed is held until it has been read.
+    // The length of a chunked body is unknown, so the largest allowed is held until it has been
+    // read.
     let expected = incoming.declared_length().unwrap_or(body_limit).min(body_limit);
     let mut hold = context.bodies.hold(expected)?;
     let bounds = http_server::BodyLimits { max_bytes: body_limit, time: limits.body_time.0 };
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -1,4 +1,5 @@
-//! The task that owns the state shared by an entry's requests: router, decision records, histograms.
+//! The task that owns the state shared by an entry's requests: router, decision records,
+//! histograms.
 
 use std::{collections, rc};
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! The modules follow the lifetimes of what they hold: [`program`] lasts as long as the process,
 //! [`caller_connection`] as long as a connection, [`model_request`] and [`service_request`] as long
-//! as a request, and [`place`] as long as an attempt. State shared by requests is owned by one task,
-//! the [`director`].
+//! as a request, and [`place`] as long as an attempt. State shared by requests is owned by one
+//! task, the [`director`].
 
 pub mod answer;
 pub mod body_budget;
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -10,7 +10,8 @@
 
 use crate::{event, request_context};
 
-/// Time limit for the answer of another instance, and for reading the body of an operator's request.
+/// Time limit for the answer of another instance, and for reading the body of an operator's
+/// request.
 const PEER_LIMIT: time::Duration = time::Duration::from_secs(2);
 /// Largest accepted answer of another instance, in bytes.
 const MAX_PEER_ANSWER: u64 = 4 << 20;
@@ -179,8 +180,8 @@
     unknown()
 }
 
-/// Instances that may hold the record of a request: the listed instance that the id names, otherwise
-/// all others. An id chosen by a caller names no instance.
+/// Instances that may hold the record of a request: the listed instance that the id names,
+/// otherwise all others. An id chosen by a caller usually names none.
 fn peers_to_ask<'list>(
     context: &request_context::EntryContext,
     list: &'list fleet_list::FleetList,
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -7,7 +7,7 @@
 
 use crate::{event, group_place, request_context, upstream_call::EngineOrders as _};
 
-/// Number of times that candidates are sampled before a request is refused.
+/// Largest number of rounds of candidates before a request is refused.
 const MAX_ROUNDS: usize = 3;
 /// Pause before the only retry of a failed release.
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(300);
@@ -24,7 +24,7 @@
     pub prefix: u64,
     /// Estimated length of the prompt's prefix.
     pub prefix_tokens: units::TokenCount,
-    /// Engines used by earlier attempts, which are not considered again.
+    /// Engines used by earlier attempts, which are left out of the candidates.
     pub tried: Vec<ids::EngineId>,
     /// When the answer must be complete.
     pub deadline: units::MonoTime,
@@ -93,8 +93,8 @@
         let freeing =
             others.map(|member| self.context.pool.cancel(member.address, self.attempt.clone()));
         for freed in future::join_all(freeing).await {
-            // A lost cancel is made up for by the engine's scheduler, which cancels the attempt when
-            // it still appears in the engine's report.
+            // A lost cancel is made up for by the engine's scheduler, which cancels the attempt
+            // when it still appears in the engine's report.
             if let Err(fault) = freed {
                 log::debug!("cannot free reserved memory: {}", fault.text);
             }
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -26,7 +26,8 @@
 /// Interval of the checks whether requests are still in progress.
 const STOP_POLL: time::Duration = time::Duration::from_millis(20);
 
-/// Runs an entry until a stop is requested and its requests have ended.
+/// Runs an entry until a stop is requested and its requests have ended, or a limit on that wait has
+/// passed.
 ///
 /// # Errors
 ///
@@ -84,8 +85,8 @@
         caller_connection::serve(rc::Rc::clone(&callers_context), connection)
     });
     let (close, closed) = oneshot::channel::<()>();
-    // Dropping a task's handle doesn't stop the task, so the listener is closed by dropping `close`,
-    // which ends the `select`.
+    // Dropping a task's handle doesn't stop the task, so the listener is closed by dropping
+    // `close`, which ends the `select`.
     monoio::spawn(async move {
         future::select(Box::pin(accepting), closed).await;
     });
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -37,8 +37,8 @@
     ///
     /// # Errors
     ///
-    /// Refuses with `BadRequest` if the body is not a JSON object, or if a member that routing needs
-    /// is missing or malformed.
+    /// Refuses with `BadRequest` if the body is not a JSON object, or if a member that routing
+    /// needs is missing or malformed.
     pub fn read(body: &[u8]) -> Result<Self, refusal::RequestRefusal> {
         let members: collections::BTreeMap<String, Box<value::RawValue>> =
             serde_json::from_slice(body).map_err(|error| bad_request(&error.to_string()))?;
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -42,8 +42,8 @@
         ids::RequestId::new(&self.local.instance, self.boot, self.sequence.get())
     }
 
-    /// Adds jitter to the retry delay of a refusal, if it has one, so that refused callers don't all
-    /// return at the same time.
+    /// Adds jitter to the retry delay of a refusal, if it has one, so that refused callers don't
+    /// all return at the same time.
     pub async fn spread_retry_after(
         &self,
         mut refusal: refusal::RequestRefusal,
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -303,8 +303,8 @@
         Err(silence_fault(wait, closed))
     }
 
-    /// Asks for a retry of a call whose connection brings no answer. If it is denied, the call keeps
-    /// waiting on that connection.
+    /// Asks for a retry of a call whose connection brings no answer. If it is denied, the call
+    /// keeps waiting on that connection.
     async fn retry_on_new_connection(&mut self, attempts: u32) -> bool {
         // The call was sent and may have run.
         let failure = retry::AttemptFailure::BrokeBeforeAnswer;
@@ -433,8 +433,8 @@
     upstream_call::AttemptFault::before_answer(&error)
 }
 
-/// Failure of an attempt whose idle connection brought no complete answer within `wait`. `closed` is
-/// the number of other idle connections to the upstream that were closed as well.
+/// Failure of an attempt whose idle connection brought no complete answer within `wait`. `closed`
+/// is the number of other idle connections to the upstream that were closed as well.
 fn silence_fault(wait: time::Duration, closed: usize) -> upstream_call::AttemptFault {
     let text = format!(
         "no whole answer within {wait:?} over a connection that had rested; {closed} more closed"
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -56,8 +56,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the answer belongs to another attempt, or if the upstream states that it did not run the
-/// call.
+/// Fails if the answer belongs to another attempt, or if the upstream states that it did not run
+/// the call.
 pub fn check_head(
     head: &http::response::Parts,
     attempt: &ids::AttemptId,
