--- a/crates/entry/src/body_budget.rs
+++ b/crates/entry/src/body_budget.rs
@@ -1,40 +1,44 @@
-//! Bytes of bodies held by one process, all requests together.
+//! Limit on the total size of the request bodies that a process holds in memory.
 
 use std::{cell, rc};
 
 use slipturn_core::{refusal, units};
 
-/// The bytes left.
+/// Number of bytes that can still be held. Clones share one count.
 #[derive(Debug, Clone)]
 pub struct BodyBudget {
-    left: rc::Rc<cell::Cell<u64>>,
+    available: rc::Rc<cell::Cell<u64>>,
 }
 
 impl BodyBudget {
-    /// A budget of `limit` bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: units::ByteCount) -> Self {
-        Self { left: rc::Rc::new(cell::Cell::new(limit.0)) }
+        Self { available: rc::Rc::new(cell::Cell::new(limit.0)) }
     }
 
-    /// Takes `bytes` for as long as the hold lives.
+    /// Takes `bytes` from the budget until the returned hold is dropped.
+    ///
+    /// # Errors
+    ///
+    /// Refuses with `OutOfMemory` if fewer bytes are available.
     pub fn hold(&self, bytes: u64) -> Result<BodyHold, refusal::RequestRefusal> {
-        let Some(left) = self.left.get().checked_sub(bytes) else {
+        let Some(available) = self.available.get().checked_sub(bytes) else {
             let text = "this instance holds as many bytes of requests as it may";
             let code = refusal::RefusalCode::OutOfMemory;
             let refusal = refusal::RequestRefusal::not_run(code, text);
             return Err(refusal.retry_after(std::time::Duration::from_secs(1)));
         };
-        self.left.set(left);
+        self.available.set(available);
         Ok(BodyHold { budget: self.clone(), bytes })
     }
 
-    /// Bytes not held.
-    pub fn left(&self) -> u64 {
-        self.left.get()
+    /// Number of bytes that are not held.
+    pub fn available(&self) -> u64 {
+        self.available.get()
     }
 }
 
-/// Bytes held for one request.
+/// Bytes held for one request, returned to the budget on drop.
 #[derive(Debug)]
 pub struct BodyHold {
     budget: BodyBudget,
@@ -42,16 +46,16 @@
 }
 
 impl BodyHold {
-    /// Gives back what a body turned out not to need.
+    /// Reduces the hold to `bytes` once the actual size of the body is known. Never enlarges it.
     pub fn shrink(&mut self, bytes: u64) {
         let surplus = self.bytes.saturating_sub(bytes);
-        self.budget.left.set(self.budget.left.get() + surplus);
+        self.budget.available.set(self.budget.available.get() + surplus);
         self.bytes -= surplus;
     }
 }
 
 impl Drop for BodyHold {
     fn drop(&mut self) {
-        self.budget.left.set(self.budget.left.get() + self.bytes);
+        self.budget.available.set(self.budget.available.get() + self.bytes);
     }
 }
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: reads requests, hands each to what serves it.
+//! Connections of callers: reads requests and dispatches them by path.
 
 use std::{rc, time};
 
@@ -15,12 +15,13 @@
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 /// Path of the list of models.
 const MODELS_PATH: &str = "/v1/models";
-/// Start of the paths of plain services.
+/// Prefix of the paths of plain services.
 const SERVICES_PREFIX: &str = "/services/";
-/// Longest id of its own that a caller may send.
+/// Longest request id accepted from a caller, in bytes; a longer one is ignored.
 const MAX_CALLER_ID: usize = 128;
 
-/// Serves a connection until the caller leaves it, or a request ends it.
+/// Serves a connection until the caller closes it, a request requires it to be closed, or the
+/// process stops.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     mut connection: http_server::ServerConnection,
@@ -30,36 +31,37 @@
             Ok(Some(incoming)) => incoming,
             Ok(None) => return,
             Err(error) => {
-                refuse_unread(&context, &mut connection, &error).await;
+                refuse_bad_head(&context, &mut connection, &error).await;
                 return;
             }
         };
         let close = http_server::wants_close(&incoming.head);
-        let active = context.enter();
+        let active = context.begin_request();
         let end = serve_one(&context, &mut connection, incoming).await;
         drop(active);
         match end {
             Ok(RequestEnd::Answered) if !close && !context.stop.asked() => {}
             Ok(_) => return,
             Err(error) => {
-                log::debug!("caller: {error}");
+                log::debug!("caller connection: {error}");
                 return;
             }
         }
     }
 }
 
-/// A request whose head cannot be read has no id of the caller's; the connection ends with it.
-async fn refuse_unread(
+/// Refuses a request whose head can't be read. The caller's own id is unknown then, and the
+/// connection must be closed afterwards.
+async fn refuse_bad_head(
     context: &request_context::EntryContext,
     connection: &mut http_server::ServerConnection,
     error: &http_server::ServeError,
 ) {
-    let names = answer::RequestNames { request: context.next_request(), caller: None };
+    let request_ids = answer::RequestIds { request: context.next_request(), caller: None };
     let code = refusal::RefusalCode::BadRequest;
     let refusal = refusal::RequestRefusal::not_run(code, error.to_string());
-    if let Err(error) = connection.respond(answer::refusal_answer(&names, &refusal)).await {
-        log::debug!("caller: {error}");
+    if let Err(error) = connection.respond(answer::refusal_answer(&request_ids, &refusal)).await {
+        log::debug!("cannot send a refusal to the caller: {error}");
     }
     connection.linger().await;
 }
@@ -71,18 +73,19 @@
 ) -> Result<RequestEnd, http_server::ServeError> {
     let caller = incoming.header(answer::CALLER_HEADER);
     let caller = caller.filter(|id| id.len() <= MAX_CALLER_ID).map(str::to_owned);
-    let names = answer::RequestNames { request: context.next_request(), caller };
+    let request_ids = answer::RequestIds { request: context.next_request(), caller };
     let (body, _hold) = match read_body(context, connection, &mut incoming).await {
         Ok(body) => body,
         Err(refusal) => {
-            let refusal = context.spread(refusal).await;
-            // What is left of the body would be taken for the next request.
-            connection.respond(answer::refusal_answer(&names, &refusal)).await?;
+            let refusal = context.spread_retry_after(refusal).await;
+            // The connection is closed, because the unread rest of the body would be parsed as the
+            // next request.
+            connection.respond(answer::refusal_answer(&request_ids, &refusal)).await?;
             connection.linger().await;
             return Ok(RequestEnd::Close);
         }
     };
-    match route(context, names.clone(), &incoming) {
+    match route(context, request_ids.clone(), &incoming) {
         Ok(RoutedCall::Model(call)) => {
             model_request::serve(rc::Rc::clone(context), connection, call, body).await
         }
@@ -90,27 +93,29 @@
             service_request::serve(rc::Rc::clone(context), connection, *call, body).await
         }
         Ok(RoutedCall::Models) => {
-            connection.respond(models_answer(context, &names).await).await?;
+            connection.respond(models_answer(context, &request_ids).await).await?;
             Ok(RequestEnd::Answered)
         }
         Err(refusal) => {
-            connection.respond(answer::refusal_answer(&names, &refusal)).await?;
+            connection.respond(answer::refusal_answer(&request_ids, &refusal)).await?;
             Ok(RequestEnd::Answered)
         }
     }
 }
 
+/// Reads a request's body and holds its size in the body budget.
 async fn read_body(
     context: &request_context::EntryContext,
     connection: &mut http_server::ServerConnection,
     incoming: &mut http_server::IncomingHead,
 ) -> Result<(Bytes, crate::body_budget::BodyHold), refusal::RequestRefusal> {
     let limits = &context.local.limits;
-    let most = limits.max_body.0;
-    // A chunked body may turn out as long as the longest.
-    let expected = incoming.declared_length().unwrap_or(most).min(most);
+    let body_limit = limits.max_body.0;
+    // The length of a chunked body is unknown, so the largest allowed is held until it has been
+    // read.
+    let expected = incoming.declared_length().unwrap_or(body_limit).min(body_limit);
     let mut hold = context.bodies.hold(expected)?;
-    let bounds = http_server::BodyLimits { max_bytes: most, time: limits.body_time.0 };
+    let bounds = http_server::BodyLimits { max_bytes: body_limit, time: limits.body_time.0 };
     let body = connection.read_body(incoming, bounds).await.map_err(body_refusal)?;
     hold.shrink(body.len() as u64);
     Ok((body, hold))
@@ -125,15 +130,17 @@
     refusal::RequestRefusal::not_run(code, error.to_string())
 }
 
+/// A request, by the part of the entry that serves it.
 enum RoutedCall {
     Model(model_request::ModelCall),
     Service(Box<service_request::ServiceCall>),
     Models,
 }
 
+/// Determines by method and path what serves a request, and reads the headers that it needs.
 fn route(
     context: &request_context::EntryContext,
-    names: answer::RequestNames,
+    request_ids: answer::RequestIds,
     incoming: &http_server::IncomingHead,
 ) -> Result<RoutedCall, refusal::RequestRefusal> {
     let refuse = |code, text: &str| refusal::RequestRefusal::not_run(code, text);
@@ -142,22 +149,28 @@
         return Ok(RoutedCall::Models);
     }
     let is_model = MODEL_PATHS.contains(&path) && incoming.head.method == http::Method::POST;
-    let behind = path.strip_prefix(SERVICES_PREFIX);
-    if !is_model && behind.is_none() {
+    let service_path = path.strip_prefix(SERVICES_PREFIX);
+    if !is_model && service_path.is_none() {
         let text = format!("{} {path} is not served", incoming.head.method);
         return Err(refuse(refusal::RefusalCode::NotFound, &text));
     }
     let key = bearer_key(incoming).ok_or_else(|| {
         refuse(refusal::RefusalCode::Unauthorized, "no key: send 'Authorization: Bearer KEY'")
     })?;
-    let (wish, arrived) = (time_wish(incoming)?, context.clock.now());
-    match behind {
+    let (requested_limit, arrived) = (parse_timeout_header(incoming)?, context.clock.now());
+    match service_path {
         None => {
             let path = path.to_owned();
-            Ok(RoutedCall::Model(model_request::ModelCall { names, key, wish, path, arrived }))
+            Ok(RoutedCall::Model(model_request::ModelCall {
+                request_ids,
+                key,
+                requested_limit,
+                path,
+                arrived,
+            }))
         }
-        Some(behind) => {
-            let (service, rest) = behind.split_once('/').unwrap_or((behind, ""));
+        Some(service_path) => {
+            let (service, rest) = service_path.split_once('/').unwrap_or((service_path, ""));
             let service: ids::ServiceId = service
                 .parse()
                 .map_err(|_| refuse(refusal::RefusalCode::NotFound, "not a name of a service"))?;
@@ -168,9 +181,9 @@
                 .map_err(|_| refuse(refusal::RefusalCode::BadRequest, "not a valid path"))?;
             let idempotency = incoming.header(answer::KEY_HEADER).map(str::to_owned);
             let call = service_request::ServiceCall {
-                names,
+                request_ids,
                 key,
-                wish,
+                requested_limit,
                 idempotency,
                 service,
                 head,
@@ -181,12 +194,14 @@
     }
 }
 
+/// The key in the `Authorization` header, if its scheme is `Bearer`.
 fn bearer_key(incoming: &http_server::IncomingHead) -> Option<String> {
     let (scheme, key) = incoming.header("authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim().to_owned())
 }
 
-fn time_wish(
+/// Reads the time limit requested by the caller, a positive number of milliseconds.
+fn parse_timeout_header(
     incoming: &http_server::IncomingHead,
 ) -> Result<Option<time::Duration>, refusal::RequestRefusal> {
     let Some(text) = incoming.header(answer::TIMEOUT_HEADER) else {
@@ -216,12 +231,12 @@
 
 async fn models_answer(
     context: &request_context::EntryContext,
-    names: &answer::RequestNames,
+    request_ids: &answer::RequestIds,
 ) -> http::Response<Bytes> {
     let models = context.events.ask(event::EntryEvent::Models).await;
     let row = |id| ModelRow { id, object: "model", owned_by: "slipturn" };
     let list = ModelList { object: "list", data: models.into_iter().map(row).collect() };
     let mut answer = http_server::json_response(200, &list);
-    names.mark(answer.headers_mut());
+    request_ids.add_headers(answer.headers_mut());
     answer
 }
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -1,4 +1,5 @@
-//! The task that owns what an entry's requests share: router, records, histograms.
+//! The task that owns the state shared by an entry's requests: router, decision records,
+//! histograms.
 
 use std::{collections, rc};
 
@@ -13,21 +14,21 @@
 
 use crate::{documents, event};
 
-/// State behind the events.
+/// State that handles [`event::EntryEvent`] messages one at a time.
 pub struct EntryDirector {
     router: entry_router::EntryRouter,
     boot: ids::BootId,
     decisions: decision::DecisionLog,
     histograms: histogram::HistogramSet,
-    /// By attempt and engine: the members of a group share an attempt.
+    /// Places in use by attempt and engine, because the members of a group share an attempt.
     running: collections::HashMap<(ids::AttemptId, ids::EngineId), event::RunningPlace>,
-    /// Told of whenever documents or wakes change.
+    /// Updated whenever the documents or the number of detected pauses change.
     summary: rc::Rc<documents::DocumentSummary>,
     sender: metrics::MetricSender,
 }
 
 impl EntryDirector {
-    /// A director that remembers `decisions` records.
+    /// Creates a director that keeps the last `decisions` decision records.
     pub fn new(
         router: entry_router::EntryRouter,
         boot: ids::BootId,
@@ -46,22 +47,22 @@
         }
     }
 
-    /// Handles events for ever.
+    /// Handles messages until all senders are dropped.
     pub async fn run(
         mut self,
         mut incoming: mpsc::UnboundedReceiver<event::EntryEvent>,
         clock: process::ProcessClock,
     ) {
-        while let Some(happened) = incoming.next().await {
-            self.handle(clock.now(), happened);
+        while let Some(message) = incoming.next().await {
+            self.handle(clock.now(), message);
         }
     }
 
-    /// Handles one event.
-    fn handle(&mut self, now: units::MonoTime, happened: event::EntryEvent) {
+    /// Handles one message.
+    fn handle(&mut self, now: units::MonoTime, message: event::EntryEvent) {
         use event::EntryEvent;
         let router = &mut self.router;
-        match happened {
+        match message {
             EntryEvent::Plan(question, answer) => reply(answer, router.plan(now, &question)),
             EntryEvent::Resolve(key, answer) => {
                 reply(answer, router.resolve(now, &key, units::TokenCount::ZERO));
@@ -105,15 +106,15 @@
                     self.histograms.record_all(measure, series, &spans);
                 }
             }
-            EntryEvent::Decision(record) => self.remember(*record),
+            EntryEvent::Decision(record) => self.record_decision(*record),
             EntryEvent::Find(id, answer) => reply(answer, self.decisions.find(&id)),
             EntryEvent::Models(answer) => reply(answer, models(router.list())),
             EntryEvent::List(answer) => reply(answer, router.list().clone()),
             EntryEvent::Histograms(answer) => reply(answer, self.histograms.rows()),
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
-            EntryEvent::Documents(update, asked_at) => self.documents(now, &update, asked_at),
-            EntryEvent::AllSilent(asked_at) => router.note_sources_asked(now, asked_at),
+            EntryEvent::Documents(update, wakes) => self.apply_documents(now, &update, wakes),
+            EntryEvent::AllSilent(wakes) => router.note_sources_asked(now, wakes),
             EntryEvent::Tick => self.tick(now),
         }
     }
@@ -130,6 +131,8 @@
         }
     }
 
+    /// Groups the places in use by the scheduler that owns their engine according to the list in
+    /// force. Places on engines without an owner are left out.
     fn renewals(&self) -> event::RenewalBatch {
         let list = self.router.list();
         let mut batches: collections::BTreeMap<_, Vec<_>> = collections::BTreeMap::new();
@@ -146,7 +149,8 @@
         batches.into_iter().collect()
     }
 
-    fn remember(&mut self, record: decision::DecisionRecord) {
+    /// Counts an ended request in the metrics and keeps its record.
+    fn record_decision(&mut self, record: decision::DecisionRecord) {
         self.sender.count("requests");
         if let Some(total) = record.total_ms {
             self.sender.time("total", std::time::Duration::from_millis(total));
@@ -157,14 +161,16 @@
         self.decisions.add(record);
     }
 
-    fn documents(
+    /// Applies settings and list from an update; without new settings, it confirms those in force.
+    /// `wakes` is the number of detected process pauses when the sources were asked.
+    fn apply_documents(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
-        asked_at: u64,
+        wakes: u64,
     ) {
         match &update.settings {
-            Some(text) => self.take_settings(now, text),
+            Some(text) => self.apply_settings(now, text),
             None => self.router.confirm_settings(now, update.age),
         }
         if let Some(text) = &update.list {
@@ -173,11 +179,11 @@
                 Err(fault) => log::error!("list refused: {fault}"),
             }
         }
-        self.router.note_sources_asked(now, asked_at);
-        self.summarise();
+        self.router.note_sources_asked(now, wakes);
+        self.update_summary();
     }
 
-    fn take_settings(&mut self, now: units::MonoTime, text: &str) {
+    fn apply_settings(&mut self, now: units::MonoTime, text: &str) {
         match self.router.offer_settings(now, text) {
             live_settings::OfferOutcome::Accepted => {
                 log::info!("settings version {} is in force", self.router.store().version());
@@ -188,7 +194,7 @@
         }
     }
 
-    fn summarise(&self) {
+    fn update_summary(&self) {
         let list = self.router.list();
         let known = scheduler_link::KnownDocuments {
             settings: self.router.store().version().0,
@@ -225,20 +231,24 @@
     }
 }
 
-/// Answers an asker; one that has gone needs no answer.
-fn reply<T>(asker: oneshot::Sender<T>, answer: T) {
-    let _ = asker.send(answer);
+/// Sends an answer. The task that asked may have been dropped; the answer is then lost on purpose.
+fn reply<T>(reply_to: oneshot::Sender<T>, answer: T) {
+    let _ = reply_to.send(answer);
 }
 
-/// Instances to ask for a key, the same one first from everywhere, so that of two requests with
-/// one key the later learns of the earlier at once and neither splits the votes.
+/// Instances to ask for votes on a key, ranked by the key.
+///
+/// Every entry asks the same instance first. Of two requests with one key, the later thus learns of
+/// the earlier at once, and the votes are not split between them.
 fn voters(list: &fleet_list::FleetList, key: &key_vote::ScopedKey) -> event::VoterList {
     let ranked =
         rendezvous::ranked(&key.0, list.instances.iter(), |instance| instance.name.as_str());
-    let voters = ranked.iter().map(|one| (one.name.clone(), one.scheduler)).collect();
+    let voters =
+        ranked.iter().map(|instance| (instance.name.clone(), instance.scheduler)).collect();
     event::VoterList { voters }
 }
 
+/// Models of all listed engines, sorted and without duplicates.
 fn models(list: &fleet_list::FleetList) -> Vec<ids::ModelId> {
     let mut models: Vec<_> = list.engines.iter().map(|engine| engine.model.clone()).collect();
     models.sort();
--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -1,4 +1,4 @@
-//! Finds a prompt larger than one engine its places on a group of engines.
+//! Placement of a prompt that is too large for one engine on a group of engines.
 
 use std::rc;
 
@@ -6,34 +6,38 @@
 
 use crate::{event, place, request_context};
 
-/// All members or none, in one fixed order, and given back on any failure.
+/// Acquires a lease on every member of a group, one after the other in the group's order.
+///
+/// If one of them is refused or fails, the leases acquired so far are released.
 pub(crate) async fn find(
     context: &rc::Rc<request_context::EntryContext>,
     question: &place::PlaceQuestion,
 ) -> Result<place::HeldPlace, refusal::RequestRefusal> {
-    let need = question.need();
-    let make = |answer| {
+    let required_memory = question.required_memory();
+    let to_event = |answer| {
         let tree = rc::Rc::clone(&question.grant.fleet);
-        event::EntryEvent::Group(question.plan.model.clone(), need, tree, answer)
+        event::EntryEvent::Group(question.plan.model.clone(), required_memory, tree, answer)
     };
-    let members = context.events.ask(make).await;
+    let members = context.events.ask(to_event).await;
     if members.is_empty() {
-        let text = format!("no group of engines holds {need}");
+        let text = format!("no group of engines holds {required_memory}");
         return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
     }
     let started = context.clock.now();
     let patience = started + question.grant.fleet.fleet.group_wait.0;
-    let part = units::TokenCount(need.0.div_ceil(members.len() as u64));
-    let reason = format!("a group of {}, {part} each", members.len());
-    let mut held = place::hold(context, question, Vec::new(), true, Vec::new(), reason);
-    held.member_memory = part;
+    let memory_per_member = units::TokenCount(required_memory.0.div_ceil(members.len() as u64));
+    let reason = format!("a group of {}, {memory_per_member} each", members.len());
+    let mut held =
+        place::create_held_place(context, question, Vec::new(), true, Vec::new(), reason);
+    held.member_memory = memory_per_member;
     for member in members {
         let mut request = question.request(context, &member);
-        request.memory = part;
+        request.memory = memory_per_member;
         request.grouped = true;
         request.patience = patience.min(question.deadline);
         let link = context.links.link(member.scheduler);
-        // Counted before the answer, so that a lease whose answer is lost is given back too.
+        // Added before the scheduler answers, so that the lease is released even if the answer is
+        // lost.
         place::add_member(context, question, &mut held, member.clone(), request.clone());
         match link.acquire(&member.engine, &request, context.clock.now()).await {
             Ok(Ok(priority)) => held.priority = held.priority.or(Some(priority)),
--- a/crates/entry/src/model_answer.rs
+++ b/crates/entry/src/model_answer.rs
@@ -1,20 +1,20 @@
-//! Passes an engine's answer on to the caller, and distinguishes a whole one from a cut one.
+//! Forwards an engine's answer to the caller and detects truncated answers.
 
 use slipturn_core::{histogram, units};
 use slipturn_net::{http_client, http_server};
 
 use crate::{answer, model_request, upstream_call};
 
-/// Largest piece of a streamed answer.
+/// Largest piece of a streamed answer, in bytes.
 const MAX_PIECE: u64 = 4 << 20;
-/// The last event of a whole streamed answer.
+/// Final event of a complete streamed answer.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
-/// Bytes at the end of a stream that are kept to look for the last event.
+/// Number of bytes kept from the end of a stream to check for [`DONE_EVENT`].
 const TAIL_BYTES: usize = 32;
 
 impl model_request::ModelRequest {
-    /// Passes a streamed answer on, piece by piece.
-    pub(crate) async fn pass_stream(
+    /// Forwards a streamed answer piece by piece.
+    pub(crate) async fn forward_stream(
         &mut self,
         connection: &mut http_server::ServerConnection,
         answer: &mut http_client::StreamedResponse<'_>,
@@ -22,23 +22,26 @@
         let mut tail = Vec::new();
         let mut last = None;
         loop {
-            let limited = monoio::time::timeout(self.left(), answer.next_piece(MAX_PIECE));
+            let limited =
+                monoio::time::timeout(self.remaining_time(), answer.next_piece(MAX_PIECE));
             let piece = match connection.while_connected(limited).await {
                 None => return model_request::AttemptEnd::CallerGone,
                 Some(Err(_)) => return model_request::AttemptEnd::TimedOut,
                 Some(Ok(Err(error))) => {
-                    return model_request::AttemptEnd::Failed(self.broke(&error.to_string()));
+                    return model_request::AttemptEnd::Failed(
+                        self.broken_answer(&error.to_string()),
+                    );
                 }
                 Some(Ok(Ok(None))) => return self.end_stream(connection, &tail).await,
                 Some(Ok(Ok(Some(piece)))) => piece,
             };
-            if self.first_token.is_none() && self.start_answer(connection).await.is_err() {
+            if self.first_token.is_none() && self.send_stream_head(connection).await.is_err() {
                 return model_request::AttemptEnd::CallerGone;
             }
             self.measure_piece(&mut last);
             keep_tail(&mut tail, &piece);
             let sending = connection.send_piece(&piece);
-            match monoio::time::timeout(self.left(), sending).await {
+            match monoio::time::timeout(self.remaining_time(), sending).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return model_request::AttemptEnd::CallerGone,
                 Err(_) => return model_request::AttemptEnd::TimedOut,
@@ -46,27 +49,31 @@
         }
     }
 
-    async fn start_answer(
+    /// Sends the head of the streamed answer and records the time to the first token.
+    async fn send_stream_head(
         &mut self,
         connection: &mut http_server::ServerConnection,
     ) -> Result<(), http_server::ServeError> {
         let now = self.context.clock.now();
         self.first_token = Some(now);
-        let spent = now.since(self.call.arrived);
-        self.record.first_token_ms = Some(units::whole_millis(spent));
-        self.measure(histogram::MeasureKind::FirstToken, spent);
+        let elapsed = now.since(self.call.arrived);
+        self.record.first_token_ms = Some(units::whole_millis(elapsed));
+        self.measure(histogram::MeasureKind::FirstToken, elapsed);
         let mut head = http::Response::new(());
         let headers = head.headers_mut();
-        let kind = http::HeaderValue::from_static("text/event-stream");
-        headers.insert(http::header::CONTENT_TYPE, kind);
+        let content_type = http::HeaderValue::from_static("text/event-stream");
+        headers.insert(http::header::CONTENT_TYPE, content_type);
         let cache = http::HeaderValue::from_static("no-cache");
         headers.insert(http::header::CACHE_CONTROL, cache);
-        self.call.names.mark(headers);
-        answer::mark_closing(headers, &self.context.stop);
+        self.call.request_ids.add_headers(headers);
+        answer::add_close_header(headers, &self.context.stop);
         connection.start_stream(&head).await
     }
 
-    /// The engine has ended its answer properly; it is whole only with the last event.
+    /// Finishes the stream to the caller if the engine's answer is complete.
+    ///
+    /// A body that ends properly at the HTTP level may still be truncated: only an answer that ends
+    /// with [`DONE_EVENT`] is complete.
     async fn end_stream(
         &self,
         connection: &mut http_server::ServerConnection,
@@ -74,7 +81,7 @@
     ) -> model_request::AttemptEnd {
         if !tail.trim_ascii_end().ends_with(DONE_EVENT) {
             return model_request::AttemptEnd::Failed(
-                self.broke("the answer ends without its last event"),
+                self.broken_answer("the answer ends without its last event"),
             );
         }
         match connection.finish_stream().await {
@@ -83,14 +90,14 @@
         }
     }
 
-    /// Passes an answer on that is not streamed.
-    pub(crate) async fn pass_whole(
+    /// Forwards an answer that is not streamed, once its whole body has been read.
+    pub(crate) async fn forward_body(
         &mut self,
         connection: &mut http_server::ServerConnection,
         answer: &mut http_client::StreamedResponse<'_>,
     ) -> model_request::AttemptEnd {
         let limit = self.context.local.limits.max_answer.0;
-        let limited = monoio::time::timeout(self.left(), answer.read_full_body(limit));
+        let limited = monoio::time::timeout(self.remaining_time(), answer.read_full_body(limit));
         let body = match connection.while_connected(limited).await {
             None => return model_request::AttemptEnd::CallerGone,
             Some(Err(_)) => return model_request::AttemptEnd::TimedOut,
@@ -106,10 +113,10 @@
         let mut whole = http::Response::new(body);
         *whole.status_mut() = answer.head.status;
         let headers = whole.headers_mut();
-        let kind = http::HeaderValue::from_static("application/json");
-        headers.insert(http::header::CONTENT_TYPE, kind);
-        self.call.names.mark(headers);
-        answer::mark_closing(headers, &self.context.stop);
+        let content_type = http::HeaderValue::from_static("application/json");
+        headers.insert(http::header::CONTENT_TYPE, content_type);
+        self.call.request_ids.add_headers(headers);
+        answer::add_close_header(headers, &self.context.stop);
         match connection.respond(whole).await {
             Ok(()) => model_request::AttemptEnd::Whole,
             Err(_) => model_request::AttemptEnd::CallerGone,
@@ -117,6 +124,7 @@
     }
 }
 
+/// Appends a piece to the tail of the stream, of which the last [`TAIL_BYTES`] are kept.
 fn keep_tail(tail: &mut Vec<u8>, piece: &[u8]) {
     tail.extend_from_slice(&piece[piece.len().saturating_sub(TAIL_BYTES)..]);
     let surplus = tail.len().saturating_sub(TAIL_BYTES);
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -1,4 +1,4 @@
-//! One model request, from its read body to its final answer.
+//! Serving of a model request, from the received body to the final answer.
 
 use std::{rc, time};
 
@@ -11,34 +11,39 @@
     upstream_call::EngineOrders as _,
 };
 
-/// What a caller sent, apart from the prompt.
+/// A model request as sent by the caller, without its body.
 pub struct ModelCall {
-    /// Its ids.
-    pub names: answer::RequestNames,
-    /// Its key.
+    /// Ids of the request.
+    pub request_ids: answer::RequestIds,
+    /// Key that identifies the caller.
     pub key: String,
-    /// Its own time limit.
-    pub wish: Option<time::Duration>,
-    /// Path called.
+    /// Time limit requested by the caller.
+    pub requested_limit: Option<time::Duration>,
+    /// Path of the request, which is also the path on the engine.
     pub path: String,
-    /// When its last body byte had arrived.
+    /// When the last byte of the body had arrived.
     pub arrived: units::MonoTime,
 }
 
-/// How a request ended, and whether its connection can go on.
+/// How a request ended, and whether its connection can be used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// The answer is whole; the connection can take another request.
+    /// A complete answer or refusal was sent; the connection can serve another request.
     Answered,
-    /// The answer was cut, or the caller is gone; the connection must be closed.
+    /// The answer was truncated, the caller is gone, or the request's body was not read completely;
+    /// the connection must be closed.
     Close,
 }
 
 /// How an attempt ended.
 pub(crate) enum AttemptEnd {
+    /// The complete answer was sent to the caller.
     Whole,
+    /// The caller closed its connection.
     CallerGone,
+    /// The time limit of the request has passed.
     TimedOut,
+    /// The attempt failed; another one may follow.
     Failed(upstream_call::AttemptFault),
 }
 
@@ -49,11 +54,11 @@
     pub(crate) admitted: AdmittedRequest,
     pub(crate) record: decision::DecisionRecord,
     pub(crate) tried: Vec<ids::EngineId>,
-    /// Whether any attempt so far ran, as far as is known. Never goes back to `No`.
+    /// Whether any attempt so far ran, as far as is known. Never returns to `No`.
     pub(crate) ran: refusal::RanState,
-    /// Times between pieces of the answer, reported to the director once, at the end.
+    /// Intervals between pieces of the answer, sent to the director when the request ends.
     pub(crate) intervals: Vec<time::Duration>,
-    /// Set when the first piece goes out; from then on there is no other attempt.
+    /// When the first piece was forwarded; from then on there is no other attempt.
     pub(crate) first_token: Option<units::MonoTime>,
 }
 
@@ -64,10 +69,10 @@
     call: ModelCall,
     body: Bytes,
 ) -> Result<RequestEnd, http_server::ServeError> {
-    let names = call.names.clone();
+    let request_ids = call.request_ids.clone();
     let mut record = decision::DecisionRecord::new(
-        names.request.clone(),
-        names.caller.clone(),
+        request_ids.request.clone(),
+        request_ids.caller.clone(),
         call.path.clone(),
     );
     match admit(&context, &call, body, &mut record).await {
@@ -85,18 +90,18 @@
             request.run(connection).await
         }
         Err(refusal) => {
-            let refusal = context.spread(refusal).await;
+            let refusal = context.spread_retry_after(refusal).await;
             record.end = Some(format!("refused: {}", refusal.message));
             record.total_ms = Some(units::whole_millis(context.clock.now().since(call.arrived)));
             context.events.send_to(event::EntryEvent::Decision(Box::new(record)));
-            let refused = answer::refusal_answer(&names, &refusal);
+            let refused = answer::refusal_answer(&request_ids, &refusal);
             connection.respond(refused).await?;
             Ok(RequestEnd::Answered)
         }
     }
 }
 
-/// What is known of a request once it may run.
+/// Data of a request that has passed admission.
 pub(crate) struct AdmittedRequest {
     pub(crate) plan: entry_router::PlanQuestion,
     pub(crate) grant: entry_router::RequestGrant,
@@ -107,16 +112,16 @@
     pub(crate) deadline: units::MonoTime,
 }
 
-/// Finds the settings and takes the tokens from the customer's budget.
+/// Parses the body, resolves the settings and takes the tokens from the customer's budget.
 async fn admit(
     context: &request_context::EntryContext,
     call: &ModelCall,
     body: Bytes,
     record: &mut decision::DecisionRecord,
 ) -> Result<AdmittedRequest, refusal::RequestRefusal> {
-    let shape = prompt::PromptShape::read(&body)?;
+    let parsed = prompt::ParsedRequest::read(&body)?;
     drop(body);
-    let plan = shape.question(call.key.clone(), call.wish);
+    let plan = parsed.question(call.key.clone(), call.requested_limit);
     let question = plan.clone();
     let grant = context.events.ask(|answer| event::EntryEvent::Plan(question, answer)).await?;
     record.set_settings(&grant.settings);
@@ -124,38 +129,40 @@
     record.list_revision = grant.list_revision;
     budget_step::take(context, &grant, plan.prompt + grant.output, record).await?;
     let deadline = call.arrived + grant.settings.time_limit.value.0;
-    let (prefix, prefix_tokens, stream) = (shape.prefix, shape.prefix_tokens, shape.stream);
-    let body = shape.into_body(grant.output);
+    let (prefix, prefix_tokens, stream) = (parsed.prefix, parsed.prefix_tokens, parsed.stream);
+    let body = parsed.into_body(grant.output);
     Ok(AdmittedRequest { plan, grant, body, prefix, prefix_tokens, stream, deadline })
 }
 
 impl ModelRequest {
+    /// Runs the attempts and sends the refusal or error event if they fail.
     async fn run(
         mut self,
         connection: &mut http_server::ServerConnection,
     ) -> Result<RequestEnd, http_server::ServeError> {
         let refusal = match self.attempts(connection).await {
             Ok(end) => {
-                let word = if end == RequestEnd::Answered { "answered" } else { "caller gone" };
-                self.finish(word.to_owned());
+                let outcome = if end == RequestEnd::Answered { "answered" } else { "caller gone" };
+                self.finish(outcome.to_owned());
                 return Ok(end);
             }
-            Err(refusal) => self.context.spread(refusal).await,
+            Err(refusal) => self.context.spread_retry_after(refusal).await,
         };
         let started = self.first_token.is_some();
-        let word = if started { "cut" } else { "refused" };
-        self.finish(format!("{word}: {} (ran: {})", refusal.message, refusal.ran.label()));
+        let outcome = if started { "cut" } else { "refused" };
+        self.finish(format!("{outcome}: {} (ran: {})", refusal.message, refusal.ran.label()));
         if started && self.admitted.stream {
-            // Whoever reads up to the end of the stream finds an error there and no `[DONE]`.
+            // A caller that reads the stream to its end finds an error event and no `[DONE]`.
             connection.send_piece(&answer::error_event(&refusal)).await?;
             connection.finish_stream().await?;
             return Ok(RequestEnd::Close);
         }
-        let refused = answer::refusal_answer(&self.call.names, &refusal);
+        let refused = answer::refusal_answer(&self.call.request_ids, &refusal);
         connection.respond(refused).await?;
         Ok(RequestEnd::Answered)
     }
 
+    /// Makes attempts until one succeeds, the caller leaves, or no retry is allowed.
     async fn attempts(
         &mut self,
         connection: &mut http_server::ServerConnection,
@@ -165,16 +172,16 @@
             number += 1;
             let question = self.place_question(number);
             let finding = place::find(&self.context, &question);
-            let limited = monoio::time::timeout(self.left(), finding);
+            let limited = monoio::time::timeout(self.remaining_time(), finding);
             let Some(found) = connection.while_connected(limited).await else {
                 return Ok(RequestEnd::Close);
             };
             let found = found.unwrap_or_else(|_| Err(no_place_in_time()));
-            // That this attempt found no place says nothing of the ones before.
-            let place = found.map_err(|refusal| self.after_attempts(refusal))?;
+            // Earlier attempts may have run although this one found no place.
+            let place = found.map_err(|refusal| self.add_last_failure(refusal))?;
             self.measure_wait(&place);
             let end = self.attempt(connection, &place, &question.attempt).await;
-            self.note_attempt(&place, &end);
+            self.record_attempt(&place, &end);
             match end {
                 AttemptEnd::Whole => {
                     place.free_members().await;
@@ -194,14 +201,14 @@
                     } else {
                         place.cancel();
                     }
-                    self.after_fault(&place, &fault, number).await?;
+                    self.handle_fault(&place, &fault, number).await?;
                 }
             }
         }
     }
 
-    /// Decides whether another attempt follows a failed one.
-    async fn after_fault(
+    /// Ejects the engines of a failed attempt and decides whether another attempt follows.
+    async fn handle_fault(
         &mut self,
         place: &place::HeldPlace,
         fault: &upstream_call::AttemptFault,
@@ -217,16 +224,16 @@
             repeatable: true,
             attempts,
             max_attempts: self.admitted.grant.settings.max_attempts.value,
-            time_left: !self.left().is_zero(),
+            time_left: !self.remaining_time().is_zero(),
         };
-        let ask = |answer| event::EntryEvent::Retry(question, answer);
-        match self.context.events.ask(ask).await {
+        let to_event = |answer| event::EntryEvent::Retry(question, answer);
+        match self.context.events.ask(to_event).await {
             retry::RetryVerdict::Retry => {
                 self.record.notes.push(format!("retry: {}", fault.text));
                 Ok(())
             }
-            retry::RetryVerdict::GiveUp(why) => {
-                self.record.notes.push(format!("no retry: {why}"));
+            retry::RetryVerdict::GiveUp(reason) => {
+                self.record.notes.push(format!("no retry: {reason}"));
                 let code = refusal::RefusalCode::UpstreamFailed;
                 let refusal = refusal::RequestRefusal::not_run(code, fault.text.clone());
                 Err(refusal.ran(self.ran).retry_after(time::Duration::from_secs(1)))
@@ -234,8 +241,8 @@
         }
     }
 
-    /// The refusal of a request whose earlier attempts have failed.
-    fn after_attempts(&self, refusal: refusal::RequestRefusal) -> refusal::RequestRefusal {
+    /// Adds the failure of the previous attempt, if there was one, to the refusal of the next.
+    fn add_last_failure(&self, refusal: refusal::RequestRefusal) -> refusal::RequestRefusal {
         let last = self.record.attempts.last().and_then(|row| row.end.clone());
         match last {
             Some(last) => refusal::RequestRefusal {
@@ -248,6 +255,7 @@
         }
     }
 
+    /// Sends the request to the engine of a place and forwards the answer.
     async fn attempt(
         &mut self,
         connection: &mut http_server::ServerConnection,
@@ -261,7 +269,7 @@
         let call = self.engine_call(place, attempt);
         let pooled = http_client::ConnectionUse::Pooled;
         let calling = context.pool.call(place.engine().address, pooled, call);
-        let limited = monoio::time::timeout(self.left(), calling);
+        let limited = monoio::time::timeout(self.remaining_time(), calling);
         let mut answer = match connection.while_connected(limited).await {
             None => return AttemptEnd::CallerGone,
             Some(Err(_)) => return AttemptEnd::TimedOut,
@@ -279,13 +287,13 @@
             return AttemptEnd::Failed(upstream_call::AttemptFault { failure, text });
         }
         if self.admitted.stream && answer.head.status.is_success() {
-            self.pass_stream(connection, &mut answer).await
+            self.forward_stream(connection, &mut answer).await
         } else {
-            self.pass_whole(connection, &mut answer).await
+            self.forward_body(connection, &mut answer).await
         }
     }
 
-    /// Has the other members of a group keep memory, before the first one gets the prompt.
+    /// Reserves memory on the other members of a group, before the prompt is sent to the first one.
     async fn reserve_members(
         &self,
         place: &place::HeldPlace,
@@ -295,7 +303,7 @@
             let tokens = place.member_memory;
             let reserved = self.context.pool.reserve(member.address, attempt.clone(), tokens).await;
             if let Err(fault) = reserved {
-                // The prompt itself has reached no engine.
+                // The prompt has not been sent to any engine.
                 let failure = retry::AttemptFailure::SaidNotRun;
                 return Err(upstream_call::AttemptFault { failure, ..fault });
             }
@@ -303,13 +311,15 @@
         Ok(())
     }
 
+    /// Builds the call to the engine, with the priority and the other members of a group.
     fn engine_call(
         &self,
         place: &place::HeldPlace,
         attempt: &ids::AttemptId,
     ) -> http::Request<Bytes> {
         let (path, body) = (&self.call.path, self.admitted.body.clone());
-        let mut call = upstream_call::call(http::Method::POST, path, attempt, self.left(), body);
+        let mut call =
+            upstream_call::call(http::Method::POST, path, attempt, self.remaining_time(), body);
         upstream_call::set_header(&mut call, "content-type", "application/json");
         if let Some(priority) = place.priority {
             let priority = priority.to_string();
@@ -325,7 +335,7 @@
 
     fn place_question(&self, number: u32) -> place::PlaceQuestion {
         place::PlaceQuestion {
-            attempt: ids::AttemptId::new(&self.call.names.request, number),
+            attempt: ids::AttemptId::new(&self.call.request_ids.request, number),
             plan: self.admitted.plan.clone(),
             grant: self.admitted.grant.clone(),
             prefix: self.admitted.prefix,
@@ -335,11 +345,13 @@
         }
     }
 
-    pub(crate) fn left(&self) -> time::Duration {
+    /// Time until the deadline of the request, or zero.
+    pub(crate) fn remaining_time(&self) -> time::Duration {
         self.admitted.deadline.since(self.context.clock.now())
     }
 
-    pub(crate) fn broke(&self, text: &str) -> upstream_call::AttemptFault {
+    /// Fault of an answer that broke, before or after its first piece was forwarded.
+    pub(crate) fn broken_answer(&self, text: &str) -> upstream_call::AttemptFault {
         let failure = match self.first_token {
             Some(_) => retry::AttemptFailure::BrokeMidAnswer,
             None => retry::AttemptFailure::BrokeBeforeAnswer,
@@ -357,7 +369,8 @@
         refusal::RequestRefusal::not_run(refusal::RefusalCode::TimedOut, text).ran(ran)
     }
 
-    fn note_attempt(&mut self, place: &place::HeldPlace, end: &AttemptEnd) {
+    /// Adds an attempt and its end to the decision record.
+    fn record_attempt(&mut self, place: &place::HeldPlace, end: &AttemptEnd) {
         let mut row = place.row.clone();
         row.end = Some(match end {
             AttemptEnd::Whole => "whole answer".to_owned(),
@@ -368,6 +381,7 @@
         self.record.attempts.push(row);
     }
 
+    /// Records the measurements of an ended request and sends its decision record to the director.
     fn finish(&mut self, end: String) {
         let total = self.context.clock.now().since(self.call.arrived);
         self.measure(histogram::MeasureKind::Total, total);
@@ -380,6 +394,7 @@
     }
 }
 
+/// Refusal of a request that found no place within its time limit.
 fn no_place_in_time() -> refusal::RequestRefusal {
     let code = refusal::RefusalCode::Overloaded;
     refusal::RequestRefusal::not_run(code, "no engine took it within its time limit")
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask an entry, on an address of its own.
+//! HTTP interface for operators, served on its own address.
 
 use std::{rc, time};
 
@@ -10,18 +10,19 @@
 
 use crate::{event, request_context};
 
-/// Time for another instance's answer.
+/// Time limit for the answer of another instance, and for reading the body of an operator's
+/// request.
 const PEER_LIMIT: time::Duration = time::Duration::from_secs(2);
-/// Largest answer of another instance.
+/// Largest accepted answer of another instance, in bytes.
 const MAX_PEER_ANSWER: u64 = 4 << 20;
-/// Largest body of an operator's request.
+/// Largest accepted body of an operator's request, in bytes.
 const MAX_BODY: u64 = 64 * 1024;
-/// Header that keeps a question from being passed on a second time.
-const PASSED_HEADER: &str = "slipturn-passed-on";
-/// Other instances asked at once for an id that does not tell its instance.
+/// Header that marks a query forwarded by another instance; the receiver doesn't forward it again.
+const FORWARDED_HEADER: &str = "slipturn-passed-on";
+/// Number of other instances queried concurrently for the record of a request.
 const PEERS_AT_ONCE: usize = 16;
 
-/// Serves one operator's connection.
+/// Serves a connection of an operator until either side closes it.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     mut connection: http_server::ServerConnection,
@@ -40,7 +41,7 @@
 }
 
 #[derive(Serialize)]
-struct ShortAnswer<'text> {
+struct StatusMessage<'text> {
     status: &'text str,
 }
 
@@ -51,7 +52,7 @@
     let path = incoming.head.uri.path();
     let post = incoming.head.method == http::Method::POST;
     match path {
-        "/healthz" => short(200, "alive"),
+        "/healthz" => status_message(200, "alive"),
         "/readyz" => ready(context).await,
         "/v1/status" => status(context).await,
         "/v1/settings" => settings(context, incoming.head.uri.query().unwrap_or("")).await,
@@ -60,13 +61,13 @@
             http_server::json_response(200, &rows)
         }
         "/v1/drain" if post => {
-            log::info!("an operator asked for a stop");
+            log::info!("stop requested by an operator");
             context.stop.ask();
-            short(200, "stopping")
+            status_message(200, "stopping")
         }
         _ => match path.strip_prefix("/v1/decisions/") {
-            Some(id) => decision(context, id, incoming.header(PASSED_HEADER).is_some()).await,
-            None => short(404, "not found"),
+            Some(id) => decision(context, id, incoming.header(FORWARDED_HEADER).is_some()).await,
+            None => status_message(404, "not found"),
         },
     }
 }
@@ -74,9 +75,9 @@
 async fn ready(context: &request_context::EntryContext) -> http::Response<Bytes> {
     let status = context.events.ask(event::EntryEvent::Status).await;
     match (status.ready, context.stop.asked()) {
-        (_, true) => short(503, "stopping"),
-        (false, _) => short(503, "settings or list not known yet"),
-        (true, false) => short(200, "ready"),
+        (_, true) => status_message(503, "stopping"),
+        (false, _) => status_message(503, "settings or list not known yet"),
+        (true, false) => status_message(200, "ready"),
     }
 }
 
@@ -113,10 +114,13 @@
     settings: Vec<SettingAnswer>,
 }
 
-/// `?customer=C&application=A&prompt=N`; without them, what there is to ask for.
+/// Answers `?customer=C&application=A&prompt=N` with the resolved settings and their sources.
+///
+/// `prompt` is the prompt length in tokens, 0 by default. Without a customer or an application, the
+/// answer lists the applications of every customer.
 async fn settings(context: &request_context::EntryContext, query: &str) -> http::Response<Bytes> {
     let Some(tree) = context.events.ask(event::EntryEvent::Settings).await else {
-        return short(503, "settings not known yet");
+        return status_message(503, "settings not known yet");
     };
     let value = |name: &str| {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -136,7 +140,7 @@
         .map(|(customer, application)| settings_resolve::CallerIdentity { customer, application });
     let resolved = caller.and_then(|caller| tree.resolve(&caller, prompt));
     let Some(resolved) = resolved else {
-        return short(404, "no such customer or application");
+        return status_message(404, "no such customer or application");
     };
     let rows = resolved.rows().into_iter();
     let answer = SettingsAnswer {
@@ -151,24 +155,24 @@
     http_server::json_response(200, &answer)
 }
 
-/// The record of a request, from here or from the instance that took it.
+/// Looks up the decision record of a request on this instance, then on other instances.
 async fn decision(
     context: &request_context::EntryContext,
     id: &str,
-    passed_on: bool,
+    forwarded: bool,
 ) -> http::Response<Bytes> {
-    let ask = |answer| event::EntryEvent::Find(id.to_owned(), answer);
-    if let Some(record) = context.events.ask(ask).await {
+    let to_event = |answer| event::EntryEvent::Find(id.to_owned(), answer);
+    if let Some(record) = context.events.ask(to_event).await {
         return http_server::json_response(200, &*record);
     }
-    let unknown = || short(404, "no record: unknown, or older than what is remembered");
-    if passed_on {
+    let unknown = || status_message(404, "no record: unknown, or older than what is remembered");
+    if forwarded {
         return unknown();
     }
     let list = context.events.ask(event::EntryEvent::List).await;
     for peers in peers_to_ask(context, &list, id).chunks(PEERS_AT_ONCE) {
-        let asked = peers.iter().map(|peer| ask_peer(context, peer, id));
-        let found = future::join_all(asked).await.into_iter().flatten().next();
+        let queries = peers.iter().map(|peer| ask_peer(context, peer, id));
+        let found = future::join_all(queries).await.into_iter().flatten().next();
         if let Some(found) = found {
             return found;
         }
@@ -176,7 +180,8 @@
     unknown()
 }
 
-/// The instance that the id names, or all others for an id that is the caller's own.
+/// Instances that may hold the record of a request: the listed instance that the id names,
+/// otherwise all others. An id chosen by a caller usually names none.
 fn peers_to_ask<'list>(
     context: &request_context::EntryContext,
     list: &'list fleet_list::FleetList,
@@ -184,7 +189,7 @@
 ) -> Vec<&'list fleet_list::InstanceRecord> {
     let request = id.parse::<ids::RequestId>().ok();
     let named = request.and_then(|request| request.instance());
-    let others = list.instances.iter().filter(|one| one.name != context.local.instance);
+    let others = list.instances.iter().filter(|instance| instance.name != context.local.instance);
     match named.and_then(|name| list.instance(&name)) {
         Some(instance) => vec![instance],
         None => others.collect(),
@@ -198,7 +203,7 @@
 ) -> Option<http::Response<Bytes>> {
     let mut call = http::Request::new(Bytes::new());
     *call.uri_mut() = format!("/v1/decisions/{id}").parse().ok()?;
-    call.headers_mut().insert(PASSED_HEADER, http::HeaderValue::from_static("1"));
+    call.headers_mut().insert(FORWARDED_HEADER, http::HeaderValue::from_static("1"));
     let pooled = http_client::ConnectionUse::Pooled;
     let calling = context.pool.call_buffered(peer.operators, pooled, call, MAX_PEER_ANSWER);
     let answer = monoio::time::timeout(PEER_LIMIT, calling).await.ok()?.ok()?;
@@ -206,11 +211,11 @@
         return None;
     }
     let mut found = http::Response::new(answer.into_body());
-    let kind = http::HeaderValue::from_static("application/json");
-    found.headers_mut().insert(http::header::CONTENT_TYPE, kind);
+    let content_type = http::HeaderValue::from_static("application/json");
+    found.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
     Some(found)
 }
 
-fn short(status: u16, text: &str) -> http::Response<Bytes> {
-    http_server::json_response(status, &ShortAnswer { status: text })
+fn status_message(status: u16, text: &str) -> http::Response<Bytes> {
+    http_server::json_response(status, &StatusMessage { status: text })
 }
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -1,4 +1,4 @@
-//! Finds an attempt its place on an engine, and holds it for as long as the attempt lives.
+//! Finds a place on an engine for an attempt and holds it until the attempt ends.
 
 use std::{rc, time};
 
@@ -7,34 +7,37 @@
 
 use crate::{event, group_place, request_context, upstream_call::EngineOrders as _};
 
-/// Rounds of candidates before a request is refused.
+/// Largest number of rounds of candidates before a request is refused.
 const MAX_ROUNDS: usize = 3;
-/// Pause before a release that failed is sent once more.
+/// Pause before the only retry of a failed release.
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(300);
 
-/// What is asked for.
+/// Request for a place for one attempt.
 pub struct PlaceQuestion {
-    /// The attempt.
+    /// Attempt that needs the place.
     pub attempt: ids::AttemptId,
-    /// What the router knows of the request.
+    /// Routing data of the request: its key, model, prompt length and requested limits.
     pub plan: entry_router::PlanQuestion,
-    /// Settings in force for it.
+    /// Settings that the router resolved for the request.
     pub grant: entry_router::RequestGrant,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Estimated length of that prefix.
+    /// Estimated length of the prompt's prefix.
     pub prefix_tokens: units::TokenCount,
-    /// Engines tried before.
+    /// Engines used by earlier attempts, which are left out of the candidates.
     pub tried: Vec<ids::EngineId>,
-    /// When the request must have finished.
+    /// When the answer must be complete.
     pub deadline: units::MonoTime,
 }
 
 impl PlaceQuestion {
-    pub(crate) fn need(&self) -> units::TokenCount {
+    /// Memory needed for the prompt and the output together.
+    pub(crate) fn required_memory(&self) -> units::TokenCount {
         self.plan.prompt + self.grant.output
     }
 
+    /// Builds the request to the scheduler of `target`, as for an engine that serves the prompt
+    /// alone.
     pub(crate) fn request(
         &self,
         context: &request_context::EntryContext,
@@ -50,7 +53,7 @@
             prompt: self.plan.prompt,
             cached: cached.min(self.plan.prompt),
             output: self.grant.output,
-            memory: self.need(),
+            memory: self.required_memory(),
             grouped: false,
             deadline: self.deadline,
             patience: self.deadline,
@@ -58,52 +61,56 @@
     }
 }
 
-/// A place on one engine, or on each of a group. Dropping it gives it back.
+/// A place on one engine or on each engine of a group. Dropping it releases its leases.
 pub struct HeldPlace {
     context: rc::Rc<request_context::EntryContext>,
     attempt: ids::AttemptId,
-    /// The first one gives the answer.
+    /// Engines of the place. The first one sends the answer, the others only reserve memory.
     pub members: Vec<engine_directory::EngineTarget>,
-    /// What each of the others keeps memory for.
+    /// Memory needed on each member of a group; zero for a single engine.
     pub member_memory: units::TokenCount,
-    /// Whether schedulers hold leases for it.
+    /// Whether schedulers granted leases, which have to be released.
     leased: bool,
-    /// The priority that the first member's scheduler gave it.
+    /// Priority assigned by the first member's scheduler; `None` without a lease.
     pub priority: Option<u8>,
-    /// Candidates, offers and choice, for the record.
+    /// Candidates, offers and choice, for the decision record.
     pub row: decision::AttemptRow,
 }
 
 impl HeldPlace {
-    /// The engine that gives the answer.
+    /// The engine that sends the answer.
     pub fn engine(&self) -> &engine_directory::EngineTarget {
         &self.members[0]
     }
 
-    /// Has the members that only keep memory give it back: the answer is whole, or nothing runs.
+    /// Frees the memory that the other members of a group have reserved. Called when the answer is
+    /// complete, or when the attempt certainly did not run.
     ///
-    /// The leases are released after that: a ledger counts the memory as free from then on.
+    /// The leases must be released only afterwards, because a ledger counts the memory as free as
+    /// soon as its lease is released.
     pub async fn free_members(&self) {
         let others = self.members.iter().skip(1);
         let freeing =
             others.map(|member| self.context.pool.cancel(member.address, self.attempt.clone()));
         for freed in future::join_all(freeing).await {
-            // The engine's scheduler does the same once its report still lists the attempt.
+            // A lost cancel is made up for by the engine's scheduler, which cancels the attempt
+            // when it still appears in the engine's report.
             if let Err(fault) = freed {
-                log::debug!("cancel: {}", fault.text);
+                log::debug!("cannot free reserved memory: {}", fault.text);
             }
         }
     }
 
-    /// Tells the engines to give the attempt up, without waiting for it.
+    /// Cancels the attempt on all members in the background.
     pub fn cancel(&self) {
         for member in &self.members {
             let context = rc::Rc::clone(&self.context);
             let (address, attempt) = (member.address, self.attempt.clone());
             monoio::spawn(async move {
-                // The engine's scheduler does the same once its report still lists the attempt.
+                // A lost cancel is made up for by the engine's scheduler, which cancels the attempt
+                // when it still appears in the engine's report.
                 if let Err(fault) = context.pool.cancel(address, attempt).await {
-                    log::debug!("cancel: {}", fault.text);
+                    log::debug!("cannot cancel an attempt: {}", fault.text);
                 }
             });
         }
@@ -117,13 +124,17 @@
             self.context.events.send_to(ended);
             if self.leased {
                 let context = rc::Rc::clone(&self.context);
-                monoio::spawn(give_back(context, member.clone(), self.attempt.clone()));
+                monoio::spawn(release_lease(context, member.clone(), self.attempt.clone()));
             }
         }
     }
 }
 
-/// Finds a place; waits for it as long as the time limit allows.
+/// Finds a place and waits for it at most until the request's deadline.
+///
+/// # Errors
+///
+/// If no candidate in any round grants a place, returns the refusal with the shortest retry delay.
 pub async fn find(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
@@ -140,7 +151,7 @@
         }
         match try_candidates(context, question, targets, &mut tried).await {
             Ok(place) => return Ok(place),
-            Err(refusal) => refused = Some(sooner(refused, refusal)),
+            Err(refusal) => refused = Some(shorter_wait(refused, refusal)),
         }
     }
     Err(refused.unwrap_or_else(no_engine))
@@ -151,19 +162,19 @@
     question: &PlaceQuestion,
     tried: &[ids::EngineId],
 ) -> Vec<engine_directory::EngineTarget> {
-    let make = |answer| {
+    let to_event = |answer| {
         let tree = rc::Rc::clone(&question.grant.fleet);
         let plan = question.plan.clone();
         event::EntryEvent::Candidates(plan, tree, question.prefix, tried.to_vec(), answer)
     };
-    context.events.ask(make).await
+    context.events.ask(to_event).await
 }
 
-/// Whether the prompt is larger than the largest of the engines can take.
+/// Whether prompt and output need more memory than any of the candidates has without its headroom.
 fn needs_group(question: &PlaceQuestion, targets: &[engine_directory::EngineTarget]) -> bool {
     let headroom = question.grant.fleet.fleet.headroom.factor();
     let largest = targets.iter().map(|target| target.memory.scale(1.0 - headroom)).max();
-    largest.is_some_and(|largest| question.need() > largest)
+    largest.is_some_and(|largest| question.required_memory() > largest)
 }
 
 async fn try_candidates(
@@ -174,24 +185,25 @@
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
     let wants_offers = context.events.ask(event::EntryEvent::WantsOffers).await;
     if !wants_offers {
-        return without_leases(context, question, targets, tried).await;
+        return choose_without_lease(context, question, targets, tried).await;
     }
     let answers = ask_offers(context, question, &targets).await;
     let rows = targets.iter().zip(&answers).map(offer_row).collect();
     let offers: Vec<_> = answers.iter().map(OfferOutcome::offer).collect();
-    let make = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
-    let Some(choice) = context.events.ask(make).await else {
-        return refused_by_all(context, question, targets, answers, rows, tried).await;
+    let to_event = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
+    let Some(choice) = context.events.ask(to_event).await else {
+        return handle_no_choice(context, question, targets, answers, rows, tried).await;
     };
     let target = targets[choice.index].clone();
     tried.push(target.engine.clone());
     acquire(context, question, target, rows, choice.reason.to_owned()).await
 }
 
-/// What came of asking one scheduler.
+/// Result of asking one scheduler for an offer.
 enum OfferOutcome {
     Offered(placement::EngineOffer),
     Refused(refusal::RequestRefusal),
+    /// The scheduler could not be reached, with the text of the error.
     Silent(String),
 }
 
@@ -210,7 +222,7 @@
     targets: &[engine_directory::EngineTarget],
 ) -> Vec<OfferOutcome> {
     let now = context.clock.now();
-    let asked = targets.iter().map(|target| async move {
+    let queries = targets.iter().map(|target| async move {
         let request = question.request(context, target);
         match context.links.link(target.scheduler).offer(&target.engine, &request, now).await {
             Ok(Ok(offer)) => OfferOutcome::Offered(offer),
@@ -218,7 +230,7 @@
             Err(error) => OfferOutcome::Silent(error.to_string()),
         }
     });
-    future::join_all(asked).await
+    future::join_all(queries).await
 }
 
 fn offer_row(
@@ -239,8 +251,11 @@
     decision::CandidateRow { name: target.engine.to_string(), offer }
 }
 
-/// No scheduler made an offer: refused where one refused, else the engine is used directly.
-async fn refused_by_all(
+/// Handles candidates of which none was chosen from the schedulers' offers.
+///
+/// An engine whose scheduler is unreachable is used without a lease if this entry may still do so;
+/// otherwise the request is refused.
+async fn handle_no_choice(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
     targets: Vec<engine_directory::EngineTarget>,
@@ -252,13 +267,21 @@
     for (target, answer) in targets.into_iter().zip(answers) {
         tried.push(target.engine.clone());
         match answer {
-            OfferOutcome::Refused(refusal) => refused = Some(sooner(refused, refusal)),
+            OfferOutcome::Refused(refusal) => refused = Some(shorter_wait(refused, refusal)),
             OfferOutcome::Offered(_) => {}
             OfferOutcome::Silent(_) => {
-                let make = |answer| event::EntryEvent::DirectShare(target.engine.clone(), answer);
-                if context.events.ask(make).await {
+                let to_event =
+                    |answer| event::EntryEvent::DirectShare(target.engine.clone(), answer);
+                if context.events.ask(to_event).await {
                     let reason = "its scheduler is out of reach: direct share".to_owned();
-                    return Ok(hold(context, question, vec![target], false, rows, reason));
+                    return Ok(create_held_place(
+                        context,
+                        question,
+                        vec![target],
+                        false,
+                        rows,
+                        reason,
+                    ));
                 }
             }
         }
@@ -266,21 +289,30 @@
     Err(refused.unwrap_or_else(no_engine))
 }
 
-/// The baselines' way: the entry's own choice, the engine's own queue.
-async fn without_leases(
+/// Chooses a candidate without asking schedulers, as the baseline routing policies do. The request
+/// then waits in the engine's own queue.
+async fn choose_without_lease(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
     targets: Vec<engine_directory::EngineTarget>,
     tried: &mut Vec<ids::EngineId>,
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
     let offers = vec![None; targets.len()];
-    let make = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
-    let choice = context.events.ask(make).await.ok_or_else(no_engine)?;
+    let to_event = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
+    let choice = context.events.ask(to_event).await.ok_or_else(no_engine)?;
     let target = targets[choice.index].clone();
     tried.push(target.engine.clone());
-    Ok(hold(context, question, vec![target], false, Vec::new(), choice.reason.to_owned()))
+    Ok(create_held_place(
+        context,
+        question,
+        vec![target],
+        false,
+        Vec::new(),
+        choice.reason.to_owned(),
+    ))
 }
 
+/// Acquires a lease from the scheduler of the chosen engine.
 async fn acquire(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
@@ -293,23 +325,24 @@
     let link = context.links.link(target.scheduler);
     match link.acquire(&target.engine, &request, started).await {
         Ok(Ok(priority)) => {
-            let mut place = hold(context, question, vec![target], true, rows, reason);
+            let mut place = create_held_place(context, question, vec![target], true, rows, reason);
             place.priority = Some(priority);
             place.row.waited_ms = millis_since(context, started);
             Ok(place)
         }
         Ok(Err(refusal)) => Err(refusal),
         Err(error) => {
-            // The lease may have been given all the same.
+            // The scheduler may have granted the lease although its answer did not arrive.
             let (attempt, context) = (question.attempt.clone(), rc::Rc::clone(context));
-            monoio::spawn(give_back(context, target, attempt));
+            monoio::spawn(release_lease(context, target, attempt));
             let code = refusal::RefusalCode::NoUpstream;
             Err(refusal::RequestRefusal::not_run(code, error.to_string()))
         }
     }
 }
 
-pub(crate) fn hold(
+/// Creates a held place on `members` and counts the attempt as running on each of them.
+pub(crate) fn create_held_place(
     context: &rc::Rc<request_context::EntryContext>,
     question: &PlaceQuestion,
     members: Vec<engine_directory::EngineTarget>,
@@ -341,6 +374,7 @@
     place
 }
 
+/// Adds an engine to a place and counts the attempt as running on it.
 pub(crate) fn add_member(
     context: &request_context::EntryContext,
     question: &PlaceQuestion,
@@ -358,7 +392,8 @@
     place.members.push(member);
 }
 
-async fn give_back(
+/// Releases the lease of an attempt, with one retry.
+async fn release_lease(
     context: rc::Rc<request_context::EntryContext>,
     target: engine_directory::EngineTarget,
     attempt: ids::AttemptId,
@@ -367,15 +402,15 @@
     if link.release(&target.engine, &attempt).await.is_ok() {
         return;
     }
-    // Lost for good, a release is made up for by the next renewal, which no longer names it.
+    // If the retry fails too, the next renewal, which no longer names the lease, ends it.
     monoio::time::sleep(RELEASE_PAUSE).await;
     if let Err(error) = link.release(&target.engine, &attempt).await {
-        log::debug!("release: {error}");
+        log::debug!("cannot release a lease: {error}");
     }
 }
 
-/// Of two refusals the one that lets the caller come back sooner.
-fn sooner(
+/// Returns the refusal with the shorter retry delay; one without a delay counts as the longest.
+fn shorter_wait(
     earlier: Option<refusal::RequestRefusal>,
     later: refusal::RequestRefusal,
 ) -> refusal::RequestRefusal {
@@ -393,6 +428,7 @@
         .retry_after(time::Duration::from_secs(1))
 }
 
+/// Whole milliseconds since `started`.
 pub(crate) fn millis_since(
     context: &request_context::EntryContext,
     started: units::MonoTime,
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service, from its read body to its final answer.
+//! Serving of a call to a plain service, from the received body to the final answer.
 
 use std::{collections, pin, rc, time};
 
@@ -12,8 +12,9 @@
 
 use crate::{answer, event, key_claim, model_request::RequestEnd, request_context, upstream_call};
 
-/// Headers of a caller that concern its own connection, or are slipturn's to read.
-const OWN_HEADERS: [&str; 10] = [
+/// Headers that are not copied between caller and upstream, because they concern one connection or
+/// are meant for slipturn.
+const UNFORWARDED_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -26,34 +27,35 @@
     "authorization",
 ];
 
-/// Part of the time left for which a repeatable call waits at a connection that had rested, before
-/// it goes out anew: under a half, so that the new one has at least as long. As on the platform.
-const SILENCE_PART: f64 = 0.45;
+/// Fraction of the remaining time for which a repeatable call waits for an answer over a connection
+/// that had been idle, before it is sent again over a new one. Less than half, so that the new
+/// connection has at least as much time. The platform uses the same fraction.
+const SILENCE_FRACTION: f64 = 0.45;
 
-/// What a caller sent.
+/// A call as sent by the caller, without its body.
 pub struct ServiceCall {
-    /// Its ids.
-    pub names: answer::RequestNames,
-    /// Its key.
+    /// Ids of the request.
+    pub request_ids: answer::RequestIds,
+    /// Key that identifies the caller.
     pub key: String,
-    /// Its own time limit.
-    pub wish: Option<time::Duration>,
-    /// Key for what must not run twice.
+    /// Time limit requested by the caller.
+    pub requested_limit: Option<time::Duration>,
+    /// Idempotency key, for calls that must run at most once.
     pub idempotency: Option<String>,
-    /// The service called.
+    /// Service that is called.
     pub service: ids::ServiceId,
-    /// Method, headers and the path after the service's name.
+    /// Method, headers, and the path and query after the service's name.
     pub head: http::request::Parts,
-    /// When its last body byte had arrived.
+    /// When the last byte of the body had arrived.
     pub arrived: units::MonoTime,
 }
 
-/// An attempt's answer, or why there is none.
+/// Answer of an attempt, or its failure.
 type AttemptResult = Result<AttemptAnswer, upstream_call::AttemptFault>;
-/// The answer of an attempt after which the call has gone out anew.
+/// Pending answer of an attempt whose call has meanwhile been sent again.
 type LateAnswer = future::LocalBoxFuture<'static, AttemptResult>;
 
-/// A whole answer, and the attempt whose it is.
+/// A complete answer, with the attempt that it belongs to.
 struct AttemptAnswer {
     attempt: ids::AttemptId,
     whole: http::Response<Bytes>,
@@ -70,23 +72,27 @@
     deadline: units::MonoTime,
     record: decision::DecisionRecord,
     verdict: Option<key_vote::VoteVerdict>,
-    /// Whether a connection has fallen silent under it. From then on it takes new ones, so that no
-    /// call meets two silent connections.
-    anew: bool,
-    /// What that connection may still bring. The upstream may only be slow.
+    /// Whether the call was sent again because an idle connection brought no answer. From then on
+    /// only new connections are used, so that a call meets at most one unresponsive connection.
+    new_connections_only: bool,
+    /// Pending answer over the unresponsive connection. The upstream may merely be slow.
     late: Option<LateAnswer>,
 }
 
-/// Serves a call of a plain service.
+/// Serves a call to a plain service.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     connection: &mut http_server::ServerConnection,
     call: ServiceCall,
     body: Bytes,
 ) -> Result<RequestEnd, http_server::ServeError> {
-    let names = call.names.clone();
+    let request_ids = call.request_ids.clone();
     let path = call.head.uri.path().to_owned();
-    let record = decision::DecisionRecord::new(names.request.clone(), names.caller.clone(), path);
+    let record = decision::DecisionRecord::new(
+        request_ids.request.clone(),
+        request_ids.caller.clone(),
+        path,
+    );
     let refusal = match admit(context.clone(), call, body, record).await {
         Ok(request) => match request.run(connection).await {
             Ok(Some(answered)) => {
@@ -98,11 +104,12 @@
         },
         Err(refusal) => refusal,
     };
-    let refusal = context.spread(refusal).await;
-    connection.respond(answer::refusal_answer(&names, &refusal)).await?;
+    let refusal = context.spread_retry_after(refusal).await;
+    connection.respond(answer::refusal_answer(&request_ids, &refusal)).await?;
     Ok(RequestEnd::Answered)
 }
 
+/// Identifies the caller and the service, and resolves their settings.
 async fn admit(
     context: rc::Rc<request_context::EntryContext>,
     call: ServiceCall,
@@ -124,7 +131,9 @@
     };
     record.set_settings(&settings);
     context.events.send_to(event::EntryEvent::CountRequest);
-    let limit = call.wish.map_or(node.time_limit.0, |wish| wish.min(node.time_limit.0));
+    let limit = call
+        .requested_limit
+        .map_or(node.time_limit.0, |requested_limit| requested_limit.min(node.time_limit.0));
     let deadline = call.arrived + limit;
     let repeatability = node.repeatability(call.head.method.as_str());
     let repeatable = repeatability == settings::Repeatability::Repeatable;
@@ -138,21 +147,22 @@
         deadline,
         record,
         verdict: None,
-        anew: false,
+        new_connections_only: false,
         late: None,
     })
 }
 
 impl ServiceRequest {
-    /// `None` when the caller has gone.
+    /// Runs the attempts within the time limit and records their outcome; `None` if the caller has
+    /// gone.
     async fn run(
         mut self,
         connection: &mut http_server::ServerConnection,
     ) -> Result<Option<http::Response<Bytes>>, refusal::RequestRefusal> {
         let context = rc::Rc::clone(&self.context);
         let arrived = self.call.arrived;
-        let left = self.left();
-        let serving = monoio::time::timeout(left, self.attempts());
+        let remaining_time = self.remaining_time();
+        let serving = monoio::time::timeout(remaining_time, self.attempts());
         let served = connection.while_connected(serving).await;
         let end = match &served {
             None => "caller gone".to_owned(),
@@ -164,44 +174,45 @@
         };
         let settings = &self.settings;
         let series = vec![format!("service/{}/{}", self.call.service, settings.customer)];
-        let spent = context.clock.now().since(arrived);
+        let elapsed = context.clock.now().since(arrived);
         let total = histogram::MeasureKind::Total;
-        context.events.send_to(event::EntryEvent::Measure(total, series, vec![spent]));
+        context.events.send_to(event::EntryEvent::Measure(total, series, vec![elapsed]));
         finish(&context, self.record, arrived, end);
         match served {
             None => Ok(None),
             Some(Ok(answered)) => answered.map(Some),
             Some(Err(_)) => {
-                let text = format!("the time limit of {left:?} has passed");
+                let text = format!("the time limit of {remaining_time:?} has passed");
                 let code = refusal::RefusalCode::TimedOut;
                 Err(refusal::RequestRefusal::not_run(code, text).ran(refusal::RanState::Unknown))
             }
         }
     }
 
+    /// Tries upstreams one after the other until one answers or no retry is allowed.
     async fn attempts(&mut self) -> Result<http::Response<Bytes>, refusal::RequestRefusal> {
         self.claim_key().await?;
         let service = self.call.service.clone();
-        let ask = |answer| event::EntryEvent::Upstreams(service, answer);
-        let mut upstreams = collections::VecDeque::from(self.context.events.ask(ask).await);
+        let to_event = |answer| event::EntryEvent::Upstreams(service, answer);
+        let mut upstreams = collections::VecDeque::from(self.context.events.ask(to_event).await);
         let mut last = None;
         let mut ran = refusal::RanState::No;
         let mut number = 0;
         let mut late = None;
         while let Some(upstream) = upstreams.pop_front() {
             number += 1;
-            let attempt = ids::AttemptId::new(&self.call.names.request, number);
-            let result = first_good(self.attempt(&upstream, &attempt, number), &mut late).await;
-            self.note_attempt(&upstream, attempt, &result);
+            let attempt = ids::AttemptId::new(&self.call.request_ids.request, number);
+            let result = first_success(self.attempt(&upstream, &attempt, number), &mut late).await;
+            self.record_attempt(&upstream, attempt, &result);
             let fault = match result {
-                Ok(answer) => return Ok(self.marked(answer.whole)),
+                Ok(answer) => return Ok(self.add_answer_headers(answer.whole)),
                 Err(fault) => fault,
             };
             ran = ran.or(fault.ran());
-            if let Some(silent) = self.late.take() {
-                late = Some(silent);
-                // Its retry has been taken. Only a connection has failed; where no other upstream
-                // is left, this one takes the call over a new connection.
+            if let Some(pending) = self.late.take() {
+                late = Some(pending);
+                // The retry budget has already been charged. Only the connection is known to have
+                // failed, so this upstream may be tried again over a new one, after all others.
                 upstreams.push_back(upstream);
             } else if !self.may_retry(fault.failure, number).await {
                 return Err(failed(&fault, ran));
@@ -211,8 +222,10 @@
         Err(last.map_or_else(|| no_upstream(&self.call.service), |fault| failed(&fault, ran)))
     }
 
-    /// Without a key, a call that must run at most once has this one request only. With a key, all
-    /// requests that carry it have one run between them.
+    /// Claims the idempotency key of a call that must run at most once.
+    ///
+    /// Without a key, that holds for the attempts of this request only. With a key, at most one of
+    /// all requests that carry the key runs.
     async fn claim_key(&mut self) -> Result<(), refusal::RequestRefusal> {
         let Some(key) = self.call.idempotency.as_deref().filter(|_| !self.repeatable) else {
             return Ok(());
@@ -222,7 +235,8 @@
             return Ok(());
         }
         let scoped = key_vote::ScopedKey::new(&self.settings.customer, &self.call.service, key);
-        let verdict = key_claim::claim(&self.context, &scoped, &self.call.names.request).await;
+        let verdict =
+            key_claim::claim(&self.context, &scoped, &self.call.request_ids.request).await;
         self.record.notes.push(format!("key: {verdict:?}"));
         self.verdict = Some(verdict.clone());
         match verdict {
@@ -244,6 +258,10 @@
         }
     }
 
+    /// Sends the call to one upstream and waits for the complete answer.
+    ///
+    /// A repeatable call over a connection that had been idle fails early if no answer arrives in
+    /// time and another attempt is allowed; its pending answer is then kept in `late`.
     async fn attempt(
         &mut self,
         upstream: &fleet_list::UpstreamRecord,
@@ -251,62 +269,66 @@
         number: u32,
     ) -> AttemptResult {
         let now = self.context.clock.now();
-        if self.verdict.as_ref().is_some_and(|verdict| !key_claim::usable(verdict, now)) {
+        if self.verdict.as_ref().is_some_and(|verdict| !key_claim::permits_run(verdict, now)) {
             let text = "the votes are too old to be used".to_owned();
             return Err(upstream_call::AttemptFault {
                 failure: retry::AttemptFailure::NotConnected,
                 text,
             });
         }
-        let which = if self.repeatable && !self.anew {
+        let connection_use = if self.repeatable && !self.new_connections_only {
             http_client::ConnectionUse::Pooled
         } else {
             http_client::ConnectionUse::Fresh
         };
-        let connecting = self.context.pool.connect(upstream.address, which);
+        let connecting = self.context.pool.connect(upstream.address, connection_use);
         let connection = connecting.await.map_err(before_answer)?;
-        let rested = connection.is_reused();
-        let sent = time::Instant::now();
+        let was_idle = connection.is_reused();
+        let sent_at = time::Instant::now();
         let call = self.upstream_call(attempt);
         let context = rc::Rc::clone(&self.context);
         let mut exchange = exchange(context, connection, call, attempt.clone()).boxed_local();
-        if !rested {
+        if !was_idle {
             return exchange.await;
         }
-        let wait = self.left().mul_f64(SILENCE_PART);
+        let wait = self.remaining_time().mul_f64(SILENCE_FRACTION);
         if let Ok(result) = monoio::time::timeout(wait, exchange.as_mut()).await {
             return result;
         }
-        if !self.goes_out_anew(number).await {
+        if !self.retry_on_new_connection(number).await {
             return exchange.await;
         }
         self.late = Some(exchange);
-        let closed = self.context.pool.close_idle_since(upstream.address, sent);
-        Err(silent(wait, closed))
+        let closed = self.context.pool.close_idle_since(upstream.address, sent_at);
+        Err(silence_fault(wait, closed))
     }
 
-    /// Takes a retry for a call whose connection is silent. Without one the call waits on.
-    async fn goes_out_anew(&mut self, attempts: u32) -> bool {
-        // What was written may have run.
+    /// Asks for a retry of a call whose connection brings no answer. If it is denied, the call
+    /// keeps waiting on that connection.
+    async fn retry_on_new_connection(&mut self, attempts: u32) -> bool {
+        // The call was sent and may have run.
         let failure = retry::AttemptFailure::BrokeBeforeAnswer;
-        self.anew = self.may_retry(failure, attempts).await;
-        self.anew
+        self.new_connections_only = self.may_retry(failure, attempts).await;
+        self.new_connections_only
     }
 
-    fn marked(&self, mut whole: http::Response<Bytes>) -> http::Response<Bytes> {
-        self.call.names.mark(whole.headers_mut());
-        answer::mark_closing(whole.headers_mut(), &self.context.stop);
+    /// Adds the request's ids to an answer, and `connection: close` if the process is stopping.
+    fn add_answer_headers(&self, mut whole: http::Response<Bytes>) -> http::Response<Bytes> {
+        self.call.request_ids.add_headers(whole.headers_mut());
+        answer::add_close_header(whole.headers_mut(), &self.context.stop);
         whole
     }
 
+    /// Builds the call to an upstream from the caller's method, path, headers and body.
     fn upstream_call(&self, attempt: &ids::AttemptId) -> http::Request<Bytes> {
         let head = &self.call.head;
         let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
         let body = self.body.clone();
-        let mut call = upstream_call::call(head.method.clone(), path, attempt, self.left(), body);
+        let mut call =
+            upstream_call::call(head.method.clone(), path, attempt, self.remaining_time(), body);
         let (own, headers) = (call.headers().clone(), call.headers_mut());
         copy_headers(&head.headers, headers);
-        // What slipturn itself states is not for a caller to overwrite.
+        // Headers set by slipturn replace those of the same name from the caller.
         headers.extend(own);
         call
     }
@@ -317,13 +339,13 @@
             repeatable: self.repeatable,
             attempts,
             max_attempts: self.settings.max_attempts.value,
-            time_left: !self.left().is_zero(),
+            time_left: !self.remaining_time().is_zero(),
         };
-        let ask = |answer| event::EntryEvent::Retry(question, answer);
-        self.context.events.ask(ask).await == retry::RetryVerdict::Retry
+        let to_event = |answer| event::EntryEvent::Retry(question, answer);
+        self.context.events.ask(to_event).await == retry::RetryVerdict::Retry
     }
 
-    fn note_attempt(
+    fn record_attempt(
         &mut self,
         upstream: &fleet_list::UpstreamRecord,
         attempt: ids::AttemptId,
@@ -346,11 +368,12 @@
         });
     }
 
-    fn left(&self) -> time::Duration {
+    fn remaining_time(&self) -> time::Duration {
         self.deadline.since(self.context.clock.now())
     }
 }
 
+/// Completes a decision record and sends it to the director.
 fn finish(
     context: &request_context::EntryContext,
     mut record: decision::DecisionRecord,
@@ -362,15 +385,16 @@
     context.events.send_to(event::EntryEvent::Decision(Box::new(record)));
 }
 
+/// Appends all headers except [`UNFORWARDED_HEADERS`].
 fn copy_headers(from: &http::HeaderMap, to: &mut http::HeaderMap) {
     for (name, value) in from {
-        if !OWN_HEADERS.contains(&name.as_str()) {
+        if !UNFORWARDED_HEADERS.contains(&name.as_str()) {
             to.append(name.clone(), value.clone());
         }
     }
 }
 
-/// Sends a call over a connection taken for it and reads its whole answer.
+/// Sends a call over a connection and reads the complete answer.
 async fn exchange(
     context: rc::Rc<request_context::EntryContext>,
     connection: http_client::CallConnection,
@@ -387,8 +411,9 @@
     Ok(AttemptAnswer { attempt, whole })
 }
 
-/// The end of an attempt, or the good answer of an earlier one if that comes first.
-async fn first_good(
+/// Returns the result of `attempt`, or the answer of the earlier attempt `late` if that succeeds
+/// first.
+async fn first_success(
     attempt: impl Future<Output = AttemptResult>,
     late: &mut Option<LateAnswer>,
 ) -> AttemptResult {
@@ -409,15 +434,16 @@
     upstream_call::AttemptFault::before_answer(&error)
 }
 
-/// The fault of a call that goes out anew, as its connection brought no answer for `wait`.
-fn silent(wait: time::Duration, closed: usize) -> upstream_call::AttemptFault {
+/// Failure of an attempt whose idle connection brought no complete answer within `wait`. `closed`
+/// is the number of other idle connections to the upstream that were closed as well.
+fn silence_fault(wait: time::Duration, closed: usize) -> upstream_call::AttemptFault {
     let text = format!(
         "no whole answer within {wait:?} over a connection that had rested; {closed} more closed"
     );
     upstream_call::AttemptFault { failure: retry::AttemptFailure::BrokeBeforeAnswer, text }
 }
 
-/// The last attempt's fault, and whether any attempt ran.
+/// Refusal of a call whose last attempt failed with `fault`; `ran` covers all attempts.
 fn failed(fault: &upstream_call::AttemptFault, ran: refusal::RanState) -> refusal::RequestRefusal {
     let code = match fault.failure {
         retry::AttemptFailure::NotConnected | retry::AttemptFailure::SaidNotRun => {
