--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/document_sources.rs
@@ -69,26 +69,33 @@
     platform: &[net::SocketAddr],
 ) -> Vec<document_feed::FeedSource> {
     let order = rendezvous::data_center_order(list, data_center);
-    let position = order.iter().position(|one| one.name == *instance);
-    let from_platform = platform.iter().copied().map(document_feed::FeedSource::Platform);
+    let position = order.iter().position(|record| record.name == *instance);
+    let platform_sources = platform.iter().copied().map(document_feed::FeedSource::Platform);
     let peer =
         |record: &fleet_list::InstanceRecord| document_feed::FeedSource::Peer(record.scheduler);
-    let first = order.iter().take(PLATFORM_WATCHERS).filter(|one| one.name != *instance);
-    let far =
-        list.live_instances().filter(|one| one.data_center != *data_center).take(PLATFORM_WATCHERS);
+    let platform_watchers =
+        order.iter().take(PLATFORM_WATCHERS).filter(|record| record.name != *instance);
+    let remote = list
+        .live_instances()
+        .filter(|record| record.data_center != *data_center)
+        .take(PLATFORM_WATCHERS);
     match position {
         Some(position) if position >= PLATFORM_WATCHERS => {
             let parent = order[(position - PLATFORM_WATCHERS) / FAN_OUT];
             let mut sources = vec![peer(parent)];
-            sources.extend(first.filter(|one| one.name != parent.name).map(|one| peer(one)));
-            sources.extend(from_platform);
-            sources.extend(far.map(peer));
+            sources.extend(
+                platform_watchers
+                    .filter(|record| record.name != parent.name)
+                    .map(|record| peer(record)),
+            );
+            sources.extend(platform_sources);
+            sources.extend(remote.map(peer));
             sources
         }
         _ => {
-            let mut sources: Vec<_> = from_platform.collect();
-            sources.extend(first.map(|one| peer(one)));
-            sources.extend(far.map(peer));
+            let mut sources: Vec<_> = platform_sources.collect();
+            sources.extend(platform_watchers.map(|record| peer(record)));
+            sources.extend(remote.map(peer));
             sources
         }
     }
--- a/crates/scheduler/src/document_store.rs
+++ b/crates/scheduler/src/document_store.rs
@@ -11,13 +11,13 @@
 /// Somebody waiting for newer documents.
 struct DocumentWaiter {
     known: scheduler_link::KnownDocuments,
-    until: units::MonoTime,
+    deadline: units::MonoTime,
     answer: oneshot::Sender<event::DocumentAnswer>,
 }
 
 /// What an update brought.
 #[derive(Debug, Default)]
-pub struct DocumentNews {
+pub struct AcceptedDocuments {
     /// Settings that came into force.
     pub settings: Option<rc::Rc<settings::SettingsTree>>,
     /// Whether a list came into force.
@@ -27,7 +27,7 @@
 /// Settings and list, and their watchers.
 #[derive(Default)]
 pub struct DocumentStore {
-    store: live_settings::LiveSettings,
+    settings: live_settings::LiveSettings,
     /// Invariant: its revision never falls while the process lives.
     list: fleet_list::FleetList,
     list_text: rc::Rc<str>,
@@ -38,14 +38,14 @@
     /// Numbers of the documents held, to ask only for newer ones.
     pub fn known(&self) -> scheduler_link::KnownDocuments {
         scheduler_link::KnownDocuments {
-            settings: self.store.version().0,
+            settings: self.settings.version().0,
             list: self.list.revision,
         }
     }
 
     /// The settings in force.
-    pub fn store(&self) -> &live_settings::LiveSettings {
-        &self.store
+    pub fn settings(&self) -> &live_settings::LiveSettings {
+        &self.settings
     }
 
     /// The list in force.
@@ -54,26 +54,26 @@
     }
 
     /// Processes that wait for newer documents.
-    pub fn watchers(&self) -> usize {
+    pub fn watcher_count(&self) -> usize {
         self.watchers.len()
     }
 
     /// Takes in an update; one without settings confirms those held.
-    pub fn take(
+    pub fn apply(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
-    ) -> DocumentNews {
-        let mut news = DocumentNews::default();
+    ) -> AcceptedDocuments {
+        let mut accepted = AcceptedDocuments::default();
         match &update.settings {
-            Some(text) => news.settings = self.take_settings(now, text),
-            None => self.store.confirm(now, update.age),
+            Some(text) => accepted.settings = self.apply_settings(now, text),
+            None => self.settings.confirm(now, update.age),
         }
         if let Some(text) = &update.list {
-            news.list = self.take_list(text);
+            accepted.list = self.apply_list(text);
         }
         self.answer_watchers(now);
-        news
+        accepted
     }
 
     /// Has somebody wait for documents newer than those known, until the time given.
@@ -81,10 +81,10 @@
         &mut self,
         now: units::MonoTime,
         known: scheduler_link::KnownDocuments,
-        until: units::MonoTime,
+        deadline: units::MonoTime,
         answer: oneshot::Sender<event::DocumentAnswer>,
     ) {
-        self.watchers.push(DocumentWaiter { known, until, answer });
+        self.watchers.push(DocumentWaiter { known, deadline, answer });
         self.answer_watchers(now);
     }
 
@@ -93,12 +93,12 @@
         let known = self.known();
         let due = |waiter: &DocumentWaiter| {
             let newer = known.settings > waiter.known.settings || known.list > waiter.known.list;
-            newer || waiter.until <= now
+            newer || waiter.deadline <= now
         };
         let waiters = std::mem::take(&mut self.watchers);
-        let (ready, rest): (Vec<_>, Vec<_>) =
-            waiters.into_iter().filter(|one| !one.answer.is_canceled()).partition(due);
-        self.watchers = rest;
+        let (ready, remaining): (Vec<_>, Vec<_>) =
+            waiters.into_iter().filter(|waiter| !waiter.answer.is_canceled()).partition(due);
+        self.watchers = remaining;
         for waiter in ready {
             let answer = self.newer_than(now, waiter.known);
             // A watcher that has gone needs no answer.
@@ -106,24 +106,24 @@
         }
     }
 
-    fn take_settings(
+    fn apply_settings(
         &mut self,
         now: units::MonoTime,
         text: &str,
     ) -> Option<rc::Rc<settings::SettingsTree>> {
-        match self.store.offer(now, text) {
+        match self.settings.offer(now, text) {
             live_settings::OfferOutcome::Accepted => {
-                log::info!("settings version {} is in force", self.store.version());
-                return self.store.tree();
+                log::info!("settings version {} is in force", self.settings.version());
+                return self.settings.tree();
             }
-            live_settings::OfferOutcome::Invalid(fault) => log::error!("settings refused: {fault}"),
+            live_settings::OfferOutcome::Invalid(error) => log::error!("settings refused: {error}"),
             live_settings::OfferOutcome::Older => log::warn!("older settings were dropped"),
             live_settings::OfferOutcome::Same => {}
         }
         None
     }
 
-    fn take_list(&mut self, text: &str) -> bool {
+    fn apply_list(&mut self, text: &str) -> bool {
         match fleet_list::FleetList::parse(text) {
             Ok(list) if list.revision >= self.list.revision => {
                 self.list = list;
@@ -131,8 +131,8 @@
                 true
             }
             Ok(_) => false,
-            Err(fault) => {
-                log::error!("list refused: {fault}");
+            Err(error) => {
+                log::error!("list refused: {error}");
                 false
             }
         }
@@ -143,13 +143,13 @@
         now: units::MonoTime,
         known: scheduler_link::KnownDocuments,
     ) -> event::DocumentAnswer {
-        let have = self.known();
-        let settings = self.store.text().filter(|_| have.settings > known.settings);
-        let list = (have.list > known.list).then(|| rc::Rc::clone(&self.list_text));
+        let held = self.known();
+        let settings = self.settings.text().filter(|_| held.settings > known.settings);
+        let list = (held.list > known.list).then(|| rc::Rc::clone(&self.list_text));
         event::DocumentAnswer {
-            settings: settings.map(|text| (have.settings, text)),
-            list: list.map(|text| (have.list, text)),
-            age: self.store.age(now),
+            settings: settings.map(|text| (held.settings, text)),
+            list: list.map(|text| (held.list, text)),
+            age: self.settings.age(now),
         }
     }
 }
--- a/crates/scheduler/src/engine_client.rs
+++ b/crates/scheduler/src/engine_client.rs
@@ -13,9 +13,9 @@
 /// Time between two questions for an engine's load.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
 /// Time for an engine's answer.
-const ANSWER_LIMIT: time::Duration = time::Duration::from_millis(1_000);
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 /// Largest answer.
-const MAX_ANSWER: u64 = 1 << 20;
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 /// Why an engine gave no usable answer.
 #[derive(Debug, Snafu)]
@@ -27,7 +27,7 @@
         source: http_client::CallError,
     },
     /// No answer in time.
-    #[snafu(display("no answer within {ANSWER_LIMIT:?}"))]
+    #[snafu(display("no answer within {ANSWER_TIMEOUT:?}"))]
     TimedOut,
     /// A status other than success.
     #[snafu(display("answered {status}"))]
@@ -37,7 +37,7 @@
     },
     /// Not the JSON expected.
     #[snafu(display("answered something else: {source}"))]
-    Shape {
+    InvalidJson {
         /// What the library found.
         source: serde_json::Error,
     },
@@ -52,7 +52,7 @@
 
 /// An engine's answer to `GET /v1/load`.
 #[derive(Debug, Deserialize)]
-struct LoadAnswer {
+struct LoadReply {
     draining: bool,
     memory_tokens: units::TokenCount,
     prefill_backlog: units::TokenCount,
@@ -77,11 +77,11 @@
 }
 
 /// Engines spoken to over HTTP.
-pub struct HttpEngines {
+pub struct HttpEngineControl {
     pool: rc::Rc<http_client::ConnectionPool>,
 }
 
-impl HttpEngines {
+impl HttpEngineControl {
     /// Speaks over the connections of `pool`.
     pub fn new(pool: rc::Rc<http_client::ConnectionPool>) -> Self {
         Self { pool }
@@ -90,36 +90,36 @@
     async fn call(
         &self,
         address: net::SocketAddr,
-        call: http::Request<Bytes>,
+        request: http::Request<Bytes>,
     ) -> Result<Bytes, EngineError> {
-        let pooled = http_client::ConnectionUse::Pooled;
-        let calling = self.pool.call_whole(address, pooled, call, MAX_ANSWER);
-        let Ok(answer) = monoio::time::timeout(ANSWER_LIMIT, calling).await else {
+        let connection_use = http_client::ConnectionUse::Pooled;
+        let response = self.pool.call_whole(address, connection_use, request, MAX_ANSWER_BYTES);
+        let Ok(response) = monoio::time::timeout(ANSWER_TIMEOUT, response).await else {
             return TimedOutSnafu.fail();
         };
-        let answer = answer.context(CallSnafu)?;
-        let status = answer.status();
+        let response = response.context(CallSnafu)?;
+        let status = response.status();
         ensure!(status.is_success(), RefusedSnafu { status: status.as_u16() });
-        Ok(answer.into_body())
+        Ok(response.into_body())
     }
 }
 
-impl EngineControl for HttpEngines {
+impl EngineControl for HttpEngineControl {
     fn report(
         &self,
         address: net::SocketAddr,
     ) -> futures::future::LocalBoxFuture<'_, Result<placement::EngineReport, EngineError>> {
         Box::pin(async move {
-            let mut call = http::Request::new(Bytes::new());
-            *call.uri_mut() = http::Uri::from_static("/v1/load");
-            let body = self.call(address, call).await?;
-            let answer: LoadAnswer = serde_json::from_slice(&body).context(ShapeSnafu)?;
+            let mut request = http::Request::new(Bytes::new());
+            *request.uri_mut() = http::Uri::from_static("/v1/load");
+            let body = self.call(address, request).await?;
+            let reply: LoadReply = serde_json::from_slice(&body).context(InvalidJsonSnafu)?;
             Ok(placement::EngineReport {
-                draining: answer.draining,
-                memory: answer.memory_tokens,
-                prefill_backlog: answer.prefill_backlog,
-                age: time::Duration::from_millis(answer.age_ms),
-                held: answer.held.into_iter().filter_map(named).collect(),
+                draining: reply.draining,
+                memory: reply.memory_tokens,
+                prefill_backlog: reply.prefill_backlog,
+                age: time::Duration::from_millis(reply.age_ms),
+                held: reply.held.into_iter().filter_map(parse_held).collect(),
             })
         })
     }
@@ -131,10 +131,10 @@
     ) -> futures::future::LocalBoxFuture<'_, Result<(), EngineError>> {
         Box::pin(async move {
             let body = serde_json::json!({ "attempt": attempt.as_str() }).to_string();
-            let mut call = http::Request::new(Bytes::from(body));
-            *call.method_mut() = http::Method::POST;
-            *call.uri_mut() = http::Uri::from_static("/v1/cancel");
-            self.call(address, call).await.map(|_| ())
+            let mut request = http::Request::new(Bytes::from(body));
+            *request.method_mut() = http::Method::POST;
+            *request.uri_mut() = http::Uri::from_static("/v1/cancel");
+            self.call(address, request).await.map(|_| ())
         })
     }
 }
@@ -150,8 +150,8 @@
     while !stopped.get() {
         match engines.report(address).await {
             Ok(report) => {
-                let happened = event::SchedulerEvent::Report(name.clone(), report);
-                if events.unbounded_send(happened).is_err() {
+                let event = event::SchedulerEvent::Report(name.clone(), report);
+                if events.unbounded_send(event).is_err() {
                     return;
                 }
             }
@@ -162,7 +162,7 @@
 }
 
 /// An attempt whose name is not one of slipturn's making is somebody else's and left alone.
-fn named(held: HeldAttempt) -> Option<(ids::AttemptId, units::TokenCount)> {
+fn parse_held(held: HeldAttempt) -> Option<(ids::AttemptId, units::TokenCount)> {
     let attempt: ids::AttemptId = held.attempt.parse().ok()?;
     Some((attempt, held.tokens))
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! One task owns all state ([`state`]); everything else sends it [`event::SchedulerEvent`]s.
 
+pub mod document_sources;
 pub mod document_store;
 pub mod engine_client;
 pub mod event;
-pub mod exchange;
 pub mod program;
 pub mod rpc_service;
 pub mod state;
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -9,7 +9,7 @@
 use slipturn_wire::scheduler_capnp;
 use snafu::ResultExt as _;
 
-use crate::{engine_client, event, exchange, rpc_service, state};
+use crate::{document_sources, engine_client, event, rpc_service, state};
 
 /// Time between two ticks.
 const TICK: time::Duration = time::Duration::from_millis(50);
@@ -17,13 +17,13 @@
 const STOP_GRACE: time::Duration = time::Duration::from_secs(2);
 
 type SharedState = rc::Rc<cell::RefCell<state::SchedulerState>>;
-type PollHandles = collections::HashMap<slipturn_core::ids::EngineId, rc::Rc<cell::Cell<bool>>>;
+type PollStopFlags = collections::HashMap<slipturn_core::ids::EngineId, rc::Rc<cell::Cell<bool>>>;
 
 /// Runs a scheduler until a stop is asked for.
 pub async fn run(local: local_settings::LocalSettings) -> Result<(), server::ServerError> {
     let stop = process::StopSignal::install().context(server::SignalsSnafu)?;
     let clock = process::ProcessClock::start();
-    let sender = metrics::MetricSender::new("slipturn.scheduler", local.statsd)
+    let metric_sender = metrics::MetricSender::new("slipturn.scheduler", local.statsd)
         .context(server::MetricsSnafu)?;
     let address = local.listen.scheduler;
     let listener = server::listen(address)?;
@@ -39,9 +39,9 @@
     let links = rc::Rc::new(scheduler_link::LinkPool::default());
 
     let service = rpc_service::SchedulerService::new(events.clone(), clock);
-    monoio::spawn(accept(listener, service));
-    monoio::spawn(tick(events.clone()));
-    let documents = exchange::SchedulerDocuments::new(
+    monoio::spawn(accept_connections(listener, service));
+    monoio::spawn(send_ticks(events.clone()));
+    let documents = document_sources::SchedulerDocuments::new(
         rc::Rc::new(local),
         rc::Rc::clone(&shared),
         events.clone(),
@@ -51,8 +51,8 @@
     log::info!("scheduler listens on {address}");
 
     let engines: rc::Rc<dyn engine_client::EngineControl> =
-        rc::Rc::new(engine_client::HttpEngines::new(rc::Rc::clone(&pool)));
-    monoio::spawn(own_state(shared, incoming, events, engines, clock, sender));
+        rc::Rc::new(engine_client::HttpEngineControl::new(rc::Rc::clone(&pool)));
+    monoio::spawn(run_event_loop(shared, incoming, events, engines, clock, metric_sender));
     stop.wait().await;
     log::info!("stop asked for");
     // Leases need no goodbye: the next owner learns them from engines and entries.
@@ -61,37 +61,37 @@
 }
 
 /// The loop that owns the state.
-async fn own_state(
+async fn run_event_loop(
     shared: SharedState,
     mut incoming: mpsc::UnboundedReceiver<event::SchedulerEvent>,
     events: event::EventSender,
     engines: rc::Rc<dyn engine_client::EngineControl>,
     clock: process::ProcessClock,
-    sender: metrics::MetricSender,
+    metric_sender: metrics::MetricSender,
 ) {
-    let mut polls = PollHandles::new();
-    while let Some(happened) = incoming.next().await {
-        let ticked = matches!(happened, event::SchedulerEvent::Tick);
-        let effects = shared.borrow_mut().handle(clock.now(), happened);
+    let mut stop_flags = PollStopFlags::new();
+    while let Some(event) = incoming.next().await {
+        let is_tick = matches!(event, event::SchedulerEvent::Tick);
+        let effects = shared.borrow_mut().handle(clock.now(), event);
         for effect in effects {
-            carry_out(effect, &mut polls, &events, &engines, &sender);
+            perform(effect, &mut stop_flags, &events, &engines, &metric_sender);
         }
-        if ticked {
-            sender.flush();
+        if is_tick {
+            metric_sender.flush();
         }
     }
 }
 
-fn carry_out(
+fn perform(
     effect: event::SchedulerEffect,
-    polls: &mut PollHandles,
+    stop_flags: &mut PollStopFlags,
     events: &event::EventSender,
     engines: &rc::Rc<dyn engine_client::EngineControl>,
-    sender: &metrics::MetricSender,
+    metric_sender: &metrics::MetricSender,
 ) {
     match effect {
         event::SchedulerEffect::Cancel(address, attempt) => {
-            sender.count("cancels");
+            metric_sender.count("cancels");
             let engines = rc::Rc::clone(engines);
             monoio::spawn(async move {
                 // A cancel that is lost is sent again: the engine's next report still lists it.
@@ -102,21 +102,24 @@
         }
         event::SchedulerEffect::StartPoll(name, address) => {
             let stopped = rc::Rc::new(cell::Cell::new(false));
-            if let Some(earlier) = polls.insert(name.clone(), rc::Rc::clone(&stopped)) {
-                earlier.set(true);
+            if let Some(previous) = stop_flags.insert(name.clone(), rc::Rc::clone(&stopped)) {
+                previous.set(true);
             }
             let engines = rc::Rc::clone(engines);
             monoio::spawn(engine_client::poll(engines, name, address, events.clone(), stopped));
         }
         event::SchedulerEffect::StopPoll(name) => {
-            if let Some(stopped) = polls.remove(&name) {
+            if let Some(stopped) = stop_flags.remove(&name) {
                 stopped.set(true);
             }
         }
     }
 }
 
-async fn accept(listener: monoio::net::TcpListener, service: rpc_service::SchedulerService) {
+async fn accept_connections(
+    listener: monoio::net::TcpListener,
+    service: rpc_service::SchedulerService,
+) {
     server::accept_all(listener, move |stream| {
         let client: scheduler_capnp::scheduler::Client = capnp_rpc::new_client(service.clone());
         scheduler_link::serve(stream, client)
@@ -124,7 +127,7 @@
     .await;
 }
 
-async fn tick(events: event::EventSender) {
+async fn send_ticks(events: event::EventSender) {
     while events.unbounded_send(event::SchedulerEvent::Tick).is_ok() {
         monoio::time::sleep(TICK).await;
     }
--- a/crates/scheduler/src/rpc_service.rs
+++ b/crates/scheduler/src/rpc_service.rs
@@ -9,7 +9,7 @@
 use crate::event;
 
 /// Longest a watch waits, whatever the watcher asks for.
-const MAX_WATCH: std::time::Duration = std::time::Duration::from_secs(30);
+const MAX_WATCH_WAIT: std::time::Duration = std::time::Duration::from_secs(30);
 
 /// The service behind every connection of a peer.
 #[derive(Clone)]
@@ -24,20 +24,20 @@
         Self { events, clock }
     }
 
-    fn send(&self, happened: event::SchedulerEvent) -> Result<(), capnp::Error> {
+    fn send(&self, event: event::SchedulerEvent) -> Result<(), capnp::Error> {
         let stopping = |_| capnp::Error::disconnected("the scheduler is stopping".to_owned());
-        self.events.unbounded_send(happened).map_err(stopping)
+        self.events.unbounded_send(event).map_err(stopping)
     }
 
     /// Sends an event that carries a place for its answer, and waits for the answer.
     async fn ask<T>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> event::SchedulerEvent,
+        make_event: impl FnOnce(oneshot::Sender<T>) -> event::SchedulerEvent,
     ) -> Result<T, capnp::Error> {
-        let (answer, answered) = oneshot::channel();
-        self.send(make(answer))?;
+        let (sender, receiver) = oneshot::channel();
+        self.send(make_event(sender))?;
         let dropped = |_| capnp::Error::failed("the question was dropped".to_owned());
-        answered.await.map_err(dropped)
+        receiver.await.map_err(dropped)
     }
 }
 
@@ -48,8 +48,8 @@
         mut results: scheduler_capnp::scheduler::OfferResults,
     ) -> Result<(), capnp::Error> {
         let (engine, request) = convert::read_place(params.get()?.get_place()?, self.clock.now())?;
-        let make = |answer| event::SchedulerEvent::Offer(engine, request, answer);
-        let answer = self.ask(make).await?;
+        let make_event = |answer| event::SchedulerEvent::Offer(engine, request, answer);
+        let answer = self.ask(make_event).await?;
         convert::write_offer(results.get().init_reply(), &answer);
         Ok(())
     }
@@ -60,8 +60,8 @@
         mut results: scheduler_capnp::scheduler::AcquireResults,
     ) -> Result<(), capnp::Error> {
         let (engine, request) = convert::read_place(params.get()?.get_place()?, self.clock.now())?;
-        let make = |answer| event::SchedulerEvent::Acquire(engine, request, answer);
-        let answer = self.ask(make).await?;
+        let make_event = |answer| event::SchedulerEvent::Acquire(engine, request, answer);
+        let answer = self.ask(make_event).await?;
         convert::write_place_reply(results.get().init_reply(), &answer);
         Ok(())
     }
@@ -103,8 +103,8 @@
             burst: units::TokenCount(params.get_burst()),
         };
         let want = units::TokenCount(params.get_want());
-        let make = |answer| event::SchedulerEvent::Draw(customer, limit, want, answer);
-        let answer = self.ask(make).await?;
+        let make_event = |answer| event::SchedulerEvent::Draw(customer, limit, want, answer);
+        let answer = self.ask(make_event).await?;
         convert::write_portion(results.get().init_reply(), answer);
         Ok(())
     }
@@ -116,8 +116,8 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let key = key_vote::ScopedKey(convert::read_text(params.get_key()?)?.to_owned());
-        let asker = convert::read_name(params.get_asker()?)?;
-        let answer = self.ask(|answer| event::SchedulerEvent::Vote(key, asker, answer)).await?;
+        let request = convert::read_name(params.get_asker()?)?;
+        let answer = self.ask(|answer| event::SchedulerEvent::Vote(key, request, answer)).await?;
         convert::write_vote(results.get().init_reply(), &answer);
         Ok(())
     }
@@ -132,10 +132,10 @@
             settings: params.get_settings_version(),
             list: params.get_list_revision(),
         };
-        let wait = std::time::Duration::from_millis(params.get_wait_ms()).min(MAX_WATCH);
-        let until = self.clock.now() + wait;
-        let make = |answer| event::SchedulerEvent::Watch(known, until, answer);
-        let answer = self.ask(make).await?;
+        let wait = std::time::Duration::from_millis(params.get_wait_ms()).min(MAX_WATCH_WAIT);
+        let deadline = self.clock.now() + wait;
+        let make_event = |answer| event::SchedulerEvent::Watch(known, deadline, answer);
+        let answer = self.ask(make_event).await?;
         let mut documents = results.get().init_documents();
         if let Some((version, text)) = &answer.settings {
             documents.set_settings_version(*version);
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -12,13 +12,13 @@
 use crate::{document_store, event, status};
 
 /// A ledger this scheduler does not own, by its own list, is dropped after this time without use.
-const FOREIGN_LIFE: time::Duration = time::Duration::from_secs(30);
+const UNOWNED_LEDGER_TTL: time::Duration = time::Duration::from_secs(30);
 
 /// One engine in this scheduler's care.
-struct EngineCare {
+struct ManagedEngine {
     record: fleet_list::EngineRecord,
     ledger: engine_ledger::EngineLedger,
-    used: units::MonoTime,
+    last_used: units::MonoTime,
 }
 
 /// Who this scheduler is.
@@ -36,10 +36,10 @@
 pub struct SchedulerState {
     identity: SchedulerIdentity,
     documents: document_store::DocumentStore,
-    engines: collections::BTreeMap<ids::EngineId, EngineCare>,
+    engines: collections::BTreeMap<ids::EngineId, ManagedEngine>,
     /// Entries waiting for a place. Invariant: each attempt is in the queue of one ledger.
-    waiting: collections::HashMap<ids::AttemptId, oneshot::Sender<event::PlaceAnswer>>,
-    keeper: budget::BudgetLedger,
+    pending_acquires: collections::HashMap<ids::AttemptId, oneshot::Sender<event::PlaceAnswer>>,
+    budgets: budget::BudgetLedger,
     voter: key_vote::KeyVoter,
 }
 
@@ -52,8 +52,8 @@
             identity,
             documents: document_store::DocumentStore::default(),
             engines: collections::BTreeMap::new(),
-            waiting: collections::HashMap::new(),
-            keeper: budget::BudgetLedger::default(),
+            pending_acquires: collections::HashMap::new(),
+            budgets: budget::BudgetLedger::default(),
             voter,
         }
     }
@@ -62,10 +62,10 @@
     pub fn handle(
         &mut self,
         now: units::MonoTime,
-        happened: event::SchedulerEvent,
+        event: event::SchedulerEvent,
     ) -> Vec<event::SchedulerEffect> {
         use event::SchedulerEvent;
-        match happened {
+        match event {
             SchedulerEvent::Offer(engine, request, answer) => {
                 let (offer, effects) = self.offer(now, &engine, &request);
                 // An asker that has gone needs no answer; the same holds for those below.
@@ -78,22 +78,22 @@
             SchedulerEvent::Release(engine, attempt) => self.release(now, &engine, &attempt),
             SchedulerEvent::Renew(entry, boot, places) => self.renew(now, &entry, boot, places),
             SchedulerEvent::Draw(customer, limit, want, answer) => {
-                let _ = answer.send(self.keeper.draw(now, &customer, limit, want));
+                let _ = answer.send(self.budgets.draw(now, &customer, limit, want));
                 Vec::new()
             }
-            SchedulerEvent::Vote(key, asker, answer) => {
-                let _ = answer.send(self.voter.ask(now, &key, &asker));
+            SchedulerEvent::Vote(key, request, answer) => {
+                let _ = answer.send(self.voter.ask(now, &key, &request));
                 Vec::new()
             }
-            SchedulerEvent::Watch(known, until, answer) => {
-                self.documents.watch(now, known, until, answer);
+            SchedulerEvent::Watch(known, deadline, answer) => {
+                self.documents.watch(now, known, deadline, answer);
                 Vec::new()
             }
             SchedulerEvent::Status(answer) => {
                 let _ = answer.send(status::to_json(&self.status(now)));
                 Vec::new()
             }
-            SchedulerEvent::Documents(update) => self.take_documents(now, &update),
+            SchedulerEvent::Documents(update) => self.apply_documents(now, &update),
             SchedulerEvent::Report(engine, report) => self.report(now, &engine, &report),
             SchedulerEvent::Tick => self.tick(now),
         }
@@ -110,9 +110,9 @@
         engine: &ids::EngineId,
         request: &placement::PlaceRequest,
     ) -> (event::OfferAnswer, Vec<event::SchedulerEffect>) {
-        let effects = self.take_care(now, engine);
+        let effects = self.ensure_engine(now, engine);
         match self.engines.get_mut(engine) {
-            Some(care) => (care.ledger.offer(now, request), effects),
+            Some(managed) => (managed.ledger.offer(now, request), effects),
             None => (Err(unknown_engine(engine)), effects),
         }
     }
@@ -124,14 +124,14 @@
         request: placement::PlaceRequest,
         answer: oneshot::Sender<event::PlaceAnswer>,
     ) -> Vec<event::SchedulerEffect> {
-        let mut effects = self.take_care(now, engine);
-        let Some(care) = self.engines.get_mut(engine) else {
+        let mut effects = self.ensure_engine(now, engine);
+        let Some(managed) = self.engines.get_mut(engine) else {
             let _ = answer.send(Err(unknown_engine(engine)));
             return effects;
         };
-        self.waiting.insert(request.attempt.clone(), answer);
-        let actions = care.ledger.enqueue(now, request);
-        effects.extend(self.carry_out(now, engine, actions));
+        self.pending_acquires.insert(request.attempt.clone(), answer);
+        let actions = managed.ledger.enqueue(now, request);
+        effects.extend(self.apply_actions(now, engine, actions));
         effects
     }
 
@@ -141,12 +141,12 @@
         engine: &ids::EngineId,
         attempt: &ids::AttemptId,
     ) -> Vec<event::SchedulerEffect> {
-        self.waiting.remove(attempt);
-        let Some(care) = self.engines.get_mut(engine) else {
+        self.pending_acquires.remove(attempt);
+        let Some(managed) = self.engines.get_mut(engine) else {
             return Vec::new();
         };
-        let actions = care.ledger.release(now, attempt);
-        self.carry_out(now, engine, actions)
+        let actions = managed.ledger.release(now, attempt);
+        self.apply_actions(now, engine, actions)
     }
 
     fn renew(
@@ -163,16 +163,16 @@
         }
         let mut effects = Vec::new();
         for engine in by_engine.keys() {
-            effects.extend(self.take_care(now, engine));
+            effects.extend(self.ensure_engine(now, engine));
         }
         let engines: Vec<_> = self.engines.keys().cloned().collect();
         for engine in engines {
             let streaming = by_engine.remove(&engine).unwrap_or_default();
-            let Some(care) = self.engines.get_mut(&engine) else {
+            let Some(managed) = self.engines.get_mut(&engine) else {
                 continue;
             };
-            let actions = care.ledger.renew(now, entry, boot, &streaming);
-            effects.extend(self.carry_out(now, &engine, actions));
+            let actions = managed.ledger.renew(now, entry, boot, &streaming);
+            effects.extend(self.apply_actions(now, &engine, actions));
         }
         effects
     }
@@ -183,38 +183,38 @@
         engine: &ids::EngineId,
         report: &placement::EngineReport,
     ) -> Vec<event::SchedulerEffect> {
-        let Some(care) = self.engines.get_mut(engine) else {
+        let Some(managed) = self.engines.get_mut(engine) else {
             return Vec::new();
         };
-        let mut actions = care.ledger.report(now, report);
-        if care.record.state == fleet_list::ListState::Leaving {
-            care.ledger.set_leaving(true);
-            actions.extend(care.ledger.advance(now));
+        let mut actions = managed.ledger.report(now, report);
+        if managed.record.state == fleet_list::ListState::Leaving {
+            managed.ledger.set_leaving(true);
+            actions.extend(managed.ledger.advance(now));
         }
-        self.carry_out(now, engine, actions)
+        self.apply_actions(now, engine, actions)
     }
 
-    fn take_documents(
+    fn apply_documents(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
     ) -> Vec<event::SchedulerEffect> {
         let instances = self.live_instances();
-        let news = self.documents.take(now, update);
-        if let Some(tree) = news.settings {
+        let accepted = self.documents.apply(now, update);
+        if let Some(tree) = accepted.settings {
             self.voter.set_retention(now, tree.fleet.key_retention.0);
-            for care in self.engines.values_mut() {
-                care.ledger.set_options(tree.fleet.clone());
+            for managed in self.engines.values_mut() {
+                managed.ledger.set_options(tree.fleet.clone());
             }
         }
-        if !news.list {
+        if !accepted.list {
             return Vec::new();
         }
         if self.live_instances() != instances {
-            self.keeper.note_membership_change(now);
+            self.budgets.note_membership_change(now);
         }
-        self.see_instances(now);
-        self.follow_engines(now)
+        self.update_voter(now);
+        self.update_engines(now)
     }
 
     fn live_instances(&self) -> Vec<ids::InstanceId> {
@@ -222,7 +222,7 @@
         live.map(|instance| instance.name.clone()).collect()
     }
 
-    fn see_instances(&mut self, now: units::MonoTime) {
+    fn update_voter(&mut self, now: units::MonoTime) {
         self.voter.update_list(
             now,
             self.documents.list().instances.iter().map(|instance| &instance.name),
@@ -230,7 +230,7 @@
     }
 
     /// Takes over the engines this scheduler owns, and drops the unlisted ones.
-    fn follow_engines(&mut self, now: units::MonoTime) -> Vec<event::SchedulerEffect> {
+    fn update_engines(&mut self, now: units::MonoTime) -> Vec<event::SchedulerEffect> {
         let mut effects = Vec::new();
         let records: collections::HashMap<_, _> = self
             .documents
@@ -239,20 +239,20 @@
             .iter()
             .map(|engine| (engine.name.clone(), engine.clone()))
             .collect();
-        for care in self.engines.values_mut() {
-            if let Some(record) = records.get(&care.record.name) {
-                care.ledger.set_leaving(record.state == fleet_list::ListState::Leaving);
-                care.record = record.clone();
+        for managed in self.engines.values_mut() {
+            if let Some(record) = records.get(&managed.record.name) {
+                managed.ledger.set_leaving(record.state == fleet_list::ListState::Leaving);
+                managed.record = record.clone();
             }
         }
         let unlisted: Vec<_> =
             self.engines.keys().filter(|name| !records.contains_key(*name)).cloned().collect();
         for name in unlisted {
-            effects.extend(self.drop_care(now, &name));
+            effects.extend(self.drop_engine(now, &name));
         }
         for record in records.values() {
             if self.owns(record) {
-                effects.extend(self.take_care(now, &record.name));
+                effects.extend(self.ensure_engine(now, &record.name));
             }
         }
         effects
@@ -268,13 +268,13 @@
     ///
     /// An entry with another list may name an engine that is not this scheduler's own: it is
     /// served all the same, for the engine's report shows what others have placed there.
-    fn take_care(
+    fn ensure_engine(
         &mut self,
         now: units::MonoTime,
         engine: &ids::EngineId,
     ) -> Vec<event::SchedulerEffect> {
-        if let Some(care) = self.engines.get_mut(engine) {
-            care.used = now;
+        if let Some(managed) = self.engines.get_mut(engine) {
+            managed.last_used = now;
             return Vec::new();
         }
         let record = self.documents.list().engines.iter().find(|record| record.name == *engine);
@@ -282,27 +282,27 @@
             return Vec::new();
         };
         let options =
-            self.documents.store().tree().map(|tree| tree.fleet.clone()).unwrap_or_default();
+            self.documents.settings().tree().map(|tree| tree.fleet.clone()).unwrap_or_default();
         let mut ledger =
             engine_ledger::EngineLedger::new(now, record.memory, record.prefill_rate, options);
         ledger.set_leaving(record.state == fleet_list::ListState::Leaving);
         let start = event::SchedulerEffect::StartPoll(record.name.clone(), record.address);
-        let care = EngineCare { record, ledger, used: now };
-        self.engines.insert(engine.clone(), care);
+        let managed = ManagedEngine { record, ledger, last_used: now };
+        self.engines.insert(engine.clone(), managed);
         vec![start]
     }
 
-    fn drop_care(
+    fn drop_engine(
         &mut self,
         now: units::MonoTime,
         engine: &ids::EngineId,
     ) -> Vec<event::SchedulerEffect> {
-        let Some(care) = self.engines.get_mut(engine) else {
+        let Some(managed) = self.engines.get_mut(engine) else {
             return Vec::new();
         };
-        care.ledger.set_leaving(true);
-        let actions = care.ledger.advance(now);
-        let mut effects = self.carry_out(now, engine, actions);
+        managed.ledger.set_leaving(true);
+        let actions = managed.ledger.advance(now);
+        let mut effects = self.apply_actions(now, engine, actions);
         self.engines.remove(engine);
         effects.push(event::SchedulerEffect::StopPoll(engine.clone()));
         effects
@@ -314,9 +314,9 @@
         for engine in engines {
             effects.extend(self.tick_engine(now, &engine));
         }
-        self.see_instances(now);
+        self.update_voter(now);
         self.voter.prune(now);
-        self.keeper.prune(now);
+        self.budgets.prune(now);
         self.documents.answer_watchers(now);
         effects
     }
@@ -326,21 +326,21 @@
         now: units::MonoTime,
         engine: &ids::EngineId,
     ) -> Vec<event::SchedulerEffect> {
-        let Some(care) = self.engines.get_mut(engine) else {
+        let Some(managed) = self.engines.get_mut(engine) else {
             return Vec::new();
         };
-        let actions = care.ledger.advance(now);
-        let idle = care.ledger.running() == 0 && care.ledger.waiting() == 0;
-        let unused = now.since(care.used) >= FOREIGN_LIFE;
-        let record = care.record.clone();
-        let mut effects = self.carry_out(now, engine, actions);
+        let actions = managed.ledger.advance(now);
+        let idle = managed.ledger.running() == 0 && managed.ledger.waiting() == 0;
+        let unused = now.since(managed.last_used) >= UNOWNED_LEDGER_TTL;
+        let record = managed.record.clone();
+        let mut effects = self.apply_actions(now, engine, actions);
         if idle && unused && !self.owns(&record) {
-            effects.extend(self.drop_care(now, engine));
+            effects.extend(self.drop_engine(now, engine));
         }
         effects
     }
 
-    fn carry_out(
+    fn apply_actions(
         &mut self,
         now: units::MonoTime,
         engine: &ids::EngineId,
@@ -353,14 +353,15 @@
                     effects.extend(self.grant(now, engine, &attempt, rank.priority()));
                 }
                 placement::LedgerAction::Refuse(attempt, refusal) => {
-                    if let Some(answer) = self.waiting.remove(&attempt) {
+                    if let Some(answer) = self.pending_acquires.remove(&attempt) {
                         let _ = answer.send(Err(refusal));
                     }
                 }
                 placement::LedgerAction::Cancel(attempt, reason) => {
                     log::info!("cancel of {attempt} at {engine}: {reason:?}");
-                    if let Some(care) = self.engines.get(engine) {
-                        effects.push(event::SchedulerEffect::Cancel(care.record.address, attempt));
+                    if let Some(managed) = self.engines.get(engine) {
+                        effects
+                            .push(event::SchedulerEffect::Cancel(managed.record.address, attempt));
                     }
                 }
             }
@@ -376,7 +377,7 @@
         attempt: &ids::AttemptId,
         priority: u8,
     ) -> Vec<event::SchedulerEffect> {
-        let answer = self.waiting.remove(attempt);
+        let answer = self.pending_acquires.remove(attempt);
         if answer.is_some_and(|answer| answer.send(Ok(priority)).is_ok()) {
             return Vec::new();
         }
@@ -384,30 +385,30 @@
     }
 
     fn status(&self, now: units::MonoTime) -> status::SchedulerStatus {
-        let engines = self.engines.values().map(|care| status::EngineStatus {
-            engine: care.record.name.clone(),
-            owned: self.owns(&care.record),
-            reachable: care.ledger.reachable(now),
-            leaving: care.ledger.draining(),
-            memory: care.record.memory,
-            free: care.ledger.free(),
-            running: care.ledger.running(),
-            waiting: care.ledger.waiting(),
-            unexplained: care.ledger.orphan_count(),
+        let engines = self.engines.values().map(|managed| status::EngineStatus {
+            engine: managed.record.name.clone(),
+            owned: self.owns(&managed.record),
+            reachable: managed.ledger.reachable(now),
+            leaving: managed.ledger.draining(),
+            memory: managed.record.memory,
+            free: managed.ledger.free(),
+            running: managed.ledger.running(),
+            waiting: managed.ledger.waiting(),
+            unexplained: managed.ledger.orphan_count(),
         });
         status::SchedulerStatus {
             instance: self.identity.instance.clone(),
             data_center: self.identity.data_center.clone(),
             boot: self.identity.boot.to_string(),
-            settings_version: self.documents.store().version().0,
-            settings_rejected: self.documents.store().rejected().map(str::to_owned),
-            settings_age_ms: units::whole_millis(self.documents.store().age(now)),
+            settings_version: self.documents.settings().version().0,
+            settings_rejected: self.documents.settings().rejected().map(str::to_owned),
+            settings_age_ms: units::whole_millis(self.documents.settings().age(now)),
             list_revision: self.documents.list().revision,
             engines: engines.collect(),
-            budgets: self.keeper.len(),
+            budgets: self.budgets.len(),
             keys: self.voter.len(),
             votes: self.voter.has_full_history(now),
-            watchers: self.documents.watchers(),
+            watchers: self.documents.watcher_count(),
         }
     }
 }
--- a/crates/scheduler/tests/command_line.rs
+++ b/crates/scheduler/tests/command_line.rs
@@ -8,11 +8,11 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_slipturn-scheduler");
 
 #[test]
-fn help_and_version_are_good_and_wrong_usage_is_two() {
+fn help_and_version_exit_0_and_wrong_usage_exits_2() {
     programs::check_usage(PROGRAM);
 }
 
 #[test]
-fn a_settings_file_is_checked_without_serving() {
+fn check_option_validates_the_settings_file_without_serving() {
     programs::check_settings(PROGRAM, env!("CARGO_TARGET_TMPDIR"));
 }
