--- a/crates/scheduler/src/document_sources.rs
+++ b/crates/scheduler/src/document_sources.rs
@@ -1,8 +1,9 @@
-//! Whom a scheduler asks for documents.
+//! Sources from which a scheduler fetches the published documents (settings and list).
 //!
-//! In each data centre the first two live instances, in an order all agree on, watch the platform.
-//! Each of the others watches one that comes earlier in the order, at most [`FAN_OUT`] of them one
-//! instance, so that a change reaches the last of 76 after three hops.
+//! The live instances of a data centre have an order that is the same for all processes with the
+//! same list. The first [`PLATFORM_WATCHERS`] of them watch the platform. Each of the others
+//! watches an earlier instance, at most [`FAN_OUT`] of them the same one, so that in a data centre
+//! with 76 instances a change reaches the last one three hops after the platform's watchers.
 
 use std::{cell, net, rc};
 
@@ -11,12 +12,12 @@
 
 use crate::{event, state};
 
-/// Instances of a data centre that watch the platform.
+/// Number of instances in each data centre that watch the platform.
 const PLATFORM_WATCHERS: usize = 2;
-/// Instances that watch one instance.
+/// Most instances that watch the same instance.
 const FAN_OUT: usize = 4;
 
-/// A scheduler's documents as the feed sees them.
+/// The document feed's access to the scheduler: reads the state, and changes it through events.
 pub struct SchedulerDocuments {
     local: rc::Rc<local_settings::LocalSettings>,
     state: rc::Rc<cell::RefCell<state::SchedulerState>>,
@@ -24,7 +25,7 @@
 }
 
 impl SchedulerDocuments {
-    /// The documents in `state`, which changes only through `events`.
+    /// Creates the access to the documents in `state`; updates are sent to `events`.
     pub fn new(
         local: rc::Rc<local_settings::LocalSettings>,
         state: rc::Rc<cell::RefCell<state::SchedulerState>>,
@@ -46,22 +47,22 @@
     }
 
     fn take(&self, update: scheduler_link::DocumentUpdate) {
-        // The loop that owns the state has ended only when the process is stopping.
+        // Fails only after the event loop has ended, when the process is stopping.
         let _ = self.events.unbounded_send(event::SchedulerEvent::Documents(update));
     }
 
     fn all_silent(&self) {
-        log::warn!("neither platform nor peers answer; working from the documents held");
+        log::warn!("no answer from the platform or any peer; using the documents held");
     }
 
     fn jitter(&self) -> f64 {
-        // Two processes need only differ, and their names do.
+        // Instances have different names, so their pauses differ.
         let hash = rendezvous::stable_hash(&[self.local.instance.as_str()]);
         (hash % 1_000) as f64 / 1_000.0
     }
 }
 
-/// Sources for one instance, best first.
+/// Sources for `instance`, most preferred first.
 pub fn sources(
     list: &fleet_list::FleetList,
     instance: &ids::InstanceId,
