--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,4 +1,6 @@
-//! The state of one scheduler. It sees no socket and no clock.
+//! The scheduler's state machine, which turns events into effects.
+//!
+//! It does no I/O and reads no clock: the time is passed in with each event.
 
 use std::{collections, time};
 
@@ -11,40 +13,43 @@
 
 use crate::{document_store, event, status};
 
-/// A ledger this scheduler does not own, by its own list, is dropped after this time without use.
+/// Time without use after which the ledger of an engine is dropped, if it has neither leases nor
+/// waiting requests and this scheduler does not own the engine according to its list.
 const UNOWNED_LEDGER_TTL: time::Duration = time::Duration::from_secs(30);
 
-/// One engine in this scheduler's care.
+/// An engine for which this scheduler has a ledger.
 struct ManagedEngine {
     record: fleet_list::EngineRecord,
     ledger: engine_ledger::EngineLedger,
+    /// When a call of an entry or, for an owned engine, a list update last needed the ledger.
     last_used: units::MonoTime,
 }
 
-/// Who this scheduler is.
+/// Identity of a scheduler process.
 #[derive(Debug, Clone)]
 pub struct SchedulerIdentity {
-    /// Its instance.
+    /// Instance that the scheduler runs on.
     pub instance: ids::InstanceId,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_center: ids::DataCenterId,
-    /// This start of the process.
+    /// Id of this run of the process.
     pub boot: ids::BootId,
 }
 
-/// Everything a scheduler knows.
+/// State of a scheduler: documents, engine ledgers, budgets and votes.
 pub struct SchedulerState {
     identity: SchedulerIdentity,
     documents: document_store::DocumentStore,
     engines: collections::BTreeMap<ids::EngineId, ManagedEngine>,
-    /// Entries waiting for a place. Invariant: each attempt is in the queue of one ledger.
+    /// Reply channels of acquire calls that are not answered yet. Invariant: each attempt is in the
+    /// queue of one ledger.
     pending_acquires: collections::HashMap<ids::AttemptId, oneshot::Sender<event::PlaceAnswer>>,
     budgets: budget::BudgetLedger,
     voter: key_vote::KeyVoter,
 }
 
 impl SchedulerState {
-    /// The state of a scheduler that has just started.
+    /// Creates the state of a scheduler that starts `now`, without documents or engines.
     pub fn new(now: units::MonoTime, identity: SchedulerIdentity) -> Self {
         let retention = settings::FleetOptions::default().key_retention.0;
         let voter = key_vote::KeyVoter::new(identity.instance.clone(), now, retention);
@@ -58,7 +63,7 @@
         }
     }
 
-    /// Takes in one event and says what is to be done.
+    /// Applies an event and returns the effects to perform.
     pub fn handle(
         &mut self,
         now: units::MonoTime,
@@ -68,7 +73,8 @@
         match event {
             SchedulerEvent::Offer(engine, request, answer) => {
                 let (offer, effects) = self.offer(now, &engine, &request);
-                // An asker that has gone needs no answer; the same holds for those below.
+                // A failed send means that the caller has disconnected and needs no answer; the
+                // same holds for the sends below in this function.
                 let _ = answer.send(offer);
                 effects
             }
@@ -99,7 +105,7 @@
         }
     }
 
-    /// The documents held.
+    /// The settings and the list held by this scheduler.
     pub fn documents(&self) -> &document_store::DocumentStore {
         &self.documents
     }
@@ -229,7 +235,8 @@
         );
     }
 
-    /// Takes over the engines this scheduler owns, and drops the unlisted ones.
+    /// Applies a new list to the engines: updates their records, drops unlisted engines and takes
+    /// over those that this scheduler owns.
     fn update_engines(&mut self, now: units::MonoTime) -> Vec<event::SchedulerEffect> {
         let mut effects = Vec::new();
         let records: collections::HashMap<_, _> = self
@@ -264,10 +271,10 @@
         owner.is_some_and(|owner| owner.name == self.identity.instance)
     }
 
-    /// Makes a ledger for a listed engine that has none yet.
+    /// Creates a ledger for a listed engine that has none; marks an existing ledger as used.
     ///
-    /// An entry with another list may name an engine that is not this scheduler's own: it is
-    /// served all the same, for the engine's report shows what others have placed there.
+    /// An entry with a different list may name an engine that another scheduler owns. Its calls are
+    /// served as well, because the engine's reports show what other schedulers have placed there.
     fn ensure_engine(
         &mut self,
         now: units::MonoTime,
@@ -358,7 +365,7 @@
                     }
                 }
                 placement::LedgerAction::Cancel(attempt, reason) => {
-                    log::info!("cancel of {attempt} at {engine}: {reason:?}");
+                    log::info!("cancelling {attempt} on engine {engine}: {reason:?}");
                     if let Some(managed) = self.engines.get(engine) {
                         effects
                             .push(event::SchedulerEffect::Cancel(managed.record.address, attempt));
@@ -369,7 +376,7 @@
         effects
     }
 
-    /// Tells the entry; one that has gone gives its place back at once.
+    /// Answers the entry's acquire call. If the entry has disconnected, releases the place at once.
     fn grant(
         &mut self,
         now: units::MonoTime,
