--- a/crates/scheduler/src/engine_client.rs
+++ b/crates/scheduler/src/engine_client.rs
@@ -1,4 +1,4 @@
-//! What a scheduler asks of engines over HTTP: load, attempts held, cancel.
+//! HTTP client for engines: load reports and cancels.
 
 use std::{net, rc, time};
 
@@ -10,47 +10,47 @@
 
 use crate::event;
 
-/// Time between two questions for an engine's load.
+/// Pause between two polls of an engine's load.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
-/// Time for an engine's answer.
+/// Time limit of a call to an engine.
 const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
-/// Largest answer.
+/// Largest response body, in bytes.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// Why an engine gave no usable answer.
+/// Error of a call to an engine.
 #[derive(Debug, Snafu)]
 pub enum EngineError {
-    /// The call failed.
+    /// The request could not be sent, or its response could not be read.
     #[snafu(display("{source}"))]
     Call {
-        /// How.
+        /// Error of the HTTP client.
         source: http_client::CallError,
     },
-    /// No answer in time.
+    /// The engine did not answer within [`ANSWER_TIMEOUT`].
     #[snafu(display("no answer within {ANSWER_TIMEOUT:?}"))]
     TimedOut,
-    /// A status other than success.
-    #[snafu(display("answered {status}"))]
+    /// The engine answered with a status other than 2xx.
+    #[snafu(display("unexpected status {status}"))]
     Refused {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
     },
-    /// Not the JSON expected.
-    #[snafu(display("answered something else: {source}"))]
+    /// The response body is not a valid load report.
+    #[snafu(display("invalid load report: {source}"))]
     InvalidJson {
-        /// What the library found.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// One attempt an engine holds memory for.
+/// An attempt for which the engine holds memory.
 #[derive(Debug, Deserialize)]
 struct HeldAttempt {
     attempt: String,
     tokens: units::TokenCount,
 }
 
-/// An engine's answer to `GET /v1/load`.
+/// Response body of `GET /v1/load`.
 #[derive(Debug, Deserialize)]
 struct LoadReply {
     draining: bool,
@@ -60,15 +60,15 @@
     held: Vec<HeldAttempt>,
 }
 
-/// The orders and questions an engine understands; the users' own may be spoken otherwise.
+/// Calls to an engine. A trait, because the users' own engines may need another protocol.
 pub trait EngineControl {
-    /// Asks for load and attempts held.
+    /// Requests the engine's load and the attempts that it holds.
     fn report(
         &self,
         address: net::SocketAddr,
     ) -> futures::future::LocalBoxFuture<'_, Result<placement::EngineReport, EngineError>>;
 
-    /// Tells it to give an attempt up.
+    /// Tells the engine to cancel an attempt.
     fn cancel(
         &self,
         address: net::SocketAddr,
@@ -76,13 +76,13 @@
     ) -> futures::future::LocalBoxFuture<'_, Result<(), EngineError>>;
 }
 
-/// Engines spoken to over HTTP.
+/// Calls to engines over HTTP.
 pub struct HttpEngineControl {
     pool: rc::Rc<http_client::ConnectionPool>,
 }
 
 impl HttpEngineControl {
-    /// Speaks over the connections of `pool`.
+    /// Creates a client that uses the connections of `pool`.
     pub fn new(pool: rc::Rc<http_client::ConnectionPool>) -> Self {
         Self { pool }
     }
@@ -139,7 +139,8 @@
     }
 }
 
-/// Asks one engine for its load until its receiver is closed or `stopped` says so.
+/// Polls an engine's load and sends each report to `events`, until `stopped` is set or the receiver
+/// of `events` is closed. A failed poll is logged and repeated.
 pub async fn poll(
     engines: rc::Rc<dyn EngineControl>,
     name: ids::EngineId,
@@ -161,7 +162,8 @@
     }
 }
 
-/// An attempt whose name is not one of slipturn's making is somebody else's and left alone.
+/// Parses an attempt held by an engine. Returns `None` if its id is not in slipturn's format: the
+/// attempt then belongs to another client of the engine and must not be cancelled.
 fn parse_held(held: HeldAttempt) -> Option<(ids::AttemptId, units::TokenCount)> {
     let attempt: ids::AttemptId = held.attempt.parse().ok()?;
     Some((attempt, held.tokens))
