--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a scheduler, and what it wants done.
+//! Events that the scheduler's state handles, and the effects that it returns.
 
 use std::{net, time};
 
@@ -6,61 +6,61 @@
 use slipturn_core::{budget, ids, key_vote, placement, refusal, units};
 use slipturn_net::scheduler_link;
 
-/// Where events go.
+/// Sends events to the task that handles them.
 pub type EventSender = mpsc::UnboundedSender<SchedulerEvent>;
 
-/// Answer to a question about an engine.
+/// Answer to an offer call: the engine's estimate for the request, or a refusal.
 pub type OfferAnswer = Result<placement::EngineOffer, refusal::RequestRefusal>;
-/// End of a wait for a place: the priority to send to the engine.
+/// Answer to an acquire call: the priority to send to the engine, or a refusal.
 pub type PlaceAnswer = Result<u8, refusal::RequestRefusal>;
-/// A portion of a budget, or when there will be one.
+/// Answer to a draw call: a portion of the budget, or the time until one is available.
 pub type PortionAnswer = Result<budget::BudgetPortion, budget::BudgetExhausted>;
 
-/// Documents to hand on, with their numbers.
+/// Answer to a watch: the documents that are newer than those of the watcher.
 #[derive(Debug, Clone, Default)]
 pub struct DocumentAnswer {
-    /// Version and text of newer settings.
+    /// Version and text of the settings; `None` if the watcher has them.
     pub settings: Option<(u64, std::rc::Rc<str>)>,
-    /// Revision and text of a newer list.
+    /// Revision and text of the list; `None` if the watcher has it.
     pub list: Option<(u64, std::rc::Rc<str>)>,
-    /// How long ago the settings were confirmed.
+    /// Time since a source last confirmed the settings.
     pub age: time::Duration,
 }
 
-/// Something that happened.
+/// A call, report, update or timer tick that the state handles.
 #[derive(Debug)]
 pub enum SchedulerEvent {
-    /// An entry asks what an engine could do.
+    /// An entry asks for an engine's estimate for a request.
     Offer(ids::EngineId, placement::PlaceRequest, oneshot::Sender<OfferAnswer>),
-    /// An entry waits for a place.
+    /// An entry requests a place on an engine, and waits until it is granted or refused.
     Acquire(ids::EngineId, placement::PlaceRequest, oneshot::Sender<PlaceAnswer>),
-    /// An entry gives a place back.
+    /// An entry releases a place, or leaves the engine's queue.
     Release(ids::EngineId, ids::AttemptId),
-    /// An entry says what it streams.
+    /// An entry lists all attempts that it is streaming, which renews their leases.
     Renew(ids::InstanceId, ids::BootId, Vec<(ids::EngineId, placement::PlaceRequest)>),
-    /// An entry draws a portion of a budget.
+    /// An entry draws a portion of a customer's budget.
     Draw(ids::CustomerId, budget::BudgetLimit, units::TokenCount, oneshot::Sender<PortionAnswer>),
-    /// An entry asks for a vote.
+    /// An entry asks for a vote on an idempotency key.
     Vote(key_vote::ScopedKey, ids::RequestId, oneshot::Sender<key_vote::VoteAnswer>),
-    /// Somebody waits for newer documents, until the time given.
+    /// An entry or another scheduler waits for newer documents, until the given time.
     Watch(scheduler_link::KnownDocuments, units::MonoTime, oneshot::Sender<DocumentAnswer>),
-    /// An operator asks for the state.
+    /// An operator requests the status, as JSON.
     Status(oneshot::Sender<String>),
-    /// Documents, or a confirmation of those held, came in.
+    /// A source sent documents, or confirmed those held.
     Documents(scheduler_link::DocumentUpdate),
-    /// An engine reported.
+    /// An engine sent a load report.
     Report(ids::EngineId, placement::EngineReport),
-    /// Time has passed.
+    /// Regular tick, on which timeouts are checked.
     Tick,
 }
 
-/// Something to be done outside the state.
+/// An action that the event loop performs for the state.
 #[derive(Debug, PartialEq)]
 pub enum SchedulerEffect {
-    /// Tell an engine to give an attempt up.
+    /// Tell the engine at the address to cancel an attempt.
     Cancel(net::SocketAddr, ids::AttemptId),
-    /// Start asking an engine for its load.
+    /// Start polling an engine's load; replaces an earlier poll of the same engine.
     StartPoll(ids::EngineId, net::SocketAddr),
-    /// Stop asking an engine.
+    /// Stop polling an engine's load.
     StopPoll(ids::EngineId),
 }
