--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -1,4 +1,4 @@
-//! The running scheduler: its event loop and the tasks around it.
+//! The scheduler process: its event loop, and the tasks that send events and perform effects.
 
 use std::{cell, collections, rc, time};
 
@@ -11,15 +11,16 @@
 
 use crate::{document_sources, engine_client, event, rpc_service, state};
 
-/// Time between two ticks.
+/// Pause between two ticks.
 const TICK: time::Duration = time::Duration::from_millis(50);
-/// After a stop was asked for, how long entries have to find another scheduler.
+/// How long the scheduler still serves after a stop request, while entries find another scheduler.
 const STOP_GRACE: time::Duration = time::Duration::from_secs(2);
 
 type SharedState = rc::Rc<cell::RefCell<state::SchedulerState>>;
+/// Flags that end the poll task of each engine when set.
 type PollStopFlags = collections::HashMap<slipturn_core::ids::EngineId, rc::Rc<cell::Cell<bool>>>;
 
-/// Runs a scheduler until a stop is asked for.
+/// Runs a scheduler until the process receives a stop signal, and [`STOP_GRACE`] longer.
 pub async fn run(local: local_settings::LocalSettings) -> Result<(), server::ServerError> {
     let stop = process::StopSignal::install().context(server::SignalsSnafu)?;
     let clock = process::ProcessClock::start();
@@ -48,19 +49,20 @@
     );
     let holder: rc::Rc<dyn document_feed::DocumentHolder> = rc::Rc::new(documents);
     monoio::spawn(document_feed::follow(holder, rc::Rc::clone(&pool), links));
-    log::info!("scheduler listens on {address}");
+    log::info!("scheduler listening on {address}");
 
     let engines: rc::Rc<dyn engine_client::EngineControl> =
         rc::Rc::new(engine_client::HttpEngineControl::new(rc::Rc::clone(&pool)));
     monoio::spawn(run_event_loop(shared, incoming, events, engines, clock, metric_sender));
     stop.wait().await;
-    log::info!("stop asked for");
-    // Leases need no goodbye: the next owner learns them from engines and entries.
+    log::info!("stop requested");
+    // Leases are not handed over: the next owner learns them from the reports of engines and the
+    // renewals of entries.
     monoio::time::sleep(STOP_GRACE).await;
     Ok(())
 }
 
-/// The loop that owns the state.
+/// Applies events to the state and performs the resulting effects, until all senders are dropped.
 async fn run_event_loop(
     shared: SharedState,
     mut incoming: mpsc::UnboundedReceiver<event::SchedulerEvent>,
@@ -94,9 +96,9 @@
             metric_sender.count("cancels");
             let engines = rc::Rc::clone(engines);
             monoio::spawn(async move {
-                // A cancel that is lost is sent again: the engine's next report still lists it.
+                // A failed cancel is repeated: the engine's next report still lists the attempt.
                 if let Err(error) = engines.cancel(address, attempt.clone()).await {
-                    log::warn!("cancel of {attempt} at {address}: {error}");
+                    log::warn!("failed to cancel {attempt} on engine at {address}: {error}");
                 }
             });
         }
