--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -1,61 +1,62 @@
-//! A scheduler's state as operators see it.
+//! The scheduler's status for operators.
 
 use serde::Serialize;
 use slipturn_core::{ids, units};
 
-/// One engine in the scheduler's care.
+/// Status of an engine for which the scheduler has a ledger.
 #[derive(Debug, Clone, Serialize)]
 pub struct EngineStatus {
-    /// Its name.
+    /// Name of the engine.
     pub engine: ids::EngineId,
-    /// Whether this scheduler is its owner by the list it has.
+    /// Whether this scheduler owns the engine, according to the list in force.
     pub owned: bool,
-    /// Whether it has reported recently.
+    /// Whether the engine has sent a load report recently.
     pub reachable: bool,
-    /// Whether it takes no new work.
+    /// Whether the engine accepts no new work, because it is listed as leaving or reports that it
+    /// is draining.
     pub leaving: bool,
-    /// Its memory, in tokens.
+    /// Memory of the engine according to the list, in tokens.
     pub memory: units::TokenCount,
-    /// Memory not spoken for, in tokens.
+    /// Memory neither leased nor held by an attempt without a lease, in tokens.
     pub free: units::TokenCount,
-    /// Leases.
+    /// Number of leases.
     pub running: usize,
-    /// Requests waiting.
+    /// Number of requests in the queue.
     pub waiting: usize,
-    /// Attempts it holds that no lease explains.
+    /// Number of attempts that the engine holds without a lease.
     pub unexplained: usize,
 }
 
-/// The whole scheduler.
+/// Status of a scheduler.
 #[derive(Debug, Clone, Serialize)]
 pub struct SchedulerStatus {
-    /// Its instance.
+    /// Instance that the scheduler runs on.
     pub instance: ids::InstanceId,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_center: ids::DataCenterId,
-    /// This start of the process.
+    /// Id of this run of the process, in hexadecimal.
     pub boot: String,
-    /// Settings in force.
+    /// Version of the settings in force; zero before the first ones.
     pub settings_version: u64,
-    /// Fault of the last settings that were refused, if none were accepted since.
+    /// Error of the last invalid settings; `None` if newer ones were accepted since.
     pub settings_rejected: Option<String>,
-    /// How long ago a source confirmed the settings.
+    /// Time since a source last confirmed the settings, in milliseconds.
     pub settings_age_ms: u64,
-    /// List in force.
+    /// Revision of the list in force.
     pub list_revision: u64,
-    /// Engines in its care.
+    /// Engines for which the scheduler has a ledger.
     pub engines: Vec<EngineStatus>,
-    /// Customers whose budget it keeps.
+    /// Number of customers with a token bucket.
     pub budgets: usize,
-    /// Idempotency keys it remembers.
+    /// Number of recorded idempotency keys.
     pub keys: usize,
-    /// Whether it has been up and listed long enough to vote.
+    /// Whether the instance has been running and listed long enough to vote.
     pub votes: bool,
-    /// Processes that watch its documents.
+    /// Number of watches that wait for newer documents.
     pub watchers: usize,
 }
 
-/// The status as JSON.
+/// Serializes a status as JSON.
 pub fn to_json(status: &SchedulerStatus) -> String {
-    serde_json::to_string(status).expect("a status has no map with keys other than text")
+    serde_json::to_string(status).expect("a status contains no map with non-string keys")
 }
