--- a/crates/scheduler/src/document_store.rs
+++ b/crates/scheduler/src/document_store.rs
@@ -1,4 +1,4 @@
-//! The documents a scheduler holds, and those that wait for newer ones.
+//! The documents that a scheduler holds, and the watchers that wait for newer ones.
 
 use std::rc;
 
@@ -8,34 +8,35 @@
 
 use crate::event;
 
-/// Somebody waiting for newer documents.
+/// An entry or another scheduler that waits for newer documents.
 struct DocumentWaiter {
     known: scheduler_link::KnownDocuments,
     deadline: units::MonoTime,
     answer: oneshot::Sender<event::DocumentAnswer>,
 }
 
-/// What an update brought.
+/// Documents of an update that came into force.
 #[derive(Debug, Default)]
 pub struct AcceptedDocuments {
-    /// Settings that came into force.
+    /// The new settings; `None` if the update contained none, or they were not accepted.
     pub settings: Option<rc::Rc<settings::SettingsTree>>,
-    /// Whether a list came into force.
+    /// Whether the update contained a list that is now in force.
     pub list: bool,
 }
 
-/// Settings and list, and their watchers.
+/// The settings and the list in force, with their watchers.
 #[derive(Default)]
 pub struct DocumentStore {
     settings: live_settings::LiveSettings,
-    /// Invariant: its revision never falls while the process lives.
+    /// The list in force. Invariant: its revision never decreases during the life of the process.
     list: fleet_list::FleetList,
+    /// The list in its published form, to pass on to watchers.
     list_text: rc::Rc<str>,
     watchers: Vec<DocumentWaiter>,
 }
 
 impl DocumentStore {
-    /// Numbers of the documents held, to ask only for newer ones.
+    /// Version and revision of the documents held, so that a source sends only newer ones.
     pub fn known(&self) -> scheduler_link::KnownDocuments {
         scheduler_link::KnownDocuments {
             settings: self.settings.version().0,
@@ -53,12 +54,12 @@
         &self.list
     }
 
-    /// Processes that wait for newer documents.
+    /// Number of watches that wait for newer documents.
     pub fn watcher_count(&self) -> usize {
         self.watchers.len()
     }
 
-    /// Takes in an update; one without settings confirms those held.
+    /// Applies an update from a source. An update without settings confirms those held.
     pub fn apply(
         &mut self,
         now: units::MonoTime,
@@ -76,7 +77,7 @@
         accepted
     }
 
-    /// Has somebody wait for documents newer than those known, until the time given.
+    /// Registers a watcher that waits for documents newer than `known`, at most until `deadline`.
     pub fn watch(
         &mut self,
         now: units::MonoTime,
@@ -88,7 +89,8 @@
         self.answer_watchers(now);
     }
 
-    /// Answers those for whom there is something newer, or whose time is over.
+    /// Answers the watchers for which there is a newer document or whose deadline has passed, and
+    /// drops those that have disconnected.
     pub fn answer_watchers(&mut self, now: units::MonoTime) {
         let known = self.known();
         let due = |waiter: &DocumentWaiter| {
@@ -101,7 +103,7 @@
         self.watchers = remaining;
         for waiter in ready {
             let answer = self.newer_than(now, waiter.known);
-            // A watcher that has gone needs no answer.
+            // A failed send means that the watcher has disconnected and needs no answer.
             let _ = waiter.answer.send(answer);
         }
     }
@@ -116,8 +118,8 @@
                 log::info!("settings version {} is in force", self.settings.version());
                 return self.settings.tree();
             }
-            live_settings::OfferOutcome::Invalid(error) => log::error!("settings refused: {error}"),
-            live_settings::OfferOutcome::Older => log::warn!("older settings were dropped"),
+            live_settings::OfferOutcome::Invalid(error) => log::error!("invalid settings: {error}"),
+            live_settings::OfferOutcome::Older => log::warn!("ignored older settings"),
             live_settings::OfferOutcome::Same => {}
         }
         None
@@ -132,7 +134,7 @@
             }
             Ok(_) => false,
             Err(error) => {
-                log::error!("list refused: {error}");
+                log::error!("invalid list: {error}");
                 false
             }
         }
