--- a/crates/scheduler/src/rpc_service.rs
+++ b/crates/scheduler/src/rpc_service.rs
@@ -1,4 +1,4 @@
-//! Answers entries and other schedulers by passing their calls to the state as events.
+//! RPC service for entries and other schedulers; forwards their calls to the state as events.
 
 use capnp::capability;
 use futures::channel::oneshot;
@@ -8,10 +8,10 @@
 
 use crate::event;
 
-/// Longest a watch waits, whatever the watcher asks for.
+/// Longest wait of a watch, even if the watcher asks for more.
 const MAX_WATCH_WAIT: std::time::Duration = std::time::Duration::from_secs(30);
 
-/// The service behind every connection of a peer.
+/// Implementation of the scheduler's RPC interface; each connection uses a clone.
 #[derive(Clone)]
 pub struct SchedulerService {
     events: event::EventSender,
@@ -19,7 +19,7 @@
 }
 
 impl SchedulerService {
-    /// A service that passes calls on as events.
+    /// Creates a service that forwards calls to `events`.
     pub fn new(events: event::EventSender, clock: process::ProcessClock) -> Self {
         Self { events, clock }
     }
@@ -29,7 +29,7 @@
         self.events.unbounded_send(event).map_err(stopping)
     }
 
-    /// Sends an event that carries a place for its answer, and waits for the answer.
+    /// Sends an event that contains a reply channel, and waits for the reply.
     async fn ask<T>(
         &self,
         make_event: impl FnOnce(oneshot::Sender<T>) -> event::SchedulerEvent,
