--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,6 +1,6 @@
-//! The scheduler of one instance: queues, ledgers, budgets, votes and the exchange of documents.
+//! The scheduler of one instance: queues, ledgers, budgets, votes and document distribution.
 //!
-//! One task owns all state ([`state`]); everything else sends it [`event::SchedulerEvent`]s.
+//! One task changes the [`state`]; all others send it [`event::SchedulerEvent`]s.
 
 pub mod document_sources;
 pub mod document_store;
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-scheduler`: see the library of the same name.
+//! The `slipturn-scheduler` program; the `slipturn_scheduler` library implements it.
 
 use std::process;
 
--- a/crates/scheduler/tests/command_line.rs
+++ b/crates/scheduler/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `slipturn-scheduler`: exit codes, and faults in words.
+//! The command line of `slipturn-scheduler`: exit codes and error messages.
 
 #![allow(clippy::unwrap_used)]
 
