--- a/crates/scheduler/src/document_store.rs
+++ b/crates/scheduler/src/document_store.rs
@@ -1,4 +1,4 @@
-//! The documents a scheduler holds, and those that wait for newer ones.
+//! The documents that a scheduler holds, and the watchers that wait for newer ones.
 
 use std::rc;
 
@@ -8,44 +8,45 @@
 
 use crate::event;
 
-/// Somebody waiting for newer documents.
+/// An entry or another scheduler that waits for newer documents.
 struct DocumentWaiter {
     known: scheduler_link::KnownDocuments,
-    until: units::MonoTime,
+    deadline: units::MonoTime,
     answer: oneshot::Sender<event::DocumentAnswer>,
 }
 
-/// What an update brought.
+/// Documents of an update that came into force.
 #[derive(Debug, Default)]
-pub struct DocumentNews {
-    /// Settings that came into force.
+pub struct AcceptedDocuments {
+    /// The new settings; `None` if the update contained none, or they were not accepted.
     pub settings: Option<rc::Rc<settings::SettingsTree>>,
-    /// Whether a list came into force.
+    /// Whether the update contained a list that is now in force.
     pub list: bool,
 }
 
-/// Settings and list, and their watchers.
+/// The settings and the list in force, with their watchers.
 #[derive(Default)]
 pub struct DocumentStore {
-    store: live_settings::LiveSettings,
-    /// Invariant: its revision never falls while the process lives.
+    settings: live_settings::LiveSettings,
+    /// The list in force. Invariant: its revision never decreases during the life of the process.
     list: fleet_list::FleetList,
+    /// The list in its published form, to pass on to watchers.
     list_text: rc::Rc<str>,
     watchers: Vec<DocumentWaiter>,
 }
 
 impl DocumentStore {
-    /// Numbers of the documents held, to ask only for newer ones.
+    /// Version and revision of the documents held, so that a source sends only newer ones.
     pub fn known(&self) -> scheduler_link::KnownDocuments {
         scheduler_link::KnownDocuments {
-            settings: self.store.version().0,
+            settings: self.settings.version().0,
             list: self.list.revision,
         }
     }
 
     /// The settings in force.
-    pub fn store(&self) -> &live_settings::LiveSettings {
-        &self.store
+    pub fn settings(&self) -> &live_settings::LiveSettings {
+        &self.settings
     }
 
     /// The list in force.
@@ -53,77 +54,78 @@
         &self.list
     }
 
-    /// Processes that wait for newer documents.
-    pub fn watchers(&self) -> usize {
+    /// Number of watches that wait for newer documents.
+    pub fn watcher_count(&self) -> usize {
         self.watchers.len()
     }
 
-    /// Takes in an update; one without settings confirms those held.
-    pub fn take(
+    /// Applies an update from a source. An update without settings confirms those held.
+    pub fn apply(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
-    ) -> DocumentNews {
-        let mut news = DocumentNews::default();
+    ) -> AcceptedDocuments {
+        let mut accepted = AcceptedDocuments::default();
         match &update.settings {
-            Some(text) => news.settings = self.take_settings(now, text),
-            None => self.store.confirm(now, update.age),
+            Some(text) => accepted.settings = self.apply_settings(now, text),
+            None => self.settings.confirm(now, update.age),
         }
         if let Some(text) = &update.list {
-            news.list = self.take_list(text);
+            accepted.list = self.apply_list(text);
         }
         self.answer_watchers(now);
-        news
+        accepted
     }
 
-    /// Has somebody wait for documents newer than those known, until the time given.
+    /// Registers a watcher that waits for documents newer than `known`, at most until `deadline`.
     pub fn watch(
         &mut self,
         now: units::MonoTime,
         known: scheduler_link::KnownDocuments,
-        until: units::MonoTime,
+        deadline: units::MonoTime,
         answer: oneshot::Sender<event::DocumentAnswer>,
     ) {
-        self.watchers.push(DocumentWaiter { known, until, answer });
+        self.watchers.push(DocumentWaiter { known, deadline, answer });
         self.answer_watchers(now);
     }
 
-    /// Answers those for whom there is something newer, or whose time is over.
+    /// Answers the watchers for which there is a newer document or whose deadline has passed, and
+    /// drops those that have disconnected.
     pub fn answer_watchers(&mut self, now: units::MonoTime) {
         let known = self.known();
         let due = |waiter: &DocumentWaiter| {
             let newer = known.settings > waiter.known.settings || known.list > waiter.known.list;
-            newer || waiter.until <= now
+            newer || waiter.deadline <= now
         };
         let waiters = std::mem::take(&mut self.watchers);
-        let (ready, rest): (Vec<_>, Vec<_>) =
-            waiters.into_iter().filter(|one| !one.answer.is_canceled()).partition(due);
-        self.watchers = rest;
+        let (ready, remaining): (Vec<_>, Vec<_>) =
+            waiters.into_iter().filter(|waiter| !waiter.answer.is_canceled()).partition(due);
+        self.watchers = remaining;
         for waiter in ready {
             let answer = self.newer_than(now, waiter.known);
-            // A watcher that has gone needs no answer.
+            // A failed send means that the watcher has disconnected and needs no answer.
             let _ = waiter.answer.send(answer);
         }
     }
 
-    fn take_settings(
+    fn apply_settings(
         &mut self,
         now: units::MonoTime,
         text: &str,
     ) -> Option<rc::Rc<settings::SettingsTree>> {
-        match self.store.offer(now, text) {
+        match self.settings.offer(now, text) {
             live_settings::OfferOutcome::Accepted => {
-                log::info!("settings version {} is in force", self.store.version());
-                return self.store.tree();
+                log::info!("settings version {} is in force", self.settings.version());
+                return self.settings.tree();
             }
-            live_settings::OfferOutcome::Invalid(fault) => log::error!("settings refused: {fault}"),
-            live_settings::OfferOutcome::Older => log::warn!("older settings were dropped"),
+            live_settings::OfferOutcome::Invalid(error) => log::error!("invalid settings: {error}"),
+            live_settings::OfferOutcome::Older => log::warn!("ignored older settings"),
             live_settings::OfferOutcome::Same => {}
         }
         None
     }
 
-    fn take_list(&mut self, text: &str) -> bool {
+    fn apply_list(&mut self, text: &str) -> bool {
         match fleet_list::FleetList::parse(text) {
             Ok(list) if list.revision >= self.list.revision => {
                 self.list = list;
@@ -131,8 +133,8 @@
                 true
             }
             Ok(_) => false,
-            Err(fault) => {
-                log::error!("list refused: {fault}");
+            Err(error) => {
+                log::error!("invalid list: {error}");
                 false
             }
         }
@@ -143,13 +145,13 @@
         now: units::MonoTime,
         known: scheduler_link::KnownDocuments,
     ) -> event::DocumentAnswer {
-        let have = self.known();
-        let settings = self.store.text().filter(|_| have.settings > known.settings);
-        let list = (have.list > known.list).then(|| rc::Rc::clone(&self.list_text));
+        let held = self.known();
+        let settings = self.settings.text().filter(|_| held.settings > known.settings);
+        let list = (held.list > known.list).then(|| rc::Rc::clone(&self.list_text));
         event::DocumentAnswer {
-            settings: settings.map(|text| (have.settings, text)),
-            list: list.map(|text| (have.list, text)),
-            age: self.store.age(now),
+            settings: settings.map(|text| (held.settings, text)),
+            list: list.map(|text| (held.list, text)),
+            age: self.settings.age(now),
         }
     }
 }
--- a/crates/scheduler/src/engine_client.rs
+++ b/crates/scheduler/src/engine_client.rs
@@ -1,4 +1,4 @@
-//! What a scheduler asks of engines over HTTP: load, attempts held, cancel.
+//! HTTP client for engines: load reports and cancels.
 
 use std::{net, rc, time};
 
@@ -10,49 +10,49 @@
 
 use crate::event;
 
-/// Time between two questions for an engine's load.
+/// Pause between two polls of an engine's load.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
-/// Time for an engine's answer.
-const ANSWER_LIMIT: time::Duration = time::Duration::from_millis(1_000);
-/// Largest answer.
-const MAX_ANSWER: u64 = 1 << 20;
+/// Time limit of a call to an engine.
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
+/// Largest response body, in bytes.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// Why an engine gave no usable answer.
+/// Error of a call to an engine.
 #[derive(Debug, Snafu)]
 pub enum EngineError {
-    /// The call failed.
+    /// The request could not be sent, or its response could not be read.
     #[snafu(display("{source}"))]
     Call {
-        /// How.
+        /// Error of the HTTP client.
         source: http_client::CallError,
     },
-    /// No answer in time.
-    #[snafu(display("no answer within {ANSWER_LIMIT:?}"))]
+    /// The engine did not answer within [`ANSWER_TIMEOUT`].
+    #[snafu(display("no answer within {ANSWER_TIMEOUT:?}"))]
     TimedOut,
-    /// A status other than success.
-    #[snafu(display("answered {status}"))]
+    /// The engine answered with a status other than 2xx.
+    #[snafu(display("unexpected status {status}"))]
     Refused {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
     },
-    /// Not the JSON expected.
-    #[snafu(display("answered something else: {source}"))]
-    Shape {
-        /// What the library found.
+    /// The response body is not a valid load report.
+    #[snafu(display("invalid load report: {source}"))]
+    InvalidJson {
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// One attempt an engine holds memory for.
+/// An attempt for which the engine holds memory.
 #[derive(Debug, Deserialize)]
 struct HeldAttempt {
     attempt: String,
     tokens: units::TokenCount,
 }
 
-/// An engine's answer to `GET /v1/load`.
+/// Response body of `GET /v1/load`.
 #[derive(Debug, Deserialize)]
-struct LoadAnswer {
+struct LoadReply {
     draining: bool,
     memory_tokens: units::TokenCount,
     prefill_backlog: units::TokenCount,
@@ -60,15 +60,15 @@
     held: Vec<HeldAttempt>,
 }
 
-/// The orders and questions an engine understands; the users' own may be spoken otherwise.
+/// Calls to an engine. A trait, because the users' own engines may need another protocol.
 pub trait EngineControl {
-    /// Asks for load and attempts held.
+    /// Requests the engine's load and the attempts that it holds.
     fn report(
         &self,
         address: net::SocketAddr,
     ) -> futures::future::LocalBoxFuture<'_, Result<placement::EngineReport, EngineError>>;
 
-    /// Tells it to give an attempt up.
+    /// Tells the engine to cancel an attempt.
     fn cancel(
         &self,
         address: net::SocketAddr,
@@ -76,13 +76,13 @@
     ) -> futures::future::LocalBoxFuture<'_, Result<(), EngineError>>;
 }
 
-/// Engines spoken to over HTTP.
-pub struct HttpEngines {
+/// Calls to engines over HTTP.
+pub struct HttpEngineControl {
     pool: rc::Rc<http_client::ConnectionPool>,
 }
 
-impl HttpEngines {
-    /// Speaks over the connections of `pool`.
+impl HttpEngineControl {
+    /// Creates a client that uses the connections of `pool`.
     pub fn new(pool: rc::Rc<http_client::ConnectionPool>) -> Self {
         Self { pool }
     }
@@ -90,36 +90,36 @@
     async fn call(
         &self,
         address: net::SocketAddr,
-        call: http::Request<Bytes>,
+        request: http::Request<Bytes>,
     ) -> Result<Bytes, EngineError> {
-        let pooled = http_client::ConnectionUse::Pooled;
-        let calling = self.pool.call_buffered(address, pooled, call, MAX_ANSWER);
-        let Ok(answer) = monoio::time::timeout(ANSWER_LIMIT, calling).await else {
+        let connection_use = http_client::ConnectionUse::Pooled;
+        let response = self.pool.call_buffered(address, connection_use, request, MAX_ANSWER_BYTES);
+        let Ok(response) = monoio::time::timeout(ANSWER_TIMEOUT, response).await else {
             return TimedOutSnafu.fail();
         };
-        let answer = answer.context(CallSnafu)?;
-        let status = answer.status();
+        let response = response.context(CallSnafu)?;
+        let status = response.status();
         ensure!(status.is_success(), RefusedSnafu { status: status.as_u16() });
-        Ok(answer.into_body())
+        Ok(response.into_body())
     }
 }
 
-impl EngineControl for HttpEngines {
+impl EngineControl for HttpEngineControl {
     fn report(
         &self,
         address: net::SocketAddr,
     ) -> futures::future::LocalBoxFuture<'_, Result<placement::EngineReport, EngineError>> {
         Box::pin(async move {
-            let mut call = http::Request::new(Bytes::new());
-            *call.uri_mut() = http::Uri::from_static("/v1/load");
-            let body = self.call(address, call).await?;
-            let answer: LoadAnswer = serde_json::from_slice(&body).context(ShapeSnafu)?;
+            let mut request = http::Request::new(Bytes::new());
+            *request.uri_mut() = http::Uri::from_static("/v1/load");
+            let body = self.call(address, request).await?;
+            let reply: LoadReply = serde_json::from_slice(&body).context(InvalidJsonSnafu)?;
             Ok(placement::EngineReport {
-                draining: answer.draining,
-                memory: answer.memory_tokens,
-                prefill_backlog: answer.prefill_backlog,
-                age: time::Duration::from_millis(answer.age_ms),
-                held: answer.held.into_iter().filter_map(named).collect(),
+                draining: reply.draining,
+                memory: reply.memory_tokens,
+                prefill_backlog: reply.prefill_backlog,
+                age: time::Duration::from_millis(reply.age_ms),
+                held: reply.held.into_iter().filter_map(parse_held).collect(),
             })
         })
     }
@@ -131,15 +131,16 @@
     ) -> futures::future::LocalBoxFuture<'_, Result<(), EngineError>> {
         Box::pin(async move {
             let body = serde_json::json!({ "attempt": attempt.as_str() }).to_string();
-            let mut call = http::Request::new(Bytes::from(body));
-            *call.method_mut() = http::Method::POST;
-            *call.uri_mut() = http::Uri::from_static("/v1/cancel");
-            self.call(address, call).await.map(|_| ())
+            let mut request = http::Request::new(Bytes::from(body));
+            *request.method_mut() = http::Method::POST;
+            *request.uri_mut() = http::Uri::from_static("/v1/cancel");
+            self.call(address, request).await.map(|_| ())
         })
     }
 }
 
-/// Asks one engine for its load until its receiver is closed or `stopped` says so.
+/// Polls an engine's load and sends each report to `events`, until `stopped` is set or the receiver
+/// of `events` is closed. A failed poll is logged and repeated.
 pub async fn poll(
     engines: rc::Rc<dyn EngineControl>,
     name: ids::EngineId,
@@ -150,8 +151,8 @@
     while !stopped.get() {
         match engines.report(address).await {
             Ok(report) => {
-                let happened = event::SchedulerEvent::Report(name.clone(), report);
-                if events.unbounded_send(happened).is_err() {
+                let event = event::SchedulerEvent::Report(name.clone(), report);
+                if events.unbounded_send(event).is_err() {
                     return;
                 }
             }
@@ -161,8 +162,9 @@
     }
 }
 
-/// An attempt whose name is not one of slipturn's making is somebody else's and left alone.
-fn named(held: HeldAttempt) -> Option<(ids::AttemptId, units::TokenCount)> {
+/// Parses an attempt held by an engine. Returns `None` if its id is not in slipturn's format: the
+/// attempt then belongs to another client of the engine and must not be cancelled.
+fn parse_held(held: HeldAttempt) -> Option<(ids::AttemptId, units::TokenCount)> {
     let attempt: ids::AttemptId = held.attempt.parse().ok()?;
     Some((attempt, held.tokens))
 }
