--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -7,29 +7,28 @@
 use crate::{
     config_check,
     evidence::{self, Disturbance, Evidence},
-    leave_check, limit_check,
+    leave_check, limit_check, signal_check,
     traffic::SentRequest,
-    word_check,
 };
 
 /// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// Statuses of an instance's own that deny what every configuration allows.
-const DENIALS: [u16; 5] = [400, 401, 403, 404, 413];
+const DENIAL_STATUSES: [u16; 5] = [400, 401, 403, 404, 413];
 /// Time beyond a request's own within which it must have ended.
-const SLACK: time::Duration = time::Duration::from_millis(1_500);
+const END_SLACK: time::Duration = time::Duration::from_millis(1_500);
 /// Longest time a request may take: its client's deadline.
-const LIMIT: time::Duration = time::Duration::from_secs(6);
+const REQUEST_DEADLINE: time::Duration = time::Duration::from_secs(6);
 
 /// All violations.
 pub fn violations(evidence: &Evidence) -> Vec<String> {
-    let mut found = evidence.found.clone();
+    let mut found = evidence.violations.clone();
     let closed = evidence.sent.iter().filter(|request| closed_without_cause(evidence, request));
     found.extend(closed.map(|request| {
         format!("closed a resting connection without cause: instance {}", request.instance)
     }));
     for request in &evidence.sent {
-        found.extend(judge(evidence, request).map(|fault| {
+        found.extend(request_violation(evidence, request).map(|fault| {
             format!("{fault}: {} ({}) at instance {}", request.id, request.route, request.instance)
         }));
     }
@@ -38,13 +37,13 @@
     found.extend(unasked.map(|id| format!("a run that nobody asked for: {id:?}")));
     found.extend(config_check::violations(evidence));
     found.extend(leave_check::violations(evidence));
-    found.extend(word_check::violations(evidence));
+    found.extend(signal_check::violations(evidence));
     found.extend(limit_check::violations(evidence));
     found
 }
 
 /// What is wrong with a request; nothing but its runs where its client left.
-fn judge(evidence: &Evidence, request: &SentRequest) -> Option<String> {
+fn request_violation(evidence: &Evidence, request: &SentRequest) -> Option<String> {
     let record = evidence.runs.get(&request.id);
     let runs = record.map_or(0, |record| record.runs);
     let once = matches!(request.route, "unsafe" | "once");
@@ -56,21 +55,23 @@
     }
     match request.outcome.as_ref()? {
         Outcome::Wrong(what) => Some(format!("a wrong answer, {what}")),
-        Outcome::Status(status, _) if DENIALS.contains(status) => {
+        Outcome::Status(status, _) if DENIAL_STATUSES.contains(status) => {
             Some(format!("denied with {status}"))
         }
-        Outcome::Status(status, _) if PROMISES.contains(status) && once && runs > 0 => {
+        Outcome::Status(status, _)
+            if NOT_EXECUTED_STATUSES.contains(status) && once && runs > 0 =>
+        {
             Some(format!("ran although {status} says that it did not"))
         }
-        Outcome::Cut(false) if runs == 0 && disturbed(&evidence.stops, request) => None,
-        Outcome::Cut(_) if !disturbed(&evidence.unplanned, request) => {
-            let outside = disturbed(&evidence.outside, request);
+        Outcome::Cut(false) if runs == 0 && disturbed(&evidence.planned_stops, request) => None,
+        Outcome::Cut(_) if !disturbed(&evidence.unplanned_outages, request) => {
+            let external_faults = disturbed(&evidence.external_faults, request);
             // A broken upstream may cost an answer that has begun, or one that must not repeat.
-            (!outside).then(|| "cut without cause".to_owned())
+            (!external_faults).then(|| "cut without cause".to_owned())
         }
-        _ if !disturbed(&evidence.unplanned, request) => {
+        _ if !disturbed(&evidence.unplanned_outages, request) => {
             let spent = request.to.duration_since(request.from);
-            (spent > LIMIT + SLACK).then(|| format!("took {spent:?}"))
+            (spent > REQUEST_DEADLINE + END_SLACK).then(|| format!("took {spent:?}"))
         }
         _ => None,
     }
@@ -79,13 +80,13 @@
 /// Whether a request found that its instance had ended a resting connection early.
 fn closed_without_cause(evidence: &Evidence, request: &SentRequest) -> bool {
     let excused = |since| {
-        [&evidence.unplanned, &evidence.stops].into_iter().any(|disturbances| {
-            evidence::touched(disturbances, request.instance, since, request.from)
+        [&evidence.unplanned_outages, &evidence.planned_stops].into_iter().any(|disturbances| {
+            evidence::any_overlaps(disturbances, request.instance, since, request.from)
         })
     };
-    request.ended_rest.is_some_and(|since| !excused(since))
+    request.closed_idle_since.is_some_and(|since| !excused(since))
 }
 
 fn disturbed(disturbances: &[Disturbance], request: &SentRequest) -> bool {
-    evidence::touched(disturbances, request.instance, request.from, request.to)
+    evidence::any_overlaps(disturbances, request.instance, request.from, request.to)
 }
--- a/crates/soak/src/config_check.rs
+++ b/crates/soak/src/config_check.rs
@@ -5,40 +5,43 @@
 use slipturn_platform_standin::caller::Outcome;
 
 use crate::{
-    config_probe::{ConfigProbe, ProbeAim},
+    config_probe::{ConfigProbe, ProbeTarget},
     evidence::{self, Evidence},
 };
 
 /// Time after which a new configuration must be in force at instances in contact: the platform's
 /// 2 s and the machine's own delays.
-pub const APPLY: time::Duration = time::Duration::from_millis(2_300);
+pub const APPLY_BOUND: time::Duration = time::Duration::from_millis(2_300);
 /// Statuses that deny a route or a key.
-const DENIALS: [u16; 3] = [401, 403, 404];
+const DENIAL_STATUSES: [u16; 3] = [401, 403, 404];
 
 /// All violations.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
-    let late = evidence.probes.iter().filter_map(|probe| late(evidence, probe));
-    let mut found = evidence::first_of_each(late);
-    found.extend(evidence::first_of_each(fallen_back(evidence).into_iter()));
+    let late_activation =
+        evidence.probes.iter().filter_map(|probe| late_activation(evidence, probe));
+    let mut found = evidence::summarize_by_kind(late_activation);
+    found.extend(evidence::summarize_by_kind(regressions(evidence).into_iter()));
     found
 }
 
 /// The number of the publication by which a question was not handled, if it was handled at all.
-fn denied(probe: &ConfigProbe) -> Option<usize> {
-    match (probe.aim, &probe.outcome) {
-        (ProbeAim::Route(number), Outcome::Status(status, _)) if DENIALS.contains(status) => {
+fn denied_publication(probe: &ConfigProbe) -> Option<usize> {
+    match (probe.target, &probe.outcome) {
+        (ProbeTarget::Route(number), Outcome::Status(status, _))
+            if DENIAL_STATUSES.contains(status) =>
+        {
             Some(number)
         }
         // A key is removed by the publication behind its own.
-        (ProbeAim::RemovedKey(number), Outcome::Good) => Some(number + 1),
+        (ProbeTarget::RemovedKey(number), Outcome::Good) => Some(number + 1),
         _ => None,
     }
 }
 
-fn late(evidence: &Evidence, probe: &ConfigProbe) -> Option<(String, String)> {
-    let number = denied(probe)?;
+fn late_activation(evidence: &Evidence, probe: &ConfigProbe) -> Option<(String, String)> {
+    let number = denied_publication(probe)?;
     let published = evidence.publications.get(number)?.at;
-    let due = probe.from >= published + APPLY;
+    let due = probe.from >= published + APPLY_BOUND;
     if !due || !evidence.in_contact(probe.instance, probe.from, probe.to) {
         return None;
     }
@@ -47,21 +50,21 @@
 }
 
 /// Questions handled by an older configuration than an earlier one in the same process's life.
-fn fallen_back(evidence: &Evidence) -> Vec<(String, String)> {
+fn regressions(evidence: &Evidence) -> Vec<(String, String)> {
     let mut found = Vec::new();
     let mut seen: Option<(u8, usize, time::Instant)> = None;
     for probe in &evidence.probes {
         seen = seen.filter(|(instance, _, since)| {
             *instance == probe.instance && !started(evidence, *instance, *since, probe.to)
         });
-        if let (Some((_, newest, _)), Some(number)) = (seen, denied(probe))
+        if let (Some((_, newest, _)), Some(number)) = (seen, denied_publication(probe))
             && number <= newest
         {
             let published = evidence.publications[number].at;
             let kind = format!("fell back at instance {}", probe.instance);
             found.push((kind, describe(evidence, probe, published)));
         }
-        if let (ProbeAim::Route(number), Outcome::Good) = (probe.aim, &probe.outcome) {
+        if let (ProbeTarget::Route(number), Outcome::Good) = (probe.target, &probe.outcome) {
             let newest = seen.map_or(number, |(_, newest, _)| newest.max(number));
             seen = Some((probe.instance, newest, probe.from));
         }
@@ -78,9 +81,9 @@
 fn describe(evidence: &Evidence, probe: &ConfigProbe, published: time::Instant) -> String {
     format!(
         "{:?} asked at {:.2} s, published at {:.2} s, {:?}",
-        probe.aim,
-        evidence.second(probe.from),
-        evidence.second(published),
+        probe.target,
+        evidence.seconds_since_start(probe.from),
+        evidence.seconds_since_start(published),
         probe.outcome
     )
 }
--- a/crates/soak/src/config_probe.rs
+++ b/crates/soak/src/config_probe.rs
@@ -70,7 +70,7 @@
 
 /// What a question is about; the number is the publication's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ProbeAim {
+pub enum ProbeTarget {
     /// Its route must be there.
     Route(usize),
     /// Its key must be gone.
@@ -85,7 +85,7 @@
     /// The instance.
     pub instance: u8,
     /// What it is about.
-    pub aim: ProbeAim,
+    pub target: ProbeTarget,
     /// When it was sent, and when its answer ended.
     pub from: time::Instant,
     /// See `from`.
@@ -96,75 +96,76 @@
 
 /// Clients that ask until told to end, one for each instance.
 pub struct ConfigProber {
-    ending: sync::Arc<AtomicBool>,
+    stop_requested: sync::Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<Vec<ConfigProbe>>>,
 }
 
 impl ConfigProber {
     /// Starts asking.
     pub fn start(log: &PublicationLog, instances: &[net::SocketAddr]) -> Self {
-        let ending = sync::Arc::new(AtomicBool::new(false));
+        let stop_requested = sync::Arc::new(AtomicBool::new(false));
         let start = |(instance, address): (u8, &net::SocketAddr)| {
-            let (ending, log, address) = (sync::Arc::clone(&ending), log.clone(), *address);
-            thread::spawn(move || ask_on(instance, address, &log, &ending))
+            let (stop_requested, log, address) =
+                (sync::Arc::clone(&stop_requested), log.clone(), *address);
+            thread::spawn(move || run_client(instance, address, &log, &stop_requested))
         };
         let clients = (0..).zip(instances).map(start).collect();
-        Self { ending, clients }
+        Self { stop_requested, clients }
     }
 
     /// Ends all clients behind their last question.
     pub fn finish(self) -> Vec<ConfigProbe> {
-        self.ending.store(true, atomic::Ordering::SeqCst);
+        self.stop_requested.store(true, atomic::Ordering::SeqCst);
         let probes = self.clients.into_iter().filter_map(|client| client.join().ok());
         probes.flatten().collect()
     }
 }
 
-fn ask_on(
+fn run_client(
     instance: u8,
     address: net::SocketAddr,
     log: &PublicationLog,
-    ending: &AtomicBool,
+    stop_requested: &AtomicBool,
 ) -> Vec<ConfigProbe> {
     let mut probes = Vec::new();
     let mut turn = 0;
-    while !ending.load(atomic::Ordering::SeqCst) {
+    while !stop_requested.load(atomic::Ordering::SeqCst) {
         thread::sleep(PAUSE);
         let published = log.all();
-        let Some(aim) = aim(turn, published.len()) else {
+        let Some(target) = target(turn, published.len()) else {
             continue;
         };
         let id = format!("probe-config-{instance}-{turn}");
         turn += 1;
-        let (from, outcome) = ask(id.clone(), address, aim, &published);
-        probes.push(ConfigProbe { id, instance, aim, from, to: time::Instant::now(), outcome });
+        let (from, outcome) = send_probe(id.clone(), address, target, &published);
+        probes.push(ConfigProbe { id, instance, target, from, to: time::Instant::now(), outcome });
     }
     probes
 }
 
 /// What the next question is about: the newest route, the key removed last, and the older ones in
 /// turn.
-fn aim(turn: usize, published: usize) -> Option<ProbeAim> {
+fn target(turn: usize, published: usize) -> Option<ProbeTarget> {
     let newest = published.checked_sub(1)?;
-    let aim = match turn % 4 {
-        0 => ProbeAim::Route(newest),
-        1 if newest > 0 => ProbeAim::RemovedKey(newest - 1),
-        2 if newest > 0 => ProbeAim::RemovedKey(turn / 4 % newest),
-        _ => ProbeAim::Route(turn / 4 % published),
+    let target = match turn % 4 {
+        0 => ProbeTarget::Route(newest),
+        1 if newest > 0 => ProbeTarget::RemovedKey(newest - 1),
+        2 if newest > 0 => ProbeTarget::RemovedKey(turn / 4 % newest),
+        _ => ProbeTarget::Route(turn / 4 % published),
     };
-    Some(aim)
+    Some(target)
 }
 
-fn ask(
+fn send_probe(
     id: String,
     address: net::SocketAddr,
-    aim: ProbeAim,
+    target: ProbeTarget,
     published: &[Publication],
 ) -> (time::Instant, Outcome) {
     let mut request = traffic::request(id, "safe", (0, 0));
-    match aim {
-        ProbeAim::Route(number) => request.path = format!("/{}/", published[number].route),
-        ProbeAim::RemovedKey(number) => request.key = Some(published[number].key.clone()),
+    match target {
+        ProbeTarget::Route(number) => request.path = format!("/{}/", published[number].route),
+        ProbeTarget::RemovedKey(number) => request.key = Some(published[number].key.clone()),
     }
     let from = time::Instant::now();
     (from, caller::send(address, &request))
--- a/crates/soak/src/contact_plan.rs
+++ b/crates/soak/src/contact_plan.rs
@@ -15,26 +15,26 @@
 };
 
 /// Random stream of the faults beside the first part.
-const BESIDE_STREAM: u64 = 1;
+const FIRST_PART_STREAM: u64 = 1;
 /// Random stream of the scenes.
 const SCENE_STREAM: u64 = 2;
 /// Random stream of the upstreams that are dark or late while instances are in contact.
-const DARK_STREAM: u64 = 3;
+const SILENT_UPSTREAM_STREAM: u64 = 3;
 /// When such an upstream falls silent, from the beginning of its scene, milliseconds.
-const DARK_MS: ops::Range<u64> = 3_500..5_000;
+const SILENT_UPSTREAM_START_MS: ops::Range<u64> = 3_500..5_000;
 /// For how long, milliseconds: callers leave in that time, while their requests wait.
-const DARK_LENGTH_MS: ops::Range<u64> = 700..1_600;
+const SILENT_UPSTREAM_LENGTH_MS: ops::Range<u64> = 700..1_600;
 /// Pause between two losses of contact beside the first part, milliseconds.
-const BESIDE_GAP_MS: ops::Range<u64> = 600..2_500;
+const FIRST_PART_GAP_MS: ops::Range<u64> = 600..2_500;
 /// How long a loss of contact lasts where it ends, milliseconds.
 const LOSS_MS: ops::Range<u64> = 200..1_200;
 /// Length of a scene, milliseconds: its faults, the 3 s until all are in contact again, and as
 /// long a time that is judged.
 const SCENE_MS: u64 = 7_000;
 /// When the loss strikes, from the beginning of its scene, milliseconds: behind a quiet time.
-const STRIKE_MS: ops::Range<u64> = 300..900;
+const LOSS_START_MS: ops::Range<u64> = 300..900;
 /// When others strike beside it, from the beginning, milliseconds.
-const NEAR_MS: ops::Range<u64> = 100..1_500;
+const COMPANION_START_MS: ops::Range<u64> = 100..1_500;
 /// Pause between two configurations of a scene's series, milliseconds.
 const PUBLISH_GAP_MS: ops::Range<u64> = 80..900;
 /// When the last one comes at the latest: it is still judged in the scene.
@@ -42,7 +42,7 @@
 /// When an upstream says that it leaves, from the beginning of the scene, milliseconds.
 const LEAVE_MS: ops::Range<u64> = 200..4_000;
 /// Time before a scene's end at which upstreams come back, milliseconds.
-const RETURN_MS: u64 = 200;
+const RETURN_BEFORE_END_MS: u64 = 200;
 
 /// Length of all scenes: together at least as long as the first part.
 pub fn scenes_length(size: PlanSize) -> time::Duration {
@@ -54,12 +54,12 @@
 }
 
 /// Losses of contact beside the faults of the first part.
-pub(crate) fn faults_beside(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
+pub(crate) fn first_part_losses(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: 0,
-        stream: BESIDE_STREAM,
+        stream: FIRST_PART_STREAM,
         end: size.length,
-        gap_ms: BESIDE_GAP_MS,
+        gap_ms: FIRST_PART_GAP_MS,
         length_ms: LOSS_MS,
     };
     series.faults(seed, |random| draw_loss(random, size))
@@ -67,14 +67,14 @@
 
 /// The scenes of the second part.
 pub(crate) fn scenes(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
-    let mut random = stream(seed, SCENE_STREAM);
-    let mut dark = stream(seed, DARK_STREAM);
+    let mut random = random_stream(seed, SCENE_STREAM);
+    let mut upstream_random = random_stream(seed, SILENT_UPSTREAM_STREAM);
     let first = size.length.as_millis() as u64;
     let starts = (0..scene_count(size)).map(|number| first + number * SCENE_MS);
     starts
         .flat_map(|start| {
             let mut faults = scene(&mut random, size, start);
-            faults.push(dark_upstream(&mut dark, size, start));
+            faults.push(silent_upstream(&mut upstream_random, size, start));
             faults
         })
         .collect()
@@ -82,39 +82,41 @@
 
 /// An upstream that says nothing for a while, or works long before it says something: what callers
 /// wait for when they leave.
-fn dark_upstream(random: &mut ChaCha8Rng, size: PlanSize, start: u64) -> PlannedFault {
-    let at = start + random.random_range(DARK_MS);
+fn silent_upstream(random: &mut ChaCha8Rng, size: PlanSize, start: u64) -> PlannedFault {
+    let at = start + random.random_range(SILENT_UPSTREAM_START_MS);
     let upstream = random.random_range(0..size.upstreams);
     let modes = [RunnerMode::Late, RunnerMode::Late, RunnerMode::Dark];
     let fault = Fault::Upstream(upstream, fault_plan::pick(random, &modes));
-    planned(at, random.random_range(DARK_LENGTH_MS), fault)
+    planned_fault(at, random.random_range(SILENT_UPSTREAM_LENGTH_MS), fault)
 }
 
 fn scene(random: &mut ChaCha8Rng, size: PlanSize, start: u64) -> Vec<PlannedFault> {
     let mut faults = Vec::new();
-    let strike = start + random.random_range(STRIKE_MS);
+    let loss_start = start + random.random_range(LOSS_START_MS);
     let loss = draw_loss(random, size);
-    faults.push(planned(strike, random.random_range(LOSS_MS), loss));
+    faults.push(planned_fault(loss_start, random.random_range(LOSS_MS), loss));
     if random.random_bool(0.5) {
         // The second one strikes at the same moment.
         let loss = draw_loss(random, size);
-        faults.push(planned(strike, random.random_range(LOSS_MS), loss));
+        faults.push(planned_fault(loss_start, random.random_range(LOSS_MS), loss));
     }
     for _ in 0..random.random_range(0..3) {
-        let at = start + random.random_range(NEAR_MS);
+        let at = start + random.random_range(COMPANION_START_MS);
         let fault = draw_companion(random, size);
-        faults.push(planned(at, random.random_range(LOSS_MS), fault));
+        faults.push(planned_fault(at, random.random_range(LOSS_MS), fault));
     }
-    let mut at = start + random.random_range(0..STRIKE_MS.end);
+    let mut at = start + random.random_range(0..LOSS_START_MS.end);
     while at < start + PUBLISH_UNTIL_MS {
-        faults.push(planned(at, 0, Fault::Publish));
+        faults.push(planned_fault(at, 0, Fault::Publish));
         at += random.random_range(PUBLISH_GAP_MS);
     }
     // One upstream of each service at most, so that others are there.
-    for upstream in [random.random_range(0..size.engines), random.random_range(size.plain())] {
+    for upstream in
+        [random.random_range(0..size.engines), random.random_range(size.plain_upstreams())]
+    {
         let at = start + random.random_range(LEAVE_MS);
-        let end = start + SCENE_MS - RETURN_MS;
-        faults.push(planned(at, end - at, Fault::Leave(upstream)));
+        let end = start + SCENE_MS - RETURN_BEFORE_END_MS;
+        faults.push(planned_fault(at, end - at, Fault::Leave(upstream)));
     }
     faults
 }
@@ -128,9 +130,9 @@
         6 => Fault::SilenceUpstream(upstream),
         7 => Fault::SilenceMembers(None),
         8 | 9 => Fault::SilenceAll,
-        10 | 11 => Fault::StoreLinkOf(instance, fault_plan::link(random)),
+        10 | 11 => Fault::StoreLinkOf(instance, fault_plan::draw_link_mode(random)),
         12 | 13 => Fault::Store(StoreMode::Lost),
-        _ => Fault::MemberLink(instance, fault_plan::link(random)),
+        _ => Fault::MemberLink(instance, fault_plan::draw_link_mode(random)),
     }
 }
 
@@ -145,18 +147,18 @@
         3 => Fault::Reload(instance),
         4 => Fault::Forget,
         5 => Fault::SilenceMembers(Some(instance)),
-        6 => Fault::MemberLink(instance, fault_plan::link(random)),
-        7 => Fault::UpstreamLink(upstream, fault_plan::link(random)),
+        6 => Fault::MemberLink(instance, fault_plan::draw_link_mode(random)),
+        7 => Fault::UpstreamLink(upstream, fault_plan::draw_link_mode(random)),
         _ => Fault::Upstream(upstream, fault_plan::pick(random, &fault_plan::RUNNER_MODES)),
     }
 }
 
-pub(crate) fn planned(at: u64, length: u64, fault: Fault) -> PlannedFault {
+pub(crate) fn planned_fault(at: u64, length: u64, fault: Fault) -> PlannedFault {
     let [at, length] = [at, length].map(time::Duration::from_millis);
     PlannedFault { at, length, fault }
 }
 
-pub(crate) fn stream(seed: u64, number: u64) -> ChaCha8Rng {
+pub(crate) fn random_stream(seed: u64, number: u64) -> ChaCha8Rng {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(number);
     random
--- a/crates/soak/src/zone_plan.rs
+++ b/crates/soak/src/data_center_plan.rs
@@ -13,7 +13,7 @@
 /// Plans of earlier seeds stay as they were: some of them are kept as tests.
 const FIRST_SEED: u64 = 60_000;
 /// Random stream of these faults.
-const ZONE_STREAM: u64 = 7;
+const DATA_CENTER_STREAM: u64 = 7;
 /// Pause between two of them, milliseconds.
 const GAP_MS: ops::Range<u64> = 800..3_500;
 /// How long an evacuation or a cold phase lasts, milliseconds.
@@ -23,7 +23,7 @@
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
-        stream: ZONE_STREAM,
+        stream: DATA_CENTER_STREAM,
         end: size.length + contact_plan::scenes_length(size),
         gap_ms: GAP_MS,
         length_ms: LENGTH_MS,
--- a/crates/soak/src/odd_plan.rs
+++ b/crates/soak/src/entry_plan.rs
@@ -12,7 +12,7 @@
 /// Plans of earlier seeds stay as they were: some of them are kept as tests.
 const FIRST_SEED: u64 = 20_000;
 /// Random stream of these faults.
-const ODD_STREAM: u64 = 4;
+const ENTRY_STREAM: u64 = 4;
 /// Pause between two of them, milliseconds.
 const GAP_MS: ops::Range<u64> = 400..2_000;
 /// How long the entry of a new start is missing, or an entry that was overwritten, milliseconds.
@@ -22,7 +22,7 @@
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
-        stream: ODD_STREAM,
+        stream: ENTRY_STREAM,
         end: size.length,
         gap_ms: GAP_MS,
         length_ms: LENGTH_MS,
--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -19,19 +19,19 @@
 
 impl Disturbance {
     /// Whether it touches an instance in a span of time.
-    pub fn touches(&self, instance: u8, from: time::Instant, to: time::Instant) -> bool {
+    pub fn overlaps(&self, instance: u8, from: time::Instant, to: time::Instant) -> bool {
         self.instance.is_none_or(|struck| struck == instance) && self.from <= to && self.to >= from
     }
 }
 
 /// Whether any of these touches an instance in a span of time.
-pub fn touched(
+pub fn any_overlaps(
     disturbances: &[Disturbance],
     instance: u8,
     from: time::Instant,
     to: time::Instant,
 ) -> bool {
-    disturbances.iter().any(|disturbance| disturbance.touches(instance, from, to))
+    disturbances.iter().any(|disturbance| disturbance.overlaps(instance, from, to))
 }
 
 /// A change of what an upstream says of itself.
@@ -47,7 +47,7 @@
 
 /// A time in which what goes to an upstream may come late.
 #[derive(Debug, Clone, Copy)]
-pub struct LinkTrouble {
+pub struct LinkFault {
     /// The upstream.
     pub upstream: u8,
     /// Its beginning.
@@ -71,7 +71,7 @@
 
 /// A request's arrival at an upstream, run or not, and what its answer said in passing.
 #[derive(Debug, Clone)]
-pub struct UpstreamWord {
+pub struct UpstreamResponse {
     /// The upstream.
     pub upstream: u8,
     /// The request.
@@ -111,22 +111,22 @@
     /// Arrivals at all upstreams, those of probes among them.
     pub arrivals: Vec<RequestArrival>,
     /// Arrivals of requests, run or not, with what upstreams said.
-    pub words: Vec<UpstreamWord>,
+    pub responses: Vec<UpstreamResponse>,
     /// Limits that upstreams named.
     pub limits: Vec<NamedLimit>,
     /// New starts of upstreams, which have said nothing yet.
-    pub renewals: Vec<(u8, time::Instant)>,
+    pub upstream_restarts: Vec<(u8, time::Instant)>,
     /// Kills, pauses and the like, which excuse cut connections and long answers.
-    pub unplanned: Vec<Disturbance>,
+    pub unplanned_outages: Vec<Disturbance>,
     /// Planned stops. A resting connection is closed in them, and a request may cross its end on
     /// the way; it must not have been passed on then.
-    pub stops: Vec<Disturbance>,
+    pub planned_stops: Vec<Disturbance>,
     /// Faults of upstreams and links, which excuse failures and cut streams.
-    pub outside: Vec<Disturbance>,
+    pub external_faults: Vec<Disturbance>,
     /// All that takes an instance out of contact, which excuses that changes come late.
-    pub contact: Vec<Disturbance>,
+    pub contact_losses: Vec<Disturbance>,
     /// Faults of links to upstreams.
-    pub link_troubles: Vec<LinkTrouble>,
+    pub link_faults: Vec<LinkFault>,
     /// What upstreams have said of themselves, in order of time.
     pub listings: Vec<UpstreamListing>,
     /// Starts of instances' processes.
@@ -136,18 +136,19 @@
     /// Questions to instances about them, in order of time for each instance.
     pub probes: Vec<config_probe::ConfigProbe>,
     /// Violations found while the run went on.
-    pub found: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Evidence {
     /// What was to be over at `planned` was so at `over` only: orders come late where this process has to wait, as for an
     /// instance that starts, and what they should have ended has gone on.
-    pub fn prolong(&mut self, planned: time::Instant, over: time::Instant) {
-        let struck = [&mut self.unplanned, &mut self.outside, &mut self.contact];
+    pub fn extend_to_actual_end(&mut self, planned: time::Instant, over: time::Instant) {
+        let struck =
+            [&mut self.unplanned_outages, &mut self.external_faults, &mut self.contact_losses];
         for disturbance in struck.into_iter().flatten().filter(|one| one.to == planned) {
             disturbance.to = over;
         }
-        for trouble in self.link_troubles.iter_mut().filter(|one| one.to == planned) {
+        for trouble in self.link_faults.iter_mut().filter(|one| one.to == planned) {
             trouble.to = over;
         }
     }
@@ -159,29 +160,29 @@
             sent: Vec::new(),
             runs: collections::HashMap::new(),
             arrivals: Vec::new(),
-            words: Vec::new(),
+            responses: Vec::new(),
             limits: Vec::new(),
-            renewals: Vec::new(),
-            unplanned: Vec::new(),
-            stops: Vec::new(),
-            outside: Vec::new(),
-            contact: Vec::new(),
-            link_troubles: Vec::new(),
+            upstream_restarts: Vec::new(),
+            unplanned_outages: Vec::new(),
+            planned_stops: Vec::new(),
+            external_faults: Vec::new(),
+            contact_losses: Vec::new(),
+            link_faults: Vec::new(),
             listings: Vec::new(),
             starts: Vec::new(),
             publications: Vec::new(),
             probes: Vec::new(),
-            found: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
     /// Whether an instance was undisturbed for long enough, all through a span of time.
     pub fn in_contact(&self, instance: u8, from: time::Instant, to: time::Instant) -> bool {
-        !touched(&self.contact, instance, from, to)
+        !any_overlaps(&self.contact_losses, instance, from, to)
     }
 
     /// Seconds since traffic began.
-    pub fn second(&self, at: time::Instant) -> f64 {
+    pub fn seconds_since_start(&self, at: time::Instant) -> f64 {
         at.saturating_duration_since(self.started).as_secs_f64()
     }
 }
@@ -193,7 +194,7 @@
 }
 
 /// The first violation of each kind, with the number of the others.
-pub fn first_of_each(found: impl Iterator<Item = (String, String)>) -> Vec<String> {
+pub fn summarize_by_kind(found: impl Iterator<Item = (String, String)>) -> Vec<String> {
     let mut kinds = collections::BTreeMap::<String, (String, usize)>::new();
     for (kind, text) in found {
         kinds.entry(kind).or_insert((text, 0)).1 += 1;
--- a/crates/soak/src/struck_fleet.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -14,18 +14,18 @@
 
 use crate::{
     config_probe,
-    evidence::{Disturbance, Evidence, LinkTrouble, UpstreamListing},
+    evidence::{Disturbance, Evidence, LinkFault, UpstreamListing},
     fault_plan::{Fault, PlannedFault},
     store_drill,
 };
 
 /// Time from SIGTERM within which an instance has ended.
-pub(crate) const GRACE: Duration = Duration::from_secs(8);
+pub(crate) const STOP_GRACE_PERIOD: Duration = Duration::from_secs(8);
 /// Time after a disturbance that still counts as disturbed: the platform's bound.
-const AFTER: Duration = Duration::from_millis(3_000);
+const RECOVERY_MARGIN: Duration = Duration::from_millis(3_000);
 
 /// What another writer writes: no code of any text, no entry, an entry of nobody.
-const ODD_VALUES: [&str; 4] = ["!", "e30=", "[[[[", r#"{"service":"plain","address":7}"#];
+const INVALID_ENTRIES: [&str; 4] = ["!", "e30=", "[[[[", r#"{"service":"plain","address":7}"#];
 
 /// What ends a fault.
 #[derive(Debug, Clone, Copy)]
@@ -48,7 +48,7 @@
 }
 
 /// A fleet with its faults.
-pub(crate) struct StruckFleet {
+pub(crate) struct FaultInjector {
     /// The fleet.
     pub(crate) fleet: Fleet,
     /// What has been seen.
@@ -56,7 +56,7 @@
     /// Configurations so far.
     pub(crate) published: config_probe::PublicationLog,
     /// Faults as they struck, for whoever looks for a cause.
-    pub(crate) strikes: Vec<String>,
+    pub(crate) fault_log: Vec<String>,
     /// Faults that have not ended.
     ends: Vec<(Instant, FaultEnd)>,
     /// Losses of contact by instances that were told to end, until they are started again.
@@ -65,14 +65,14 @@
     copies: Option<store_drill::CopyLog>,
 }
 
-impl StruckFleet {
+impl FaultInjector {
     /// A fleet that nothing has struck.
     pub(crate) fn new(fleet: Fleet) -> Self {
         Self {
             fleet,
             evidence: Evidence::new(),
             published: config_probe::PublicationLog::default(),
-            strikes: Vec::new(),
+            fault_log: Vec::new(),
             ends: Vec::new(),
             stopping: collections::HashMap::new(),
             copies: None,
@@ -85,9 +85,9 @@
     }
 
     /// Lets all faults of a plan strike and end in their time.
-    pub(crate) fn strike_all(&mut self, plan: &[PlannedFault], length: Duration) {
+    pub(crate) fn inject_all(&mut self, plan: &[PlannedFault], length: Duration) {
         if plan.iter().any(|planned| matches!(planned.fault, Fault::Evacuate(_))) {
-            self.divide();
+            self.isolate_data_centers();
         }
         if plan.iter().any(|planned| matches!(planned.fault, Fault::Drill { .. })) {
             self.copies = Some(store_drill::CopyLog::default());
@@ -96,7 +96,7 @@
         let mut next = plan.iter().peekable();
         while started.elapsed() < length {
             while let Some(planned) = next.next_if(|planned| planned.at <= started.elapsed()) {
-                self.strike(planned);
+                self.inject(planned);
             }
             self.end_due(Instant::now());
             if let Some(copies) = &mut self.copies {
@@ -117,10 +117,11 @@
         }
     }
 
-    fn strike(&mut self, planned: &PlannedFault) {
+    fn inject(&mut self, planned: &PlannedFault) {
         let now = Instant::now();
         let until = now + planned.length;
-        self.strikes.push(format!("{:>6.2} s: {planned}", self.evidence.second(now)));
+        self.fault_log
+            .push(format!("{:>6.2} s: {planned}", self.evidence.seconds_since_start(now)));
         match planned.fault {
             Fault::Kill(number) => self.kill(number, until),
             Fault::KillAll => {
@@ -131,17 +132,17 @@
             Fault::Stop(number) => self.stop(number),
             Fault::Reload(number) => self.fleet.signal(number, "HUP"),
             Fault::Pause(number) => {
-                self.disturb(Some(number), until);
+                self.record_disturbance(Some(number), until);
                 self.fleet.signal(number, "STOP");
                 self.ends.push((until, FaultEnd::Continue(number)));
             }
             Fault::Store(mode) => {
-                self.lose_contact(None, until);
+                self.record_contact_loss(None, until);
                 self.fleet.store.set_mode(mode);
                 self.ends.push((until, FaultEnd::StoreGood));
             }
             Fault::Drill { age_ms, rewrite_ms } => {
-                self.lose_contact(None, until);
+                self.record_contact_loss(None, until);
                 self.fleet.store.set_mode(StoreMode::Reset);
                 let [age, rewrite] = [age_ms, rewrite_ms].map(Duration::from_millis);
                 self.ends.push((until, FaultEnd::StoreReturn(age, rewrite)));
@@ -150,7 +151,7 @@
             Fault::Publish => self.publish(),
             Fault::Upstream(number, mode) => {
                 self.fleet.runners()[usize::from(number)].set_mode(mode);
-                self.disturb_outside(until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::UpstreamGood(number)));
             }
             Fault::Leave(number) => self.leave(number, until),
@@ -163,7 +164,7 @@
             }
             Fault::Restart(number) => {
                 self.restart(number);
-                self.disturb_outside(until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::Return(number)));
             }
             Fault::SayLeaving(number) => {
@@ -174,47 +175,47 @@
                 let seconds = format!("{:.3}", millis as f64 / 1_000.0);
                 let how = Some(TurnAway::for_seconds(&seconds));
                 self.fleet.runners()[usize::from(number)].turn_away(how);
-                self.disturb_outside(until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::RestOver(number)));
             }
             Fault::NameLimit(number, thousandths) => {
                 let rate = f64::from(thousandths) / 1_000.0;
                 self.fleet.runners()[usize::from(number)].name_limit(&rate.to_string());
-                self.disturb_outside(until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::LimitOver(number)));
             }
             Fault::Overwrite(number) => {
-                self.overwrite(number);
+                self.overwrite_entry(number);
                 self.ends.push((until, FaultEnd::Return(number)));
             }
-            Fault::Litter(number) => self.litter(number),
-            link => self.strike_link(link, until),
+            Fault::Litter(number) => self.write_invalid_entry(number),
+            link => self.inject_link_fault(link, until),
         }
     }
 
     /// Strikes a link, or the connections that are open on it.
-    fn strike_link(&mut self, fault: Fault, until: Instant) {
+    fn inject_link_fault(&mut self, fault: Fault, until: Instant) {
         let all = 0..self.fleet.instances.len() as u8;
         match fault {
             Fault::StoreLink(mode) => {
-                self.lose_contact(None, until);
+                self.record_contact_loss(None, until);
                 self.set_store_links(all, mode);
                 self.ends.push((until, FaultEnd::StoreLinkGood(None)));
             }
             Fault::StoreLinkOf(number, mode) => {
-                self.lose_contact(Some(number), until);
+                self.record_contact_loss(Some(number), until);
                 self.set_store_links(number..number + 1, mode);
                 self.ends.push((until, FaultEnd::StoreLinkGood(Some(number))));
             }
             Fault::MemberLink(number, mode) => {
-                self.lose_contact(Some(number), until);
+                self.record_contact_loss(Some(number), until);
                 self.fleet.member_links[usize::from(number)].set_mode(mode);
                 self.ends.push((until, FaultEnd::MemberLinkGood(number)));
             }
             Fault::UpstreamLink(number, mode) => {
                 self.fleet.links[usize::from(number)].set_mode(mode);
-                self.trouble_link(number, until);
-                self.disturb_outside(until);
+                self.record_link_fault(number, until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::UpstreamLinkGood(number)));
             }
             silence => self.silence(silence),
@@ -224,15 +225,17 @@
     /// Lets open connections fall silent, which counts as a reset of all instances' connections.
     fn silence(&mut self, fault: Fault) {
         let now = Instant::now();
-        self.lose_contact(None, now);
+        self.record_contact_loss(None, now);
         let fleet = &self.fleet;
         let (store, members, upstreams) = match fault {
-            Fault::SilenceStore(number) => (struck(&fleet.store_links, number), &[][..], &[][..]),
+            Fault::SilenceStore(number) => {
+                (select_links(&fleet.store_links, number), &[][..], &[][..])
+            }
             Fault::SilenceMembers(number) => {
-                (&[][..], struck(&fleet.member_links, number), &[][..])
+                (&[][..], select_links(&fleet.member_links, number), &[][..])
             }
             Fault::SilenceUpstream(number) => {
-                (&[][..], &[][..], struck(&fleet.links, Some(number)))
+                (&[][..], &[][..], select_links(&fleet.links, Some(number)))
             }
             Fault::SilenceAll => {
                 (&fleet.store_links[..], &fleet.member_links[..], &fleet.links[..])
@@ -245,8 +248,8 @@
             Fault::SilenceAll => 0..self.fleet.links.len() as u8,
             _ => return,
         };
-        numbers.for_each(|number| self.trouble_link(number, now));
-        self.disturb_outside(now);
+        numbers.for_each(|number| self.record_link_fault(number, now));
+        self.record_external_fault(now);
     }
 
     /// Ends what is due, and starts again what has ended.
@@ -254,7 +257,8 @@
         let (due, later): (Vec<_>, Vec<_>) = self.ends.drain(..).partition(|(at, _)| *at <= now);
         self.ends = later;
         for (at, end) in due {
-            self.evidence.prolong(at + AFTER, Instant::now() + AFTER);
+            self.evidence
+                .extend_to_actual_end(at + RECOVERY_MARGIN, Instant::now() + RECOVERY_MARGIN);
             self.end(end);
         }
         for number in 0..self.fleet.instances.len() as u8 {
@@ -274,47 +278,48 @@
     /// Ends a fault.
     pub(crate) fn end(&mut self, end: FaultEnd) {
         let now = Instant::now();
-        self.strikes.push(format!("{:>6.2} s: end, {end:?}", self.evidence.second(now)));
+        self.fault_log
+            .push(format!("{:>6.2} s: end, {end:?}", self.evidence.seconds_since_start(now)));
         match end {
             FaultEnd::Start(number) => self.start(number),
             FaultEnd::Continue(number) => {
                 self.fleet.signal(number, "CONT");
-                self.lose_contact(Some(number), now);
+                self.record_contact_loss(Some(number), now);
             }
             FaultEnd::StoreGood => {
                 self.fleet.store.set_mode(StoreMode::Good);
-                self.lose_contact(None, now);
+                self.record_contact_loss(None, now);
             }
             FaultEnd::StoreReturn(age, rewrite) => {
                 if let Some(copies) = &self.copies {
                     copies.return_from(now, age, &self.fleet.store);
                 }
-                self.lose_contact(None, now + rewrite);
+                self.record_contact_loss(None, now + rewrite);
                 self.ends.push((now + rewrite, FaultEnd::Rewrite));
             }
             FaultEnd::Rewrite => self.fleet.store.write_again(),
             FaultEnd::StoreLinkGood(None) => {
                 self.set_store_links(0..self.fleet.instances.len() as u8, LinkMode::Good);
-                self.lose_contact(None, now);
+                self.record_contact_loss(None, now);
             }
             FaultEnd::StoreLinkGood(Some(number)) => {
                 self.set_store_links(number..number + 1, LinkMode::Good);
-                self.lose_contact(Some(number), now);
+                self.record_contact_loss(Some(number), now);
             }
             FaultEnd::MemberLinkGood(number) => {
                 self.fleet.member_links[usize::from(number)].set_mode(LinkMode::Good);
-                self.lose_contact(Some(number), now);
+                self.record_contact_loss(Some(number), now);
             }
             FaultEnd::UpstreamGood(number) => {
                 self.fleet.runners()[usize::from(number)].set_mode(RunnerMode::Good);
             }
             FaultEnd::UpstreamLinkGood(number) => {
                 self.fleet.links[usize::from(number)].set_mode(LinkMode::Good);
-                self.trouble_link(number, now);
+                self.record_link_fault(number, now);
             }
             FaultEnd::Return(number) => self.list(number, false),
             FaultEnd::Restore(number) => {
-                self.fleet.evacuate(&zone_of(usize::from(number)), false);
+                self.fleet.evacuate(&data_center_of(usize::from(number)), false);
                 let listing =
                     UpstreamListing { upstream: number, leaving: false, at: Instant::now() };
                 self.evidence.listings.push(listing);
@@ -327,7 +332,7 @@
             FaultEnd::Restart(number) => {
                 // Another start has said nothing; what ran at the one before is lost.
                 self.restart(number);
-                self.disturb_outside(now);
+                self.record_external_fault(now);
                 self.list(number, false);
             }
             FaultEnd::LimitOver(number) => {
@@ -345,34 +350,34 @@
         }
         self.evidence.starts.push((number, Instant::now()));
         if let Err(error) = self.fleet.start_instance(number) {
-            self.evidence.found.push(format!("instance {number} does not start: {error}"));
+            self.evidence.violations.push(format!("instance {number} does not start: {error}"));
         }
         // On a busy machine the start itself takes a while.
         let now = Instant::now();
-        self.lose_contact(Some(number), now);
+        self.record_contact_loss(Some(number), now);
         if let Some(stop) = self.stopping.remove(&number) {
-            self.evidence.contact[stop].to = now + AFTER;
+            self.evidence.contact_losses[stop].to = now + RECOVERY_MARGIN;
         }
     }
 
     fn stop(&mut self, number: u8) {
         let now = Instant::now();
-        let stop = Disturbance { instance: Some(number), from: now, to: now + GRACE };
-        self.evidence.stops.push(stop);
-        self.stopping.insert(number, self.evidence.contact.len());
-        self.lose_contact(Some(number), now + GRACE);
+        let stop = Disturbance { instance: Some(number), from: now, to: now + STOP_GRACE_PERIOD };
+        self.evidence.planned_stops.push(stop);
+        self.stopping.insert(number, self.evidence.contact_losses.len());
+        self.record_contact_loss(Some(number), now + STOP_GRACE_PERIOD);
         self.fleet.signal(number, "TERM");
     }
 
     fn kill(&mut self, number: u8, until: Instant) {
-        self.disturb(Some(number), until);
+        self.record_disturbance(Some(number), until);
         self.fleet.kill(number);
         self.ends.push((until, FaultEnd::Start(number)));
     }
 
     /// Starts an upstream again.
     fn restart(&mut self, number: u8) {
-        self.evidence.renewals.push((number, Instant::now()));
+        self.evidence.upstream_restarts.push((number, Instant::now()));
         self.fleet.runners()[usize::from(number)].restart();
     }
 
@@ -387,38 +392,38 @@
     }
 
     /// Puts each upstream into a data centre of its own, away from the instances.
-    fn divide(&mut self) {
+    fn isolate_data_centers(&mut self) {
         for (number, runner) in self.fleet.runners().into_iter().enumerate() {
-            self.fleet.zones.insert(runner.name.clone(), zone_of(number));
+            self.fleet.zones.insert(runner.name.clone(), data_center_of(number));
         }
         self.fleet.list_all();
     }
 
     /// Evacuates the data centre of an upstream; like one that leaves it must get no more work in time.
     fn evacuate(&mut self, number: u8, until: Instant) {
-        self.fleet.evacuate(&zone_of(usize::from(number)), true);
+        self.fleet.evacuate(&data_center_of(usize::from(number)), true);
         let listing = UpstreamListing { upstream: number, leaving: true, at: Instant::now() };
         self.evidence.listings.push(listing);
         self.ends.push((until, FaultEnd::Restore(number)));
     }
 
     /// Another writer's entry stands where an upstream's did: it names nobody to use.
-    fn overwrite(&mut self, number: u8) {
+    fn overwrite_entry(&mut self, number: u8) {
         let name = self.fleet.runners()[usize::from(number)].name.clone();
-        let odd = ODD_VALUES[usize::from(number) % ODD_VALUES.len()];
-        self.fleet.store.put_raw(&format!("servers/{name}"), serde_json::json!(odd));
+        let invalid = INVALID_ENTRIES[usize::from(number) % INVALID_ENTRIES.len()];
+        self.fleet.store.put_raw(&format!("servers/{name}"), serde_json::json!(invalid));
         let listing = UpstreamListing { upstream: number, leaving: true, at: Instant::now() };
         self.evidence.listings.push(listing);
     }
 
     /// Writes an entry that names nobody under a key of its own.
-    fn litter(&self, number: u8) {
-        let odd = ODD_VALUES[usize::from(number) % ODD_VALUES.len()];
+    fn write_invalid_entry(&self, number: u8) {
+        let invalid = INVALID_ENTRIES[usize::from(number) % INVALID_ENTRIES.len()];
         let key = format!("servers/odd-{number}");
         if number.is_multiple_of(2) {
-            self.fleet.store.put_raw(&key, serde_json::json!(odd));
+            self.fleet.store.put_raw(&key, serde_json::json!(invalid));
         } else {
-            self.fleet.store.put(&key, Some(odd.to_owned()));
+            self.fleet.store.put(&key, Some(invalid.to_owned()));
         }
     }
 
@@ -443,34 +448,36 @@
     }
 
     /// Notes that an instance, or all, is out of contact until some time, and a while longer.
-    fn lose_contact(&mut self, instance: Option<u8>, until: Instant) {
-        let lost = Disturbance { instance, from: Instant::now(), to: until + AFTER };
-        self.evidence.contact.push(lost);
+    fn record_contact_loss(&mut self, instance: Option<u8>, until: Instant) {
+        let lost = Disturbance { instance, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.contact_losses.push(lost);
     }
 
-    fn trouble_link(&mut self, upstream: u8, until: Instant) {
-        let trouble = LinkTrouble { upstream, from: Instant::now(), to: until + AFTER };
-        self.evidence.link_troubles.push(trouble);
+    fn record_link_fault(&mut self, upstream: u8, until: Instant) {
+        let trouble = LinkFault { upstream, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.link_faults.push(trouble);
     }
 
-    fn disturb(&mut self, instance: Option<u8>, until: Instant) {
-        self.lose_contact(instance, until);
-        let disturbance = Disturbance { instance, from: Instant::now(), to: until + AFTER };
-        self.evidence.unplanned.push(disturbance);
+    fn record_disturbance(&mut self, instance: Option<u8>, until: Instant) {
+        self.record_contact_loss(instance, until);
+        let disturbance =
+            Disturbance { instance, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.unplanned_outages.push(disturbance);
     }
 
-    fn disturb_outside(&mut self, until: Instant) {
-        let disturbance = Disturbance { instance: None, from: Instant::now(), to: until + AFTER };
-        self.evidence.outside.push(disturbance);
+    fn record_external_fault(&mut self, until: Instant) {
+        let disturbance =
+            Disturbance { instance: None, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.external_faults.push(disturbance);
     }
 }
 
 /// The link of one number, or all.
-fn struck(links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
+fn select_links(links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
     number.map_or(links, |number| &links[usize::from(number)..][..1])
 }
 
 /// The data centre of an upstream by its number.
-fn zone_of(number: usize) -> String {
+fn data_center_of(number: usize) -> String {
     format!("zone-{number}")
 }
--- a/crates/soak/src/fault_plan.rs
+++ b/crates/soak/src/fault_plan.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use slipturn_platform_standin::{proxy::LinkMode, runner::RunnerMode, store::StoreMode};
 
-use crate::{contact_plan, drill_plan, limit_plan, odd_plan, word_plan, zone_plan};
+use crate::{contact_plan, data_center_plan, drill_plan, entry_plan, limit_plan, signal_plan};
 
 /// Pause between two faults, milliseconds: short enough for faults to overlap.
 const GAP_MS: std::ops::Range<u64> = 100..600;
@@ -121,33 +121,33 @@
 
 impl PlanSize {
     /// Upstreams of the plain service.
-    pub fn plain(&self) -> std::ops::Range<u8> {
+    pub fn plain_upstreams(&self) -> std::ops::Range<u8> {
         self.engines..self.upstreams
     }
 }
 
 /// The plan of a seed, in order of time.
 pub fn plan(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
-    let mut faults = dense_part(seed, size);
-    faults.extend(contact_plan::faults_beside(seed, size));
+    let mut faults = dense_faults(seed, size);
+    faults.extend(contact_plan::first_part_losses(seed, size));
     faults.extend(contact_plan::scenes(seed, size));
-    faults.extend(odd_plan::faults(seed, size));
-    faults.extend(word_plan::faults(seed, size));
+    faults.extend(entry_plan::faults(seed, size));
+    faults.extend(signal_plan::faults(seed, size));
     faults.extend(limit_plan::faults(seed, size));
-    faults.extend(zone_plan::faults(seed, size));
+    faults.extend(data_center_plan::faults(seed, size));
     faults.extend(drill_plan::faults(seed, size));
     faults.sort_by_key(|planned| planned.at);
     faults
 }
 
 /// Faults of the first part.
-fn dense_part(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
+fn dense_faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let end = (size.length.as_millis() as u64).saturating_sub(QUIET_MS);
     let mut at = QUIET_MS;
     let mut faults = Vec::new();
     while at < end {
-        let fault = draw(&mut random, size);
+        let fault = draw_fault(&mut random, size);
         let length = random.random_range(LENGTH_MS).min(end.saturating_sub(at).max(1));
         faults.push(PlannedFault {
             at: time::Duration::from_millis(at),
@@ -159,7 +159,7 @@
     faults
 }
 
-fn draw(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
+fn draw_fault(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
     match random.random_range(0..26) {
@@ -171,9 +171,9 @@
         9 => Fault::Store(pick(random, &[StoreMode::Busy, StoreMode::Reset, StoreMode::Silent])),
         10 => Fault::Forget,
         11 | 12 => Fault::Publish,
-        13 => Fault::StoreLink(link(random)),
+        13 => Fault::StoreLink(draw_link_mode(random)),
         14..=20 => Fault::Upstream(upstream, pick(random, &RUNNER_MODES)),
-        21 | 22 => Fault::UpstreamLink(upstream, link(random)),
+        21 | 22 => Fault::UpstreamLink(upstream, draw_link_mode(random)),
         _ => Fault::Leave(upstream),
     }
 }
@@ -190,7 +190,7 @@
 ];
 
 /// Draws what a link does.
-pub(crate) fn link(random: &mut ChaCha8Rng) -> LinkMode {
+pub(crate) fn draw_link_mode(random: &mut ChaCha8Rng) -> LinkMode {
     let modes = [LinkMode::Slow, LinkMode::Reset, LinkMode::DropForth, LinkMode::DropBack];
     pick(random, &modes)
 }
--- a/crates/soak/src/fault_series.rs
+++ b/crates/soak/src/fault_series.rs
@@ -34,14 +34,14 @@
         if seed < self.first_seed {
             return Vec::new();
         }
-        let mut random = contact_plan::stream(seed, self.stream);
+        let mut random = contact_plan::random_stream(seed, self.stream);
         let end = self.end.as_millis() as u64;
         let mut faults = Vec::new();
         let mut at = random.random_range(self.gap_ms.clone());
         while at < end {
             let fault = draw(&mut random);
             let length = random.random_range(self.length_ms.clone());
-            faults.push(contact_plan::planned(at, length, fault));
+            faults.push(contact_plan::planned_fault(at, length, fault));
             at += random.random_range(self.gap_ms.clone());
         }
         faults
--- a/crates/soak/src/closing.rs
+++ b/crates/soak/src/final_checks.rs
@@ -11,44 +11,44 @@
 };
 
 use crate::{
-    config_check, leave_check,
-    struck_fleet::{FaultEnd, GRACE, StruckFleet},
-    traffic,
+    config_check,
+    fault_injector::{FaultEnd, FaultInjector, STOP_GRACE_PERIOD},
+    leave_check, traffic,
 };
 
 /// Time within which all instances must be ready when faults have ended.
-const RECOVERY: Duration = Duration::from_secs(8);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time within which upstreams must be free again when traffic has ended.
-const RELEASE: Duration = Duration::from_secs(4);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Streams that are open while an instance is stopped.
 const STOP_STREAMS: u64 = 3;
 /// Time in which they begin.
-const STREAM_START: Duration = Duration::from_millis(400);
+const STREAM_START_DELAY: Duration = Duration::from_millis(400);
 /// Time for which the store is away before its return is judged.
-const STORE_AWAY: Duration = Duration::from_millis(1_500);
+const STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 /// Time after its return by which instances must be up to date: the platform's bound.
-const RETURN: Duration = Duration::from_secs(3);
+const STORE_RECOVERY_BOUND: Duration = Duration::from_secs(3);
 
-impl StruckFleet {
+impl FaultInjector {
     /// All of it, in order.
-    pub(crate) fn close(&mut self, seed: u64) {
-        self.recover();
-        self.return_to_store(seed);
-        self.stop_under_streams();
-        self.probe_routes();
-        self.wait_release();
+    pub(crate) fn run_final_checks(&mut self, seed: u64) {
+        self.wait_for_recovery();
+        self.check_store_return(seed);
+        self.check_planned_stop();
+        self.check_routes();
+        self.check_release();
     }
 
     /// Ends all faults; every instance must be ready again in time.
-    fn recover(&mut self) {
+    fn wait_for_recovery(&mut self) {
         self.end_all();
-        let until = Instant::now() + RECOVERY;
+        let until = Instant::now() + RECOVERY_TIMEOUT;
         let all = 0..self.fleet.instances.len() as u8;
         while !all.clone().all(|number| self.fleet.ready(number)) {
             if Instant::now() > until {
                 self.evidence
-                    .found
-                    .push(format!("not all ready {RECOVERY:?} after the last fault"));
+                    .violations
+                    .push(format!("not all ready {RECOVERY_TIMEOUT:?} after the last fault"));
                 return;
             }
             self.end_due(Instant::now());
@@ -57,51 +57,56 @@
     }
 
     /// What was published while the store was away is in force soon after its return.
-    fn return_to_store(&mut self, seed: u64) {
+    fn check_store_return(&mut self, seed: u64) {
         let modes = [StoreMode::Silent, StoreMode::Reset, StoreMode::Busy];
         self.fleet.store.set_mode(modes[(seed % 3) as usize]);
-        thread::sleep(STORE_AWAY);
+        thread::sleep(STORE_OUTAGE);
         self.publish();
         self.fleet.store.set_mode(StoreMode::Good);
-        thread::sleep(RETURN);
+        thread::sleep(STORE_RECOVERY_BOUND);
         let newest = self.published.routes().pop().into_iter().collect::<Vec<_>>();
         self.probe_all("return", &newest);
     }
 
     /// A planned stop in calm times cuts no stream that ends inside the grace period.
-    fn stop_under_streams(&mut self) {
+    fn check_planned_stop(&mut self) {
         let address = self.fleet.callers(0);
         let start = |number: u64| {
             let id = format!("probe-stop-{number}");
-            let request = traffic::request(id, "draft", (1_000, traffic::LONG_ANSWER.start));
+            let request = traffic::request(id, "draft", (1_000, traffic::LONG_ANSWER_TOKENS.start));
             thread::spawn(move || caller::send(address, &request))
         };
         let streams: Vec<_> = (0..STOP_STREAMS).map(start).collect();
-        thread::sleep(STREAM_START);
+        thread::sleep(STREAM_START_DELAY);
         self.fleet.signal(0, "TERM");
         for stream in streams {
             let outcome = stream.join();
             if !matches!(outcome, Ok(Outcome::Good)) {
-                self.evidence.found.push(format!("a planned stop ended a stream: {outcome:?}"));
+                self.evidence
+                    .violations
+                    .push(format!("a planned stop ended a stream: {outcome:?}"));
             }
         }
-        match self.fleet.wait_end(0, GRACE) {
+        match self.fleet.wait_end(0, STOP_GRACE_PERIOD) {
             Some(_) => self.end(FaultEnd::Start(0)),
-            None => self.evidence.found.push(format!("instance 0 has not ended in {GRACE:?}")),
+            None => self
+                .evidence
+                .violations
+                .push(format!("instance 0 has not ended in {STOP_GRACE_PERIOD:?}")),
         }
         self.fleet.wait_ready();
     }
 
     /// Every route ever added is served everywhere, and a leaving upstream gets nothing.
-    fn probe_routes(&mut self) {
+    fn check_routes(&mut self) {
         self.publish();
         self.list(self.first_plain(), true);
-        thread::sleep(config_check::APPLY.max(leave_check::LEAVE));
+        thread::sleep(config_check::APPLY_BOUND.max(leave_check::LEAVE_BOUND));
         let leaving = self.fleet.plain[0].clone();
         let before = leaving.runs().len();
         self.probe_all("end", &self.published.routes());
         if leaving.runs().len() > before {
-            self.evidence.found.push(format!("{} got requests while leaving", leaving.name));
+            self.evidence.violations.push(format!("{} got requests while leaving", leaving.name));
         }
     }
 
@@ -115,14 +120,14 @@
                 if matches!(outcome, Outcome::Status(401 | 403 | 404, _)) {
                     let fault =
                         format!("{when}: instance {number} does not know {route}: {outcome:?}");
-                    self.evidence.found.push(fault);
+                    self.evidence.violations.push(fault);
                 }
             }
         }
     }
 
-    fn wait_release(&mut self) {
-        let until = Instant::now() + RELEASE;
+    fn check_release(&mut self) {
+        let until = Instant::now() + RELEASE_TIMEOUT;
         loop {
             let runners = self.fleet.runners();
             let held: u64 = runners.iter().map(|runner| runner.held()).sum();
@@ -133,7 +138,7 @@
             if Instant::now() > until {
                 let fault =
                     format!("{held} tokens set aside and {running} requests running at the end");
-                self.evidence.found.push(fault);
+                self.evidence.violations.push(fault);
                 return;
             }
             thread::sleep(Duration::from_millis(50));
--- a/crates/soak/src/leave_check.rs
+++ b/crates/soak/src/leave_check.rs
@@ -7,10 +7,10 @@
 
 /// Time after an upstream's leaving within which it still may get requests: the platform's 2 s and
 /// the machine's own delays.
-pub const LEAVE: time::Duration = time::Duration::from_millis(2_200);
+pub const LEAVE_BOUND: time::Duration = time::Duration::from_millis(2_200);
 /// Time after a caller's leaving within which upstreams may still be at work for it: the
 /// platform's 500 ms and the machine's own delays.
-const GONE: time::Duration = time::Duration::from_millis(700);
+const ABANDONED_WORK_BOUND: time::Duration = time::Duration::from_millis(700);
 
 /// A time in which an upstream says that it leaves.
 struct LeaveSpan {
@@ -34,65 +34,68 @@
     let spans = leave_spans(evidence);
     let found = evidence.arrivals.iter().flat_map(|arrival| {
         let origin = origins.get(arrival.id.as_str());
-        origin.into_iter().flat_map(|origin| judge(evidence, &spans, origin, arrival))
+        origin.into_iter().flat_map(|origin| arrival_violations(evidence, &spans, origin, arrival))
     });
-    evidence::first_of_each(found)
+    evidence::summarize_by_kind(found)
 }
 
-fn judge(
+fn arrival_violations(
     evidence: &Evidence,
     spans: &[LeaveSpan],
     origin: &RequestOrigin,
     arrival: &RequestArrival,
 ) -> Vec<(String, String)> {
-    let bound = |until| !excusable(evidence, origin, arrival, until);
-    let used = spans.iter().find_map(|span| drained(evidence, span, origin, arrival));
+    let bound = |until| !excused(evidence, origin, arrival, until);
+    let used = spans.iter().find_map(|span| used_while_leaving(evidence, span, origin, arrival));
     let used = used.filter(|_| bound(arrival.at));
-    let worked = abandoned(evidence, origin, arrival).filter(|_| bound(arrival.ended));
+    let worked =
+        worked_after_caller_left(evidence, origin, arrival).filter(|_| bound(arrival.ended));
     used.into_iter().chain(worked).collect()
 }
 
 /// Whether until some time the instance was out of contact, or the way to the upstream was harmed.
-fn excusable(
+fn excused(
     evidence: &Evidence,
     origin: &RequestOrigin,
     arrival: &RequestArrival,
     until: time::Instant,
 ) -> bool {
-    let harmed = evidence.link_troubles.iter().any(|trouble| {
-        let touches = trouble.from <= until && trouble.to >= arrival.at;
-        trouble.upstream == arrival.upstream && touches
+    let harmed = evidence.link_faults.iter().any(|fault| {
+        let overlaps = fault.from <= until && fault.to >= arrival.at;
+        fault.upstream == arrival.upstream && overlaps
     });
     harmed || !evidence.in_contact(origin.instance, origin.from, until)
 }
 
-fn drained(
+fn used_while_leaving(
     evidence: &Evidence,
     span: &LeaveSpan,
     origin: &RequestOrigin,
     arrival: &RequestArrival,
 ) -> Option<(String, String)> {
     let bound = span.upstream == arrival.upstream
-        && arrival.at > span.from + LEAVE
+        && arrival.at > span.from + LEAVE_BOUND
         && span.to.is_none_or(|to| arrival.at < to);
     bound.then(|| {
         let kind = format!(
             "upstream {} used while leaving, by instance {}",
             span.upstream, origin.instance
         );
-        let (left, at) = (evidence.second(span.from), evidence.second(arrival.at));
+        let (left, at) =
+            (evidence.seconds_since_start(span.from), evidence.seconds_since_start(arrival.at));
         (kind, format!("{} at {at:.2} s, leaving since {left:.2} s", arrival.id))
     })
 }
 
-fn abandoned(
+fn worked_after_caller_left(
     evidence: &Evidence,
     origin: &RequestOrigin,
     arrival: &RequestArrival,
 ) -> Option<(String, String)> {
-    let left = origin.left.filter(|left| arrival.ended > *left + GONE)?;
+    let left = origin.left.filter(|left| arrival.ended > *left + ABANDONED_WORK_BOUND)?;
     let kind = format!("at work though its caller had left, by instance {}", origin.instance);
-    let [left, at, ended] = [left, arrival.at, arrival.ended].map(|at| evidence.second(at));
+    let [left, at, ended] =
+        [left, arrival.at, arrival.ended].map(|at| evidence.seconds_since_start(at));
     let (id, upstream) = (&arrival.id, arrival.upstream);
     Some((
         kind,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -2,22 +2,22 @@
 //! upstreams see. A seed decides the whole plan; clients' own timing does not repeat exactly.
 
 pub mod check;
-mod closing;
 pub mod config_check;
 pub mod config_probe;
 pub mod contact_plan;
+mod data_center_plan;
 mod drill_plan;
+mod entry_plan;
 pub mod evidence;
+mod fault_injector;
 pub mod fault_plan;
 mod fault_series;
+mod final_checks;
 pub mod leave_check;
 mod limit_check;
 mod limit_plan;
-mod odd_plan;
 pub mod run;
+mod signal_check;
+mod signal_plan;
 mod store_drill;
-mod struck_fleet;
 pub mod traffic;
-mod word_check;
-mod word_plan;
-mod zone_plan;
--- a/crates/soak/src/limit_check.rs
+++ b/crates/soak/src/limit_check.rs
@@ -3,52 +3,56 @@
 use std::time;
 
 use crate::{
-    evidence::{self, Evidence, NamedLimit, UpstreamWord},
-    word_check,
+    evidence::{self, Evidence, NamedLimit, UpstreamResponse},
+    signal_check,
 };
 
 /// The span in which requests are counted.
 const WINDOW: time::Duration = time::Duration::from_secs(4);
 /// What may be beyond the limit in it: the platform's rule.
-const ALLOWED_PART: f64 = 1.5;
-/// See [`ALLOWED_PART`], requests.
-const ALLOWED_MORE: f64 = 5.0;
+const ALLOWED_FACTOR: f64 = 1.5;
+/// See [`ALLOWED_FACTOR`], requests.
+const ALLOWED_EXTRA: f64 = 5.0;
 /// Time behind the first answer that named the limit from which its instance is counted.
-const TOLD: time::Duration = time::Duration::from_millis(500);
+const NOTICE_TIME: time::Duration = time::Duration::from_millis(500);
 
 /// All violations.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
-    let origins = word_check::origins(evidence);
-    let found = evidence.limits.iter().filter_map(|limit| judge(evidence, &origins, limit));
-    evidence::first_of_each(found)
+    let origins = signal_check::origins(evidence);
+    let found =
+        evidence.limits.iter().filter_map(|limit| limit_violation(evidence, &origins, limit));
+    evidence::summarize_by_kind(found)
 }
 
 /// What was sent beyond one limit while it stood.
-fn judge(
+fn limit_violation(
     evidence: &Evidence,
-    origins: &word_check::RequestOrigins<'_>,
+    origins: &signal_check::RequestOrigins<'_>,
     limit: &NamedLimit,
 ) -> Option<(String, String)> {
-    let within = |word: &&UpstreamWord| {
-        word.upstream == limit.upstream && word.at >= limit.since && word.at < limit.until
+    let within = |response: &&UpstreamResponse| {
+        response.upstream == limit.upstream
+            && response.at >= limit.since
+            && response.at < limit.until
     };
-    let words: Vec<_> = evidence.words.iter().filter(within).collect();
-    let counted = |word: &&&UpstreamWord| {
-        let Some((instance, from)) = origins.get(word.id.as_str()).copied() else {
+    let responses: Vec<_> = evidence.responses.iter().filter(within).collect();
+    let counted = |response: &&&UpstreamResponse| {
+        let Some((instance, from)) = origins.get(response.id.as_str()).copied() else {
             return false;
         };
-        let same = words.iter().filter(|other| {
+        let same = responses.iter().filter(|other| {
             origins.get(other.id.as_str()).is_some_and(|origin| origin.0 == instance)
         });
         let mut told = same.filter_map(|other| other.limited);
         told.any(|told| {
             // What an instance was told before it started, woke or was cut off need not have reached it.
-            told + TOLD <= word.at && evidence.in_contact(instance, told.min(from), word.at)
+            told + NOTICE_TIME <= response.at
+                && evidence.in_contact(instance, told.min(from), response.at)
         })
     };
-    let mut times: Vec<_> = words.iter().filter(counted).map(|word| word.at).collect();
+    let mut times: Vec<_> = responses.iter().filter(counted).map(|response| response.at).collect();
     times.sort_unstable();
-    let allowed = (limit.rate * WINDOW.as_secs_f64() * ALLOWED_PART + ALLOWED_MORE) as usize;
+    let allowed = (limit.rate * WINDOW.as_secs_f64() * ALLOWED_FACTOR + ALLOWED_EXTRA) as usize;
     let until = |first: usize| times.partition_point(|at| *at < times[first] + WINDOW);
     let most = (0..times.len()).max_by_key(|first| until(*first) - first)?;
     let count = until(most) - most;
@@ -56,7 +60,7 @@
         return None;
     }
     let kind = format!("upstream {} got more than its limit allows", limit.upstream);
-    let at = evidence.second(times[most]);
+    let at = evidence.seconds_since_start(times[most]);
     let text =
         format!("{count} in 4 s from {at:.2} s at {} a second, {allowed} allowed", limit.rate);
     Some((kind, text))
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-soak`: see the library of the same name.
+//! `slipturn-run_seeds`: see the library of the same name.
 
 use std::{path, process, time};
 
@@ -33,7 +33,7 @@
         command_line::ParsedLine::Run(matches) => matches,
         command_line::ParsedLine::Leave(code) => return process::ExitCode::from(code),
     };
-    match soak(&matches) {
+    match run_seeds(&matches) {
         Ok(0) => process::ExitCode::from(command_line::EXIT_GOOD),
         Ok(_) => process::ExitCode::from(command_line::EXIT_FAILED),
         Err(error) => command_line::fail(INFO, &error),
@@ -41,16 +41,16 @@
 }
 
 /// Plays the seeds; how many of them found something.
-fn soak(matches: &getopts::Matches) -> Result<u64, String> {
+fn run_seeds(matches: &getopts::Matches) -> Result<u64, String> {
     let number = |name: &str, default: u64| match matches.opt_str(name) {
         None => Ok(default),
         Some(text) => text.parse::<u64>().map_err(|_| format!("{name}: found '{text}'")),
     };
     let first = number("seed", rand::random::<u32>().into())?;
-    let beside = std::env::current_exe().map_err(|error| error.to_string())?;
+    let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
     let program = match matches.opt_str("program") {
         Some(program) => path::PathBuf::from(program),
-        None => beside.with_file_name("slipturn-instance"),
+        None => own_path.with_file_name("slipturn-instance"),
     };
     let mut failed = 0;
     for seed in first..first + number("runs", 1)? {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -15,9 +15,9 @@
     check,
     config_probe::ConfigProber,
     contact_plan,
-    evidence::{Evidence, NamedLimit, RequestArrival, UpstreamWord},
+    evidence::{Evidence, NamedLimit, RequestArrival, UpstreamResponse},
+    fault_injector::FaultInjector,
     fault_plan::{self, PlannedFault},
-    struck_fleet::StruckFleet,
     traffic::Traffic,
 };
 
@@ -53,7 +53,7 @@
 const PLAIN: u8 = 3;
 
 /// File in the logs' folder with the faults as they struck, and the violations.
-const STRIKES_FILE: &str = "strikes.txt";
+const FAULT_LOG_FILE: &str = "strikes.txt";
 
 /// The plan of a run.
 pub fn plan(options: &RunOptions) -> Vec<PlannedFault> {
@@ -75,48 +75,48 @@
         FleetPlan { instances: options.instances, engines: ENGINES, plain: PLAIN, proxied: true };
     let fleet = Fleet::start(&options.program, &size)?;
     fleet.wait_ready();
-    let mut struck = StruckFleet::new(fleet);
-    let began = began_line();
-    strike_under_traffic(&mut struck, options);
-    struck.close(options.seed);
-    note_runs(&struck.fleet, &mut struck.evidence);
-    struck.evidence.publications = struck.published.all();
-    let violations = check::violations(&struck.evidence);
-    let sent = &struck.evidence.sent;
+    let mut injector = FaultInjector::new(fleet);
+    let began = time_origin_line();
+    inject_under_traffic(&mut injector, options);
+    injector.run_final_checks(options.seed);
+    record_runs(&injector.fleet, &mut injector.evidence);
+    injector.evidence.publications = injector.published.all();
+    let violations = check::violations(&injector.evidence);
+    let sent = &injector.evidence.sent;
     let good = sent.iter().filter(|sent| sent.outcome == Some(Outcome::Good)).count();
-    struck.fleet.keep = !violations.is_empty();
-    let logs = struck.fleet.keep.then(|| struck.fleet.folder().to_owned());
+    injector.fleet.keep = !violations.is_empty();
+    let logs = injector.fleet.keep.then(|| injector.fleet.folder().to_owned());
     if let Some(folder) = &logs {
-        let lines = [&[began][..], &struck.strikes, &violations].concat();
-        fs::write(folder.join(STRIKES_FILE), lines.join("\n"))?;
+        let lines = [&[began][..], &injector.fault_log, &violations].concat();
+        fs::write(folder.join(FAULT_LOG_FILE), lines.join("\n"))?;
     }
     Ok(RunReport { violations, requests: (sent.len(), good), logs })
 }
 
 /// Plays the plan while clients send requests and ask for configurations.
-fn strike_under_traffic(struck: &mut StruckFleet, options: &RunOptions) {
+fn inject_under_traffic(injector: &mut FaultInjector, options: &RunOptions) {
     let addresses: Vec<_> =
-        (0..options.instances).map(|number| struck.fleet.callers(number)).collect();
-    let prober = ConfigProber::start(&struck.published, &addresses);
+        (0..options.instances).map(|number| injector.fleet.callers(number)).collect();
+    let prober = ConfigProber::start(&injector.published, &addresses);
     let traffic = Traffic::start(options.seed, options.clients, addresses);
     let length = options.length + contact_plan::scenes_length(size(options));
-    struck.strike_all(&plan(options), length);
-    struck.evidence.sent = traffic.finish();
-    struck.evidence.probes = prober.finish();
+    injector.inject_all(&plan(options), length);
+    injector.evidence.sent = traffic.finish();
+    injector.evidence.probes = prober.finish();
 }
 
 /// When traffic begins, by the clock that instances' log lines bear.
-fn began_line() -> String {
+fn time_origin_line() -> String {
     let began = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
     format!("second 0 is {} ms in the logs", began.as_millis())
 }
 
 /// Takes over what upstreams have noted.
-fn note_runs(fleet: &Fleet, evidence: &mut Evidence) {
+fn record_runs(fleet: &Fleet, evidence: &mut Evidence) {
     for (upstream, runner) in (0..).zip(fleet.runners()) {
         let requests = runner.arrivals().into_iter();
         let requests = requests.filter(|arrival| arrival.kind == ArrivalKind::Request);
-        evidence.words.extend(requests.map(|arrival| UpstreamWord {
+        evidence.responses.extend(requests.map(|arrival| UpstreamResponse {
             upstream,
             id: arrival.id,
             at: arrival.at,
--- a/crates/soak/src/word_plan.rs
+++ b/crates/soak/src/signal_plan.rs
@@ -13,7 +13,7 @@
 /// Plans of earlier seeds stay as they were: some of them are kept as tests.
 const FIRST_SEED: u64 = 40_000;
 /// Random stream of these faults.
-const WORD_STREAM: u64 = 5;
+const SIGNAL_STREAM: u64 = 5;
 /// Pause between two of them, milliseconds.
 const GAP_MS: ops::Range<u64> = 500..2_500;
 /// How long an upstream goes on after its word, milliseconds.
@@ -25,7 +25,7 @@
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
-        stream: WORD_STREAM,
+        stream: SIGNAL_STREAM,
         end: size.length + contact_plan::scenes_length(size),
         gap_ms: GAP_MS,
         length_ms: LENGTH_MS,
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -22,20 +22,20 @@
 /// connections, and ends inside the grace period.
 const LONG_STREAMS: u32 = 24;
 /// Tokens of a long stream's answer: 3.3 to 4.5 s of events.
-pub const LONG_ANSWER: std::ops::Range<u64> = 11_000..15_000;
+pub const LONG_ANSWER_TOKENS: std::ops::Range<u64> = 11_000..15_000;
 /// One request in so many is written by a client that leaves without its answer.
-const LEFT_REQUESTS: u32 = 8;
+const ABANDONED_REQUESTS: u32 = 8;
 /// Time that such a client waits, milliseconds: from "at once" to "behind the first silence".
-const LEFT_WAIT_MS: std::ops::Range<u64> = 0..400;
+const ABANDON_WAIT_MS: std::ops::Range<u64> = 0..400;
 /// Random stream of the choice who leaves.
-const LEFT_STREAM: u64 = 1;
+const ABANDON_STREAM: u64 = 1;
 /// One request in so many is written by a client that reads nothing of its answer until the run ends.
 const UNREAD_REQUESTS: u32 = 40;
 /// Random stream of the choice who reads nothing.
 const UNREAD_STREAM: u64 = 2;
 /// Longest rest of a connection that is used again: well under the instances' idle time of 10 s,
 /// so that its use does not cross their close.
-const MAX_REST: time::Duration = time::Duration::from_secs(8);
+const MAX_IDLE_TIME: time::Duration = time::Duration::from_secs(8);
 /// Time a client is given, of each kind of request.
 const DEADLINE: time::Duration = time::Duration::from_secs(6);
 
@@ -53,22 +53,22 @@
     /// See `from`.
     pub to: time::Instant,
     /// Since when the connection that it found ended had rested, if it found one.
-    pub ended_rest: Option<time::Instant>,
+    pub closed_idle_since: Option<time::Instant>,
     /// What it came to; `None` where its client left at `to` without waiting for that.
     pub outcome: Option<Outcome>,
 }
 
 /// A connection without a request.
-struct RestingCaller {
+struct IdleConnection {
     caller: Caller,
     since: time::Instant,
 }
 
-impl RestingCaller {
+impl IdleConnection {
     /// The connection, if it may be used again; or else whether it has ended early, and since when
     /// it had rested.
-    fn wake(mut self) -> Result<Caller, Option<time::Instant>> {
-        if self.since.elapsed() >= MAX_REST {
+    fn reuse(mut self) -> Result<Caller, Option<time::Instant>> {
+        if self.since.elapsed() >= MAX_IDLE_TIME {
             return Err(None);
         }
         if self.caller.ended() { Err(Some(self.since)) } else { Ok(self.caller) }
@@ -93,25 +93,28 @@
 
 /// Clients that run until told to end.
 pub struct Traffic {
-    ending: sync::Arc<AtomicBool>,
+    stop_requested: sync::Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<Vec<SentRequest>>>,
 }
 
 impl Traffic {
     /// Starts clients, each with its own random choices.
     pub fn start(seed: u64, clients: u64, instances: Vec<net::SocketAddr>) -> Self {
-        let ending = sync::Arc::new(AtomicBool::new(false));
+        let stop_requested = sync::Arc::new(AtomicBool::new(false));
         let start = |client: u64| {
-            let (ending, instances) = (sync::Arc::clone(&ending), instances.clone());
-            thread::spawn(move || run_client(seed ^ (client << 32), client, &instances, &ending))
+            let (stop_requested, instances) =
+                (sync::Arc::clone(&stop_requested), instances.clone());
+            thread::spawn(move || {
+                run_client(seed ^ (client << 32), client, &instances, &stop_requested)
+            })
         };
         let clients = (0..clients).map(start).collect();
-        Self { ending, clients }
+        Self { stop_requested, clients }
     }
 
     /// Ends all clients behind their last request.
     pub fn finish(self) -> Vec<SentRequest> {
-        self.ending.store(true, atomic::Ordering::SeqCst);
+        self.stop_requested.store(true, atomic::Ordering::SeqCst);
         let sent = self.clients.into_iter().filter_map(|client| client.join().ok());
         sent.flatten().collect()
     }
@@ -135,18 +138,18 @@
     seed: u64,
     client: u64,
     instances: &[net::SocketAddr],
-    ending: &AtomicBool,
+    stop_requested: &AtomicBool,
 ) -> Vec<SentRequest> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut leaving = random.clone();
-    leaving.set_stream(LEFT_STREAM);
-    let mut silent = random.clone();
-    silent.set_stream(UNREAD_STREAM);
+    let mut abandon_random = random.clone();
+    abandon_random.set_stream(ABANDON_STREAM);
+    let mut unread_random = random.clone();
+    unread_random.set_stream(UNREAD_STREAM);
     let mut unread = Vec::new();
-    let mut open: collections::HashMap<u8, RestingCaller> = collections::HashMap::new();
+    let mut open: collections::HashMap<u8, IdleConnection> = collections::HashMap::new();
     let mut sent = Vec::new();
     for turn in 0.. {
-        if ending.load(atomic::Ordering::SeqCst) {
+        if stop_requested.load(atomic::Ordering::SeqCst) {
             break;
         }
         let instance = random.random_range(0..instances.len()) as u8;
@@ -157,48 +160,49 @@
             _ => random.random_range(500..9_000),
         };
         let answer = match random.random_range(0..LONG_STREAMS) {
-            0 => random.random_range(LONG_ANSWER),
+            0 => random.random_range(LONG_ANSWER_TOKENS),
             _ => random.random_range(50..1_500),
         };
-        let permits = leaving.random_range(0..LEFT_REQUESTS) == 0;
+        let abandons = abandon_random.random_range(0..ABANDONED_REQUESTS) == 0;
         // What nobody waits for would last long, so that work on it shows.
-        let answer = if permits { LONG_ANSWER.start } else { answer };
+        let answer = if abandons { LONG_ANSWER_TOKENS.start } else { answer };
         let counts = (prompt, answer);
         let request = request(format!("{seed:x}-{client}-{turn}"), route, counts);
         let from = time::Instant::now();
-        let resting = open.remove(&instance).map_or(Err(None), RestingCaller::wake);
-        let ended_rest = resting.as_ref().err().copied().flatten();
-        let connection = resting.ok();
+        let idle = open.remove(&instance).map_or(Err(None), IdleConnection::reuse);
+        let closed_idle_since = idle.as_ref().err().copied().flatten();
+        let connection = idle.ok();
         let connection =
             connection.or_else(|| Caller::connect(instances[usize::from(instance)]).ok());
-        let reads_nothing = silent.random_range(0..UNREAD_REQUESTS) == 0;
+        let reads_nothing = unread_random.random_range(0..UNREAD_REQUESTS) == 0;
         let outcome = match connection {
-            Some(mut caller) if reads_nothing && !permits => {
+            Some(mut caller) if reads_nothing && !abandons => {
                 let to = time::Instant::now();
                 let id = request.id.clone();
-                let sent = SentRequest { id, route, instance, from, to, ended_rest, outcome: None };
+                let sent =
+                    SentRequest { id, route, instance, from, to, closed_idle_since, outcome: None };
                 // A connection that has ended shows when it is read.
                 let _ = caller.write(&request);
                 unread.push(UnreadRequest { caller, request, sent });
                 continue;
             }
             None => Some(Outcome::NoConnection),
-            Some(caller) if permits => {
-                let wait = leaving.random_range(LEFT_WAIT_MS);
-                leave_behind(caller, &request, time::Duration::from_millis(wait));
+            Some(caller) if abandons => {
+                let wait = abandon_random.random_range(ABANDON_WAIT_MS);
+                abandon_request(caller, &request, time::Duration::from_millis(wait));
                 None
             }
             Some(mut caller) => {
                 let outcome = caller.send(&request);
                 if !caller.closing && !matches!(outcome, Outcome::Cut(_)) {
-                    open.insert(instance, RestingCaller { caller, since: time::Instant::now() });
+                    open.insert(instance, IdleConnection { caller, since: time::Instant::now() });
                 }
                 Some(outcome)
             }
         };
         let to = time::Instant::now();
         let id = request.id;
-        sent.push(SentRequest { id, route, instance, from, to, ended_rest, outcome });
+        sent.push(SentRequest { id, route, instance, from, to, closed_idle_since, outcome });
         thread::sleep(time::Duration::from_millis(random.random_range(PAUSE_MS)));
     }
     sent.extend(unread.into_iter().map(UnreadRequest::read));
@@ -206,7 +210,7 @@
 }
 
 /// Writes a request and closes its connection a little later, whatever has come until then.
-fn leave_behind(mut caller: Caller, request: &Request, wait: time::Duration) {
+fn abandon_request(mut caller: Caller, request: &Request, wait: time::Duration) {
     // A connection that has ended already is left as well.
     let _ = caller.write(request);
     thread::sleep(wait);
--- a/crates/soak/tests/judgements.rs
+++ b/crates/soak/tests/violations.rs
@@ -5,10 +5,10 @@
 use slipturn_platform_standin::caller::Outcome;
 use slipturn_soak::{
     check,
-    config_probe::{ConfigProbe, ProbeAim, Publication},
+    config_probe::{ConfigProbe, ProbeTarget, Publication},
     evidence::{
-        Disturbance, Evidence, LinkTrouble, NamedLimit, RequestArrival, UpstreamListing,
-        UpstreamWord,
+        Disturbance, Evidence, LinkFault, NamedLimit, RequestArrival, UpstreamListing,
+        UpstreamResponse,
     },
     traffic::SentRequest,
 };
@@ -30,23 +30,28 @@
     evidence
 }
 
-fn ask(evidence: &mut Evidence, aim: ProbeAim, at: Duration, outcome: Outcome) {
+fn ask(evidence: &mut Evidence, target: ProbeTarget, at: Duration, outcome: Outcome) {
     let from = evidence.started + at;
     let id = format!("probe-config-0-{}", evidence.probes.len());
-    let probe = ConfigProbe { id, instance: 0, aim, from, to: from + MILLI, outcome };
+    let probe = ConfigProbe { id, instance: 0, target, from, to: from + MILLI, outcome };
     evidence.probes.push(probe);
 }
 
-fn lose_contact(evidence: &mut Evidence, instance: Option<u8>, from: Duration, to: Duration) {
+fn record_contact_loss(
+    evidence: &mut Evidence,
+    instance: Option<u8>,
+    from: Duration,
+    to: Duration,
+) {
     let [from, to] = [from, to].map(|at| evidence.started + at);
-    evidence.contact.push(Disturbance { instance, from, to });
+    evidence.contact_losses.push(Disturbance { instance, from, to });
 }
 
 #[test]
 fn a_route_that_is_unknown_too_late_is_a_violation() {
     for (at, found) in [(12_200, 0), (12_400, 1)] {
         let mut evidence = published();
-        ask(&mut evidence, ProbeAim::Route(1), MILLI * at, UNKNOWN);
+        ask(&mut evidence, ProbeTarget::Route(1), MILLI * at, UNKNOWN);
         assert_eq!(check::violations(&evidence).len(), found, "{at} ms");
     }
 }
@@ -57,11 +62,11 @@
 fn what_ends_later_than_planned_excuses_until_its_end() {
     for (prolonged, found) in [(false, 1), (true, 0)] {
         let mut evidence = published();
-        lose_contact(&mut evidence, None, SECOND * 10, SECOND * 11);
-        ask(&mut evidence, ProbeAim::Route(1), MILLI * 14_500, UNKNOWN);
+        record_contact_loss(&mut evidence, None, SECOND * 10, SECOND * 11);
+        ask(&mut evidence, ProbeTarget::Route(1), MILLI * 14_500, UNKNOWN);
         if prolonged {
             let planned = evidence.started + SECOND * 11;
-            evidence.prolong(planned, planned + SECOND * 4);
+            evidence.extend_to_actual_end(planned, planned + SECOND * 4);
         }
         assert_eq!(check::violations(&evidence).len(), found, "prolonged: {prolonged}");
     }
@@ -75,7 +80,7 @@
         (12_400, Outcome::Status(401, None), 0),
     ] {
         let mut evidence = published();
-        ask(&mut evidence, ProbeAim::RemovedKey(0), MILLI * at, outcome);
+        ask(&mut evidence, ProbeTarget::RemovedKey(0), MILLI * at, outcome);
         assert_eq!(check::violations(&evidence).len(), found, "{at} ms");
     }
 }
@@ -84,8 +89,8 @@
 fn only_the_instance_out_of_contact_is_excused() {
     for (instance, found) in [(None, 0), (Some(0), 0), (Some(1), 1)] {
         let mut evidence = published();
-        lose_contact(&mut evidence, instance, SECOND * 11, SECOND * 14);
-        ask(&mut evidence, ProbeAim::Route(1), SECOND * 13, UNKNOWN);
+        record_contact_loss(&mut evidence, instance, SECOND * 11, SECOND * 14);
+        ask(&mut evidence, ProbeTarget::Route(1), SECOND * 13, UNKNOWN);
         assert_eq!(check::violations(&evidence).len(), found, "{instance:?}");
     }
 }
@@ -94,16 +99,16 @@
 fn falling_back_is_never_excused_but_by_a_new_start() {
     for (start, found) in [(None, 1), (Some(SECOND * 11), 0)] {
         let mut evidence = published();
-        lose_contact(&mut evidence, None, Duration::ZERO, SECOND * 60);
-        ask(&mut evidence, ProbeAim::Route(1), MILLI * 10_500, Outcome::Good);
-        ask(&mut evidence, ProbeAim::Route(1), MILLI * 11_500, UNKNOWN);
+        record_contact_loss(&mut evidence, None, Duration::ZERO, SECOND * 60);
+        ask(&mut evidence, ProbeTarget::Route(1), MILLI * 10_500, Outcome::Good);
+        ask(&mut evidence, ProbeTarget::Route(1), MILLI * 11_500, UNKNOWN);
         evidence.starts.extend(start.map(|start| (0, evidence.started + start)));
         assert_eq!(check::violations(&evidence).len(), found, "{start:?}");
     }
 }
 
 /// A run with one request of instance 0 that reaches upstream 5 at some time.
-fn arrived(at: Duration) -> Evidence {
+fn with_arrival(at: Duration) -> Evidence {
     let mut evidence = Evidence::new();
     let at = evidence.started + at;
     let outcome = Some(Outcome::Good);
@@ -111,12 +116,12 @@
     evidence.arrivals.push(RequestArrival { upstream: 5, id: id.clone(), at, ended: at });
     let (from, to) = (at - MILLI, at + MILLI);
     let request =
-        SentRequest { id, route: "safe", instance: 0, from, to, ended_rest: None, outcome };
+        SentRequest { id, route: "safe", instance: 0, from, to, closed_idle_since: None, outcome };
     evidence.sent.push(request);
     evidence
 }
 
-fn listed(evidence: &mut Evidence, upstream: u8, leaving: bool, at: Duration) {
+fn add_listing(evidence: &mut Evidence, upstream: u8, leaving: bool, at: Duration) {
     let at: Instant = evidence.started + at;
     evidence.listings.push(UpstreamListing { upstream, leaving, at });
 }
@@ -124,36 +129,36 @@
 #[test]
 fn a_request_at_an_upstream_that_left_long_ago_is_a_violation() {
     for (at, found) in [(4_900, 0), (7_100, 0), (7_300, 1), (9_100, 0)] {
-        let mut evidence = arrived(MILLI * at);
-        listed(&mut evidence, 5, true, SECOND * 5);
-        listed(&mut evidence, 4, true, SECOND);
-        listed(&mut evidence, 5, true, SECOND * 6);
-        listed(&mut evidence, 5, false, SECOND * 9);
+        let mut evidence = with_arrival(MILLI * at);
+        add_listing(&mut evidence, 5, true, SECOND * 5);
+        add_listing(&mut evidence, 4, true, SECOND);
+        add_listing(&mut evidence, 5, true, SECOND * 6);
+        add_listing(&mut evidence, 5, false, SECOND * 9);
         assert_eq!(check::violations(&evidence).len(), found, "{at} ms");
     }
 }
 
 #[test]
 fn a_link_in_trouble_or_a_lost_contact_excuses_a_late_request() {
-    let mut evidence = arrived(SECOND * 8);
-    listed(&mut evidence, 5, true, SECOND * 5);
-    lose_contact(&mut evidence, Some(0), SECOND * 4, MILLI * 7_500);
+    let mut evidence = with_arrival(SECOND * 8);
+    add_listing(&mut evidence, 5, true, SECOND * 5);
+    record_contact_loss(&mut evidence, Some(0), SECOND * 4, MILLI * 7_500);
     assert_eq!(check::violations(&evidence).len(), 1);
 
-    let mut cut = arrived(SECOND * 8);
-    listed(&mut cut, 5, true, SECOND * 5);
-    lose_contact(&mut cut, Some(0), SECOND * 7, SECOND * 9);
+    let mut cut = with_arrival(SECOND * 8);
+    add_listing(&mut cut, 5, true, SECOND * 5);
+    record_contact_loss(&mut cut, Some(0), SECOND * 7, SECOND * 9);
     assert!(check::violations(&cut).is_empty());
 
     let [from, to] = [SECOND * 7, SECOND * 9].map(|at| evidence.started + at);
-    evidence.link_troubles.push(LinkTrouble { upstream: 5, from, to });
+    evidence.link_faults.push(LinkFault { upstream: 5, from, to });
     assert!(check::violations(&evidence).is_empty());
 }
 
 #[test]
 fn a_request_that_runs_long_behind_its_callers_leaving_is_a_violation() {
     for (left, found) in [(7_500, 0), (7_200, 1)] {
-        let mut evidence = arrived(SECOND * 8);
+        let mut evidence = with_arrival(SECOND * 8);
         let request = &mut evidence.sent[0];
         request.from = evidence.started + SECOND * 7;
         request.to = evidence.started + MILLI * left;
@@ -165,7 +170,7 @@
 #[test]
 fn work_that_goes_on_long_behind_its_callers_leaving_is_a_violation() {
     for (ended, found) in [(8_600, 0), (8_800, 1)] {
-        let mut evidence = arrived(SECOND * 8);
+        let mut evidence = with_arrival(SECOND * 8);
         evidence.sent[0].outcome = None;
         evidence.sent[0].to = evidence.started + SECOND * 8;
         evidence.arrivals[0].ended = evidence.started + MILLI * ended;
@@ -176,13 +181,13 @@
 #[test]
 fn a_resting_connection_ends_only_with_a_cause() {
     for (kill, found) in [(None, 1), (Some(SECOND * 2), 1), (Some(SECOND * 5), 0)] {
-        let mut evidence = arrived(SECOND * 8);
-        evidence.sent[0].ended_rest = Some(evidence.started + SECOND * 4);
+        let mut evidence = with_arrival(SECOND * 8);
+        evidence.sent[0].closed_idle_since = Some(evidence.started + SECOND * 4);
         let struck = kill.map(|kill| {
             let from = evidence.started + kill;
             Disturbance { instance: Some(0), from, to: from + SECOND }
         });
-        evidence.unplanned.extend(struck);
+        evidence.unplanned_outages.extend(struck);
         assert_eq!(check::violations(&evidence).len(), found, "{kill:?}");
     }
 }
@@ -190,17 +195,17 @@
 /// A request of an instance that was served at once.
 fn served(id: String, instance: u8, at: Instant) -> SentRequest {
     let outcome = Some(Outcome::Good);
-    SentRequest { id, route: "safe", instance, outcome, from: at, to: at, ended_rest: None }
+    SentRequest { id, route: "safe", instance, outcome, from: at, to: at, closed_idle_since: None }
 }
 
 /// A run with one request of instance 0 that an upstream answered with a word at 1 s, and another there later.
-fn spoken(leaving: bool, rest: Option<Duration>, later: Duration) -> Evidence {
+fn with_signal(leaving: bool, rest: Option<Duration>, later: Duration) -> Evidence {
     let mut evidence = Evidence::new();
     let [told, at] = [SECOND, later].map(|at| evidence.started + at);
     for (number, at) in [told, at].into_iter().enumerate() {
         let id = format!("1-0-{number}");
         let first = number == 0;
-        evidence.words.push(UpstreamWord {
+        evidence.responses.push(UpstreamResponse {
             upstream: 5,
             id: id.clone(),
             at,
@@ -225,7 +230,7 @@
         (false, three, 4_100, 0),
         (false, None, 60_000, 0),
     ] {
-        let evidence = spoken(leaving, rest, MILLI * later);
+        let evidence = with_signal(leaving, rest, MILLI * later);
         let violations = check::violations(&evidence);
         assert_eq!(violations.len(), found, "{leaving} {rest:?} {later} ms: {violations:?}");
     }
@@ -233,23 +238,23 @@
 
 #[test]
 fn another_start_a_lost_contact_and_a_harmed_link_excuse_it() {
-    let mut renewed = spoken(true, None, SECOND * 10);
-    renewed.renewals.push((5, renewed.started + SECOND * 2));
+    let mut renewed = with_signal(true, None, SECOND * 10);
+    renewed.upstream_restarts.push((5, renewed.started + SECOND * 2));
     assert_eq!(check::violations(&renewed).len(), 0);
     for (instance, found) in [(0, 0), (1, 1)] {
-        let mut evidence = spoken(true, None, SECOND * 10);
-        lose_contact(&mut evidence, Some(instance), SECOND * 2, SECOND * 5);
+        let mut evidence = with_signal(true, None, SECOND * 10);
+        record_contact_loss(&mut evidence, Some(instance), SECOND * 2, SECOND * 5);
         assert_eq!(check::violations(&evidence).len(), found, "instance {instance}");
     }
-    let mut harmed = spoken(false, Some(SECOND * 20), SECOND * 10);
+    let mut harmed = with_signal(false, Some(SECOND * 20), SECOND * 10);
     let (from, to) = (harmed.started, harmed.started + SECOND * 2);
-    harmed.link_troubles.push(LinkTrouble { upstream: 5, from, to });
+    harmed.link_faults.push(LinkFault { upstream: 5, from, to });
     assert_eq!(check::violations(&harmed).len(), 0);
 }
 
 /// A run with so many requests of two instances in turn, 100 ms apart from 1 s on, at an upstream that has named 2 a
 /// second in all its answers.
-fn limited(count: u32) -> Evidence {
+fn with_limit(count: u32) -> Evidence {
     let mut evidence = Evidence::new();
     let started = evidence.started;
     let (since, until) = (started, started + SECOND * 30);
@@ -257,7 +262,7 @@
     for number in 0..count {
         let id = format!("1-0-{number}");
         let at = started + SECOND + MILLI * 100 * number;
-        evidence.words.push(UpstreamWord {
+        evidence.responses.push(UpstreamResponse {
             upstream: 5,
             id: id.clone(),
             at,
@@ -274,13 +279,13 @@
 #[test]
 fn more_than_a_limit_allows_is_a_violation() {
     for (count, found) in [(23, 0), (24, 1), (30, 1), (60, 1)] {
-        let violations = check::violations(&limited(count));
+        let violations = check::violations(&with_limit(count));
         assert_eq!(violations.len(), found, "{count}: {violations:?}");
     }
-    let mut cut = limited(30);
-    lose_contact(&mut cut, Some(0), SECOND * 2, SECOND * 5);
+    let mut cut = with_limit(30);
+    record_contact_loss(&mut cut, Some(0), SECOND * 2, SECOND * 5);
     assert_eq!(check::violations(&cut).len(), 0, "what is left of one instance's is half");
-    let mut ended = limited(40);
+    let mut ended = with_limit(40);
     ended.limits[0].until = ended.started + SECOND * 2;
     assert_eq!(check::violations(&ended).len(), 0, "the limit had ended");
 }
