--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! What must hold, judged from what callers and upstreams saw.
+//! Checks the promises of the platform against what clients and upstreams observed.
 
 use std::{collections, time};
 
@@ -11,21 +11,22 @@
     traffic::SentRequest,
 };
 
-/// Statuses that promise that a request has not run and never will.
+/// Statuses by which an instance promises that the request has not run and never will.
 const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
-/// Statuses of an instance's own that deny what every configuration allows.
+/// Statuses that an instance must not answer with: every configuration allows all requests that
+/// clients send.
 const DENIAL_STATUSES: [u16; 5] = [400, 401, 403, 404, 413];
-/// Time beyond a request's own within which it must have ended.
+/// Time after its deadline within which a request must have ended.
 const END_SLACK: time::Duration = time::Duration::from_millis(1_500);
-/// Longest time a request may take: its client's deadline.
+/// Deadline that clients give with each request.
 const REQUEST_DEADLINE: time::Duration = time::Duration::from_secs(6);
 
-/// All violations.
+/// Returns a description of each violation in a run, those found during the run first.
 pub fn violations(evidence: &Evidence) -> Vec<String> {
     let mut found = evidence.violations.clone();
     let closed = evidence.sent.iter().filter(|request| closed_without_cause(evidence, request));
     found.extend(closed.map(|request| {
-        format!("closed a resting connection without cause: instance {}", request.instance)
+        format!("closed an idle connection without cause: instance {}", request.instance)
     }));
     for request in &evidence.sent {
         found.extend(request_violation(evidence, request).map(|fault| {
@@ -34,7 +35,8 @@
     }
     let sent: collections::HashSet<_> = evidence.sent.iter().map(|sent| sent.id.as_str()).collect();
     let unasked = evidence.runs.keys().filter(|id| !sent.contains(id.as_str()));
-    found.extend(unasked.map(|id| format!("a run that nobody asked for: {id:?}")));
+    found
+        .extend(unasked.map(|id| format!("an upstream ran a request that no client sent: {id:?}")));
     found.extend(config_check::violations(evidence));
     found.extend(leave_check::violations(evidence));
     found.extend(signal_check::violations(evidence));
@@ -42,7 +44,8 @@
     found
 }
 
-/// What is wrong with a request; nothing but its runs where its client left.
+/// Returns how a request violated a promise. Where its client left without the answer, only the
+/// number of runs and their customer are checked.
 fn request_violation(evidence: &Evidence, request: &SentRequest) -> Option<String> {
     let record = evidence.runs.get(&request.id);
     let runs = record.map_or(0, |record| record.runs);
@@ -65,9 +68,10 @@
         }
         Outcome::Cut(false) if runs == 0 && disturbed(&evidence.planned_stops, request) => None,
         Outcome::Cut(_) if !disturbed(&evidence.unplanned_outages, request) => {
-            let external_faults = disturbed(&evidence.external_faults, request);
-            // A broken upstream may cost an answer that has begun, or one that must not repeat.
-            (!external_faults).then(|| "cut without cause".to_owned())
+            let external_fault = disturbed(&evidence.external_faults, request);
+            // An upstream that fails may cut an answer that has begun, or one whose request must
+            // not be repeated.
+            (!external_fault).then(|| "cut without cause".to_owned())
         }
         _ if !disturbed(&evidence.unplanned_outages, request) => {
             let spent = request.to.duration_since(request.from);
@@ -77,7 +81,8 @@
     }
 }
 
-/// Whether a request found that its instance had ended a resting connection early.
+/// Returns whether the instance closed the idle connection meant for a request before its idle
+/// timeout, with neither an outage nor a planned stop as the cause.
 fn closed_without_cause(evidence: &Evidence, request: &SentRequest) -> bool {
     let excused = |since| {
         [&evidence.unplanned_outages, &evidence.planned_stops].into_iter().any(|disturbances| {
