--- a/crates/soak/src/config_check.rs
+++ b/crates/soak/src/config_check.rs
@@ -1,4 +1,5 @@
-//! Whether configurations were in force in time, and no instance fell back to an older one.
+//! Checks that each configuration takes effect in time, and that no instance falls back to an older
+//! one.
 
 use std::time;
 
@@ -9,13 +10,13 @@
     evidence::{self, Evidence},
 };
 
-/// Time after which a new configuration must be in force at instances in contact: the platform's
-/// 2 s and the machine's own delays.
+/// Time within which a new configuration must take effect at instances in contact: the platform's
+/// bound of 2 s plus scheduling delays of the test host.
 pub const APPLY_BOUND: time::Duration = time::Duration::from_millis(2_300);
-/// Statuses that deny a route or a key.
+/// Statuses that reject a route or a key.
 const DENIAL_STATUSES: [u16; 3] = [401, 403, 404];
 
-/// All violations.
+/// Returns the violations, summarized by kind and instance.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let late_activation =
         evidence.probes.iter().filter_map(|probe| late_activation(evidence, probe));
@@ -24,7 +25,8 @@
     found
 }
 
-/// The number of the publication by which a question was not handled, if it was handled at all.
+/// Returns the number of the publication that the instance had not applied when it answered a
+/// probe, or `None` where the answer shows no such publication.
 fn denied_publication(probe: &ConfigProbe) -> Option<usize> {
     match (probe.target, &probe.outcome) {
         (ProbeTarget::Route(number), Outcome::Status(status, _))
@@ -32,7 +34,7 @@
         {
             Some(number)
         }
-        // A key is removed by the publication behind its own.
+        // A key is removed by the publication that follows its own.
         (ProbeTarget::RemovedKey(number), Outcome::Good) => Some(number + 1),
         _ => None,
     }
@@ -49,7 +51,8 @@
     Some((kind, describe(evidence, probe, published)))
 }
 
-/// Questions handled by an older configuration than an earlier one in the same process's life.
+/// Returns the probes that an instance answered by an older configuration than an earlier probe,
+/// without a restart in between.
 fn regressions(evidence: &Evidence) -> Vec<(String, String)> {
     let mut found = Vec::new();
     let mut seen: Option<(u8, usize, time::Instant)> = None;
@@ -72,7 +75,7 @@
     found
 }
 
-/// Whether an instance was started in a span of time.
+/// Returns whether an instance was started between `from` and `to`.
 fn started(evidence: &Evidence, instance: u8, from: time::Instant, to: time::Instant) -> bool {
     let mut starts = evidence.starts.iter();
     starts.any(|(started, at)| *started == instance && (from..=to).contains(at))
