--- a/crates/soak/src/config_probe.rs
+++ b/crates/soak/src/config_probe.rs
@@ -1,4 +1,4 @@
-//! Asks each instance again and again which configuration it handles requests by.
+//! Probes each instance throughout a run to see which configuration it applies.
 //!
 //! Each configuration adds a route and a key and removes the key of the one before it.
 
@@ -18,30 +18,30 @@
 
 use crate::traffic;
 
-/// Pause between two questions to an instance.
+/// Pause between two probes of an instance.
 const PAUSE: time::Duration = time::Duration::from_millis(60);
-/// Keys that stay, beside the one of each configuration.
+/// API keys that every configuration has, in addition to its own.
 const STEADY_KEYS: [&str; 2] = [fleet::KEY, "key-2"];
 
-/// A configuration that the store has.
+/// A configuration that was written to the store.
 #[derive(Debug, Clone)]
 pub struct Publication {
-    /// Its new route.
+    /// Route that this configuration adds.
     pub route: String,
-    /// Its own key, which the next one removes.
+    /// API key that this configuration adds and the next one removes.
     pub key: String,
-    /// When the store had it.
+    /// Time at which the store had the configuration.
     pub at: time::Instant,
 }
 
-/// All configurations of a run so far.
+/// The configurations published so far in a run, shared between threads.
 #[derive(Debug, Clone, Default)]
 pub struct PublicationLog {
     entries: sync::Arc<sync::Mutex<Vec<Publication>>>,
 }
 
 impl PublicationLog {
-    /// Publishes the next configuration.
+    /// Publishes the next configuration: all routes so far, a new route and a new key.
     pub fn publish(&self, fleet: &mut fleet::Fleet) {
         let mut routes = self.routes();
         let number = routes.len();
@@ -53,12 +53,12 @@
         self.entries().push(Publication { route, key, at: time::Instant::now() });
     }
 
-    /// All added routes.
+    /// Returns the routes added so far, oldest first.
     pub fn routes(&self) -> Vec<String> {
         self.entries().iter().map(|entry| entry.route.clone()).collect()
     }
 
-    /// All of them.
+    /// Returns the publications so far, oldest first.
     pub fn all(&self) -> Vec<Publication> {
         self.entries().clone()
     }
@@ -68,40 +68,40 @@
     }
 }
 
-/// What a question is about; the number is the publication's.
+/// What a probe tests, with the number of the publication concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeTarget {
-    /// Its route must be there.
+    /// The route that the publication added must be known.
     Route(usize),
-    /// Its key must be gone.
+    /// The key that the publication added must have been removed.
     RemovedKey(usize),
 }
 
-/// One question to an instance.
+/// A probe request to an instance and its outcome.
 #[derive(Debug, Clone)]
 pub struct ConfigProbe {
-    /// Its id.
+    /// Id of the probe request.
     pub id: String,
-    /// The instance.
+    /// Number of the instance probed.
     pub instance: u8,
-    /// What it is about.
+    /// Route or key that the probe tests.
     pub target: ProbeTarget,
-    /// When it was sent, and when its answer ended.
+    /// Time at which the probe was sent.
     pub from: time::Instant,
-    /// See `from`.
+    /// Time at which the answer ended.
     pub to: time::Instant,
-    /// What it came to.
+    /// Outcome as the client saw it.
     pub outcome: Outcome,
 }
 
-/// Clients that ask until told to end, one for each instance.
+/// Clients that send probes until they are stopped, one for each instance.
 pub struct ConfigProber {
     stop_requested: sync::Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<Vec<ConfigProbe>>>,
 }
 
 impl ConfigProber {
-    /// Starts asking.
+    /// Starts one client for each instance.
     pub fn start(log: &PublicationLog, instances: &[net::SocketAddr]) -> Self {
         let stop_requested = sync::Arc::new(AtomicBool::new(false));
         let start = |(instance, address): (u8, &net::SocketAddr)| {
@@ -113,7 +113,8 @@
         Self { stop_requested, clients }
     }
 
-    /// Ends all clients behind their last question.
+    /// Stops all clients after their current probe and returns all probes, ordered by time for each
+    /// instance.
     pub fn finish(self) -> Vec<ConfigProbe> {
         self.stop_requested.store(true, atomic::Ordering::SeqCst);
         let probes = self.clients.into_iter().filter_map(|client| client.join().ok());
@@ -143,8 +144,8 @@
     probes
 }
 
-/// What the next question is about: the newest route, the key removed last, and the older ones in
-/// turn.
+/// Chooses what the next probe tests: in turn the newest route, the key removed last, an older key
+/// and an older route. `None` before the first publication.
 fn target(turn: usize, published: usize) -> Option<ProbeTarget> {
     let newest = published.checked_sub(1)?;
     let target = match turn % 4 {
