--- a/crates/soak/src/final_checks.rs
+++ b/crates/soak/src/final_checks.rs
@@ -1,4 +1,4 @@
-//! What is asked of the fleet when all faults have ended.
+//! Checks of the fleet after all faults have ended.
 
 use std::{
     thread,
@@ -16,21 +16,23 @@
     leave_check, traffic,
 };
 
-/// Time within which all instances must be ready when faults have ended.
+/// Time after the last fault within which all instances must be ready.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time within which upstreams must be free again when traffic has ended.
+/// Time after the end of traffic within which upstreams must have no request running and no tokens
+/// reserved.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Streams that are open while an instance is stopped.
+/// Number of streams that are open while an instance is stopped.
 const STOP_STREAMS: u64 = 3;
-/// Time in which they begin.
+/// Time from sending the streams to the stop, in which their answers begin.
 const STREAM_START_DELAY: Duration = Duration::from_millis(400);
-/// Time for which the store is away before its return is judged.
+/// Length of the store outage in [`FaultInjector::check_store_return`].
 const STORE_OUTAGE: Duration = Duration::from_millis(1_500);
-/// Time after its return by which instances must be up to date: the platform's bound.
+/// Time after the store's return within which instances must apply the newest configuration: the
+/// platform's bound.
 const STORE_RECOVERY_BOUND: Duration = Duration::from_secs(3);
 
 impl FaultInjector {
-    /// All of it, in order.
+    /// Runs all checks in order; `seed` selects how the store fails.
     pub(crate) fn run_final_checks(&mut self, seed: u64) {
         self.wait_for_recovery();
         self.check_store_return(seed);
@@ -39,16 +41,16 @@
         self.check_release();
     }
 
-    /// Ends all faults; every instance must be ready again in time.
+    /// Ends all faults and checks that every instance is ready within [`RECOVERY_TIMEOUT`].
     fn wait_for_recovery(&mut self) {
         self.end_all();
         let until = Instant::now() + RECOVERY_TIMEOUT;
         let all = 0..self.fleet.instances.len() as u8;
         while !all.clone().all(|number| self.fleet.ready(number)) {
             if Instant::now() > until {
-                self.evidence
-                    .violations
-                    .push(format!("not all ready {RECOVERY_TIMEOUT:?} after the last fault"));
+                self.evidence.violations.push(format!(
+                    "not all instances were ready {RECOVERY_TIMEOUT:?} after the last fault"
+                ));
                 return;
             }
             self.end_due(Instant::now());
@@ -56,7 +58,7 @@
         }
     }
 
-    /// What was published while the store was away is in force soon after its return.
+    /// Checks that a configuration published during a store outage takes effect soon after it.
     fn check_store_return(&mut self, seed: u64) {
         let modes = [StoreMode::Silent, StoreMode::Reset, StoreMode::Busy];
         self.fleet.store.set_mode(modes[(seed % 3) as usize]);
@@ -68,7 +70,8 @@
         self.probe_all("return", &newest);
     }
 
-    /// A planned stop in calm times cuts no stream that ends inside the grace period.
+    /// Checks that a planned stop without other faults cuts no stream that ends within the grace
+    /// period.
     fn check_planned_stop(&mut self) {
         let address = self.fleet.callers(0);
         let start = |number: u64| {
@@ -92,12 +95,13 @@
             None => self
                 .evidence
                 .violations
-                .push(format!("instance 0 has not ended in {STOP_GRACE_PERIOD:?}")),
+                .push(format!("instance 0 did not exit within {STOP_GRACE_PERIOD:?}")),
         }
         self.fleet.wait_ready();
     }
 
-    /// Every route ever added is served everywhere, and a leaving upstream gets nothing.
+    /// Checks that every instance knows all published routes and sends nothing to an upstream that
+    /// is listed as leaving.
     fn check_routes(&mut self) {
         self.publish();
         self.list(self.first_plain(), true);
@@ -110,6 +114,7 @@
         }
     }
 
+    /// Sends a probe for each route to each instance and records those that an instance rejects.
     fn probe_all(&mut self, when: &str, routes: &[String]) {
         for number in 0..self.fleet.instances.len() as u8 {
             for route in routes {
@@ -126,6 +131,7 @@
         }
     }
 
+    /// Checks that all requests end and their tokens are released within [`RELEASE_TIMEOUT`].
     fn check_release(&mut self) {
         let until = Instant::now() + RELEASE_TIMEOUT;
         loop {
@@ -137,7 +143,7 @@
             }
             if Instant::now() > until {
                 let fault =
-                    format!("{held} tokens set aside and {running} requests running at the end");
+                    format!("{held} tokens reserved and {running} requests running at the end");
                 self.evidence.violations.push(fault);
                 return;
             }
