--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What a run has seen, and when promises were excused.
+//! Observations of a run, and the periods in which violations are excused.
 
 use std::{collections, time};
 
@@ -6,25 +6,27 @@
 
 use crate::{config_probe, traffic::SentRequest};
 
-/// A time during which a promise was excused, by instance.
+/// A period in which violations at one instance, or at all, are excused.
 #[derive(Debug, Clone, Copy)]
 pub struct Disturbance {
-    /// The instance; `None` for all.
+    /// Number of the instance disturbed; `None` for all.
     pub instance: Option<u8>,
-    /// Its beginning.
+    /// Start of the disturbance.
     pub from: time::Instant,
-    /// Its end, with the time after it that still counts.
+    /// End of the period excused: the end of the disturbance plus a margin for recovery.
     pub to: time::Instant,
 }
 
 impl Disturbance {
-    /// Whether it touches an instance in a span of time.
+    /// Returns whether the period concerns `instance` and overlaps the span from `from` to `to`.
     pub fn overlaps(&self, instance: u8, from: time::Instant, to: time::Instant) -> bool {
-        self.instance.is_none_or(|struck| struck == instance) && self.from <= to && self.to >= from
+        self.instance.is_none_or(|disturbed| disturbed == instance)
+            && self.from <= to
+            && self.to >= from
     }
 }
 
-/// Whether any of these touches an instance in a span of time.
+/// Returns whether any disturbance concerns `instance` and overlaps the span from `from` to `to`.
 pub fn any_overlaps(
     disturbances: &[Disturbance],
     instance: u8,
@@ -34,126 +36,129 @@
     disturbances.iter().any(|disturbance| disturbance.overlaps(instance, from, to))
 }
 
-/// A change of what an upstream says of itself.
+/// A change of the listed state of an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamListing {
-    /// The upstream.
+    /// Number of the upstream.
     pub upstream: u8,
-    /// Whether it says that it leaves, or that it is ready.
+    /// Whether the upstream is to get no more requests; `false` where it is ready.
     pub leaving: bool,
-    /// When the store had it.
+    /// Time at which the store had the change.
     pub at: time::Instant,
 }
 
-/// A time in which what goes to an upstream may come late.
+/// A period in which requests and cancels may reach an upstream late.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkFault {
-    /// The upstream.
+    /// Number of the upstream.
     pub upstream: u8,
-    /// Its beginning.
+    /// Start of the fault.
     pub from: time::Instant,
-    /// Its end, with the time after it that still counts.
+    /// End of the period excused: the end of the fault plus a margin for recovery.
     pub to: time::Instant,
 }
 
-/// A request's arrival at an upstream.
+/// A run of a request at an upstream.
 #[derive(Debug, Clone)]
 pub struct RequestArrival {
-    /// The upstream.
+    /// Number of the upstream.
     pub upstream: u8,
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// When its run began.
+    /// Time at which the run began.
     pub at: time::Instant,
-    /// When the upstream's last work on it ended.
+    /// Time at which the upstream's last run of the request ended; equal to `at` where none has
+    /// ended.
     pub ended: time::Instant,
 }
 
-/// A request's arrival at an upstream, run or not, and what its answer said in passing.
+/// A request that reached an upstream, run or not, and the signals in its answer.
 #[derive(Debug, Clone)]
 pub struct UpstreamResponse {
-    /// The upstream.
+    /// Number of the upstream.
     pub upstream: u8,
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// When it came.
+    /// Time at which the request arrived.
     pub at: time::Instant,
-    /// When its answer said that the upstream leaves.
+    /// Time of the answer, if it said that the upstream leaves.
     pub leaving: Option<time::Instant>,
-    /// When its answer turned it away, and for how long the upstream wanted rest.
+    /// Time of the answer and the rest that it asked for, if the upstream refused the request.
     pub rest: Option<(time::Instant, time::Duration)>,
-    /// When its answer named a limit.
+    /// Time of the answer, if it announced a rate limit.
     pub limited: Option<time::Instant>,
 }
 
-/// A limit that an upstream named, while it stood.
+/// A rate limit that an upstream announced, and the period in which it applied.
 #[derive(Debug, Clone)]
 pub struct NamedLimit {
-    /// The upstream.
+    /// Number of the upstream.
     pub upstream: u8,
-    /// Requests a second.
+    /// Requests a second from all instances together.
     pub rate: f64,
-    /// From when on answers named it.
+    /// Time from which answers announced the limit.
     pub since: time::Instant,
-    /// Until when.
+    /// Time at which the next limit replaced it or the run ended.
     pub until: time::Instant,
 }
 
-/// What a run has seen.
+/// Everything that was observed in a run.
 #[derive(Debug)]
 pub struct Evidence {
-    /// When traffic began; times in violations count from it.
+    /// Time origin of the times in violations: shortly before traffic began.
     pub started: time::Instant,
-    /// All requests.
+    /// Requests of clients, without probes.
     pub sent: Vec<SentRequest>,
-    /// Runs at all upstreams, by request.
+    /// Runs at all upstreams by request id, without probes.
     pub runs: collections::HashMap<String, RunRecord>,
-    /// Arrivals at all upstreams, those of probes among them.
+    /// Runs at all upstreams, including those of probes, in order of time.
     pub arrivals: Vec<RequestArrival>,
-    /// Arrivals of requests, run or not, with what upstreams said.
+    /// Requests that reached upstreams, run or not, and the signals in their answers.
     pub responses: Vec<UpstreamResponse>,
-    /// Limits that upstreams named.
+    /// Rate limits that upstreams announced.
     pub limits: Vec<NamedLimit>,
-    /// New starts of upstreams, which have said nothing yet.
+    /// Restarts of upstreams, by number: signals from before a restart no longer apply.
     pub upstream_restarts: Vec<(u8, time::Instant)>,
-    /// Kills, pauses and the like, which excuse cut connections and long answers.
+    /// Kills and pauses of instances, which excuse cut connections and long answers.
     pub unplanned_outages: Vec<Disturbance>,
-    /// Planned stops. A resting connection is closed in them, and a request may cross its end on
-    /// the way; it must not have been passed on then.
+    /// Planned stops of instances. A stop closes idle connections, and a request may be sent at the
+    /// moment of the close; it must then not have been passed on.
     pub planned_stops: Vec<Disturbance>,
     /// Faults of upstreams and links, which excuse failures and cut streams.
     pub external_faults: Vec<Disturbance>,
-    /// All that takes an instance out of contact, which excuses that changes come late.
+    /// Periods in which instances are out of contact, which excuse that changes take effect late.
     pub contact_losses: Vec<Disturbance>,
-    /// Faults of links to upstreams.
+    /// Faults of links to upstreams, which excuse requests and cancels that arrive late.
     pub link_faults: Vec<LinkFault>,
-    /// What upstreams have said of themselves, in order of time.
+    /// Changes of the listed state of upstreams, in order of time.
     pub listings: Vec<UpstreamListing>,
-    /// Starts of instances' processes.
+    /// Restarts of instances, by number.
     pub starts: Vec<(u8, time::Instant)>,
-    /// Configurations, in order of time.
+    /// Configurations published, in order of time.
     pub publications: Vec<config_probe::Publication>,
-    /// Questions to instances about them, in order of time for each instance.
+    /// Probes of the configuration, in order of time for each instance.
     pub probes: Vec<config_probe::ConfigProbe>,
-    /// Violations found while the run went on.
+    /// Violations found during the run.
     pub violations: Vec<String>,
 }
 
 impl Evidence {
-    /// What was to be over at `planned` was so at `over` only: orders come late where this process has to wait, as for an
-    /// instance that starts, and what they should have ended has gone on.
-    pub fn extend_to_actual_end(&mut self, planned: time::Instant, over: time::Instant) {
-        let struck =
+    /// Extends the periods that were to end at `planned_end` to `actual_end`: a fault ends late
+    /// where this process has to wait before it can end it, for example for an instance to start.
+    pub fn extend_to_actual_end(&mut self, planned_end: time::Instant, actual_end: time::Instant) {
+        let disturbances =
             [&mut self.unplanned_outages, &mut self.external_faults, &mut self.contact_losses];
-        for disturbance in struck.into_iter().flatten().filter(|one| one.to == planned) {
-            disturbance.to = over;
+        for disturbance in
+            disturbances.into_iter().flatten().filter(|period| period.to == planned_end)
+        {
+            disturbance.to = actual_end;
         }
-        for trouble in self.link_faults.iter_mut().filter(|one| one.to == planned) {
-            trouble.to = over;
+        for fault in self.link_faults.iter_mut().filter(|period| period.to == planned_end) {
+            fault.to = actual_end;
         }
     }
 
-    /// Nothing seen yet.
+    /// Creates an empty record that starts now.
     pub fn new() -> Self {
         Self {
             started: time::Instant::now(),
@@ -176,12 +181,13 @@
         }
     }
 
-    /// Whether an instance was undisturbed for long enough, all through a span of time.
+    /// Returns whether no loss of contact of `instance`, including the margin after it, overlaps
+    /// the span from `from` to `to`.
     pub fn in_contact(&self, instance: u8, from: time::Instant, to: time::Instant) -> bool {
         !any_overlaps(&self.contact_losses, instance, from, to)
     }
 
-    /// Seconds since traffic began.
+    /// Returns the seconds from [`Self::started`] to `at`, 0 for earlier times.
     pub fn seconds_since_start(&self, at: time::Instant) -> f64 {
         at.saturating_duration_since(self.started).as_secs_f64()
     }
@@ -193,7 +199,8 @@
     }
 }
 
-/// The first violation of each kind, with the number of the others.
+/// Summarizes pairs of a kind and a text: the first text of each kind, with the number of
+/// violations of that kind.
 pub fn summarize_by_kind(found: impl Iterator<Item = (String, String)>) -> Vec<String> {
     let mut kinds = collections::BTreeMap::<String, (String, usize)>::new();
     for (kind, text) in found {
