--- a/crates/soak/src/contact_plan.rs
+++ b/crates/soak/src/contact_plan.rs
@@ -1,7 +1,9 @@
-//! Losses of contact: connections that fall silent, one instance cut off, answers that are lost.
+//! Plans losses of contact: connections that fall silent, instances that are cut off from the store
+//! or from other members, answers that are lost.
 //!
-//! A scene is a loss of contact, alone or two at once, with other faults close to it, a series of
-//! configurations and upstreams that leave. Behind its first seconds it strikes nobody any more.
+//! A scene consists of one or two simultaneous losses of contact, other faults close to them, a
+//! series of configurations, upstreams that leave and an upstream that does not answer. Its later
+//! part has no new loss of contact, so that the promises to instances in contact can be checked.
 
 use std::{ops, time};
 
@@ -14,37 +16,39 @@
     fault_series,
 };
 
-/// Random stream of the faults beside the first part.
+/// Random stream of the losses of contact in the first part.
 const FIRST_PART_STREAM: u64 = 1;
 /// Random stream of the scenes.
 const SCENE_STREAM: u64 = 2;
-/// Random stream of the upstreams that are dark or late while instances are in contact.
+/// Random stream of the upstreams that are silent or late while instances are in contact.
 const SILENT_UPSTREAM_STREAM: u64 = 3;
-/// When such an upstream falls silent, from the beginning of its scene, milliseconds.
+/// When an upstream becomes silent or late, from the start of its scene, milliseconds.
 const SILENT_UPSTREAM_START_MS: ops::Range<u64> = 3_500..5_000;
-/// For how long, milliseconds: callers leave in that time, while their requests wait.
+/// How long an upstream stays silent or late, milliseconds: long enough that callers leave while
+/// their requests wait.
 const SILENT_UPSTREAM_LENGTH_MS: ops::Range<u64> = 700..1_600;
-/// Pause between two losses of contact beside the first part, milliseconds.
+/// Pause between the starts of two losses of contact in the first part, milliseconds.
 const FIRST_PART_GAP_MS: ops::Range<u64> = 600..2_500;
-/// How long a loss of contact lasts where it ends, milliseconds.
+/// How long a loss of contact lasts, milliseconds. Connections that are silenced stay so for good.
 const LOSS_MS: ops::Range<u64> = 200..1_200;
-/// Length of a scene, milliseconds: its faults, the 3 s until all are in contact again, and as
-/// long a time that is judged.
+/// Length of a scene, milliseconds: its faults, the 3 s until all instances count as in contact
+/// again, and about as long a time in which promises are checked.
 const SCENE_MS: u64 = 7_000;
-/// When the loss strikes, from the beginning of its scene, milliseconds: behind a quiet time.
+/// When the loss of contact begins, from the start of its scene, milliseconds: after a quiet time.
 const LOSS_START_MS: ops::Range<u64> = 300..900;
-/// When others strike beside it, from the beginning, milliseconds.
+/// When the accompanying faults begin, from the start of the scene, milliseconds.
 const COMPANION_START_MS: ops::Range<u64> = 100..1_500;
-/// Pause between two configurations of a scene's series, milliseconds.
+/// Pause between two configurations of a scene, milliseconds.
 const PUBLISH_GAP_MS: ops::Range<u64> = 80..900;
-/// When the last one comes at the latest: it is still judged in the scene.
+/// Time by which the last configuration is published, from the start of the scene, milliseconds:
+/// early enough to be checked within the scene.
 const PUBLISH_UNTIL_MS: u64 = 4_300;
-/// When an upstream says that it leaves, from the beginning of the scene, milliseconds.
+/// When an upstream is listed as leaving, from the start of the scene, milliseconds.
 const LEAVE_MS: ops::Range<u64> = 200..4_000;
-/// Time before a scene's end at which upstreams come back, milliseconds.
+/// Time before the end of a scene at which leaving upstreams return, milliseconds.
 const RETURN_BEFORE_END_MS: u64 = 200;
 
-/// Length of all scenes: together at least as long as the first part.
+/// Returns the length of all scenes together, which is at least that of the first part.
 pub fn scenes_length(size: PlanSize) -> time::Duration {
     time::Duration::from_millis(scene_count(size) * SCENE_MS)
 }
@@ -53,7 +57,7 @@
     (size.length.as_millis() as u64).div_ceil(SCENE_MS)
 }
 
-/// Losses of contact beside the faults of the first part.
+/// Returns the losses of contact in the first part, planned in addition to its other faults.
 pub(crate) fn first_part_losses(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: 0,
@@ -65,7 +69,7 @@
     series.faults(seed, |random| draw_loss(random, size))
 }
 
-/// The scenes of the second part.
+/// Returns the faults of all scenes, which make up the second part.
 pub(crate) fn scenes(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let mut random = random_stream(seed, SCENE_STREAM);
     let mut upstream_random = random_stream(seed, SILENT_UPSTREAM_STREAM);
@@ -80,8 +84,8 @@
         .collect()
 }
 
-/// An upstream that says nothing for a while, or works long before it says something: what callers
-/// wait for when they leave.
+/// Draws an upstream that does not answer for a while or works long before it does, so that callers
+/// leave while their requests wait.
 fn silent_upstream(random: &mut ChaCha8Rng, size: PlanSize, start: u64) -> PlannedFault {
     let at = start + random.random_range(SILENT_UPSTREAM_START_MS);
     let upstream = random.random_range(0..size.upstreams);
@@ -90,13 +94,14 @@
     planned_fault(at, random.random_range(SILENT_UPSTREAM_LENGTH_MS), fault)
 }
 
+/// Draws the faults of the scene that begins at `start` milliseconds.
 fn scene(random: &mut ChaCha8Rng, size: PlanSize, start: u64) -> Vec<PlannedFault> {
     let mut faults = Vec::new();
     let loss_start = start + random.random_range(LOSS_START_MS);
     let loss = draw_loss(random, size);
     faults.push(planned_fault(loss_start, random.random_range(LOSS_MS), loss));
     if random.random_bool(0.5) {
-        // The second one strikes at the same moment.
+        // Both losses begin at the same moment.
         let loss = draw_loss(random, size);
         faults.push(planned_fault(loss_start, random.random_range(LOSS_MS), loss));
     }
@@ -110,7 +115,7 @@
         faults.push(planned_fault(at, 0, Fault::Publish));
         at += random.random_range(PUBLISH_GAP_MS);
     }
-    // One upstream of each service at most, so that others are there.
+    // One upstream of each service, so that others remain available.
     for upstream in
         [random.random_range(0..size.engines), random.random_range(size.plain_upstreams())]
     {
@@ -121,6 +126,7 @@
     faults
 }
 
+/// Draws a loss of contact.
 fn draw_loss(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
@@ -136,7 +142,7 @@
     }
 }
 
-/// A fault beside a loss of contact.
+/// Draws a fault that accompanies a loss of contact.
 fn draw_companion(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
@@ -153,11 +159,13 @@
     }
 }
 
+/// Builds a planned fault from its start and length in milliseconds.
 pub(crate) fn planned_fault(at: u64, length: u64, fault: Fault) -> PlannedFault {
     let [at, length] = [at, length].map(time::Duration::from_millis);
     PlannedFault { at, length, fault }
 }
 
+/// Returns one of the independent random streams of a seed.
 pub(crate) fn random_stream(seed: u64, number: u64) -> ChaCha8Rng {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(number);
