--- a/crates/soak/src/fault_plan.rs
+++ b/crates/soak/src/fault_plan.rs
@@ -1,8 +1,9 @@
-//! Which faults strike, when and whom: all decided by the seed.
+//! Derives the plan of a run from its seed: which faults occur, when, and what they affect.
 //!
-//! A run has two parts. In the first, faults strike without a pause; in the second, scenes begin
-//! with a loss of contact and leave instances undisturbed afterwards, so that what must hold in
-//! contact is judged. Each part draws from a random stream of its own.
+//! A run has two parts. In the first, faults follow each other densely and overlap. The second
+//! consists of scenes that begin with a loss of contact, after which no new one follows, so that
+//! the promises to instances in contact can be checked. Each kind of fault draws from a random
+//! stream of its own, so that new kinds leave the other faults of a seed as they are.
 
 use std::{fmt, time};
 
@@ -12,85 +13,91 @@
 
 use crate::{contact_plan, data_center_plan, drill_plan, entry_plan, limit_plan, signal_plan};
 
-/// Pause between two faults, milliseconds: short enough for faults to overlap.
+/// Pause between the starts of two faults in the first part, milliseconds: short enough for faults
+/// to overlap.
 const GAP_MS: std::ops::Range<u64> = 100..600;
-/// How long a fault lasts, milliseconds.
+/// How long a fault of the first part lasts, milliseconds.
 const LENGTH_MS: std::ops::Range<u64> = 200..2_500;
-/// Time at the start and the end without faults, milliseconds.
+/// Time without faults at the start and the end of the first part, milliseconds.
 const QUIET_MS: u64 = 600;
 
-/// A fault.
+/// A fault to inject. Numbers of instances and upstreams count from 0.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// SIGKILL, and a new start.
+    /// An instance gets SIGKILL and is started again at the end.
     Kill(u8),
-    /// SIGTERM, and a new start after the end.
+    /// An instance gets SIGTERM and is started again once it has exited.
     Stop(u8),
-    /// SIGSTOP, then SIGCONT.
+    /// An instance gets SIGSTOP, and SIGCONT at the end.
     Pause(u8),
-    /// SIGHUP.
+    /// An instance gets SIGHUP.
     Reload(u8),
-    /// SIGKILL to all, and new starts.
+    /// All instances get SIGKILL and are started again at the end.
     KillAll,
-    /// The store misbehaves.
+    /// The store fails in the given mode.
     Store(StoreMode),
-    /// The store forgets its history.
+    /// The store discards its history of changes.
     Forget,
-    /// A new configuration with one route more.
+    /// A new configuration with one more route is published.
     Publish,
-    /// The link from all instances to the store misbehaves.
+    /// The links from all instances to the store fail in the given mode.
     StoreLink(LinkMode),
-    /// An upstream misbehaves.
+    /// An upstream fails in the given mode.
     Upstream(u8, RunnerMode),
-    /// The link to an upstream misbehaves.
+    /// The link to an upstream fails in the given mode.
     UpstreamLink(u8, LinkMode),
-    /// An upstream says that it leaves, and comes back.
+    /// An upstream is listed as leaving, and as ready again at the end.
     Leave(u8),
-    /// Open connections between the store and one instance, or all, fall silent for good.
+    /// Open connections between the store and one instance, or all for `None`, fall silent for
+    /// good.
     SilenceStore(Option<u8>),
-    /// Those between one upstream and all instances.
+    /// Open connections between one upstream and all instances fall silent for good.
     SilenceUpstream(u8),
-    /// Those on which members read documents of one instance, or of all.
+    /// Open connections on which members read documents of one instance, or of all for `None`, fall
+    /// silent for good.
     SilenceMembers(Option<u8>),
-    /// All of these at the same moment.
+    /// Open connections to the store, to members and to upstreams fall silent for good at the same
+    /// moment.
     SilenceAll,
-    /// The link from one instance to the store misbehaves.
+    /// The link from one instance to the store fails in the given mode.
     StoreLinkOf(u8, LinkMode),
-    /// The link on which members read documents of one instance misbehaves.
+    /// The link on which members read documents of one instance fails in the given mode.
     MemberLink(u8, LinkMode),
-    /// An upstream starts again under its name; its new entry comes at the end.
+    /// An upstream restarts under the same name; its new entry is written at the end.
     Restart(u8),
-    /// An upstream says in its answers that it leaves, and at the end starts again; the list hears nothing.
+    /// An upstream signals in its answers, but not in the list, that it leaves, and restarts at the
+    /// end.
     SayLeaving(u8),
-    /// An upstream turns away what comes, and asks for so many milliseconds of rest.
+    /// An upstream refuses requests and asks for rest, with its length in milliseconds.
     AskRest(u8, u64),
-    /// An upstream names how many requests it takes, thousandths a second.
+    /// An upstream announces a rate limit, in thousandths of a request a second.
     NameLimit(u8, u32),
-    /// Another writer overwrites an upstream's entry until the end.
+    /// Another writer replaces the entry of an upstream by an invalid one until the end.
     Overwrite(u8),
-    /// Another writer writes an entry of its own, under this number.
+    /// Another writer adds an invalid entry under a key with this number.
     Litter(u8),
-    /// The data centre of an upstream, which holds no other, is evacuated.
+    /// The data centre of an upstream, which has no other upstream, is evacuated until the end.
     Evacuate(u8),
-    /// An engine says that it is cold.
+    /// An engine is listed as cold until the end.
     Cool(u8),
-    /// The store is away and returns from a copy of such an age; what was lost is written again later.
+    /// The store is unavailable and is restored from an older copy; lost entries are written again
+    /// later.
     Drill {
-        /// Age of the copy as the store returns.
+        /// Age of the copy at the time of the restore, milliseconds.
         age_ms: u64,
-        /// Time from the return until all is written again.
+        /// Time from the restore until lost entries are written again, milliseconds.
         rewrite_ms: u64,
     },
 }
 
-/// A fault with its time.
+/// A fault with its start and length.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
-    /// When it strikes, from the start of traffic.
+    /// Time from the start of traffic to the start of the fault.
     pub at: time::Duration,
-    /// How long it lasts.
+    /// Length of the fault; single actions such as [`Fault::Publish`] ignore it.
     pub length: time::Duration,
-    /// What it is.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
@@ -106,27 +113,27 @@
     }
 }
 
-/// Sizes that a plan is made for.
+/// Size of the fleet and length of the run that a plan is made for.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanSize {
-    /// Instances.
+    /// Number of instances.
     pub instances: u8,
-    /// Upstreams of both services together, engines first.
+    /// Number of upstreams of both services together; engines have the lowest numbers.
     pub upstreams: u8,
-    /// Engines among them.
+    /// Number of engines among the upstreams.
     pub engines: u8,
-    /// Length of the run's first part.
+    /// Length of the first part of the run.
     pub length: time::Duration,
 }
 
 impl PlanSize {
-    /// Upstreams of the plain service.
+    /// Returns the numbers of the upstreams of the plain service.
     pub fn plain_upstreams(&self) -> std::ops::Range<u8> {
         self.engines..self.upstreams
     }
 }
 
-/// The plan of a seed, in order of time.
+/// Returns the plan of a seed, in order of time.
 pub fn plan(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let mut faults = dense_faults(seed, size);
     faults.extend(contact_plan::first_part_losses(seed, size));
@@ -140,7 +147,7 @@
     faults
 }
 
-/// Faults of the first part.
+/// Returns the dense faults of the first part.
 fn dense_faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let end = (size.length.as_millis() as u64).saturating_sub(QUIET_MS);
@@ -159,6 +166,7 @@
     faults
 }
 
+/// Draws a fault of the first part.
 fn draw_fault(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
@@ -178,7 +186,7 @@
     }
 }
 
-/// Faults of upstreams that are drawn.
+/// Failure modes of upstreams that plans draw from.
 pub(crate) const RUNNER_MODES: [RunnerMode; 7] = [
     RunnerMode::Full,
     RunnerMode::Failing,
@@ -189,13 +197,13 @@
     RunnerMode::Mute,
 ];
 
-/// Draws what a link does.
+/// Draws the failure mode of a link.
 pub(crate) fn draw_link_mode(random: &mut ChaCha8Rng) -> LinkMode {
     let modes = [LinkMode::Slow, LinkMode::Reset, LinkMode::DropForth, LinkMode::DropBack];
     pick(random, &modes)
 }
 
-/// Draws one of several.
+/// Draws one of several values with equal probability.
 pub(crate) fn pick<T: Copy>(random: &mut ChaCha8Rng, from: &[T]) -> T {
     from[random.random_range(0..from.len())]
 }
