--- a/crates/soak/src/drill_plan.rs
+++ b/crates/soak/src/drill_plan.rs
@@ -1,4 +1,4 @@
-//! Drills: the store is away and returns from an older copy of itself.
+//! Plans store drills: the store is unavailable and is then restored from an older copy.
 
 use std::ops;
 
@@ -10,20 +10,21 @@
     fault_series,
 };
 
-/// Plans of earlier seeds stay as they were: some of them are kept as tests.
+/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+/// change.
 const FIRST_SEED: u64 = 70_000;
-/// Random stream of these faults.
+/// Random stream of the drills.
 const DRILL_STREAM: u64 = 8;
-/// Pause between two of them, milliseconds.
+/// Pause between the starts of two drills, milliseconds.
 const GAP_MS: ops::Range<u64> = 2_000..7_000;
-/// How long the store is away, milliseconds.
+/// How long the store is unavailable, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 200..3_000;
-/// How old the copy is, milliseconds.
+/// Age of the copy at the time of the restore, milliseconds.
 const AGE_MS: ops::Range<u64> = 100..5_000;
-/// Time from the return until all that was lost is written again, milliseconds.
+/// Time from the restore until its writers write the lost entries again, milliseconds.
 const REWRITE_MS: ops::Range<u64> = 0..1_500;
 
-/// Such faults through the whole run.
+/// Returns the drills of a seed, spread over the whole run.
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
