--- a/crates/soak/src/limit_plan.rs
+++ b/crates/soak/src/limit_plan.rs
@@ -1,4 +1,5 @@
-//! Upstreams in need that name how many requests a second they take from all instances together.
+//! Plans rate limits: upstreams announce how many requests a second they accept from all instances
+//! together.
 
 use std::ops;
 
@@ -10,18 +11,20 @@
     fault_series,
 };
 
-/// Plans of earlier seeds stay as they were: some of them are kept as tests.
+/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+/// change.
 const FIRST_SEED: u64 = 50_000;
-/// Random stream of these faults.
+/// Random stream of the rate limits.
 const LIMIT_STREAM: u64 = 6;
-/// Pause between two of them, milliseconds.
+/// Pause between the starts of two limits, milliseconds.
 const GAP_MS: ops::Range<u64> = 500..3_000;
-/// How long an upstream goes on naming a limit, milliseconds: a window of the rule and more.
+/// How long an upstream announces a limit, milliseconds; `limit_check` counts requests over 4 s.
 const LENGTH_MS: ops::Range<u64> = 3_000..9_000;
-/// What it takes, thousandths of a request a second.
+/// Announced limit, thousandths of a request a second.
 const RATE: ops::Range<u32> = 300..8_000;
 
-/// Such faults through the whole run; of two that overlap at one upstream the second changes its limit.
+/// Returns the rate limits of a seed, spread over the whole run. Where two overlap at an upstream,
+/// the second replaces the first.
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
