--- a/crates/soak/src/entry_plan.rs
+++ b/crates/soak/src/entry_plan.rs
@@ -1,4 +1,5 @@
-//! Upstreams that start again under their name, and entries of other writers in the store.
+//! Plans restarts of upstreams under the same name, and invalid entries that another writer leaves
+//! in the store.
 
 use std::ops;
 
@@ -9,16 +10,17 @@
     fault_series,
 };
 
-/// Plans of earlier seeds stay as they were: some of them are kept as tests.
+/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+/// change.
 const FIRST_SEED: u64 = 20_000;
-/// Random stream of these faults.
+/// Random stream of the restarts and invalid entries.
 const ENTRY_STREAM: u64 = 4;
-/// Pause between two of them, milliseconds.
+/// Pause between the starts of two faults, milliseconds.
 const GAP_MS: ops::Range<u64> = 400..2_000;
-/// How long the entry of a new start is missing, or an entry that was overwritten, milliseconds.
+/// How long an upstream lacks a valid entry after a restart or an overwrite, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 20..1_500;
 
-/// Such faults through the first part.
+/// Returns the restarts and invalid entries of a seed, spread over the first part of the run.
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
