--- a/crates/soak/src/signal_plan.rs
+++ b/crates/soak/src/signal_plan.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say in passing that they leave or want rest.
+//! Plans upstreams that signal in their answers that they leave or need rest.
 
 use std::ops;
 
@@ -10,18 +10,20 @@
     fault_series,
 };
 
-/// Plans of earlier seeds stay as they were: some of them are kept as tests.
+/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+/// change.
 const FIRST_SEED: u64 = 40_000;
-/// Random stream of these faults.
+/// Random stream of the signals.
 const SIGNAL_STREAM: u64 = 5;
-/// Pause between two of them, milliseconds.
+/// Pause between the starts of two signals, milliseconds.
 const GAP_MS: ops::Range<u64> = 500..2_500;
-/// How long an upstream goes on after its word, milliseconds.
+/// How long an upstream keeps signalling, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 500..5_000;
-/// Rest that is asked for, milliseconds.
+/// Rest that an upstream asks for, milliseconds.
 const REST_MS: ops::Range<u64> = 200..4_000;
 
-/// Such faults through the whole run: what instances in contact must do is judged in the scenes.
+/// Returns the signals of a seed, spread over the whole run: the scenes leave instances in contact,
+/// so that their reaction can be checked.
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
