--- a/crates/soak/src/data_center_plan.rs
+++ b/crates/soak/src/data_center_plan.rs
@@ -1,4 +1,4 @@
-//! Data centres that are evacuated, and upstreams that say that they are cold.
+//! Plans evacuations of data centres, and engines that report that they are cold.
 
 use std::ops;
 
@@ -10,16 +10,17 @@
     fault_series,
 };
 
-/// Plans of earlier seeds stay as they were: some of them are kept as tests.
+/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+/// change.
 const FIRST_SEED: u64 = 60_000;
-/// Random stream of these faults.
+/// Random stream of the evacuations and cold phases.
 const DATA_CENTER_STREAM: u64 = 7;
-/// Pause between two of them, milliseconds.
+/// Pause between the starts of two faults, milliseconds.
 const GAP_MS: ops::Range<u64> = 800..3_500;
 /// How long an evacuation or a cold phase lasts, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 1_000..7_000;
 
-/// Such faults through the whole run.
+/// Returns the evacuations and cold phases of a seed, spread over the whole run.
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
