--- a/crates/soak/src/fault_series.rs
+++ b/crates/soak/src/fault_series.rs
@@ -1,4 +1,4 @@
-//! Faults of one kind, one after the other through a part of a run.
+//! Series of faults of one kind, spread over a part of a run.
 
 use std::{ops, time};
 
@@ -10,22 +10,22 @@
     fault_plan::{Fault, PlannedFault},
 };
 
-/// When the faults of a series strike, and how long each lasts.
+/// Timing of a series: when its faults begin and how long each lasts.
 pub(crate) struct FaultSeries {
-    /// Seeds below have no such faults: some of their plans are kept as tests and must not change.
+    /// First seed with these faults: plans of lower seeds are kept as tests and must not change.
     pub(crate) first_seed: u64,
-    /// Its random stream.
+    /// Random stream that the series is drawn from.
     pub(crate) stream: u64,
-    /// Its end, from the beginning of the run.
+    /// Time after which no fault begins, from the start of the run.
     pub(crate) end: time::Duration,
-    /// Pause between two faults, milliseconds.
+    /// Pause between the starts of two faults, milliseconds.
     pub(crate) gap_ms: ops::Range<u64>,
     /// How long a fault lasts, milliseconds.
     pub(crate) length_ms: ops::Range<u64>,
 }
 
 impl FaultSeries {
-    /// The faults of a seed, each drawn by `draw`.
+    /// Returns the faults of a seed, each chosen by `draw`.
     pub(crate) fn faults(
         self,
         seed: u64,
