--- a/crates/soak/src/store_drill.rs
+++ b/crates/soak/src/store_drill.rs
@@ -1,4 +1,4 @@
-//! Copies of the store as it was, to return from.
+//! Keeps recent copies of the store, to restore an older state in a drill.
 
 use std::{
     collections,
@@ -7,19 +7,19 @@
 
 use slipturn_platform_standin::store::{Store, StoreCopy, StoreMode};
 
-/// Time between two copies.
+/// Minimum time between two copies.
 const COPY_INTERVAL: Duration = Duration::from_millis(100);
-/// Age beyond which copies are dropped.
+/// Age at which copies are dropped.
 const MAX_AGE: Duration = Duration::from_secs(6);
 
-/// Copies, oldest first.
+/// Recent copies of the store with the time of each, oldest first.
 #[derive(Default)]
 pub(crate) struct CopyLog {
     copies: collections::VecDeque<(Instant, StoreCopy)>,
 }
 
 impl CopyLog {
-    /// Takes a copy, where the last one is old enough.
+    /// Copies the store if [`COPY_INTERVAL`] has passed since the last copy.
     pub(crate) fn take(&mut self, now: Instant, store: &Store) {
         if self.copies.back().is_some_and(|(at, _)| now - *at < COPY_INTERVAL) {
             return;
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Returns the store from a copy of such an age.
+    /// Restores the store from the newest copy that is at least `age` old, or else from the oldest,
+    /// and makes it available again.
     pub(crate) fn return_from(&self, now: Instant, age: Duration, store: &Store) {
         let old_enough = |(at, _): &&(Instant, StoreCopy)| now - *at >= age;
         let copy = self.copies.iter().rev().find(old_enough).or(self.copies.front());
