--- a/crates/soak/src/leave_check.rs
+++ b/crates/soak/src/leave_check.rs
@@ -1,34 +1,34 @@
-//! Whether upstreams that had said that they leave still got requests, and whether requests whose
-//! callers had left were still passed on or worked on.
+//! Checks that upstreams listed as leaving get no more requests, and that requests whose callers
+//! have left are neither started nor continued.
 
 use std::{collections, time};
 
 use crate::evidence::{self, Evidence, RequestArrival};
 
-/// Time after an upstream's leaving within which it still may get requests: the platform's 2 s and
-/// the machine's own delays.
+/// Time after an upstream is listed as leaving within which it may still get requests: the
+/// platform's bound of 2 s plus scheduling delays of the test host.
 pub const LEAVE_BOUND: time::Duration = time::Duration::from_millis(2_200);
-/// Time after a caller's leaving within which upstreams may still be at work for it: the
-/// platform's 500 ms and the machine's own delays.
+/// Time after a caller has left within which upstreams may still work on its request: the
+/// platform's bound of 500 ms plus scheduling delays of the test host.
 const ABANDONED_WORK_BOUND: time::Duration = time::Duration::from_millis(700);
 
-/// A time in which an upstream says that it leaves.
+/// A period in which an upstream is listed as leaving.
 struct LeaveSpan {
     upstream: u8,
     from: time::Instant,
-    /// `None` where it did not come back.
+    /// `None` where the upstream did not return.
     to: Option<time::Instant>,
 }
 
-/// Who has sent a request.
+/// The instance that a request was sent to, and the time of sending.
 struct RequestOrigin {
     instance: u8,
     from: time::Instant,
-    /// When its caller left without an answer.
+    /// Time at which the caller left without an answer.
     left: Option<time::Instant>,
 }
 
-/// All violations.
+/// Returns the violations, summarized by kind.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let origins = origins(evidence);
     let spans = leave_spans(evidence);
@@ -45,38 +45,40 @@
     origin: &RequestOrigin,
     arrival: &RequestArrival,
 ) -> Vec<(String, String)> {
-    let bound = |until| !excused(evidence, origin, arrival, until);
+    let binding = |until| !is_excused(evidence, origin, arrival, until);
     let used = spans.iter().find_map(|span| used_while_leaving(evidence, span, origin, arrival));
-    let used = used.filter(|_| bound(arrival.at));
+    let used = used.filter(|_| binding(arrival.at));
     let worked =
-        worked_after_caller_left(evidence, origin, arrival).filter(|_| bound(arrival.ended));
+        worked_after_caller_left(evidence, origin, arrival).filter(|_| binding(arrival.ended));
     used.into_iter().chain(worked).collect()
 }
 
-/// Whether until some time the instance was out of contact, or the way to the upstream was harmed.
-fn excused(
+/// Returns whether, up to `until`, the instance lost contact or the link to the upstream had a
+/// fault.
+fn is_excused(
     evidence: &Evidence,
     origin: &RequestOrigin,
     arrival: &RequestArrival,
     until: time::Instant,
 ) -> bool {
-    let harmed = evidence.link_faults.iter().any(|fault| {
+    let link_failed = evidence.link_faults.iter().any(|fault| {
         let overlaps = fault.from <= until && fault.to >= arrival.at;
         fault.upstream == arrival.upstream && overlaps
     });
-    harmed || !evidence.in_contact(origin.instance, origin.from, until)
+    link_failed || !evidence.in_contact(origin.instance, origin.from, until)
 }
 
+/// Returns the violation where a request arrived later than [`LEAVE_BOUND`] into a leave period.
 fn used_while_leaving(
     evidence: &Evidence,
     span: &LeaveSpan,
     origin: &RequestOrigin,
     arrival: &RequestArrival,
 ) -> Option<(String, String)> {
-    let bound = span.upstream == arrival.upstream
+    let binding = span.upstream == arrival.upstream
         && arrival.at > span.from + LEAVE_BOUND
         && span.to.is_none_or(|to| arrival.at < to);
-    bound.then(|| {
+    binding.then(|| {
         let kind = format!(
             "upstream {} used while leaving, by instance {}",
             span.upstream, origin.instance
@@ -87,6 +89,8 @@
     })
 }
 
+/// Returns the violation where an upstream worked on a request later than [`ABANDONED_WORK_BOUND`]
+/// after its caller had left.
 fn worked_after_caller_left(
     evidence: &Evidence,
     origin: &RequestOrigin,
@@ -103,6 +107,7 @@
     ))
 }
 
+/// Returns the origins of all requests and probes by id.
 fn origins(evidence: &Evidence) -> collections::HashMap<&str, RequestOrigin> {
     let sent = evidence.sent.iter().map(|sent| {
         let left = sent.outcome.is_none().then_some(sent.to);
@@ -115,6 +120,7 @@
     sent.chain(probes).collect()
 }
 
+/// Joins the changes of listed states into periods; a repeated listing does not restart a period.
 fn leave_spans(evidence: &Evidence) -> Vec<LeaveSpan> {
     let mut spans = Vec::<LeaveSpan>::new();
     for listing in &evidence.listings {
