--- a/crates/soak/src/limit_check.rs
+++ b/crates/soak/src/limit_check.rs
@@ -1,4 +1,5 @@
-//! Whether upstreams that had named a limit got more than that allows, from instances that they had told.
+//! Checks that upstreams that announce a rate limit get no more requests than it allows, counting
+//! only instances that have received the limit.
 
 use std::time;
 
@@ -7,16 +8,16 @@
     signal_check,
 };
 
-/// The span in which requests are counted.
+/// Length of the sliding window in which requests are counted.
 const WINDOW: time::Duration = time::Duration::from_secs(4);
-/// What may be beyond the limit in it: the platform's rule.
+/// Factor by which the requests in a window may exceed the limit: the platform's rule.
 const ALLOWED_FACTOR: f64 = 1.5;
-/// See [`ALLOWED_FACTOR`], requests.
+/// Requests allowed in a window in addition to [`ALLOWED_FACTOR`]: the platform's rule.
 const ALLOWED_EXTRA: f64 = 5.0;
-/// Time behind the first answer that named the limit from which its instance is counted.
+/// Time after the first answer with a limit from which requests of its instance count.
 const NOTICE_TIME: time::Duration = time::Duration::from_millis(500);
 
-/// All violations.
+/// Returns the violations, summarized by upstream.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let origins = signal_check::origins(evidence);
     let found =
@@ -24,7 +25,8 @@
     evidence::summarize_by_kind(found)
 }
 
-/// What was sent beyond one limit while it stood.
+/// Returns the violation where a window within the period of a limit holds more requests than
+/// allowed.
 fn limit_violation(
     evidence: &Evidence,
     origins: &signal_check::RequestOrigins<'_>,
@@ -43,11 +45,12 @@
         let same = responses.iter().filter(|other| {
             origins.get(other.id.as_str()).is_some_and(|origin| origin.0 == instance)
         });
-        let mut told = same.filter_map(|other| other.limited);
-        told.any(|told| {
-            // What an instance was told before it started, woke or was cut off need not have reached it.
-            told + NOTICE_TIME <= response.at
-                && evidence.in_contact(instance, told.min(from), response.at)
+        let mut announced = same.filter_map(|other| other.limited);
+        announced.any(|announced| {
+            // A limit sent before the instance started, resumed or lost contact may not have
+            // reached it.
+            announced + NOTICE_TIME <= response.at
+                && evidence.in_contact(instance, announced.min(from), response.at)
         })
     };
     let mut times: Vec<_> = responses.iter().filter(counted).map(|response| response.at).collect();
