--- a/crates/soak/src/signal_check.rs
+++ b/crates/soak/src/signal_check.rs
@@ -1,5 +1,5 @@
-//! Whether requests still reached upstreams that had told their instance that they leave, or had asked it for
-//! rest.
+//! Checks that instances send no requests to upstreams that have signalled to them in an answer
+//! that they leave or need rest.
 
 use std::{collections, time};
 
@@ -8,13 +8,14 @@
     leave_check,
 };
 
-/// Time after a refusal that asks for rest in which what was on its way may still arrive: the platform's.
+/// Time after a refusal that asks for rest within which requests already in flight may arrive: the
+/// platform's bound.
 const IN_FLIGHT_TIME: time::Duration = time::Duration::from_millis(500);
 
-/// Who has sent a request, and when.
+/// The instance that each request was sent to and the time of sending, by request id.
 pub(crate) type RequestOrigins<'a> = collections::HashMap<&'a str, (u8, time::Instant)>;
 
-/// Who has sent which request.
+/// Returns the origins of all requests and probes.
 pub(crate) fn origins(evidence: &Evidence) -> RequestOrigins<'_> {
     let sent = evidence.sent.iter().map(|sent| (sent.id.as_str(), (sent.instance, sent.from)));
     let probes = evidence.probes.iter();
@@ -22,7 +23,7 @@
     sent.chain(probes).collect()
 }
 
-/// All violations.
+/// Returns the violations, summarized by kind.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let origins = origins(evidence);
     let found = evidence
@@ -32,7 +33,8 @@
     evidence::summarize_by_kind(found)
 }
 
-/// What an arrival breaks, by the words that its instance had heard from the same start of the upstream.
+/// Returns the violation where a request arrived although its instance had received a signal
+/// against it from the same process life of the upstream.
 fn arrival_violation(
     evidence: &Evidence,
     origins: &RequestOrigins<'_>,
@@ -43,26 +45,27 @@
         let same = origins.get(response.id.as_str()).is_some_and(|origin| origin.0 == instance);
         same && response.upstream == arrival.upstream
     });
-    // What an instance was told before it started, woke or was cut off need not have reached it.
-    let bound = |told: time::Instant| {
-        let renewed = evidence.upstream_restarts.iter().any(|(upstream, at)| {
-            *upstream == arrival.upstream && *at >= told && *at <= arrival.at
+    // A signal sent before the instance started, resumed or lost contact may not have reached it.
+    let binding = |signalled: time::Instant| {
+        let restarted = evidence.upstream_restarts.iter().any(|(upstream, at)| {
+            *upstream == arrival.upstream && *at >= signalled && *at <= arrival.at
         });
-        let harmed = evidence.link_faults.iter().any(|fault| {
-            fault.upstream == arrival.upstream && fault.from <= arrival.at && fault.to >= told
+        let link_failed = evidence.link_faults.iter().any(|fault| {
+            fault.upstream == arrival.upstream && fault.from <= arrival.at && fault.to >= signalled
         });
-        !renewed && !harmed && evidence.in_contact(instance, told.min(from), arrival.at)
+        !restarted && !link_failed && evidence.in_contact(instance, signalled.min(from), arrival.at)
     };
-    let broken = heard.filter_map(|response| {
-        let left = response.leaving.filter(|told| arrival.at > *told + leave_check::LEAVE_BOUND);
-        let rested = response.rest.filter(|(told, rest)| {
-            arrival.at > *told + IN_FLIGHT_TIME && arrival.at < *told + *rest
+    let ignored = heard.filter_map(|response| {
+        let left =
+            response.leaving.filter(|signalled| arrival.at > *signalled + leave_check::LEAVE_BOUND);
+        let rested = response.rest.filter(|(signalled, rest)| {
+            arrival.at > *signalled + IN_FLIGHT_TIME && arrival.at < *signalled + *rest
         });
-        let left = left.map(|told| (told, "that had told it that it leaves"));
-        left.or(rested.map(|(told, _)| (told, "that had asked it for rest")))
+        let left = left.map(|signalled| (signalled, "that had told it that it leaves"));
+        left.or(rested.map(|(signalled, _)| (signalled, "that had asked it for rest")))
     });
-    let (told, what) = broken.into_iter().find(|(told, _)| bound(*told))?;
+    let (signalled, what) = ignored.into_iter().find(|(signalled, _)| binding(*signalled))?;
     let kind = format!("upstream {} used {what}, by instance {instance}", arrival.upstream);
-    let [told, at] = [told, arrival.at].map(|at| evidence.seconds_since_start(at));
-    Some((kind, format!("{} at {at:.2} s, told at {told:.2} s", arrival.id)))
+    let [signalled, at] = [signalled, arrival.at].map(|at| evidence.seconds_since_start(at));
+    Some((kind, format!("{} at {at:.2} s, told at {signalled:.2} s", arrival.id)))
 }
