--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients: open connections used until they end, a record of every request.
+//! Clients that reuse their connections while these stay open, and record every request.
 
 use std::{
     collections, net,
@@ -18,55 +18,57 @@
 
 /// Pause of a client between two requests, milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 2..40;
-/// One stream in so many is long: it outlasts the time for which a stopping instance still takes
-/// connections, and ends inside the grace period.
+/// One request in this many has a long answer: as a stream, it outlasts the time for which a
+/// stopping instance still accepts connections, and ends within the grace period.
 const LONG_STREAMS: u32 = 24;
-/// Tokens of a long stream's answer: 3.3 to 4.5 s of events.
+/// Tokens of a long answer: 3.3 to 4.5 s of events.
 pub const LONG_ANSWER_TOKENS: std::ops::Range<u64> = 11_000..15_000;
-/// One request in so many is written by a client that leaves without its answer.
+/// One request in this many is abandoned: its client closes the connection before the answer ends.
 const ABANDONED_REQUESTS: u32 = 8;
-/// Time that such a client waits, milliseconds: from "at once" to "behind the first silence".
+/// Time from writing an abandoned request to closing its connection, milliseconds: from none to
+/// past the first limit on silence.
 const ABANDON_WAIT_MS: std::ops::Range<u64> = 0..400;
-/// Random stream of the choice who leaves.
+/// Random stream that chooses the abandoned requests.
 const ABANDON_STREAM: u64 = 1;
-/// One request in so many is written by a client that reads nothing of its answer until the run ends.
+/// One request in this many is unread: its client reads nothing of the answer until the run ends.
 const UNREAD_REQUESTS: u32 = 40;
-/// Random stream of the choice who reads nothing.
+/// Random stream that chooses the unread requests.
 const UNREAD_STREAM: u64 = 2;
-/// Longest rest of a connection that is used again: well under the instances' idle time of 10 s,
-/// so that its use does not cross their close.
+/// Idle time after which a connection is not reused: well under the instances' idle timeout of 10
+/// s, so that no request is sent while the instance closes the connection.
 const MAX_IDLE_TIME: time::Duration = time::Duration::from_secs(8);
-/// Time a client is given, of each kind of request.
+/// Deadline that clients give with each request.
 const DEADLINE: time::Duration = time::Duration::from_secs(6);
 
-/// One request as its client saw it.
+/// A request and its outcome as the client saw it.
 #[derive(Debug, Clone)]
 pub struct SentRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// Its route.
+    /// Route of the request.
     pub route: &'static str,
-    /// The instance it went to.
+    /// Number of the instance that the request was sent to.
     pub instance: u8,
-    /// When it was sent, and when its answer ended.
+    /// Time at which the client began to send the request.
     pub from: time::Instant,
-    /// See `from`.
+    /// Time at which the answer ended or the client left.
     pub to: time::Instant,
-    /// Since when the connection that it found ended had rested, if it found one.
+    /// Start of the idle time of the connection meant for the request, if the instance had closed
+    /// it.
     pub closed_idle_since: Option<time::Instant>,
-    /// What it came to; `None` where its client left at `to` without waiting for that.
+    /// Outcome; `None` where the client left at `to` without waiting for it.
     pub outcome: Option<Outcome>,
 }
 
-/// A connection without a request.
+/// An open connection without a request, and the start of its idle time.
 struct IdleConnection {
     caller: Caller,
     since: time::Instant,
 }
 
 impl IdleConnection {
-    /// The connection, if it may be used again; or else whether it has ended early, and since when
-    /// it had rested.
+    /// Returns the connection if it can be reused. The error is the start of its idle time if the
+    /// instance has closed it early, or `None` if it has been idle for [`MAX_IDLE_TIME`].
     fn reuse(mut self) -> Result<Caller, Option<time::Instant>> {
         if self.since.elapsed() >= MAX_IDLE_TIME {
             return Err(None);
@@ -75,7 +77,7 @@
     }
 }
 
-/// A request whose client has read nothing of its answer yet.
+/// A request whose client has not yet read its answer.
 struct UnreadRequest {
     caller: Caller,
     request: Request,
@@ -83,7 +85,8 @@
 }
 
 impl UnreadRequest {
-    /// Reads the answer, which must still be whole; it must have been sent by its deadline.
+    /// Reads the answer, which must be complete. Its end is recorded as no later than the deadline,
+    /// as the time of reading does not show when it was sent.
     fn read(mut self) -> SentRequest {
         let outcome = self.caller.read(&self.request);
         let to = time::Instant::now().min(self.sent.from + DEADLINE);
@@ -91,14 +94,14 @@
     }
 }
 
-/// Clients that run until told to end.
+/// Clients that send requests until they are stopped.
 pub struct Traffic {
     stop_requested: sync::Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<Vec<SentRequest>>>,
 }
 
 impl Traffic {
-    /// Starts clients, each with its own random choices.
+    /// Starts the clients, each with random choices derived from the seed and its number.
     pub fn start(seed: u64, clients: u64, instances: Vec<net::SocketAddr>) -> Self {
         let stop_requested = sync::Arc::new(AtomicBool::new(false));
         let start = |client: u64| {
@@ -112,7 +115,7 @@
         Self { stop_requested, clients }
     }
 
-    /// Ends all clients behind their last request.
+    /// Stops all clients after their current request and returns all requests.
     pub fn finish(self) -> Vec<SentRequest> {
         self.stop_requested.store(true, atomic::Ordering::SeqCst);
         let sent = self.clients.into_iter().filter_map(|client| client.join().ok());
@@ -120,7 +123,8 @@
     }
 }
 
-/// A request of a route.
+/// Builds a request for a route; `counts` are the tokens of prompt and answer, which only streaming
+/// routes use.
 pub fn request(id: String, route: &'static str, counts: (u64, u64)) -> Request {
     let streaming = matches!(route, "draft" | "once");
     Request {
@@ -164,7 +168,7 @@
             _ => random.random_range(50..1_500),
         };
         let abandons = abandon_random.random_range(0..ABANDONED_REQUESTS) == 0;
-        // What nobody waits for would last long, so that work on it shows.
+        // Abandoned requests have long answers, so that an upstream that works on shows.
         let answer = if abandons { LONG_ANSWER_TOKENS.start } else { answer };
         let counts = (prompt, answer);
         let request = request(format!("{seed:x}-{client}-{turn}"), route, counts);
@@ -181,7 +185,7 @@
                 let id = request.id.clone();
                 let sent =
                     SentRequest { id, route, instance, from, to, closed_idle_since, outcome: None };
-                // A connection that has ended shows when it is read.
+                // A failed write shows when the answer is read.
                 let _ = caller.write(&request);
                 unread.push(UnreadRequest { caller, request, sent });
                 continue;
@@ -209,9 +213,9 @@
     sent
 }
 
-/// Writes a request and closes its connection a little later, whatever has come until then.
+/// Writes a request and closes its connection after `wait`, without reading the answer.
 fn abandon_request(mut caller: Caller, request: &Request, wait: time::Duration) {
-    // A connection that has ended already is left as well.
+    // A failed write needs no handling: the request is abandoned anyway.
     let _ = caller.write(request);
     thread::sleep(wait);
 }
