--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -1,4 +1,4 @@
-//! A fleet that faults strike, and what was noted of them.
+//! Injects faults into a running fleet and records the periods that they disturb.
 
 use std::{
     collections, ops, sync, thread,
@@ -19,54 +19,71 @@
     store_drill,
 };
 
-/// Time from SIGTERM within which an instance has ended.
+/// Time from SIGTERM within which an instance must exit.
 pub(crate) const STOP_GRACE_PERIOD: Duration = Duration::from_secs(8);
-/// Time after a disturbance that still counts as disturbed: the platform's bound.
+/// Time after the end of a fault that still counts as disturbed: the platform's bound for recovery.
 const RECOVERY_MARGIN: Duration = Duration::from_millis(3_000);
 
-/// What another writer writes: no code of any text, no entry, an entry of nobody.
+/// Entries that another writer may leave in the store and that list no usable upstream: invalid
+/// encodings, an empty object and an entry with a malformed address.
 const INVALID_ENTRIES: [&str; 4] = ["!", "e30=", "[[[[", r#"{"service":"plain","address":7}"#];
 
-/// What ends a fault.
+/// Action that ends a fault. The names are written to the fault log.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum FaultEnd {
+    /// Starts an instance.
     Start(u8),
+    /// Sends SIGCONT to an instance.
     Continue(u8),
+    /// Makes the store work again.
     StoreGood,
+    /// Makes the link of one instance to the store work again, or all such links for `None`.
     StoreLinkGood(Option<u8>),
+    /// Makes the link on which members read documents of an instance work again.
     MemberLinkGood(u8),
+    /// Makes an upstream work again.
     UpstreamGood(u8),
+    /// Makes the link to an upstream work again.
     UpstreamLinkGood(u8),
+    /// Lists an upstream as ready.
     Return(u8),
+    /// Restarts an upstream and lists it as ready.
     Restart(u8),
+    /// Lets an upstream accept requests again.
     RestOver(u8),
+    /// Lets an upstream announce no rate limit any more.
     LimitOver(u8),
+    /// Ends the evacuation of the data centre of an upstream.
     Restore(u8),
+    /// Lists an engine as no longer cold.
     Warm(u8),
+    /// Restores the store from a copy of the first duration's age; lost entries are written again
+    /// after the second.
     StoreReturn(Duration, Duration),
+    /// Writes the entries again that the store lost.
     Rewrite,
 }
 
-/// A fleet with its faults.
+/// A fleet, the faults in force and the evidence recorded so far.
 pub(crate) struct FaultInjector {
-    /// The fleet.
+    /// Fleet that faults are injected into.
     pub(crate) fleet: Fleet,
-    /// What has been seen.
+    /// Observations and disturbed periods.
     pub(crate) evidence: Evidence,
-    /// Configurations so far.
+    /// Configurations published so far.
     pub(crate) published: config_probe::PublicationLog,
-    /// Faults as they struck, for whoever looks for a cause.
+    /// Lines of the fault log: starts and ends of faults with their times.
     pub(crate) fault_log: Vec<String>,
-    /// Faults that have not ended.
+    /// Pending ends of faults with the time at which each is due.
     ends: Vec<(Instant, FaultEnd)>,
-    /// Losses of contact by instances that were told to end, until they are started again.
+    /// Index in `contact_losses` of the entry of each stopping instance, until it is started again.
     stopping: collections::HashMap<u8, usize>,
-    /// Copies of the store, where the plan has drills.
+    /// Recent copies of the store, if the plan has drills.
     copies: Option<store_drill::CopyLog>,
 }
 
 impl FaultInjector {
-    /// A fleet that nothing has struck.
+    /// Creates an injector for a fleet without faults.
     pub(crate) fn new(fleet: Fleet) -> Self {
         Self {
             fleet,
@@ -79,12 +96,12 @@
         }
     }
 
-    /// The first upstream of the plain service.
+    /// Returns the number of the first upstream of the plain service.
     pub(crate) fn first_plain(&self) -> u8 {
         self.fleet.engines.len() as u8
     }
 
-    /// Lets all faults of a plan strike and end in their time.
+    /// Injects and ends the faults of a plan at their times, for `length`.
     pub(crate) fn inject_all(&mut self, plan: &[PlannedFault], length: Duration) {
         if plan.iter().any(|planned| matches!(planned.fault, Fault::Evacuate(_))) {
             self.isolate_data_centers();
@@ -107,7 +124,8 @@
         self.end_drills();
     }
 
-    /// Ends drills at once, and writes again what they lost: until then the store lacks what was published.
+    /// Ends pending drills at once and writes lost entries again, so that the store has every
+    /// published configuration.
     fn end_drills(&mut self) {
         let is_drill =
             |end: &FaultEnd| matches!(end, FaultEnd::StoreReturn(..) | FaultEnd::Rewrite);
@@ -117,6 +135,7 @@
         }
     }
 
+    /// Injects a fault now and records the periods that it disturbs.
     fn inject(&mut self, planned: &PlannedFault) {
         let now = Instant::now();
         let until = now + planned.length;
@@ -193,7 +212,7 @@
         }
     }
 
-    /// Strikes a link, or the connections that are open on it.
+    /// Injects a fault of a link, or silences the connections open on it.
     fn inject_link_fault(&mut self, fault: Fault, until: Instant) {
         let all = 0..self.fleet.instances.len() as u8;
         match fault {
@@ -222,7 +241,8 @@
         }
     }
 
-    /// Lets open connections fall silent, which counts as a reset of all instances' connections.
+    /// Silences open connections, which counts as a loss of contact of all instances at this
+    /// moment.
     fn silence(&mut self, fault: Fault) {
         let now = Instant::now();
         self.record_contact_loss(None, now);
@@ -252,7 +272,7 @@
         self.record_external_fault(now);
     }
 
-    /// Ends what is due, and starts again what has ended.
+    /// Ends the faults that are due, and restarts instances that have exited.
     pub(crate) fn end_due(&mut self, now: Instant) {
         let (due, later): (Vec<_>, Vec<_>) = self.ends.drain(..).partition(|(at, _)| *at <= now);
         self.ends = later;
@@ -262,20 +282,20 @@
             self.end(end);
         }
         for number in 0..self.fleet.instances.len() as u8 {
-            // One that was asked to end and has is started again.
+            // Restarts an instance that has exited after SIGTERM.
             if self.fleet.wait_end(number, Duration::from_millis(1)).is_some() {
                 self.end(FaultEnd::Start(number));
             }
         }
     }
 
-    /// Ends all faults.
+    /// Ends all pending faults at once.
     pub(crate) fn end_all(&mut self) {
         let ends: Vec<_> = self.ends.drain(..).collect();
         ends.into_iter().for_each(|(_, end)| self.end(end));
     }
 
-    /// Ends a fault.
+    /// Ends a fault and logs its end.
     pub(crate) fn end(&mut self, end: FaultEnd) {
         let now = Instant::now();
         self.fault_log
@@ -330,7 +350,7 @@
                 self.list(number, false);
             }
             FaultEnd::Restart(number) => {
-                // Another start has said nothing; what ran at the one before is lost.
+                // Signals from before the restart no longer apply, and running requests are lost.
                 self.restart(number);
                 self.record_external_fault(now);
                 self.list(number, false);
@@ -352,7 +372,7 @@
         if let Err(error) = self.fleet.start_instance(number) {
             self.evidence.violations.push(format!("instance {number} does not start: {error}"));
         }
-        // On a busy machine the start itself takes a while.
+        // Uses the time after the start, which may take long on a busy host.
         let now = Instant::now();
         self.record_contact_loss(Some(number), now);
         if let Some(stop) = self.stopping.remove(&number) {
@@ -375,7 +395,7 @@
         self.ends.push((until, FaultEnd::Start(number)));
     }
 
-    /// Starts an upstream again.
+    /// Restarts an upstream and records the restart.
     fn restart(&mut self, number: u8) {
         self.evidence.upstream_restarts.push((number, Instant::now()));
         self.fleet.runners()[usize::from(number)].restart();
@@ -383,7 +403,8 @@
 
     fn leave(&mut self, number: u8, until: Instant) {
         self.list(number, true);
-        // A start that has said that it leaves is not ready again after a drill.
+        // With drills, the upstream must restart: a process that was listed as leaving is not ready
+        // again after the store has returned from a copy.
         let end = match self.copies {
             Some(_) => FaultEnd::Restart(number),
             None => FaultEnd::Return(number),
@@ -391,7 +412,7 @@
         self.ends.push((until, end));
     }
 
-    /// Puts each upstream into a data centre of its own, away from the instances.
+    /// Lists each upstream in a data centre of its own, apart from the instances.
     fn isolate_data_centers(&mut self) {
         for (number, runner) in self.fleet.runners().into_iter().enumerate() {
             self.fleet.zones.insert(runner.name.clone(), data_center_of(number));
@@ -399,7 +420,8 @@
         self.fleet.list_all();
     }
 
-    /// Evacuates the data centre of an upstream; like one that leaves it must get no more work in time.
+    /// Evacuates the data centre of an upstream, which is recorded as leaving: it must get no more
+    /// requests within the same bound.
     fn evacuate(&mut self, number: u8, until: Instant) {
         self.fleet.evacuate(&data_center_of(usize::from(number)), true);
         let listing = UpstreamListing { upstream: number, leaving: true, at: Instant::now() };
@@ -407,7 +429,7 @@
         self.ends.push((until, FaultEnd::Restore(number)));
     }
 
-    /// Another writer's entry stands where an upstream's did: it names nobody to use.
+    /// Replaces the entry of an upstream by an invalid one and records the upstream as leaving.
     fn overwrite_entry(&mut self, number: u8) {
         let name = self.fleet.runners()[usize::from(number)].name.clone();
         let invalid = INVALID_ENTRIES[usize::from(number) % INVALID_ENTRIES.len()];
@@ -416,7 +438,7 @@
         self.evidence.listings.push(listing);
     }
 
-    /// Writes an entry that names nobody under a key of its own.
+    /// Writes an invalid entry under a key that belongs to no upstream.
     fn write_invalid_entry(&self, number: u8) {
         let invalid = INVALID_ENTRIES[usize::from(number) % INVALID_ENTRIES.len()];
         let key = format!("servers/odd-{number}");
@@ -427,7 +449,7 @@
         }
     }
 
-    /// Lists an upstream as leaving, or as ready.
+    /// Lists an upstream as leaving or as ready, and records the change.
     pub(crate) fn list(&mut self, number: u8, leaving: bool) {
         let index = usize::from(number);
         let state = if leaving { "draining" } else { "ready" };
@@ -436,7 +458,7 @@
         self.evidence.listings.push(listing);
     }
 
-    /// Publishes the next configuration.
+    /// Publishes the next configuration, which adds a route.
     pub(crate) fn publish(&mut self) {
         self.published.publish(&mut self.fleet);
     }
@@ -447,17 +469,20 @@
         }
     }
 
-    /// Notes that an instance, or all, is out of contact until some time, and a while longer.
+    /// Records that an instance, or all for `None`, is out of contact from now until `until` plus
+    /// [`RECOVERY_MARGIN`].
     fn record_contact_loss(&mut self, instance: Option<u8>, until: Instant) {
         let lost = Disturbance { instance, from: Instant::now(), to: until + RECOVERY_MARGIN };
         self.evidence.contact_losses.push(lost);
     }
 
+    /// Records that the link to an upstream fails from now until `until` plus [`RECOVERY_MARGIN`].
     fn record_link_fault(&mut self, upstream: u8, until: Instant) {
         let trouble = LinkFault { upstream, from: Instant::now(), to: until + RECOVERY_MARGIN };
         self.evidence.link_faults.push(trouble);
     }
 
+    /// Records an unplanned outage, which is also a loss of contact, until `until` plus the margin.
     fn record_disturbance(&mut self, instance: Option<u8>, until: Instant) {
         self.record_contact_loss(instance, until);
         let disturbance =
@@ -465,6 +490,7 @@
         self.evidence.unplanned_outages.push(disturbance);
     }
 
+    /// Records a fault of an upstream or a link until `until` plus the margin.
     fn record_external_fault(&mut self, until: Instant) {
         let disturbance =
             Disturbance { instance: None, from: Instant::now(), to: until + RECOVERY_MARGIN };
@@ -472,12 +498,12 @@
     }
 }
 
-/// The link of one number, or all.
+/// Returns the link with a number, or all links for `None`.
 fn select_links(links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
     number.map_or(links, |number| &links[usize::from(number)..][..1])
 }
 
-/// The data centre of an upstream by its number.
+/// Returns the name of the data centre of an upstream.
 fn data_center_of(number: usize) -> String {
     format!("zone-{number}")
 }
