--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: a fleet, its traffic, the faults of a plan, the judgement.
+//! Runs one seed: starts a fleet and its traffic, injects the planned faults and checks the
+//! outcome.
 
 use std::{
     fs, io, path,
@@ -21,41 +22,41 @@
     traffic::Traffic,
 };
 
-/// How a run is made.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// The instances' program.
+    /// Path of the instance program.
     pub program: path::PathBuf,
-    /// What decides the plan.
+    /// Seed that determines the plan.
     pub seed: u64,
-    /// Length of the first part; see [`fault_plan`].
+    /// Length of the first part of the run; see [`fault_plan`].
     pub length: Duration,
-    /// Instances.
+    /// Number of instances.
     pub instances: u8,
-    /// Clients.
+    /// Number of clients.
     pub clients: u64,
 }
 
-/// What a run came to.
+/// Outcome of a run.
 #[derive(Debug)]
 pub struct RunReport {
-    /// Violations; empty for a clean run.
+    /// Descriptions of the violations; empty where every promise was kept.
     pub violations: Vec<String>,
-    /// Requests sent, and answered well.
+    /// Number of requests sent, and how many of them got a good answer.
     pub requests: (usize, usize),
-    /// Folder with the logs of a run with violations.
+    /// Folder with the logs, which are kept only for a run with violations.
     pub logs: Option<path::PathBuf>,
 }
 
-/// Engines of a run, and upstreams of the plain service.
+/// Number of engines in the fleet.
 const ENGINES: u8 = 4;
-/// See [`ENGINES`].
+/// Number of upstreams of the plain service.
 const PLAIN: u8 = 3;
 
-/// File in the logs' folder with the faults as they struck, and the violations.
+/// File in the log folder that lists the injected faults with their times, and the violations.
 const FAULT_LOG_FILE: &str = "strikes.txt";
 
-/// The plan of a run.
+/// Returns the plan of a run.
 pub fn plan(options: &RunOptions) -> Vec<PlannedFault> {
     fault_plan::plan(options.seed, size(options))
 }
@@ -69,7 +70,7 @@
     }
 }
 
-/// Plays a seed.
+/// Runs a seed and checks its outcome; fails where the fleet cannot be started.
 pub fn run(options: &RunOptions) -> io::Result<RunReport> {
     let size =
         FleetPlan { instances: options.instances, engines: ENGINES, plain: PLAIN, proxied: true };
@@ -93,7 +94,7 @@
     Ok(RunReport { violations, requests: (sent.len(), good), logs })
 }
 
-/// Plays the plan while clients send requests and ask for configurations.
+/// Injects the planned faults while clients send requests and probe the configuration.
 fn inject_under_traffic(injector: &mut FaultInjector, options: &RunOptions) {
     let addresses: Vec<_> =
         (0..options.instances).map(|number| injector.fleet.callers(number)).collect();
@@ -105,13 +106,13 @@
     injector.evidence.probes = prober.finish();
 }
 
-/// When traffic begins, by the clock that instances' log lines bear.
+/// Returns a line that relates the seconds of the fault log to the clock of the instances' logs.
 fn time_origin_line() -> String {
     let began = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
     format!("second 0 is {} ms in the logs", began.as_millis())
 }
 
-/// Takes over what upstreams have noted.
+/// Adds the requests, runs and limits that upstreams recorded to the evidence.
 fn record_runs(fleet: &Fleet, evidence: &mut Evidence) {
     for (upstream, runner) in (0..).zip(fleet.runners()) {
         let requests = runner.arrivals().into_iter();
@@ -143,7 +144,8 @@
     evidence.arrivals.sort_by_key(|arrival| arrival.at);
 }
 
-/// The limits that an upstream named, each until the next.
+/// Returns the rate limits that an upstream announced, each valid until the next. Texts that are
+/// not numbers, such as the empty one that ends a limit, yield none.
 fn named_limits(upstream: u8, limits: &[runner::NamedLimit]) -> Vec<NamedLimit> {
     let ends = limits.iter().skip(1).map(|limit| limit.since).chain([time::Instant::now()]);
     let named = |(limit, until): (&runner::NamedLimit, _)| {
