--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-run_seeds`: see the library of the same name.
+//! Runs the soak for one or several seeds and prints the violations found.
 
 use std::{path, process, time};
 
@@ -12,7 +12,7 @@
     about: "Runs real instances under random faults from outside and checks their promises.",
 };
 
-/// Most instances that the stand-in's addresses hold.
+/// Maximum number of instances that the stand-in has addresses for.
 const MAX_INSTANCES: u64 = 40;
 
 fn main() -> process::ExitCode {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Plays the seeds; how many of them found something.
+/// Runs the seeds and returns how many of them had violations.
 fn run_seeds(matches: &getopts::Matches) -> Result<u64, String> {
     let number = |name: &str, default: u64| match matches.opt_str(name) {
         None => Ok(default),
