--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,6 @@
-//! Runs real instances as processes, injects faults from outside, checks what callers and
-//! upstreams see. A seed decides the whole plan; clients' own timing does not repeat exactly.
+//! Runs real instances as processes, injects faults from outside and checks what clients and
+//! upstreams observe. A seed determines the plan of faults; the timing of clients varies between
+//! runs.
 
 pub mod check;
 pub mod config_check;
