--- a/crates/soak/tests/dense_plans.rs
+++ b/crates/soak/tests/dense_plans.rs
@@ -1,7 +1,7 @@
-//! Faults of the first part stay what they were, whatever is added beside them: seeds that once
-//! found something go on standing for it.
+//! The dense faults of the first part of a plan stay the same when other kinds of faults are added,
+//! so that seeds that once exposed a fault keep exposing it.
 //!
-//! Each file of `dense_plans` holds the faults of a seed's first part.
+//! Each file in `dense_plans` is named after its seed and lists the faults of the first part.
 
 use std::{fs, path, time};
 
@@ -15,12 +15,16 @@
 };
 
 fn dense_faults_stay(input: &path::Path) -> datatest_stable::Result<()> {
-    let seed = input.file_stem().and_then(|stem| stem.to_str()).ok_or("no seed")?.parse()?;
+    let seed = input
+        .file_stem()
+        .and_then(|stem| stem.to_str())
+        .ok_or("the file name is not a seed")?
+        .parse()?;
     let planned: Vec<_> = fault_plan::plan(seed, SIZE).iter().map(ToString::to_string).collect();
     let mut rest = planned.iter();
     for line in fs::read_to_string(input)?.lines() {
         if !rest.any(|planned| planned.trim() == line.trim()) {
-            return Err(format!("not there or not in order: {line}").into());
+            return Err(format!("missing from the plan or out of order: {line}").into());
         }
     }
     Ok(())
