--- a/crates/soak/tests/plans.rs
+++ b/crates/soak/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans: a seed decides all, and scenes leave time for what is judged.
+//! Plans are determined by their seed, are in order of time and end within the run.
 
 use std::time;
 
@@ -13,18 +13,18 @@
     engines: 4,
     length: time::Duration::from_secs(8),
 };
-/// Seeds that are looked at.
+/// Seeds whose plans are checked.
 const SEEDS: std::ops::Range<u64> = 0..100;
 
 #[test]
-fn a_seed_decides_the_plan() {
+fn the_same_seed_yields_the_same_plan() {
     for seed in SEEDS {
         assert_eq!(fault_plan::plan(seed, SIZE), fault_plan::plan(seed, SIZE));
     }
 }
 
 #[test]
-fn plans_are_in_order_and_end_in_time() {
+fn plans_are_in_order_of_time_and_end_within_the_run() {
     let end = SIZE.length + contact_plan::scenes_length(SIZE);
     for plan in SEEDS.map(|seed| fault_plan::plan(seed, SIZE)) {
         assert!(plan.is_sorted_by_key(|planned| planned.at));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn plans_of_earlier_seeds_have_no_restarts_and_later_ones_have() {
+fn restarts_and_invalid_entries_are_planned_only_from_seed_20000_on() {
     let odd = |planned: &fault_plan::PlannedFault| {
         matches!(planned.fault, Fault::Restart(_) | Fault::Overwrite(_) | Fault::Litter(_))
     };
