--- a/crates/soak/tests/violations.rs
+++ b/crates/soak/tests/violations.rs
@@ -1,4 +1,4 @@
-//! What the soak takes for a violation, and what it excuses.
+//! Which observations the soak reports as violations, and which disturbances excuse them.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +15,10 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const MILLI: Duration = Duration::from_millis(1);
-const UNKNOWN: Outcome = Outcome::Status(404, None);
+const UNKNOWN_ROUTE: Outcome = Outcome::Status(404, None);
 
-/// A run with two configurations, at its start and 10 s later.
-fn published() -> Evidence {
+/// Returns evidence with two configurations, published at the start and 10 s later.
+fn with_publications() -> Evidence {
     let mut evidence = Evidence::new();
     evidence.publications = (0..2)
         .map(|number| Publication {
@@ -30,7 +30,7 @@
     evidence
 }
 
-fn ask(evidence: &mut Evidence, target: ProbeTarget, at: Duration, outcome: Outcome) {
+fn add_probe(evidence: &mut Evidence, target: ProbeTarget, at: Duration, outcome: Outcome) {
     let from = evidence.started + at;
     let id = format!("probe-config-0-{}", evidence.probes.len());
     let probe = ConfigProbe { id, instance: 0, target, from, to: from + MILLI, outcome };
@@ -48,22 +48,23 @@
 }
 
 #[test]
-fn a_route_that_is_unknown_too_late_is_a_violation() {
+fn a_route_still_unknown_after_the_bound_is_a_violation() {
     for (at, found) in [(12_200, 0), (12_400, 1)] {
-        let mut evidence = published();
-        ask(&mut evidence, ProbeTarget::Route(1), MILLI * at, UNKNOWN);
+        let mut evidence = with_publications();
+        add_probe(&mut evidence, ProbeTarget::Route(1), MILLI * at, UNKNOWN_ROUTE);
         assert_eq!(check::violations(&evidence).len(), found, "{at} ms");
     }
 }
 
-/// A store that was to be lost for half a second was lost for four, as the order to end that waited for an instance's
-/// start; instances that could not know the new route were blamed for it.
+/// Guards against violations reported for a fault that ended late: a store outage planned for half
+/// a second lasted four, as its end waited for an instance to start, and instances were blamed for
+/// not knowing a route that they could not have read.
 #[test]
-fn what_ends_later_than_planned_excuses_until_its_end() {
+fn a_fault_that_ends_late_excuses_until_its_actual_end() {
     for (prolonged, found) in [(false, 1), (true, 0)] {
-        let mut evidence = published();
+        let mut evidence = with_publications();
         record_contact_loss(&mut evidence, None, SECOND * 10, SECOND * 11);
-        ask(&mut evidence, ProbeTarget::Route(1), MILLI * 14_500, UNKNOWN);
+        add_probe(&mut evidence, ProbeTarget::Route(1), MILLI * 14_500, UNKNOWN_ROUTE);
         if prolonged {
             let planned = evidence.started + SECOND * 11;
             evidence.extend_to_actual_end(planned, planned + SECOND * 4);
@@ -73,14 +74,14 @@
 }
 
 #[test]
-fn a_removed_key_that_is_taken_too_late_is_a_violation() {
+fn a_removed_key_still_accepted_after_the_bound_is_a_violation() {
     for (at, outcome, found) in [
         (12_200, Outcome::Good, 0),
         (12_400, Outcome::Good, 1),
         (12_400, Outcome::Status(401, None), 0),
     ] {
-        let mut evidence = published();
-        ask(&mut evidence, ProbeTarget::RemovedKey(0), MILLI * at, outcome);
+        let mut evidence = with_publications();
+        add_probe(&mut evidence, ProbeTarget::RemovedKey(0), MILLI * at, outcome);
         assert_eq!(check::violations(&evidence).len(), found, "{at} ms");
     }
 }
@@ -88,26 +89,26 @@
 #[test]
 fn only_the_instance_out_of_contact_is_excused() {
     for (instance, found) in [(None, 0), (Some(0), 0), (Some(1), 1)] {
-        let mut evidence = published();
+        let mut evidence = with_publications();
         record_contact_loss(&mut evidence, instance, SECOND * 11, SECOND * 14);
-        ask(&mut evidence, ProbeTarget::Route(1), SECOND * 13, UNKNOWN);
+        add_probe(&mut evidence, ProbeTarget::Route(1), SECOND * 13, UNKNOWN_ROUTE);
         assert_eq!(check::violations(&evidence).len(), found, "{instance:?}");
     }
 }
 
 #[test]
-fn falling_back_is_never_excused_but_by_a_new_start() {
+fn only_a_restart_excuses_falling_back_to_an_older_configuration() {
     for (start, found) in [(None, 1), (Some(SECOND * 11), 0)] {
-        let mut evidence = published();
+        let mut evidence = with_publications();
         record_contact_loss(&mut evidence, None, Duration::ZERO, SECOND * 60);
-        ask(&mut evidence, ProbeTarget::Route(1), MILLI * 10_500, Outcome::Good);
-        ask(&mut evidence, ProbeTarget::Route(1), MILLI * 11_500, UNKNOWN);
+        add_probe(&mut evidence, ProbeTarget::Route(1), MILLI * 10_500, Outcome::Good);
+        add_probe(&mut evidence, ProbeTarget::Route(1), MILLI * 11_500, UNKNOWN_ROUTE);
         evidence.starts.extend(start.map(|start| (0, evidence.started + start)));
         assert_eq!(check::violations(&evidence).len(), found, "{start:?}");
     }
 }
 
-/// A run with one request of instance 0 that reaches upstream 5 at some time.
+/// Returns evidence with one request, sent to instance 0, that reaches upstream 5 at `at`.
 fn with_arrival(at: Duration) -> Evidence {
     let mut evidence = Evidence::new();
     let at = evidence.started + at;
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn a_request_at_an_upstream_that_left_long_ago_is_a_violation() {
+fn a_request_at_an_upstream_listed_as_leaving_after_the_bound_is_a_violation() {
     for (at, found) in [(4_900, 0), (7_100, 0), (7_300, 1), (9_100, 0)] {
         let mut evidence = with_arrival(MILLI * at);
         add_listing(&mut evidence, 5, true, SECOND * 5);
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn a_link_in_trouble_or_a_lost_contact_excuses_a_late_request() {
+fn a_link_fault_or_a_loss_of_contact_excuses_a_request_at_a_leaving_upstream() {
     let mut evidence = with_arrival(SECOND * 8);
     add_listing(&mut evidence, 5, true, SECOND * 5);
     record_contact_loss(&mut evidence, Some(0), SECOND * 4, MILLI * 7_500);
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn a_request_that_runs_long_behind_its_callers_leaving_is_a_violation() {
+fn a_request_started_long_after_its_caller_left_is_a_violation() {
     for (left, found) in [(7_500, 0), (7_200, 1)] {
         let mut evidence = with_arrival(SECOND * 8);
         let request = &mut evidence.sent[0];
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn work_that_goes_on_long_behind_its_callers_leaving_is_a_violation() {
+fn work_continued_long_after_the_caller_left_is_a_violation() {
     for (ended, found) in [(8_600, 0), (8_800, 1)] {
         let mut evidence = with_arrival(SECOND * 8);
         evidence.sent[0].outcome = None;
@@ -179,26 +180,27 @@
 }
 
 #[test]
-fn a_resting_connection_ends_only_with_a_cause() {
+fn an_idle_connection_closed_without_an_outage_is_a_violation() {
     for (kill, found) in [(None, 1), (Some(SECOND * 2), 1), (Some(SECOND * 5), 0)] {
         let mut evidence = with_arrival(SECOND * 8);
         evidence.sent[0].closed_idle_since = Some(evidence.started + SECOND * 4);
-        let struck = kill.map(|kill| {
+        let outage = kill.map(|kill| {
             let from = evidence.started + kill;
             Disturbance { instance: Some(0), from, to: from + SECOND }
         });
-        evidence.unplanned_outages.extend(struck);
+        evidence.unplanned_outages.extend(outage);
         assert_eq!(check::violations(&evidence).len(), found, "{kill:?}");
     }
 }
 
-/// A request of an instance that was served at once.
+/// Returns a request that an instance answered well at once.
 fn served(id: String, instance: u8, at: Instant) -> SentRequest {
     let outcome = Some(Outcome::Good);
     SentRequest { id, route: "safe", instance, outcome, from: at, to: at, closed_idle_since: None }
 }
 
-/// A run with one request of instance 0 that an upstream answered with a word at 1 s, and another there later.
+/// Returns evidence with a request of instance 0 that upstream 5 answered with a signal at 1 s, and
+/// a second request that reached the same upstream at `later`.
 fn with_signal(leaving: bool, rest: Option<Duration>, later: Duration) -> Evidence {
     let mut evidence = Evidence::new();
     let [told, at] = [SECOND, later].map(|at| evidence.started + at);
@@ -219,7 +221,7 @@
 }
 
 #[test]
-fn a_request_behind_a_word_is_a_violation() {
+fn a_request_sent_despite_a_signal_is_a_violation() {
     let three = Some(SECOND * 3);
     for (leaving, rest, later, found) in [
         (true, None, 3_100, 0),
@@ -237,23 +239,23 @@
 }
 
 #[test]
-fn another_start_a_lost_contact_and_a_harmed_link_excuse_it() {
-    let mut renewed = with_signal(true, None, SECOND * 10);
-    renewed.upstream_restarts.push((5, renewed.started + SECOND * 2));
-    assert_eq!(check::violations(&renewed).len(), 0);
+fn a_restart_a_loss_of_contact_or_a_link_fault_excuses_a_request_despite_a_signal() {
+    let mut restarted = with_signal(true, None, SECOND * 10);
+    restarted.upstream_restarts.push((5, restarted.started + SECOND * 2));
+    assert_eq!(check::violations(&restarted).len(), 0);
     for (instance, found) in [(0, 0), (1, 1)] {
         let mut evidence = with_signal(true, None, SECOND * 10);
         record_contact_loss(&mut evidence, Some(instance), SECOND * 2, SECOND * 5);
         assert_eq!(check::violations(&evidence).len(), found, "instance {instance}");
     }
-    let mut harmed = with_signal(false, Some(SECOND * 20), SECOND * 10);
-    let (from, to) = (harmed.started, harmed.started + SECOND * 2);
-    harmed.link_faults.push(LinkFault { upstream: 5, from, to });
-    assert_eq!(check::violations(&harmed).len(), 0);
+    let mut link_failed = with_signal(false, Some(SECOND * 20), SECOND * 10);
+    let (from, to) = (link_failed.started, link_failed.started + SECOND * 2);
+    link_failed.link_faults.push(LinkFault { upstream: 5, from, to });
+    assert_eq!(check::violations(&link_failed).len(), 0);
 }
 
-/// A run with so many requests of two instances in turn, 100 ms apart from 1 s on, at an upstream that has named 2 a
-/// second in all its answers.
+/// Returns evidence with `count` requests, sent alternately to two instances, that reach an
+/// upstream 100 ms apart from 1 s on; all its answers announce a limit of 2 requests a second.
 fn with_limit(count: u32) -> Evidence {
     let mut evidence = Evidence::new();
     let started = evidence.started;
@@ -275,17 +277,22 @@
     evidence
 }
 
-/// 17 in 4 s are allowed; of each instance those count that come half a second behind its first answer.
+/// 17 requests in 4 s are allowed; those of an instance count from half a second after its first
+/// answer.
 #[test]
-fn more_than_a_limit_allows_is_a_violation() {
+fn more_requests_than_a_limit_allows_is_a_violation() {
     for (count, found) in [(23, 0), (24, 1), (30, 1), (60, 1)] {
         let violations = check::violations(&with_limit(count));
         assert_eq!(violations.len(), found, "{count}: {violations:?}");
     }
     let mut cut = with_limit(30);
     record_contact_loss(&mut cut, Some(0), SECOND * 2, SECOND * 5);
-    assert_eq!(check::violations(&cut).len(), 0, "what is left of one instance's is half");
+    assert_eq!(check::violations(&cut).len(), 0, "only requests of the instance in contact count");
     let mut ended = with_limit(40);
     ended.limits[0].until = ended.started + SECOND * 2;
-    assert_eq!(check::violations(&ended).len(), 0, "the limit had ended");
+    assert_eq!(
+        check::violations(&ended).len(),
+        0,
+        "requests after the end of the limit do not count"
+    );
 }
