--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! What must hold, judged from what callers and upstreams saw.
+//! Checks the promises of the platform against what clients and upstreams observed.
 
 use std::{collections, time};
 
@@ -7,44 +7,46 @@
 use crate::{
     config_check,
     evidence::{self, Disturbance, Evidence},
-    leave_check, limit_check,
+    leave_check, limit_check, signal_check,
     traffic::SentRequest,
-    word_check,
 };
 
-/// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// Statuses of an instance's own that deny what every configuration allows.
-const DENIALS: [u16; 5] = [400, 401, 403, 404, 413];
-/// Time beyond a request's own within which it must have ended.
-const SLACK: time::Duration = time::Duration::from_millis(1_500);
-/// Longest time a request may take: its client's deadline.
-const LIMIT: time::Duration = time::Duration::from_secs(6);
+/// Statuses by which an instance promises that the request has not run and never will.
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that an instance must not answer with: every configuration allows all requests that
+/// clients send.
+const DENIAL_STATUSES: [u16; 5] = [400, 401, 403, 404, 413];
+/// Time after its deadline within which a request must have ended.
+const END_SLACK: time::Duration = time::Duration::from_millis(1_500);
+/// Deadline that clients give with each request.
+const REQUEST_DEADLINE: time::Duration = time::Duration::from_secs(6);
 
-/// All violations.
+/// Returns a description of each violation in a run, those found during the run first.
 pub fn violations(evidence: &Evidence) -> Vec<String> {
-    let mut found = evidence.found.clone();
+    let mut found = evidence.violations.clone();
     let closed = evidence.sent.iter().filter(|request| closed_without_cause(evidence, request));
     found.extend(closed.map(|request| {
-        format!("closed a resting connection without cause: instance {}", request.instance)
+        format!("closed an idle connection without cause: instance {}", request.instance)
     }));
     for request in &evidence.sent {
-        found.extend(judge(evidence, request).map(|fault| {
+        found.extend(request_violation(evidence, request).map(|fault| {
             format!("{fault}: {} ({}) at instance {}", request.id, request.route, request.instance)
         }));
     }
     let sent: collections::HashSet<_> = evidence.sent.iter().map(|sent| sent.id.as_str()).collect();
     let unasked = evidence.runs.keys().filter(|id| !sent.contains(id.as_str()));
-    found.extend(unasked.map(|id| format!("a run that nobody asked for: {id:?}")));
+    found
+        .extend(unasked.map(|id| format!("an upstream ran a request that no client sent: {id:?}")));
     found.extend(config_check::violations(evidence));
     found.extend(leave_check::violations(evidence));
-    found.extend(word_check::violations(evidence));
+    found.extend(signal_check::violations(evidence));
     found.extend(limit_check::violations(evidence));
     found
 }
 
-/// What is wrong with a request; nothing but its runs where its client left.
-fn judge(evidence: &Evidence, request: &SentRequest) -> Option<String> {
+/// Returns how a request violated a promise. Where its client left without the answer, only the
+/// number of runs and their customer are checked.
+fn request_violation(evidence: &Evidence, request: &SentRequest) -> Option<String> {
     let record = evidence.runs.get(&request.id);
     let runs = record.map_or(0, |record| record.runs);
     let once = matches!(request.route, "unsafe" | "once");
@@ -56,36 +58,40 @@
     }
     match request.outcome.as_ref()? {
         Outcome::Wrong(what) => Some(format!("a wrong answer, {what}")),
-        Outcome::Status(status, _) if DENIALS.contains(status) => {
+        Outcome::Status(status, _) if DENIAL_STATUSES.contains(status) => {
             Some(format!("denied with {status}"))
         }
-        Outcome::Status(status, _) if PROMISES.contains(status) && once && runs > 0 => {
+        Outcome::Status(status, _)
+            if NOT_EXECUTED_STATUSES.contains(status) && once && runs > 0 =>
+        {
             Some(format!("ran although {status} says that it did not"))
         }
-        Outcome::Cut(false) if runs == 0 && disturbed(&evidence.stops, request) => None,
-        Outcome::Cut(_) if !disturbed(&evidence.unplanned, request) => {
-            let outside = disturbed(&evidence.outside, request);
-            // A broken upstream may cost an answer that has begun, or one that must not repeat.
-            (!outside).then(|| "cut without cause".to_owned())
+        Outcome::Cut(false) if runs == 0 && disturbed(&evidence.planned_stops, request) => None,
+        Outcome::Cut(_) if !disturbed(&evidence.unplanned_outages, request) => {
+            let external_fault = disturbed(&evidence.external_faults, request);
+            // An upstream that fails may cut an answer that has begun, or one whose request must
+            // not be repeated.
+            (!external_fault).then(|| "cut without cause".to_owned())
         }
-        _ if !disturbed(&evidence.unplanned, request) => {
+        _ if !disturbed(&evidence.unplanned_outages, request) => {
             let spent = request.to.duration_since(request.from);
-            (spent > LIMIT + SLACK).then(|| format!("took {spent:?}"))
+            (spent > REQUEST_DEADLINE + END_SLACK).then(|| format!("took {spent:?}"))
         }
         _ => None,
     }
 }
 
-/// Whether a request found that its instance had ended a resting connection early.
+/// Returns whether the instance closed the idle connection meant for a request before its idle
+/// timeout, with neither an outage nor a planned stop as the cause.
 fn closed_without_cause(evidence: &Evidence, request: &SentRequest) -> bool {
     let excused = |since| {
-        [&evidence.unplanned, &evidence.stops].into_iter().any(|disturbances| {
-            evidence::touched(disturbances, request.instance, since, request.from)
+        [&evidence.unplanned_outages, &evidence.planned_stops].into_iter().any(|disturbances| {
+            evidence::any_overlaps(disturbances, request.instance, since, request.from)
         })
     };
-    request.ended_rest.is_some_and(|since| !excused(since))
+    request.closed_idle_since.is_some_and(|since| !excused(since))
 }
 
 fn disturbed(disturbances: &[Disturbance], request: &SentRequest) -> bool {
-    evidence::touched(disturbances, request.instance, request.from, request.to)
+    evidence::any_overlaps(disturbances, request.instance, request.from, request.to)
 }
--- a/crates/soak/src/struck_fleet.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -1,4 +1,4 @@
-//! A fleet that faults strike, and what was noted of them.
+//! Injects faults into a running fleet and records the periods that they disturb.
 
 use std::{
     collections, ops, sync, thread,
@@ -14,80 +14,97 @@
 
 use crate::{
     config_probe,
-    evidence::{Disturbance, Evidence, LinkTrouble, UpstreamListing},
+    evidence::{Disturbance, Evidence, LinkFault, UpstreamListing},
     fault_plan::{Fault, PlannedFault},
     store_drill,
 };
 
-/// Time from SIGTERM within which an instance has ended.
-pub(crate) const GRACE: Duration = Duration::from_secs(8);
-/// Time after a disturbance that still counts as disturbed: the platform's bound.
-const AFTER: Duration = Duration::from_millis(3_000);
+/// Time from SIGTERM within which an instance must exit.
+pub(crate) const STOP_GRACE_PERIOD: Duration = Duration::from_secs(8);
+/// Time after the end of a fault that still counts as disturbed: the platform's bound for recovery.
+const RECOVERY_MARGIN: Duration = Duration::from_millis(3_000);
 
-/// What another writer writes: no code of any text, no entry, an entry of nobody.
-const ODD_VALUES: [&str; 4] = ["!", "e30=", "[[[[", r#"{"service":"plain","address":7}"#];
+/// Entries that another writer may leave in the store and that list no usable upstream: invalid
+/// encodings, an empty object and an entry with a malformed address.
+const INVALID_ENTRIES: [&str; 4] = ["!", "e30=", "[[[[", r#"{"service":"plain","address":7}"#];
 
-/// What ends a fault.
+/// Action that ends a fault. The names are written to the fault log.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum FaultEnd {
+    /// Starts an instance.
     Start(u8),
+    /// Sends SIGCONT to an instance.
     Continue(u8),
+    /// Makes the store work again.
     StoreGood,
+    /// Makes the link of one instance to the store work again, or all such links for `None`.
     StoreLinkGood(Option<u8>),
+    /// Makes the link on which members read documents of an instance work again.
     MemberLinkGood(u8),
+    /// Makes an upstream work again.
     UpstreamGood(u8),
+    /// Makes the link to an upstream work again.
     UpstreamLinkGood(u8),
+    /// Lists an upstream as ready.
     Return(u8),
+    /// Restarts an upstream and lists it as ready.
     Restart(u8),
+    /// Lets an upstream accept requests again.
     RestOver(u8),
+    /// Lets an upstream announce no rate limit any more.
     LimitOver(u8),
+    /// Ends the evacuation of the data centre of an upstream.
     Restore(u8),
+    /// Lists an engine as no longer cold.
     Warm(u8),
+    /// Restores the store from a copy of the first duration's age; lost entries are written again
+    /// after the second.
     StoreReturn(Duration, Duration),
+    /// Writes the entries again that the store lost.
     Rewrite,
 }
 
-/// A fleet with its faults.
-pub(crate) struct StruckFleet {
-    /// The fleet.
+/// A fleet, the faults in force and the evidence recorded so far.
+pub(crate) struct FaultInjector {
+    /// Fleet that faults are injected into.
     pub(crate) fleet: Fleet,
-    /// What has been seen.
+    /// Observations and disturbed periods.
     pub(crate) evidence: Evidence,
-    /// Configurations so far.
+    /// Configurations published so far.
     pub(crate) published: config_probe::PublicationLog,
-    /// Faults as they struck, for whoever looks for a cause.
-    pub(crate) strikes: Vec<String>,
-    /// Faults that have not ended.
+    /// Lines of the fault log: starts and ends of faults with their times.
+    pub(crate) fault_log: Vec<String>,
+    /// Pending ends of faults with the time at which each is due.
     ends: Vec<(Instant, FaultEnd)>,
-    /// Losses of contact by instances that were told to end, until they are started again.
+    /// Index in `contact_losses` of the entry of each stopping instance, until it is started again.
     stopping: collections::HashMap<u8, usize>,
-    /// Copies of the store, where the plan has drills.
+    /// Recent copies of the store, if the plan has drills.
     copies: Option<store_drill::CopyLog>,
 }
 
-impl StruckFleet {
-    /// A fleet that nothing has struck.
+impl FaultInjector {
+    /// Creates an injector for a fleet without faults.
     pub(crate) fn new(fleet: Fleet) -> Self {
         Self {
             fleet,
             evidence: Evidence::new(),
             published: config_probe::PublicationLog::default(),
-            strikes: Vec::new(),
+            fault_log: Vec::new(),
             ends: Vec::new(),
             stopping: collections::HashMap::new(),
             copies: None,
         }
     }
 
-    /// The first upstream of the plain service.
+    /// Returns the number of the first upstream of the plain service.
     pub(crate) fn first_plain(&self) -> u8 {
         self.fleet.engines.len() as u8
     }
 
-    /// Lets all faults of a plan strike and end in their time.
-    pub(crate) fn strike_all(&mut self, plan: &[PlannedFault], length: Duration) {
+    /// Injects and ends the faults of a plan at their times, for `length`.
+    pub(crate) fn inject_all(&mut self, plan: &[PlannedFault], length: Duration) {
         if plan.iter().any(|planned| matches!(planned.fault, Fault::Evacuate(_))) {
-            self.divide();
+            self.isolate_data_centers();
         }
         if plan.iter().any(|planned| matches!(planned.fault, Fault::Drill { .. })) {
             self.copies = Some(store_drill::CopyLog::default());
@@ -96,7 +113,7 @@
         let mut next = plan.iter().peekable();
         while started.elapsed() < length {
             while let Some(planned) = next.next_if(|planned| planned.at <= started.elapsed()) {
-                self.strike(planned);
+                self.inject(planned);
             }
             self.end_due(Instant::now());
             if let Some(copies) = &mut self.copies {
@@ -107,7 +124,8 @@
         self.end_drills();
     }
 
-    /// Ends drills at once, and writes again what they lost: until then the store lacks what was published.
+    /// Ends pending drills at once and writes lost entries again, so that the store has every
+    /// published configuration.
     fn end_drills(&mut self) {
         let is_drill =
             |end: &FaultEnd| matches!(end, FaultEnd::StoreReturn(..) | FaultEnd::Rewrite);
@@ -117,10 +135,12 @@
         }
     }
 
-    fn strike(&mut self, planned: &PlannedFault) {
+    /// Injects a fault now and records the periods that it disturbs.
+    fn inject(&mut self, planned: &PlannedFault) {
         let now = Instant::now();
         let until = now + planned.length;
-        self.strikes.push(format!("{:>6.2} s: {planned}", self.evidence.second(now)));
+        self.fault_log
+            .push(format!("{:>6.2} s: {planned}", self.evidence.seconds_since_start(now)));
         match planned.fault {
             Fault::Kill(number) => self.kill(number, until),
             Fault::KillAll => {
@@ -131,17 +151,17 @@
             Fault::Stop(number) => self.stop(number),
             Fault::Reload(number) => self.fleet.signal(number, "HUP"),
             Fault::Pause(number) => {
-                self.disturb(Some(number), until);
+                self.record_disturbance(Some(number), until);
                 self.fleet.signal(number, "STOP");
                 self.ends.push((until, FaultEnd::Continue(number)));
             }
             Fault::Store(mode) => {
-                self.lose_contact(None, until);
+                self.record_contact_loss(None, until);
                 self.fleet.store.set_mode(mode);
                 self.ends.push((until, FaultEnd::StoreGood));
             }
             Fault::Drill { age_ms, rewrite_ms } => {
-                self.lose_contact(None, until);
+                self.record_contact_loss(None, until);
                 self.fleet.store.set_mode(StoreMode::Reset);
                 let [age, rewrite] = [age_ms, rewrite_ms].map(Duration::from_millis);
                 self.ends.push((until, FaultEnd::StoreReturn(age, rewrite)));
@@ -150,7 +170,7 @@
             Fault::Publish => self.publish(),
             Fault::Upstream(number, mode) => {
                 self.fleet.runners()[usize::from(number)].set_mode(mode);
-                self.disturb_outside(until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::UpstreamGood(number)));
             }
             Fault::Leave(number) => self.leave(number, until),
@@ -163,7 +183,7 @@
             }
             Fault::Restart(number) => {
                 self.restart(number);
-                self.disturb_outside(until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::Return(number)));
             }
             Fault::SayLeaving(number) => {
@@ -174,65 +194,68 @@
                 let seconds = format!("{:.3}", millis as f64 / 1_000.0);
                 let how = Some(Rejection::with_retry_after(&seconds));
                 self.fleet.runners()[usize::from(number)].set_rejection(how);
-                self.disturb_outside(until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::RestOver(number)));
             }
             Fault::NameLimit(number, thousandths) => {
                 let rate = f64::from(thousandths) / 1_000.0;
                 self.fleet.runners()[usize::from(number)].announce_limit(&rate.to_string());
-                self.disturb_outside(until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::LimitOver(number)));
             }
             Fault::Overwrite(number) => {
-                self.overwrite(number);
+                self.overwrite_entry(number);
                 self.ends.push((until, FaultEnd::Return(number)));
             }
-            Fault::Litter(number) => self.litter(number),
-            link => self.strike_link(link, until),
+            Fault::Litter(number) => self.write_invalid_entry(number),
+            link => self.inject_link_fault(link, until),
         }
     }
 
-    /// Strikes a link, or the connections that are open on it.
-    fn strike_link(&mut self, fault: Fault, until: Instant) {
+    /// Injects a fault of a link, or silences the connections open on it.
+    fn inject_link_fault(&mut self, fault: Fault, until: Instant) {
         let all = 0..self.fleet.instances.len() as u8;
         match fault {
             Fault::StoreLink(mode) => {
-                self.lose_contact(None, until);
+                self.record_contact_loss(None, until);
                 self.set_store_links(all, mode);
                 self.ends.push((until, FaultEnd::StoreLinkGood(None)));
             }
             Fault::StoreLinkOf(number, mode) => {
-                self.lose_contact(Some(number), until);
+                self.record_contact_loss(Some(number), until);
                 self.set_store_links(number..number + 1, mode);
                 self.ends.push((until, FaultEnd::StoreLinkGood(Some(number))));
             }
             Fault::MemberLink(number, mode) => {
-                self.lose_contact(Some(number), until);
+                self.record_contact_loss(Some(number), until);
                 self.fleet.member_links[usize::from(number)].set_mode(mode);
                 self.ends.push((until, FaultEnd::MemberLinkGood(number)));
             }
             Fault::UpstreamLink(number, mode) => {
                 self.fleet.links[usize::from(number)].set_mode(mode);
-                self.trouble_link(number, until);
-                self.disturb_outside(until);
+                self.record_link_fault(number, until);
+                self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::UpstreamLinkGood(number)));
             }
             silence => self.silence(silence),
         }
     }
 
-    /// Lets open connections fall silent, which counts as a reset of all instances' connections.
+    /// Silences open connections, which counts as a loss of contact of all instances at this
+    /// moment.
     fn silence(&mut self, fault: Fault) {
         let now = Instant::now();
-        self.lose_contact(None, now);
+        self.record_contact_loss(None, now);
         let fleet = &self.fleet;
         let (store, members, upstreams) = match fault {
-            Fault::SilenceStore(number) => (struck(&fleet.store_links, number), &[][..], &[][..]),
+            Fault::SilenceStore(number) => {
+                (select_links(&fleet.store_links, number), &[][..], &[][..])
+            }
             Fault::SilenceMembers(number) => {
-                (&[][..], struck(&fleet.member_links, number), &[][..])
+                (&[][..], select_links(&fleet.member_links, number), &[][..])
             }
             Fault::SilenceUpstream(number) => {
-                (&[][..], &[][..], struck(&fleet.links, Some(number)))
+                (&[][..], &[][..], select_links(&fleet.links, Some(number)))
             }
             Fault::SilenceAll => {
                 (&fleet.store_links[..], &fleet.member_links[..], &fleet.links[..])
@@ -249,76 +272,78 @@
             Fault::SilenceAll => 0..self.fleet.links.len() as u8,
             _ => return,
         };
-        numbers.for_each(|number| self.trouble_link(number, now));
-        self.disturb_outside(now);
+        numbers.for_each(|number| self.record_link_fault(number, now));
+        self.record_external_fault(now);
     }
 
-    /// Ends what is due, and starts again what has ended.
+    /// Ends the faults that are due, and restarts instances that have exited.
     pub(crate) fn end_due(&mut self, now: Instant) {
         let (due, later): (Vec<_>, Vec<_>) = self.ends.drain(..).partition(|(at, _)| *at <= now);
         self.ends = later;
         for (at, end) in due {
-            self.evidence.prolong(at + AFTER, Instant::now() + AFTER);
+            self.evidence
+                .extend_to_actual_end(at + RECOVERY_MARGIN, Instant::now() + RECOVERY_MARGIN);
             self.end(end);
         }
         for number in 0..self.fleet.instances.len() as u8 {
-            // One that was asked to end and has is started again.
+            // Restarts an instance that has exited after SIGTERM.
             if self.fleet.wait_for_exit(number, Duration::from_millis(1)).is_some() {
                 self.end(FaultEnd::Start(number));
             }
         }
     }
 
-    /// Ends all faults.
+    /// Ends all pending faults at once.
     pub(crate) fn end_all(&mut self) {
         let ends: Vec<_> = self.ends.drain(..).collect();
         ends.into_iter().for_each(|(_, end)| self.end(end));
     }
 
-    /// Ends a fault.
+    /// Ends a fault and logs its end.
     pub(crate) fn end(&mut self, end: FaultEnd) {
         let now = Instant::now();
-        self.strikes.push(format!("{:>6.2} s: end, {end:?}", self.evidence.second(now)));
+        self.fault_log
+            .push(format!("{:>6.2} s: end, {end:?}", self.evidence.seconds_since_start(now)));
         match end {
             FaultEnd::Start(number) => self.start(number),
             FaultEnd::Continue(number) => {
                 self.fleet.signal(number, "CONT");
-                self.lose_contact(Some(number), now);
+                self.record_contact_loss(Some(number), now);
             }
             FaultEnd::StoreGood => {
                 self.fleet.store.set_mode(StoreMode::Good);
-                self.lose_contact(None, now);
+                self.record_contact_loss(None, now);
             }
             FaultEnd::StoreReturn(age, rewrite) => {
                 if let Some(copies) = &self.copies {
                     copies.restore_copy(now, age, &self.fleet.store);
                 }
-                self.lose_contact(None, now + rewrite);
+                self.record_contact_loss(None, now + rewrite);
                 self.ends.push((now + rewrite, FaultEnd::Rewrite));
             }
             FaultEnd::Rewrite => self.fleet.store.rewrite_lost(),
             FaultEnd::StoreLinkGood(None) => {
                 self.set_store_links(0..self.fleet.instances.len() as u8, LinkMode::Good);
-                self.lose_contact(None, now);
+                self.record_contact_loss(None, now);
             }
             FaultEnd::StoreLinkGood(Some(number)) => {
                 self.set_store_links(number..number + 1, LinkMode::Good);
-                self.lose_contact(Some(number), now);
+                self.record_contact_loss(Some(number), now);
             }
             FaultEnd::MemberLinkGood(number) => {
                 self.fleet.member_links[usize::from(number)].set_mode(LinkMode::Good);
-                self.lose_contact(Some(number), now);
+                self.record_contact_loss(Some(number), now);
             }
             FaultEnd::UpstreamGood(number) => {
                 self.fleet.runners()[usize::from(number)].set_mode(RunnerMode::Good);
             }
             FaultEnd::UpstreamLinkGood(number) => {
                 self.fleet.links[usize::from(number)].set_mode(LinkMode::Good);
-                self.trouble_link(number, now);
+                self.record_link_fault(number, now);
             }
             FaultEnd::Return(number) => self.list(number, false),
             FaultEnd::Restore(number) => {
-                self.fleet.evacuate(&zone_of(usize::from(number)), false);
+                self.fleet.evacuate(&data_center_of(usize::from(number)), false);
                 let listing =
                     UpstreamListing { upstream: number, leaving: false, at: Instant::now() };
                 self.evidence.listings.push(listing);
@@ -329,9 +354,9 @@
                 self.list(number, false);
             }
             FaultEnd::Restart(number) => {
-                // Another start has said nothing; what ran at the one before is lost.
+                // Signals from before the restart no longer apply, and running requests are lost.
                 self.restart(number);
-                self.disturb_outside(now);
+                self.record_external_fault(now);
                 self.list(number, false);
             }
             FaultEnd::LimitOver(number) => {
@@ -349,40 +374,41 @@
         }
         self.evidence.starts.push((number, Instant::now()));
         if let Err(error) = self.fleet.start_instance(number) {
-            self.evidence.found.push(format!("instance {number} does not start: {error}"));
+            self.evidence.violations.push(format!("instance {number} does not start: {error}"));
         }
-        // On a busy machine the start itself takes a while.
+        // Uses the time after the start, which may take long on a busy host.
         let now = Instant::now();
-        self.lose_contact(Some(number), now);
+        self.record_contact_loss(Some(number), now);
         if let Some(stop) = self.stopping.remove(&number) {
-            self.evidence.contact[stop].to = now + AFTER;
+            self.evidence.contact_losses[stop].to = now + RECOVERY_MARGIN;
         }
     }
 
     fn stop(&mut self, number: u8) {
         let now = Instant::now();
-        let stop = Disturbance { instance: Some(number), from: now, to: now + GRACE };
-        self.evidence.stops.push(stop);
-        self.stopping.insert(number, self.evidence.contact.len());
-        self.lose_contact(Some(number), now + GRACE);
+        let stop = Disturbance { instance: Some(number), from: now, to: now + STOP_GRACE_PERIOD };
+        self.evidence.planned_stops.push(stop);
+        self.stopping.insert(number, self.evidence.contact_losses.len());
+        self.record_contact_loss(Some(number), now + STOP_GRACE_PERIOD);
         self.fleet.signal(number, "TERM");
     }
 
     fn kill(&mut self, number: u8, until: Instant) {
-        self.disturb(Some(number), until);
+        self.record_disturbance(Some(number), until);
         self.fleet.kill(number);
         self.ends.push((until, FaultEnd::Start(number)));
     }
 
-    /// Starts an upstream again.
+    /// Restarts an upstream and records the restart.
     fn restart(&mut self, number: u8) {
-        self.evidence.renewals.push((number, Instant::now()));
+        self.evidence.upstream_restarts.push((number, Instant::now()));
         self.fleet.runners()[usize::from(number)].restart();
     }
 
     fn leave(&mut self, number: u8, until: Instant) {
         self.list(number, true);
-        // A start that has said that it leaves is not ready again after a drill.
+        // With drills, the upstream must restart: a process that was listed as leaving is not ready
+        // again after the store has returned from a copy.
         let end = match self.copies {
             Some(_) => FaultEnd::Restart(number),
             None => FaultEnd::Return(number),
@@ -390,43 +416,44 @@
         self.ends.push((until, end));
     }
 
-    /// Puts each upstream into a data centre of its own, away from the instances.
-    fn divide(&mut self) {
+    /// Lists each upstream in a data centre of its own, apart from the instances.
+    fn isolate_data_centers(&mut self) {
         for (number, runner) in self.fleet.runners().into_iter().enumerate() {
-            self.fleet.data_centers.insert(runner.name.clone(), zone_of(number));
+            self.fleet.data_centers.insert(runner.name.clone(), data_center_of(number));
         }
         self.fleet.list_all();
     }
 
-    /// Evacuates the data centre of an upstream; like one that leaves it must get no more work in time.
+    /// Evacuates the data centre of an upstream, which is recorded as leaving: it must get no more
+    /// requests within the same bound.
     fn evacuate(&mut self, number: u8, until: Instant) {
-        self.fleet.evacuate(&zone_of(usize::from(number)), true);
+        self.fleet.evacuate(&data_center_of(usize::from(number)), true);
         let listing = UpstreamListing { upstream: number, leaving: true, at: Instant::now() };
         self.evidence.listings.push(listing);
         self.ends.push((until, FaultEnd::Restore(number)));
     }
 
-    /// Another writer's entry stands where an upstream's did: it names nobody to use.
-    fn overwrite(&mut self, number: u8) {
+    /// Replaces the entry of an upstream by an invalid one and records the upstream as leaving.
+    fn overwrite_entry(&mut self, number: u8) {
         let name = self.fleet.runners()[usize::from(number)].name.clone();
-        let odd = ODD_VALUES[usize::from(number) % ODD_VALUES.len()];
-        self.fleet.store.put_raw(&format!("servers/{name}"), serde_json::json!(odd));
+        let invalid = INVALID_ENTRIES[usize::from(number) % INVALID_ENTRIES.len()];
+        self.fleet.store.put_raw(&format!("servers/{name}"), serde_json::json!(invalid));
         let listing = UpstreamListing { upstream: number, leaving: true, at: Instant::now() };
         self.evidence.listings.push(listing);
     }
 
-    /// Writes an entry that names nobody under a key of its own.
-    fn litter(&self, number: u8) {
-        let odd = ODD_VALUES[usize::from(number) % ODD_VALUES.len()];
+    /// Writes an invalid entry under a key that belongs to no upstream.
+    fn write_invalid_entry(&self, number: u8) {
+        let invalid = INVALID_ENTRIES[usize::from(number) % INVALID_ENTRIES.len()];
         let key = format!("servers/odd-{number}");
         if number.is_multiple_of(2) {
-            self.fleet.store.put_raw(&key, serde_json::json!(odd));
+            self.fleet.store.put_raw(&key, serde_json::json!(invalid));
         } else {
-            self.fleet.store.put(&key, Some(odd.to_owned()));
+            self.fleet.store.put(&key, Some(invalid.to_owned()));
         }
     }
 
-    /// Lists an upstream as leaving, or as ready.
+    /// Lists an upstream as leaving or as ready, and records the change.
     pub(crate) fn list(&mut self, number: u8, leaving: bool) {
         let index = usize::from(number);
         let state = if leaving { "draining" } else { "ready" };
@@ -435,7 +462,7 @@
         self.evidence.listings.push(listing);
     }
 
-    /// Publishes the next configuration.
+    /// Publishes the next configuration, which adds a route.
     pub(crate) fn publish(&mut self) {
         self.published.publish(&mut self.fleet);
     }
@@ -446,35 +473,41 @@
         }
     }
 
-    /// Notes that an instance, or all, is out of contact until some time, and a while longer.
-    fn lose_contact(&mut self, instance: Option<u8>, until: Instant) {
-        let lost = Disturbance { instance, from: Instant::now(), to: until + AFTER };
-        self.evidence.contact.push(lost);
+    /// Records that an instance, or all for `None`, is out of contact from now until `until` plus
+    /// [`RECOVERY_MARGIN`].
+    fn record_contact_loss(&mut self, instance: Option<u8>, until: Instant) {
+        let lost = Disturbance { instance, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.contact_losses.push(lost);
     }
 
-    fn trouble_link(&mut self, upstream: u8, until: Instant) {
-        let trouble = LinkTrouble { upstream, from: Instant::now(), to: until + AFTER };
-        self.evidence.link_troubles.push(trouble);
+    /// Records that the link to an upstream fails from now until `until` plus [`RECOVERY_MARGIN`].
+    fn record_link_fault(&mut self, upstream: u8, until: Instant) {
+        let trouble = LinkFault { upstream, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.link_faults.push(trouble);
     }
 
-    fn disturb(&mut self, instance: Option<u8>, until: Instant) {
-        self.lose_contact(instance, until);
-        let disturbance = Disturbance { instance, from: Instant::now(), to: until + AFTER };
-        self.evidence.unplanned.push(disturbance);
+    /// Records an unplanned outage, which is also a loss of contact, until `until` plus the margin.
+    fn record_disturbance(&mut self, instance: Option<u8>, until: Instant) {
+        self.record_contact_loss(instance, until);
+        let disturbance =
+            Disturbance { instance, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.unplanned_outages.push(disturbance);
     }
 
-    fn disturb_outside(&mut self, until: Instant) {
-        let disturbance = Disturbance { instance: None, from: Instant::now(), to: until + AFTER };
-        self.evidence.outside.push(disturbance);
+    /// Records a fault of an upstream or a link until `until` plus the margin.
+    fn record_external_fault(&mut self, until: Instant) {
+        let disturbance =
+            Disturbance { instance: None, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.external_faults.push(disturbance);
     }
 }
 
-/// The link of one number, or all.
-fn struck(links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
+/// Returns the link with a number, or all links for `None`.
+fn select_links(links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
     number.map_or(links, |number| &links[usize::from(number)..][..1])
 }
 
-/// The data centre of an upstream by its number.
-fn zone_of(number: usize) -> String {
+/// Returns the name of the data centre of an upstream.
+fn data_center_of(number: usize) -> String {
     format!("zone-{number}")
 }
--- /dev/null
+++ b/crates/soak/src/final_checks.rs
@@ -0,0 +1,154 @@
+//! Checks of the fleet after all faults have ended.
+
+use std::{
+    thread,
+    time::{Duration, Instant},
+};
+
+use slipturn_platform_standin::{
+    caller::{self, Outcome},
+    store::StoreMode,
+};
+
+use crate::{
+    config_check,
+    fault_injector::{FaultEnd, FaultInjector, STOP_GRACE_PERIOD},
+    leave_check, traffic,
+};
+
+/// Time after the last fault within which all instances must be ready.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time after the end of traffic within which upstreams must have no request running and no tokens
+/// reserved.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Number of streams that are open while an instance is stopped.
+const STOP_STREAMS: u64 = 3;
+/// Time from sending the streams to the stop, in which their answers begin.
+const STREAM_START_DELAY: Duration = Duration::from_millis(400);
+/// Length of the store outage in [`FaultInjector::check_store_return`].
+const STORE_OUTAGE: Duration = Duration::from_millis(1_500);
+/// Time after the store's return within which instances must apply the newest configuration: the
+/// platform's bound.
+const STORE_RECOVERY_BOUND: Duration = Duration::from_secs(3);
+
+impl FaultInjector {
+    /// Runs all checks in order; `seed` selects how the store fails.
+    pub(crate) fn run_final_checks(&mut self, seed: u64) {
+        self.wait_for_recovery();
+        self.check_store_return(seed);
+        self.check_planned_stop();
+        self.check_routes();
+        self.check_release();
+    }
+
+    /// Ends all faults and checks that every instance is ready within [`RECOVERY_TIMEOUT`].
+    fn wait_for_recovery(&mut self) {
+        self.end_all();
+        let until = Instant::now() + RECOVERY_TIMEOUT;
+        let all = 0..self.fleet.instances.len() as u8;
+        while !all.clone().all(|number| self.fleet.ready(number)) {
+            if Instant::now() > until {
+                self.evidence.violations.push(format!(
+                    "not all instances were ready {RECOVERY_TIMEOUT:?} after the last fault"
+                ));
+                return;
+            }
+            self.end_due(Instant::now());
+            thread::sleep(Duration::from_millis(20));
+        }
+    }
+
+    /// Checks that a configuration published during a store outage takes effect soon after it.
+    fn check_store_return(&mut self, seed: u64) {
+        let modes = [StoreMode::Silent, StoreMode::Reset, StoreMode::Busy];
+        self.fleet.store.set_mode(modes[(seed % 3) as usize]);
+        thread::sleep(STORE_OUTAGE);
+        self.publish();
+        self.fleet.store.set_mode(StoreMode::Good);
+        thread::sleep(STORE_RECOVERY_BOUND);
+        let newest = self.published.routes().pop().into_iter().collect::<Vec<_>>();
+        self.probe_all("return", &newest);
+    }
+
+    /// Checks that a planned stop without other faults cuts no stream that ends within the grace
+    /// period.
+    fn check_planned_stop(&mut self) {
+        let address = self.fleet.callers(0);
+        let start = |number: u64| {
+            let id = format!("probe-stop-{number}");
+            let request = traffic::request(id, "draft", (1_000, traffic::LONG_ANSWER_TOKENS.start));
+            thread::spawn(move || caller::send(address, &request))
+        };
+        let streams: Vec<_> = (0..STOP_STREAMS).map(start).collect();
+        thread::sleep(STREAM_START_DELAY);
+        self.fleet.signal(0, "TERM");
+        for stream in streams {
+            let outcome = stream.join();
+            if !matches!(outcome, Ok(Outcome::Good)) {
+                self.evidence
+                    .violations
+                    .push(format!("a planned stop ended a stream: {outcome:?}"));
+            }
+        }
+        match self.fleet.wait_for_exit(0, STOP_GRACE_PERIOD) {
+            Some(_) => self.end(FaultEnd::Start(0)),
+            None => self
+                .evidence
+                .violations
+                .push(format!("instance 0 did not exit within {STOP_GRACE_PERIOD:?}")),
+        }
+        self.fleet.wait_ready();
+    }
+
+    /// Checks that every instance knows all published routes and sends nothing to an upstream that
+    /// is listed as leaving.
+    fn check_routes(&mut self) {
+        self.publish();
+        self.list(self.first_plain(), true);
+        thread::sleep(config_check::APPLY_BOUND.max(leave_check::LEAVE_BOUND));
+        let leaving = self.fleet.plain[0].clone();
+        let before = leaving.runs().len();
+        self.probe_all("end", &self.published.routes());
+        if leaving.runs().len() > before {
+            self.evidence.violations.push(format!("{} got requests while leaving", leaving.name));
+        }
+    }
+
+    /// Sends a probe for each route to each instance and records those that an instance rejects.
+    fn probe_all(&mut self, when: &str, routes: &[String]) {
+        for number in 0..self.fleet.instances.len() as u8 {
+            for route in routes {
+                let id = format!("probe-{when}-{number}-{route}");
+                let mut probe = traffic::request(id, "safe", (0, 0));
+                probe.path = format!("/{route}/");
+                let outcome = caller::send(self.fleet.callers(number), &probe);
+                if matches!(outcome, Outcome::Status(401 | 403 | 404, _)) {
+                    let fault =
+                        format!("{when}: instance {number} does not know {route}: {outcome:?}");
+                    self.evidence.violations.push(fault);
+                }
+            }
+        }
+    }
+
+    /// Checks that all requests end and their tokens are released within [`RELEASE_TIMEOUT`].
+    fn check_release(&mut self) {
+        let until = Instant::now() + RELEASE_TIMEOUT;
+        loop {
+            let runners = self.fleet.runners();
+            let reserved_tokens: u64 = runners.iter().map(|runner| runner.reserved_tokens()).sum();
+            let running: u32 = runners.iter().map(|runner| runner.running()).sum();
+            if reserved_tokens == 0 && running == 0 {
+                return;
+            }
+            if Instant::now() > until {
+                let fault = format!(
+                    "{reserved_tokens} tokens reserved and {running} requests running at the end"
+                );
+                self.evidence.violations.push(fault);
+                return;
+            }
+            thread::sleep(Duration::from_millis(50));
+        }
+    }
+}
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,23 +1,24 @@
-//! Runs real instances as processes, injects faults from outside, checks what callers and
-//! upstreams see. A seed decides the whole plan; clients' own timing does not repeat exactly.
+//! Runs real instances as processes, injects faults from outside and checks what clients and
+//! upstreams observe. A seed determines the plan of faults; the timing of clients varies between
+//! runs.
 
 pub mod check;
-mod closing;
 pub mod config_check;
 pub mod config_probe;
 pub mod contact_plan;
+mod data_center_plan;
 mod drill_plan;
+mod entry_plan;
 pub mod evidence;
+mod fault_injector;
 pub mod fault_plan;
 mod fault_series;
+mod final_checks;
 pub mod leave_check;
 mod limit_check;
 mod limit_plan;
-mod odd_plan;
 pub mod run;
+mod signal_check;
+mod signal_plan;
 mod store_drill;
-mod struck_fleet;
 pub mod traffic;
-mod word_check;
-mod word_plan;
-mod zone_plan;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-soak`: see the library of the same name.
+//! Runs the soak for one or several seeds and prints the violations found.
 
 use std::{path, process, time};
 
@@ -12,7 +12,7 @@
     about: "Runs real instances under random faults from outside and checks their promises.",
 };
 
-/// Most instances that the stand-in's addresses hold.
+/// Maximum number of instances that the stand-in has addresses for.
 const MAX_INSTANCES: u64 = 40;
 
 fn main() -> process::ExitCode {
@@ -33,24 +33,24 @@
         command_line::ParsedArguments::Run(matches) => matches,
         command_line::ParsedArguments::Exit(code) => return process::ExitCode::from(code),
     };
-    match soak(&matches) {
+    match run_seeds(&matches) {
         Ok(0) => process::ExitCode::from(command_line::EXIT_SUCCESS),
         Ok(_) => process::ExitCode::from(command_line::EXIT_FAILURE),
         Err(error) => command_line::fail(INFO, &error),
     }
 }
 
-/// Plays the seeds; how many of them found something.
-fn soak(matches: &getopts::Matches) -> Result<u64, String> {
+/// Runs the seeds and returns how many of them had violations.
+fn run_seeds(matches: &getopts::Matches) -> Result<u64, String> {
     let number = |name: &str, default: u64| match matches.opt_str(name) {
         None => Ok(default),
         Some(text) => text.parse::<u64>().map_err(|_| format!("{name}: found '{text}'")),
     };
     let first = number("seed", rand::random::<u32>().into())?;
-    let beside = std::env::current_exe().map_err(|error| error.to_string())?;
+    let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
     let program = match matches.opt_str("program") {
         Some(program) => path::PathBuf::from(program),
-        None => beside.with_file_name("slipturn-instance"),
+        None => own_path.with_file_name("slipturn-instance"),
     };
     let mut failed = 0;
     for seed in first..first + number("runs", 1)? {
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients: open connections used until they end, a record of every request.
+//! Clients that reuse their connections while these stay open, and record every request.
 
 use std::{
     collections, net,
@@ -18,64 +18,66 @@
 
 /// Pause of a client between two requests, milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 2..40;
-/// One stream in so many is long: it outlasts the time for which a stopping instance still takes
-/// connections, and ends inside the grace period.
+/// One request in this many has a long answer: as a stream, it outlasts the time for which a
+/// stopping instance still accepts connections, and ends within the grace period.
 const LONG_STREAMS: u32 = 24;
-/// Tokens of a long stream's answer: 3.3 to 4.5 s of events.
-pub const LONG_ANSWER: std::ops::Range<u64> = 11_000..15_000;
-/// One request in so many is written by a client that leaves without its answer.
-const LEFT_REQUESTS: u32 = 8;
-/// Time that such a client waits, milliseconds: from "at once" to "behind the first silence".
-const LEFT_WAIT_MS: std::ops::Range<u64> = 0..400;
-/// Random stream of the choice who leaves.
-const LEFT_STREAM: u64 = 1;
-/// One request in so many is written by a client that reads nothing of its answer until the run ends.
+/// Tokens of a long answer: 3.3 to 4.5 s of events.
+pub const LONG_ANSWER_TOKENS: std::ops::Range<u64> = 11_000..15_000;
+/// One request in this many is abandoned: its client closes the connection before the answer ends.
+const ABANDONED_REQUESTS: u32 = 8;
+/// Time from writing an abandoned request to closing its connection, milliseconds: from none to
+/// past the first limit on silence.
+const ABANDON_WAIT_MS: std::ops::Range<u64> = 0..400;
+/// Random stream that chooses the abandoned requests.
+const ABANDON_STREAM: u64 = 1;
+/// One request in this many is unread: its client reads nothing of the answer until the run ends.
 const UNREAD_REQUESTS: u32 = 40;
-/// Random stream of the choice who reads nothing.
+/// Random stream that chooses the unread requests.
 const UNREAD_STREAM: u64 = 2;
-/// Longest rest of a connection that is used again: well under the instances' idle time of 10 s,
-/// so that its use does not cross their close.
-const MAX_REST: time::Duration = time::Duration::from_secs(8);
-/// Time a client is given, of each kind of request.
+/// Idle time after which a connection is not reused: well under the instances' idle timeout of 10
+/// s, so that no request is sent while the instance closes the connection.
+const MAX_IDLE_TIME: time::Duration = time::Duration::from_secs(8);
+/// Deadline that clients give with each request.
 const DEADLINE: time::Duration = time::Duration::from_secs(6);
 
-/// One request as its client saw it.
+/// A request and its outcome as the client saw it.
 #[derive(Debug, Clone)]
 pub struct SentRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// Its route.
+    /// Route of the request.
     pub route: &'static str,
-    /// The instance it went to.
+    /// Number of the instance that the request was sent to.
     pub instance: u8,
-    /// When it was sent, and when its answer ended.
+    /// Time at which the client began to send the request.
     pub from: time::Instant,
-    /// See `from`.
+    /// Time at which the answer ended or the client left.
     pub to: time::Instant,
-    /// Since when the connection that it found ended had rested, if it found one.
-    pub ended_rest: Option<time::Instant>,
-    /// What it came to; `None` where its client left at `to` without waiting for that.
+    /// Start of the idle time of the connection meant for the request, if the instance had closed
+    /// it.
+    pub closed_idle_since: Option<time::Instant>,
+    /// Outcome; `None` where the client left at `to` without waiting for it.
     pub outcome: Option<Outcome>,
 }
 
-/// A connection without a request.
-struct RestingCaller {
+/// An open connection without a request, and the start of its idle time.
+struct IdleConnection {
     caller: Caller,
     since: time::Instant,
 }
 
-impl RestingCaller {
-    /// The connection, if it may be used again; or else whether it has ended early, and since when
-    /// it had rested.
-    fn wake(mut self) -> Result<Caller, Option<time::Instant>> {
-        if self.since.elapsed() >= MAX_REST {
+impl IdleConnection {
+    /// Returns the connection if it can be reused. The error is the start of its idle time if the
+    /// instance has closed it early, or `None` if it has been idle for [`MAX_IDLE_TIME`].
+    fn reuse(mut self) -> Result<Caller, Option<time::Instant>> {
+        if self.since.elapsed() >= MAX_IDLE_TIME {
             return Err(None);
         }
         if self.caller.ended() { Err(Some(self.since)) } else { Ok(self.caller) }
     }
 }
 
-/// A request whose client has read nothing of its answer yet.
+/// A request whose client has not yet read its answer.
 struct UnreadRequest {
     caller: Caller,
     request: Request,
@@ -83,7 +85,8 @@
 }
 
 impl UnreadRequest {
-    /// Reads the answer, which must still be whole; it must have been sent by its deadline.
+    /// Reads the answer, which must be complete. Its end is recorded as no later than the deadline,
+    /// as the time of reading does not show when it was sent.
     fn read(mut self) -> SentRequest {
         let outcome = self.caller.read(&self.request);
         let to = time::Instant::now().min(self.sent.from + DEADLINE);
@@ -91,33 +94,37 @@
     }
 }
 
-/// Clients that run until told to end.
+/// Clients that send requests until they are stopped.
 pub struct Traffic {
-    ending: sync::Arc<AtomicBool>,
+    stop_requested: sync::Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<Vec<SentRequest>>>,
 }
 
 impl Traffic {
-    /// Starts clients, each with its own random choices.
+    /// Starts the clients, each with random choices derived from the seed and its number.
     pub fn start(seed: u64, clients: u64, instances: Vec<net::SocketAddr>) -> Self {
-        let ending = sync::Arc::new(AtomicBool::new(false));
+        let stop_requested = sync::Arc::new(AtomicBool::new(false));
         let start = |client: u64| {
-            let (ending, instances) = (sync::Arc::clone(&ending), instances.clone());
-            thread::spawn(move || run_client(seed ^ (client << 32), client, &instances, &ending))
+            let (stop_requested, instances) =
+                (sync::Arc::clone(&stop_requested), instances.clone());
+            thread::spawn(move || {
+                run_client(seed ^ (client << 32), client, &instances, &stop_requested)
+            })
         };
         let clients = (0..clients).map(start).collect();
-        Self { ending, clients }
+        Self { stop_requested, clients }
     }
 
-    /// Ends all clients behind their last request.
+    /// Stops all clients after their current request and returns all requests.
     pub fn finish(self) -> Vec<SentRequest> {
-        self.ending.store(true, atomic::Ordering::SeqCst);
+        self.stop_requested.store(true, atomic::Ordering::SeqCst);
         let sent = self.clients.into_iter().filter_map(|client| client.join().ok());
         sent.flatten().collect()
     }
 }
 
-/// A request of a route.
+/// Builds a request for a route; `counts` are the tokens of prompt and answer, which only streaming
+/// routes use.
 pub fn request(id: String, route: &'static str, counts: (u64, u64)) -> Request {
     let streaming = matches!(route, "draft" | "once");
     Request {
@@ -135,18 +142,18 @@
     seed: u64,
     client: u64,
     instances: &[net::SocketAddr],
-    ending: &AtomicBool,
+    stop_requested: &AtomicBool,
 ) -> Vec<SentRequest> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut leaving = random.clone();
-    leaving.set_stream(LEFT_STREAM);
-    let mut silent = random.clone();
-    silent.set_stream(UNREAD_STREAM);
+    let mut abandon_random = random.clone();
+    abandon_random.set_stream(ABANDON_STREAM);
+    let mut unread_random = random.clone();
+    unread_random.set_stream(UNREAD_STREAM);
     let mut unread = Vec::new();
-    let mut open: collections::HashMap<u8, RestingCaller> = collections::HashMap::new();
+    let mut open: collections::HashMap<u8, IdleConnection> = collections::HashMap::new();
     let mut sent = Vec::new();
     for turn in 0.. {
-        if ending.load(atomic::Ordering::SeqCst) {
+        if stop_requested.load(atomic::Ordering::SeqCst) {
             break;
         }
         let instance = random.random_range(0..instances.len()) as u8;
@@ -157,57 +164,58 @@
             _ => random.random_range(500..9_000),
         };
         let answer = match random.random_range(0..LONG_STREAMS) {
-            0 => random.random_range(LONG_ANSWER),
+            0 => random.random_range(LONG_ANSWER_TOKENS),
             _ => random.random_range(50..1_500),
         };
-        let permits = leaving.random_range(0..LEFT_REQUESTS) == 0;
-        // What nobody waits for would last long, so that work on it shows.
-        let answer = if permits { LONG_ANSWER.start } else { answer };
+        let abandons = abandon_random.random_range(0..ABANDONED_REQUESTS) == 0;
+        // Abandoned requests have long answers, so that an upstream that works on shows.
+        let answer = if abandons { LONG_ANSWER_TOKENS.start } else { answer };
         let counts = (prompt, answer);
         let request = request(format!("{seed:x}-{client}-{turn}"), route, counts);
         let from = time::Instant::now();
-        let resting = open.remove(&instance).map_or(Err(None), RestingCaller::wake);
-        let ended_rest = resting.as_ref().err().copied().flatten();
-        let connection = resting.ok();
+        let idle = open.remove(&instance).map_or(Err(None), IdleConnection::reuse);
+        let closed_idle_since = idle.as_ref().err().copied().flatten();
+        let connection = idle.ok();
         let connection =
             connection.or_else(|| Caller::connect(instances[usize::from(instance)]).ok());
-        let reads_nothing = silent.random_range(0..UNREAD_REQUESTS) == 0;
+        let reads_nothing = unread_random.random_range(0..UNREAD_REQUESTS) == 0;
         let outcome = match connection {
-            Some(mut caller) if reads_nothing && !permits => {
+            Some(mut caller) if reads_nothing && !abandons => {
                 let to = time::Instant::now();
                 let id = request.id.clone();
-                let sent = SentRequest { id, route, instance, from, to, ended_rest, outcome: None };
-                // A connection that has ended shows when it is read.
+                let sent =
+                    SentRequest { id, route, instance, from, to, closed_idle_since, outcome: None };
+                // A failed write shows when the answer is read.
                 let _ = caller.write(&request);
                 unread.push(UnreadRequest { caller, request, sent });
                 continue;
             }
             None => Some(Outcome::NoConnection),
-            Some(caller) if permits => {
-                let wait = leaving.random_range(LEFT_WAIT_MS);
-                leave_behind(caller, &request, time::Duration::from_millis(wait));
+            Some(caller) if abandons => {
+                let wait = abandon_random.random_range(ABANDON_WAIT_MS);
+                abandon_request(caller, &request, time::Duration::from_millis(wait));
                 None
             }
             Some(mut caller) => {
                 let outcome = caller.send(&request);
                 if !caller.closing && !matches!(outcome, Outcome::Cut(_)) {
-                    open.insert(instance, RestingCaller { caller, since: time::Instant::now() });
+                    open.insert(instance, IdleConnection { caller, since: time::Instant::now() });
                 }
                 Some(outcome)
             }
         };
         let to = time::Instant::now();
         let id = request.id;
-        sent.push(SentRequest { id, route, instance, from, to, ended_rest, outcome });
+        sent.push(SentRequest { id, route, instance, from, to, closed_idle_since, outcome });
         thread::sleep(time::Duration::from_millis(random.random_range(PAUSE_MS)));
     }
     sent.extend(unread.into_iter().map(UnreadRequest::read));
     sent
 }
 
-/// Writes a request and closes its connection a little later, whatever has come until then.
-fn leave_behind(mut caller: Caller, request: &Request, wait: time::Duration) {
-    // A connection that has ended already is left as well.
+/// Writes a request and closes its connection after `wait`, without reading the answer.
+fn abandon_request(mut caller: Caller, request: &Request, wait: time::Duration) {
+    // A failed write needs no handling: the request is abandoned anyway.
     let _ = caller.write(request);
     thread::sleep(wait);
 }
