--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -9,15 +9,15 @@
 use slipturn_standin::{engine, engine_model, platform, service};
 
 fn main() -> process::ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let [role, argument] = words.as_slice() else {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [role, argument] = arguments.as_slice() else {
         eprintln!("slipturn-trial: expected a role and its argument");
         return process::ExitCode::from(2);
     };
     match run(role, argument) {
         Ok(()) => process::ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("slipturn-trial: {text}");
+        Err(message) => {
+            eprintln!("slipturn-trial: {message}");
             process::ExitCode::FAILURE
         }
     }
@@ -30,14 +30,15 @@
     }
 }
 
-fn run_instance(entry: bool, file: &path::Path) -> Result<(), String> {
-    let local = local_settings::LocalSettings::load(file).map_err(|error| error.to_string())?;
-    logging::install(&local.log).map_err(|error| error.to_string())?;
+fn run_instance(is_entry: bool, settings_file: &path::Path) -> Result<(), String> {
+    let settings =
+        local_settings::LocalSettings::load(settings_file).map_err(|error| error.to_string())?;
+    logging::install(&settings.log).map_err(|error| error.to_string())?;
     let run = async move {
-        if entry {
-            slipturn_entry::program::run(local).await.map_err(|error| error.to_string())
+        if is_entry {
+            slipturn_entry::program::run(settings).await.map_err(|error| error.to_string())
         } else {
-            slipturn_scheduler::program::run(local).await.map_err(|error| error.to_string())
+            slipturn_scheduler::program::run(settings).await.map_err(|error| error.to_string())
         }
     };
     own_process::run(run).map_err(|error| error.to_string())?
--- a/crates/trial/tests/answers.rs
+++ b/crates/trial/tests/answers.rs
@@ -7,7 +7,7 @@
 use std::{thread, time};
 
 use serde_json::json;
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
 fn ask(fleet: &Fleet, stream: bool) -> (support::Answer, serde_json::Value) {
     let body = support::prompt_body("x", 300, 40, stream);
@@ -15,8 +15,8 @@
 }
 
 #[test]
-fn a_crossed_answer_reaches_nobody() {
-    let fleet = Fleet::start(&FleetShape::default());
+fn answer_of_another_attempt_is_not_delivered() {
+    let fleet = Fleet::start(&FleetConfig::default());
     support::set_faults(fleet.engines[0].address, &json!({ "wrong_attempt": true }));
     for stream in [true, false] {
         let (answer, _) = ask(&fleet, stream);
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn a_short_answer_is_not_passed_for_a_whole_one() {
-    let fleet = Fleet::start(&FleetShape::default());
+fn truncated_answer_is_not_reported_as_complete() {
+    let fleet = Fleet::start(&FleetConfig::default());
     for plan in [json!({ "short_after": 3 }), json!({ "cut_after": 3 })] {
         support::set_faults(fleet.engines[0].address, &plan);
         let (answer, body) = ask(&fleet, true);
-        assert!(!support::is_whole_answer(&answer, &body));
+        assert!(!support::is_complete_answer(&answer, &body));
         assert!(answer.text().contains("event: error"), "{plan}: {}", answer.text());
         assert!(!answer.text().contains("[DONE]"));
     }
@@ -41,32 +41,32 @@
 }
 
 #[test]
-fn answers_stay_apart_while_callers_come_and_go() {
-    let fleet = Fleet::start(&FleetShape { instances: 2, engines: 2, ..Default::default() });
-    let asking: Vec<_> = (0..16)
+fn concurrent_answers_are_not_mixed_up_when_callers_disconnect() {
+    let fleet = Fleet::start(&FleetConfig { instances: 2, engines: 2, ..Default::default() });
+    let callers: Vec<_> = (0..16)
         .map(|caller| {
             let address = fleet.instances[caller % 2].entry.address;
             thread::spawn(move || {
-                for turn in 0..6 {
-                    let body = support::prompt_body(&format!("{caller}/{turn}"), 100, 30, true);
-                    if turn % 3 == 1 {
-                        leave_early(address, &body);
+                for number in 0..6 {
+                    let body = support::prompt_body(&format!("{caller}/{number}"), 100, 30, true);
+                    if number % 3 == 1 {
+                        disconnect_early(address, &body);
                         continue;
                     }
                     let answer = support::complete(address, &body).unwrap();
-                    assert!(support::is_whole_answer(&answer, &body), "{}", answer.text());
+                    assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
                 }
             })
         })
         .collect();
-    asking.into_iter().for_each(|asked| asked.join().unwrap());
+    callers.into_iter().for_each(|caller_thread| caller_thread.join().unwrap());
     fleet.wait_no_memory_held();
 }
 
 /// Sends a request and goes away before its answer can be whole.
-fn leave_early(address: std::net::SocketAddr, body: &serde_json::Value) {
+fn disconnect_early(address: std::net::SocketAddr, body: &serde_json::Value) {
     let mut stream = support::connect(address).unwrap();
-    let bearer = format!("Bearer {}", support::KEY);
+    let bearer = format!("Bearer {}", support::API_KEY);
     let headers = [("authorization", bearer.as_str())];
     let text = body.to_string();
     support::send(&mut stream, "POST", "/v1/chat/completions", &headers, text.as_bytes()).unwrap();
--- a/crates/trial/tests/configuration.rs
+++ b/crates/trial/tests/configuration.rs
@@ -7,13 +7,13 @@
 use std::{thread, time};
 
 use serde_json::json;
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
-const FLEET: &str = "{orphan_grace: 3s}";
-const DEFAULTS: &str = "{time_limit: 20s}";
+const FLEET_OPTIONS: &str = "{orphan_grace: 3s}";
+const DEFAULT_OPTIONS: &str = "{time_limit: 20s}";
 /// What the users ask for, for the whole fleet.
-const IN_FORCE: time::Duration = time::Duration::from_secs(9);
+const IN_EFFECT_LIMIT: time::Duration = time::Duration::from_secs(9);
 
 /// Versions in force: of each instance's entry and scheduler.
 fn versions(fleet: &Fleet) -> Vec<u64> {
@@ -25,19 +25,19 @@
 }
 
 #[test]
-fn a_new_version_is_in_force_on_all_instances_within_nine_seconds() {
-    let fleet = Fleet::start(&FleetShape { instances: 12, ..Default::default() });
+fn new_version_takes_effect_on_all_instances_within_nine_seconds() {
+    let fleet = Fleet::start(&FleetConfig { instances: 12, ..Default::default() });
     for version in 2..6 {
-        fleet.publish_settings(version, FLEET, DEFAULTS);
-        let spent = fleet.wait_version(version);
-        assert!(spent < IN_FORCE, "version {version}: {spent:?}");
+        fleet.publish_settings(version, FLEET_OPTIONS, DEFAULT_OPTIONS);
+        let elapsed_time = fleet.wait_version(version);
+        assert!(elapsed_time < IN_EFFECT_LIMIT, "version {version}: {elapsed_time:?}");
     }
 }
 
 #[test]
-fn a_service_that_answers_old_versions_takes_nobody_back() {
-    let fleet = Fleet::start(&FleetShape { instances: 3, ..Default::default() });
-    fleet.publish_settings(2, FLEET, DEFAULTS);
+fn stale_platform_answers_do_not_revert_settings() {
+    let fleet = Fleet::start(&FleetConfig { instances: 3, ..Default::default() });
+    fleet.publish_settings(2, FLEET_OPTIONS, DEFAULT_OPTIONS);
     fleet.wait_version(2);
     support::set_faults(fleet.platform.address, &json!({ "stale_by": 1 }));
     for _ in 0..20 {
@@ -45,15 +45,15 @@
         assert_eq!(versions(&fleet), [2; 6]);
     }
     support::set_faults(fleet.platform.address, &json!({}));
-    fleet.publish_settings(3, FLEET, DEFAULTS);
+    fleet.publish_settings(3, FLEET_OPTIONS, DEFAULT_OPTIONS);
     fleet.wait_version(3);
 }
 
 #[test]
-fn a_bad_version_changes_nothing_and_is_shown_to_operators() {
-    let fleet = Fleet::start(&FleetShape { instances: 2, ..Default::default() });
-    fleet.publish_settings(2, "{headrom: 1}", DEFAULTS);
-    support::until("operators see the fault", || {
+fn rejected_version_has_no_effect_and_is_reported_to_operators() {
+    let fleet = Fleet::start(&FleetConfig { instances: 2, ..Default::default() });
+    fleet.publish_settings(2, "{headrom: 1}", DEFAULT_OPTIONS);
+    support::wait_until("operators see the fault", || {
         let status = support::get(fleet.instances[0].operators, "/v1/status").unwrap().json();
         let fault = status["scheduler"]["settings_rejected"].as_str()?.to_owned();
         fault.contains("headrom").then_some(())
@@ -61,14 +61,14 @@
     assert_eq!(versions(&fleet), [1; 4]);
     let body = support::prompt_body("x", 10, 5, true);
     assert_eq!(support::complete(fleet.instances[0].entry.address, &body).unwrap().status, 200);
-    fleet.publish_settings(3, FLEET, DEFAULTS);
+    fleet.publish_settings(3, FLEET_OPTIONS, DEFAULT_OPTIONS);
     fleet.wait_version(3);
 }
 
 #[test]
-fn while_the_service_is_down_all_go_on_and_a_fresh_instance_learns_from_peers() {
-    let mut fleet = Fleet::start(&FleetShape { instances: 3, ..Default::default() });
-    fleet.publish_settings(2, FLEET, DEFAULTS);
+fn instances_serve_without_the_platform_and_entries_without_their_scheduler() {
+    let mut fleet = Fleet::start(&FleetConfig { instances: 3, ..Default::default() });
+    fleet.publish_settings(2, FLEET_OPTIONS, DEFAULT_OPTIONS);
     fleet.wait_version(2);
     support::set_faults(fleet.platform.address, &json!({ "down": true }));
     thread::sleep(2 * SECOND);
@@ -82,30 +82,34 @@
     let answer = support::complete(fleet.instances[1].entry.address, &body).unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text());
     support::set_faults(fleet.platform.address, &json!({}));
-    fleet.publish_settings(3, FLEET, DEFAULTS);
-    support::until("the entry has the new version", || (versions(&fleet)[2] == 3).then_some(()));
+    fleet.publish_settings(3, FLEET_OPTIONS, DEFAULT_OPTIONS);
+    support::wait_until("the entry has the new version", || {
+        (versions(&fleet)[2] == 3).then_some(())
+    });
 }
 
 #[test]
-fn a_process_that_slept_confirms_its_settings_before_it_serves() {
-    let fleet = Fleet::start(&FleetShape { instances: 2, ..Default::default() });
+fn paused_process_confirms_its_settings_before_it_serves() {
+    let fleet = Fleet::start(&FleetConfig { instances: 2, ..Default::default() });
     for process in [&fleet.instances[1].entry, &fleet.instances[1].scheduler] {
         process.signal("STOP");
     }
     thread::sleep(2 * SECOND);
-    fleet.publish_settings(2, FLEET, "{time_limit: 7s}");
-    support::until("the other has the new version", || (first_version(&fleet) == 2).then_some(()));
+    fleet.publish_settings(2, FLEET_OPTIONS, "{time_limit: 7s}");
+    support::wait_until("the other has the new version", || {
+        (first_version(&fleet) == 2).then_some(())
+    });
     let body = support::prompt_body("x", 10, 5, true);
     let address = fleet.instances[1].entry.address;
-    let asking = thread::spawn(move || support::complete(address, &body).unwrap());
+    let caller = thread::spawn(move || support::complete(address, &body).unwrap());
     thread::sleep(SECOND / 2);
     for process in [&fleet.instances[1].entry, &fleet.instances[1].scheduler] {
         process.signal("CONT");
     }
-    let answer = asking.join().unwrap();
+    let answer = caller.join().unwrap();
     if answer.status == 200 {
         let id = &answer.headers["slipturn-request-id"];
-        let record = support::until("the record is there", || {
+        let record = support::wait_until("the record is there", || {
             let path = format!("/v1/decisions/{id}");
             let found = support::get(fleet.instances[1].operators, &path).ok()?;
             (found.status == 200).then(|| found.json())
@@ -123,8 +127,8 @@
 }
 
 /// Reads of the platform in a span of quiet.
-fn quiet_reads(instances: usize) -> u64 {
-    let fleet = Fleet::start(&FleetShape { instances, ..Default::default() });
+fn count_idle_reads(instances: usize) -> u64 {
+    let fleet = Fleet::start(&FleetConfig { instances, ..Default::default() });
     thread::sleep(2 * SECOND);
     let reads = || support::counts(fleet.platform.address)["reads"].as_u64().unwrap();
     let before = reads();
@@ -133,8 +137,8 @@
 }
 
 #[test]
-fn reads_of_the_platform_do_not_grow_with_the_fleet() {
-    let (few, many) = (quiet_reads(6), quiet_reads(24));
+fn platform_reads_do_not_grow_with_the_fleet() {
+    let (few, many) = (count_idle_reads(6), count_idle_reads(24));
     // Two watchers in each of three data centres, two documents, five seconds a watch, and one
     // round more than fits.
     assert!(few <= 36, "{few} reads by 6 instances");
@@ -142,22 +146,22 @@
 }
 
 #[test]
-fn an_instance_whose_sources_freeze_has_a_new_version_in_time() {
-    let fleet = Fleet::start(&FleetShape { instances: 4, ..Default::default() });
+fn new_version_takes_effect_in_time_when_other_schedulers_freeze() {
+    let fleet = Fleet::start(&FleetConfig { instances: 4, ..Default::default() });
     // All schedulers but one: whoever watched a frozen one has to find another source.
     thread::sleep(SECOND);
     for instance in &fleet.instances[1..] {
         instance.scheduler.signal("STOP");
     }
-    fleet.publish_settings(2, FLEET, DEFAULTS);
+    fleet.publish_settings(2, FLEET_OPTIONS, DEFAULT_OPTIONS);
     let published = time::Instant::now();
     for instance in &fleet.instances {
-        support::until("the entry has the new version", || {
+        support::wait_until("the entry has the new version", || {
             let status = support::get(instance.operators, "/v1/status").unwrap().json();
             (status["entry"]["settings_version"] == 2).then_some(())
         });
     }
-    assert!(published.elapsed() < IN_FORCE, "{:?}", published.elapsed());
+    assert!(published.elapsed() < IN_EFFECT_LIMIT, "{:?}", published.elapsed());
     for instance in &fleet.instances[1..] {
         instance.scheduler.signal("CONT");
     }
@@ -166,16 +170,16 @@
 /// Connections may fall silent for good while new ones work: what watches on them must not be taken
 /// for quiet longer than a change may take to be in force.
 #[test]
-fn a_new_version_is_in_force_in_time_though_all_watches_have_fallen_silent() {
-    let shape = FleetShape { instances: 4, platform_link: true, ..Default::default() };
-    let fleet = Fleet::start(&shape);
+fn new_version_takes_effect_in_time_when_platform_connections_go_silent() {
+    let config = FleetConfig { instances: 4, platform_proxy: true, ..Default::default() };
+    let fleet = Fleet::start(&config);
     thread::sleep(SECOND);
-    let link = fleet.platform_link.as_ref().unwrap();
+    let proxy = fleet.platform_proxy.as_ref().unwrap();
     for version in 2..5 {
-        link.silence_open();
-        fleet.publish_settings(version, FLEET, DEFAULTS);
-        let spent = fleet.wait_version(version);
-        assert!(spent < IN_FORCE, "version {version}: {spent:?}");
-        println!("version {version}: {spent:?}");
+        proxy.silence_open();
+        fleet.publish_settings(version, FLEET_OPTIONS, DEFAULT_OPTIONS);
+        let elapsed_time = fleet.wait_version(version);
+        assert!(elapsed_time < IN_EFFECT_LIMIT, "version {version}: {elapsed_time:?}");
+        println!("version {version}: {elapsed_time:?}");
     }
 }
--- a/crates/trial/tests/cut.rs
+++ b/crates/trial/tests/cut.rs
@@ -6,23 +6,23 @@
 
 use std::{collections, thread, time};
 
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
 /// Retention and list lag of these fleets: voters vote after this long.
-const WINDOW: time::Duration = time::Duration::from_millis(10_300);
+const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 /// Instances 0 to 3 are on one side, 4 and 5 on the other.
-const SPLIT: usize = 4;
+const SMALL_SIDE_START: usize = 4;
 
-fn split_fleet(engines: usize) -> Fleet {
-    let shape = FleetShape {
+fn start_divisible_fleet(engines: usize) -> Fleet {
+    let config = FleetConfig {
         instances: 6,
         engines,
         services: 2,
-        split: Some(SPLIT),
+        second_platform_from: Some(SMALL_SIDE_START),
         fleet: "{key_retention: 5s, orphan_grace: 10s}",
         ..Default::default()
     };
-    Fleet::start(&shape)
+    Fleet::start(&config)
 }
 
 fn runs_by_key(fleet: &Fleet) -> collections::BTreeMap<String, u64> {
@@ -41,15 +41,20 @@
 }
 
 #[test]
-fn a_key_runs_once_across_a_cut_and_after_it() {
-    let mut fleet = split_fleet(1);
-    thread::sleep(WINDOW);
+fn key_runs_once_during_and_after_a_partition() {
+    let mut fleet = start_divisible_fleet(1);
+    thread::sleep(VOTING_DELAY);
     assert_eq!(call(&fleet, 5, "before").status, 200);
-    fleet.cut();
+    fleet.partition_network();
     // The smaller side cannot know whether the larger has run a key; the larger has a majority.
-    let small = call(&fleet, 4, "during");
-    assert_eq!((small.status, small.code().as_str()), (503, "key_in_doubt"), "{}", small.text());
-    assert_eq!(small.ran(), "unknown");
+    let refused = call(&fleet, 4, "during");
+    assert_eq!(
+        (refused.status, refused.code().as_str()),
+        (503, "key_in_doubt"),
+        "{}",
+        refused.text()
+    );
+    assert_eq!(refused.ran(), "unknown");
     assert_eq!(call(&fleet, 4, "before").status, 409);
     assert_eq!(call(&fleet, 0, "before").status, 409);
     assert_eq!(call(&fleet, 1, "other").status, 200);
@@ -67,15 +72,15 @@
 }
 
 #[test]
-fn both_sides_of_a_cut_go_on_and_heal() {
-    let mut fleet = split_fleet(6);
-    fleet.cut();
+fn both_sides_serve_during_and_after_a_partition() {
+    let mut fleet = start_divisible_fleet(6);
+    fleet.partition_network();
     let ask = |fleet: &Fleet, word: &str| {
         for (index, instance) in fleet.instances.iter().enumerate() {
             for turn in 0..3 {
                 let body = support::prompt_body(&format!("{word}/{index}/{turn}"), 200, 10, true);
                 let answer = support::complete(instance.entry.address, &body).unwrap();
-                assert!(support::is_whole_answer(&answer, &body), "{}", answer.text());
+                assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
             }
         }
     };
--- a/crates/trial/tests/front.rs
+++ b/crates/trial/tests/front.rs
@@ -7,19 +7,19 @@
 use std::{io, io::Write as _, thread, time};
 
 use serde_json::json;
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
 fn entry(fleet: &Fleet) -> std::net::SocketAddr {
     fleet.instances[0].entry.address
 }
 
 #[test]
-fn streamed_and_whole_answers_models_and_explanations() {
-    let fleet = Fleet::start(&FleetShape { instances: 2, engines: 2, ..Default::default() });
+fn answers_models_and_decision_records_are_served() {
+    let fleet = Fleet::start(&FleetConfig { instances: 2, engines: 2, ..Default::default() });
     let body = support::prompt_body("hello", 500, 20, true);
     let answer =
         support::complete_with(entry(&fleet), &body, &[("x-request-id", "mine-1")]).unwrap();
-    assert!(support::is_whole_answer(&answer, &body), "{}", answer.text());
+    assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
     assert_eq!(answer.headers["x-request-id"], "mine-1");
     assert!(answer.text().ends_with("data: [DONE]\n\n"));
 
@@ -35,7 +35,7 @@
     let id = &answer.headers["slipturn-request-id"];
     for instance in &fleet.instances {
         for id in [id.as_str(), "mine-1"] {
-            let record = support::until("the record is there", || {
+            let record = support::wait_until("the record is there", || {
                 let found =
                     support::get(instance.operators, &format!("/v1/decisions/{id}")).ok()?;
                 (found.status == 200).then(|| found.json())
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn a_connection_takes_one_request_after_the_other() {
-    let fleet = Fleet::start(&FleetShape::default());
+fn connection_serves_several_requests() {
+    let fleet = Fleet::start(&FleetConfig::default());
     let stream = support::connect(entry(&fleet)).unwrap();
     let mut reader = io::BufReader::new(stream.try_clone().unwrap());
     let mut writer = stream;
     for number in 0..5 {
         let body = support::prompt_body(&format!("turn {number}"), 100, 5, number % 2 == 0);
-        let bearer = format!("Bearer {}", support::KEY);
+        let bearer = format!("Bearer {}", support::API_KEY);
         let headers = [("authorization", bearer.as_str())];
         let text = body.to_string();
         support::send(&mut writer, "POST", "/v1/chat/completions", &headers, text.as_bytes())
@@ -82,8 +82,8 @@
     (&'text str, &'text str, Vec<(&'text str, &'text str)>, &'text [u8], u16, &'text str);
 
 #[test]
-fn each_refusal_says_what_it_is_and_that_nothing_ran() {
-    let fleet = Fleet::start(&FleetShape { services: 1, ..Default::default() });
+fn refusals_have_the_expected_code_and_run_nothing() {
+    let fleet = Fleet::start(&FleetConfig { services: 1, ..Default::default() });
     let address = entry(&fleet);
     let body = support::prompt_body("x", 10, 5, true);
     let text = body.to_string();
@@ -129,8 +129,8 @@
 }
 
 #[test]
-fn a_request_that_states_two_lengths_is_refused() {
-    let fleet = Fleet::start(&FleetShape::default());
+fn request_with_two_body_lengths_is_refused() {
+    let fleet = Fleet::start(&FleetConfig::default());
     let mut stream = support::connect(entry(&fleet)).unwrap();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
@@ -139,8 +139,8 @@
 }
 
 #[test]
-fn a_body_that_does_not_arrive_is_given_up() {
-    let fleet = Fleet::start(&FleetShape::default());
+fn incomplete_body_times_out() {
+    let fleet = Fleet::start(&FleetConfig::default());
     let mut stream = support::connect(entry(&fleet)).unwrap();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 400\r\n\r\n{";
     stream.write_all(head.as_bytes()).unwrap();
@@ -149,8 +149,8 @@
 }
 
 #[test]
-fn bodies_held_at_once_are_bounded() {
-    let fleet = Fleet::start(&FleetShape::default());
+fn total_size_of_held_bodies_is_bounded() {
+    let fleet = Fleet::start(&FleetConfig::default());
     // Two bodies of up to 2 MiB on their way fill the 4 MiB of this instance.
     let waiting: Vec<_> = (0..2)
         .map(|_| {
@@ -167,17 +167,17 @@
     assert_eq!((answer.status, answer.code().as_str()), (503, "out_of_memory"));
     assert!(answer.headers.contains_key("retry-after"));
     drop(waiting);
-    support::until("the memory is free again", || {
+    support::wait_until("the memory is free again", || {
         let answer = support::complete(entry(&fleet), &body).ok()?;
         (answer.status == 200).then_some(())
     });
 }
 
 #[test]
-fn a_customer_past_its_budget_is_told_when_to_come_back() {
+fn customer_over_budget_gets_a_retry_time() {
     let defaults =
         "{time_limit: 20s, max_output_tokens: 400, token_rate: 100.0, token_burst: 1000}";
-    let fleet = Fleet::start(&FleetShape { defaults, ..Default::default() });
+    let fleet = Fleet::start(&FleetConfig { defaults, ..Default::default() });
     let body = support::prompt_body("x", 500, 100, true);
     assert_eq!(support::complete(entry(&fleet), &body).unwrap().status, 200);
     let answer = support::complete(entry(&fleet), &body).unwrap();
@@ -187,8 +187,8 @@
 }
 
 #[test]
-fn an_answer_that_would_come_too_late_is_refused_at_once() {
-    let fleet = Fleet::start(&FleetShape::default());
+fn request_that_cannot_meet_its_time_limit_is_refused_at_once() {
+    let fleet = Fleet::start(&FleetConfig::default());
     let body = support::prompt_body("x", 500, 400, true);
     let started = time::Instant::now();
     let limit = [("slipturn-timeout-ms", "3000")];
@@ -200,7 +200,7 @@
     // A caller may shorten its limit, not lengthen it.
     let answer = support::complete_with(entry(&fleet), &body, &[("slipturn-timeout-ms", "900000")]);
     let id = answer.unwrap().headers["slipturn-request-id"].clone();
-    let record = support::until("the record is there", || {
+    let record = support::wait_until("the record is there", || {
         let found =
             support::get(fleet.instances[0].operators, &format!("/v1/decisions/{id}")).ok()?;
         (found.status == 200).then(|| found.json())
@@ -210,8 +210,8 @@
 }
 
 #[test]
-fn a_prompt_larger_than_an_engine_is_served_by_a_group() {
-    let fleet = Fleet::start(&FleetShape {
+fn prompt_larger_than_one_engine_is_served_by_a_group() {
+    let fleet = Fleet::start(&FleetConfig {
         engines: 9,
         fleet: "{orphan_grace: 3s, group_limit: 1}",
         ..Default::default()
@@ -219,7 +219,7 @@
     // 220,000 tokens need three engines of 100,000 with their headroom.
     let body = support::prompt_body("archive", 220_000, 10, true);
     let answer = support::complete(entry(&fleet), &body).unwrap();
-    assert!(support::is_whole_answer(&answer, &body), "{}", answer.text());
+    assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
     // The members give their memory back with the answer's end, not when a scheduler finds it.
     let ended = time::Instant::now();
     fleet.wait_no_memory_held();
@@ -232,8 +232,8 @@
 }
 
 #[test]
-fn no_process_uses_io_uring_or_starts_another() {
-    let fleet = Fleet::start(&FleetShape::default());
+fn processes_use_epoll_and_start_no_children() {
+    let fleet = Fleet::start(&FleetConfig::default());
     let body = support::prompt_body("x", 10, 5, true);
     assert_eq!(support::complete(entry(&fleet), &body).unwrap().status, 200);
     for process in [&fleet.instances[0].entry, &fleet.instances[0].scheduler] {
@@ -253,8 +253,8 @@
 }
 
 #[test]
-fn a_second_process_on_an_address_is_told_so() {
-    let mut fleet = Fleet::start(&FleetShape::default());
+fn process_fails_if_its_address_is_in_use() {
+    let mut fleet = Fleet::start(&FleetConfig::default());
     fleet.start_instance(0);
     let mut second = fleet.instances.pop().unwrap();
     for process in [&mut second.entry, &mut second.scheduler] {
--- a/crates/trial/tests/garbage.rs
+++ b/crates/trial/tests/garbage.rs
@@ -7,12 +7,12 @@
 use std::{io::Read as _, io::Write as _, time};
 
 use rand::{RngExt as _, SeedableRng as _};
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
 const ROUNDS: usize = 300;
 
 /// Pieces from which requests are put together that are nearly right.
-const PIECES: [&[u8]; 22] = [
+const FRAGMENTS: [&[u8]; 22] = [
     b"POST /v1/chat/completions HTTP/1.1\r\n",
     b"GET /v1/models HTTP/1.1\r\n",
     b"GET /services/rsvp/a?b=c HTTP/1.0\r\n",
@@ -37,14 +37,14 @@
     b"\r\n\r\n\r\n",
 ];
 
-fn garbage(random: &mut rand_chacha::ChaCha8Rng) -> Vec<u8> {
+fn malformed_bytes(random: &mut rand_chacha::ChaCha8Rng) -> Vec<u8> {
     let mut bytes = Vec::new();
     for _ in 0..random.random_range(1..8) {
         if random.random::<f64>() < 0.2 {
             let noise = (0..random.random_range(0..64)).map(|_| random.random::<u8>());
             bytes.extend(noise.collect::<Vec<_>>());
         } else {
-            bytes.extend_from_slice(PIECES[random.random_range(0..PIECES.len())]);
+            bytes.extend_from_slice(FRAGMENTS[random.random_range(0..FRAGMENTS.len())]);
         }
     }
     if random.random::<f64>() < 0.3 {
@@ -53,7 +53,7 @@
     bytes
 }
 
-fn throw(address: std::net::SocketAddr, bytes: &[u8]) {
+fn send_raw(address: std::net::SocketAddr, bytes: &[u8]) {
     let mut stream = support::connect(address).unwrap();
     stream.set_read_timeout(Some(time::Duration::from_millis(20))).unwrap();
     // The other end may have closed already; that is its right.
@@ -62,19 +62,19 @@
 }
 
 #[test]
-fn bytes_of_any_kind_stop_no_process() {
-    let mut fleet = Fleet::start(&FleetShape { services: 1, ..Default::default() });
+fn malformed_input_stops_no_process() {
+    let mut fleet = Fleet::start(&FleetConfig { services: 1, ..Default::default() });
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(7);
     for _ in 0..ROUNDS {
-        let bytes = garbage(&mut random);
+        let bytes = malformed_bytes(&mut random);
         let instance = &fleet.instances[0];
         for address in [instance.entry.address, instance.operators, instance.scheduler.address] {
-            throw(address, &bytes);
+            send_raw(address, &bytes);
         }
     }
     let body = support::prompt_body("x", 10, 5, true);
     let answer = support::complete(fleet.instances[0].entry.address, &body).unwrap();
-    assert!(support::is_whole_answer(&answer, &body), "{}", answer.text());
+    assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
     let status = support::get(fleet.instances[0].operators, "/v1/status").unwrap().json();
     assert_eq!(status["scheduler"]["instance"], "instance-0");
     let instance = &mut fleet.instances[0];
--- a/crates/trial/tests/memory.rs
+++ b/crates/trial/tests/memory.rs
@@ -7,7 +7,7 @@
 use std::{thread, time};
 
 use serde_json::json;
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
@@ -18,7 +18,7 @@
         let body = support::prompt_body(&format!("{number}"), 2_000, 400, true);
         thread::spawn(move || support::complete(address, &body));
     }
-    support::until("the streams run", || {
+    support::wait_until("the streams run", || {
         let held = |engine: &support::Process| {
             let load = support::get(engine.address, "/v1/load").unwrap().json();
             load["held"].as_array().unwrap().len()
@@ -30,7 +30,7 @@
     thread::sleep(SECOND / 2);
 }
 
-fn stubborn_engines(fleet: &Fleet) {
+fn ignore_disconnects_and_hang(fleet: &Fleet) {
     for engine in &fleet.engines {
         support::set_faults(
             engine.address,
@@ -40,23 +40,23 @@
 }
 
 #[test]
-fn an_entry_killed_mid_stream() {
-    let mut fleet = Fleet::start(&FleetShape { engines: 2, ..Default::default() });
-    stubborn_engines(&fleet);
+fn killed_entry_leaves_no_memory_held() {
+    let mut fleet = Fleet::start(&FleetConfig { engines: 2, ..Default::default() });
+    ignore_disconnects_and_hang(&fleet);
     start_streams(&fleet, 6);
     fleet.instances[0].entry.kill();
     fleet.wait_no_memory_held();
 }
 
 #[test]
-fn a_scheduler_killed_with_leases_out_knows_them_again_soon() {
-    let mut fleet = Fleet::start(&FleetShape { engines: 2, ..Default::default() });
-    stubborn_engines(&fleet);
+fn restarted_scheduler_soon_accounts_for_running_streams() {
+    let mut fleet = Fleet::start(&FleetConfig { engines: 2, ..Default::default() });
+    ignore_disconnects_and_hang(&fleet);
     start_streams(&fleet, 6);
     fleet.instances[0].scheduler.kill();
     fleet.restart(0, "scheduler");
     let started = time::Instant::now();
-    support::until("the new scheduler knows what the engines hold", || {
+    support::wait_until("the new scheduler knows what the engines hold", || {
         let status = support::get(fleet.instances[0].operators, "/v1/status").ok()?.json();
         let engines = status["scheduler"]["engines"].as_array()?.clone();
         let known = |row: &serde_json::Value| {
@@ -70,23 +70,23 @@
 }
 
 #[test]
-fn entry_and_scheduler_killed_together() {
-    let mut fleet = Fleet::start(&FleetShape { instances: 2, engines: 3, ..Default::default() });
-    stubborn_engines(&fleet);
+fn killed_entry_and_scheduler_leave_no_memory_held() {
+    let mut fleet = Fleet::start(&FleetConfig { instances: 2, engines: 3, ..Default::default() });
+    ignore_disconnects_and_hang(&fleet);
     start_streams(&fleet, 6);
     fleet.instances[0].entry.kill();
     fleet.instances[0].scheduler.kill();
     // The list says so after a while; the other instance takes the engines over.
-    fleet.list_leaving("instance-0");
+    fleet.mark_leaving("instance-0");
     fleet.wait_no_memory_held();
 }
 
 #[test]
-fn cancels_that_are_lost_are_sent_again() {
-    let mut fleet = Fleet::start(&FleetShape { engines: 1, ..Default::default() });
+fn lost_cancels_are_sent_again() {
+    let mut fleet = Fleet::start(&FleetConfig { engines: 1, ..Default::default() });
     let address = fleet.engines[0].address;
-    let lost = json!({ "ignore_disconnects": true, "hang_after": 3, "ignore_cancels": true });
-    support::set_faults(address, &lost);
+    let faults = json!({ "ignore_disconnects": true, "hang_after": 3, "ignore_cancels": true });
+    support::set_faults(address, &faults);
     start_streams(&fleet, 4);
     fleet.instances[0].entry.kill();
     thread::sleep(5 * SECOND);
@@ -99,31 +99,31 @@
 }
 
 #[test]
-fn a_frozen_scheduler_that_wakes_beside_its_successor() {
-    let mut fleet = Fleet::start(&FleetShape { instances: 2, engines: 3, ..Default::default() });
+fn resumed_scheduler_does_not_disturb_its_successor() {
+    let mut fleet = Fleet::start(&FleetConfig { instances: 2, engines: 3, ..Default::default() });
     fleet.instances[0].scheduler.signal("STOP");
-    fleet.list_leaving("instance-0");
+    fleet.mark_leaving("instance-0");
     // Its engines have another owner now, which fills them.
     let address = fleet.instances[1].entry.address;
-    support::until("the successor serves", || {
+    support::wait_until("the successor serves", || {
         let body = support::prompt_body("x", 1_000, 5, true);
         let answer = support::complete(address, &body).ok()?;
         (answer.status == 200).then_some(())
     });
-    let asking: Vec<_> = (0..12)
+    let callers: Vec<_> = (0..12)
         .map(|number| {
             let address = fleet.instances[1].entry.address;
             thread::spawn(move || {
                 let body = support::prompt_body(&format!("{number}"), 15_000, 200, true);
                 let answer = support::complete(address, &body).unwrap();
-                support::is_whole_answer(&answer, &body)
+                support::is_complete_answer(&answer, &body)
             })
         })
         .collect();
     thread::sleep(SECOND);
     fleet.instances[0].scheduler.signal("CONT");
     // What the woken one believes cuts nobody's stream.
-    assert!(asking.into_iter().all(|asked| asked.join().unwrap()));
+    assert!(callers.into_iter().all(|caller| caller.join().unwrap()));
     fleet.wait_no_memory_held();
     for engine in &fleet.engines {
         assert!(support::counts(engine.address)["peak_held"].as_u64().unwrap() <= 100_000);
@@ -131,57 +131,57 @@
 }
 
 #[test]
-fn a_group_that_loses_an_engine_gives_the_others_back() {
-    let mut fleet = Fleet::start(&FleetShape {
+fn group_that_loses_an_engine_releases_the_others() {
+    let mut fleet = Fleet::start(&FleetConfig {
         engines: 9,
         fleet: "{orphan_grace: 3s, group_limit: 1}",
         ..Default::default()
     });
     let address = fleet.instances[0].entry.address;
     let body = support::prompt_body("archive", 220_000, 400, true);
-    let asking = thread::spawn(move || support::complete(address, &body).unwrap());
-    let index = support::until("a group serves", || {
+    let caller = thread::spawn(move || support::complete(address, &body).unwrap());
+    let index = support::wait_until("a group serves", || {
         fleet.engines.iter().position(|engine| {
             let load = support::get(engine.address, "/v1/load").unwrap().json();
             load["held"].as_array().unwrap().iter().any(|row| row["tokens"].as_u64() > Some(70_000))
         })
     });
     thread::sleep(SECOND);
-    let mut dead = fleet.engines.remove(index);
-    dead.kill();
+    let mut killed = fleet.engines.remove(index);
+    killed.kill();
     // Whether it was the one that streams or one that only holds memory, all end clean.
-    asking.join().unwrap();
+    caller.join().unwrap();
     fleet.wait_no_memory_held();
 }
 
 #[test]
-fn two_groups_that_compete_both_end() {
-    let fleet = Fleet::start(&FleetShape {
+fn competing_groups_do_not_deadlock() {
+    let fleet = Fleet::start(&FleetConfig {
         instances: 2,
         engines: 9,
         fleet: "{orphan_grace: 3s, group_limit: 1, group_wait: 15s}",
         ..Default::default()
     });
-    let asking: Vec<_> = (0..6)
+    let callers: Vec<_> = (0..6)
         .map(|number| {
             let address = fleet.instances[number % 2].entry.address;
             thread::spawn(move || {
                 let body = support::prompt_body(&format!("archive {number}"), 220_000, 5, true);
                 let answer = support::complete(address, &body).unwrap();
-                let whole = support::is_whole_answer(&answer, &body);
+                let whole = support::is_complete_answer(&answer, &body);
                 assert!(whole || answer.ran() == "no", "{}", answer.text());
                 whole
             })
         })
         .collect();
-    let whole = asking.into_iter().map(|asked| asked.join().unwrap());
+    let whole = callers.into_iter().map(|caller| caller.join().unwrap());
     assert!(whole.filter(|whole| *whole).count() >= 3);
     fleet.wait_no_memory_held();
 }
 
 #[test]
-fn a_group_whose_first_member_refuses_gives_the_others_back_at_once() {
-    let fleet = Fleet::start(&FleetShape {
+fn refused_group_releases_its_memory_at_once() {
+    let fleet = Fleet::start(&FleetConfig {
         engines: 9,
         fleet: "{orphan_grace: 3s, group_limit: 1}",
         ..Default::default()
--- a/crates/trial/tests/once.rs
+++ b/crates/trial/tests/once.rs
@@ -7,19 +7,19 @@
 use std::{collections, thread, time};
 
 use serde_json::json;
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
 /// Retention and list lag of these fleets: voters vote after this long.
-const WINDOW: time::Duration = time::Duration::from_millis(10_300);
+const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 
-fn services(instances: usize, checks_keys: bool) -> Fleet {
-    let shape = FleetShape { instances, services: 2, checks_keys, ..Default::default() };
-    let fleet = Fleet::start(&shape);
-    thread::sleep(WINDOW);
+fn start_service_fleet(instances: usize, checks_keys: bool) -> Fleet {
+    let config = FleetConfig { instances, services: 2, checks_keys, ..Default::default() };
+    let fleet = Fleet::start(&config);
+    thread::sleep(VOTING_DELAY);
     fleet
 }
 
-fn runs_by(fleet: &Fleet, field: &str) -> collections::BTreeMap<String, u64> {
+fn sum_runs_by(fleet: &Fleet, field: &str) -> collections::BTreeMap<String, u64> {
     let mut runs = collections::BTreeMap::new();
     for service in &fleet.services {
         for (name, count) in support::counts(service.address)[field].as_object().unwrap() {
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn one_key_at_two_entries_at_once_runs_once() {
-    let fleet = services(6, false);
-    let asking: Vec<_> = (0..60)
+fn concurrent_calls_with_one_key_run_once() {
+    let fleet = start_service_fleet(6, false);
+    let callers: Vec<_> = (0..60)
         .map(|number| {
             let address = fleet.instances[number % 6].entry.address;
             let key = format!("key-{}", number / 6);
@@ -40,8 +40,8 @@
         })
         .collect();
     let mut answered = 0;
-    for asked in asking {
-        let answer = asked.join().unwrap();
+    for caller in callers {
+        let answer = caller.join().unwrap();
         match answer.status {
             200 => answered += 1,
             409 => assert_eq!(
@@ -52,16 +52,16 @@
         }
     }
     assert_eq!(answered, 10);
-    let runs = runs_by(&fleet, "by_key");
+    let runs = sum_runs_by(&fleet, "by_key");
     assert_eq!(runs.len(), 10);
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
 }
 
 #[test]
-fn a_repeat_after_a_time_out_or_a_broken_answer_does_not_run() {
-    let fleet = services(3, false);
-    let faults = [json!({ "close_before_answer": true }), json!({ "delay_ms": 60_000 })];
-    for (number, plan) in faults.iter().enumerate() {
+fn repeated_key_does_not_run_after_a_failed_call() {
+    let fleet = start_service_fleet(3, false);
+    let plans = [json!({ "close_before_answer": true }), json!({ "delay_ms": 60_000 })];
+    for (number, plan) in plans.iter().enumerate() {
         let key = format!("key-{number}");
         for service in &fleet.services {
             support::set_faults(service.address, plan);
@@ -78,14 +78,14 @@
             assert!(repeat.status == 409 || repeat.code() == "key_in_doubt", "{}", repeat.text());
         }
     }
-    let runs = runs_by(&fleet, "by_key");
+    let runs = sum_runs_by(&fleet, "by_key");
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
 }
 
 #[test]
-fn the_key_s_first_voter_dies_or_freezes_and_the_key_runs_once() {
+fn key_runs_once_when_two_voters_die_or_freeze() {
     for signal in ["KILL", "STOP"] {
-        let mut fleet = services(6, false);
+        let mut fleet = start_service_fleet(6, false);
         let first =
             support::call_service(fleet.instances[0].entry.address, "POST", Some("k")).unwrap();
         assert_eq!(first.status, 200, "{}", first.text());
@@ -104,8 +104,8 @@
                 })
             })
             .collect();
-        for called in calling {
-            let (repeat, other) = called.join().unwrap();
+        for caller_thread in calling {
+            let (repeat, other) = caller_thread.join().unwrap();
             assert_eq!(repeat.status, 409, "{signal}: {}", repeat.text());
             assert_eq!(other.status, 200, "{signal}: {}", other.text());
         }
@@ -117,7 +117,7 @@
             }
         }
         let address = fleet.instances[0].entry.address;
-        let repeat = support::until("the instance serves again", || {
+        let repeat = support::wait_until("the instance serves again", || {
             let answer = support::call_service(address, "POST", Some("k")).ok()?;
             (answer.code() != "not_ready").then_some(answer)
         });
@@ -126,34 +126,34 @@
             "{signal}: {}",
             repeat.text()
         );
-        assert_eq!(runs_by(&fleet, "by_key")["k"], 1);
+        assert_eq!(sum_runs_by(&fleet, "by_key")["k"], 1);
     }
 }
 
 #[test]
-fn without_a_majority_a_key_is_refused_in_doubt() {
-    let fleet = services(6, false);
+fn key_without_a_majority_is_refused() {
+    let fleet = start_service_fleet(6, false);
     for index in 1..4 {
         fleet.instances[index].scheduler.signal("STOP");
     }
     let answer =
         support::call_service(fleet.instances[0].entry.address, "POST", Some("k")).unwrap();
     assert_eq!((answer.status, answer.code().as_str()), (503, "key_in_doubt"), "{}", answer.text());
-    assert_eq!(runs_by(&fleet, "by_key").len(), 0);
+    assert_eq!(sum_runs_by(&fleet, "by_key").len(), 0);
     for index in 1..4 {
         fleet.instances[index].scheduler.signal("CONT");
     }
 }
 
 #[test]
-fn a_fresh_fleet_does_not_vote_before_it_can_know() {
-    let shape = FleetShape {
+fn new_fleet_refuses_keys_until_it_may_vote() {
+    let config = FleetConfig {
         instances: 3,
         services: 1,
         fleet: "{key_retention: 30s}",
         ..Default::default()
     };
-    let fleet = Fleet::start(&shape);
+    let fleet = Fleet::start(&config);
     let answer =
         support::call_service(fleet.instances[0].entry.address, "POST", Some("k")).unwrap();
     assert_eq!(answer.code(), "key_in_doubt", "{}", answer.text());
@@ -164,8 +164,8 @@
 }
 
 #[test]
-fn an_upstream_that_checks_keys_needs_no_votes() {
-    let mut fleet = Fleet::start_standins(&FleetShape {
+fn upstream_that_checks_keys_needs_no_votes() {
+    let mut fleet = Fleet::start_standins(&FleetConfig {
         instances: 1,
         services: 1,
         checks_keys: true,
@@ -180,12 +180,12 @@
     let statuses: Vec<_> =
         (0..3).map(|_| support::call_service(address, "POST", Some("k")).unwrap().status).collect();
     assert_eq!(statuses, [200, 409, 409]);
-    assert_eq!(runs_by(&fleet, "by_key")["k"], 1);
+    assert_eq!(sum_runs_by(&fleet, "by_key")["k"], 1);
 }
 
 #[test]
-fn what_is_said_not_to_have_run_did_not_and_what_may_have_is_not_repeated() {
-    let fleet = services(2, false);
+fn reported_run_state_matches_what_ran() {
+    let fleet = start_service_fleet(2, false);
     let plans = [
         json!({}),
         json!({ "refuse": true }),
@@ -197,21 +197,21 @@
             support::set_faults(service.address, &plans[(round + index * 3) % plans.len()]);
         }
         let address = fleet.instances[round % 2].entry.address;
-        let before: u64 = runs_by(&fleet, "by_request").values().sum();
+        let before: u64 = sum_runs_by(&fleet, "by_request").values().sum();
         let answer = support::call_service(address, "POST", None).unwrap();
-        let after: u64 = runs_by(&fleet, "by_request").values().sum();
+        let after: u64 = sum_runs_by(&fleet, "by_request").values().sum();
         match answer.status {
             200 => assert_eq!(after - before, 1),
             _ if answer.ran() == "no" => assert_eq!(after, before, "{}", answer.text()),
             _ => assert!(after - before <= 1),
         }
     }
-    assert!(runs_by(&fleet, "by_request").values().all(|count| *count == 1));
+    assert!(sum_runs_by(&fleet, "by_request").values().all(|count| *count == 1));
 }
 
 #[test]
-fn a_call_that_may_be_repeated_is_tried_elsewhere() {
-    let fleet = services(1, false);
+fn repeatable_call_is_retried_on_another_upstream() {
+    let fleet = start_service_fleet(1, false);
     support::set_faults(fleet.services[0].address, &json!({ "close_before_answer": true }));
     for _ in 0..3 {
         let answer = support::call_service(fleet.instances[0].entry.address, "GET", None).unwrap();
--- a/crates/trial/tests/silent_upstreams.rs
+++ b/crates/trial/tests/silent_upstreams.rs
@@ -18,51 +18,51 @@
 use std::{sync, thread, time};
 
 use slipturn_platform_standin::proxy;
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
 /// Far longer than a call takes that meets no silent connection, and shorter than one that does.
-const SOON: time::Duration = time::Duration::from_millis(600);
+const PROMPT_LIMIT: time::Duration = time::Duration::from_millis(600);
 /// Longer than the wait for a silent connection, and shorter than the service's time limit.
-const LATE_MS: u64 = 1_400;
+const SLOW_ANSWER_MS: u64 = 1_400;
 
 /// A fleet whose upstreams are reached through proxies.
-struct LinkedFleet {
+struct ProxiedFleet {
     fleet: Fleet,
-    links: Vec<sync::Arc<proxy::Proxy>>,
+    proxies: Vec<sync::Arc<proxy::Proxy>>,
 }
 
-impl LinkedFleet {
-    fn start(shape: &FleetShape) -> Self {
-        let fleet = Fleet::start(shape);
+impl ProxiedFleet {
+    fn start(config: &FleetConfig) -> Self {
+        let fleet = Fleet::start(config);
         let path = "/v1/documents/list?after=0&wait_ms=0";
         let mut list = support::get(fleet.platform.address, path).unwrap().json();
-        let links: Vec<sync::Arc<proxy::Proxy>> = fleet
+        let proxies: Vec<sync::Arc<proxy::Proxy>> = fleet
             .services
             .iter()
             .map(|service| proxy::Proxy::start(support::free_address(), service.address).unwrap())
             .collect();
-        for (row, link) in list["upstreams"].as_array_mut().unwrap().iter_mut().zip(&links) {
-            row["address"] = serde_json::json!(link.address.to_string());
+        for (row, proxy) in list["upstreams"].as_array_mut().unwrap().iter_mut().zip(&proxies) {
+            row["address"] = serde_json::json!(proxy.address.to_string());
         }
         list["revision"] = serde_json::json!(50);
         fleet.publish("list", 50, &list.to_string());
         let operators = fleet.instances[0].operators;
-        support::until("the list is in force", || {
+        support::wait_until("the list is in force", || {
             let status = support::get(operators, "/v1/status").ok()?.json();
             (status["entry"]["list_revision"] == 50).then_some(())
         });
-        Self { fleet, links }
+        Self { fleet, proxies }
     }
 
     fn call(&self, method: &str) -> (u16, time::Duration) {
-        let began = time::Instant::now();
+        let started = time::Instant::now();
         let address = self.fleet.instances[0].entry.address;
         let answer = support::call_service(address, method, None).unwrap();
-        (answer.status, began.elapsed())
+        (answer.status, started.elapsed())
     }
 
     /// Lets connections to all upstreams rest, more than one each.
-    fn rest_connections(&self) {
+    fn fill_connection_pool(&self) {
         for _ in 0..4 {
             thread::scope(|scope| {
                 for _ in 0..8 {
@@ -72,91 +72,94 @@
         }
     }
 
-    fn silence(&self) {
-        self.links.iter().for_each(|link| link.silence_open());
+    fn silence_connections(&self) {
+        self.proxies.iter().for_each(|proxy| proxy.silence_open());
     }
 }
 
 /// A repeatable call over a pooled connection that has fallen silent, with another upstream and new
 /// connections that work.
 #[test]
-fn a_repeatable_call_of_the_own_interface_survives_silent_connections() {
-    let linked =
-        LinkedFleet::start(&FleetShape { instances: 1, services: 2, ..Default::default() });
-    linked.rest_connections();
-    linked.silence();
-    let ends: Vec<_> = (0..6).map(|_| linked.call("GET")).collect();
-    println!("{ends:?}");
-    assert!(ends.iter().all(|(status, _)| *status == 200), "{ends:?}");
+fn repeatable_calls_succeed_when_pooled_connections_go_silent() {
+    let proxied =
+        ProxiedFleet::start(&FleetConfig { instances: 1, services: 2, ..Default::default() });
+    proxied.fill_connection_pool();
+    proxied.silence_connections();
+    let results: Vec<_> = (0..6).map(|_| proxied.call("GET")).collect();
+    println!("{results:?}");
+    assert!(results.iter().all(|(status, _)| *status == 200), "{results:?}");
     // One silence for each upstream; the others that rested with it are not met.
-    let late = ends.iter().filter(|(_, spent)| *spent > SOON).count();
-    assert!(late <= 2, "{ends:?}");
+    let slow = results.iter().filter(|(_, duration)| *duration > PROMPT_LIMIT).count();
+    assert!(slow <= 2, "{results:?}");
 }
 
 #[test]
-fn the_only_upstream_takes_the_call_over_a_new_connection() {
-    let linked =
-        LinkedFleet::start(&FleetShape { instances: 1, services: 1, ..Default::default() });
-    linked.rest_connections();
-    linked.silence();
-    let ends: Vec<_> = (0..4).map(|_| linked.call("GET")).collect();
-    println!("{ends:?}");
-    assert!(ends.iter().all(|(status, _)| *status == 200), "{ends:?}");
-    let late = ends.iter().filter(|(_, spent)| *spent > SOON).count();
-    assert!(late <= 1, "{ends:?}");
+fn call_to_the_only_upstream_moves_to_a_new_connection() {
+    let proxied =
+        ProxiedFleet::start(&FleetConfig { instances: 1, services: 1, ..Default::default() });
+    proxied.fill_connection_pool();
+    proxied.silence_connections();
+    let results: Vec<_> = (0..4).map(|_| proxied.call("GET")).collect();
+    println!("{results:?}");
+    assert!(results.iter().all(|(status, _)| *status == 200), "{results:?}");
+    let slow = results.iter().filter(|(_, duration)| *duration > PROMPT_LIMIT).count();
+    assert!(slow <= 1, "{results:?}");
 }
 
 #[test]
-fn a_call_without_an_attempt_left_waits_for_its_late_answer() {
+fn call_without_retries_waits_for_a_late_answer() {
     let defaults = "{time_limit: 20s, max_attempts: 1, max_output_tokens: 400, \
                     token_rate: 1000000000.0, token_burst: 1000000000}";
-    let shape = FleetShape { instances: 1, services: 1, defaults, ..Default::default() };
-    let linked = LinkedFleet::start(&shape);
-    linked.rest_connections();
-    let late = serde_json::json!({ "delay_ms": LATE_MS });
-    support::set_faults(linked.fleet.services[0].address, &late);
-    let (status, spent) = linked.call("GET");
-    assert_eq!(status, 200, "after {spent:?}");
+    let config = FleetConfig { instances: 1, services: 1, defaults, ..Default::default() };
+    let proxied = ProxiedFleet::start(&config);
+    proxied.fill_connection_pool();
+    let slow = serde_json::json!({ "delay_ms": SLOW_ANSWER_MS });
+    support::set_faults(proxied.fleet.services[0].address, &slow);
+    let (status, duration) = proxied.call("GET");
+    assert_eq!(status, 200, "after {duration:?}");
 }
 
 #[test]
-fn a_call_that_must_not_run_twice_takes_no_resting_connection() {
-    let linked =
-        LinkedFleet::start(&FleetShape { instances: 1, services: 2, ..Default::default() });
-    linked.rest_connections();
-    linked.silence();
-    let ends: Vec<_> = (0..4).map(|_| linked.call("POST")).collect();
-    println!("{ends:?}");
-    assert!(ends.iter().all(|(status, spent)| *status == 200 && *spent < SOON), "{ends:?}");
+fn non_repeatable_call_uses_no_pooled_connection() {
+    let proxied =
+        ProxiedFleet::start(&FleetConfig { instances: 1, services: 2, ..Default::default() });
+    proxied.fill_connection_pool();
+    proxied.silence_connections();
+    let results: Vec<_> = (0..4).map(|_| proxied.call("POST")).collect();
+    println!("{results:?}");
+    assert!(
+        results.iter().all(|(status, duration)| *status == 200 && *duration < PROMPT_LIMIT),
+        "{results:?}"
+    );
 }
 
 #[test]
-fn a_late_answer_over_a_resting_connection_is_delivered() {
+fn late_answer_on_a_pooled_connection_is_delivered() {
     for services in [1, 2] {
-        let linked = LinkedFleet::start(&FleetShape { services, ..Default::default() });
-        linked.rest_connections();
-        let late = serde_json::json!({ "delay_ms": LATE_MS });
-        for service in &linked.fleet.services {
-            support::set_faults(service.address, &late);
+        let proxied = ProxiedFleet::start(&FleetConfig { services, ..Default::default() });
+        proxied.fill_connection_pool();
+        let slow = serde_json::json!({ "delay_ms": SLOW_ANSWER_MS });
+        for service in &proxied.fleet.services {
+            support::set_faults(service.address, &slow);
         }
-        let ends: Vec<_> = (0..3).map(|_| linked.call("GET")).collect();
-        println!("{services}: {ends:?}");
-        assert!(ends.iter().all(|(status, _)| *status == 200), "{ends:?}");
+        let results: Vec<_> = (0..3).map(|_| proxied.call("GET")).collect();
+        println!("{services}: {results:?}");
+        assert!(results.iter().all(|(status, _)| *status == 200), "{results:?}");
     }
 }
 
 /// Calls at once need more connections than the new one behind a silence.
 #[test]
-fn behind_a_silence_no_call_meets_another_connection_that_rested_with_it() {
-    let linked = LinkedFleet::start(&FleetShape { services: 1, ..Default::default() });
-    linked.rest_connections();
-    linked.silence();
-    assert_eq!(linked.call("GET").0, 200);
+fn calls_avoid_connections_pooled_before_a_silence() {
+    let proxied = ProxiedFleet::start(&FleetConfig { services: 1, ..Default::default() });
+    proxied.fill_connection_pool();
+    proxied.silence_connections();
+    assert_eq!(proxied.call("GET").0, 200);
     thread::scope(|scope| {
         for _ in 0..6 {
             scope.spawn(|| {
-                let (status, spent) = linked.call("GET");
-                assert!(status == 200 && spent < SOON, "{status} after {spent:?}");
+                let (status, duration) = proxied.call("GET");
+                assert!(status == 200 && duration < PROMPT_LIMIT, "{status} after {duration:?}");
             });
         }
     });
--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -10,9 +10,9 @@
 use slipturn_platform_standin::proxy;
 
 /// Key of the only customer's callers.
-pub const KEY: &str = "key-1";
+pub const API_KEY: &str = "key-1";
 /// Longest a trial waits for anything.
-const PATIENCE: time::Duration = time::Duration::from_secs(40);
+const WAIT_LIMIT: time::Duration = time::Duration::from_secs(40);
 
 /// A process that is killed when the test ends.
 pub struct Process {
@@ -49,7 +49,7 @@
 
     /// Waits for it to exit by itself.
     pub fn wait(&mut self) -> process::ExitStatus {
-        until("the process exits", || self.child.try_wait().unwrap())
+        wait_until("the process exits", || self.child.try_wait().unwrap())
     }
 
     /// Its process number.
@@ -75,30 +75,30 @@
 }
 
 /// What a fleet is made of.
-pub struct FleetShape {
+pub struct FleetConfig {
     pub instances: usize,
     pub engines: usize,
     pub services: usize,
     pub checks_keys: bool,
     /// Instances from this one on have a platform of their own, so that they can be cut off.
-    pub split: Option<usize>,
+    pub second_platform_from: Option<usize>,
     /// Whether a proxy stands before the platform, so that its connections can fall silent.
-    pub platform_link: bool,
+    pub platform_proxy: bool,
     /// YAML of the settings below `fleet:`, in flow style.
     pub fleet: &'static str,
     /// YAML of the settings below `defaults:`, in flow style.
     pub defaults: &'static str,
 }
 
-impl Default for FleetShape {
+impl Default for FleetConfig {
     fn default() -> Self {
         Self {
             instances: 1,
             engines: 1,
             services: 0,
             checks_keys: false,
-            split: None,
-            platform_link: false,
+            second_platform_from: None,
+            platform_proxy: false,
             fleet: "{key_retention: 5s, orphan_grace: 3s}",
             defaults: "{time_limit: 20s, max_output_tokens: 400, token_rate: 1000000000.0, \
                        token_burst: 1000000000}",
@@ -110,13 +110,13 @@
 pub struct Fleet {
     pub platform: Process,
     /// The platform of the instances from the split on.
-    far_platform: Option<(usize, Process)>,
+    second_platform: Option<(usize, Process)>,
     /// The proxy before the platform, where there is one.
-    pub platform_link: Option<sync::Arc<proxy::Proxy>>,
+    pub platform_proxy: Option<sync::Arc<proxy::Proxy>>,
     pub engines: Vec<Process>,
     pub services: Vec<Process>,
     pub instances: Vec<Instance>,
-    folder: path::PathBuf,
+    dir: path::PathBuf,
     leaving: collections::BTreeSet<String>,
     list: Value,
     revision: u64,
@@ -124,11 +124,11 @@
 
 impl Fleet {
     /// Starts a fleet and waits until it is ready.
-    pub fn start(shape: &FleetShape) -> Self {
-        let mut fleet = Self::start_standins(shape);
-        fleet.publish_settings(1, shape.fleet, shape.defaults);
+    pub fn start(config: &FleetConfig) -> Self {
+        let mut fleet = Self::start_standins(config);
+        fleet.publish_settings(1, config.fleet, config.defaults);
         fleet.publish_list();
-        for index in 0..shape.instances {
+        for index in 0..config.instances {
             fleet.start_instance(index);
         }
         fleet.wait_ready();
@@ -136,40 +136,41 @@
     }
 
     /// Starts the platform, engines and services, and lays the instances' files out.
-    pub fn start_standins(shape: &FleetShape) -> Self {
-        let folder = new_folder();
+    pub fn start_standins(config: &FleetConfig) -> Self {
+        let dir = create_temp_dir();
         let start = |role: &str, index: usize| {
             let address = free_address();
             Process::start(
                 role,
                 &address.to_string(),
                 address,
-                &folder.join(format!("{role}-{index}.log")),
+                &dir.join(format!("{role}-{index}.log")),
             )
         };
-        let role = if shape.checks_keys { "service-checking" } else { "service" };
+        let role = if config.checks_keys { "service-checking" } else { "service" };
         let platform = start("platform", 0);
-        let far_platform = shape.split.map(|split| (split, start("platform", 1)));
-        let engines: Vec<_> = (0..shape.engines).map(|index| start("engine", index)).collect();
-        let services: Vec<_> = (0..shape.services).map(|index| start(role, index)).collect();
-        let far = far_platform.iter().map(|(_, process)| process);
-        for process in engines.iter().chain(&services).chain([&platform]).chain(far) {
-            until("a stand-in listens", || net::TcpStream::connect(process.address).ok());
+        let second_platform =
+            config.second_platform_from.map(|first_index| (first_index, start("platform", 1)));
+        let engines: Vec<_> = (0..config.engines).map(|index| start("engine", index)).collect();
+        let services: Vec<_> = (0..config.services).map(|index| start(role, index)).collect();
+        let second = second_platform.iter().map(|(_, process)| process);
+        for process in engines.iter().chain(&services).chain([&platform]).chain(second) {
+            wait_until("a stand-in listens", || net::TcpStream::connect(process.address).ok());
         }
-        let platform_link = shape.platform_link.then(|| {
+        let platform_proxy = config.platform_proxy.then(|| {
             proxy::Proxy::start(free_address(), platform.address)
                 .expect("a proxy before the platform")
         });
-        let list = describe(shape.instances, &engines, &services);
+        let list = build_list(config.instances, &engines, &services);
         let leaving = collections::BTreeSet::new();
         Self {
             platform,
-            far_platform,
-            platform_link,
+            second_platform,
+            platform_proxy,
             engines,
             services,
             instances: Vec::new(),
-            folder,
+            dir,
             leaving,
             list,
             revision: 0,
@@ -180,14 +181,14 @@
     pub fn start_instance(&mut self, index: usize) {
         let row = self.list["instances"][index].clone();
         let name = row["name"].as_str().unwrap().to_owned();
-        let file = self.folder.join(format!("{name}.yaml"));
+        let file = self.dir.join(format!("{name}.yaml"));
         let local = json!({
             "instance": name,
             "data_center": row["data_center"],
             "listen": {
                 "callers": row["entry"], "operators": row["operators"], "scheduler": row["scheduler"],
             },
-            "platform": [self.platform_of(index).to_string()],
+            "platform": [self.platform_address(index).to_string()],
             "limits": { "max_body": "2MiB", "held_bodies": "4MiB", "body_time": "2s", "sleep_bound": "1s" },
             "log": { "level": "debug", "format": "text" },
         });
@@ -198,7 +199,7 @@
                 role,
                 file.to_str().unwrap(),
                 address,
-                &self.folder.join(format!("{name}-{role}.log")),
+                &self.dir.join(format!("{name}-{role}.log")),
             )
         };
         let instance = Instance {
@@ -213,16 +214,16 @@
 
     /// Starts an instance's killed process again: another start of the same name.
     pub fn restart(&mut self, index: usize, role: &str) {
-        let folder = self.folder.clone();
+        let dir = self.dir.clone();
         let instance = &mut self.instances[index];
         let process = if role == "entry" { &mut instance.entry } else { &mut instance.scheduler };
-        let log = folder.join(format!("{}-{role}-again.log", instance.name));
+        let log = dir.join(format!("{}-{role}-again.log", instance.name));
         *process = Process::start(role, instance.file.to_str().unwrap(), process.address, &log);
     }
 
     /// Publishes the settings with the standard customer and services.
     pub fn publish_settings(&self, version: u64, fleet: &str, defaults: &str) {
-        let digest = slipturn_core::settings_resolve::key_digest(KEY);
+        let digest = slipturn_core::settings_resolve::key_digest(API_KEY);
         let text = format!(
             "version: {version}\nfleet: {fleet}\ndefaults: {defaults}\n\
              services: {{rsvp: {{methods: {{GET: repeatable, POST: once}}, time_limit: 2s, \
@@ -256,35 +257,37 @@
     }
 
     /// Publishes that something is leaving.
-    pub fn list_leaving(&mut self, name: &str) {
+    pub fn mark_leaving(&mut self, name: &str) {
         self.leaving.insert(name.to_owned());
         self.publish_list();
     }
 
     /// Publishes any document, on both platforms where there are two.
     pub fn publish(&self, name: &str, number: u64, text: &str) {
-        publish_at(self.platform.address, name, number, text);
-        if let Some((_, far)) = &self.far_platform {
-            publish_at(far.address, name, number, text);
+        publish_to(self.platform.address, name, number, text);
+        if let Some((_, second)) = &self.second_platform {
+            publish_to(second.address, name, number, text);
         }
     }
 
     /// Cuts the two parts of a split fleet from each other: each is told addresses for the other's
     /// schedulers at which nobody answers. Published whole again by [`Self::publish_list`].
-    pub fn cut(&mut self) {
-        let (split, far) = self.far_platform.as_ref().unwrap();
-        let (split, far) = (*split, far.address);
+    pub fn partition_network(&mut self) {
+        let (first_index, second) = self.second_platform.as_ref().unwrap();
+        let (first_index, second) = (*first_index, second.address);
         self.revision += 1;
-        for (address, cut_off) in [(self.platform.address, split..usize::MAX), (far, 0..split)] {
+        for (address, unreachable) in
+            [(self.platform.address, first_index..usize::MAX), (second, 0..first_index)]
+        {
             let mut list = self.list.clone();
             list.as_object_mut().unwrap().remove("checks_keys");
             list["revision"] = json!(self.revision);
             for (index, row) in list["instances"].as_array_mut().unwrap().iter_mut().enumerate() {
-                if cut_off.contains(&index) {
+                if unreachable.contains(&index) {
                     row["scheduler"] = json!("127.0.0.1:9");
                 }
             }
-            publish_at(address, "list", self.revision, &list.to_string());
+            publish_to(address, "list", self.revision, &list.to_string());
         }
         self.wait_list();
     }
@@ -292,19 +295,19 @@
     /// Waits until every entry has the list that was published last.
     pub fn wait_list(&self) {
         for instance in &self.instances {
-            until("the list is in force", || {
+            wait_until("the list is in force", || {
                 let status = get(instance.operators, "/v1/status").ok()?.json();
                 (status["entry"]["list_revision"] == self.revision).then_some(())
             });
         }
     }
 
-    fn platform_of(&self, index: usize) -> net::SocketAddr {
-        match &self.far_platform {
-            Some((split, far)) if index >= *split => far.address,
+    fn platform_address(&self, index: usize) -> net::SocketAddr {
+        match &self.second_platform {
+            Some((first_index, second)) if index >= *first_index => second.address,
             _ => {
-                let link = self.platform_link.as_ref();
-                link.map_or(self.platform.address, |link| link.address)
+                let proxy = self.platform_proxy.as_ref();
+                proxy.map_or(self.platform.address, |proxy| proxy.address)
             }
         }
     }
@@ -312,13 +315,13 @@
     /// Waits until all instances take requests and all engines are known to their schedulers.
     pub fn wait_ready(&self) {
         for index in 0..self.instances.len() {
-            until("an instance is ready", || {
+            wait_until("an instance is ready", || {
                 let ready = get(self.instances[index].operators, "/readyz").ok()?;
                 (ready.status == 200).then_some(())
             });
         }
         let engines = self.engines.len();
-        until("all engines are reachable", || {
+        wait_until("all engines are reachable", || {
             let owned = |instance: &Instance| {
                 let status = get(instance.operators, "/v1/status").ok()?.json();
                 let rows = status["scheduler"]["engines"].as_array()?.clone();
@@ -336,7 +339,7 @@
     /// Waits until no engine holds any memory.
     pub fn wait_no_memory_held(&self) {
         for engine in &self.engines {
-            until("the engine holds nothing", || {
+            wait_until("the engine holds nothing", || {
                 let load = get(engine.address, "/v1/load").ok()?.json();
                 load["held"].as_array()?.is_empty().then_some(())
             });
@@ -347,7 +350,7 @@
     pub fn wait_version(&self, version: u64) -> time::Duration {
         let started = time::Instant::now();
         for instance in &self.instances {
-            until("the version is in force", || {
+            wait_until("the version is in force", || {
                 let status = get(instance.operators, "/v1/status").ok()?.json();
                 let entry = status["entry"]["settings_version"] == version;
                 (entry && status["scheduler"]["settings_version"] == version).then_some(())
@@ -360,20 +363,20 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         if thread::panicking() {
-            eprintln!("logs of the trial: {}", self.folder.display());
+            eprintln!("logs of the trial: {}", self.dir.display());
         } else {
-            let _ = fs::remove_dir_all(&self.folder);
+            let _ = fs::remove_dir_all(&self.dir);
         }
     }
 }
 
-fn publish_at(platform: net::SocketAddr, name: &str, number: u64, text: &str) {
+fn publish_to(platform: net::SocketAddr, name: &str, number: u64, text: &str) {
     let path = format!("/documents/{name}?number={number}");
     let answer = request(platform, "PUT", &path, &[], text.as_bytes()).unwrap();
     assert_eq!(answer.status, 200);
 }
 
-fn describe(instances: usize, engines: &[Process], services: &[Process]) -> Value {
+fn build_list(instances: usize, engines: &[Process], services: &[Process]) -> Value {
     let instances = (0..instances).map(|index| {
         json!({
             "name": format!("instance-{index}"),
@@ -409,28 +412,28 @@
     })
 }
 
-fn new_folder() -> path::PathBuf {
+fn create_temp_dir() -> path::PathBuf {
     static COUNTER: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     let number = COUNTER.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-    let folder = path::Path::new(env!("CARGO_TARGET_TMPDIR"))
+    let dir = path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("trial-{}-{number}", process::id()));
-    fs::create_dir_all(&folder).unwrap();
-    folder
+    fs::create_dir_all(&dir).unwrap();
+    dir
 }
 
 /// An address that nothing listens on, below the range that outgoing connections take theirs from.
 ///
 /// A port handed out by the system could be taken by somebody's outgoing connection before the
-/// process that is to have it comes up. Each test process takes its ports from a slice of its own.
+/// process that is to have it comes up. Each test process takes its ports from a range of its own.
 pub fn free_address() -> net::SocketAddr {
     static NEXT: std::sync::atomic::AtomicU16 = std::sync::atomic::AtomicU16::new(0);
-    const FIRST: u16 = 10_000;
-    const SLICE: u16 = 400;
-    const SLICES: u32 = 50;
-    let slice = u16::try_from(process::id() % SLICES).unwrap() * SLICE;
-    for _ in 0..SLICE {
-        let next = NEXT.fetch_add(1, std::sync::atomic::Ordering::SeqCst) % SLICE;
-        let address = net::SocketAddr::from(([127, 0, 0, 1], FIRST + slice + next));
+    const FIRST_PORT: u16 = 10_000;
+    const PORTS_PER_RANGE: u16 = 400;
+    const PORT_RANGES: u32 = 50;
+    let range_offset = u16::try_from(process::id() % PORT_RANGES).unwrap() * PORTS_PER_RANGE;
+    for _ in 0..PORTS_PER_RANGE {
+        let next = NEXT.fetch_add(1, std::sync::atomic::Ordering::SeqCst) % PORTS_PER_RANGE;
+        let address = net::SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + range_offset + next));
         // Binding to find out would let a process that another test starts inherit the socket for
         // a moment, and the one meant to listen would find the address in use.
         if net::TcpStream::connect(address).is_err() {
@@ -441,13 +444,13 @@
 }
 
 /// Waits for something to come about.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+pub fn wait_until<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let started = time::Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(started.elapsed() < PATIENCE, "waited in vain: {what}");
+        assert!(started.elapsed() < WAIT_LIMIT, "waited in vain: {condition}");
         thread::sleep(time::Duration::from_millis(20));
     }
 }
@@ -497,7 +500,7 @@
 
 pub fn connect(address: net::SocketAddr) -> io::Result<net::TcpStream> {
     let stream = net::TcpStream::connect_timeout(&address, time::Duration::from_secs(2))?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(WAIT_LIMIT))?;
     Ok(stream)
 }
 
@@ -570,8 +573,8 @@
 }
 
 /// The body of a model request with a prompt of about this many tokens.
-pub fn prompt_body(word: &str, tokens: usize, output: u64, stream: bool) -> Value {
-    let content = format!("{word} {}", "abc ".repeat(tokens));
+pub fn prompt_body(prompt_start: &str, tokens: usize, output: u64, stream: bool) -> Value {
+    let content = format!("{prompt_start} {}", "abc ".repeat(tokens));
     json!({
         "model": "invitation",
         "stream": stream,
@@ -588,11 +591,11 @@
 pub fn complete_with(
     address: net::SocketAddr,
     body: &Value,
-    more: &[(&str, &str)],
+    extra_headers: &[(&str, &str)],
 ) -> io::Result<Answer> {
-    let bearer = format!("Bearer {KEY}");
+    let bearer = format!("Bearer {API_KEY}");
     let mut headers = vec![("authorization", bearer.as_str())];
-    headers.extend(more);
+    headers.extend(extra_headers);
     request(address, "POST", "/v1/chat/completions", &headers, body.to_string().as_bytes())
 }
 
@@ -602,14 +605,14 @@
     method: &str,
     key: Option<&str>,
 ) -> io::Result<Answer> {
-    let bearer = format!("Bearer {KEY}");
+    let bearer = format!("Bearer {API_KEY}");
     let mut headers = vec![("authorization", bearer.as_str())];
     headers.extend(key.map(|key| ("idempotency-key", key)));
     request(address, method, "/services/rsvp/send", &headers, b"{}")
 }
 
 /// Whether a streamed answer is exactly the one to this body.
-pub fn is_whole_answer(answer: &Answer, body: &Value) -> bool {
+pub fn is_complete_answer(answer: &Answer, body: &Value) -> bool {
     let mark = slipturn_standin::engine::answer_mark(&body["messages"].to_string());
     let output = body["max_tokens"].as_u64().unwrap();
     answer.status == 200
