--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -1,4 +1,6 @@
-//! Every role in one program, because cargo hands a test only the programs of its own package.
+//! Runs any process of a test fleet: an entry, a scheduler or a stand-in.
+//!
+//! All of them are one binary, because cargo gives integration tests the paths of the binaries of their own package only.
 //!
 //! `slipturn-trial entry|scheduler FILE` and `slipturn-trial engine|service|service-checking|
 //! platform ADDRESS`.
@@ -26,7 +28,7 @@
 fn run(role: &str, argument: &str) -> Result<(), String> {
     match role {
         "entry" | "scheduler" => run_instance(role == "entry", path::Path::new(argument)),
-        _ => run_standin(role, argument.parse().map_err(|_| "not an address".to_owned())?),
+        _ => run_standin(role, argument.parse().map_err(|_| "invalid address".to_owned())?),
     }
 }
 
@@ -59,7 +61,7 @@
             "service" => service::run(listener, false).await,
             "service-checking" => service::run(listener, true).await,
             "platform" => platform::run(listener).await,
-            other => return Err(format!("'{other}' is no role")),
+            other => return Err(format!("unknown role '{other}'")),
         }
         Ok(())
     };
--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Starts a small fleet of real processes on loopback, and talks to it as callers and operators do.
+//! Starts a fleet of real processes on loopback, and sends requests to it as callers and operators do.
 //!
-//! Ports are taken from the system, one fleet a test, so that tests run beside each other.
+//! Each test has a fleet of its own on ports of its own, so that tests can run in parallel.
 
 #![allow(dead_code, missing_docs, unreachable_pub, clippy::unwrap_used)]
 
@@ -9,15 +9,15 @@
 use serde_json::{Value, json};
 use slipturn_platform_standin::proxy;
 
-/// Key of the only customer's callers.
+/// API key of the only customer in the published settings.
 pub const API_KEY: &str = "key-1";
-/// Longest a trial waits for anything.
+/// Time limit for each condition and each read of a test.
 const WAIT_LIMIT: time::Duration = time::Duration::from_secs(40);
 
-/// A process that is killed when the test ends.
+/// A child process that is killed on drop.
 pub struct Process {
     child: process::Child,
-    /// Where it listens.
+    /// Address that the process listens on.
     pub address: net::SocketAddr,
 }
 
@@ -33,7 +33,7 @@
         Self { child, address }
     }
 
-    /// Sends a signal: `TERM`, `KILL`, `STOP` or `CONT`.
+    /// Sends a signal, named as for `kill`: `TERM`, `KILL`, `STOP` or `CONT`.
     pub fn signal(&self, name: &str) {
         let status = process::Command::new("kill")
             .args([&format!("-{name}"), &self.child.id().to_string()])
@@ -41,18 +41,18 @@
         assert!(status.unwrap().success(), "kill -{name}");
     }
 
-    /// Kills it, and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         self.signal("KILL");
         self.child.wait().unwrap();
     }
 
-    /// Waits for it to exit by itself.
+    /// Waits until the process exits by itself.
     pub fn wait(&mut self) -> process::ExitStatus {
         wait_until("the process exits", || self.child.try_wait().unwrap())
     }
 
-    /// Its process number.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -65,28 +65,30 @@
     }
 }
 
-/// One instance: its two processes and their addresses.
+/// One instance: an entry and a scheduler that share a settings file.
 pub struct Instance {
     pub name: String,
     pub entry: Process,
     pub scheduler: Process,
+    /// Address of the operator interface, which the entry serves.
     pub operators: net::SocketAddr,
     file: path::PathBuf,
 }
 
-/// What a fleet is made of.
+/// Size, topology and settings of a fleet.
 pub struct FleetConfig {
     pub instances: usize,
     pub engines: usize,
     pub services: usize,
+    /// Whether the service stand-ins reject repeated idempotency keys themselves.
     pub checks_keys: bool,
-    /// Instances from this one on have a platform of their own, so that they can be cut off.
+    /// Index of the first instance that uses a second platform. Needed for [`Fleet::partition_network`].
     pub second_platform_from: Option<usize>,
-    /// Whether a proxy stands before the platform, so that its connections can fall silent.
+    /// Whether instances reach the first platform through a proxy, which can silence connections.
     pub platform_proxy: bool,
-    /// YAML of the settings below `fleet:`, in flow style.
+    /// Settings below `fleet:`, as YAML in flow style.
     pub fleet: &'static str,
-    /// YAML of the settings below `defaults:`, in flow style.
+    /// Settings below `defaults:`, as YAML in flow style.
     pub defaults: &'static str,
 }
 
@@ -106,24 +108,26 @@
     }
 }
 
-/// A whole fleet of processes.
+/// The running processes of a fleet and the last published list.
 pub struct Fleet {
     pub platform: Process,
-    /// The platform of the instances from the split on.
+    /// Index of the first instance on the second platform, and that platform.
     second_platform: Option<(usize, Process)>,
-    /// The proxy before the platform, where there is one.
+    /// Proxy between the instances and the first platform.
     pub platform_proxy: Option<sync::Arc<proxy::Proxy>>,
     pub engines: Vec<Process>,
     pub services: Vec<Process>,
     pub instances: Vec<Instance>,
     dir: path::PathBuf,
+    /// Names that the published list marks as leaving.
     leaving: collections::BTreeSet<String>,
+    /// The list without revision and states, and a flag `checks_keys` that is not published.
     list: Value,
     revision: u64,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until it is ready.
+    /// Starts all processes, publishes settings and the list, and waits until the fleet is ready.
     pub fn start(config: &FleetConfig) -> Self {
         let mut fleet = Self::start_standins(config);
         fleet.publish_settings(1, config.fleet, config.defaults);
@@ -135,7 +139,7 @@
         fleet
     }
 
-    /// Starts the platform, engines and services, and lays the instances' files out.
+    /// Starts the platforms, engines and services, but no instances. Publishes nothing.
     pub fn start_standins(config: &FleetConfig) -> Self {
         let dir = create_temp_dir();
         let start = |role: &str, index: usize| {
@@ -159,7 +163,7 @@
         }
         let platform_proxy = config.platform_proxy.then(|| {
             proxy::Proxy::start(free_address(), platform.address)
-                .expect("a proxy before the platform")
+                .expect("failed to start the platform proxy")
         });
         let list = build_list(config.instances, &engines, &services);
         let leaving = collections::BTreeSet::new();
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Starts the processes of the instance with this index in the list.
+    /// Starts entry and scheduler of the instance at this index of the list.
     pub fn start_instance(&mut self, index: usize) {
         let row = self.list["instances"][index].clone();
         let name = row["name"].as_str().unwrap().to_owned();
@@ -212,7 +216,7 @@
         self.instances.push(instance);
     }
 
-    /// Starts an instance's killed process again: another start of the same name.
+    /// Starts the entry or scheduler of an instance again, after the former process has exited.
     pub fn restart(&mut self, index: usize, role: &str) {
         let dir = self.dir.clone();
         let instance = &mut self.instances[index];
@@ -221,7 +225,7 @@
         *process = Process::start(role, instance.file.to_str().unwrap(), process.address, &log);
     }
 
-    /// Publishes the settings with the standard customer and services.
+    /// Publishes settings with one customer, `bluebonnet`, and one service, `rsvp`.
     pub fn publish_settings(&self, version: u64, fleet: &str, defaults: &str) {
         let digest = slipturn_core::settings_resolve::key_digest(API_KEY);
         let text = format!(
@@ -235,7 +239,7 @@
         self.publish("settings", version, &text);
     }
 
-    /// Publishes the list with another revision.
+    /// Publishes the list under the next revision.
     pub fn publish_list(&mut self) {
         self.revision += 1;
         let mut list = self.list.clone();
@@ -251,18 +255,18 @@
         self.publish("list", self.revision, &list.to_string());
     }
 
-    /// Has the settings say that the service's upstreams check keys themselves.
+    /// Sets `checks_keys` of the service in all settings published from now on.
     pub fn declare_checks_keys(&mut self) {
         self.list["checks_keys"] = json!(true);
     }
 
-    /// Publishes that something is leaving.
+    /// Publishes a list that marks an instance, engine or upstream as leaving.
     pub fn mark_leaving(&mut self, name: &str) {
         self.leaving.insert(name.to_owned());
         self.publish_list();
     }
 
-    /// Publishes any document, on both platforms where there are two.
+    /// Publishes a document on every platform.
     pub fn publish(&self, name: &str, number: u64, text: &str) {
         publish_to(self.platform.address, name, number, text);
         if let Some((_, second)) = &self.second_platform {
@@ -270,8 +274,10 @@
         }
     }
 
-    /// Cuts the two parts of a split fleet from each other: each is told addresses for the other's
-    /// schedulers at which nobody answers. Published whole again by [`Self::publish_list`].
+    /// Simulates a network partition between the instances on the two platforms.
+    ///
+    /// Each platform publishes a list in which the schedulers of the other side have an address that nothing listens on.
+    /// [`Self::publish_list`] ends the partition.
     pub fn partition_network(&mut self) {
         let (first_index, second) = self.second_platform.as_ref().unwrap();
         let (first_index, second) = (*first_index, second.address);
@@ -292,10 +298,10 @@
         self.wait_list();
     }
 
-    /// Waits until every entry has the list that was published last.
+    /// Waits until every entry uses the last published list.
     pub fn wait_list(&self) {
         for instance in &self.instances {
-            wait_until("the list is in force", || {
+            wait_until("the list is in effect", || {
                 let status = get(instance.operators, "/v1/status").ok()?.json();
                 (status["entry"]["list_revision"] == self.revision).then_some(())
             });
@@ -312,7 +318,7 @@
         }
     }
 
-    /// Waits until all instances take requests and all engines are known to their schedulers.
+    /// Waits until all instances accept requests and every engine is owned and reached by a scheduler.
     pub fn wait_ready(&self) {
         for index in 0..self.instances.len() {
             wait_until("an instance is ready", || {
@@ -336,21 +342,21 @@
         });
     }
 
-    /// Waits until no engine holds any memory.
+    /// Waits until no engine holds memory for a request.
     pub fn wait_no_memory_held(&self) {
         for engine in &self.engines {
-            wait_until("the engine holds nothing", || {
+            wait_until("the engine holds no memory", || {
                 let load = get(engine.address, "/v1/load").ok()?.json();
                 load["held"].as_array()?.is_empty().then_some(())
             });
         }
     }
 
-    /// Waits until every instance has settings of this version in force.
+    /// Waits until every entry and scheduler uses this settings version, and returns the time waited.
     pub fn wait_version(&self, version: u64) -> time::Duration {
         let started = time::Instant::now();
         for instance in &self.instances {
-            wait_until("the version is in force", || {
+            wait_until("the settings version is in effect", || {
                 let status = get(instance.operators, "/v1/status").ok()?.json();
                 let entry = status["entry"]["settings_version"] == version;
                 (entry && status["scheduler"]["settings_version"] == version).then_some(())
@@ -363,7 +369,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         if thread::panicking() {
-            eprintln!("logs of the trial: {}", self.dir.display());
+            eprintln!("process logs: {}", self.dir.display());
         } else {
             let _ = fs::remove_dir_all(&self.dir);
         }
@@ -421,10 +427,10 @@
     dir
 }
 
-/// An address that nothing listens on, below the range that outgoing connections take theirs from.
+/// Returns a loopback address that nothing listens on, with a port below the ephemeral range.
 ///
-/// A port handed out by the system could be taken by somebody's outgoing connection before the
-/// process that is to have it comes up. Each test process takes its ports from a range of its own.
+/// An ephemeral port could be taken by an outgoing connection before the new process binds it. Each test process takes its
+/// ports from a range that is chosen by its process id.
 pub fn free_address() -> net::SocketAddr {
     static NEXT: std::sync::atomic::AtomicU16 = std::sync::atomic::AtomicU16::new(0);
     const FIRST_PORT: u16 = 10_000;
@@ -434,34 +440,34 @@
     for _ in 0..PORTS_PER_RANGE {
         let next = NEXT.fetch_add(1, std::sync::atomic::Ordering::SeqCst) % PORTS_PER_RANGE;
         let address = net::SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + range_offset + next));
-        // Binding to find out would let a process that another test starts inherit the socket for
-        // a moment, and the one meant to listen would find the address in use.
+        // Probe by connecting, not by binding: a child that another test starts at that moment could inherit the bound
+        // socket, and the address would be in use when the intended process binds it.
         if net::TcpStream::connect(address).is_err() {
             return address;
         }
     }
-    panic!("no free port");
+    panic!("no free port in the range of this process");
 }
 
-/// Waits for something to come about.
+/// Polls until `poll` returns a value. Panics after [`WAIT_LIMIT`], naming the condition.
 pub fn wait_until<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let started = time::Instant::now();
     loop {
         if let Some(found) = poll() {
             return found;
         }
-        assert!(started.elapsed() < WAIT_LIMIT, "waited in vain: {condition}");
+        assert!(started.elapsed() < WAIT_LIMIT, "timed out waiting until {condition}");
         thread::sleep(time::Duration::from_millis(20));
     }
 }
 
-/// An answer read to its end.
+/// An HTTP response with its whole body.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: collections::BTreeMap<String, String>,
     pub body: Vec<u8>,
-    /// Whether a chunked answer ended properly.
+    /// False if a chunked body broke off before its last chunk.
     pub ended: bool,
 }
 
@@ -474,18 +480,18 @@
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The `code` of an error.
+    /// Field `code` of an error body, or an empty string.
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// The `ran` of an error.
+    /// Field `ran` of an error body, or an empty string.
     pub fn ran(&self) -> String {
         self.json()["error"]["ran"].as_str().unwrap_or_default().to_owned()
     }
 }
 
-/// Sends a request on a connection of its own and reads the whole answer.
+/// Sends a request on a new connection and reads the whole answer.
 pub fn request(
     address: net::SocketAddr,
     method: &str,
@@ -525,7 +531,7 @@
     let mut line = String::new();
     reader.read_line(&mut line)?;
     let status = line.split(' ').nth(1).and_then(|text| text.parse().ok());
-    let status = status.ok_or_else(|| io::Error::other("no answer"))?;
+    let status = status.ok_or_else(|| io::Error::other("no valid status line"))?;
     let mut headers = collections::BTreeMap::new();
     loop {
         line.clear();
@@ -561,18 +567,18 @@
     request(address, "GET", path, &[], &[])
 }
 
-/// Puts a stand-in's faults in force.
+/// Replaces the fault plan of a stand-in.
 pub fn set_faults(address: net::SocketAddr, plan: &Value) {
     let answer = request(address, "POST", "/faults", &[], plan.to_string().as_bytes()).unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text());
 }
 
-/// What a stand-in has counted.
+/// Reads the counters of a stand-in.
 pub fn counts(address: net::SocketAddr) -> Value {
     get(address, "/counts").unwrap().json()
 }
 
-/// The body of a model request with a prompt of about this many tokens.
+/// Builds the body of a model request. The prompt is `prompt_start` and about `tokens` more tokens.
 pub fn prompt_body(prompt_start: &str, tokens: usize, output: u64, stream: bool) -> Value {
     let content = format!("{prompt_start} {}", "abc ".repeat(tokens));
     json!({
@@ -583,11 +589,12 @@
     })
 }
 
-/// Makes a model request and reads its answer.
+/// Sends a model request with the customer's API key and reads the answer.
 pub fn complete(address: net::SocketAddr, body: &Value) -> io::Result<Answer> {
     complete_with(address, body, &[])
 }
 
+/// Like [`complete`], with additional headers.
 pub fn complete_with(
     address: net::SocketAddr,
     body: &Value,
@@ -599,7 +606,7 @@
     request(address, "POST", "/v1/chat/completions", &headers, body.to_string().as_bytes())
 }
 
-/// Calls the plain service.
+/// Calls the service `rsvp`, with an idempotency key if `key` is given.
 pub fn call_service(
     address: net::SocketAddr,
     method: &str,
@@ -611,7 +618,7 @@
     request(address, method, "/services/rsvp/send", &headers, b"{}")
 }
 
-/// Whether a streamed answer is exactly the one to this body.
+/// Whether a streamed answer is complete and belongs to the request with this body.
 pub fn is_complete_answer(answer: &Answer, body: &Value) -> bool {
     let mark = slipturn_standin::engine::answer_mark(&body["messages"].to_string());
     let output = body["max_tokens"].as_u64().unwrap();
