--- a/crates/trial/tests/answers.rs
+++ b/crates/trial/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Each caller receives the whole answer to its own request, or is told that it does not.
+//! Answers from failing engines: a caller gets the complete answer to its own request, or an error.
 
 #![allow(clippy::unwrap_used)]
 
@@ -63,7 +63,7 @@
     fleet.wait_no_memory_held();
 }
 
-/// Sends a request and goes away before its answer can be whole.
+/// Sends a request and closes the connection 40 ms later, before the answer can be complete.
 fn disconnect_early(address: std::net::SocketAddr, body: &serde_json::Value) {
     let mut stream = support::connect(address).unwrap();
     let bearer = format!("Bearer {}", support::API_KEY);
