--- a/crates/trial/tests/configuration.rs
+++ b/crates/trial/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Propagation of settings: a valid version takes effect on all instances within nine seconds and is never reverted.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,10 +12,10 @@
 const SECOND: time::Duration = time::Duration::from_secs(1);
 const FLEET_OPTIONS: &str = "{orphan_grace: 3s}";
 const DEFAULT_OPTIONS: &str = "{time_limit: 20s}";
-/// What the users ask for, for the whole fleet.
+/// Time within which a version must take effect on the whole fleet. Required by the users.
 const IN_EFFECT_LIMIT: time::Duration = time::Duration::from_secs(9);
 
-/// Versions in force: of each instance's entry and scheduler.
+/// Settings versions in use: for each instance that of the entry, then that of the scheduler.
 fn versions(fleet: &Fleet) -> Vec<u64> {
     let version = |instance: &support::Instance| {
         let status = support::get(instance.operators, "/v1/status").unwrap().json();
@@ -53,7 +53,7 @@
 fn rejected_version_has_no_effect_and_is_reported_to_operators() {
     let fleet = Fleet::start(&FleetConfig { instances: 2, ..Default::default() });
     fleet.publish_settings(2, "{headrom: 1}", DEFAULT_OPTIONS);
-    support::wait_until("operators see the fault", || {
+    support::wait_until("the rejected option is shown to operators", || {
         let status = support::get(fleet.instances[0].operators, "/v1/status").unwrap().json();
         let fault = status["scheduler"]["settings_rejected"].as_str()?.to_owned();
         fault.contains("headrom").then_some(())
@@ -76,14 +76,15 @@
     for instance in &fleet.instances {
         assert_eq!(support::complete(instance.entry.address, &body).unwrap().status, 200);
     }
-    // Its scheduler is gone, so the entry asks those it knows of.
+    // Without its own scheduler, the entry falls back to the other schedulers that it knows.
     fleet.instances[1].scheduler.kill();
     thread::sleep(SECOND);
     let answer = support::complete(fleet.instances[1].entry.address, &body).unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text());
     support::set_faults(fleet.platform.address, &json!({}));
     fleet.publish_settings(3, FLEET_OPTIONS, DEFAULT_OPTIONS);
-    support::wait_until("the entry has the new version", || {
+    // Index 2 is the entry of instance 1.
+    support::wait_until("the entry uses the new version", || {
         (versions(&fleet)[2] == 3).then_some(())
     });
 }
@@ -96,7 +97,7 @@
     }
     thread::sleep(2 * SECOND);
     fleet.publish_settings(2, FLEET_OPTIONS, "{time_limit: 7s}");
-    support::wait_until("the other has the new version", || {
+    support::wait_until("the running instance uses the new version", || {
         (first_version(&fleet) == 2).then_some(())
     });
     let body = support::prompt_body("x", 10, 5, true);
@@ -109,7 +110,7 @@
     let answer = caller.join().unwrap();
     if answer.status == 200 {
         let id = &answer.headers["slipturn-request-id"];
-        let record = support::wait_until("the record is there", || {
+        let record = support::wait_until("the decision record is available", || {
             let path = format!("/v1/decisions/{id}");
             let found = support::get(fleet.instances[1].operators, &path).ok()?;
             (found.status == 200).then(|| found.json())
@@ -126,7 +127,7 @@
     status["entry"]["settings_version"].as_u64().unwrap()
 }
 
-/// Reads of the platform in a span of quiet.
+/// Counts the reads of the platform in ten seconds without a change, in a new fleet of this size.
 fn count_idle_reads(instances: usize) -> u64 {
     let fleet = Fleet::start(&FleetConfig { instances, ..Default::default() });
     thread::sleep(2 * SECOND);
@@ -139,8 +140,8 @@
 #[test]
 fn platform_reads_do_not_grow_with_the_fleet() {
     let (few, many) = (count_idle_reads(6), count_idle_reads(24));
-    // Two watchers in each of three data centres, two documents, five seconds a watch, and one
-    // round more than fits.
+    // Two watchers in each of three data centres read two documents. A watch lasts five seconds, so two rounds fit into the
+    // ten seconds, and a third may overlap.
     assert!(few <= 36, "{few} reads by 6 instances");
     assert!(many <= few + 12, "{few} reads by 6 instances, {many} by 24");
 }
@@ -148,7 +149,7 @@
 #[test]
 fn new_version_takes_effect_in_time_when_other_schedulers_freeze() {
     let fleet = Fleet::start(&FleetConfig { instances: 4, ..Default::default() });
-    // All schedulers but one: whoever watched a frozen one has to find another source.
+    // Freeze all schedulers but one: entries that watched a frozen one must find another source.
     thread::sleep(SECOND);
     for instance in &fleet.instances[1..] {
         instance.scheduler.signal("STOP");
@@ -156,7 +157,7 @@
     fleet.publish_settings(2, FLEET_OPTIONS, DEFAULT_OPTIONS);
     let published = time::Instant::now();
     for instance in &fleet.instances {
-        support::wait_until("the entry has the new version", || {
+        support::wait_until("the entry uses the new version", || {
             let status = support::get(instance.operators, "/v1/status").unwrap().json();
             (status["entry"]["settings_version"] == 2).then_some(())
         });
@@ -167,8 +168,8 @@
     }
 }
 
-/// Connections may fall silent for good while new ones work: what watches on them must not be taken
-/// for quiet longer than a change may take to be in force.
+/// Open connections to the platform may go silent without being closed, while new ones work. A watch on such a connection
+/// looks like one without changes, so it must be given up early enough for a new version to take effect in time.
 #[test]
 fn new_version_takes_effect_in_time_when_platform_connections_go_silent() {
     let config = FleetConfig { instances: 4, platform_proxy: true, ..Default::default() };
