--- a/crates/trial/tests/partition.rs
+++ b/crates/trial/tests/partition.rs
@@ -1,4 +1,4 @@
-//! Two parts of a fleet that cannot reach each other, with every process alive.
+//! Network partitions: two parts of a fleet cannot reach each other, while all processes run.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,9 +8,9 @@
 
 use support::{Fleet, FleetConfig};
 
-/// Retention and list lag of these fleets: voters vote after this long.
+/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a margin.
 const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
-/// Instances 0 to 3 are on one side, 4 and 5 on the other.
+/// Index of the first instance on the smaller side: 0 to 3 are on one side, 4 and 5 on the other.
 const SMALL_SIDE_START: usize = 4;
 
 fn start_divisible_fleet(engines: usize) -> Fleet {
@@ -25,6 +25,7 @@
     Fleet::start(&config)
 }
 
+/// Number of runs of each idempotency key, over all services.
 fn runs_by_key(fleet: &Fleet) -> collections::BTreeMap<String, u64> {
     let mut runs = collections::BTreeMap::new();
     for service in &fleet.services {
@@ -46,7 +47,7 @@
     thread::sleep(VOTING_DELAY);
     assert_eq!(call(&fleet, 5, "before").status, 200);
     fleet.partition_network();
-    // The smaller side cannot know whether the larger has run a key; the larger has a majority.
+    // Only the larger side has a majority of voters. The smaller one can't tell whether a key has run there.
     let refused = call(&fleet, 4, "during");
     assert_eq!(
         (refused.status, refused.code().as_str()),
