--- a/crates/trial/tests/malformed_input.rs
+++ b/crates/trial/tests/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes arrive on any port, the processes go on.
+//! Malformed input on every port of an instance must not stop a process.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +11,7 @@
 
 const ROUNDS: usize = 300;
 
-/// Pieces from which requests are put together that are nearly right.
+/// Fragments of valid and invalid requests, from which nearly valid requests are composed.
 const FRAGMENTS: [&[u8]; 22] = [
     b"POST /v1/chat/completions HTTP/1.1\r\n",
     b"GET /v1/models HTTP/1.1\r\n",
@@ -37,6 +37,7 @@
     b"\r\n\r\n\r\n",
 ];
 
+/// Joins random fragments and noise, and sometimes cuts the end off.
 fn malformed_bytes(random: &mut rand_chacha::ChaCha8Rng) -> Vec<u8> {
     let mut bytes = Vec::new();
     for _ in 0..random.random_range(1..8) {
@@ -53,10 +54,11 @@
     bytes
 }
 
+/// Sends bytes and waits at most 20 ms for an answer.
 fn send_raw(address: std::net::SocketAddr, bytes: &[u8]) {
     let mut stream = support::connect(address).unwrap();
     stream.set_read_timeout(Some(time::Duration::from_millis(20))).unwrap();
-    // The other end may have closed already; that is its right.
+    // The process may close the connection at any time, so errors are ignored.
     let _ = stream.write_all(bytes);
     let _ = stream.read(&mut [0; 256]);
 }
