--- a/crates/trial/tests/leaving.rs
+++ b/crates/trial/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! What leaves gets no new work and loses none; a planned stop cuts nothing.
+//! Planned removal of engines and stops of processes: leaving engines get no new requests, and no request fails.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,10 +14,11 @@
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
-/// Callers that ask without pause until they are told to stop; they count what is not whole.
+/// Threads that send requests one after the other until they are stopped, and collect failures.
 struct Callers {
     stop: Arc<atomic::AtomicBool>,
-    /// What the platform's balancer does: an instance that is not ready gets no new connections.
+    /// Entry addresses, and whether each receives new connections. Stands for the platform's load balancer, which skips
+    /// instances that are not ready.
     balancer: Arc<Vec<(std::net::SocketAddr, atomic::AtomicBool)>>,
     threads: Vec<thread::JoinHandle<(usize, Vec<String>)>>,
 }
@@ -25,8 +26,8 @@
 impl Callers {
     fn start(fleet: &Fleet, count: usize) -> Self {
         let stop = Arc::new(atomic::AtomicBool::new(false));
-        let in_rotation = |one: &support::Instance| (one.entry.address, true.into());
-        let balancer = Arc::new(fleet.instances.iter().map(in_rotation).collect::<Vec<_>>());
+        let row = |instance: &support::Instance| (instance.entry.address, true.into());
+        let balancer = Arc::new(fleet.instances.iter().map(row).collect::<Vec<_>>());
         let threads = (0..count)
             .map(|caller| {
                 let (stop, balancer) = (Arc::clone(&stop), Arc::clone(&balancer));
@@ -36,7 +37,7 @@
         Self { stop, balancer, threads }
     }
 
-    /// Whole answers, and what the others were.
+    /// Stops the callers. Returns the number of complete answers, and the texts of all other answers and errors.
     fn finish(self) -> (usize, Vec<String>) {
         self.stop.store(true, atomic::Ordering::SeqCst);
         let mut all = (0, Vec::new());
@@ -49,7 +50,7 @@
     }
 }
 
-/// Asks one instance after the other, those in rotation only.
+/// Sends requests to the instances in turn, except to those that the balancer skips.
 fn send_requests(
     stop: &atomic::AtomicBool,
     balancer: &[(std::net::SocketAddr, atomic::AtomicBool)],
@@ -83,14 +84,14 @@
     support::read_answer(&mut std::io::BufReader::new(stream))
 }
 
-/// Requests that reached an engine, whether it took or refused them.
+/// Number of requests that an engine has received, including those it refused.
 fn count_received(fleet: &Fleet, engine: usize) -> usize {
     let counts = support::counts(fleet.engines[engine].address);
     let refused = counts["refused"].as_u64().unwrap();
     counts["started"].as_object().unwrap().len() + usize::try_from(refused).unwrap()
 }
 
-/// Runs callers, has an engine leave by `start_leaving`, and checks that it gets nothing after 3 s.
+/// Checks that engine 0 gets no more requests from 3 s after `start_leaving`, and that no request fails.
 fn assert_engine_drains(mut fleet: Fleet, start_leaving: impl FnOnce(&mut Fleet)) {
     let callers = Callers::start(&fleet, 6);
     thread::sleep(SECOND);
@@ -128,7 +129,7 @@
     let (complete_count, failures) = callers.finish();
     assert!(complete_count > 20, "{complete_count}");
     assert!(failures.is_empty(), "{failures:?}");
-    // Each refusal keeps the engine out of an entry's sample for three seconds.
+    // After a refusal, an entry leaves the engine out of its sample for three seconds.
     let refused = support::counts(fleet.engines[0].address)["refused"].as_u64().unwrap();
     assert!(refused <= 12, "{refused}");
 }
@@ -159,7 +160,7 @@
 }
 
 fn wait_ready(operators: std::net::SocketAddr, status: u16) {
-    support::wait_until("readiness changes", || {
+    support::wait_until("the readiness status changes", || {
         let ready = support::get(operators, "/readyz").ok()?;
         (ready.status == status).then_some(())
     });
@@ -168,7 +169,7 @@
 #[test]
 fn stopping_entry_reports_unready_and_finishes_running_answers() {
     let mut fleet = Fleet::start(&FleetConfig::default());
-    // Longer than new connections are taken after a stop was asked for.
+    // Longer than the three seconds for which a stopping entry accepts new connections.
     support::set_faults(fleet.engines[0].address, &json!({ "delay_ms": 5_000 }));
     let address = fleet.instances[0].entry.address;
     let body = support::prompt_body("x", 100, 100, true);
