--- a/crates/trial/tests/limits.rs
+++ b/crates/trial/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Every admitted request finishes or fails within its limit, and is told so at once.
+//! Time limits: every admitted request is answered or fails within its limit.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,9 +10,10 @@
 use support::{Fleet, FleetConfig};
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
-/// Limit set by the callers of these trials.
+/// Header with the time limit of the requests in these tests.
 const TIME_LIMIT: (&str, &str) = ("slipturn-timeout-ms", "3000");
 
+/// Sends a model request with [`TIME_LIMIT`] and measures the time until its answer has ended.
 fn complete_timed(fleet: &Fleet, stream: bool) -> (support::Answer, time::Duration) {
     let started = time::Instant::now();
     let body = support::prompt_body("x", 200, 40, stream);
@@ -22,7 +23,7 @@
 }
 
 fn assert_within_limit(duration: time::Duration) {
-    // The limit and what the answer itself takes on a busy machine.
+    // The limit of 3 s, and a second for the answer itself on a busy machine.
     assert!(duration < 4 * SECOND, "{duration:?}");
 }
 
@@ -46,7 +47,7 @@
             assert_eq!(answer.status, 504);
             answer.text()
         } else {
-            // Part of the answer is out: an error event, and no last event.
+            // Part of the answer has been sent: the stream must end with an error event, not with the last event.
             assert_eq!(answer.status, 200);
             assert!(answer.text().contains("event: error"), "{}", answer.text());
             assert!(!answer.text().contains("[DONE]"));
@@ -100,7 +101,7 @@
         fleet.instances[0].scheduler.signal(signal);
         let answer = caller.join().unwrap();
         assert!(support::is_complete_answer(&answer, &body), "{signal}: {}", answer.text());
-        // The only scheduler is gone: an engine is used directly, one request a time.
+        // Without any scheduler, the entry uses an engine directly, for one request at a time.
         let (answer, duration) = complete_timed(&fleet, true);
         assert_eq!(answer.status, 200, "{signal}: {}", answer.text());
         assert_within_limit(duration);
@@ -144,7 +145,7 @@
         assert!(duration < 5 * SECOND, "{duration:?}");
     }
     assert!(counts_by_outcome.0 >= 5 && counts_by_outcome.1 >= 5, "{counts_by_outcome:?}");
-    // Whoever obeys does not return as one wave.
+    // Retry delays must differ, so that refused callers don't all return at the same time.
     assert!(retry_delays.len() >= 3, "{retry_delays:?}");
     let started = support::counts(fleet.engines[0].address)["started"].clone();
     assert_eq!(started.as_object().unwrap().len(), counts_by_outcome.0);
@@ -163,6 +164,6 @@
     drop(stream);
     let started = time::Instant::now();
     fleet.wait_no_memory_held();
-    // 400 tokens would have taken two seconds and more.
+    // Generating all 400 tokens would have taken at least two seconds.
     assert!(started.elapsed() < SECOND, "{:?}", started.elapsed());
 }
