--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -1,5 +1,5 @@
-//! A thousand rounds of lost, late and doubled messages between entries, a scheduler's ledger and
-//! an engine, each of which may start again, end with nothing held.
+//! Simulation of entries, a scheduler's ledger and an engine, with lost, late and duplicate messages and with restarts of
+//! entries and the scheduler. Afterwards neither the engine nor the ledger may hold memory.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,35 +9,38 @@
 use slipturn_core::{engine_ledger, ids, placement, settings, units};
 use slipturn_standin::engine_model;
 
+/// Number of simulations; the seed of each is its index.
 const ROUNDS: u64 = 1_000;
 const STEP: time::Duration = time::Duration::from_millis(250);
-/// Steps in which everything goes wrong.
+/// Steps with new requests, restarts and message faults.
 const FAULTY_STEPS: u64 = 60;
-/// Steps after which nothing may be held: the longest limit, the grace and some cancels.
+/// Steps without new requests, after which no memory may be held. They cover the longest time limit, the orphan grace and
+/// some lost cancels.
 const RECOVERY_STEPS: u64 = 160;
 const MEMORY: u64 = 100_000;
 const ENTRIES: usize = 2;
 
-/// An entry: its start and what it believes to stream.
+/// An entry with its boot id and the attempts that it is streaming.
 struct SimulatedEntry {
     name: ids::InstanceId,
     boot: u64,
     streaming: collections::BTreeMap<ids::AttemptId, placement::PlaceRequest>,
 }
 
-/// One round's world.
+/// State of one simulation.
 struct Simulation {
     random: rand_chacha::ChaCha8Rng,
     now: units::MonoTime,
     ledger: engine_ledger::EngineLedger,
     model: engine_model::EngineModel,
     entries: Vec<SimulatedEntry>,
-    /// Requests that wait for a place, by attempt, with their entry.
+    /// Requests sent to the ledger and not yet granted or refused, by attempt, with the index of their entry.
     queued: collections::BTreeMap<ids::AttemptId, (usize, placement::PlaceRequest)>,
-    /// Releases on their way, and when they arrive.
+    /// Duplicate releases in transit, with the time of their arrival.
     delayed_releases: Vec<(units::MonoTime, ids::AttemptId)>,
+    /// Number of requests created so far.
     request_number: u64,
-    /// Share of messages lost.
+    /// Probability that a message is lost.
     loss_rate: f64,
 }
 
@@ -77,6 +80,7 @@
         }
     }
 
+    /// Returns true with the probability `share`.
     fn random_bool(&mut self, share: f64) -> bool {
         self.random.random::<f64>() < share
     }
@@ -85,6 +89,7 @@
         self.random_bool(self.loss_rate)
     }
 
+    /// A step before which a request may be sent, and an entry or the scheduler may restart.
     fn faulty_step(&mut self) {
         if self.random_bool(0.5) {
             self.enqueue_request();
@@ -95,13 +100,14 @@
             self.entries[entry].streaming.clear();
         }
         if self.random_bool(0.03) {
-            // The next scheduler knows nothing, and what waited there is gone.
+            // A restarted scheduler has no leases, and its queue is lost.
             self.ledger = new_ledger(self.now);
             self.queued.clear();
         }
         self.step();
     }
 
+    /// Sends a new request to the ledger, sometimes twice.
     fn enqueue_request(&mut self) {
         self.request_number += 1;
         let entry = usize::from(self.random_bool(0.5));
@@ -134,6 +140,7 @@
         self.apply(actions);
     }
 
+    /// Delivers the actions of the ledger to entries and the engine. Cancels may be lost.
     fn apply(&mut self, actions: Vec<placement::LedgerAction>) {
         for action in actions {
             match action {
@@ -148,7 +155,8 @@
         }
     }
 
-    /// The entry hears of its place, or not; its call reaches the engine, or not.
+    /// Delivers a grant to the entry, which starts the attempt on the engine. The grant or the call
+    /// to the engine may be lost, and a grant for an earlier boot of the entry is ignored. If the engine refuses the attempt, the entry releases its lease.
     fn start(&mut self, attempt: &ids::AttemptId) {
         let Some((entry, placement_request)) = self.queued.remove(attempt) else { return };
         if self.message_lost() || placement_request.boot.0 != self.entries[entry].boot {
@@ -165,7 +173,7 @@
         if self.model.start(request) {
             self.entries[entry].streaming.insert(attempt.clone(), placement_request);
             if self.random_bool(0.1) {
-                // An engine that hangs makes no end of it.
+                // A hanging engine never finishes the attempt and keeps its memory.
                 self.model.hang(attempt.as_str());
             }
         } else {
@@ -173,7 +181,7 @@
         }
     }
 
-    /// A release arrives now, late, twice or never.
+    /// Sends a release to the ledger. It may be lost; otherwise it arrives now, and sometimes once more later.
     fn release(&mut self, attempt: &ids::AttemptId) {
         if self.message_lost() {
             return;
@@ -211,6 +219,7 @@
         self.apply(actions);
     }
 
+    /// Ends an attempt at the entry that is streaming it, and releases its lease.
     fn finish(&mut self, attempt: &ids::AttemptId) {
         let known = self.entries.iter_mut().filter_map(|one| one.streaming.remove(attempt)).count();
         if known > 0 {
@@ -218,7 +227,7 @@
         }
     }
 
-    /// Entries give up what has passed its limit; their cancels and releases may be lost.
+    /// Has entries cancel and release attempts past their deadline. Both messages may be lost.
     fn cancel_expired(&mut self) {
         let now = self.now;
         let expired: Vec<_> = self
@@ -236,6 +245,7 @@
         }
     }
 
+    /// Has each entry renew the leases of the attempts that it is streaming. Renewals may be lost.
     fn renew(&mut self) {
         for index in 0..self.entries.len() {
             if self.message_lost() {
@@ -249,6 +259,7 @@
         }
     }
 
+    /// Delivers a load report of the engine to the ledger.
     fn report(&mut self) {
         let held = self.model.holds().into_iter();
         let report = placement::EngineReport {
@@ -273,12 +284,12 @@
             simulation.faulty_step();
         }
         started += simulation.request_number;
-        // No new requests; messages are still lost.
+        // Messages are still lost, but there are no new requests and restarts.
         for _ in 0..RECOVERY_STEPS {
             simulation.step();
         }
         assert_eq!(simulation.model.held(), 0, "round {seed}: {:?}", simulation.model.holds());
-        // One report that arrives, and the ledger agrees.
+        // After one report that is certain to arrive, the ledger must agree with the engine.
         simulation.report();
         assert_eq!(simulation.ledger.free(), units::TokenCount(MEMORY), "round {seed}");
         assert_eq!(
