--- a/crates/trial/tests/entry_api.rs
+++ b/crates/trial/tests/entry_api.rs
@@ -1,4 +1,4 @@
-//! The front of the product: each way of asking, and each refusal, provoked.
+//! The HTTP interface of an entry: model requests, decision records, and each kind of refusal.
 
 #![allow(clippy::unwrap_used)]
 
@@ -31,11 +31,11 @@
     let models = support::get(entry(&fleet), "/v1/models").unwrap().json();
     assert_eq!(models["data"][0]["id"], "invitation");
 
-    // Any instance explains, by slipturn's id and by the caller's.
+    // Every instance returns the decision record, by slipturn's request id and by the caller's.
     let id = &answer.headers["slipturn-request-id"];
     for instance in &fleet.instances {
         for id in [id.as_str(), "mine-1"] {
-            let record = support::wait_until("the record is there", || {
+            let record = support::wait_until("the decision record is available", || {
                 let found =
                     support::get(instance.operators, &format!("/v1/decisions/{id}")).ok()?;
                 (found.status == 200).then(|| found.json())
@@ -77,7 +77,7 @@
     }
 }
 
-/// Method, path, headers, body; then the status and code expected.
+/// A request as method, path, headers and body, and the expected status and error code.
 type RefusalCase<'text> =
     (&'text str, &'text str, Vec<(&'text str, &'text str)>, &'text [u8], u16, &'text str);
 
@@ -151,7 +151,7 @@
 #[test]
 fn total_size_of_held_bodies_is_bounded() {
     let fleet = Fleet::start(&FleetConfig::default());
-    // Two bodies of up to 2 MiB on their way fill the 4 MiB of this instance.
+    // Two incomplete bodies of 2 MiB fill the limit of 4 MiB for held bodies.
     let waiting: Vec<_> = (0..2)
         .map(|_| {
             let mut stream = support::connect(entry(&fleet)).unwrap();
@@ -167,7 +167,7 @@
     assert_eq!((answer.status, answer.code().as_str()), (503, "out_of_memory"));
     assert!(answer.headers.contains_key("retry-after"));
     drop(waiting);
-    support::wait_until("the memory is free again", || {
+    support::wait_until("the memory of the bodies is free again", || {
         let answer = support::complete(entry(&fleet), &body).ok()?;
         (answer.status == 200).then_some(())
     });
@@ -195,12 +195,12 @@
     let answer = support::complete_with(entry(&fleet), &body, &limit).unwrap();
     assert_eq!((answer.status, answer.code().as_str()), (503, "overloaded"), "{}", answer.text());
     assert_eq!(answer.ran(), "no");
-    // The limit is 3 s; an answer held back until then would take that long.
+    // Shorter than the time limit of 3 s: the refusal must not wait for it.
     assert!(started.elapsed() < time::Duration::from_secs(2));
-    // A caller may shorten its limit, not lengthen it.
+    // Callers can shorten the configured time limit, but not extend it.
     let answer = support::complete_with(entry(&fleet), &body, &[("slipturn-timeout-ms", "900000")]);
     let id = answer.unwrap().headers["slipturn-request-id"].clone();
-    let record = support::wait_until("the record is there", || {
+    let record = support::wait_until("the decision record is available", || {
         let found =
             support::get(fleet.instances[0].operators, &format!("/v1/decisions/{id}")).ok()?;
         (found.status == 200).then(|| found.json())
@@ -216,11 +216,11 @@
         fleet: "{orphan_grace: 3s, group_limit: 1}",
         ..Default::default()
     });
-    // 220,000 tokens need three engines of 100,000 with their headroom.
+    // With the headroom kept free on each engine of 100,000 tokens, a prompt of 220,000 needs three engines.
     let body = support::prompt_body("archive", 220_000, 10, true);
     let answer = support::complete(entry(&fleet), &body).unwrap();
     assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
-    // The members give their memory back with the answer's end, not when a scheduler finds it.
+    // The memory of all group members must be released when the answer ends, not later by a scheduler that finds orphans.
     let ended = time::Instant::now();
     fleet.wait_no_memory_held();
     assert!(ended.elapsed() < time::Duration::from_secs(1), "{:?}", ended.elapsed());
