--- a/crates/trial/tests/memory_release.rs
+++ b/crates/trial/tests/memory_release.rs
@@ -1,4 +1,4 @@
-//! No engine loses memory for good, whoever dies, freezes or loses messages.
+//! Engine memory is released after crashes and pauses of entries, schedulers and engines, and after lost cancels.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,14 +11,14 @@
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
-/// Starts long streams that nobody waits for to the end.
+/// Starts long streams in background threads, and waits until the engines hold memory for all of them.
 fn start_streams(fleet: &Fleet, count: usize) {
     for number in 0..count {
         let address = fleet.instances[0].entry.address;
         let body = support::prompt_body(&format!("{number}"), 2_000, 400, true);
         thread::spawn(move || support::complete(address, &body));
     }
-    support::wait_until("the streams run", || {
+    support::wait_until("all streams run", || {
         let held = |engine: &support::Process| {
             let load = support::get(engine.address, "/v1/load").unwrap().json();
             load["held"].as_array().unwrap().len()
@@ -26,10 +26,11 @@
         let running: usize = fleet.engines.iter().map(held).sum();
         (running == count).then_some(())
     });
-    // Long enough for each to come to its third piece.
+    // Let each stream reach its third piece, after which the engines hang.
     thread::sleep(SECOND / 2);
 }
 
+/// Has engines hang after three pieces and keep an attempt's memory when its connection closes.
 fn ignore_disconnects_and_hang(fleet: &Fleet) {
     for engine in &fleet.engines {
         support::set_faults(
@@ -56,7 +57,7 @@
     fleet.instances[0].scheduler.kill();
     fleet.restart(0, "scheduler");
     let started = time::Instant::now();
-    support::wait_until("the new scheduler knows what the engines hold", || {
+    support::wait_until("the new scheduler accounts for all streams", || {
         let status = support::get(fleet.instances[0].operators, "/v1/status").ok()?.json();
         let engines = status["scheduler"]["engines"].as_array()?.clone();
         let known = |row: &serde_json::Value| {
@@ -65,7 +66,7 @@
         (engines.iter().map(known).sum::<u64>() == 6).then_some(())
     });
     assert!(started.elapsed() < 2 * SECOND, "{:?}", started.elapsed());
-    // The streams still run; when their time is over, their memory is free.
+    // The streams go on. Their memory must be free after their time limit.
     fleet.wait_no_memory_held();
 }
 
@@ -76,7 +77,7 @@
     start_streams(&fleet, 6);
     fleet.instances[0].entry.kill();
     fleet.instances[0].scheduler.kill();
-    // The list says so after a while; the other instance takes the engines over.
+    // Once the list marks the instance as leaving, the other one takes over its engines.
     fleet.mark_leaving("instance-0");
     fleet.wait_no_memory_held();
 }
@@ -91,7 +92,7 @@
     fleet.instances[0].entry.kill();
     thread::sleep(5 * SECOND);
     let held = support::get(address, "/v1/load").unwrap().json()["held"].as_array().unwrap().len();
-    assert_eq!(held, 4, "the engine ignored the cancels so far");
+    assert_eq!(held, 4, "the engine ignores cancels, so it must still hold all attempts");
     support::set_faults(address, &json!({}));
     let started = time::Instant::now();
     fleet.wait_no_memory_held();
@@ -103,7 +104,7 @@
     let mut fleet = Fleet::start(&FleetConfig { instances: 2, engines: 3, ..Default::default() });
     fleet.instances[0].scheduler.signal("STOP");
     fleet.mark_leaving("instance-0");
-    // Its engines have another owner now, which fills them.
+    // The other instance now owns all engines; fill them through it.
     let address = fleet.instances[1].entry.address;
     support::wait_until("the successor serves", || {
         let body = support::prompt_body("x", 1_000, 5, true);
@@ -122,7 +123,7 @@
         .collect();
     thread::sleep(SECOND);
     fleet.instances[0].scheduler.signal("CONT");
-    // What the woken one believes cuts nobody's stream.
+    // The outdated ledger of the resumed scheduler must not end any stream.
     assert!(callers.into_iter().all(|caller| caller.join().unwrap()));
     fleet.wait_no_memory_held();
     for engine in &fleet.engines {
@@ -149,7 +150,7 @@
     thread::sleep(SECOND);
     let mut killed = fleet.engines.remove(index);
     killed.kill();
-    // Whether it was the one that streams or one that only holds memory, all end clean.
+    // The killed engine may be the streaming one or one that only holds memory; either way all memory must be released.
     caller.join().unwrap();
     fleet.wait_no_memory_held();
 }
