--- a/crates/trial/tests/idempotency.rs
+++ b/crates/trial/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! What must not run twice runs at most once, and what is said not to have run did not.
+//! Idempotency keys and retries: calls that must not run twice run at most once, and a call reported as not run has not run.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,9 +9,10 @@
 use serde_json::json;
 use support::{Fleet, FleetConfig};
 
-/// Retention and list lag of these fleets: voters vote after this long.
+/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a margin.
 const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 
+/// Starts a fleet with two upstreams of the service, and waits until its schedulers vote.
 fn start_service_fleet(instances: usize, checks_keys: bool) -> Fleet {
     let config = FleetConfig { instances, services: 2, checks_keys, ..Default::default() };
     let fleet = Fleet::start(&config);
@@ -19,6 +20,7 @@
     fleet
 }
 
+/// Sums a counter with one value per name, such as `by_key`, over all services.
 fn sum_runs_by(fleet: &Fleet, field: &str) -> collections::BTreeMap<String, u64> {
     let mut runs = collections::BTreeMap::new();
     for service in &fleet.services {
@@ -89,7 +91,7 @@
         let first =
             support::call_service(fleet.instances[0].entry.address, "POST", Some("k")).unwrap();
         assert_eq!(first.status, 200, "{}", first.text());
-        // Two of six may be gone at any time; the others remember.
+        // The votes must survive the loss of any two of six schedulers.
         for index in [0, 3] {
             fleet.instances[index].scheduler.signal(signal);
         }
@@ -98,7 +100,7 @@
             .map(|index| {
                 let address = fleet.instances[index].entry.address;
                 thread::spawn(move || {
-                    // A first try of another key still runs.
+                    // A new key must still run.
                     let other = support::call_service(address, "POST", Some(&format!("k{index}")));
                     (support::call_service(address, "POST", Some("k")).unwrap(), other.unwrap())
                 })
@@ -157,7 +159,7 @@
     let answer =
         support::call_service(fleet.instances[0].entry.address, "POST", Some("k")).unwrap();
     assert_eq!(answer.code(), "key_in_doubt", "{}", answer.text());
-    // A call without a key is this one request only, and runs.
+    // A call without a key needs no votes, so it runs at once.
     let answer = support::call_service(fleet.instances[0].entry.address, "POST", None).unwrap();
     assert_eq!(answer.status, 200);
     assert_eq!(support::counts(fleet.services[0].address)["runs"], 1);
