--- a/crates/trial/tests/silent_upstreams.rs
+++ b/crates/trial/tests/silent_upstreams.rs
@@ -1,15 +1,9 @@
-//! The own interface's processes, where connections to upstreams fall silent for good, without a
-//! reset, while new ones work.
+//! Service calls whose pooled upstream connections have gone silent for good, without a reset, while new ones work.
 //!
-//! What callers saw: repeatable calls that ended with 504 after their whole time limit, one after
-//! the other, though every upstream served. Order of events: connections rested in the pool; all
-//! fell silent; each call was written to one of them, and waited for it until its limit; the next
-//! one took another of them.
-//!
-//! Cause: a call waited at a resting connection for as long as it had time, and a silent connection
-//! said nothing of others that had rested through the same time.
-//!
-//! Evidence: six of six such calls at two upstreams ended with 504 after 2.0 s of 2 s each.
+//! Guards against repeatable calls that end with 504 after their whole time limit although every upstream works. A call was
+//! sent on a silent pooled connection and waited for it until its limit; the next call took another silent connection from
+//! the pool, because the silence of one didn't discredit others that had been idle at the same time. With two upstreams,
+//! six of six calls failed, each after 2.0 s of its 2 s.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,12 +14,13 @@
 use slipturn_platform_standin::proxy;
 use support::{Fleet, FleetConfig};
 
-/// Far longer than a call takes that meets no silent connection, and shorter than one that does.
+/// Far longer than a call on a working connection takes, and shorter than one that waits for a silent connection first.
 const PROMPT_LIMIT: time::Duration = time::Duration::from_millis(600);
-/// Longer than the wait for a silent connection, and shorter than the service's time limit.
+/// Delay of slow answers, milliseconds. Longer than the wait for a silent connection, and shorter than the service's time
+/// limit of 2 s.
 const SLOW_ANSWER_MS: u64 = 1_400;
 
-/// A fleet whose upstreams are reached through proxies.
+/// A fleet that reaches its upstreams through proxies.
 struct ProxiedFleet {
     fleet: Fleet,
     proxies: Vec<sync::Arc<proxy::Proxy>>,
@@ -47,13 +42,14 @@
         list["revision"] = serde_json::json!(50);
         fleet.publish("list", 50, &list.to_string());
         let operators = fleet.instances[0].operators;
-        support::wait_until("the list is in force", || {
+        support::wait_until("the list with the proxies is in effect", || {
             let status = support::get(operators, "/v1/status").ok()?.json();
             (status["entry"]["list_revision"] == 50).then_some(())
         });
         Self { fleet, proxies }
     }
 
+    /// Calls the service without an idempotency key. Returns the status and the time taken.
     fn call(&self, method: &str) -> (u16, time::Duration) {
         let started = time::Instant::now();
         let address = self.fleet.instances[0].entry.address;
@@ -61,7 +57,7 @@
         (answer.status, started.elapsed())
     }
 
-    /// Lets connections to all upstreams rest, more than one each.
+    /// Fills the pool with several idle connections to each upstream, by parallel calls.
     fn fill_connection_pool(&self) {
         for _ in 0..4 {
             thread::scope(|scope| {
@@ -72,13 +68,13 @@
         }
     }
 
+    /// Silences all open connections to the upstreams. New ones work.
     fn silence_connections(&self) {
         self.proxies.iter().for_each(|proxy| proxy.silence_open());
     }
 }
 
-/// A repeatable call over a pooled connection that has fallen silent, with another upstream and new
-/// connections that work.
+/// Another upstream and new connections work, so every call must succeed, and only the first one on each upstream may be slow.
 #[test]
 fn repeatable_calls_succeed_when_pooled_connections_go_silent() {
     let proxied =
@@ -88,7 +84,7 @@
     let results: Vec<_> = (0..6).map(|_| proxied.call("GET")).collect();
     println!("{results:?}");
     assert!(results.iter().all(|(status, _)| *status == 200), "{results:?}");
-    // One silence for each upstream; the others that rested with it are not met.
+    // One call for each upstream may wait for a silent connection. Others that were idle at the same time must not be used.
     let slow = results.iter().filter(|(_, duration)| *duration > PROMPT_LIMIT).count();
     assert!(slow <= 2, "{results:?}");
 }
@@ -148,7 +144,8 @@
     }
 }
 
-/// Calls at once need more connections than the new one behind a silence.
+/// Parallel calls need more connections than the one opened after the silence was found, so they would take silent ones from
+/// the pool.
 #[test]
 fn calls_avoid_connections_pooled_before_a_silence() {
     let proxied = ProxiedFleet::start(&FleetConfig { services: 1, ..Default::default() });
