--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -1,6 +1,7 @@
 //! Runs any process of a test fleet: an entry, a scheduler or a stand-in.
 //!
-//! All of them are one binary, because cargo gives integration tests the paths of the binaries of their own package only.
+//! All of them are one binary, because cargo gives integration tests the paths of the binaries of
+//! their own package only.
 //!
 //! `slipturn-trial entry|scheduler FILE` and `slipturn-trial engine|service|service-checking|
 //! platform ADDRESS`.
--- a/crates/trial/tests/answers.rs
+++ b/crates/trial/tests/answers.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use support::{Fleet, FleetConfig};
 
-fn ask(fleet: &Fleet, stream: bool) -> (support::Answer, serde_json::Value) {
+fn send_request(fleet: &Fleet, stream: bool) -> (support::Answer, serde_json::Value) {
     let body = support::prompt_body("x", 300, 40, stream);
     (support::complete(fleet.instances[0].entry.address, &body).unwrap(), body)
 }
@@ -19,7 +19,7 @@
     let fleet = Fleet::start(&FleetConfig::default());
     support::set_faults(fleet.engines[0].address, &json!({ "wrong_attempt": true }));
     for stream in [true, false] {
-        let (answer, _) = ask(&fleet, stream);
+        let (answer, _) = send_request(&fleet, stream);
         assert_eq!(answer.code(), "upstream_failed", "{}", answer.text());
         assert_eq!(answer.ran(), "unknown");
     }
@@ -30,13 +30,13 @@
     let fleet = Fleet::start(&FleetConfig::default());
     for plan in [json!({ "short_after": 3 }), json!({ "cut_after": 3 })] {
         support::set_faults(fleet.engines[0].address, &plan);
-        let (answer, body) = ask(&fleet, true);
+        let (answer, body) = send_request(&fleet, true);
         assert!(!support::is_complete_answer(&answer, &body));
         assert!(answer.text().contains("event: error"), "{plan}: {}", answer.text());
         assert!(!answer.text().contains("[DONE]"));
     }
     support::set_faults(fleet.engines[0].address, &json!({ "cut_after": 1 }));
-    let (answer, _) = ask(&fleet, false);
+    let (answer, _) = send_request(&fleet, false);
     assert_eq!(answer.code(), "upstream_failed");
 }
 
--- a/crates/trial/tests/configuration.rs
+++ b/crates/trial/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Propagation of settings: a valid version takes effect on all instances within nine seconds and is never reverted.
+//! Propagation of settings: a valid version takes effect on all instances within nine seconds and
+//! is never reverted.
 
 #![allow(clippy::unwrap_used)]
 
@@ -140,8 +141,8 @@
 #[test]
 fn platform_reads_do_not_grow_with_the_fleet() {
     let (few, many) = (count_idle_reads(6), count_idle_reads(24));
-    // Two watchers in each of three data centres read two documents. A watch lasts five seconds, so two rounds fit into the
-    // ten seconds, and a third may overlap.
+    // Two watchers in each of three data centres read two documents. A watch lasts five seconds, so
+    // two rounds fit into the ten seconds, and a third may overlap.
     assert!(few <= 36, "{few} reads by 6 instances");
     assert!(many <= few + 12, "{few} reads by 6 instances, {many} by 24");
 }
@@ -168,8 +169,9 @@
     }
 }
 
-/// Open connections to the platform may go silent without being closed, while new ones work. A watch on such a connection
-/// looks like one without changes, so it must be given up early enough for a new version to take effect in time.
+/// Open connections to the platform may go silent without being closed, while new ones work. A
+/// watch on such a connection looks like one without changes, so it must be given up early enough
+/// for a new version to take effect in time.
 #[test]
 fn new_version_takes_effect_in_time_when_platform_connections_go_silent() {
     let config = FleetConfig { instances: 4, platform_proxy: true, ..Default::default() };
--- a/crates/trial/tests/entry_api.rs
+++ b/crates/trial/tests/entry_api.rs
@@ -23,10 +23,12 @@
     assert_eq!(answer.headers["x-request-id"], "mine-1");
     assert!(answer.text().ends_with("data: [DONE]\n\n"));
 
-    let whole = support::prompt_body("hello", 500, 20, false);
-    let whole = support::complete(entry(&fleet), &whole).unwrap();
-    assert_eq!(whole.status, 200);
-    assert!(whole.json()["choices"][0]["message"]["content"].as_str().unwrap().contains("-19 "));
+    let unstreamed = support::prompt_body("hello", 500, 20, false);
+    let unstreamed = support::complete(entry(&fleet), &unstreamed).unwrap();
+    assert_eq!(unstreamed.status, 200);
+    assert!(
+        unstreamed.json()["choices"][0]["message"]["content"].as_str().unwrap().contains("-19 ")
+    );
 
     let models = support::get(entry(&fleet), "/v1/models").unwrap().json();
     assert_eq!(models["data"][0]["id"], "invitation");
@@ -216,11 +218,13 @@
         fleet: "{orphan_grace: 3s, group_limit: 1}",
         ..Default::default()
     });
-    // With the headroom kept free on each engine of 100,000 tokens, a prompt of 220,000 needs three engines.
+    // With the headroom kept free on each engine of 100,000 tokens, a prompt of 220,000 needs three
+    // engines.
     let body = support::prompt_body("archive", 220_000, 10, true);
     let answer = support::complete(entry(&fleet), &body).unwrap();
     assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
-    // The memory of all group members must be released when the answer ends, not later by a scheduler that finds orphans.
+    // The memory of all group members must be released when the answer ends, not later by a
+    // scheduler that finds orphans.
     let ended = time::Instant::now();
     fleet.wait_no_memory_held();
     assert!(ended.elapsed() < time::Duration::from_secs(1), "{:?}", ended.elapsed());
--- a/crates/trial/tests/idempotency.rs
+++ b/crates/trial/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys and retries: calls that must not run twice run at most once, and a call reported as not run has not run.
+//! Idempotency keys and retries: calls that must not run twice run at most once, and a call
+//! reported as not run has not run.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +10,8 @@
 use serde_json::json;
 use support::{Fleet, FleetConfig};
 
-/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a margin.
+/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a
+/// margin.
 const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 
 /// Starts a fleet with two upstreams of the service, and waits until its schedulers vote.
--- a/crates/trial/tests/leaving.rs
+++ b/crates/trial/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Planned removal of engines and stops of processes: leaving engines get no new requests, and no request fails.
+//! Planned removal of engines and stops of processes: leaving engines get no new requests, and no
+//! request fails.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,30 +17,32 @@
 
 /// Threads that send requests one after the other until they are stopped, and collect failures.
 struct Callers {
-    stop: Arc<atomic::AtomicBool>,
-    /// Entry addresses, and whether each receives new connections. Stands for the platform's load balancer, which skips
-    /// instances that are not ready.
+    stop_requested: Arc<atomic::AtomicBool>,
+    /// Entry addresses, and whether each receives new connections. Stands for the platform's load
+    /// balancer, which skips instances that are not ready.
     balancer: Arc<Vec<(std::net::SocketAddr, atomic::AtomicBool)>>,
     threads: Vec<thread::JoinHandle<(usize, Vec<String>)>>,
 }
 
 impl Callers {
     fn start(fleet: &Fleet, count: usize) -> Self {
-        let stop = Arc::new(atomic::AtomicBool::new(false));
+        let stop_requested = Arc::new(atomic::AtomicBool::new(false));
         let row = |instance: &support::Instance| (instance.entry.address, true.into());
         let balancer = Arc::new(fleet.instances.iter().map(row).collect::<Vec<_>>());
         let threads = (0..count)
             .map(|caller| {
-                let (stop, balancer) = (Arc::clone(&stop), Arc::clone(&balancer));
-                thread::spawn(move || send_requests(&stop, &balancer, caller))
+                let (stop_requested, balancer) =
+                    (Arc::clone(&stop_requested), Arc::clone(&balancer));
+                thread::spawn(move || send_requests(&stop_requested, &balancer, caller))
             })
             .collect();
-        Self { stop, balancer, threads }
+        Self { stop_requested, balancer, threads }
     }
 
-    /// Stops the callers. Returns the number of complete answers, and the texts of all other answers and errors.
+    /// Stops the callers. Returns the number of complete answers, and the texts of all other
+    /// answers and errors.
     fn finish(self) -> (usize, Vec<String>) {
-        self.stop.store(true, atomic::Ordering::SeqCst);
+        self.stop_requested.store(true, atomic::Ordering::SeqCst);
         let mut all = (0, Vec::new());
         for thread in self.threads {
             let (complete_count, failures) = thread.join().unwrap();
@@ -52,19 +55,19 @@
 
 /// Sends requests to the instances in turn, except to those that the balancer skips.
 fn send_requests(
-    stop: &atomic::AtomicBool,
+    stop_requested: &atomic::AtomicBool,
     balancer: &[(std::net::SocketAddr, atomic::AtomicBool)],
     caller: usize,
 ) -> (usize, Vec<String>) {
     let (mut complete_count, mut failures, mut turn) = (0, Vec::new(), caller);
-    while !stop.load(atomic::Ordering::SeqCst) {
+    while !stop_requested.load(atomic::Ordering::SeqCst) {
         turn += 1;
         let (address, in_pool) = &balancer[turn % balancer.len()];
         if !in_pool.load(atomic::Ordering::SeqCst) {
             continue;
         }
         let body = support::prompt_body(&format!("{caller}/{turn}"), 200, 30, true);
-        match support::connect(*address).and_then(|stream| ask(stream, &body)) {
+        match support::connect(*address).and_then(|stream| send_request(stream, &body)) {
             Ok(answer) if support::is_complete_answer(&answer, &body) => complete_count += 1,
             Ok(answer) => failures.push(answer.text()),
             Err(error) => failures.push(error.to_string()),
@@ -73,7 +76,7 @@
     (complete_count, failures)
 }
 
-fn ask(
+fn send_request(
     mut stream: std::net::TcpStream,
     body: &serde_json::Value,
 ) -> std::io::Result<support::Answer> {
@@ -91,7 +94,8 @@
     counts["started"].as_object().unwrap().len() + usize::try_from(refused).unwrap()
 }
 
-/// Checks that engine 0 gets no more requests from 3 s after `start_leaving`, and that no request fails.
+/// Checks that engine 0 gets no more requests from 3 s after `start_leaving`, and that no request
+/// fails.
 fn assert_engine_drains(mut fleet: Fleet, start_leaving: impl FnOnce(&mut Fleet)) {
     let callers = Callers::start(&fleet, 6);
     thread::sleep(SECOND);
--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -1,5 +1,6 @@
-//! Simulation of entries, a scheduler's ledger and an engine, with lost, late and duplicate messages and with restarts of
-//! entries and the scheduler. Afterwards neither the engine nor the ledger may hold memory.
+//! Simulation of entries, a scheduler's ledger and an engine, with lost, late and duplicate
+//! messages and with restarts of entries and the scheduler. Afterwards neither the engine nor the
+//! ledger may hold memory.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,8 +15,8 @@
 const STEP: time::Duration = time::Duration::from_millis(250);
 /// Steps with new requests, restarts and message faults.
 const FAULTY_STEPS: u64 = 60;
-/// Steps without new requests, after which no memory may be held. They cover the longest time limit, the orphan grace and
-/// some lost cancels.
+/// Steps without new requests, after which no memory may be held. They cover the longest time
+/// limit, the orphan grace and some lost cancels.
 const RECOVERY_STEPS: u64 = 160;
 const MEMORY: u64 = 100_000;
 const ENTRIES: usize = 2;
@@ -34,7 +35,8 @@
     ledger: engine_ledger::EngineLedger,
     model: engine_model::EngineModel,
     entries: Vec<SimulatedEntry>,
-    /// Requests sent to the ledger and not yet granted or refused, by attempt, with the index of their entry.
+    /// Requests sent to the ledger and not yet granted or refused, by attempt, with the index of
+    /// their entry.
     queued: collections::BTreeMap<ids::AttemptId, (usize, placement::PlaceRequest)>,
     /// Duplicate releases in transit, with the time of their arrival.
     delayed_releases: Vec<(units::MonoTime, ids::AttemptId)>,
@@ -156,7 +158,8 @@
     }
 
     /// Delivers a grant to the entry, which starts the attempt on the engine. The grant or the call
-    /// to the engine may be lost, and a grant for an earlier boot of the entry is ignored. If the engine refuses the attempt, the entry releases its lease.
+    /// to the engine may be lost, and a grant for an earlier boot of the entry is ignored. If the
+    /// engine refuses the attempt, the entry releases its lease.
     fn start(&mut self, attempt: &ids::AttemptId) {
         let Some((entry, placement_request)) = self.queued.remove(attempt) else { return };
         if self.message_lost() || placement_request.boot.0 != self.entries[entry].boot {
@@ -181,7 +184,8 @@
         }
     }
 
-    /// Sends a release to the ledger. It may be lost; otherwise it arrives now, and sometimes once more later.
+    /// Sends a release to the ledger. It may be lost; otherwise it arrives now, and sometimes once
+    /// more later.
     fn release(&mut self, attempt: &ids::AttemptId) {
         if self.message_lost() {
             return;
--- a/crates/trial/tests/limits.rs
+++ b/crates/trial/tests/limits.rs
@@ -47,7 +47,8 @@
             assert_eq!(answer.status, 504);
             answer.text()
         } else {
-            // Part of the answer has been sent: the stream must end with an error event, not with the last event.
+            // Part of the answer has been sent: the stream must end with an error event, not with
+            // the last event.
             assert_eq!(answer.status, 200);
             assert!(answer.text().contains("event: error"), "{}", answer.text());
             assert!(!answer.text().contains("[DONE]"));
--- a/crates/trial/tests/memory_release.rs
+++ b/crates/trial/tests/memory_release.rs
@@ -1,4 +1,5 @@
-//! Engine memory is released after crashes and pauses of entries, schedulers and engines, and after lost cancels.
+//! Engine memory is released after crashes and pauses of entries, schedulers and engines, and after
+//! lost cancels.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +12,8 @@
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
-/// Starts long streams in background threads, and waits until the engines hold memory for all of them.
+/// Starts long streams in background threads, and waits until the engines hold memory for all of
+/// them.
 fn start_streams(fleet: &Fleet, count: usize) {
     for number in 0..count {
         let address = fleet.instances[0].entry.address;
@@ -150,7 +152,8 @@
     thread::sleep(SECOND);
     let mut killed = fleet.engines.remove(index);
     killed.kill();
-    // The killed engine may be the streaming one or one that only holds memory; either way all memory must be released.
+    // The killed engine may be the streaming one or one that only holds memory; either way all
+    // memory must be released.
     caller.join().unwrap();
     fleet.wait_no_memory_held();
 }
@@ -169,14 +172,14 @@
             thread::spawn(move || {
                 let body = support::prompt_body(&format!("archive {number}"), 220_000, 5, true);
                 let answer = support::complete(address, &body).unwrap();
-                let whole = support::is_complete_answer(&answer, &body);
-                assert!(whole || answer.ran() == "no", "{}", answer.text());
-                whole
+                let is_complete = support::is_complete_answer(&answer, &body);
+                assert!(is_complete || answer.ran() == "no", "{}", answer.text());
+                is_complete
             })
         })
         .collect();
-    let whole = callers.into_iter().map(|caller| caller.join().unwrap());
-    assert!(whole.filter(|whole| *whole).count() >= 3);
+    let is_complete = callers.into_iter().map(|caller| caller.join().unwrap());
+    assert!(is_complete.filter(|is_complete| *is_complete).count() >= 3);
     fleet.wait_no_memory_held();
 }
 
--- a/crates/trial/tests/partition.rs
+++ b/crates/trial/tests/partition.rs
@@ -8,7 +8,8 @@
 
 use support::{Fleet, FleetConfig};
 
-/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a margin.
+/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a
+/// margin.
 const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 /// Index of the first instance on the smaller side: 0 to 3 are on one side, 4 and 5 on the other.
 const SMALL_SIDE_START: usize = 4;
@@ -47,7 +48,8 @@
     thread::sleep(VOTING_DELAY);
     assert_eq!(call(&fleet, 5, "before").status, 200);
     fleet.partition_network();
-    // Only the larger side has a majority of voters. The smaller one can't tell whether a key has run there.
+    // Only the larger side has a majority of voters. The smaller one can't tell whether a key has
+    // run there.
     let refused = call(&fleet, 4, "during");
     assert_eq!(
         (refused.status, refused.code().as_str()),
@@ -76,19 +78,20 @@
 fn both_sides_serve_during_and_after_a_partition() {
     let mut fleet = start_divisible_fleet(6);
     fleet.partition_network();
-    let ask = |fleet: &Fleet, word: &str| {
+    let check_all_entries = |fleet: &Fleet, prompt_start: &str| {
         for (index, instance) in fleet.instances.iter().enumerate() {
             for turn in 0..3 {
-                let body = support::prompt_body(&format!("{word}/{index}/{turn}"), 200, 10, true);
+                let body =
+                    support::prompt_body(&format!("{prompt_start}/{index}/{turn}"), 200, 10, true);
                 let answer = support::complete(instance.entry.address, &body).unwrap();
                 assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
             }
         }
     };
-    ask(&fleet, "during");
+    check_all_entries(&fleet, "during");
     fleet.publish_list();
     fleet.wait_list();
-    ask(&fleet, "after");
+    check_all_entries(&fleet, "after");
     fleet.wait_no_memory_held();
     fleet.publish_settings(2, "{key_retention: 5s, orphan_grace: 10s}", "{time_limit: 20s}");
     assert!(fleet.wait_version(2) < time::Duration::from_secs(9));
--- a/crates/trial/tests/silent_upstreams.rs
+++ b/crates/trial/tests/silent_upstreams.rs
@@ -1,9 +1,11 @@
-//! Service calls whose pooled upstream connections have gone silent for good, without a reset, while new ones work.
+//! Service calls whose pooled upstream connections have gone silent for good, without a reset,
+//! while new ones work.
 //!
-//! Guards against repeatable calls that end with 504 after their whole time limit although every upstream works. A call was
-//! sent on a silent pooled connection and waited for it until its limit; the next call took another silent connection from
-//! the pool, because the silence of one didn't discredit others that had been idle at the same time. With two upstreams,
-//! six of six calls failed, each after 2.0 s of its 2 s.
+//! Guards against repeatable calls that end with 504 after their whole time limit although every
+//! upstream works. A call was sent on a silent pooled connection and waited for it until its limit;
+//! the next call took another silent connection from the pool, because the silence of one didn't
+//! discredit others that had been idle at the same time. With two upstreams, six of six calls
+//! failed, each after 2.0 s of its 2 s.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,10 +16,11 @@
 use slipturn_platform_standin::proxy;
 use support::{Fleet, FleetConfig};
 
-/// Far longer than a call on a working connection takes, and shorter than one that waits for a silent connection first.
+/// Far longer than a call on a working connection takes, and shorter than one that waits for a
+/// silent connection first.
 const PROMPT_LIMIT: time::Duration = time::Duration::from_millis(600);
-/// Delay of slow answers, milliseconds. Longer than the wait for a silent connection, and shorter than the service's time
-/// limit of 2 s.
+/// Delay of slow answers, milliseconds. Longer than the wait for a silent connection, and shorter
+/// than the service's time limit of 2 s.
 const SLOW_ANSWER_MS: u64 = 1_400;
 
 /// A fleet that reaches its upstreams through proxies.
@@ -74,7 +77,8 @@
     }
 }
 
-/// Another upstream and new connections work, so every call must succeed, and only the first one on each upstream may be slow.
+/// Another upstream and new connections work, so every call must succeed, and only the first one on
+/// each upstream may be slow.
 #[test]
 fn repeatable_calls_succeed_when_pooled_connections_go_silent() {
     let proxied =
@@ -84,7 +88,8 @@
     let results: Vec<_> = (0..6).map(|_| proxied.call("GET")).collect();
     println!("{results:?}");
     assert!(results.iter().all(|(status, _)| *status == 200), "{results:?}");
-    // One call for each upstream may wait for a silent connection. Others that were idle at the same time must not be used.
+    // One call for each upstream may wait for a silent connection. Others that were idle at the
+    // same time must not be used.
     let slow = results.iter().filter(|(_, duration)| *duration > PROMPT_LIMIT).count();
     assert!(slow <= 2, "{results:?}");
 }
@@ -144,8 +149,8 @@
     }
 }
 
-/// Parallel calls need more connections than the one opened after the silence was found, so they would take silent ones from
-/// the pool.
+/// Parallel calls need more connections than the one opened after the silence was found, so they
+/// would take silent ones from the pool.
 #[test]
 fn calls_avoid_connections_pooled_before_a_silence() {
     let proxied = ProxiedFleet::start(&FleetConfig { services: 1, ..Default::default() });
--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Starts a fleet of real processes on loopback, and sends requests to it as callers and operators do.
+//! Starts a fleet of real processes on loopback, and sends requests to it as callers and operators
+//! do.
 //!
 //! Each test has a fleet of its own on ports of its own, so that tests can run in parallel.
 
@@ -82,7 +83,8 @@
     pub services: usize,
     /// Whether the service stand-ins reject repeated idempotency keys themselves.
     pub checks_keys: bool,
-    /// Index of the first instance that uses a second platform. Needed for [`Fleet::partition_network`].
+    /// Index of the first instance that uses a second platform. Needed for
+    /// [`Fleet::partition_network`].
     pub second_platform_from: Option<usize>,
     /// Whether instances reach the first platform through a proxy, which can silence connections.
     pub platform_proxy: bool,
@@ -276,8 +278,8 @@
 
     /// Simulates a network partition between the instances on the two platforms.
     ///
-    /// Each platform publishes a list in which the schedulers of the other side have an address that nothing listens on.
-    /// [`Self::publish_list`] ends the partition.
+    /// Each platform publishes a list in which the schedulers of the other side have an address
+    /// that nothing listens on. [`Self::publish_list`] ends the partition.
     pub fn partition_network(&mut self) {
         let (first_index, second) = self.second_platform.as_ref().unwrap();
         let (first_index, second) = (*first_index, second.address);
@@ -318,7 +320,8 @@
         }
     }
 
-    /// Waits until all instances accept requests and every engine is owned and reached by a scheduler.
+    /// Waits until all instances accept requests and every engine is owned and reached by a
+    /// scheduler.
     pub fn wait_ready(&self) {
         for index in 0..self.instances.len() {
             wait_until("an instance is ready", || {
@@ -352,7 +355,8 @@
         }
     }
 
-    /// Waits until every entry and scheduler uses this settings version, and returns the time waited.
+    /// Waits until every entry and scheduler uses this settings version, and returns the time
+    /// waited.
     pub fn wait_version(&self, version: u64) -> time::Duration {
         let started = time::Instant::now();
         for instance in &self.instances {
@@ -429,8 +433,8 @@
 
 /// Returns a loopback address that nothing listens on, with a port below the ephemeral range.
 ///
-/// An ephemeral port could be taken by an outgoing connection before the new process binds it. Each test process takes its
-/// ports from a range that is chosen by its process id.
+/// An ephemeral port could be taken by an outgoing connection before the new process binds it. Each
+/// test process takes its ports from a range that is chosen by its process id.
 pub fn free_address() -> net::SocketAddr {
     static NEXT: std::sync::atomic::AtomicU16 = std::sync::atomic::AtomicU16::new(0);
     const FIRST_PORT: u16 = 10_000;
@@ -440,8 +444,9 @@
     for _ in 0..PORTS_PER_RANGE {
         let next = NEXT.fetch_add(1, std::sync::atomic::Ordering::SeqCst) % PORTS_PER_RANGE;
         let address = net::SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + range_offset + next));
-        // Probe by connecting, not by binding: a child that another test starts at that moment could inherit the bound
-        // socket, and the address would be in use when the intended process binds it.
+        // Probe by connecting, not by binding: a child that another test starts at that moment
+        // could inherit the bound socket, and the address would be in use when the intended process
+        // binds it.
         if net::TcpStream::connect(address).is_err() {
             return address;
         }
