--- a/crates/trial/tests/configuration.rs
+++ b/crates/trial/tests/configuration.rs
@@ -99,7 +99,7 @@
     thread::sleep(2 * SECOND);
     fleet.publish_settings(2, FLEET_OPTIONS, "{time_limit: 7s}");
     support::wait_until("the running instance uses the new version", || {
-        (first_version(&fleet) == 2).then_some(())
+        (first_entry_version(&fleet) == 2).then_some(())
     });
     let body = support::prompt_body("x", 10, 5, true);
     let address = fleet.instances[1].entry.address;
@@ -123,7 +123,7 @@
     fleet.wait_version(2);
 }
 
-fn first_version(fleet: &Fleet) -> u64 {
+fn first_entry_version(fleet: &Fleet) -> u64 {
     let status = support::get(fleet.instances[0].operators, "/v1/status").unwrap().json();
     status["entry"]["settings_version"].as_u64().unwrap()
 }
@@ -150,7 +150,7 @@
 #[test]
 fn new_version_takes_effect_in_time_when_other_schedulers_freeze() {
     let fleet = Fleet::start(&FleetConfig { instances: 4, ..Default::default() });
-    // Freeze all schedulers but one: entries that watched a frozen one must find another source.
+    // Freeze all schedulers but one. Processes that watched a frozen one must find another source.
     thread::sleep(SECOND);
     for instance in &fleet.instances[1..] {
         instance.scheduler.signal("STOP");
--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// The running processes of a fleet and the last published list.
+/// The running processes of a fleet, and the list that it publishes.
 pub struct Fleet {
     pub platform: Process,
     /// Index of the first instance on the second platform, and that platform.
@@ -278,7 +278,7 @@
 
     /// Simulates a network partition between the instances on the two platforms.
     ///
-    /// Each platform publishes a list in which the schedulers of the other side have an address
+    /// Each platform serves a list in which the schedulers of the other side have an address
     /// that nothing listens on. [`Self::publish_list`] ends the partition.
     pub fn partition_network(&mut self) {
         let (first_index, second) = self.second_platform.as_ref().unwrap();
