--- a/crates/trial/tests/cut.rs
+++ b/crates/trial/tests/partition.rs
@@ -1,4 +1,4 @@
-//! Two parts of a fleet that cannot reach each other, with every process alive.
+//! Network partitions: two parts of a fleet cannot reach each other, while all processes run.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,25 +6,27 @@
 
 use std::{collections, thread, time};
 
-use support::{Fleet, FleetShape};
+use support::{Fleet, FleetConfig};
 
-/// Retention and list lag of these fleets: voters vote after this long.
-const WINDOW: time::Duration = time::Duration::from_millis(10_300);
-/// Instances 0 to 3 are on one side, 4 and 5 on the other.
-const SPLIT: usize = 4;
+/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a
+/// margin.
+const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
+/// Index of the first instance on the smaller side: 0 to 3 are on one side, 4 and 5 on the other.
+const SMALL_SIDE_START: usize = 4;
 
-fn split_fleet(engines: usize) -> Fleet {
-    let shape = FleetShape {
+fn start_divisible_fleet(engines: usize) -> Fleet {
+    let config = FleetConfig {
         instances: 6,
         engines,
         services: 2,
-        split: Some(SPLIT),
+        second_platform_from: Some(SMALL_SIDE_START),
         fleet: "{key_retention: 5s, orphan_grace: 10s}",
         ..Default::default()
     };
-    Fleet::start(&shape)
+    Fleet::start(&config)
 }
 
+/// Number of runs of each idempotency key, over all services.
 fn runs_by_key(fleet: &Fleet) -> collections::BTreeMap<String, u64> {
     let mut runs = collections::BTreeMap::new();
     for service in &fleet.services {
@@ -41,15 +43,21 @@
 }
 
 #[test]
-fn a_key_runs_once_across_a_cut_and_after_it() {
-    let mut fleet = split_fleet(1);
-    thread::sleep(WINDOW);
+fn key_runs_once_during_and_after_a_partition() {
+    let mut fleet = start_divisible_fleet(1);
+    thread::sleep(VOTING_DELAY);
     assert_eq!(call(&fleet, 5, "before").status, 200);
-    fleet.cut();
-    // The smaller side cannot know whether the larger has run a key; the larger has a majority.
-    let small = call(&fleet, 4, "during");
-    assert_eq!((small.status, small.code().as_str()), (503, "key_in_doubt"), "{}", small.text());
-    assert_eq!(small.ran(), "unknown");
+    fleet.partition_network();
+    // Only the larger side has a majority of voters. The smaller one can't tell whether a key has
+    // run there.
+    let refused = call(&fleet, 4, "during");
+    assert_eq!(
+        (refused.status, refused.code().as_str()),
+        (503, "key_in_doubt"),
+        "{}",
+        refused.text()
+    );
+    assert_eq!(refused.ran(), "unknown");
     assert_eq!(call(&fleet, 4, "before").status, 409);
     assert_eq!(call(&fleet, 0, "before").status, 409);
     assert_eq!(call(&fleet, 1, "other").status, 200);
@@ -67,22 +75,23 @@
 }
 
 #[test]
-fn both_sides_of_a_cut_go_on_and_heal() {
-    let mut fleet = split_fleet(6);
-    fleet.cut();
-    let ask = |fleet: &Fleet, word: &str| {
+fn both_sides_serve_during_and_after_a_partition() {
+    let mut fleet = start_divisible_fleet(6);
+    fleet.partition_network();
+    let check_all_entries = |fleet: &Fleet, prompt_start: &str| {
         for (index, instance) in fleet.instances.iter().enumerate() {
             for turn in 0..3 {
-                let body = support::prompt_body(&format!("{word}/{index}/{turn}"), 200, 10, true);
+                let body =
+                    support::prompt_body(&format!("{prompt_start}/{index}/{turn}"), 200, 10, true);
                 let answer = support::complete(instance.entry.address, &body).unwrap();
-                assert!(support::is_whole_answer(&answer, &body), "{}", answer.text());
+                assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
             }
         }
     };
-    ask(&fleet, "during");
+    check_all_entries(&fleet, "during");
     fleet.publish_list();
     fleet.wait_list();
-    ask(&fleet, "after");
+    check_all_entries(&fleet, "after");
     fleet.wait_no_memory_held();
     fleet.publish_settings(2, "{key_retention: 5s, orphan_grace: 10s}", "{time_limit: 20s}");
     assert!(fleet.wait_version(2) < time::Duration::from_secs(9));
