--- a/crates/compare/src/fake_engines.rs
+++ b/crates/compare/src/fake_engines.rs
@@ -29,11 +29,11 @@
 impl FakeEngine {
     /// An idle engine.
     pub fn new(name: ids::EngineId, options: settings::FleetOptions) -> Self {
-        let shape = engine_model::EngineShape {
+        let parameters = engine_model::EngineParameters {
             memory: scenario::ENGINE_MEMORY,
             prefill_rate: scenario::PREFILL_RATE,
             token_time: time::Duration::from_millis(10),
-            batch_knee: 64.0,
+            doubling_batch_size: 64.0,
         };
         let memory = units::TokenCount(scenario::ENGINE_MEMORY);
         let rate = units::TokenRate(scenario::PREFILL_RATE);
@@ -41,7 +41,7 @@
         let mut engine = Self {
             name,
             ledger: engine_ledger::EngineLedger::new(start, memory, rate, options),
-            model: engine_model::EngineModel::new(shape),
+            model: engine_model::EngineModel::new(parameters),
             queue: collections::VecDeque::new(),
             reports: collections::VecDeque::new(),
             next_report: start,
@@ -93,7 +93,7 @@
     }
 
     fn keep_report(&mut self, now: units::MonoTime) {
-        let held = self.model.holds().into_iter().filter_map(|(attempt, tokens)| {
+        let held = self.model.memory_by_attempt().into_iter().filter_map(|(attempt, tokens)| {
             Some((attempt.parse().ok()?, units::TokenCount(tokens)))
         });
         let report = placement::EngineReport {
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -95,7 +95,7 @@
     arrival: &arrivals::Arrival,
 ) -> CallOutcome {
     let messages = messages(arrival);
-    let mark = engine::answer_mark(&messages.to_string());
+    let mark = engine::prompt_fingerprint(&messages.to_string());
     let body = serde_json::json!({
         "model": target.model,
         "messages": messages,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -17,15 +17,15 @@
 /// Length of a step of the model.
 const STEP: time::Duration = time::Duration::from_millis(5);
 /// Largest accepted body.
-const MAX_BODY: u64 = 64 << 20;
+const MAX_BODY_BYTES: u64 = 64 << 20;
 /// Bytes of prompt that count as one token.
-const BYTES_PER_TOKEN: u64 = 4;
+const PROMPT_BYTES_PER_TOKEN: u64 = 4;
 /// Bytes at a prompt's start that the prefix cache compares.
 const PREFIX_BYTES: usize = 4_096;
 /// Load reports kept, to answer with an old one.
 const MAX_REPORTS: usize = 2_000;
 
-type Pieces = mpsc::UnboundedSender<engine_model::EngineOutput>;
+type OutputSender = mpsc::UnboundedSender<engine_model::EngineOutput>;
 
 /// What the engine has run, for tests.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -43,7 +43,7 @@
 }
 
 #[derive(Debug, Clone, Serialize)]
-struct HeldRow {
+struct AttemptMemory {
     attempt: String,
     tokens: u64,
 }
@@ -55,34 +55,34 @@
     prefill_backlog: u64,
     age_ms: u64,
     running: usize,
-    held: Vec<HeldRow>,
+    held: Vec<AttemptMemory>,
 }
 
 /// State shared by the engine's tasks.
 struct EngineState {
     model: cell::RefCell<engine_model::EngineModel>,
-    outputs: cell::RefCell<collections::HashMap<String, Pieces>>,
+    outputs: cell::RefCell<collections::HashMap<String, OutputSender>>,
     reports: cell::RefCell<collections::VecDeque<(time::Instant, LoadReport)>>,
     counts: cell::RefCell<RunCounts>,
     faults: faults::SharedFaults,
 }
 
 /// Serves an engine on `listener` for ever.
-pub async fn run(listener: monoio::net::TcpListener, shape: engine_model::EngineShape) {
+pub async fn run(listener: monoio::net::TcpListener, parameters: engine_model::EngineParameters) {
     let state = rc::Rc::new(EngineState {
-        model: cell::RefCell::new(engine_model::EngineModel::new(shape)),
+        model: cell::RefCell::new(engine_model::EngineModel::new(parameters)),
         outputs: cell::RefCell::default(),
         reports: cell::RefCell::default(),
         counts: cell::RefCell::default(),
         faults: faults::SharedFaults::default(),
     });
-    monoio::spawn(work(rc::Rc::clone(&state)));
+    monoio::spawn(run_model(rc::Rc::clone(&state)));
     http_server::accept_all(listener, move |connection| serve(rc::Rc::clone(&state), connection))
         .await;
 }
 
 /// Steps the model by the clock, and passes on what it gives out.
-async fn work(state: rc::Rc<EngineState>) {
+async fn run_model(state: rc::Rc<EngineState>) {
     let clock = process::ProcessClock::start();
     let mut last = clock.now();
     loop {
@@ -91,13 +91,13 @@
         let outputs = state.model.borrow_mut().step(now.since(last));
         last = now;
         for output in outputs {
-            pass_on(&state, output);
+            forward_output(&state, output);
         }
-        keep_report(&state);
+        record_report(&state);
     }
 }
 
-fn pass_on(state: &EngineState, output: engine_model::EngineOutput) {
+fn forward_output(state: &EngineState, output: engine_model::EngineOutput) {
     let mut senders = state.outputs.borrow_mut();
     match &output {
         engine_model::EngineOutput::Tokens(attempt, ..) => {
@@ -115,10 +115,13 @@
     }
 }
 
-fn keep_report(state: &EngineState) {
+fn record_report(state: &EngineState) {
     let model = state.model.borrow();
-    let held: Vec<_> =
-        model.holds().into_iter().map(|(attempt, tokens)| HeldRow { attempt, tokens }).collect();
+    let held: Vec<_> = model
+        .memory_by_attempt()
+        .into_iter()
+        .map(|(attempt, tokens)| AttemptMemory { attempt, tokens })
+        .collect();
     let report = LoadReport {
         draining: state.faults.plan().draining,
         memory_tokens: model.memory(),
@@ -138,15 +141,15 @@
 
 async fn serve(state: rc::Rc<EngineState>, mut connection: http_server::ServerConnection) {
     let limits =
-        http_server::BodyLimits { max_bytes: MAX_BODY, time: time::Duration::from_secs(60) };
+        http_server::BodyLimits { max_bytes: MAX_BODY_BYTES, time: time::Duration::from_secs(60) };
     while let Ok(Some(mut incoming)) = connection.next_head().await {
         let Ok(body) = connection.read_body(&mut incoming, limits).await else {
             return;
         };
         let path = incoming.head.uri.path().to_owned();
         if path == "/faults" {
-            let answer = set_faults(&state.faults, &body);
-            if connection.respond(answer).await.is_err() {
+            let response = set_faults(&state.faults, &body);
+            if connection.respond(response).await.is_err() {
                 return;
             }
             continue;
@@ -157,13 +160,13 @@
             monoio::time::sleep(time::Duration::from_secs(3_600)).await;
             return;
         }
-        let kept = if path.ends_with("/completions") {
+        let keep_open = if path.ends_with("/completions") {
             complete(&state, &mut connection, &incoming, &body).await
         } else {
-            let answer = answer_order(&state, &path, &body);
-            connection.respond(answer).await.is_ok()
+            let response = handle_control(&state, &path, &body);
+            connection.respond(response).await.is_ok()
         };
-        if !kept {
+        if !keep_open {
             return;
         }
     }
@@ -181,21 +184,21 @@
 }
 
 #[derive(Deserialize)]
-struct OrderBody {
+struct ControlBody {
     attempt: String,
     #[serde(default)]
     tokens: u64,
 }
 
-fn answer_order(state: &EngineState, path: &str, body: &[u8]) -> http::Response<Bytes> {
+fn handle_control(state: &EngineState, path: &str, body: &[u8]) -> http::Response<Bytes> {
     match path {
-        "/v1/load" => http_server::json_answer(200, &lagging_report(state)),
+        "/v1/load" => http_server::json_answer(200, &delayed_report(state)),
         "/counts" => http_server::json_answer(200, &*state.counts.borrow()),
-        "/v1/cancel" | "/v1/kv/reserve" => match serde_json::from_slice::<OrderBody>(body) {
-            Ok(order) if path == "/v1/cancel" => cancel(state, &order.attempt),
-            Ok(order) => {
-                let kept = state.model.borrow_mut().reserve(&order.attempt, order.tokens);
-                http_server::json_answer(if kept { 200 } else { 503 }, &kept)
+        "/v1/cancel" | "/v1/kv/reserve" => match serde_json::from_slice::<ControlBody>(body) {
+            Ok(control) if path == "/v1/cancel" => cancel_attempt(state, &control.attempt),
+            Ok(control) => {
+                let keep_open = state.model.borrow_mut().reserve(&control.attempt, control.tokens);
+                http_server::json_answer(if keep_open { 200 } else { 503 }, &keep_open)
             }
             Err(error) => http_server::json_answer(400, &error.to_string()),
         },
@@ -203,12 +206,12 @@
     }
 }
 
-fn lagging_report(state: &EngineState) -> LoadReport {
+fn delayed_report(state: &EngineState) -> LoadReport {
     let lag = time::Duration::from_millis(state.faults.plan().report_lag_ms);
     let reports = state.reports.borrow();
-    let old_enough = |entry: &&(time::Instant, LoadReport)| entry.0.elapsed() >= lag;
-    let found = reports.iter().rev().find(old_enough).or_else(|| reports.front());
-    let Some((taken, report)) = found else {
+    let is_old_enough = |entry: &&(time::Instant, LoadReport)| entry.0.elapsed() >= lag;
+    let matching = reports.iter().rev().find(is_old_enough).or_else(|| reports.front());
+    let Some((recorded_at, report)) = matching else {
         let memory_tokens = state.model.borrow().memory();
         return LoadReport {
             draining: false,
@@ -219,22 +222,22 @@
             held: Vec::new(),
         };
     };
-    let age_ms = u64::try_from(taken.elapsed().as_millis()).unwrap_or(u64::MAX);
+    let age_ms = u64::try_from(recorded_at.elapsed().as_millis()).unwrap_or(u64::MAX);
     LoadReport { age_ms, ..report.clone() }
 }
 
-fn cancel(state: &EngineState, attempt: &str) -> http::Response<Bytes> {
+fn cancel_attempt(state: &EngineState, attempt: &str) -> http::Response<Bytes> {
     if state.faults.plan().ignore_cancels {
         return http_server::json_answer(200, &false);
     }
-    http_server::json_answer(200, &give_up(state, attempt))
+    http_server::json_answer(200, &abort_attempt(state, attempt))
 }
 
-fn give_up(state: &EngineState, attempt: &str) -> bool {
+fn abort_attempt(state: &EngineState, attempt: &str) -> bool {
     state.outputs.borrow_mut().remove(attempt);
-    let was_there = state.model.borrow_mut().cancel(attempt);
-    state.counts.borrow_mut().cancelled += u64::from(was_there);
-    was_there
+    let existed = state.model.borrow_mut().cancel(attempt);
+    state.counts.borrow_mut().cancelled += u64::from(existed);
+    existed
 }
 
 #[derive(Deserialize)]
@@ -258,42 +261,43 @@
 ) -> bool {
     let plan = state.faults.plan();
     monoio::time::sleep(time::Duration::from_millis(plan.delay_ms)).await;
-    let asked: CompletionBody = match serde_json::from_slice(body) {
-        Ok(asked) => asked,
+    let completion: CompletionBody = match serde_json::from_slice(body) {
+        Ok(completion) => completion,
         Err(error) => {
-            let answer = http_server::json_answer(400, &error.to_string());
-            return connection.respond(answer).await.is_ok();
+            let response = http_server::json_answer(400, &error.to_string());
+            return connection.respond(response).await.is_ok();
         }
     };
-    let text = if asked.messages.is_null() { &asked.prompt } else { &asked.messages };
+    let text =
+        if completion.messages.is_null() { &completion.prompt } else { &completion.messages };
     let text = text.to_string();
-    let request = engine_request(incoming, &text, asked.max_tokens.unwrap_or(16));
+    let request = engine_request(incoming, &text, completion.max_tokens.unwrap_or(16));
     let attempt = request.attempt.clone();
     if plan.draining || plan.refuse || !state.model.borrow_mut().start(request) {
         state.counts.borrow_mut().refused += 1;
-        let mut answer = http_server::json_answer(503, &"refused, not run");
-        answer.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
-        return connection.respond(answer).await.is_ok();
+        let mut response = http_server::json_answer(503, &"refused, not run");
+        response.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
+        return connection.respond(response).await.is_ok();
     }
     *state.counts.borrow_mut().started.entry(attempt.clone()).or_default() += 1;
     let (sender, pieces) = mpsc::unbounded();
     state.outputs.borrow_mut().insert(attempt.clone(), sender);
     if plan.close_before_answer {
-        give_up(state, &attempt);
+        abort_attempt(state, &attempt);
         return false;
     }
-    let answer = CompletionAnswer {
+    let response = CompletionResponse {
         state,
         plan,
         attempt: attempt.clone(),
-        mark: answer_mark(&text),
-        stream: asked.stream,
+        fingerprint: prompt_fingerprint(&text),
+        stream: completion.stream,
     };
-    let whole = answer.send(connection, pieces).await;
-    if !whole && !state.faults.plan().ignore_disconnects {
-        give_up(state, &attempt);
+    let finished = response.send(connection, pieces).await;
+    if !finished && !state.faults.plan().ignore_disconnects {
+        abort_attempt(state, &attempt);
     }
-    whole
+    finished
 }
 
 fn engine_request(
@@ -301,7 +305,7 @@
     text: &str,
     output: u64,
 ) -> engine_model::EngineRequest {
-    let prompt = (text.len() as u64).div_ceil(BYTES_PER_TOKEN);
+    let prompt = (text.len() as u64).div_ceil(PROMPT_BYTES_PER_TOKEN);
     let peers = incoming.header("x-kv-peers").map_or(0, |peers| peers.split(',').count() as u64);
     let prefix = &text.as_bytes()[..text.len().min(PREFIX_BYTES)];
     let hash = rendezvous::stable_hash(&[&String::from_utf8_lossy(prefix)]);
@@ -311,25 +315,25 @@
         output,
         memory: (prompt + output).div_ceil(peers + 1),
         priority: incoming.header("x-priority").and_then(|text| text.parse().ok()).unwrap_or(0),
-        prefix: (hash, (prefix.len() as u64).div_ceil(BYTES_PER_TOKEN)),
+        prefix: (hash, (prefix.len() as u64).div_ceil(PROMPT_BYTES_PER_TOKEN)),
     }
 }
 
 /// A word that only this prompt's answer has, so that a caller can tell its own answer.
-pub fn answer_mark(text: &str) -> String {
+pub fn prompt_fingerprint(text: &str) -> String {
     format!("{:016x}", rendezvous::stable_hash(&[text]))
 }
 
 /// An answer on its way.
-struct CompletionAnswer<'state> {
+struct CompletionResponse<'state> {
     state: &'state EngineState,
     plan: faults::FaultPlan,
     attempt: String,
-    mark: String,
+    fingerprint: String,
     stream: bool,
 }
 
-impl CompletionAnswer<'_> {
+impl CompletionResponse<'_> {
     async fn send(
         &self,
         connection: &mut http_server::ServerConnection,
@@ -337,14 +341,14 @@
     ) -> bool {
         if self.stream {
             let mut head = http::Response::new(());
-            self.mark_head(head.headers_mut());
+            self.set_attempt_header(head.headers_mut());
             let kind = http::HeaderValue::from_static("text/event-stream");
             head.headers_mut().insert(http::header::CONTENT_TYPE, kind);
             if connection.start_stream(&head).await.is_err() {
                 return false;
             }
         }
-        let mut words = String::new();
+        let mut output_text = String::new();
         let mut sent = 0;
         loop {
             let Some(next) = connection.while_present(pieces.next()).await else {
@@ -357,7 +361,7 @@
                 return false;
             }
             if self.plan.short_after.is_some_and(|limit| sent >= limit) {
-                give_up(self.state, &self.attempt);
+                abort_attempt(self.state, &self.attempt);
                 return connection.finish_stream().await.is_ok();
             }
             if self.plan.hang_after.is_some_and(|limit| sent >= limit) {
@@ -366,39 +370,40 @@
                 let _ = connection.while_present(monoio::time::sleep(hour)).await;
                 return false;
             }
-            let text = self.words(first, count);
+            let text = self.output_text(first, count);
             sent += 1;
             if self.stream {
-                if connection.send_piece(event(&text).as_bytes()).await.is_err() {
+                if connection.send_piece(sse_event(&text).as_bytes()).await.is_err() {
                     return false;
                 }
             } else {
-                words.push_str(&text);
+                output_text.push_str(&text);
             }
         }
         if self.stream {
             let done = connection.send_piece(b"data: [DONE]\n\n").await.is_ok();
             return done && connection.finish_stream().await.is_ok();
         }
-        let choice = serde_json::json!({ "index": 0, "message": { "content": words } });
-        let mut answer = http_server::json_answer(200, &serde_json::json!({ "choices": [choice] }));
-        self.mark_head(answer.headers_mut());
-        connection.respond(answer).await.is_ok()
+        let choice = serde_json::json!({ "index": 0, "message": { "content": output_text } });
+        let mut response =
+            http_server::json_answer(200, &serde_json::json!({ "choices": [choice] }));
+        self.set_attempt_header(response.headers_mut());
+        connection.respond(response).await.is_ok()
     }
 
-    fn mark_head(&self, headers: &mut http::HeaderMap) {
+    fn set_attempt_header(&self, headers: &mut http::HeaderMap) {
         let attempt = if self.plan.wrong_attempt { "another:0:1:1" } else { &self.attempt };
         if let Ok(value) = http::HeaderValue::from_str(attempt) {
             headers.insert("x-attempt-id", value);
         }
     }
 
-    fn words(&self, first: u64, count: u64) -> String {
-        (first..first + count).map(|index| format!("{}-{index} ", self.mark)).collect()
+    fn output_text(&self, first: u64, count: u64) -> String {
+        (first..first + count).map(|index| format!("{}-{index} ", self.fingerprint)).collect()
     }
 }
 
-fn event(text: &str) -> String {
+fn sse_event(text: &str) -> String {
     let choice = serde_json::json!({ "index": 0, "delta": { "content": text } });
     format!("data: {}\n\n", serde_json::json!({ "choices": [choice] }))
 }
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -3,13 +3,13 @@
 use std::{collections, time};
 
 /// Tokens of prompt worked through before priorities are looked at again.
-const CHUNK: f64 = 2_048.0;
+const PREFILL_CHUNK_TOKENS: f64 = 2_048.0;
 /// Prefixes kept in the cache.
-const MAX_PREFIXES: usize = 64;
+const MAX_CACHED_PREFIXES: usize = 64;
 
 /// How fast and how large an engine is.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineShape {
+pub struct EngineParameters {
     /// Memory, in tokens.
     pub memory: u64,
     /// Prompt tokens worked through in a second.
@@ -17,7 +17,7 @@
     /// Time from one output token to the next with an empty batch.
     pub token_time: time::Duration,
     /// Requests at which the time between tokens has doubled.
-    pub batch_knee: f64,
+    pub doubling_batch_size: f64,
 }
 
 /// One request on the engine.
@@ -49,10 +49,10 @@
 #[derive(Debug)]
 struct RunningRequest {
     request: EngineRequest,
-    order: u64,
+    sequence: u64,
     prefill_left: f64,
-    sent: u64,
-    generated: f64,
+    tokens_sent: u64,
+    tokens_generated: f64,
     /// It makes no more tokens, but keeps its memory.
     hung: bool,
 }
@@ -60,7 +60,7 @@
 /// The state of one engine.
 #[derive(Debug)]
 pub struct EngineModel {
-    shape: EngineShape,
+    parameters: EngineParameters,
     running: Vec<RunningRequest>,
     /// Memory kept for prompts whose answer another engine gives.
     reserved: collections::BTreeMap<String, u64>,
@@ -70,9 +70,9 @@
 
 impl EngineModel {
     /// An idle engine.
-    pub fn new(shape: EngineShape) -> Self {
+    pub fn new(parameters: EngineParameters) -> Self {
         Self {
-            shape,
+            parameters,
             running: Vec::new(),
             reserved: collections::BTreeMap::new(),
             prefixes: collections::VecDeque::new(),
@@ -82,18 +82,18 @@
 
     /// Takes a request in, or refuses it for want of memory.
     pub fn start(&mut self, request: EngineRequest) -> bool {
-        if self.held() + request.memory > self.shape.memory {
+        if self.held() + request.memory > self.parameters.memory {
             return false;
         }
         let (prefix, length) = request.prefix;
         let cached = if self.prefixes.contains(&prefix) { length.min(request.prompt) } else { 0 };
-        self.remember(prefix);
+        self.cache_prefix(prefix);
         self.arrivals += 1;
         self.running.push(RunningRequest {
             prefill_left: (request.prompt - cached) as f64,
-            order: self.arrivals,
-            sent: 0,
-            generated: 0.0,
+            sequence: self.arrivals,
+            tokens_sent: 0,
+            tokens_generated: 0.0,
             hung: false,
             request,
         });
@@ -102,7 +102,7 @@
 
     /// Keeps memory for a part of a prompt, or refuses.
     pub fn reserve(&mut self, attempt: &str, tokens: u64) -> bool {
-        if self.held() + tokens > self.shape.memory {
+        if self.held() + tokens > self.parameters.memory {
             return false;
         }
         self.reserved.insert(attempt.to_owned(), tokens);
@@ -112,28 +112,30 @@
     /// Gives an attempt up and frees its memory. Returns whether it was there.
     pub fn cancel(&mut self, attempt: &str) -> bool {
         let before = self.running.len();
-        self.running.retain(|one| one.request.attempt != attempt);
+        self.running.retain(|active| active.request.attempt != attempt);
         self.reserved.remove(attempt).is_some() || self.running.len() < before
     }
 
     /// Has an attempt make no more tokens.
     pub fn hang(&mut self, attempt: &str) {
-        for one in self.running.iter_mut().filter(|one| one.request.attempt == attempt) {
-            one.hung = true;
+        for active in self.running.iter_mut().filter(|active| active.request.attempt == attempt) {
+            active.hung = true;
         }
     }
 
     /// Attempts and the memory each holds.
-    pub fn holds(&self) -> Vec<(String, u64)> {
-        let running =
-            self.running.iter().map(|one| (one.request.attempt.clone(), one.request.memory));
+    pub fn memory_by_attempt(&self) -> Vec<(String, u64)> {
+        let running = self
+            .running
+            .iter()
+            .map(|active| (active.request.attempt.clone(), active.request.memory));
         let reserved = self.reserved.iter().map(|(attempt, tokens)| (attempt.clone(), *tokens));
         running.chain(reserved).collect()
     }
 
     /// Memory held.
     pub fn held(&self) -> u64 {
-        let running: u64 = self.running.iter().map(|one| one.request.memory).sum();
+        let running: u64 = self.running.iter().map(|active| active.request.memory).sum();
         running + self.reserved.values().sum::<u64>()
     }
 
@@ -144,66 +146,76 @@
 
     /// Prompt tokens not worked through.
     pub fn prefill_backlog(&self) -> u64 {
-        self.running.iter().map(|one| one.prefill_left).sum::<f64>() as u64
+        self.running.iter().map(|active| active.prefill_left).sum::<f64>() as u64
     }
 
     /// Memory in all.
     pub fn memory(&self) -> u64 {
-        self.shape.memory
+        self.parameters.memory
     }
 
     /// Works for a length of time.
-    pub fn step(&mut self, span: time::Duration) -> Vec<EngineOutput> {
-        self.prefill(span);
-        self.decode(span)
+    pub fn step(&mut self, elapsed: time::Duration) -> Vec<EngineOutput> {
+        self.prefill(elapsed);
+        self.decode(elapsed)
     }
 
-    fn prefill(&mut self, span: time::Duration) {
-        let mut work = self.shape.prefill_rate * span.as_secs_f64();
-        while work > 0.0 {
-            let waiting = self.running.iter_mut().filter(|one| one.prefill_left > 0.0);
-            let Some(first) = waiting.min_by_key(|one| (one.request.priority, one.order)) else {
+    fn prefill(&mut self, elapsed: time::Duration) {
+        let mut budget = self.parameters.prefill_rate * elapsed.as_secs_f64();
+        while budget > 0.0 {
+            let waiting = self.running.iter_mut().filter(|active| active.prefill_left > 0.0);
+            let Some(first) =
+                waiting.min_by_key(|active| (active.request.priority, active.sequence))
+            else {
                 return;
             };
-            let part = work.min(CHUNK).min(first.prefill_left);
-            first.prefill_left -= part;
-            work -= part;
+            let chunk = budget.min(PREFILL_CHUNK_TOKENS).min(first.prefill_left);
+            first.prefill_left -= chunk;
+            budget -= chunk;
         }
     }
 
-    fn decode(&mut self, span: time::Duration) -> Vec<EngineOutput> {
-        let decoding = self.running.iter().filter(|one| one.prefill_left <= 0.0).count() as f64;
-        let interval =
-            self.shape.token_time.as_secs_f64() * (1.0 + decoding / self.shape.batch_knee);
-        let tokens = span.as_secs_f64() / interval;
+    fn decode(&mut self, elapsed: time::Duration) -> Vec<EngineOutput> {
+        let decoding =
+            self.running.iter().filter(|active| active.prefill_left <= 0.0).count() as f64;
+        let interval = self.parameters.token_time.as_secs_f64()
+            * (1.0 + decoding / self.parameters.doubling_batch_size);
+        let tokens = elapsed.as_secs_f64() / interval;
         let mut outputs = Vec::new();
-        let decoding = |one: &&mut RunningRequest| one.prefill_left <= 0.0 && !one.hung;
-        for one in self.running.iter_mut().filter(decoding) {
+        let decoding = |active: &&mut RunningRequest| active.prefill_left <= 0.0 && !active.hung;
+        for active in self.running.iter_mut().filter(decoding) {
             // The first token comes with the end of the prefill.
-            let step = if one.sent == 0 { tokens.max(1.0) } else { tokens };
-            one.generated = (one.generated + step).min(one.request.output as f64);
-            let whole = one.generated as u64;
-            if whole > one.sent {
-                let attempt = one.request.attempt.clone();
-                outputs.push(EngineOutput::Tokens(attempt, one.sent, whole - one.sent));
-                one.sent = whole;
+            let step = if active.tokens_sent == 0 { tokens.max(1.0) } else { tokens };
+            active.tokens_generated =
+                (active.tokens_generated + step).min(active.request.output as f64);
+            let available = active.tokens_generated as u64;
+            if available > active.tokens_sent {
+                let attempt = active.request.attempt.clone();
+                outputs.push(EngineOutput::Tokens(
+                    attempt,
+                    active.tokens_sent,
+                    available - active.tokens_sent,
+                ));
+                active.tokens_sent = available;
             }
         }
-        let done = |one: &RunningRequest| one.prefill_left <= 0.0 && one.sent >= one.request.output;
+        let done = |active: &RunningRequest| {
+            active.prefill_left <= 0.0 && active.tokens_sent >= active.request.output
+        };
         outputs.extend(
             self.running
                 .iter()
-                .filter(|one| done(one))
-                .map(|one| EngineOutput::Done(one.request.attempt.clone())),
+                .filter(|active| done(active))
+                .map(|active| EngineOutput::Done(active.request.attempt.clone())),
         );
-        self.running.retain(|one| !done(one));
+        self.running.retain(|active| !done(active));
         outputs
     }
 
-    fn remember(&mut self, prefix: u64) {
+    fn cache_prefix(&mut self, prefix: u64) {
         self.prefixes.retain(|known| *known != prefix);
         self.prefixes.push_back(prefix);
-        if self.prefixes.len() > MAX_PREFIXES {
+        if self.prefixes.len() > MAX_CACHED_PREFIXES {
             self.prefixes.pop_front();
         }
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -40,8 +40,8 @@
 }
 
 fn run(options: &command_line::ToolOptions) -> Result<(), String> {
-    let words = options.words();
-    if let ["publish", name, document, file] = words.as_slice() {
+    let positional = options.words();
+    if let ["publish", name, document, file] = positional.as_slice() {
         let text = std::fs::read(file).map_err(|error| format!("{file}: {error}"))?;
         return publish(address(options, "to")?, name, document, text.into());
     }
@@ -56,11 +56,11 @@
     text: bytes::Bytes,
 ) -> Result<(), String> {
     /// Tries, a tenth of a second apart.
-    const TRIES: usize = 100;
+    const PUBLISH_ATTEMPTS: usize = 100;
     let path = format!("/documents/{name}?number={document}");
     let publishing = async {
         let pool = http_client::ConnectionPool::default();
-        for _ in 0..TRIES {
+        for _ in 0..PUBLISH_ATTEMPTS {
             let mut call = http::Request::new(text.clone());
             *call.method_mut() = http::Method::PUT;
             *call.uri_mut() = path.parse().unwrap_or_default();
@@ -81,18 +81,18 @@
 
 fn serve(options: &command_line::ToolOptions) -> Result<(), String> {
     let address = address(options, "listen")?;
-    let shape = engine_model::EngineShape {
+    let parameters = engine_model::EngineParameters {
         memory: options.value("memory", 400_000)?,
         prefill_rate: options.value("prefill", 100_000.0)?,
         token_time: time::Duration::from_millis(options.value("token-ms", 10)?),
-        batch_knee: 64.0,
+        doubling_batch_size: 64.0,
     };
     let checks_keys = options.flag("checks-keys");
     let kind = options.words().first().copied().unwrap_or_default().to_owned();
     let serving = async move {
         let listener = own_process::listen(address).map_err(|error| error.to_string())?;
         match kind.as_str() {
-            "engine" => engine::run(listener, shape).await,
+            "engine" => engine::run(listener, parameters).await,
             "service" => service::run(listener, checks_keys).await,
             "platform" => platform::run(listener).await,
             other => {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -13,11 +13,11 @@
 use crate::{engine, faults};
 
 /// Largest value held.
-const MAX_VALUE: u64 = 1 << 20;
+const MAX_DOCUMENT_BYTES: u64 = 1 << 20;
 /// Time between two looks at whether a waiting watch can be answered.
-const WATCH_POLL: time::Duration = time::Duration::from_millis(20);
+const WATCH_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Reads a second that are answered.
-const READ_LIMIT: u64 = 2_000;
+const MAX_READS_PER_SECOND: u64 = 2_000;
 
 /// Reads so far, for tests.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -33,7 +33,7 @@
     /// Versions of each document, by number.
     documents: cell::RefCell<collections::BTreeMap<String, collections::BTreeMap<u64, Bytes>>>,
     counts: cell::RefCell<ReadCounts>,
-    second: cell::Cell<(u64, u64)>,
+    current_second: cell::Cell<(u64, u64)>,
     faults: faults::SharedFaults,
 }
 
@@ -45,8 +45,10 @@
 }
 
 async fn serve(state: rc::Rc<PlatformState>, mut connection: http_server::ServerConnection) {
-    let limits =
-        http_server::BodyLimits { max_bytes: MAX_VALUE, time: time::Duration::from_secs(10) };
+    let limits = http_server::BodyLimits {
+        max_bytes: MAX_DOCUMENT_BYTES,
+        time: time::Duration::from_secs(10),
+    };
     while let Ok(Some(mut incoming)) = connection.next_head().await {
         let Ok(body) = connection.read_body(&mut incoming, limits).await else {
             return;
@@ -60,7 +62,7 @@
             path if path.starts_with("/documents/") => publish(&state, name, query, body),
             _ if state.faults.plan().down => return,
             _ if !state.admit() => http_server::json_answer(429, &"too many reads"),
-            _ => match connection.while_present(read(&state, name, query)).await {
+            _ => match connection.while_present(read_document(&state, name, query)).await {
                 Some(answer) => answer,
                 None => return,
             },
@@ -75,17 +77,17 @@
     /// Counts a read; `false` when there are too many in this second.
     fn admit(&self) -> bool {
         let since_epoch = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
-        let second = since_epoch.unwrap_or_default().as_secs();
-        let (last, reads) = self.second.get();
-        let reads = if last == second { reads + 1 } else { 1 };
-        self.second.set((second, reads));
+        let current_second = since_epoch.unwrap_or_default().as_secs();
+        let (last, reads) = self.current_second.get();
+        let reads = if last == current_second { reads + 1 } else { 1 };
+        self.current_second.set((current_second, reads));
         let mut counts = self.counts.borrow_mut();
         counts.reads += 1;
-        counts.refused += u64::from(reads > READ_LIMIT);
-        reads <= READ_LIMIT
+        counts.refused += u64::from(reads > MAX_READS_PER_SECOND);
+        reads <= MAX_READS_PER_SECOND
     }
 
-    fn newest(&self, name: &str) -> Option<(u64, Bytes)> {
+    fn newest_version(&self, name: &str) -> Option<(u64, Bytes)> {
         let stale_by = usize::try_from(self.faults.plan().stale_by).unwrap_or(usize::MAX);
         let documents = self.documents.borrow();
         let versions = documents.get(name)?;
@@ -95,7 +97,7 @@
 }
 
 fn publish(state: &PlatformState, name: &str, query: &str, body: Bytes) -> http::Response<Bytes> {
-    let Some(number) = number(query, "number") else {
+    let Some(number) = query_number(query, "number") else {
         return http_server::json_answer(400, &"number is missing");
     };
     let mut documents = state.documents.borrow_mut();
@@ -103,12 +105,12 @@
     http_server::json_answer(200, &number)
 }
 
-async fn read(state: &PlatformState, name: &str, query: &str) -> http::Response<Bytes> {
-    let after = number(query, "after").unwrap_or(0);
-    let wait = time::Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
+async fn read_document(state: &PlatformState, name: &str, query: &str) -> http::Response<Bytes> {
+    let after = query_number(query, "after").unwrap_or(0);
+    let wait = time::Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
     let started = time::Instant::now();
     loop {
-        if let Some((number, body)) = state.newest(name)
+        if let Some((number, body)) = state.newest_version(name)
             // A stale service answers what it has, whatever it was asked for.
             && (number > after || state.faults.plan().stale_by > 0)
         {
@@ -121,11 +123,11 @@
             *answer.status_mut() = http::StatusCode::NOT_MODIFIED;
             return answer;
         }
-        monoio::time::sleep(WATCH_POLL).await;
+        monoio::time::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
+fn query_number(query: &str, name: &str) -> Option<u64> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name)?.1.parse().ok()
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -8,7 +8,7 @@
 use crate::{engine, faults};
 
 /// Largest accepted body.
-const MAX_BODY: u64 = 16 << 20;
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
 /// What the service has run, for tests.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -42,7 +42,7 @@
 
 async fn serve(state: rc::Rc<ServiceState>, mut connection: http_server::ServerConnection) {
     let limits =
-        http_server::BodyLimits { max_bytes: MAX_BODY, time: time::Duration::from_secs(60) };
+        http_server::BodyLimits { max_bytes: MAX_BODY_BYTES, time: time::Duration::from_secs(60) };
     while let Ok(Some(mut incoming)) = connection.next_head().await {
         let Ok(body) = connection.read_body(&mut incoming, limits).await else {
             return;
@@ -80,7 +80,7 @@
         state.counts.borrow_mut().key_refusals += 1;
         return Some(http_server::json_answer(409, &"this key has run"));
     }
-    count(&mut state.counts.borrow_mut(), key, request);
+    record_run(&mut state.counts.borrow_mut(), key, request);
     monoio::time::sleep(time::Duration::from_millis(plan.delay_ms)).await;
     if plan.close_before_answer {
         return None;
@@ -92,7 +92,7 @@
     Some(answer)
 }
 
-fn count(counts: &mut ServiceCounts, key: String, request: String) {
+fn record_run(counts: &mut ServiceCounts, key: String, request: String) {
     counts.runs += 1;
     *counts.by_request.entry(request).or_default() += 1;
     if !key.is_empty() {
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -44,11 +44,11 @@
 }
 
 fn run_standin(role: &str, address: net::SocketAddr) -> Result<(), String> {
-    let shape = engine_model::EngineShape {
+    let shape = engine_model::EngineParameters {
         memory: 100_000,
         prefill_rate: 200_000.0,
         token_time: time::Duration::from_millis(5),
-        batch_knee: 64.0,
+        doubling_batch_size: 64.0,
     };
     let role = role.to_owned();
     let run = async move {
--- a/crates/trial/tests/engine_memory.rs
+++ b/crates/trial/tests/engine_memory.rs
@@ -52,11 +52,11 @@
 
 impl Round {
     fn new(seed: u64) -> Self {
-        let shape = engine_model::EngineShape {
+        let shape = engine_model::EngineParameters {
             memory: MEMORY,
             prefill_rate: 100_000.0,
             token_time: time::Duration::from_millis(10),
-            batch_knee: 64.0,
+            doubling_batch_size: 64.0,
         };
         let now = units::MonoTime(0);
         let entry = |index: usize| FakeEntry {
@@ -250,7 +250,7 @@
     }
 
     fn report(&mut self) {
-        let held = self.model.holds().into_iter();
+        let held = self.model.memory_by_attempt().into_iter();
         let report = placement::EngineReport {
             memory: units::TokenCount(MEMORY),
             prefill_backlog: units::TokenCount(self.model.prefill_backlog()),
@@ -277,7 +277,7 @@
         for _ in 0..CALM_STEPS {
             round.step();
         }
-        assert_eq!(round.model.held(), 0, "round {seed}: {:?}", round.model.holds());
+        assert_eq!(round.model.held(), 0, "round {seed}: {:?}", round.model.memory_by_attempt());
         // One report that arrives, and the ledger agrees.
         round.report();
         assert_eq!(round.ledger.free(), units::TokenCount(MEMORY), "round {seed}");
--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -610,7 +610,7 @@
 
 /// Whether a streamed answer is exactly the one to this body.
 pub fn is_whole_answer(answer: &Answer, body: &Value) -> bool {
-    let mark = slipturn_standin::engine::answer_mark(&body["messages"].to_string());
+    let mark = slipturn_standin::engine::prompt_fingerprint(&body["messages"].to_string());
     let output = body["max_tokens"].as_u64().unwrap();
     answer.status == 200
         && answer.ended
