--- a/crates/load/tests/command_line.rs
+++ b/crates/load/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `slipturn-load`: exit codes, and faults in words.
+//! Tests of the command line of `slipturn-load`: exit codes and error messages.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,8 +1,9 @@
-//! An engine over HTTP, around the model.
+//! An HTTP engine that runs an [`engine_model::EngineModel`] in real time.
 //!
-//! `POST /v1/chat/completions` and `/v1/completions` take requests, `GET /v1/load` tells of load
-//! and attempts held, `POST /v1/cancel` and `/v1/kv/reserve` take orders, `POST /faults` turns
-//! faults on, `GET /counts` tells tests what was run.
+//! - `POST /v1/chat/completions` and `/v1/completions` run a request.
+//! - `GET /v1/load` returns the load and the attempts that hold memory.
+//! - `POST /v1/cancel` aborts an attempt, `POST /v1/kv/reserve` reserves memory for one.
+//! - `POST /faults` sets the simulated faults, `GET /counts` returns counters for tests.
 
 use std::{cell, collections, rc, time};
 
@@ -14,31 +15,31 @@
 
 use crate::{engine_model, faults};
 
-/// Length of a step of the model.
+/// Time between two steps of the model.
 const STEP: time::Duration = time::Duration::from_millis(5);
-/// Largest accepted body.
+/// Largest accepted request body.
 const MAX_BODY_BYTES: u64 = 64 << 20;
-/// Bytes of prompt that count as one token.
+/// Bytes of a prompt that count as one token.
 const PROMPT_BYTES_PER_TOKEN: u64 = 4;
-/// Bytes at a prompt's start that the prefix cache compares.
+/// Length of the start of a prompt that identifies its prefix in the cache.
 const PREFIX_BYTES: usize = 4_096;
-/// Load reports kept, to answer with an old one.
+/// Number of load reports kept for `report_lag_ms`: about 10 s, at one for each step.
 const MAX_REPORTS: usize = 2_000;
 
 type OutputSender = mpsc::UnboundedSender<engine_model::EngineOutput>;
 
-/// What the engine has run, for tests.
+/// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RunCounts {
-    /// Requests started, by attempt.
+    /// Number of starts by attempt id.
     pub started: collections::BTreeMap<String, u64>,
-    /// Requests refused, not run.
+    /// Requests refused before they ran.
     pub refused: u64,
-    /// Requests that ended whole.
+    /// Requests that generated all of their output.
     pub done: u64,
-    /// Requests given up.
+    /// Running requests and reservations that were aborted.
     pub cancelled: u64,
-    /// Most memory held at once, in tokens.
+    /// Peak memory use in tokens, sampled at each step.
     pub peak_held: u64,
 }
 
@@ -58,16 +59,18 @@
     held: Vec<AttemptMemory>,
 }
 
-/// State shared by the engine's tasks.
+/// State shared by the tasks of an engine.
 struct EngineState {
     model: cell::RefCell<engine_model::EngineModel>,
+    /// Channels to the tasks that write the responses, by attempt id.
     outputs: cell::RefCell<collections::HashMap<String, OutputSender>>,
+    /// Latest load reports with the time of each, oldest first.
     reports: cell::RefCell<collections::VecDeque<(time::Instant, LoadReport)>>,
     counts: cell::RefCell<RunCounts>,
     faults: faults::SharedFaults,
 }
 
-/// Serves an engine on `listener` for ever.
+/// Serves an engine on `listener`; never returns.
 pub async fn run(listener: monoio::net::TcpListener, parameters: engine_model::EngineParameters) {
     let state = rc::Rc::new(EngineState {
         model: cell::RefCell::new(engine_model::EngineModel::new(parameters)),
@@ -81,7 +84,7 @@
         .await;
 }
 
-/// Steps the model by the clock, and passes on what it gives out.
+/// Steps the model in real time and forwards its outputs.
 async fn run_model(state: rc::Rc<EngineState>) {
     let clock = process::ProcessClock::start();
     let mut last = clock.now();
@@ -102,7 +105,8 @@
     match &output {
         engine_model::EngineOutput::Tokens(attempt, ..) => {
             if let Some(sender) = senders.get(attempt) {
-                // A reader that has gone is noticed by the task that serves it.
+                // A closed channel is ignored: the task that writes the response detects the
+                // disconnect.
                 let _ = sender.unbounded_send(output);
             }
         }
@@ -156,7 +160,7 @@
         }
         let plan = state.faults.plan();
         if plan.down {
-            // Nothing is said and nothing closed, as by a machine that has stopped.
+            // Neither responds nor closes the connection, like an instance that has stopped.
             monoio::time::sleep(time::Duration::from_secs(3_600)).await;
             return;
         }
@@ -172,7 +176,7 @@
     }
 }
 
-/// Puts a plan of faults in force.
+/// Replaces the fault plan by the JSON in `body`.
 pub fn set_faults(faults: &faults::SharedFaults, body: &[u8]) -> http::Response<Bytes> {
     match serde_json::from_slice(body) {
         Ok(plan) => {
@@ -197,8 +201,8 @@
         "/v1/cancel" | "/v1/kv/reserve" => match serde_json::from_slice::<ControlBody>(body) {
             Ok(control) if path == "/v1/cancel" => cancel_attempt(state, &control.attempt),
             Ok(control) => {
-                let keep_open = state.model.borrow_mut().reserve(&control.attempt, control.tokens);
-                http_server::json_answer(if keep_open { 200 } else { 503 }, &keep_open)
+                let reserved = state.model.borrow_mut().reserve(&control.attempt, control.tokens);
+                http_server::json_answer(if reserved { 200 } else { 503 }, &reserved)
             }
             Err(error) => http_server::json_answer(400, &error.to_string()),
         },
@@ -206,6 +210,7 @@
     }
 }
 
+/// Returns the newest report that is at least `report_lag_ms` old, or else the oldest one.
 fn delayed_report(state: &EngineState) -> LoadReport {
     let lag = time::Duration::from_millis(state.faults.plan().report_lag_ms);
     let reports = state.reports.borrow();
@@ -233,6 +238,7 @@
     http_server::json_answer(200, &abort_attempt(state, attempt))
 }
 
+/// Aborts an attempt in the model. Returns whether the model had it.
 fn abort_attempt(state: &EngineState, attempt: &str) -> bool {
     state.outputs.borrow_mut().remove(attempt);
     let existed = state.model.borrow_mut().cancel(attempt);
@@ -252,7 +258,7 @@
     stream: bool,
 }
 
-/// Serves a completion; `false` when the connection must be closed.
+/// Runs a completion and sends its response. Returns `false` if the connection must be closed.
 async fn complete(
     state: &rc::Rc<EngineState>,
     connection: &mut http_server::ServerConnection,
@@ -319,12 +325,13 @@
     }
 }
 
-/// A word that only this prompt's answer has, so that a caller can tell its own answer.
+/// Returns the prefix of every word of the response to the prompt `text`. Callers use it to check
+/// that a response belongs to their request.
 pub fn prompt_fingerprint(text: &str) -> String {
     format!("{:016x}", rendezvous::stable_hash(&[text]))
 }
 
-/// An answer on its way.
+/// The parameters of one response.
 struct CompletionResponse<'state> {
     state: &'state EngineState,
     plan: faults::FaultPlan,
@@ -334,6 +341,7 @@
 }
 
 impl CompletionResponse<'_> {
+    /// Sends the output as it arrives. Returns `false` if the connection must be closed.
     async fn send(
         &self,
         connection: &mut http_server::ServerConnection,
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -1,75 +1,79 @@
-//! A model of an engine that batches continuously: prefill by priority, decode for all.
+//! A model of an engine with continuous batching: prefill in order of priority, decoding of all
+//! prefilled requests at once.
 
 use std::{collections, time};
 
-/// Tokens of prompt worked through before priorities are looked at again.
+/// Prompt tokens prefilled for one request before the next one is selected by priority.
 const PREFILL_CHUNK_TOKENS: f64 = 2_048.0;
-/// Prefixes kept in the cache.
+/// Capacity of the prefix cache.
 const MAX_CACHED_PREFIXES: usize = 64;
 
-/// How fast and how large an engine is.
+/// Speed and memory of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineParameters {
-    /// Memory, in tokens.
+    /// KV cache capacity, in tokens.
     pub memory: u64,
-    /// Prompt tokens worked through in a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: f64,
-    /// Time from one output token to the next with an empty batch.
+    /// Time between two output tokens of a request when the batch is nearly empty.
     pub token_time: time::Duration,
-    /// Requests at which the time between tokens has doubled.
+    /// Number of decoding requests that doubles the time between tokens.
     pub doubling_batch_size: f64,
 }
 
-/// One request on the engine.
+/// A request to an engine.
 #[derive(Debug, Clone)]
 pub struct EngineRequest {
-    /// Attempt id.
+    /// Id of the attempt.
     pub attempt: String,
-    /// Prompt tokens.
+    /// Prompt length, in tokens.
     pub prompt: u64,
-    /// Output tokens to generate.
+    /// Number of output tokens to generate.
     pub output: u64,
-    /// Memory it holds here; less than prompt and output when peers hold parts.
+    /// Memory that the request takes on this engine, in tokens; less than prompt and output when
+    /// peers hold parts of the KV cache.
     pub memory: u64,
-    /// 0 goes first.
+    /// Prefill priority; lower values go first.
     pub priority: u8,
-    /// Hash of its prefix, and that prefix's length.
+    /// Hash and length in tokens of the prompt's prefix.
     pub prefix: (u64, u64),
 }
 
-/// Something the engine did.
+/// An output of [`EngineModel::step`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineOutput {
-    /// The next output tokens, from this one on.
+    /// New output tokens: attempt id, index of the first token, number of tokens.
     Tokens(String, u64, u64),
-    /// The request is done and its memory free.
+    /// The attempt with this id has generated all its output and its memory is free.
     Done(String),
 }
 
 #[derive(Debug)]
 struct RunningRequest {
     request: EngineRequest,
+    /// Order of arrival; breaks ties between requests of one priority.
     sequence: u64,
     prefill_left: f64,
     tokens_sent: u64,
     tokens_generated: f64,
-    /// It makes no more tokens, but keeps its memory.
+    /// Whether generation has stopped while the memory stays in use.
     hung: bool,
 }
 
-/// The state of one engine.
+/// The state of an engine.
 #[derive(Debug)]
 pub struct EngineModel {
     parameters: EngineParameters,
     running: Vec<RunningRequest>,
-    /// Memory kept for prompts whose answer another engine gives.
+    /// Memory in tokens reserved by attempt, for requests that another engine generates.
     reserved: collections::BTreeMap<String, u64>,
+    /// Hashes of the cached prefixes, least recently used first.
     prefixes: collections::VecDeque<u64>,
     arrivals: u64,
 }
 
 impl EngineModel {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(parameters: EngineParameters) -> Self {
         Self {
             parameters,
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Takes a request in, or refuses it for want of memory.
+    /// Starts a request. Returns `false` if there is not enough free memory.
     pub fn start(&mut self, request: EngineRequest) -> bool {
         if self.held() + request.memory > self.parameters.memory {
             return false;
@@ -100,7 +104,7 @@
         true
     }
 
-    /// Keeps memory for a part of a prompt, or refuses.
+    /// Reserves memory for a part of a prompt. Returns `false` if there is not enough free memory.
     pub fn reserve(&mut self, attempt: &str, tokens: u64) -> bool {
         if self.held() + tokens > self.parameters.memory {
             return false;
@@ -109,21 +113,21 @@
         true
     }
 
-    /// Gives an attempt up and frees its memory. Returns whether it was there.
+    /// Aborts an attempt and frees its memory. Returns whether the engine had it.
     pub fn cancel(&mut self, attempt: &str) -> bool {
         let before = self.running.len();
         self.running.retain(|active| active.request.attempt != attempt);
         self.reserved.remove(attempt).is_some() || self.running.len() < before
     }
 
-    /// Has an attempt make no more tokens.
+    /// Stops generation for an attempt, which keeps its memory.
     pub fn hang(&mut self, attempt: &str) {
         for active in self.running.iter_mut().filter(|active| active.request.attempt == attempt) {
             active.hung = true;
         }
     }
 
-    /// Attempts and the memory each holds.
+    /// Returns the memory in tokens that each running or reserved attempt takes.
     pub fn memory_by_attempt(&self) -> Vec<(String, u64)> {
         let running = self
             .running
@@ -133,28 +137,28 @@
         running.chain(reserved).collect()
     }
 
-    /// Memory held.
+    /// Returns the memory in use, reservations included, in tokens.
     pub fn held(&self) -> u64 {
         let running: u64 = self.running.iter().map(|active| active.request.memory).sum();
         running + self.reserved.values().sum::<u64>()
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Prompt tokens not worked through.
+    /// Returns the number of prompt tokens left to prefill.
     pub fn prefill_backlog(&self) -> u64 {
         self.running.iter().map(|active| active.prefill_left).sum::<f64>() as u64
     }
 
-    /// Memory in all.
+    /// Returns the memory capacity, in tokens.
     pub fn memory(&self) -> u64 {
         self.parameters.memory
     }
 
-    /// Works for a length of time.
+    /// Advances the engine by `elapsed` and returns its outputs.
     pub fn step(&mut self, elapsed: time::Duration) -> Vec<EngineOutput> {
         self.prefill(elapsed);
         self.decode(elapsed)
@@ -184,7 +188,7 @@
         let mut outputs = Vec::new();
         let decoding = |active: &&mut RunningRequest| active.prefill_left <= 0.0 && !active.hung;
         for active in self.running.iter_mut().filter(decoding) {
-            // The first token comes with the end of the prefill.
+            // The end of the prefill yields the first token.
             let step = if active.tokens_sent == 0 { tokens.max(1.0) } else { tokens };
             active.tokens_generated =
                 (active.tokens_generated + step).min(active.request.output as f64);
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,52 +1,56 @@
-//! Faults that a test turns on over HTTP: `POST /faults` with a JSON object.
+//! Faults that a test enables over HTTP: `POST /faults` with a [`FaultPlan`] as JSON.
 
 use std::{cell, rc};
 
 use serde::Deserialize;
 
-/// What goes wrong. A field left out is off.
+/// The faults to simulate. A field that is left out is off.
+///
+/// Each stand-in honours only the faults that apply to it.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultPlan {
-    /// Answers nothing, on any path but `/faults`, until turned off.
+    /// Sends no response on any path except `/faults`; the platform closes the connection and
+    /// still serves `/documents` and `/counts`.
     pub down: bool,
-    /// Takes no new work and says so in its load report, and by refusals.
+    /// Refuses new requests and reports `draining` in the load report.
     pub draining: bool,
-    /// Refuses new work without saying why in its load report.
+    /// Refuses new requests without a change in the load report.
     pub refuse: bool,
-    /// Closes the connection after reading a request, without an answer.
+    /// Closes the connection without a response once the request has been read and started.
     pub close_before_answer: bool,
-    /// Closes the connection after this many pieces of an answer.
+    /// Closes the connection after this many chunks of a response.
     pub cut_after: Option<u64>,
-    /// Sends nothing more after this many pieces, and leaves the connection open.
+    /// Stops sending after this many chunks of a response, and leaves the connection open.
     pub hang_after: Option<u64>,
-    /// Ends an answer properly, but without its last event, after this many pieces.
+    /// Ends a response after this many chunks with a valid end of stream, but without its last
+    /// event.
     pub short_after: Option<u64>,
-    /// Echoes another attempt's id.
+    /// Returns the id of a different attempt in `x-attempt-id`.
     pub wrong_attempt: bool,
-    /// Does nothing about orders to cancel.
+    /// Ignores requests to cancel an attempt.
     pub ignore_cancels: bool,
-    /// Runs a request to its end although the caller has gone.
+    /// Runs a request to completion after the caller has disconnected.
     pub ignore_disconnects: bool,
-    /// Age of load reports, in milliseconds.
+    /// Minimum age of the load reports that are returned, in milliseconds.
     pub report_lag_ms: u64,
-    /// Time before an answer, in milliseconds.
+    /// Delay before a response, in milliseconds.
     pub delay_ms: u64,
-    /// Answers this much older documents than the newest.
+    /// Number of versions by which a returned document is older than the newest.
     pub stale_by: u64,
 }
 
-/// The plan in force, shared by a stand-in's tasks.
+/// The current plan, shared by the tasks of a stand-in.
 #[derive(Debug, Clone, Default)]
 pub struct SharedFaults(rc::Rc<cell::RefCell<FaultPlan>>);
 
 impl SharedFaults {
-    /// The plan in force.
+    /// Returns a copy of the current plan.
     pub fn plan(&self) -> FaultPlan {
         self.0.borrow().clone()
     }
 
-    /// Puts another plan in force.
+    /// Replaces the current plan.
     pub fn set(&self, plan: FaultPlan) {
         self.0.replace(plan);
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what slipturn meets: an engine, a plain service, the platform.
+//! Stand-ins for the systems that slipturn talks to: an engine, a plain service and the platform.
 //!
-//! They are scaffolding for tests and trials, kept small, and speak the published side of what
-//! they stand for. [`engine_model`] is free of sockets and clocks, so that benches use it too.
+//! They are small, serve tests and trials only, and implement the public interface of the systems
+//! they replace. [`engine_model`] uses neither sockets nor clocks, so that programs with virtual
+//! time can use it too.
 
 pub mod engine;
 pub mod engine_model;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-standin`: one stand-in a process.
+//! `slipturn-standin`: serves one stand-in, or publishes a document to the platform stand-in.
 
 use std::{net, process, time};
 
@@ -13,7 +13,7 @@
     about: "Stands in for an engine, a plain service or the platform, in tests only.",
 };
 
-/// Options that a settings file may hold.
+/// Options that can also be set in a settings file.
 const OPTIONS: [&str; 6] = ["listen", "memory", "prefill", "token-ms", "to", "checks-keys"];
 
 fn main() -> process::ExitCode {
@@ -48,14 +48,14 @@
     serve(options)
 }
 
-/// Publishes a document, waiting a little for the platform to come up.
+/// Publishes a document, and retries while the platform does not respond.
 fn publish(
     address: net::SocketAddr,
     name: &str,
     document: &str,
     text: bytes::Bytes,
 ) -> Result<(), String> {
-    /// Tries, a tenth of a second apart.
+    /// Number of attempts, 100 ms apart.
     const PUBLISH_ATTEMPTS: usize = 100;
     let path = format!("/documents/{name}?number={document}");
     let publishing = async {
@@ -74,7 +74,7 @@
     };
     match own_process::run(publishing) {
         Ok(true) => Ok(()),
-        Ok(false) => Err(format!("the platform at {address} did not take {name}")),
+        Ok(false) => Err(format!("the platform at {address} did not accept the document {name}")),
         Err(error) => Err(error.to_string()),
     }
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's configuration service: numbered documents that can be read and watched.
+//! The configuration service of the platform: versioned documents that can be read and watched.
 //!
-//! `GET /v1/documents/NAME?after=N&wait_ms=M` is all that slipturn uses. Tests publish with
-//! `PUT /documents/NAME?number=N`, turn faults on with `POST /faults`, and count reads with
+//! slipturn uses only `GET /v1/documents/NAME?after=N&wait_ms=M`. Tests publish documents with
+//! `PUT /documents/NAME?number=N`, set faults with `POST /faults` and read the counters with
 //! `GET /counts`.
 
 use std::{cell, collections, rc, time};
@@ -12,32 +12,33 @@
 
 use crate::{engine, faults};
 
-/// Largest value held.
+/// Largest accepted request body, and so the largest document.
 const MAX_DOCUMENT_BYTES: u64 = 1 << 20;
-/// Time between two looks at whether a waiting watch can be answered.
+/// Interval at which a long poll checks for a new version.
 const WATCH_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
-/// Reads a second that are answered.
+/// Reads per second above which requests get status 429.
 const MAX_READS_PER_SECOND: u64 = 2_000;
 
-/// Reads so far, for tests.
+/// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ReadCounts {
-    /// Reads, each waiting watch as one.
+    /// Reads, including refused ones; a long poll counts once.
     pub reads: u64,
-    /// Reads refused for being too many.
+    /// Reads refused by the rate limit.
     pub refused: u64,
 }
 
 #[derive(Default)]
 struct PlatformState {
-    /// Versions of each document, by number.
+    /// Documents by name, with the versions of each by number.
     documents: cell::RefCell<collections::BTreeMap<String, collections::BTreeMap<u64, Bytes>>>,
     counts: cell::RefCell<ReadCounts>,
+    /// Unix time in seconds of the last read, and the number of reads in that second.
     current_second: cell::Cell<(u64, u64)>,
     faults: faults::SharedFaults,
 }
 
-/// Serves the platform on `listener` for ever.
+/// Serves the platform on `listener`; never returns.
 pub async fn run(listener: monoio::net::TcpListener) {
     let state = rc::Rc::new(PlatformState::default());
     http_server::accept_all(listener, move |connection| serve(rc::Rc::clone(&state), connection))
@@ -74,7 +75,7 @@
 }
 
 impl PlatformState {
-    /// Counts a read; `false` when there are too many in this second.
+    /// Counts a read. Returns `false` if it exceeds the limit for the current second.
     fn admit(&self) -> bool {
         let since_epoch = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
         let current_second = since_epoch.unwrap_or_default().as_secs();
@@ -87,6 +88,7 @@
         reads <= MAX_READS_PER_SECOND
     }
 
+    /// Returns the number and body of the newest version, or of an older one if `stale_by` is set.
     fn newest_version(&self, name: &str) -> Option<(u64, Bytes)> {
         let stale_by = usize::try_from(self.faults.plan().stale_by).unwrap_or(usize::MAX);
         let documents = self.documents.borrow();
@@ -105,13 +107,14 @@
     http_server::json_answer(200, &number)
 }
 
+/// Waits for a version newer than `after`; returns status 304 when `wait_ms` has passed.
 async fn read_document(state: &PlatformState, name: &str, query: &str) -> http::Response<Bytes> {
     let after = query_number(query, "after").unwrap_or(0);
     let wait = time::Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
     let started = time::Instant::now();
     loop {
         if let Some((number, body)) = state.newest_version(name)
-            // A stale service answers what it has, whatever it was asked for.
+            // With `stale_by` set, a version is returned even if it is not newer than `after`.
             && (number > after || state.faults.plan().stale_by > 0)
         {
             let mut answer = http::Response::new(body);
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts what it runs, by the caller's key and by attempt.
+//! A plain HTTP service that counts its calls by idempotency key and by request.
 
 use std::{cell, collections, rc, time};
 
@@ -7,29 +7,31 @@
 
 use crate::{engine, faults};
 
-/// Largest accepted body.
+/// Largest accepted request body.
 const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// What the service has run, for tests.
+/// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ServiceCounts {
-    /// Calls run.
+    /// Number of calls run.
     pub runs: u64,
-    /// Calls run, by idempotency key.
+    /// Number of calls run by idempotency key; calls without a key are left out.
     pub by_key: collections::BTreeMap<String, u64>,
-    /// Calls run, by the request they belong to.
+    /// Number of calls run by request id.
     pub by_request: collections::BTreeMap<String, u64>,
-    /// Calls refused because their key was seen before.
+    /// Calls refused because a call with the same idempotency key had run before.
     pub key_refusals: u64,
 }
 
 struct ServiceState {
     counts: cell::RefCell<ServiceCounts>,
+    /// Whether a call with a known idempotency key is refused.
     checks_keys: bool,
     faults: faults::SharedFaults,
 }
 
-/// Serves a plain service on `listener` for ever.
+/// Serves a plain service on `listener`; never returns. With `checks_keys`, a call whose idempotency
+/// key has been used before gets status 409.
 pub async fn run(listener: monoio::net::TcpListener, checks_keys: bool) {
     let state = rc::Rc::new(ServiceState {
         counts: cell::RefCell::default(),
@@ -61,7 +63,8 @@
     }
 }
 
-/// Runs a call; `None` when a fault has the connection closed without an answer.
+/// Runs a call. Returns `None` if a fault requires that the connection be closed without a
+/// response.
 async fn run_call(
     state: &ServiceState,
     incoming: &http_server::IncomingHead,
--- a/crates/standin/tests/command_line.rs
+++ b/crates/standin/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `slipturn-standin`: exit codes, and faults in words.
+//! Tests of the command line of `slipturn-standin`: exit codes and error messages.
 
 #![allow(clippy::unwrap_used)]
 
