--- a/crates/load/tests/command_line.rs
+++ b/crates/load/tests/command_line.rs
@@ -8,7 +8,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_slipturn-load");
 
 #[test]
-fn help_and_version_are_good_and_wrong_usage_is_two() {
+fn help_and_version_exit_zero_and_usage_errors_exit_two() {
     programs::check_usage(PROGRAM);
 }
 
