--- a/crates/compare/src/scenario.rs
+++ b/crates/compare/src/scenario.rs
@@ -23,7 +23,7 @@
 /// Time limit of each request.
 pub const TIME_LIMIT: time::Duration = time::Duration::from_secs(60);
 /// Mean prompt length of the mix: see `mean_prompt`.
-const SPLIT: f64 = arrivals::LONG_PROMPT as f64;
+const SPLIT: f64 = arrivals::LONG_PROMPT_TOKENS as f64;
 
 /// A user's fleet, as far as a run knows it.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -103,7 +103,7 @@
         let total: f64 = key_weights.iter().sum();
         key_weights[3] *= self.flood;
         let flooded: f64 = key_weights.iter().sum();
-        let shape = arrivals::ArrivalShape {
+        let arrival_profile = arrivals::ArrivalProfile {
             rate: self.rate() * flooded / total,
             min_prompt: 1_000,
             max_prompt: MAX_PROMPT,
@@ -113,10 +113,10 @@
             seed: self.seed,
         };
         let (length, shorts_only) = (self.length, self.shorts_only);
-        let arrivals = arrivals::ArrivalStream::new(shape);
+        let arrivals = arrivals::ArrivalStream::new(arrival_profile);
         arrivals
             .take_while(move |arrival| arrival.at < length)
-            .filter(move |arrival| !shorts_only || arrival.prompt <= SHORT_PROMPT)
+            .filter(move |arrival| !shorts_only || arrival.prompt <= SHORT_PROMPT_TOKENS)
     }
 
     /// The settings of the run.
@@ -174,8 +174,8 @@
 }
 
 /// Prompts up to this length are the shorts whose delay is measured.
-pub const SHORT_PROMPT: u64 = 2_000;
-/// Share of prompts over [`arrivals::LONG_PROMPT`].
+pub const SHORT_PROMPT_TOKENS: u64 = 2_000;
+/// Share of prompts over [`arrivals::LONG_PROMPT_TOKENS`].
 const LONG_SHARE: f64 = 0.02;
 
 /// Key of a customer's callers.
--- a/crates/compare/src/summary.rs
+++ b/crates/compare/src/summary.rs
@@ -62,7 +62,8 @@
     let refused = |result: &policy_run::RequestResult| {
         matches!(result.outcome, policy_run::RequestOutcome::Refused(_))
     };
-    let long = |result: &policy_run::RequestResult| result.arrival.prompt > arrivals::LONG_PROMPT;
+    let long =
+        |result: &policy_run::RequestResult| result.arrival.prompt > arrivals::LONG_PROMPT_TOKENS;
     let admitted_long = count(&|result| long(result) && !refused(result));
     let useful: u64 = results
         .iter()
@@ -76,7 +77,7 @@
     let attempts: u32 = results.iter().map(|result| result.attempts).sum();
     RunSummary {
         bands: histogram::BAND_BOUNDS.iter().map(|(_, name)| band(name)).collect(),
-        shorts: first_tokens(&|arrival| arrival.prompt <= scenario::SHORT_PROMPT),
+        shorts: first_tokens(&|arrival| arrival.prompt <= scenario::SHORT_PROMPT_TOKENS),
         neighbours: first_tokens(&|arrival| arrival.key > 3),
         requests: results.len(),
         whole: count(&whole),
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -6,14 +6,14 @@
 
 /// Shape of a load.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ArrivalShape {
+pub struct ArrivalProfile {
     /// Requests a second.
     pub rate: f64,
     /// Shortest prompt, in tokens.
     pub min_prompt: u64,
     /// Longest prompt, in tokens.
     pub max_prompt: u64,
-    /// Share of prompts over [`LONG_PROMPT`].
+    /// Share of prompts over [`LONG_PROMPT_TOKENS`].
     pub long_share: f64,
     /// Output tokens of each request.
     pub output: u64,
@@ -24,7 +24,7 @@
 }
 
 /// Prompts over this length are the long ones.
-pub const LONG_PROMPT: u64 = 100_000;
+pub const LONG_PROMPT_TOKENS: u64 = 100_000;
 
 /// One request to be made.
 #[derive(Debug, Clone, PartialEq)]
@@ -43,34 +43,37 @@
 
 /// Arrivals without end: exponential gaps, lengths spread evenly over their logarithm.
 pub struct ArrivalStream {
-    shape: ArrivalShape,
-    random: rand_chacha::ChaCha8Rng,
-    clock: f64,
+    profile: ArrivalProfile,
+    rng: rand_chacha::ChaCha8Rng,
+    elapsed_secs: f64,
     number: u64,
 }
 
 impl ArrivalStream {
     /// The arrivals of a shape; the same for the same seed.
-    pub fn new(shape: ArrivalShape) -> Self {
-        let random = rand_chacha::ChaCha8Rng::seed_from_u64(shape.seed);
-        Self { shape, random, clock: 0.0, number: 0 }
+    pub fn new(profile: ArrivalProfile) -> Self {
+        let rng = rand_chacha::ChaCha8Rng::seed_from_u64(profile.seed);
+        Self { profile, rng, elapsed_secs: 0.0, number: 0 }
     }
 
-    fn prompt(&mut self) -> u64 {
-        let long = self.random.random::<f64>() < self.shape.long_share;
-        let split = LONG_PROMPT.clamp(self.shape.min_prompt, self.shape.max_prompt);
-        let (low, high) =
-            if long { (split, self.shape.max_prompt) } else { (self.shape.min_prompt, split) };
+    fn sample_prompt_length(&mut self) -> u64 {
+        let long = self.rng.random::<f64>() < self.profile.long_share;
+        let threshold = LONG_PROMPT_TOKENS.clamp(self.profile.min_prompt, self.profile.max_prompt);
+        let (low, high) = if long {
+            (threshold, self.profile.max_prompt)
+        } else {
+            (self.profile.min_prompt, threshold)
+        };
         let (low, high) = ((low as f64).ln(), (high as f64).ln());
-        (low + (high - low) * self.random.random::<f64>()).exp() as u64
+        (low + (high - low) * self.rng.random::<f64>()).exp() as u64
     }
 
-    fn key(&mut self) -> usize {
-        let total: f64 = self.shape.key_weights.iter().sum();
-        let mut left = self.random.random::<f64>() * total;
-        for (index, weight) in self.shape.key_weights.iter().enumerate() {
-            left -= weight;
-            if left < 0.0 {
+    fn sample_key_index(&mut self) -> usize {
+        let total: f64 = self.profile.key_weights.iter().sum();
+        let mut remaining = self.rng.random::<f64>() * total;
+        for (index, weight) in self.profile.key_weights.iter().enumerate() {
+            remaining -= weight;
+            if remaining < 0.0 {
                 return index;
             }
         }
@@ -82,14 +85,14 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let gap = -(1.0 - self.random.random::<f64>()).ln() / self.shape.rate;
-        self.clock += gap;
+        let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.profile.rate;
+        self.elapsed_secs += gap;
         self.number += 1;
         Some(Arrival {
-            at: time::Duration::from_secs_f64(self.clock),
-            prompt: self.prompt(),
-            output: self.shape.output,
-            key: self.key(),
+            at: time::Duration::from_secs_f64(self.elapsed_secs),
+            prompt: self.sample_prompt_length(),
+            output: self.profile.output,
+            key: self.sample_key_index(),
             number: self.number,
         })
     }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -10,13 +10,13 @@
 use crate::arrivals;
 
 /// Largest piece of an answer.
-const MAX_PIECE: u64 = 4 << 20;
+const MAX_READ_BYTES: u64 = 4 << 20;
 /// Longest a caller waits.
-const CALLER_LIMIT: time::Duration = time::Duration::from_secs(600);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(600);
 /// Bytes of prompt that count as one token.
-const BYTES_PER_TOKEN: u64 = 4;
+const PROMPT_BYTES_PER_TOKEN: u64 = 4;
 /// Filler of prompts.
-const FILLER: &str = "abcdefghijklmno ";
+const PROMPT_FILLER: &str = "abcdefghijklmno ";
 
 /// How a request went.
 #[derive(Debug, Clone, PartialEq)]
@@ -79,9 +79,9 @@
 
 /// The messages of an arrival's prompt.
 pub fn messages(arrival: &arrivals::Arrival) -> serde_json::Value {
-    let length = usize::try_from(arrival.prompt * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
+    let length = usize::try_from(arrival.prompt * PROMPT_BYTES_PER_TOKEN).unwrap_or(usize::MAX);
     let start = format!("request {} of this run: ", arrival.number);
-    let filler = FILLER.repeat(length / FILLER.len() + 1);
+    let filler = PROMPT_FILLER.repeat(length / PROMPT_FILLER.len() + 1);
     let mut content = start + &filler;
     // The members around the content count too; a prompt has about the length asked for.
     content.truncate(length.saturating_sub(34).max(1));
@@ -95,59 +95,60 @@
     arrival: &arrivals::Arrival,
 ) -> CallOutcome {
     let messages = messages(arrival);
-    let mark = engine::prompt_fingerprint(&messages.to_string());
+    let fingerprint = engine::prompt_fingerprint(&messages.to_string());
     let body = serde_json::json!({
         "model": target.model,
         "messages": messages,
         "max_tokens": arrival.output,
         "stream": true,
     });
-    let mut call = http::Request::new(Bytes::from(body.to_string()));
+    let mut http_request = http::Request::new(Bytes::from(body.to_string()));
     drop(messages);
-    *call.method_mut() = http::Method::POST;
-    *call.uri_mut() = http::Uri::from_static("/v1/chat/completions");
-    let headers = call.headers_mut();
+    *http_request.method_mut() = http::Method::POST;
+    *http_request.uri_mut() = http::Uri::from_static("/v1/chat/completions");
+    let headers = http_request.headers_mut();
     if let Ok(value) = http::HeaderValue::try_from(format!("Bearer {}", target.key)) {
         headers.insert(http::header::AUTHORIZATION, value);
     }
     // For an engine called directly, which tells its requests apart by it.
-    if let Ok(value) = http::HeaderValue::try_from(format!("load:{mark}")) {
+    if let Ok(value) = http::HeaderValue::try_from(format!("load:{fingerprint}")) {
         headers.insert("x-attempt-id", value);
     }
     headers.insert(http::header::CONTENT_TYPE, http::HeaderValue::from_static("application/json"));
-    let calling = answer(pool, target, call, &mark, arrival.output);
-    let outcome = monoio::time::timeout(CALLER_LIMIT, calling).await;
+    let exchange = receive_response(pool, target, http_request, &fingerprint, arrival.output);
+    let outcome = monoio::time::timeout(CALL_TIMEOUT, exchange).await;
     outcome.unwrap_or_else(|_| CallOutcome::Failed("no end in sight".to_owned()))
 }
 
-async fn answer(
+async fn receive_response(
     pool: &http_client::ConnectionPool,
     target: &CallTarget,
-    call: http::Request<Bytes>,
-    mark: &str,
+    http_request: http::Request<Bytes>,
+    fingerprint: &str,
     output: u64,
 ) -> CallOutcome {
     let started = time::Instant::now();
     let pooled = http_client::ConnectionUse::Pooled;
-    let mut answer = match pool.call(target.address, pooled, call).await {
-        Ok(answer) => answer,
+    let mut response = match pool.call(target.address, pooled, http_request).await {
+        Ok(response) => response,
         Err(error) => return CallOutcome::Failed(error.to_string()),
     };
-    if !answer.head.status.is_success() {
-        return refused(&mut answer, started).await;
+    if !response.head.status.is_success() {
+        return read_refusal(&mut response, started).await;
     }
-    let request = answer.header("slipturn-request-id").unwrap_or_default().to_owned();
+    let request = response.header("slipturn-request-id").unwrap_or_default().to_owned();
     let mut text = Vec::new();
-    let (mut first_token, mut last, mut longest_gap) = (None, started, time::Duration::ZERO);
+    let (mut first_token, mut last_piece_at, mut longest_gap) =
+        (None, started, time::Duration::ZERO);
     loop {
-        match answer.next_piece(MAX_PIECE).await {
+        match response.next_piece(MAX_READ_BYTES).await {
             Ok(Some(piece)) => {
                 if first_token.is_none() {
                     first_token = Some(started.elapsed());
                 } else {
-                    longest_gap = longest_gap.max(last.elapsed());
+                    longest_gap = longest_gap.max(last_piece_at.elapsed());
                 }
-                last = time::Instant::now();
+                last_piece_at = time::Instant::now();
                 text.extend_from_slice(&piece);
             }
             Ok(None) => break,
@@ -155,7 +156,7 @@
         }
     }
     let total = started.elapsed();
-    match check(&String::from_utf8_lossy(&text), mark, output) {
+    match check_response(&String::from_utf8_lossy(&text), fingerprint, output) {
         Ok(()) => {
             let first_token = first_token.unwrap_or(total);
             CallOutcome::Whole { first_token, total, longest_gap, request }
@@ -164,12 +165,12 @@
     }
 }
 
-async fn refused(
-    answer: &mut http_client::StreamedAnswer<'_>,
+async fn read_refusal(
+    response: &mut http_client::StreamedAnswer<'_>,
     started: time::Instant,
 ) -> CallOutcome {
-    let status = answer.head.status.as_u16();
-    let body = answer.read_whole(MAX_PIECE).await.unwrap_or_default();
+    let status = response.head.status.as_u16();
+    let body = response.read_whole(MAX_READ_BYTES).await.unwrap_or_default();
     let after = started.elapsed();
     match serde_json::from_slice::<ErrorBody>(&body) {
         Ok(body) => CallOutcome::Refused {
@@ -184,8 +185,8 @@
 }
 
 /// Compares an answer with the one the stand-in gives for the prompt.
-pub fn check(text: &str, mark: &str, output: u64) -> Result<(), CallOutcome> {
-    let mut words = String::new();
+pub fn check_response(text: &str, fingerprint: &str, output: u64) -> Result<(), CallOutcome> {
+    let mut output_text = String::new();
     let mut done = false;
     for line in text.lines() {
         let Some(data) = line.strip_prefix("data: ") else {
@@ -199,14 +200,14 @@
             return Err(CallOutcome::Cut(format!("{}: {}", body.error.code, body.error.message)));
         }
         let value: serde_json::Value = serde_json::from_str(data).unwrap_or_default();
-        words += value["choices"][0]["delta"]["content"].as_str().unwrap_or("?");
+        output_text += value["choices"][0]["delta"]["content"].as_str().unwrap_or("?");
     }
     if !done {
         return Err(CallOutcome::Cut("no last event".to_owned()));
     }
-    let expected: String = (0..output).map(|index| format!("{mark}-{index} ")).collect();
-    if words != expected {
-        let start: String = words.chars().take(60).collect();
+    let expected: String = (0..output).map(|index| format!("{fingerprint}-{index} ")).collect();
+    if output_text != expected {
+        let start: String = output_text.chars().take(60).collect();
         return Err(CallOutcome::Wrong(start));
     }
     Ok(())
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -28,16 +28,16 @@
     "json",
 ];
 /// Longest prompt that counts as short here.
-const SHORT_PROMPT: u64 = 2_000;
+const SHORT_PROMPT_TOKENS: u64 = 2_000;
 
 /// What the command line asks for.
 struct LoadPlan {
-    shape: arrivals::ArrivalShape,
+    profile: arrivals::ArrivalProfile,
     targets: Vec<net::SocketAddr>,
     keys: Vec<String>,
     model: String,
     seconds: u64,
-    alone: u64,
+    baseline_seconds: u64,
     json: bool,
 }
 
@@ -83,14 +83,14 @@
 }
 
 fn read_plan(options: &command_line::ToolOptions) -> Result<LoadPlan, String> {
-    let targets = list(options, "targets")?;
+    let targets = list_option(options, "targets")?;
     let (mut keys, mut key_weights) = (Vec::new(), Vec::new());
-    for text in list(options, "keys")? {
+    for text in list_option(options, "keys")? {
         let (key, weight) = text.split_once('=').unwrap_or((&text, "1"));
         keys.push(key.to_owned());
-        key_weights.push(parse("keys", weight)?);
+        key_weights.push(parse_value("keys", weight)?);
     }
-    let shape = arrivals::ArrivalShape {
+    let profile = arrivals::ArrivalProfile {
         rate: options.value("rate", 10.0)?,
         min_prompt: options.value("min-prompt", 1_000)?,
         max_prompt: options.value("max-prompt", 1_000_000)?,
@@ -100,12 +100,15 @@
         seed: options.value("seed", 1)?,
     };
     Ok(LoadPlan {
-        shape,
-        targets: targets.iter().map(|text| parse("targets", text)).collect::<Result<_, _>>()?,
+        profile,
+        targets: targets
+            .iter()
+            .map(|text| parse_value("targets", text))
+            .collect::<Result<_, _>>()?,
         keys,
         model: options.text("model").unwrap_or_else(|| "invitation".to_owned()),
         seconds: options.value("seconds", 20)?,
-        alone: options.value("alone", 0)?,
+        baseline_seconds: options.value("alone", 0)?,
         json: options.flag("json"),
     })
 }
@@ -113,34 +116,35 @@
 /// Runs the load, and then the shorts alone where that is asked for.
 async fn run(plan: LoadPlan) -> report::RunReport {
     let length = time::Duration::from_secs(plan.seconds);
-    let mut report = run_shape(&plan, plan.shape.clone(), length).await;
-    if plan.alone > 0 {
-        let shape = arrivals::ArrivalShape {
-            max_prompt: SHORT_PROMPT,
+    let mut report = run_profile(&plan, plan.profile.clone(), length).await;
+    if plan.baseline_seconds > 0 {
+        let profile = arrivals::ArrivalProfile {
+            max_prompt: SHORT_PROMPT_TOKENS,
             long_share: 0.0,
-            seed: plan.shape.seed + 1,
-            ..plan.shape.clone()
+            seed: plan.profile.seed + 1,
+            ..plan.profile.clone()
         };
-        let alone = run_shape(&plan, shape, time::Duration::from_secs(plan.alone)).await;
-        report.compare_shorts(&alone);
+        let baseline =
+            run_profile(&plan, profile, time::Duration::from_secs(plan.baseline_seconds)).await;
+        report.compare_short_prompts(&baseline);
     }
     report
 }
 
-async fn run_shape(
+async fn run_profile(
     plan: &LoadPlan,
-    shape: arrivals::ArrivalShape,
+    profile: arrivals::ArrivalProfile,
     length: time::Duration,
 ) -> report::RunReport {
     let builder = rc::Rc::new(cell::RefCell::new(report::ReportBuilder::default()));
     let pool = rc::Rc::new(http_client::ConnectionPool::default());
     let started = time::Instant::now();
     let mut tasks = Vec::new();
-    for arrival in arrivals::ArrivalStream::new(shape).take_while(|one| one.at < length) {
+    for arrival in arrivals::ArrivalStream::new(profile).take_while(|arrival| arrival.at < length) {
         monoio::time::sleep(arrival.at.saturating_sub(started.elapsed())).await;
-        let turn = usize::try_from(arrival.number).unwrap_or(0);
+        let sequence = usize::try_from(arrival.number).unwrap_or(0);
         let target = caller::CallTarget {
-            address: plan.targets[turn % plan.targets.len()],
+            address: plan.targets[sequence % plan.targets.len()],
             key: plan.keys[arrival.key].clone(),
             model: plan.model.clone(),
         };
@@ -156,11 +160,11 @@
     builder.take().build()
 }
 
-fn list(options: &command_line::ToolOptions, name: &str) -> Result<Vec<String>, String> {
+fn list_option(options: &command_line::ToolOptions, name: &str) -> Result<Vec<String>, String> {
     let text = options.text(name).ok_or_else(|| format!("{name} is missing"))?;
     Ok(text.split(',').map(str::to_owned).collect())
 }
 
-fn parse<T: std::str::FromStr>(name: &str, text: &str) -> Result<T, String> {
+fn parse_value<T: std::str::FromStr>(name: &str, text: &str) -> Result<T, String> {
     text.parse().map_err(|_| format!("{name}: found '{text}', which is not valid"))
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -9,7 +9,7 @@
 
 /// Percentiles of one length band, in milliseconds.
 #[derive(Debug, Clone, Serialize)]
-pub struct BandRow {
+pub struct BandReport {
     /// Prompt length band.
     pub band: &'static str,
     /// Whole answers.
@@ -40,7 +40,7 @@
     /// Prompt and output tokens of whole answers.
     pub tokens: u64,
     /// Percentiles 50, 95 and 99 by length band.
-    pub bands: Vec<BandRow>,
+    pub bands: Vec<BandReport>,
     /// A request to ask about.
     pub example: Option<String>,
     /// Time to first token of shorts beside the others, as a multiple of theirs alone.
@@ -90,9 +90,11 @@
                 let key = format!("{status} {code} (ran: {ran})");
                 *self.refused.entry(key).or_default() += 1;
             }
-            caller::CallOutcome::Cut(why) => *self.cut.entry(why.clone()).or_default() += 1,
+            caller::CallOutcome::Cut(reason) => *self.cut.entry(reason.clone()).or_default() += 1,
             caller::CallOutcome::Wrong(_) => self.wrong += 1,
-            caller::CallOutcome::Failed(why) => *self.failed.entry(why.clone()).or_default() += 1,
+            caller::CallOutcome::Failed(reason) => {
+                *self.failed.entry(reason.clone()).or_default() += 1
+            }
         }
     }
 
@@ -101,7 +103,7 @@
         let order = histogram::BAND_BOUNDS.iter().map(|(_, name)| *name);
         let bands = order.filter_map(|band| {
             let values = self.bands.remove(band)?;
-            Some(BandRow {
+            Some(BandReport {
                 band,
                 whole: values.total.len() as u64,
                 first_token_ms: percentiles(values.first_token),
@@ -126,10 +128,10 @@
 
 impl RunReport {
     /// Compares the shorts of this run with those of a run that had no others.
-    pub fn compare_shorts(&mut self, alone: &Self) {
-        let first = |report: &Self| report.bands.first().map(|row| row.first_token_ms);
-        if let (Some(beside), Some(alone)) = (first(self), first(alone)) {
-            self.short_slowdown = Some(std::array::from_fn(|index| beside[index] / alone[index]));
+    pub fn compare_short_prompts(&mut self, baseline: &Self) {
+        let first_token = |report: &Self| report.bands.first().map(|row| row.first_token_ms);
+        if let (Some(mixed), Some(baseline)) = (first_token(self), first_token(baseline)) {
+            self.short_slowdown = Some(std::array::from_fn(|index| mixed[index] / baseline[index]));
         }
     }
 
@@ -142,8 +144,8 @@
         for (title, counts) in
             [("refused", &self.refused), ("cut", &self.cut), ("failed", &self.failed)]
         {
-            for (why, count) in counts {
-                text += &format!("{title}: {count} x {why}\n");
+            for (reason, count) in counts {
+                text += &format!("{title}: {count} x {reason}\n");
             }
         }
         text += &format!(
@@ -151,15 +153,15 @@
             "prompt", "whole", "first token p50/95/99 ms", "total p50/95/99 ms", "gap p50/95/99 ms"
         );
         for row in &self.bands {
-            let cell =
+            let format_cell =
                 |values: &[f64; 3]| format!("{:.0}/{:.0}/{:.0}", values[0], values[1], values[2]);
             text += &format!(
                 "{:<14}{:>7}  {:>26}  {:>26}  {:>26}\n",
                 row.band,
                 row.whole,
-                cell(&row.first_token_ms),
-                cell(&row.total_ms),
-                cell(&row.gap_ms)
+                format_cell(&row.first_token_ms),
+                format_cell(&row.total_ms),
+                format_cell(&row.gap_ms)
             );
         }
         if let Some([p50, p95, p99]) = self.short_slowdown {
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -33,7 +33,7 @@
     /// Memory that the request takes on this engine, in tokens; less than prompt and output when
     /// peers hold parts of the KV cache.
     pub memory: u64,
-    /// Prefill priority; lower values go first.
+    /// Prefill priority; 0 goes first.
     pub priority: u8,
     /// Hash and length in tokens of the prompt's prefix.
     pub prefix: (u64, u64),
--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -614,5 +614,5 @@
     let output = body["max_tokens"].as_u64().unwrap();
     answer.status == 200
         && answer.ended
-        && slipturn_load::caller::check(&answer.text(), &mark, output).is_ok()
+        && slipturn_load::caller::check_response(&answer.text(), &mark, output).is_ok()
 }
