--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -1,47 +1,48 @@
-//! Seeded arrivals and prompt lengths.
+//! Generates seeded random arrival times, prompt lengths and keys.
 
 use std::time;
 
 use rand::{RngExt as _, SeedableRng as _};
 
-/// Shape of a load.
+/// Parameters of a random sequence of arrivals.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ArrivalProfile {
-    /// Requests a second.
+    /// Mean arrival rate, in requests per second.
     pub rate: f64,
     /// Shortest prompt, in tokens.
     pub min_prompt: u64,
     /// Longest prompt, in tokens.
     pub max_prompt: u64,
-    /// Share of prompts over [`LONG_PROMPT_TOKENS`].
+    /// Share of prompts longer than [`LONG_PROMPT_TOKENS`], from 0 to 1.
     pub long_share: f64,
-    /// Output tokens of each request.
+    /// Number of output tokens of each request.
     pub output: u64,
-    /// Relative use of each caller's key.
+    /// Relative frequency of each API key; the sum is arbitrary.
     pub key_weights: Vec<f64>,
-    /// Seed of all choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// Prompts over this length are the long ones.
+/// Prompt length in tokens above which a prompt counts as long.
 pub const LONG_PROMPT_TOKENS: u64 = 100_000;
 
-/// One request to be made.
+/// A request to be sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// Time since the start.
+    /// Scheduled time, relative to the start of the run.
     pub at: time::Duration,
     /// Prompt length, in tokens.
     pub prompt: u64,
-    /// Output tokens.
+    /// Number of output tokens.
     pub output: u64,
-    /// Index of the caller's key.
+    /// Index into [`ArrivalProfile::key_weights`] of the key to use.
     pub key: usize,
-    /// Number, which makes its prompt unlike others.
+    /// Sequence number, starting at 1; makes the prompt unique within the run.
     pub number: u64,
 }
 
-/// Arrivals without end: exponential gaps, lengths spread evenly over their logarithm.
+/// An endless iterator of arrivals: a Poisson process, with prompt lengths that are log-uniform on
+/// either side of [`LONG_PROMPT_TOKENS`].
 pub struct ArrivalStream {
     profile: ArrivalProfile,
     rng: rand_chacha::ChaCha8Rng,
@@ -50,7 +51,7 @@
 }
 
 impl ArrivalStream {
-    /// The arrivals of a shape; the same for the same seed.
+    /// Creates the sequence for `profile`. Equal profiles give equal sequences.
     pub fn new(profile: ArrivalProfile) -> Self {
         let rng = rand_chacha::ChaCha8Rng::seed_from_u64(profile.seed);
         Self { profile, rng, elapsed_secs: 0.0, number: 0 }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! Makes one request as a caller would, and checks its answer.
+//! Sends a streamed completion request and checks the response.
 
 use std::{net, time};
 
@@ -9,58 +9,58 @@
 
 use crate::arrivals;
 
-/// Largest piece of an answer.
+/// Largest accepted chunk of a response, and largest accepted error body.
 const MAX_READ_BYTES: u64 = 4 << 20;
-/// Longest a caller waits.
+/// Timeout of a request, from sending it to the end of its response.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(600);
-/// Bytes of prompt that count as one token.
+/// Bytes of a prompt that count as one token, as in the stand-in engine.
 const PROMPT_BYTES_PER_TOKEN: u64 = 4;
-/// Filler of prompts.
+/// Text that is repeated to fill a prompt.
 const PROMPT_FILLER: &str = "abcdefghijklmno ";
 
-/// How a request went.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallOutcome {
-    /// Whole and right.
+    /// The response was complete and correct.
     Whole {
-        /// Until the first piece.
+        /// Time to the first chunk.
         first_token: time::Duration,
-        /// Until the end.
+        /// Time to the end of the response.
         total: time::Duration,
-        /// Longest pause between two pieces.
+        /// Longest time between two chunks.
         longest_gap: time::Duration,
-        /// slipturn's id of the request.
+        /// Request id that slipturn returned; empty if it returned none.
         request: String,
     },
-    /// Refused, with what was said.
+    /// The request was refused with a readable error body.
     Refused {
         /// HTTP status.
         status: u16,
-        /// Code.
+        /// Error code.
         code: String,
-        /// Whether it ran.
+        /// The `ran` field of the error body: whether the request ran.
         ran: String,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Option<time::Duration>,
-        /// Until the answer.
+        /// Time to the end of the error body.
         after: time::Duration,
     },
-    /// Began and then told of a failure.
+    /// The response began but ended with an error event or without its last event.
     Cut(String),
-    /// Whole by its own word, but not the answer to this prompt.
+    /// The response ended normally but its text is wrong; holds the first 60 characters.
     Wrong(String),
-    /// The connection failed.
+    /// The connection failed, the error body was unreadable or the request timed out.
     Failed(String),
 }
 
-/// Where and how to call.
+/// Destination and credentials of a request.
 #[derive(Debug, Clone)]
 pub struct CallTarget {
-    /// The entry, or an engine called directly.
+    /// Address of an entry or an engine.
     pub address: net::SocketAddr,
-    /// The caller's key.
+    /// API key, sent as bearer token.
     pub key: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
 }
 
@@ -77,18 +77,18 @@
     retry_after_ms: Option<u64>,
 }
 
-/// The messages of an arrival's prompt.
+/// Returns the chat messages for an arrival, filled to about the length of its prompt.
 pub fn messages(arrival: &arrivals::Arrival) -> serde_json::Value {
     let length = usize::try_from(arrival.prompt * PROMPT_BYTES_PER_TOKEN).unwrap_or(usize::MAX);
     let start = format!("request {} of this run: ", arrival.number);
     let filler = PROMPT_FILLER.repeat(length / PROMPT_FILLER.len() + 1);
     let mut content = start + &filler;
-    // The members around the content count too; a prompt has about the length asked for.
+    // The JSON around the content counts towards the prompt length, so it is subtracted.
     content.truncate(length.saturating_sub(34).max(1));
     serde_json::json!([{ "role": "user", "content": content }])
 }
 
-/// Makes the request, streamed, and checks the answer.
+/// Sends the request with streaming enabled and checks the response.
 pub async fn call(
     pool: &http_client::ConnectionPool,
     target: &CallTarget,
@@ -110,14 +110,14 @@
     if let Ok(value) = http::HeaderValue::try_from(format!("Bearer {}", target.key)) {
         headers.insert(http::header::AUTHORIZATION, value);
     }
-    // For an engine called directly, which tells its requests apart by it.
+    // An engine that is called directly identifies its requests by attempt id.
     if let Ok(value) = http::HeaderValue::try_from(format!("load:{fingerprint}")) {
         headers.insert("x-attempt-id", value);
     }
     headers.insert(http::header::CONTENT_TYPE, http::HeaderValue::from_static("application/json"));
     let exchange = receive_response(pool, target, http_request, &fingerprint, arrival.output);
     let outcome = monoio::time::timeout(CALL_TIMEOUT, exchange).await;
-    outcome.unwrap_or_else(|_| CallOutcome::Failed("no end in sight".to_owned()))
+    outcome.unwrap_or_else(|_| CallOutcome::Failed("the request timed out".to_owned()))
 }
 
 async fn receive_response(
@@ -152,7 +152,9 @@
                 text.extend_from_slice(&piece);
             }
             Ok(None) => break,
-            Err(error) => return CallOutcome::Failed(format!("mid-answer: {error}")),
+            Err(error) => {
+                return CallOutcome::Failed(format!("error within the response: {error}"));
+            }
         }
     }
     let total = started.elapsed();
@@ -180,11 +182,12 @@
             retry_after: body.error.retry_after_ms.map(time::Duration::from_millis),
             after,
         },
-        Err(_) => CallOutcome::Failed(format!("{status} without a readable body")),
+        Err(_) => CallOutcome::Failed(format!("status {status} with an unreadable error body")),
     }
 }
 
-/// Compares an answer with the one the stand-in gives for the prompt.
+/// Checks that the event stream `text` is complete and holds the output that the stand-in engine
+/// generates for the prompt with this fingerprint.
 pub fn check_response(text: &str, fingerprint: &str, output: u64) -> Result<(), CallOutcome> {
     let mut output_text = String::new();
     let mut done = false;
@@ -203,7 +206,7 @@
         output_text += value["choices"][0]["delta"]["content"].as_str().unwrap_or("?");
     }
     if !done {
-        return Err(CallOutcome::Cut("no last event".to_owned()));
+        return Err(CallOutcome::Cut("the stream ended without its last event".to_owned()));
     }
     let expected: String = (0..output).map(|index| format!("{fingerprint}-{index} ")).collect();
     if output_text != expected {
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,7 +1,8 @@
-//! Open-loop load: arrivals do not wait for answers, as callers do not wait for each other.
+//! Open-loop load generator: requests are sent at their scheduled times, whether or not earlier
+//! ones have completed.
 //!
-//! Each answer is checked to the last word against what the stand-in engine gives for its prompt,
-//! so that a cut, crossed or doubled answer is counted as such.
+//! Every response is compared word for word with the output that the stand-in engine generates for
+//! the prompt, which detects responses that are truncated, duplicated or meant for another request.
 
 pub mod arrivals;
 pub mod caller;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-load`: see the library of the same name.
+//! `slipturn-load`: generates open-loop load and reports on the responses.
 
 use std::{cell, net, process, rc, time};
 
@@ -12,7 +12,7 @@
     about: "Sends requests at a given rate, whatever becomes of them, and reports on the answers.",
 };
 
-/// Options that a settings file may hold.
+/// Options that can also be set in a settings file.
 const OPTIONS: [&str; 12] = [
     "targets",
     "keys",
@@ -27,16 +27,17 @@
     "alone",
     "json",
 ];
-/// Longest prompt that counts as short here.
+/// Longest prompt of the baseline run, in tokens.
 const SHORT_PROMPT_TOKENS: u64 = 2_000;
 
-/// What the command line asks for.
+/// The parameters of a run, from the command line and the settings file.
 struct LoadPlan {
     profile: arrivals::ArrivalProfile,
     targets: Vec<net::SocketAddr>,
     keys: Vec<String>,
     model: String,
     seconds: u64,
+    /// Length of the baseline run with short prompts only; 0 for none.
     baseline_seconds: u64,
     json: bool,
 }
@@ -113,7 +114,7 @@
     })
 }
 
-/// Runs the load, and then the shorts alone where that is asked for.
+/// Runs the load, followed by a baseline run with short prompts only if one was requested.
 async fn run(plan: LoadPlan) -> report::RunReport {
     let length = time::Duration::from_secs(plan.seconds);
     let mut report = run_profile(&plan, plan.profile.clone(), length).await;
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run showed.
+//! Aggregates the outcomes of a run into a report.
 
 use std::{collections, time};
 
@@ -7,43 +7,45 @@
 
 use crate::{arrivals, caller};
 
-/// Percentiles of one length band, in milliseconds.
+/// Latency of the complete responses in one band of prompt lengths. Arrays hold the 50th, 95th and
+/// 99th percentile in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct BandReport {
-    /// Prompt length band.
+    /// Name of the band.
     pub band: &'static str,
-    /// Whole answers.
+    /// Number of complete responses.
     pub whole: u64,
     /// Time to first token.
     pub first_token_ms: [f64; 3],
-    /// Time to the end.
+    /// Time to the end of the response.
     pub total_ms: [f64; 3],
-    /// Longest pause between two pieces of an answer.
+    /// Longest time between two chunks of a response.
     pub gap_ms: [f64; 3],
 }
 
-/// A whole run.
+/// The results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunReport {
-    /// Requests made.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Whole answers.
+    /// Number of complete and correct responses.
     pub whole: u64,
-    /// Refusals by code.
+    /// Number of refusals by status, code and whether the request ran.
     pub refused: collections::BTreeMap<String, u64>,
-    /// Answers that began and were cut, by reason.
+    /// Number of truncated responses by reason.
     pub cut: collections::BTreeMap<String, u64>,
-    /// Whole answers that were not this request's.
+    /// Number of responses that ended normally but with the wrong text.
     pub wrong: u64,
-    /// Failed connections, by reason.
+    /// Number of other failures, such as lost connections and timeouts, by reason.
     pub failed: collections::BTreeMap<String, u64>,
-    /// Prompt and output tokens of whole answers.
+    /// Prompt and output tokens of the complete responses.
     pub tokens: u64,
-    /// Percentiles 50, 95 and 99 by length band.
+    /// Latency by band of prompt lengths, shortest first.
     pub bands: Vec<BandReport>,
-    /// A request to ask about.
+    /// Id of the complete request with the longest prompt, to look up in slipturn.
     pub example: Option<String>,
-    /// Time to first token of shorts beside the others, as a multiple of theirs alone.
+    /// Time to first token in the shortest band as a multiple of that in the baseline run, by
+    /// percentile; see [`RunReport::compare_short_prompts`].
     pub short_slowdown: Option<[f64; 3]>,
 }
 
@@ -54,7 +56,7 @@
     gap: Vec<time::Duration>,
 }
 
-/// Counts outcomes.
+/// Accumulates the outcomes of a run.
 #[derive(Default)]
 pub struct ReportBuilder {
     requests: u64,
@@ -69,7 +71,7 @@
 }
 
 impl ReportBuilder {
-    /// Counts one.
+    /// Adds the outcome of one request.
     pub fn add(&mut self, arrival: &arrivals::Arrival, outcome: &caller::CallOutcome) {
         self.requests += 1;
         match outcome {
@@ -81,7 +83,7 @@
                 values.first_token.push(*first_token);
                 values.total.push(*total);
                 values.gap.push(*longest_gap);
-                // The longest prompt makes the most telling example.
+                // The longest prompt is the most useful example.
                 if self.example.as_ref().is_none_or(|(longest, _)| arrival.prompt > *longest) {
                     self.example = Some((arrival.prompt, request.clone()));
                 }
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The report on all that was counted.
+    /// Computes the percentiles and returns the report.
     pub fn build(mut self) -> RunReport {
         let order = histogram::BAND_BOUNDS.iter().map(|(_, name)| *name);
         let bands = order.filter_map(|band| {
@@ -127,7 +129,7 @@
 }
 
 impl RunReport {
-    /// Compares the shorts of this run with those of a run that had no others.
+    /// Sets `short_slowdown` from `baseline`, a run with short prompts only.
     pub fn compare_short_prompts(&mut self, baseline: &Self) {
         let first_token = |report: &Self| report.bands.first().map(|row| row.first_token_ms);
         if let (Some(mixed), Some(baseline)) = (first_token(self), first_token(baseline)) {
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The report as a table for a person.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{} requests, {} whole, {} wrong, {} tokens\n",
@@ -176,7 +178,7 @@
     }
 }
 
-/// Percentiles 50, 95 and 99 in milliseconds.
+/// Returns the 50th, 95th and 99th percentile in milliseconds; zeros if `values` is empty.
 pub fn percentiles(mut values: Vec<time::Duration>) -> [f64; 3] {
     values.sort();
     [0.50, 0.95, 0.99].map(|quantile| {
