--- a/crates/load/tests/command_line.rs
+++ b/crates/load/tests/command_line.rs
@@ -13,18 +13,18 @@
 }
 
 #[test]
-fn a_settings_file_stands_behind_the_command_line() {
+fn command_line_options_override_the_settings_file() {
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("load.yaml");
     let name = file.to_str().unwrap();
     std::fs::write(&file, "targets: ['127.0.0.1:1']\nkeys: [a]\nseconds: 0\nrate: 5.5\n").unwrap();
-    let (code, said) = programs::run(PROGRAM, &["-s", name]);
-    assert_eq!(code, Some(0), "{said}");
-    assert!(said.starts_with("0 requests"), "{said}");
-    let (code, said) = programs::run(PROGRAM, &["-s", name, "--rate", "fast"]);
+    let (code, output) = programs::run(PROGRAM, &["-s", name]);
+    assert_eq!(code, Some(0), "{output}");
+    assert!(output.starts_with("0 requests"), "{output}");
+    let (code, output) = programs::run(PROGRAM, &["-s", name, "--rate", "fast"]);
     assert_eq!(code, Some(2));
-    assert!(said.contains("rate: found 'fast'"), "{said}");
+    assert!(output.contains("rate: found 'fast'"), "{output}");
     std::fs::write(&file, "speed: 9\n").unwrap();
-    let (code, said) = programs::run(PROGRAM, &["-s", name]);
+    let (code, output) = programs::run(PROGRAM, &["-s", name]);
     assert_eq!(code, Some(2));
-    assert!(said.contains("speed: found an unknown option"), "{said}");
+    assert!(output.contains("speed: found an unknown option"), "{output}");
 }
