--- a/crates/compare/src/fake_engines.rs
+++ b/crates/compare/src/fake_engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a run: the stand-in's model, a ledger for each, and lagging reports.
+//! The engines of a run: an engine model with its placement ledger and delayed load reports.
 
 use std::{collections, time};
 
@@ -7,27 +7,28 @@
 
 use crate::scenario;
 
-/// Time between two reports.
+/// Time between two load reports.
 const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// One engine and its scheduler's ledger.
+/// An engine model and the ledger that a scheduler keeps of it.
 pub struct FakeEngine {
-    /// Its name.
+    /// Name of the engine in the fleet list.
     pub name: ids::EngineId,
-    /// The ledger that its scheduler keeps.
+    /// The scheduler's ledger of this engine.
     pub ledger: engine_ledger::EngineLedger,
     model: engine_model::EngineModel,
-    /// What it has not started for want of memory; engines queue by themselves when nobody else
-    /// does.
+    /// Requests that wait for free memory. Under the baseline policies no ledger holds requests
+    /// back, so the engine has to queue them.
     queue: collections::VecDeque<engine_model::EngineRequest>,
+    /// Recorded load reports, oldest first.
     reports: collections::VecDeque<(units::MonoTime, placement::EngineReport)>,
     next_report: units::MonoTime,
-    /// Whether it has died.
+    /// Whether the engine has failed; it then neither runs requests nor reports its load.
     pub dead: bool,
 }
 
 impl FakeEngine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(name: ids::EngineId, options: settings::FleetOptions) -> Self {
         let parameters = engine_model::EngineParameters {
             memory: scenario::ENGINE_MEMORY,
@@ -51,19 +52,19 @@
         engine
     }
 
-    /// Gives it a request; it queues what does not fit.
+    /// Starts a request, or queues it until there is enough free memory.
     pub fn submit(&mut self, request: engine_model::EngineRequest) {
         self.queue.push_back(request);
         self.start_queued();
     }
 
-    /// Gives an attempt up.
+    /// Aborts a queued or running attempt.
     pub fn cancel(&mut self, attempt: &str) {
         self.queue.retain(|request| request.attempt != attempt);
         self.model.cancel(attempt);
     }
 
-    /// Works for a step and says what came out.
+    /// Advances the engine by `elapsed` and returns its outputs.
     pub fn step(&mut self, elapsed: time::Duration) -> Vec<engine_model::EngineOutput> {
         if self.dead {
             return Vec::new();
@@ -73,7 +74,8 @@
         outputs
     }
 
-    /// Tells the ledger what the engine was like `lag` ago, if a report is due.
+    /// Passes a load report to the ledger if one is due. The report is the newest that is at least
+    /// `lag` old, or the oldest if none is.
     pub fn report(
         &mut self,
         now: units::MonoTime,
--- a/crates/compare/src/lib.rs
+++ b/crates/compare/src/lib.rs
@@ -1,8 +1,9 @@
-//! Compares routing policies on the same arrivals.
+//! Compares routing policies on identical arrivals in virtual time.
 //!
-//! The decisions are the real ones (`EntryRouter`, `EngineLedger`); the engines are the stand-in's
-//! model; time is virtual, so that a run gives the same figures on any machine. It is a fake at
-//! the engines' interface and no simulator of a cluster: no network, no processes, no clocks.
+//! Routing and placement use the production code (`EntryRouter`, `EngineLedger`). The engines are
+//! replaced by the stand-in's model, and network time is added as a constant per round trip. A run
+//! therefore gives the same results on any computer; it does not simulate a cluster with its
+//! network, processes and clocks.
 
 pub mod fake_engines;
 pub mod planned_size;
--- a/crates/compare/src/main.rs
+++ b/crates/compare/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-compare`: prints the comparison for both users.
+//! `slipturn-compare`: compares the routing policies on the fleets of both users.
 
 use std::{process, thread, time};
 
@@ -60,13 +60,14 @@
     process::ExitCode::from(command_line::EXIT_GOOD)
 }
 
-/// What all runs of a call have in common.
+/// Options that apply to all runs.
 struct CommonOptions {
     length: time::Duration,
     seed: u64,
     options: String,
 }
 
+/// Turns the default scenario into that of a case.
 type ScenarioChange = fn(&mut scenario::RunScenario);
 
 const CASES: [(&str, ScenarioChange); 9] = [
--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -1,5 +1,7 @@
-//! What the decisions cost with settings and list of the planned size. Wall-clock: a measurement,
-//! not a bound.
+//! Measures the time and memory of routing decisions with settings and a fleet list of the planned
+//! size.
+//!
+//! Results are wall-clock times and depend on the computer, so no test bounds them.
 
 use std::{fs, hint, time};
 
@@ -7,28 +9,28 @@
     engine_ledger, entry_router, ids, placement, rendezvous, settings, settings_resolve, units,
 };
 
-/// Instances of the planned fleet.
+/// Number of instances in the planned fleet.
 const INSTANCES: usize = 380;
-/// Engines, here one for each runner.
+/// Number of engines in the planned fleet, one for each runner.
 const ENGINES: usize = 600;
-/// Customers.
+/// Number of customers in the settings.
 const CUSTOMERS: usize = 4_300;
-/// Data centres.
+/// Number of data centres over which instances and engines are spread.
 const DATA_CENTERS: usize = 5;
-/// Models.
+/// Number of models that the engines serve.
 const MODELS: usize = 3;
-/// Times each decision is taken.
+/// Number of repetitions over which the time of a decision is averaged.
 const ITERATIONS: u32 = 2_000;
 
-/// One measured row.
+/// The cost of an operation, formatted for output.
 pub struct CostRow {
-    /// What was done.
+    /// Description of the operation.
     pub operation: String,
-    /// How long it took, or how much it held.
+    /// Mean time or memory, with its unit.
     pub value: String,
 }
 
-/// Measures them all.
+/// Runs all measurements in this module.
 pub fn measure() -> Vec<CostRow> {
     let (settings_text, list_text) = (settings_text(), list_text());
     let mut cost_rows = vec![
@@ -52,7 +54,7 @@
         hint::black_box(owners.collect::<Vec<_>>())
     });
     cost_rows.push(cost_row("owners of all engines", format!("{elapsed:?}")));
-    let caller = tree.identify(&key(CUSTOMERS / 2)).expect("the caller is known");
+    let caller = tree.identify(&key(CUSTOMERS / 2)).expect("the settings contain the key");
     cost_rows.push(mean_cost("find a caller", || tree.identify(&key(CUSTOMERS / 2)).is_some()));
     let prompt = units::TokenCount(5_000);
     cost_rows.push(mean_cost("resolve its settings", || tree.resolve(&caller, prompt).is_some()));
@@ -66,22 +68,22 @@
 }
 
 fn measure_router(text: &str, list: slipturn_core::fleet_list::FleetList) -> Vec<CostRow> {
-    let name = |text: &str| text.parse().expect("a valid name");
+    let name = |text: &str| text.parse().expect("the name is valid");
     let hour = time::Duration::from_secs(3_600);
     let now = units::MonoTime(0);
-    let center: ids::DataCenterId = "dc-0".parse().expect("a valid name");
+    let center: ids::DataCenterId = "dc-0".parse().expect("the name is valid");
     let mut router = entry_router::EntryRouter::new(name("instance-0"), center, hour, 1);
     router.offer_settings(now, text);
     router.offer_list(list);
     router.note_sources_asked(now, 0);
     let question = entry_router::PlanQuestion {
         key: key(17),
-        model: "model-0".parse().expect("a valid name"),
+        model: "model-0".parse().expect("the name is valid"),
         prompt: units::TokenCount(5_000),
         output: None,
         requested_limit: None,
     };
-    let grant = router.plan(now, &question).expect("the caller is known");
+    let grant = router.plan(now, &question).expect("the settings contain the key");
     let fleet = grant.fleet.fleet.clone();
     vec![
         mean_cost("plan a request", || router.plan(now, &question).is_ok()),
@@ -91,7 +93,7 @@
     ]
 }
 
-/// A ledger with 64 leases and 64 requests waiting.
+/// Measures an offer by a ledger with 64 leases and 64 queued requests.
 fn measure_ledger() -> CostRow {
     let now = units::MonoTime(0);
     let (memory, rate) = (units::TokenCount(400_000), units::TokenRate(100_000.0));
@@ -100,10 +102,10 @@
     let report = placement::EngineReport { memory, ..Default::default() };
     ledger.report(now, &report);
     let request = |number: u64| placement::PlaceRequest {
-        attempt: format!("instance-0:1:{number:x}:1").parse().expect("a valid name"),
-        entry: "instance-0".parse().expect("a valid name"),
+        attempt: format!("instance-0:1:{number:x}:1").parse().expect("the name is valid"),
+        entry: "instance-0".parse().expect("the name is valid"),
         boot: ids::BootId(1),
-        customer: format!("customer-{}", number % 40).parse().expect("a valid name"),
+        customer: format!("customer-{}", number % 40).parse().expect("the name is valid"),
         weight: 1.0,
         prompt: units::TokenCount(4_000),
         cached: units::TokenCount::ZERO,
@@ -174,7 +176,7 @@
     text
 }
 
-/// Resident memory of this process; zero where the system does not tell.
+/// Returns the resident memory of this process in KiB; 0 if the system does not report it.
 fn resident_kib() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -1,4 +1,6 @@
-//! What a planner's and a member's work costs. Wall-clock: a measurement, not a bound.
+//! Measures the time of placement in a planner and of the choice of a planner by a member.
+//!
+//! Results are wall-clock times and depend on the computer, so no test bounds them.
 
 use std::{hint, net, time};
 
@@ -8,16 +10,16 @@
 
 use crate::planned_size;
 
-/// Requests that are placed and ended.
+/// Number of repetitions over which a time is averaged.
 const ITERATIONS: u64 = 3_000;
-/// Requests placed at once while the cost of one more is measured.
+/// Maximum number of running requests while the placement of one more is measured.
 const PLACED_REQUESTS: u64 = 200;
-/// Engines of one planner that are compared.
+/// Numbers of engines for which placement is measured.
 const ENGINE_COUNTS: [usize; 4] = [18, 60, 96, 600];
-/// Members of a view.
+/// Number of members, including the local one.
 const MEMBERS: u16 = 380;
 
-/// Measures them all.
+/// Runs all measurements in this module.
 pub fn measure() -> Vec<planned_size::CostRow> {
     let mut rows = Vec::new();
     for engines in ENGINE_COUNTS {
@@ -41,7 +43,7 @@
     let started = time::Instant::now();
     for iteration in 0..ITERATIONS {
         let sequence = PLACED_REQUESTS + iteration;
-        // A millisecond a round: what was read before is done by then.
+        // Starts at 10 s, after the prefill of the requests placed above, in steps of 1 ms.
         let now = at_millis(10_000 + iteration);
         hint::black_box(planner.ask(now, ask(sequence, prompt)));
         planner.first_token(now, job(sequence));
@@ -126,7 +128,7 @@
 where
     T::Err: std::fmt::Debug,
 {
-    format!("{kind}-{number}").parse().expect("a valid name")
+    format!("{kind}-{number}").parse().expect("the name is valid")
 }
 
 fn at_millis(millis: u64) -> units::MonoTime {
--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -1,4 +1,4 @@
-//! One run: arrivals, decisions, engines, in steps of virtual time.
+//! Runs a scenario in steps of virtual time: arrivals, routing, placement and engines.
 
 use std::{collections, time};
 
@@ -10,37 +10,38 @@
 
 use crate::{fake_engines, scenario};
 
-/// Length of a step.
+/// Virtual time between two steps.
 const STEP: time::Duration = time::Duration::from_millis(5);
-/// Time between two advances of the ledgers and two renewals.
+/// Virtual time between two advances of the ledgers.
 const ADVANCE_INTERVAL: time::Duration = time::Duration::from_millis(50);
+/// Virtual time between two renewals of the leases.
 const RENEW_INTERVAL: time::Duration = time::Duration::from_secs(4);
-/// Rounds of candidates, as in the entry.
+/// Maximum number of candidate sets that are tried per placement, as in the entry.
 const MAX_ROUNDS: usize = 3;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Whole, with its times to first token and end.
+    /// Completed, with the time to the first token and to the end.
     Completed(time::Duration, time::Duration),
-    /// Refused, after this time.
+    /// Refused, with the time from arrival to refusal.
     Refused(time::Duration),
-    /// Admitted and then not finished within its limit, or cut.
+    /// Admitted, but not completed within its time limit or interrupted by the loss of its engine.
     Failed,
 }
 
-/// A request and how it ended.
+/// A request and its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestResult {
-    /// The request.
+    /// The request as it arrived.
     pub arrival: arrivals::Arrival,
-    /// How it ended.
+    /// The outcome, with its times.
     pub outcome: RequestOutcome,
-    /// Attempts that reached an engine.
+    /// Number of attempts that reached an engine.
     pub attempts: u32,
 }
 
-/// A request on its way.
+/// A request that has been placed and has not ended.
 struct ActiveRequest {
     arrival: arrivals::Arrival,
     entry: usize,
@@ -48,12 +49,12 @@
     place: placement::PlaceRequest,
     attempts: u32,
     arrived: units::MonoTime,
-    /// What asking schedulers cost on the network.
+    /// Network time of the exchanges with the schedulers, added to all latencies.
     network_time: time::Duration,
     first_token: Option<time::Duration>,
 }
 
-/// A whole run.
+/// The state of a run.
 pub struct PolicyRun {
     scenario: scenario::RunScenario,
     options: settings::FleetOptions,
@@ -66,7 +67,7 @@
 }
 
 impl PolicyRun {
-    /// Runs a scenario to its end, and on until nothing is open.
+    /// Runs a scenario until all requests have ended, and returns their results.
     pub fn run(scenario: &scenario::RunScenario) -> Vec<RequestResult> {
         let mut run = Self::new(scenario.clone());
         let mut arrivals = scenario.arrivals().peekable();
@@ -89,8 +90,8 @@
         let tree = settings::SettingsTree::parse(&text).expect("the run's settings are valid");
         let start = units::MonoTime(0);
         let entries = (0..scenario::INSTANCES).map(|number| {
-            let instance = format!("instance-{number}").parse().expect("a valid name");
-            let center = format!("dc-{}", number % 3).parse().expect("a valid name");
+            let instance = format!("instance-{number}").parse().expect("the name is valid");
+            let center = format!("dc-{}", number % 3).parse().expect("the name is valid");
             let seed = scenario.seed * 1_000 + number as u64;
             let hour = time::Duration::from_secs(3_600);
             let mut router = entry_router::EntryRouter::new(instance, center, hour, seed);
@@ -129,7 +130,8 @@
         self.place(arrival, entry, self.now, 1, Vec::new());
     }
 
-    /// Finds a request its engine as the entry does, and queues it there.
+    /// Selects an engine for a request in the same way as the entry, and queues the request there.
+    /// Records a refusal if no engine accepts it.
     fn place(
         &mut self,
         arrival: arrivals::Arrival,
@@ -140,7 +142,7 @@
     ) {
         let question = entry_router::PlanQuestion {
             key: scenario::customer_key(arrival.key),
-            model: "invitation".parse().expect("a valid name"),
+            model: "invitation".parse().expect("the name is valid"),
             prompt: units::TokenCount(arrival.prompt),
             output: Some(units::TokenCount(arrival.output)),
             requested_limit: None,
@@ -184,7 +186,8 @@
         });
     }
 
-    /// Asks the ledgers as an entry asks their schedulers. Also returns the time that takes.
+    /// Collects the offers of the ledgers, as an entry does from their schedulers, and chooses one.
+    /// Also returns the network time of the exchange.
     fn choose(
         &mut self,
         entry: usize,
@@ -213,7 +216,7 @@
         (choice, offer_time + placement_time)
     }
 
-    /// Queues a request at its engine; `false` when the ledger refuses it at once.
+    /// Queues a request at its engine. Returns `false` if the ledger refuses it immediately.
     fn enqueue(&mut self, active: ActiveRequest) -> bool {
         let (engine, attempt) = (active.engine, active.place.attempt.clone());
         let name = self.engines[engine].name.clone();
@@ -313,6 +316,7 @@
         self.results.push(RequestResult { arrival: active.arrival, outcome, attempts });
     }
 
+    /// Removes a request from the active ones and updates the counters of its entry.
     fn remove_active(&mut self, attempt: &ids::AttemptId) -> Option<ActiveRequest> {
         let active = self.active.remove(attempt)?;
         let name = self.engines[active.engine].name.clone();
@@ -337,7 +341,7 @@
         }
     }
 
-    /// What has passed its limit has failed, and its engine gives it up.
+    /// Fails the requests that have passed their deadline and cancels them on their engines.
     fn fail_expired(&mut self) {
         let expired: Vec<_> = self
             .active
@@ -359,7 +363,8 @@
         self.results.push(RequestResult { arrival, outcome: RequestOutcome::Failed, attempts });
     }
 
-    /// Engines die at once; callers that have seen nothing yet may be tried elsewhere.
+    /// Stops the first `lost_engines` engines. Their requests are retried on other engines if the
+    /// retry policy allows it, and fail otherwise.
     fn kill_engines(&mut self) {
         for engine in 0..self.scenario.lost_engines {
             self.engines[engine].dead = true;
@@ -414,7 +419,7 @@
             attempt: ids::AttemptId::new(&request, attempts),
             entry: instance,
             boot: ids::BootId(1),
-            customer: format!("customer-{}", arrival.key).parse().expect("a valid name"),
+            customer: format!("customer-{}", arrival.key).parse().expect("the name is valid"),
             weight: 1.0,
             prompt: units::TokenCount(arrival.prompt),
             cached: units::TokenCount::ZERO,
--- a/crates/compare/src/scenario.rs
+++ b/crates/compare/src/scenario.rs
@@ -1,42 +1,43 @@
-//! What a run is made of.
+//! Scenarios: the fleet, the load and the settings of a run.
 
 use std::time;
 
 use slipturn_core::{fleet_list, settings, settings_resolve, units};
 use slipturn_load::arrivals;
 
-/// Entry instances.
+/// Number of entry instances.
 pub const INSTANCES: usize = 6;
-/// Engines.
+/// Number of engines.
 pub const ENGINES: usize = 18;
-/// Memory of an engine, in tokens. No prompt of a run is larger: groups are tried with real
-/// processes only.
+/// Memory of an engine, in tokens. No prompt exceeds it, because groups of engines are tested only
+/// with real processes.
 pub const ENGINE_MEMORY: u64 = 400_000;
-/// Prompt tokens an engine works through in a second.
+/// Prompt tokens that an engine prefills per second.
 pub const PREFILL_RATE: f64 = 100_000.0;
-/// Longest prompt of a run.
+/// Longest prompt, in tokens.
 pub const MAX_PROMPT: u64 = 330_000;
-/// Output tokens of each request.
+/// Number of output tokens of each request.
 pub const OUTPUT_TOKENS: u64 = 64;
-/// Customers; the first three are the large ones.
+/// Relative request rate of each customer; the first three are the large customers.
 pub const KEY_WEIGHTS: [f64; 10] = [5.0, 4.0, 3.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0];
 /// Time limit of each request.
 pub const TIME_LIMIT: time::Duration = time::Duration::from_secs(60);
-/// Mean prompt length of the mix: see `mean_prompt`.
+/// Prompt length in tokens that separates the two ranges of [`mean_prompt`].
 const LENGTH_THRESHOLD: f64 = arrivals::LONG_PROMPT_TOKENS as f64;
 
-/// A user's fleet, as far as a run knows it.
+/// The properties of a user's fleet that a run depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetProfile {
-    /// Its name.
+    /// Name of the user.
     pub name: &'static str,
-    /// Round trip within a data centre.
+    /// Network round-trip time within a data centre.
     pub local_round_trip: time::Duration,
-    /// Round trip between data centres. The brief gives only their order; the figures are ours.
+    /// Network round-trip time between data centres. The users specify only its order; the values
+    /// are assumptions.
     pub remote_round_trip: time::Duration,
 }
 
-/// The users' fleets.
+/// The fleets of the two users.
 pub const PROFILES: [FleetProfile; 2] = [
     FleetProfile {
         name: "Bluebonnet",
@@ -50,33 +51,33 @@
     },
 ];
 
-/// One run.
+/// The parameters of a run.
 #[derive(Debug, Clone)]
 pub struct RunScenario {
-    /// Whose fleet.
+    /// The simulated fleet.
     pub profile: FleetProfile,
-    /// The policy.
+    /// The routing policy.
     pub routing: settings::RoutingKind,
-    /// Offered load as a share of what the engines can work through.
+    /// Offered load as a share of the prefill capacity of all engines.
     pub load: f64,
-    /// Whether only prompts up to 2,000 tokens are sent, at the rate they have in the mix.
+    /// Whether only prompts of up to 2,000 tokens are sent, at the same rate as in the full mix.
     pub short_prompts_only: bool,
-    /// Age of load reports.
+    /// Minimum age of load reports when the ledger gets them.
     pub report_lag: time::Duration,
-    /// Engines that die in the middle of the run.
+    /// Number of engines that fail in the middle of the run.
     pub lost_engines: usize,
-    /// How many times its share the first of the small customers sends.
+    /// Factor by which the request rate of the first small customer is multiplied.
     pub flood_factor: f64,
-    /// Further options of `fleet:`, in YAML's flow style, each followed by a comma.
+    /// Additional options for `fleet:` in YAML flow style, each followed by a comma.
     pub options: String,
-    /// Length of the run.
+    /// Time during which requests arrive.
     pub length: time::Duration,
-    /// Seed of arrivals and choices.
+    /// Seed of the arrivals and of the routers' random choices.
     pub seed: u64,
 }
 
 impl RunScenario {
-    /// A plain run at a share of the capacity.
+    /// Creates a run of 60 s without faults.
     pub fn new(profile: FleetProfile, routing: settings::RoutingKind, load: f64) -> Self {
         Self {
             profile,
@@ -92,12 +93,13 @@
         }
     }
 
-    /// Requests a second that make up the load.
+    /// Returns the request rate per second at which the full mix makes up [`Self::load`], without
+    /// the excess of [`Self::flood_factor`].
     pub fn rate(&self) -> f64 {
         self.load * ENGINES as f64 * PREFILL_RATE / mean_prompt()
     }
 
-    /// The arrivals, in order.
+    /// Returns the arrivals in order of time.
     pub fn arrivals(&self) -> impl Iterator<Item = arrivals::Arrival> + use<> {
         let mut key_weights = KEY_WEIGHTS.to_vec();
         let total: f64 = key_weights.iter().sum();
@@ -119,7 +121,7 @@
             .filter(move |arrival| !short_prompts_only || arrival.prompt <= SHORT_PROMPT_TOKENS)
     }
 
-    /// The settings of the run.
+    /// Returns the settings document of the run.
     pub fn settings(&self) -> String {
         let routing = match self.routing {
             settings::RoutingKind::ExpectedStart => "expected_start",
@@ -143,12 +145,12 @@
         text
     }
 
-    /// The list of the run. The addresses are never used.
+    /// Returns the fleet list of the run. Its addresses are placeholders that nothing connects to.
     pub fn list(&self) -> fleet_list::FleetList {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        let center = |index: usize| format!("dc-{}", index % 3).parse().expect("a valid name");
+        let center = |index: usize| format!("dc-{}", index % 3).parse().expect("the name is valid");
         let instances = (0..INSTANCES).map(|index| fleet_list::InstanceRecord {
-            name: format!("instance-{index}").parse().expect("a valid name"),
+            name: format!("instance-{index}").parse().expect("the name is valid"),
             data_center: center(index),
             entry: address,
             operators: address,
@@ -156,9 +158,9 @@
             state: fleet_list::ListState::Live,
         });
         let engines = (0..ENGINES).map(|index| fleet_list::EngineRecord {
-            name: format!("engine-{index}").parse().expect("a valid name"),
+            name: format!("engine-{index}").parse().expect("the name is valid"),
             data_center: center(index),
-            model: "invitation".parse().expect("a valid name"),
+            model: "invitation".parse().expect("the name is valid"),
             address,
             memory: units::TokenCount(ENGINE_MEMORY),
             prefill_rate: units::TokenRate(PREFILL_RATE),
@@ -173,17 +175,18 @@
     }
 }
 
-/// Prompts up to this length are the shorts whose delay is measured.
+/// Longest prompt that counts as short, in tokens.
 pub const SHORT_PROMPT_TOKENS: u64 = 2_000;
 /// Share of prompts over [`arrivals::LONG_PROMPT_TOKENS`].
 const LONG_SHARE: f64 = 0.02;
 
-/// Key of a customer's callers.
+/// Returns the API key of a customer.
 pub fn customer_key(customer: usize) -> String {
     format!("key-{customer}")
 }
 
-/// Mean of a length spread evenly over its logarithm, for the mix of short and long.
+/// Returns the mean prompt length of the mix. Lengths are log-uniform below and above
+/// [`LENGTH_THRESHOLD`].
 fn mean_prompt() -> f64 {
     let mean = |low: f64, high: f64| (high - low) / (high / low).ln();
     (1.0 - LONG_SHARE) * mean(1_000.0, LENGTH_THRESHOLD)
--- a/crates/compare/src/summary.rs
+++ b/crates/compare/src/summary.rs
@@ -1,4 +1,4 @@
-//! Figures of a run.
+//! Summarises the results of a run.
 
 use std::time;
 
@@ -7,34 +7,35 @@
 
 use crate::{policy_run, scenario};
 
-/// Figures of one run.
+/// Latency and throughput of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunSummary {
     /// Time to first token by length band, percentiles 50, 95 and 99 in milliseconds.
     pub bands: Vec<(&'static str, [f64; 3])>,
-    /// The same for prompts up to 2,000 tokens.
+    /// Time to first token of prompts of up to 2,000 tokens, percentiles as in `bands`.
     pub short_prompts: [f64; 3],
-    /// The same for the other small customers, beside the one that may flood.
+    /// Time to first token of the small customers other than the one to which
+    /// [`scenario::RunScenario::flood_factor`] applies, percentiles as in `bands`.
     pub other_small_customers: [f64; 3],
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Whole answers.
+    /// Number of requests that completed.
     pub completed: usize,
-    /// Refusals.
+    /// Number of requests that were refused.
     pub refused: usize,
-    /// Admitted and not finished in time, or cut.
+    /// Number of requests that were admitted but timed out or lost their engine.
     pub failed: usize,
-    /// Share of admitted prompts over 100,000 tokens that ended whole.
+    /// Share of admitted requests with prompts over 100,000 tokens that completed.
     pub long_completion_share: f64,
-    /// Prompt and output tokens of whole answers, a second of the run.
+    /// Prompt and output tokens of completed requests per second of the run.
     pub goodput: f64,
-    /// Longest time to a refusal, in milliseconds.
+    /// Longest time from arrival to refusal, in milliseconds.
     pub slowest_refusal_ms: f64,
-    /// Attempts for each request.
+    /// Mean number of attempts that reached an engine per request.
     pub attempts_per_request: f64,
 }
 
-/// Sums a run up.
+/// Computes the summary of a run from its results.
 pub fn summarize(
     scenario: &scenario::RunScenario,
     results: &[policy_run::RequestResult],
@@ -78,6 +79,7 @@
     RunSummary {
         bands: histogram::BAND_BOUNDS.iter().map(|(_, name)| band(name)).collect(),
         short_prompts: first_tokens(&|arrival| arrival.prompt <= scenario::SHORT_PROMPT_TOKENS),
+        // Customers 0 to 2 are the large ones; 3 is the one that may exceed its share.
         other_small_customers: first_tokens(&|arrival| arrival.key > 3),
         requests: results.len(),
         completed: count(&completed),
--- a/crates/compare/tests/bounds.rs
+++ b/crates/compare/tests/bounds.rs
@@ -1,8 +1,9 @@
-//! Bounds on the policy, in virtual time: the same verdict on any machine.
+//! Tests that the routing policy meets its bounds. Time is virtual, so the results are the same on
+//! any computer.
 //!
-//! `slipturn-compare` prints the figures behind them. A bound that the users ask for and that is
-//! not met stands in docs/PROMISES.md with its cause; the figure reached is held here instead, so
-//! that it does not get worse unnoticed.
+//! `slipturn-compare` prints the underlying measurements. Where a bound that the users ask for is
+//! not met, docs/PROMISES.md gives the cause, and the test asserts the value that is reached, so
+//! that regressions are noticed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -27,7 +28,7 @@
     scenario::RunScenario { length, ..scenario::RunScenario::new(profile, routing, load) }
 }
 
-/// Runs scenarios beside each other.
+/// Runs the scenarios in parallel, each in its own thread.
 fn run_all(scenarios: Vec<scenario::RunScenario>) -> Vec<summary::RunSummary> {
     let runs: Vec<_> = scenarios
         .into_iter()
@@ -77,9 +78,10 @@
     let (double, full) = (&figures[0], &figures[1]);
     assert!(double.refused > 1_000, "{}", double.refused);
     assert!(double.goodput >= 0.9 * full.goodput, "{double:?} {full:?}");
-    // Admitted and ended by their limit, unfinished: what comes later may go first for too long.
+    // The failed requests were admitted but timed out, as later arrivals can overtake a request for
+    // too long.
     assert!(double.failed * 1_000 <= double.completed, "{} of {}", double.failed, double.completed);
-    // Three rounds of questions between data centres, no waiting.
+    // Three rounds of offers between data centres, without queueing.
     assert!(double.slowest_refusal_ms <= 15.0, "{} ms", double.slowest_refusal_ms);
     assert!(double.long_completion_share >= 0.99, "{}", double.long_completion_share);
 }
@@ -99,7 +101,8 @@
 
 #[test]
 fn a_flooding_customer_delays_other_customers_by_a_bounded_factor() {
-    /// One seed's ratio swings by a fifth with the order of the sampled engines.
+    /// The ratio is averaged because that of one seed varies by a fifth with the order of the
+    /// sampled engines.
     const SEEDS: u64 = 4;
     let mut runs = Vec::new();
     for seed in 1..=SEEDS {
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -94,9 +94,7 @@
             }
             caller::CallOutcome::Cut(reason) => *self.cut.entry(reason.clone()).or_default() += 1,
             caller::CallOutcome::Wrong(_) => self.wrong += 1,
-            caller::CallOutcome::Failed(reason) => {
-                *self.failed.entry(reason.clone()).or_default() += 1
-            }
+            caller::CallOutcome::Failed(text) => *self.failed.entry(text.clone()).or_default() += 1,
         }
     }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -30,8 +30,8 @@
     faults: faults::SharedFaults,
 }
 
-/// Serves a plain service on `listener`; never returns. With `checks_keys`, a call whose idempotency
-/// key has been used before gets status 409.
+/// Serves a plain service on `listener`; never returns. With `checks_keys`, a call whose
+/// idempotency key has been used before gets status 409.
 pub async fn run(listener: monoio::net::TcpListener, checks_keys: bool) {
     let state = rc::Rc::new(ServiceState {
         counts: cell::RefCell::default(),
