--- a/crates/compare/src/fake_engines.rs
+++ b/crates/compare/src/fake_engines.rs
@@ -31,12 +31,12 @@
     /// Creates an idle engine.
     pub fn new(name: ids::EngineId, options: settings::FleetOptions) -> Self {
         let parameters = engine_model::EngineParameters {
-            memory: scenario::ENGINE_MEMORY,
+            memory: scenario::ENGINE_MEMORY_TOKENS,
             prefill_rate: scenario::PREFILL_RATE,
             token_time: time::Duration::from_millis(10),
             doubling_batch_size: 64.0,
         };
-        let memory = units::TokenCount(scenario::ENGINE_MEMORY);
+        let memory = units::TokenCount(scenario::ENGINE_MEMORY_TOKENS);
         let rate = units::TokenRate(scenario::PREFILL_RATE);
         let start = units::MonoTime(0);
         let mut engine = Self {
--- a/crates/compare/src/main.rs
+++ b/crates/compare/src/main.rs
@@ -53,8 +53,9 @@
     let title_filter = matches.opt_str("cases").unwrap_or_default();
     for profile in scenario::PROFILES {
         println!("=== {}", profile.name);
-        for (title, change) in CASES.iter().filter(|(title, _)| title.contains(&title_filter)) {
-            print_case(profile, title, *change, &common);
+        for (title, apply_change) in CASES.iter().filter(|(title, _)| title.contains(&title_filter))
+        {
+            print_case(profile, title, *apply_change, &common);
         }
     }
     process::ExitCode::from(command_line::EXIT_GOOD)
@@ -97,7 +98,7 @@
 fn print_case(
     profile: scenario::FleetProfile,
     title: &str,
-    change: ScenarioChange,
+    apply_change: ScenarioChange,
     common: &CommonOptions,
 ) {
     println!("--- {title}: first token p50/p95/p99 in ms by prompt length");
@@ -108,7 +109,7 @@
         if routing == settings::RoutingKind::ExpectedStart {
             run.options.clone_from(&common.options);
         }
-        change(&mut run);
+        apply_change(&mut run);
         (name, thread::spawn(move || summary::summarize(&run, &policy_run::PolicyRun::run(&run))))
     });
     for (name, run) in runs {
--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -118,18 +118,19 @@
     for number in 0..128 {
         ledger.enqueue(now, request(number));
     }
-    let asked = request(1_000);
-    mean_cost("offer of an engine with a full queue", || ledger.offer(now, &asked).is_ok())
+    let new_request = request(1_000);
+    mean_cost("offer of an engine with a full queue", || ledger.offer(now, &new_request).is_ok())
 }
 
-fn mean_cost(operation: &'static str, mut measured: impl FnMut() -> bool) -> CostRow {
-    let (_, elapsed) = timed(|| (0..ITERATIONS).filter(|_| hint::black_box(measured())).count());
+/// Returns the mean time of `workload` over [`ITERATIONS`] runs.
+fn mean_cost(operation: &'static str, mut workload: impl FnMut() -> bool) -> CostRow {
+    let (_, elapsed) = timed(|| (0..ITERATIONS).filter(|_| hint::black_box(workload())).count());
     cost_row(operation, format!("{:?}", elapsed / ITERATIONS))
 }
 
-fn timed<T>(measured: impl FnOnce() -> T) -> (T, time::Duration) {
+fn timed<T>(workload: impl FnOnce() -> T) -> (T, time::Duration) {
     let started = time::Instant::now();
-    let result = measured();
+    let result = workload();
     (result, started.elapsed())
 }
 
--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -30,14 +30,15 @@
     rows
 }
 
+/// Measures the placement and the end of a request with a prompt of `prompt` tokens.
 fn place_row(operation: &str, engines: usize, prompt: u64) -> planned_size::CostRow {
     let mut planner =
         planner::PlacementPlanner::new(engine_shape(), planner::PlannerOptions::default());
     let names: Vec<_> = (0..engines).map(|number| (name("e", number), number as u64)).collect();
     planner.set_engines(at_millis(0), &names);
     for sequence in 0..PLACED_REQUESTS.min(engines as u64 * 8) {
-        let answer = planner.ask(at_millis(0), ask(sequence, 5_000));
-        hint::black_box(answer);
+        let placement = planner.ask(at_millis(0), ask(sequence, 5_000));
+        hint::black_box(placement);
         planner.first_token(at_millis(0), job(sequence));
     }
     let started = time::Instant::now();
@@ -53,17 +54,18 @@
     planned_size::cost_row(format!("{operation}, {engines} engines"), format!("{mean:?}"))
 }
 
+/// Measures the choice of the planner for a service cell.
 fn planner_row() -> planned_size::CostRow {
     let mut view = membership::MemberView::new(name("m", 0), Vec::new());
     for number in 1..MEMBERS {
         view.receive(at_millis(0), heartbeat(number));
     }
-    let own = heartbeat(0);
+    let local_heartbeat = heartbeat(0);
     let service = name("s", 1);
     let key = planner_key::PlannerKey { service, cell: 3 };
     let started = time::Instant::now();
     for _ in 0..ITERATIONS {
-        hint::black_box(view.planner(at_millis(1), &key, &own));
+        hint::black_box(view.planner(at_millis(1), &key, &local_heartbeat));
     }
     let mean = started.elapsed() / u32::try_from(ITERATIONS).unwrap_or(u32::MAX);
     planned_size::cost_row(format!("which of {MEMBERS} members plans"), format!("{mean:?}"))
--- a/crates/compare/src/scenario.rs
+++ b/crates/compare/src/scenario.rs
@@ -11,7 +11,7 @@
 pub const ENGINES: usize = 18;
 /// Memory of an engine, in tokens. No prompt exceeds it, because groups of engines are tested only
 /// with real processes.
-pub const ENGINE_MEMORY: u64 = 400_000;
+pub const ENGINE_MEMORY_TOKENS: u64 = 400_000;
 /// Prompt tokens that an engine prefills per second.
 pub const PREFILL_RATE: f64 = 100_000.0;
 /// Longest prompt, in tokens.
@@ -162,7 +162,7 @@
             data_center: center(index),
             model: "invitation".parse().expect("the name is valid"),
             address,
-            memory: units::TokenCount(ENGINE_MEMORY),
+            memory: units::TokenCount(ENGINE_MEMORY_TOKENS),
             prefill_rate: units::TokenRate(PREFILL_RATE),
             state: fleet_list::ListState::Live,
         });
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -128,8 +128,8 @@
     output: u64,
 ) -> CallOutcome {
     let started = time::Instant::now();
-    let pooled = http_client::ConnectionUse::Pooled;
-    let mut response = match pool.call(target.address, pooled, http_request).await {
+    let connection_use = http_client::ConnectionUse::Pooled;
+    let mut response = match pool.call(target.address, connection_use, http_request).await {
         Ok(response) => response,
         Err(error) => return CallOutcome::Failed(error.to_string()),
     };
@@ -138,18 +138,18 @@
     }
     let request = response.header("slipturn-request-id").unwrap_or_default().to_owned();
     let mut text = Vec::new();
-    let (mut first_token, mut last_piece_at, mut longest_gap) =
+    let (mut first_token, mut last_chunk_at, mut longest_gap) =
         (None, started, time::Duration::ZERO);
     loop {
         match response.next_piece(MAX_READ_BYTES).await {
-            Ok(Some(piece)) => {
+            Ok(Some(chunk)) => {
                 if first_token.is_none() {
                     first_token = Some(started.elapsed());
                 } else {
-                    longest_gap = longest_gap.max(last_piece_at.elapsed());
+                    longest_gap = longest_gap.max(last_chunk_at.elapsed());
                 }
-                last_piece_at = time::Instant::now();
-                text.extend_from_slice(&piece);
+                last_chunk_at = time::Instant::now();
+                text.extend_from_slice(&chunk);
             }
             Ok(None) => break,
             Err(error) => return CallOutcome::Failed(format!("mid-response: {error}")),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -286,7 +286,7 @@
         return connection.respond(response).await.is_ok();
     }
     *state.counts.borrow_mut().started.entry(attempt.clone()).or_default() += 1;
-    let (sender, pieces) = mpsc::unbounded();
+    let (sender, receiver) = mpsc::unbounded();
     state.outputs.borrow_mut().insert(attempt.clone(), sender);
     if plan.close_before_answer {
         abort_attempt(state, &attempt);
@@ -299,7 +299,7 @@
         fingerprint: prompt_fingerprint(&text),
         stream: completion.stream,
     };
-    let finished = response.send(connection, pieces).await;
+    let finished = response.send(connection, receiver).await;
     if !finished && !state.faults.plan().ignore_disconnects {
         abort_attempt(state, &attempt);
     }
@@ -345,7 +345,7 @@
     async fn send(
         &self,
         connection: &mut http_server::ServerConnection,
-        mut pieces: mpsc::UnboundedReceiver<engine_model::EngineOutput>,
+        mut receiver: mpsc::UnboundedReceiver<engine_model::EngineOutput>,
     ) -> bool {
         if self.stream {
             let mut head = http::Response::new(());
@@ -359,7 +359,7 @@
         let mut output_text = String::new();
         let mut sent = 0;
         loop {
-            let Some(next) = connection.while_present(pieces.next()).await else {
+            let Some(next) = connection.while_present(receiver.next()).await else {
                 return false;
             };
             let Some(engine_model::EngineOutput::Tokens(_, first, count)) = next else {
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -216,6 +216,7 @@
         outputs
     }
 
+    /// Makes `prefix` the most recently used, and evicts the least recently used one if necessary.
     fn cache_prefix(&mut self, prefix: u64) {
         self.prefixes.retain(|known| *known != prefix);
         self.prefixes.push_back(prefix);
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -40,8 +40,8 @@
 }
 
 fn run(options: &command_line::ToolOptions) -> Result<(), String> {
-    let positional = options.words();
-    if let ["publish", name, document, file] = positional.as_slice() {
+    let positional_arguments = options.words();
+    if let ["publish", name, document, file] = positional_arguments.as_slice() {
         let text = std::fs::read(file).map_err(|error| format!("{file}: {error}"))?;
         return publish(address(options, "to")?, name, document, text.into());
     }
@@ -61,12 +61,12 @@
     let publishing = async {
         let pool = http_client::ConnectionPool::default();
         for _ in 0..PUBLISH_ATTEMPTS {
-            let mut call = http::Request::new(text.clone());
-            *call.method_mut() = http::Method::PUT;
-            *call.uri_mut() = path.parse().unwrap_or_default();
-            let fresh = http_client::ConnectionUse::Fresh;
-            if let Ok(answer) = pool.call_whole(address, fresh, call, 1 << 16).await {
-                return answer.status().is_success();
+            let mut request = http::Request::new(text.clone());
+            *request.method_mut() = http::Method::PUT;
+            *request.uri_mut() = path.parse().unwrap_or_default();
+            let connection_use = http_client::ConnectionUse::Fresh;
+            if let Ok(response) = pool.call_whole(address, connection_use, request, 1 << 16).await {
+                return response.status().is_success();
             }
             monoio::time::sleep(time::Duration::from_millis(100)).await;
         }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -57,18 +57,18 @@
         let uri = incoming.head.uri.clone();
         let name = uri.path().rsplit('/').next().unwrap_or_default();
         let query = uri.query().unwrap_or_default();
-        let answer = match uri.path() {
+        let response = match uri.path() {
             "/faults" => engine::set_faults(&state.faults, &body),
             "/counts" => http_server::json_answer(200, &*state.counts.borrow()),
             path if path.starts_with("/documents/") => publish(&state, name, query, body),
             _ if state.faults.plan().down => return,
             _ if !state.admit() => http_server::json_answer(429, &"too many reads"),
             _ => match connection.while_present(read_document(&state, name, query)).await {
-                Some(answer) => answer,
+                Some(response) => response,
                 None => return,
             },
         };
-        if connection.respond(answer).await.is_err() {
+        if connection.respond(response).await.is_err() {
             return;
         }
     }
@@ -117,14 +117,14 @@
             // With `stale_by` set, a version is returned even if it is not newer than `after`.
             && (number > after || state.faults.plan().stale_by > 0)
         {
-            let mut answer = http::Response::new(body);
-            answer.headers_mut().insert("x-document-number", number.into());
-            return answer;
+            let mut response = http::Response::new(body);
+            response.headers_mut().insert("x-document-number", number.into());
+            return response;
         }
         if started.elapsed() >= wait {
-            let mut answer = http::Response::new(Bytes::new());
-            *answer.status_mut() = http::StatusCode::NOT_MODIFIED;
-            return answer;
+            let mut response = http::Response::new(Bytes::new());
+            *response.status_mut() = http::StatusCode::NOT_MODIFIED;
+            return response;
         }
         monoio::time::sleep(WATCH_POLL_INTERVAL).await;
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -49,15 +49,15 @@
         let Ok(body) = connection.read_body(&mut incoming, limits).await else {
             return;
         };
-        let answer = match incoming.head.uri.path() {
+        let response = match incoming.head.uri.path() {
             "/faults" => engine::set_faults(&state.faults, &body),
             "/counts" => http_server::json_answer(200, &*state.counts.borrow()),
             path => match run_call(&state, &incoming, path).await {
-                Some(answer) => answer,
+                Some(response) => response,
                 None => return,
             },
         };
-        if connection.respond(answer).await.is_err() {
+        if connection.respond(response).await.is_err() {
             return;
         }
     }
@@ -72,9 +72,9 @@
 ) -> Option<http::Response<bytes::Bytes>> {
     let plan = state.faults.plan();
     if plan.draining || plan.refuse {
-        let mut answer = http_server::json_answer(503, &"refused, not run");
-        answer.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
-        return Some(answer);
+        let mut response = http_server::json_answer(503, &"refused, not run");
+        response.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
+        return Some(response);
     }
     let key = incoming.header("idempotency-key").unwrap_or_default().to_owned();
     let attempt = incoming.header("x-attempt-id").unwrap_or_default();
@@ -88,11 +88,11 @@
     if plan.close_before_answer {
         return None;
     }
-    let mut answer = http_server::json_answer(200, &format!("done {path}"));
+    let mut response = http_server::json_answer(200, &format!("done {path}"));
     if let Ok(value) = http::HeaderValue::from_str(attempt) {
-        answer.headers_mut().insert("x-attempt-id", value);
+        response.headers_mut().insert("x-attempt-id", value);
     }
-    Some(answer)
+    Some(response)
 }
 
 fn record_run(counts: &mut ServiceCounts, key: String, request: String) {
