--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -1,5 +1,7 @@
-//! What the decisions cost with settings and list of the planned size. Wall-clock: a measurement,
-//! not a bound.
+//! Measures the time and memory of routing decisions with settings and a fleet list of the planned
+//! size.
+//!
+//! Results are wall-clock times and depend on the computer, so no test bounds them.
 
 use std::{fs, hint, time};
 
@@ -7,90 +9,91 @@
     engine_ledger, entry_router, ids, placement, rendezvous, settings, settings_resolve, units,
 };
 
-/// Instances of the planned fleet.
+/// Number of instances in the planned fleet.
 const INSTANCES: usize = 380;
-/// Engines, here one for each runner.
+/// Number of engines in the planned fleet, one for each runner.
 const ENGINES: usize = 600;
-/// Customers.
+/// Number of customers in the settings.
 const CUSTOMERS: usize = 4_300;
-/// Data centres.
-const CENTERS: usize = 5;
-/// Models.
+/// Number of data centres over which instances and engines are spread.
+const DATA_CENTERS: usize = 5;
+/// Number of models that the engines serve.
 const MODELS: usize = 3;
-/// Times each decision is taken.
-const ROUNDS: u32 = 2_000;
+/// Number of repetitions over which the time of a decision is averaged.
+const ITERATIONS: u32 = 2_000;
 
-/// One measured row.
+/// The cost of an operation, formatted for output.
 pub struct CostRow {
-    /// What was done.
-    pub what: String,
-    /// How long it took, or how much it held.
+    /// Description of the operation.
+    pub operation: String,
+    /// Mean time or memory, with its unit.
     pub value: String,
 }
 
-/// Measures them all.
+/// Runs all measurements in this module.
 pub fn measure() -> Vec<CostRow> {
     let (settings_text, list_text) = (settings_text(), list_text());
-    let mut rows = vec![
-        row("settings document", format!("{} KiB", settings_text.len() / 1024)),
-        row("list document", format!("{} KiB", list_text.len() / 1024)),
+    let mut cost_rows = vec![
+        cost_row("settings document", format!("{} KiB", settings_text.len() / 1024)),
+        cost_row("list document", format!("{} KiB", list_text.len() / 1024)),
     ];
     let before = resident_kib();
-    let (tree, spent) = timed(|| settings::SettingsTree::parse(&settings_text));
+    let (tree, elapsed) = timed(|| settings::SettingsTree::parse(&settings_text));
     let tree = tree.expect("the generated settings are valid");
-    rows.push(row("read settings", format!("{spent:?}")));
-    rows.push(row("settings in memory, at most", format!("{} KiB", resident_kib() - before)));
-    let (list, spent) = timed(|| slipturn_core::fleet_list::FleetList::parse(&list_text));
+    cost_rows.push(cost_row("read settings", format!("{elapsed:?}")));
+    cost_rows
+        .push(cost_row("settings in memory, at most", format!("{} KiB", resident_kib() - before)));
+    let (list, elapsed) = timed(|| slipturn_core::fleet_list::FleetList::parse(&list_text));
     let list = list.expect("the generated list is valid");
-    rows.push(row("read list", format!("{spent:?}")));
-    let (_, spent) = timed(|| {
+    cost_rows.push(cost_row("read list", format!("{elapsed:?}")));
+    let (_, elapsed) = timed(|| {
         let owners = list
             .engines
             .iter()
             .map(|engine| rendezvous::engine_owner(&list, &engine.name, &engine.data_center));
         hint::black_box(owners.collect::<Vec<_>>())
     });
-    rows.push(row("owners of all engines", format!("{spent:?}")));
-    let caller = tree.identify(&key(CUSTOMERS / 2)).expect("the caller is known");
-    rows.push(each("find a caller", || tree.identify(&key(CUSTOMERS / 2)).is_some()));
+    cost_rows.push(cost_row("owners of all engines", format!("{elapsed:?}")));
+    let caller = tree.identify(&key(CUSTOMERS / 2)).expect("the settings contain the key");
+    cost_rows.push(mean_cost("find a caller", || tree.identify(&key(CUSTOMERS / 2)).is_some()));
     let prompt = units::TokenCount(5_000);
-    rows.push(each("resolve its settings", || tree.resolve(&caller, prompt).is_some()));
-    rows.extend(measure_router(&settings_text, list));
-    rows.push(measure_ledger());
-    rows.push(row(
+    cost_rows.push(mean_cost("resolve its settings", || tree.resolve(&caller, prompt).is_some()));
+    cost_rows.extend(measure_router(&settings_text, list));
+    cost_rows.push(measure_ledger());
+    cost_rows.push(cost_row(
         "resident memory after all, both roles' state",
         format!("{} KiB", resident_kib()),
     ));
-    rows
+    cost_rows
 }
 
 fn measure_router(text: &str, list: slipturn_core::fleet_list::FleetList) -> Vec<CostRow> {
-    let name = |text: &str| text.parse().expect("a valid name");
+    let name = |text: &str| text.parse().expect("the name is valid");
     let hour = time::Duration::from_secs(3_600);
     let now = units::MonoTime(0);
-    let center: ids::DataCenterId = "dc-0".parse().expect("a valid name");
+    let center: ids::DataCenterId = "dc-0".parse().expect("the name is valid");
     let mut router = entry_router::EntryRouter::new(name("instance-0"), center, hour, 1);
     router.offer_settings(now, text);
     router.offer_list(list);
     router.note_sources_asked(now, 0);
     let question = entry_router::PlanQuestion {
         key: key(17),
-        model: "model-0".parse().expect("a valid name"),
+        model: "model-0".parse().expect("the name is valid"),
         prompt: units::TokenCount(5_000),
         output: None,
         requested_limit: None,
     };
-    let grant = router.plan(now, &question).expect("the caller is known");
+    let grant = router.plan(now, &question).expect("the settings contain the key");
     let fleet = grant.fleet.fleet.clone();
     vec![
-        each("plan a request", || router.plan(now, &question).is_ok()),
-        each("sample engines for it", || {
+        mean_cost("plan a request", || router.plan(now, &question).is_ok()),
+        mean_cost("sample engines for it", || {
             !router.candidates(now, &question, &fleet, 1, &[]).is_empty()
         }),
     ]
 }
 
-/// A ledger with 64 leases and 64 requests waiting.
+/// Measures an offer by a ledger with 64 leases and 64 queued requests.
 fn measure_ledger() -> CostRow {
     let now = units::MonoTime(0);
     let (memory, rate) = (units::TokenCount(400_000), units::TokenRate(100_000.0));
@@ -99,10 +102,10 @@
     let report = placement::EngineReport { memory, ..Default::default() };
     ledger.report(now, &report);
     let request = |number: u64| placement::PlaceRequest {
-        attempt: format!("instance-0:1:{number:x}:1").parse().expect("a valid name"),
-        entry: "instance-0".parse().expect("a valid name"),
+        attempt: format!("instance-0:1:{number:x}:1").parse().expect("the name is valid"),
+        entry: "instance-0".parse().expect("the name is valid"),
         boot: ids::BootId(1),
-        customer: format!("customer-{}", number % 40).parse().expect("a valid name"),
+        customer: format!("customer-{}", number % 40).parse().expect("the name is valid"),
         weight: 1.0,
         prompt: units::TokenCount(4_000),
         cached: units::TokenCount::ZERO,
@@ -115,23 +118,24 @@
     for number in 0..128 {
         ledger.enqueue(now, request(number));
     }
-    let asked = request(1_000);
-    each("offer of an engine with a full queue", || ledger.offer(now, &asked).is_ok())
+    let new_request = request(1_000);
+    mean_cost("offer of an engine with a full queue", || ledger.offer(now, &new_request).is_ok())
 }
 
-fn each(what: &'static str, mut work: impl FnMut() -> bool) -> CostRow {
-    let (_, spent) = timed(|| (0..ROUNDS).filter(|_| hint::black_box(work())).count());
-    row(what, format!("{:?}", spent / ROUNDS))
+/// Returns the mean time of `workload` over [`ITERATIONS`] runs.
+fn mean_cost(operation: &'static str, mut workload: impl FnMut() -> bool) -> CostRow {
+    let (_, elapsed) = timed(|| (0..ITERATIONS).filter(|_| hint::black_box(workload())).count());
+    cost_row(operation, format!("{:?}", elapsed / ITERATIONS))
 }
 
-fn timed<T>(work: impl FnOnce() -> T) -> (T, time::Duration) {
+fn timed<T>(workload: impl FnOnce() -> T) -> (T, time::Duration) {
     let started = time::Instant::now();
-    let done = work();
-    (done, started.elapsed())
+    let result = workload();
+    (result, started.elapsed())
 }
 
-pub(crate) fn row(what: impl Into<String>, value: String) -> CostRow {
-    CostRow { what: what.into(), value }
+pub(crate) fn cost_row(operation: impl Into<String>, value: String) -> CostRow {
+    CostRow { operation: operation.into(), value }
 }
 
 fn key(customer: usize) -> String {
@@ -153,7 +157,7 @@
 fn list_text() -> String {
     let mut text = "revision: 1\ninstances:\n".to_owned();
     for instance in 0..INSTANCES {
-        let (center, host) = (instance % CENTERS, instance / 250);
+        let (center, host) = (instance % DATA_CENTERS, instance / 250);
         let address = format!("10.{center}.{host}.{}", instance % 250 + 1);
         text += &format!(
             "- {{name: instance-{instance}, data_center: dc-{center}, entry: \"{address}:80\", \
@@ -162,7 +166,7 @@
     }
     text += "engines:\n";
     for engine in 0..ENGINES {
-        let (center, model) = (engine % CENTERS, engine % MODELS);
+        let (center, model) = (engine % DATA_CENTERS, engine % MODELS);
         text += &format!(
             "- {{name: engine-{engine}, data_center: dc-{center}, model: model-{model}, address: \
              \"10.9.{}.{}:80\", memory: 400000, prefill_rate: 100000}}\n",
@@ -173,7 +177,7 @@
     text
 }
 
-/// Resident memory of this process; zero where the system does not tell.
+/// Returns the resident memory of this process in KiB; 0 if the system does not report it.
 fn resident_kib() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/compare/src/summary.rs
+++ b/crates/compare/src/summary.rs
@@ -1,4 +1,4 @@
-//! Figures of a run.
+//! Summarises the results of a run.
 
 use std::time;
 
@@ -7,85 +7,88 @@
 
 use crate::{policy_run, scenario};
 
-/// Figures of one run.
+/// Latency and throughput of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunSummary {
     /// Time to first token by length band, percentiles 50, 95 and 99 in milliseconds.
     pub bands: Vec<(&'static str, [f64; 3])>,
-    /// The same for prompts up to 2,000 tokens.
-    pub shorts: [f64; 3],
-    /// The same for the other small customers, beside the one that may flood.
-    pub neighbours: [f64; 3],
-    /// Requests.
+    /// Time to first token of prompts of up to 2,000 tokens, percentiles as in `bands`.
+    pub short_prompts: [f64; 3],
+    /// Time to first token of the small customers other than the one to which
+    /// [`scenario::RunScenario::flood_factor`] applies, percentiles as in `bands`.
+    pub other_small_customers: [f64; 3],
+    /// Number of requests.
     pub requests: usize,
-    /// Whole answers.
-    pub whole: usize,
-    /// Refusals.
+    /// Number of requests that completed.
+    pub completed: usize,
+    /// Number of requests that were refused.
     pub refused: usize,
-    /// Admitted and not finished in time, or cut.
+    /// Number of requests that were admitted but timed out or lost their engine.
     pub failed: usize,
-    /// Share of admitted prompts over 100,000 tokens that ended whole.
-    pub long_whole: f64,
-    /// Prompt and output tokens of whole answers, a second of the run.
-    pub useful_tokens: f64,
-    /// Longest time to a refusal, in milliseconds.
-    pub slowest_refusal: f64,
-    /// Attempts for each request.
-    pub attempts: f64,
+    /// Share of admitted requests with prompts over 100,000 tokens that completed.
+    pub long_completion_share: f64,
+    /// Prompt and output tokens of completed requests per second of the run.
+    pub goodput: f64,
+    /// Longest time from arrival to refusal, in milliseconds.
+    pub slowest_refusal_ms: f64,
+    /// Mean number of attempts that reached an engine per request.
+    pub attempts_per_request: f64,
 }
 
-/// Sums a run up.
-pub fn summarise(
+/// Computes the summary of a run from its results.
+pub fn summarize(
     scenario: &scenario::RunScenario,
     results: &[policy_run::RequestResult],
 ) -> RunSummary {
-    let first_tokens = |takes: &dyn Fn(&arrivals::Arrival) -> bool| {
-        let whole = results.iter().filter(|result| takes(&result.arrival));
-        let whole = whole.filter_map(|result| match result.outcome {
-            policy_run::RequestOutcome::Whole(first_token, _) => Some(first_token),
+    let first_tokens = |matches_filter: &dyn Fn(&arrivals::Arrival) -> bool| {
+        let completed = results.iter().filter(|result| matches_filter(&result.arrival));
+        let completed = completed.filter_map(|result| match result.outcome {
+            policy_run::RequestOutcome::Completed(first_token, _) => Some(first_token),
             _ => None,
         });
-        report::percentiles(whole.collect())
+        report::percentiles(completed.collect())
     };
     let band = |name: &'static str| {
-        let takes = move |arrival: &arrivals::Arrival| {
+        let matches_filter = move |arrival: &arrivals::Arrival| {
             histogram::band_name(units::TokenCount(arrival.prompt)) == name
         };
-        (name, first_tokens(&takes))
+        (name, first_tokens(&matches_filter))
     };
-    let count = |takes: &dyn Fn(&policy_run::RequestResult) -> bool| {
-        results.iter().filter(|result| takes(result)).count()
+    let count = |matches_filter: &dyn Fn(&policy_run::RequestResult) -> bool| {
+        results.iter().filter(|result| matches_filter(result)).count()
     };
-    let whole = |result: &policy_run::RequestResult| {
-        matches!(result.outcome, policy_run::RequestOutcome::Whole(..))
+    let completed = |result: &policy_run::RequestResult| {
+        matches!(result.outcome, policy_run::RequestOutcome::Completed(..))
     };
     let refused = |result: &policy_run::RequestResult| {
         matches!(result.outcome, policy_run::RequestOutcome::Refused(_))
     };
-    let long = |result: &policy_run::RequestResult| result.arrival.prompt > arrivals::LONG_PROMPT;
+    let long =
+        |result: &policy_run::RequestResult| result.arrival.prompt > arrivals::LONG_PROMPT_TOKENS;
     let admitted_long = count(&|result| long(result) && !refused(result));
     let useful: u64 = results
         .iter()
-        .filter(|result| whole(result))
+        .filter(|result| completed(result))
         .map(|result| result.arrival.prompt + result.arrival.output)
         .sum();
     let slowest = results.iter().filter_map(|result| match result.outcome {
-        policy_run::RequestOutcome::Refused(spent) => Some(spent),
+        policy_run::RequestOutcome::Refused(time_to_refusal) => Some(time_to_refusal),
         _ => None,
     });
     let attempts: u32 = results.iter().map(|result| result.attempts).sum();
     RunSummary {
         bands: histogram::BAND_BOUNDS.iter().map(|(_, name)| band(name)).collect(),
-        shorts: first_tokens(&|arrival| arrival.prompt <= scenario::SHORT_PROMPT),
-        neighbours: first_tokens(&|arrival| arrival.key > 3),
+        short_prompts: first_tokens(&|arrival| arrival.prompt <= scenario::SHORT_PROMPT_TOKENS),
+        // Customers 0 to 2 are the large ones; 3 is the one that may exceed its share.
+        other_small_customers: first_tokens(&|arrival| arrival.key > 3),
         requests: results.len(),
-        whole: count(&whole),
+        completed: count(&completed),
         refused: count(&refused),
-        failed: results.len() - count(&whole) - count(&refused),
-        long_whole: count(&|result| long(result) && whole(result)) as f64
+        failed: results.len() - count(&completed) - count(&refused),
+        long_completion_share: count(&|result| long(result) && completed(result)) as f64
             / (admitted_long as f64).max(1.0),
-        useful_tokens: useful as f64 / scenario.length.as_secs_f64(),
-        slowest_refusal: slowest.max().unwrap_or(time::Duration::ZERO).as_secs_f64() * 1_000.0,
-        attempts: f64::from(attempts) / (results.len() as f64).max(1.0),
+        goodput: useful as f64 / scenario.length.as_secs_f64(),
+        slowest_refusal_ms: slowest.max().unwrap_or(time::Duration::ZERO).as_secs_f64() * 1_000.0,
+        attempts_per_request: f64::from(attempts) / (results.len() as f64).max(1.0),
     }
 }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! Makes one request as a caller would, and checks its answer.
+//! Sends a streamed completion request and checks the response.
 
 use std::{net, time};
 
@@ -9,58 +9,58 @@
 
 use crate::arrivals;
 
-/// Largest piece of an answer.
-const MAX_PIECE: u64 = 4 << 20;
-/// Longest a caller waits.
-const CALLER_LIMIT: time::Duration = time::Duration::from_secs(600);
-/// Bytes of prompt that count as one token.
-const BYTES_PER_TOKEN: u64 = 4;
-/// Filler of prompts.
-const FILLER: &str = "abcdefghijklmno ";
+/// Largest accepted chunk of a response, and largest accepted error body.
+const MAX_READ_BYTES: u64 = 4 << 20;
+/// Timeout of a request, from sending it to the end of its response.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(600);
+/// Bytes of a prompt that count as one token, as in the stand-in engine.
+const PROMPT_BYTES_PER_TOKEN: u64 = 4;
+/// Text that is repeated to fill a prompt.
+const PROMPT_FILLER: &str = "abcdefghijklmno ";
 
-/// How a request went.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallOutcome {
-    /// Whole and right.
+    /// The response was complete and correct.
     Whole {
-        /// Until the first piece.
+        /// Time to the first chunk.
         first_token: time::Duration,
-        /// Until the end.
+        /// Time to the end of the response.
         total: time::Duration,
-        /// Longest pause between two pieces.
+        /// Longest time between two chunks.
         longest_gap: time::Duration,
-        /// slipturn's id of the request.
+        /// Request id that slipturn returned; empty if it returned none.
         request: String,
     },
-    /// Refused, with what was said.
+    /// The request was refused with a readable error body.
     Refused {
         /// HTTP status.
         status: u16,
-        /// Code.
+        /// Error code.
         code: String,
-        /// Whether it ran.
+        /// The `ran` field of the error body: whether the request ran.
         ran: String,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Option<time::Duration>,
-        /// Until the answer.
+        /// Time to the end of the error body.
         after: time::Duration,
     },
-    /// Began and then told of a failure.
+    /// The response began but ended with an error event or without its last event.
     Cut(String),
-    /// Whole by its own word, but not the answer to this prompt.
+    /// The response ended normally but its text is wrong; holds the first 60 characters.
     Wrong(String),
-    /// The connection failed.
+    /// The connection failed, the error body was unreadable or the request timed out.
     Failed(String),
 }
 
-/// Where and how to call.
+/// Destination and credentials of a request.
 #[derive(Debug, Clone)]
 pub struct CallTarget {
-    /// The entry, or an engine called directly.
+    /// Address of an entry or an engine.
     pub address: net::SocketAddr,
-    /// The caller's key.
+    /// API key, sent as bearer token.
     pub key: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
 }
 
@@ -77,85 +77,86 @@
     retry_after_ms: Option<u64>,
 }
 
-/// The messages of an arrival's prompt.
+/// Returns the chat messages for an arrival, filled to about the length of its prompt.
 pub fn messages(arrival: &arrivals::Arrival) -> serde_json::Value {
-    let length = usize::try_from(arrival.prompt * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
+    let length = usize::try_from(arrival.prompt * PROMPT_BYTES_PER_TOKEN).unwrap_or(usize::MAX);
     let start = format!("request {} of this run: ", arrival.number);
-    let filler = FILLER.repeat(length / FILLER.len() + 1);
+    let filler = PROMPT_FILLER.repeat(length / PROMPT_FILLER.len() + 1);
     let mut content = start + &filler;
-    // The members around the content count too; a prompt has about the length asked for.
+    // The JSON around the content counts towards the prompt length, so it is subtracted.
     content.truncate(length.saturating_sub(34).max(1));
     serde_json::json!([{ "role": "user", "content": content }])
 }
 
-/// Makes the request, streamed, and checks the answer.
+/// Sends the request with streaming enabled and checks the response.
 pub async fn call(
     pool: &http_client::ConnectionPool,
     target: &CallTarget,
     arrival: &arrivals::Arrival,
 ) -> CallOutcome {
     let messages = messages(arrival);
-    let mark = engine::answer_mark(&messages.to_string());
+    let fingerprint = engine::prompt_fingerprint(&messages.to_string());
     let body = serde_json::json!({
         "model": target.model,
         "messages": messages,
         "max_tokens": arrival.output,
         "stream": true,
     });
-    let mut call = http::Request::new(Bytes::from(body.to_string()));
+    let mut http_request = http::Request::new(Bytes::from(body.to_string()));
     drop(messages);
-    *call.method_mut() = http::Method::POST;
-    *call.uri_mut() = http::Uri::from_static("/v1/chat/completions");
-    let headers = call.headers_mut();
+    *http_request.method_mut() = http::Method::POST;
+    *http_request.uri_mut() = http::Uri::from_static("/v1/chat/completions");
+    let headers = http_request.headers_mut();
     if let Ok(value) = http::HeaderValue::try_from(format!("Bearer {}", target.key)) {
         headers.insert(http::header::AUTHORIZATION, value);
     }
-    // For an engine called directly, which tells its requests apart by it.
-    if let Ok(value) = http::HeaderValue::try_from(format!("load:{mark}")) {
+    // An engine that is called directly identifies its requests by attempt id.
+    if let Ok(value) = http::HeaderValue::try_from(format!("load:{fingerprint}")) {
         headers.insert("x-attempt-id", value);
     }
     headers.insert(http::header::CONTENT_TYPE, http::HeaderValue::from_static("application/json"));
-    let calling = answer(pool, target, call, &mark, arrival.output);
-    let outcome = monoio::time::timeout(CALLER_LIMIT, calling).await;
-    outcome.unwrap_or_else(|_| CallOutcome::Failed("no end in sight".to_owned()))
+    let exchange = receive_response(pool, target, http_request, &fingerprint, arrival.output);
+    let outcome = monoio::time::timeout(CALL_TIMEOUT, exchange).await;
+    outcome.unwrap_or_else(|_| CallOutcome::Failed("the request timed out".to_owned()))
 }
 
-async fn answer(
+async fn receive_response(
     pool: &http_client::ConnectionPool,
     target: &CallTarget,
-    call: http::Request<Bytes>,
-    mark: &str,
+    http_request: http::Request<Bytes>,
+    fingerprint: &str,
     output: u64,
 ) -> CallOutcome {
     let started = time::Instant::now();
-    let pooled = http_client::ConnectionUse::Pooled;
-    let mut answer = match pool.call(target.address, pooled, call).await {
-        Ok(answer) => answer,
+    let connection_use = http_client::ConnectionUse::Pooled;
+    let mut response = match pool.call(target.address, connection_use, http_request).await {
+        Ok(response) => response,
         Err(error) => return CallOutcome::Failed(error.to_string()),
     };
-    if !answer.head.status.is_success() {
-        return refused(&mut answer, started).await;
+    if !response.head.status.is_success() {
+        return read_refusal(&mut response, started).await;
     }
-    let request = answer.header("slipturn-request-id").unwrap_or_default().to_owned();
+    let request = response.header("slipturn-request-id").unwrap_or_default().to_owned();
     let mut text = Vec::new();
-    let (mut first_token, mut last, mut longest_gap) = (None, started, time::Duration::ZERO);
+    let (mut first_token, mut last_chunk_at, mut longest_gap) =
+        (None, started, time::Duration::ZERO);
     loop {
-        match answer.next_piece(MAX_PIECE).await {
-            Ok(Some(piece)) => {
+        match response.next_piece(MAX_READ_BYTES).await {
+            Ok(Some(chunk)) => {
                 if first_token.is_none() {
                     first_token = Some(started.elapsed());
                 } else {
-                    longest_gap = longest_gap.max(last.elapsed());
+                    longest_gap = longest_gap.max(last_chunk_at.elapsed());
                 }
-                last = time::Instant::now();
-                text.extend_from_slice(&piece);
+                last_chunk_at = time::Instant::now();
+                text.extend_from_slice(&chunk);
             }
             Ok(None) => break,
-            Err(error) => return CallOutcome::Failed(format!("mid-answer: {error}")),
+            Err(error) => return CallOutcome::Failed(format!("mid-response: {error}")),
         }
     }
     let total = started.elapsed();
-    match check(&String::from_utf8_lossy(&text), mark, output) {
+    match check_response(&String::from_utf8_lossy(&text), fingerprint, output) {
         Ok(()) => {
             let first_token = first_token.unwrap_or(total);
             CallOutcome::Whole { first_token, total, longest_gap, request }
@@ -164,12 +165,12 @@
     }
 }
 
-async fn refused(
-    answer: &mut http_client::StreamedResponse<'_>,
+async fn read_refusal(
+    response: &mut http_client::StreamedResponse<'_>,
     started: time::Instant,
 ) -> CallOutcome {
-    let status = answer.head.status.as_u16();
-    let body = answer.read_full_body(MAX_PIECE).await.unwrap_or_default();
+    let status = response.head.status.as_u16();
+    let body = response.read_full_body(MAX_READ_BYTES).await.unwrap_or_default();
     let after = started.elapsed();
     match serde_json::from_slice::<ErrorBody>(&body) {
         Ok(body) => CallOutcome::Refused {
@@ -179,13 +180,14 @@
             retry_after: body.error.retry_after_ms.map(time::Duration::from_millis),
             after,
         },
-        Err(_) => CallOutcome::Failed(format!("{status} without a readable body")),
+        Err(_) => CallOutcome::Failed(format!("status {status} with an unreadable error body")),
     }
 }
 
-/// Compares an answer with the one the stand-in gives for the prompt.
-pub fn check(text: &str, mark: &str, output: u64) -> Result<(), CallOutcome> {
-    let mut words = String::new();
+/// Checks that the event stream `text` is complete and holds the output that the stand-in engine
+/// generates for the prompt with this fingerprint.
+pub fn check_response(text: &str, fingerprint: &str, output: u64) -> Result<(), CallOutcome> {
+    let mut output_text = String::new();
     let mut done = false;
     for line in text.lines() {
         let Some(data) = line.strip_prefix("data: ") else {
@@ -199,14 +201,14 @@
             return Err(CallOutcome::Cut(format!("{}: {}", body.error.code, body.error.message)));
         }
         let value: serde_json::Value = serde_json::from_str(data).unwrap_or_default();
-        words += value["choices"][0]["delta"]["content"].as_str().unwrap_or("?");
+        output_text += value["choices"][0]["delta"]["content"].as_str().unwrap_or("?");
     }
     if !done {
-        return Err(CallOutcome::Cut("no last event".to_owned()));
+        return Err(CallOutcome::Cut("the stream ended without its last event".to_owned()));
     }
-    let expected: String = (0..output).map(|index| format!("{mark}-{index} ")).collect();
-    if words != expected {
-        let start: String = words.chars().take(60).collect();
+    let expected: String = (0..output).map(|index| format!("{fingerprint}-{index} ")).collect();
+    if output_text != expected {
+        let start: String = output_text.chars().take(60).collect();
         return Err(CallOutcome::Wrong(start));
     }
     Ok(())
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,8 +1,9 @@
-//! An engine over HTTP, around the model.
+//! An HTTP engine that runs an [`engine_model::EngineModel`] in real time.
 //!
-//! `POST /v1/chat/completions` and `/v1/completions` take requests, `GET /v1/load` tells of load
-//! and attempts held, `POST /v1/cancel` and `/v1/kv/reserve` take orders, `POST /faults` turns
-//! faults on, `GET /counts` tells tests what was run.
+//! - `POST /v1/chat/completions` and `/v1/completions` run a request.
+//! - `GET /v1/load` returns the load and the attempts that hold memory.
+//! - `POST /v1/cancel` aborts an attempt, `POST /v1/kv/reserve` reserves memory for one.
+//! - `POST /faults` sets the simulated faults, `GET /counts` returns counters for tests.
 
 use std::{cell, collections, rc, time};
 
@@ -14,36 +15,36 @@
 
 use crate::{engine_model, faults};
 
-/// Length of a step of the model.
+/// Time between two steps of the model.
 const STEP: time::Duration = time::Duration::from_millis(5);
-/// Largest accepted body.
-const MAX_BODY: u64 = 64 << 20;
-/// Bytes of prompt that count as one token.
-const BYTES_PER_TOKEN: u64 = 4;
-/// Bytes at a prompt's start that the prefix cache compares.
+/// Largest accepted request body.
+const MAX_BODY_BYTES: u64 = 64 << 20;
+/// Bytes of a prompt that count as one token.
+const PROMPT_BYTES_PER_TOKEN: u64 = 4;
+/// Length of the start of a prompt that identifies its prefix in the cache.
 const PREFIX_BYTES: usize = 4_096;
-/// Load reports kept, to answer with an old one.
+/// Number of load reports kept for `report_lag_ms`: about 10 s, at one for each step.
 const MAX_REPORTS: usize = 2_000;
 
-type Pieces = mpsc::UnboundedSender<engine_model::EngineOutput>;
+type OutputSender = mpsc::UnboundedSender<engine_model::EngineOutput>;
 
-/// What the engine has run, for tests.
+/// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RunCounts {
-    /// Requests started, by attempt.
+    /// Number of starts by attempt id.
     pub started: collections::BTreeMap<String, u64>,
-    /// Requests refused, not run.
+    /// Requests refused before they ran.
     pub refused: u64,
-    /// Requests that ended whole.
+    /// Requests that generated all of their output.
     pub done: u64,
-    /// Requests given up.
+    /// Running requests and reservations that were aborted.
     pub cancelled: u64,
-    /// Most memory held at once, in tokens.
+    /// Peak memory use in tokens, sampled at each step.
     pub peak_held: u64,
 }
 
 #[derive(Debug, Clone, Serialize)]
-struct HeldRow {
+struct AttemptMemory {
     attempt: String,
     tokens: u64,
 }
@@ -55,34 +56,36 @@
     prefill_backlog: u64,
     age_ms: u64,
     running: usize,
-    held: Vec<HeldRow>,
+    held: Vec<AttemptMemory>,
 }
 
-/// State shared by the engine's tasks.
+/// State shared by the tasks of an engine.
 struct EngineState {
     model: cell::RefCell<engine_model::EngineModel>,
-    outputs: cell::RefCell<collections::HashMap<String, Pieces>>,
+    /// Channels to the tasks that write the responses, by attempt id.
+    outputs: cell::RefCell<collections::HashMap<String, OutputSender>>,
+    /// Latest load reports with the time of each, oldest first.
     reports: cell::RefCell<collections::VecDeque<(time::Instant, LoadReport)>>,
     counts: cell::RefCell<RunCounts>,
     faults: faults::SharedFaults,
 }
 
-/// Serves an engine on `listener` for ever.
-pub async fn run(listener: monoio::net::TcpListener, shape: engine_model::EngineShape) {
+/// Serves an engine on `listener`; never returns.
+pub async fn run(listener: monoio::net::TcpListener, parameters: engine_model::EngineParameters) {
     let state = rc::Rc::new(EngineState {
-        model: cell::RefCell::new(engine_model::EngineModel::new(shape)),
+        model: cell::RefCell::new(engine_model::EngineModel::new(parameters)),
         outputs: cell::RefCell::default(),
         reports: cell::RefCell::default(),
         counts: cell::RefCell::default(),
         faults: faults::SharedFaults::default(),
     });
-    monoio::spawn(work(rc::Rc::clone(&state)));
+    monoio::spawn(run_model(rc::Rc::clone(&state)));
     http_server::accept_all(listener, move |connection| serve(rc::Rc::clone(&state), connection))
         .await;
 }
 
-/// Steps the model by the clock, and passes on what it gives out.
-async fn work(state: rc::Rc<EngineState>) {
+/// Steps the model in real time and forwards its outputs.
+async fn run_model(state: rc::Rc<EngineState>) {
     let clock = process::ProcessClock::start();
     let mut last = clock.now();
     loop {
@@ -91,18 +94,19 @@
         let outputs = state.model.borrow_mut().step(now.since(last));
         last = now;
         for output in outputs {
-            pass_on(&state, output);
+            forward_output(&state, output);
         }
-        keep_report(&state);
+        record_report(&state);
     }
 }
 
-fn pass_on(state: &EngineState, output: engine_model::EngineOutput) {
+fn forward_output(state: &EngineState, output: engine_model::EngineOutput) {
     let mut senders = state.outputs.borrow_mut();
     match &output {
         engine_model::EngineOutput::Tokens(attempt, ..) => {
             if let Some(sender) = senders.get(attempt) {
-                // A reader that has gone is noticed by the task that serves it.
+                // A closed channel is ignored: the task that writes the response detects the
+                // disconnect.
                 let _ = sender.unbounded_send(output);
             }
         }
@@ -115,10 +119,13 @@
     }
 }
 
-fn keep_report(state: &EngineState) {
+fn record_report(state: &EngineState) {
     let model = state.model.borrow();
-    let held: Vec<_> =
-        model.holds().into_iter().map(|(attempt, tokens)| HeldRow { attempt, tokens }).collect();
+    let held: Vec<_> = model
+        .memory_by_attempt()
+        .into_iter()
+        .map(|(attempt, tokens)| AttemptMemory { attempt, tokens })
+        .collect();
     let report = LoadReport {
         draining: state.faults.plan().draining,
         memory_tokens: model.memory(),
@@ -138,38 +145,38 @@
 
 async fn serve(state: rc::Rc<EngineState>, mut connection: http_server::ServerConnection) {
     let limits =
-        http_server::BodyLimits { max_bytes: MAX_BODY, time: time::Duration::from_secs(60) };
+        http_server::BodyLimits { max_bytes: MAX_BODY_BYTES, time: time::Duration::from_secs(60) };
     while let Ok(Some(mut incoming)) = connection.next_head().await {
         let Ok(body) = connection.read_body(&mut incoming, limits).await else {
             return;
         };
         let path = incoming.head.uri.path().to_owned();
         if path == "/faults" {
-            let answer = set_faults(&state.faults, &body);
-            if connection.respond(answer).await.is_err() {
+            let response = set_faults(&state.faults, &body);
+            if connection.respond(response).await.is_err() {
                 return;
             }
             continue;
         }
         let plan = state.faults.plan();
         if plan.down {
-            // Nothing is said and nothing closed, as by a machine that has stopped.
+            // Neither responds nor closes the connection, like an instance that has stopped.
             monoio::time::sleep(time::Duration::from_secs(3_600)).await;
             return;
         }
-        let kept = if path.ends_with("/completions") {
+        let keep_open = if path.ends_with("/completions") {
             complete(&state, &mut connection, &incoming, &body).await
         } else {
-            let answer = answer_order(&state, &path, &body);
-            connection.respond(answer).await.is_ok()
+            let response = handle_control(&state, &path, &body);
+            connection.respond(response).await.is_ok()
         };
-        if !kept {
+        if !keep_open {
             return;
         }
     }
 }
 
-/// Puts a plan of faults in force.
+/// Replaces the fault plan by the JSON in `body`.
 pub fn set_faults(faults: &faults::SharedFaults, body: &[u8]) -> http::Response<Bytes> {
     match serde_json::from_slice(body) {
         Ok(plan) => {
@@ -181,21 +188,21 @@
 }
 
 #[derive(Deserialize)]
-struct OrderBody {
+struct ControlBody {
     attempt: String,
     #[serde(default)]
     tokens: u64,
 }
 
-fn answer_order(state: &EngineState, path: &str, body: &[u8]) -> http::Response<Bytes> {
+fn handle_control(state: &EngineState, path: &str, body: &[u8]) -> http::Response<Bytes> {
     match path {
-        "/v1/load" => http_server::json_response(200, &lagging_report(state)),
+        "/v1/load" => http_server::json_response(200, &delayed_report(state)),
         "/counts" => http_server::json_response(200, &*state.counts.borrow()),
-        "/v1/cancel" | "/v1/kv/reserve" => match serde_json::from_slice::<OrderBody>(body) {
-            Ok(order) if path == "/v1/cancel" => cancel(state, &order.attempt),
-            Ok(order) => {
-                let kept = state.model.borrow_mut().reserve(&order.attempt, order.tokens);
-                http_server::json_response(if kept { 200 } else { 503 }, &kept)
+        "/v1/cancel" | "/v1/kv/reserve" => match serde_json::from_slice::<ControlBody>(body) {
+            Ok(control) if path == "/v1/cancel" => cancel_attempt(state, &control.attempt),
+            Ok(control) => {
+                let reserved = state.model.borrow_mut().reserve(&control.attempt, control.tokens);
+                http_server::json_response(if reserved { 200 } else { 503 }, &reserved)
             }
             Err(error) => http_server::json_response(400, &error.to_string()),
         },
@@ -203,12 +210,13 @@
     }
 }
 
-fn lagging_report(state: &EngineState) -> LoadReport {
+/// Returns the newest report that is at least `report_lag_ms` old, or else the oldest one.
+fn delayed_report(state: &EngineState) -> LoadReport {
     let lag = time::Duration::from_millis(state.faults.plan().report_lag_ms);
     let reports = state.reports.borrow();
-    let old_enough = |entry: &&(time::Instant, LoadReport)| entry.0.elapsed() >= lag;
-    let found = reports.iter().rev().find(old_enough).or_else(|| reports.front());
-    let Some((taken, report)) = found else {
+    let is_old_enough = |entry: &&(time::Instant, LoadReport)| entry.0.elapsed() >= lag;
+    let matching = reports.iter().rev().find(is_old_enough).or_else(|| reports.front());
+    let Some((recorded_at, report)) = matching else {
         let memory_tokens = state.model.borrow().memory();
         return LoadReport {
             draining: false,
@@ -219,22 +227,23 @@
             held: Vec::new(),
         };
     };
-    let age_ms = u64::try_from(taken.elapsed().as_millis()).unwrap_or(u64::MAX);
+    let age_ms = u64::try_from(recorded_at.elapsed().as_millis()).unwrap_or(u64::MAX);
     LoadReport { age_ms, ..report.clone() }
 }
 
-fn cancel(state: &EngineState, attempt: &str) -> http::Response<Bytes> {
+fn cancel_attempt(state: &EngineState, attempt: &str) -> http::Response<Bytes> {
     if state.faults.plan().ignore_cancels {
         return http_server::json_response(200, &false);
     }
-    http_server::json_response(200, &give_up(state, attempt))
+    http_server::json_response(200, &abort_attempt(state, attempt))
 }
 
-fn give_up(state: &EngineState, attempt: &str) -> bool {
+/// Aborts an attempt in the model. Returns whether the model had it.
+fn abort_attempt(state: &EngineState, attempt: &str) -> bool {
     state.outputs.borrow_mut().remove(attempt);
-    let was_there = state.model.borrow_mut().cancel(attempt);
-    state.counts.borrow_mut().cancelled += u64::from(was_there);
-    was_there
+    let existed = state.model.borrow_mut().cancel(attempt);
+    state.counts.borrow_mut().cancelled += u64::from(existed);
+    existed
 }
 
 #[derive(Deserialize)]
@@ -249,7 +258,7 @@
     stream: bool,
 }
 
-/// Serves a completion; `false` when the connection must be closed.
+/// Runs a completion and sends its response. Returns `false` if the connection must be closed.
 async fn complete(
     state: &rc::Rc<EngineState>,
     connection: &mut http_server::ServerConnection,
@@ -258,42 +267,43 @@
 ) -> bool {
     let plan = state.faults.plan();
     monoio::time::sleep(time::Duration::from_millis(plan.delay_ms)).await;
-    let asked: CompletionBody = match serde_json::from_slice(body) {
-        Ok(asked) => asked,
+    let completion: CompletionBody = match serde_json::from_slice(body) {
+        Ok(completion) => completion,
         Err(error) => {
-            let answer = http_server::json_response(400, &error.to_string());
-            return connection.respond(answer).await.is_ok();
+            let response = http_server::json_response(400, &error.to_string());
+            return connection.respond(response).await.is_ok();
         }
     };
-    let text = if asked.messages.is_null() { &asked.prompt } else { &asked.messages };
+    let text =
+        if completion.messages.is_null() { &completion.prompt } else { &completion.messages };
     let text = text.to_string();
-    let request = engine_request(incoming, &text, asked.max_tokens.unwrap_or(16));
+    let request = engine_request(incoming, &text, completion.max_tokens.unwrap_or(16));
     let attempt = request.attempt.clone();
     if plan.draining || plan.refuse || !state.model.borrow_mut().start(request) {
         state.counts.borrow_mut().refused += 1;
-        let mut answer = http_server::json_response(503, &"refused, not run");
-        answer.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
-        return connection.respond(answer).await.is_ok();
+        let mut response = http_server::json_response(503, &"refused, not run");
+        response.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
+        return connection.respond(response).await.is_ok();
     }
     *state.counts.borrow_mut().started.entry(attempt.clone()).or_default() += 1;
-    let (sender, pieces) = mpsc::unbounded();
+    let (sender, receiver) = mpsc::unbounded();
     state.outputs.borrow_mut().insert(attempt.clone(), sender);
     if plan.close_before_answer {
-        give_up(state, &attempt);
+        abort_attempt(state, &attempt);
         return false;
     }
-    let answer = CompletionAnswer {
+    let response = CompletionResponse {
         state,
         plan,
         attempt: attempt.clone(),
-        mark: answer_mark(&text),
-        stream: asked.stream,
+        fingerprint: prompt_fingerprint(&text),
+        stream: completion.stream,
     };
-    let whole = answer.send(connection, pieces).await;
-    if !whole && !state.faults.plan().ignore_disconnects {
-        give_up(state, &attempt);
+    let finished = response.send(connection, receiver).await;
+    if !finished && !state.faults.plan().ignore_disconnects {
+        abort_attempt(state, &attempt);
     }
-    whole
+    finished
 }
 
 fn engine_request(
@@ -301,7 +311,7 @@
     text: &str,
     output: u64,
 ) -> engine_model::EngineRequest {
-    let prompt = (text.len() as u64).div_ceil(BYTES_PER_TOKEN);
+    let prompt = (text.len() as u64).div_ceil(PROMPT_BYTES_PER_TOKEN);
     let peers = incoming.header("x-kv-peers").map_or(0, |peers| peers.split(',').count() as u64);
     let prefix = &text.as_bytes()[..text.len().min(PREFIX_BYTES)];
     let hash = rendezvous::stable_hash(&[&String::from_utf8_lossy(prefix)]);
@@ -311,43 +321,45 @@
         output,
         memory: (prompt + output).div_ceil(peers + 1),
         priority: incoming.header("x-priority").and_then(|text| text.parse().ok()).unwrap_or(0),
-        prefix: (hash, (prefix.len() as u64).div_ceil(BYTES_PER_TOKEN)),
+        prefix: (hash, (prefix.len() as u64).div_ceil(PROMPT_BYTES_PER_TOKEN)),
     }
 }
 
-/// A word that only this prompt's answer has, so that a caller can tell its own answer.
-pub fn answer_mark(text: &str) -> String {
+/// Returns the prefix of every word of the response to the prompt `text`. Callers use it to check
+/// that a response belongs to their request.
+pub fn prompt_fingerprint(text: &str) -> String {
     format!("{:016x}", rendezvous::stable_hash(&[text]))
 }
 
-/// An answer on its way.
-struct CompletionAnswer<'state> {
+/// The parameters of one response.
+struct CompletionResponse<'state> {
     state: &'state EngineState,
     plan: faults::FaultPlan,
     attempt: String,
-    mark: String,
+    fingerprint: String,
     stream: bool,
 }
 
-impl CompletionAnswer<'_> {
+impl CompletionResponse<'_> {
+    /// Sends the output as it arrives. Returns `false` if the connection must be closed.
     async fn send(
         &self,
         connection: &mut http_server::ServerConnection,
-        mut pieces: mpsc::UnboundedReceiver<engine_model::EngineOutput>,
+        mut receiver: mpsc::UnboundedReceiver<engine_model::EngineOutput>,
     ) -> bool {
         if self.stream {
             let mut head = http::Response::new(());
-            self.mark_head(head.headers_mut());
+            self.set_attempt_header(head.headers_mut());
             let kind = http::HeaderValue::from_static("text/event-stream");
             head.headers_mut().insert(http::header::CONTENT_TYPE, kind);
             if connection.start_stream(&head).await.is_err() {
                 return false;
             }
         }
-        let mut words = String::new();
+        let mut output_text = String::new();
         let mut sent = 0;
         loop {
-            let Some(next) = connection.while_connected(pieces.next()).await else {
+            let Some(next) = connection.while_connected(receiver.next()).await else {
                 return false;
             };
             let Some(engine_model::EngineOutput::Tokens(_, first, count)) = next else {
@@ -357,7 +369,7 @@
                 return false;
             }
             if self.plan.short_after.is_some_and(|limit| sent >= limit) {
-                give_up(self.state, &self.attempt);
+                abort_attempt(self.state, &self.attempt);
                 return connection.finish_stream().await.is_ok();
             }
             if self.plan.hang_after.is_some_and(|limit| sent >= limit) {
@@ -366,40 +378,40 @@
                 let _ = connection.while_connected(monoio::time::sleep(hour)).await;
                 return false;
             }
-            let text = self.words(first, count);
+            let text = self.output_text(first, count);
             sent += 1;
             if self.stream {
-                if connection.send_piece(event(&text).as_bytes()).await.is_err() {
+                if connection.send_piece(sse_event(&text).as_bytes()).await.is_err() {
                     return false;
                 }
             } else {
-                words.push_str(&text);
+                output_text.push_str(&text);
             }
         }
         if self.stream {
             let done = connection.send_piece(b"data: [DONE]\n\n").await.is_ok();
             return done && connection.finish_stream().await.is_ok();
         }
-        let choice = serde_json::json!({ "index": 0, "message": { "content": words } });
-        let mut answer =
+        let choice = serde_json::json!({ "index": 0, "message": { "content": output_text } });
+        let mut response =
             http_server::json_response(200, &serde_json::json!({ "choices": [choice] }));
-        self.mark_head(answer.headers_mut());
-        connection.respond(answer).await.is_ok()
+        self.set_attempt_header(response.headers_mut());
+        connection.respond(response).await.is_ok()
     }
 
-    fn mark_head(&self, headers: &mut http::HeaderMap) {
+    fn set_attempt_header(&self, headers: &mut http::HeaderMap) {
         let attempt = if self.plan.wrong_attempt { "another:0:1:1" } else { &self.attempt };
         if let Ok(value) = http::HeaderValue::from_str(attempt) {
             headers.insert("x-attempt-id", value);
         }
     }
 
-    fn words(&self, first: u64, count: u64) -> String {
-        (first..first + count).map(|index| format!("{}-{index} ", self.mark)).collect()
+    fn output_text(&self, first: u64, count: u64) -> String {
+        (first..first + count).map(|index| format!("{}-{index} ", self.fingerprint)).collect()
     }
 }
 
-fn event(text: &str) -> String {
+fn sse_event(text: &str) -> String {
     let choice = serde_json::json!({ "index": 0, "delta": { "content": text } });
     format!("data: {}\n\n", serde_json::json!({ "choices": [choice] }))
 }
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -1,78 +1,82 @@
-//! A model of an engine that batches continuously: prefill by priority, decode for all.
+//! A model of an engine with continuous batching: prefill in order of priority, decoding of all
+//! prefilled requests at once.
 
 use std::{collections, time};
 
-/// Tokens of prompt worked through before priorities are looked at again.
-const CHUNK: f64 = 2_048.0;
-/// Prefixes kept in the cache.
-const MAX_PREFIXES: usize = 64;
+/// Prompt tokens prefilled for one request before the next one is selected by priority.
+const PREFILL_CHUNK_TOKENS: f64 = 2_048.0;
+/// Capacity of the prefix cache.
+const MAX_CACHED_PREFIXES: usize = 64;
 
-/// How fast and how large an engine is.
+/// Speed and memory of an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineShape {
-    /// Memory, in tokens.
+pub struct EngineParameters {
+    /// KV cache capacity, in tokens.
     pub memory: u64,
-    /// Prompt tokens worked through in a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: f64,
-    /// Time from one output token to the next with an empty batch.
+    /// Time between two output tokens of a request when the batch is nearly empty.
     pub token_time: time::Duration,
-    /// Requests at which the time between tokens has doubled.
-    pub batch_knee: f64,
+    /// Number of decoding requests that doubles the time between tokens.
+    pub doubling_batch_size: f64,
 }
 
-/// One request on the engine.
+/// A request to an engine.
 #[derive(Debug, Clone)]
 pub struct EngineRequest {
-    /// Attempt id.
+    /// Id of the attempt.
     pub attempt: String,
-    /// Prompt tokens.
+    /// Prompt length, in tokens.
     pub prompt: u64,
-    /// Output tokens to generate.
+    /// Number of output tokens to generate.
     pub output: u64,
-    /// Memory it holds here; less than prompt and output when peers hold parts.
+    /// Memory that the request takes on this engine, in tokens; less than prompt and output when
+    /// peers hold parts of the KV cache.
     pub memory: u64,
-    /// 0 goes first.
+    /// Prefill priority; 0 goes first.
     pub priority: u8,
-    /// Hash of its prefix, and that prefix's length.
+    /// Hash and length in tokens of the prompt's prefix.
     pub prefix: (u64, u64),
 }
 
-/// Something the engine did.
+/// An output of [`EngineModel::step`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineOutput {
-    /// The next output tokens, from this one on.
+    /// New output tokens: attempt id, index of the first token, number of tokens.
     Tokens(String, u64, u64),
-    /// The request is done and its memory free.
+    /// The attempt with this id has generated all its output and its memory is free.
     Done(String),
 }
 
 #[derive(Debug)]
 struct RunningRequest {
     request: EngineRequest,
-    order: u64,
+    /// Order of arrival; breaks ties between requests of one priority.
+    sequence: u64,
     prefill_left: f64,
-    sent: u64,
-    generated: f64,
-    /// It makes no more tokens, but keeps its memory.
+    tokens_sent: u64,
+    tokens_generated: f64,
+    /// Whether generation has stopped while the memory stays in use.
     hung: bool,
 }
 
-/// The state of one engine.
+/// The state of an engine.
 #[derive(Debug)]
 pub struct EngineModel {
-    shape: EngineShape,
+    parameters: EngineParameters,
     running: Vec<RunningRequest>,
-    /// Memory kept for prompts whose answer another engine gives.
+    /// Memory in tokens reserved by attempt, for requests that another engine generates.
     reserved: collections::BTreeMap<String, u64>,
+    /// Hashes of the cached prefixes, least recently used first.
     prefixes: collections::VecDeque<u64>,
     arrivals: u64,
 }
 
 impl EngineModel {
-    /// An idle engine.
-    pub fn new(shape: EngineShape) -> Self {
+    /// Creates an idle engine.
+    pub fn new(parameters: EngineParameters) -> Self {
         Self {
-            shape,
+            parameters,
             running: Vec::new(),
             reserved: collections::BTreeMap::new(),
             prefixes: collections::VecDeque::new(),
@@ -80,130 +84,143 @@
         }
     }
 
-    /// Takes a request in, or refuses it for want of memory.
+    /// Starts a request. Returns `false` if there is not enough free memory.
     pub fn start(&mut self, request: EngineRequest) -> bool {
-        if self.held() + request.memory > self.shape.memory {
+        if self.held() + request.memory > self.parameters.memory {
             return false;
         }
         let (prefix, length) = request.prefix;
         let cached = if self.prefixes.contains(&prefix) { length.min(request.prompt) } else { 0 };
-        self.remember(prefix);
+        self.cache_prefix(prefix);
         self.arrivals += 1;
         self.running.push(RunningRequest {
             prefill_left: (request.prompt - cached) as f64,
-            order: self.arrivals,
-            sent: 0,
-            generated: 0.0,
+            sequence: self.arrivals,
+            tokens_sent: 0,
+            tokens_generated: 0.0,
             hung: false,
             request,
         });
         true
     }
 
-    /// Keeps memory for a part of a prompt, or refuses.
+    /// Reserves memory for a part of a prompt. Returns `false` if there is not enough free memory.
     pub fn reserve(&mut self, attempt: &str, tokens: u64) -> bool {
-        if self.held() + tokens > self.shape.memory {
+        if self.held() + tokens > self.parameters.memory {
             return false;
         }
         self.reserved.insert(attempt.to_owned(), tokens);
         true
     }
 
-    /// Gives an attempt up and frees its memory. Returns whether it was there.
+    /// Aborts an attempt and frees its memory. Returns whether the engine had it.
     pub fn cancel(&mut self, attempt: &str) -> bool {
         let before = self.running.len();
-        self.running.retain(|one| one.request.attempt != attempt);
+        self.running.retain(|active| active.request.attempt != attempt);
         self.reserved.remove(attempt).is_some() || self.running.len() < before
     }
 
-    /// Has an attempt make no more tokens.
+    /// Stops generation for an attempt, which keeps its memory.
     pub fn hang(&mut self, attempt: &str) {
-        for one in self.running.iter_mut().filter(|one| one.request.attempt == attempt) {
-            one.hung = true;
+        for active in self.running.iter_mut().filter(|active| active.request.attempt == attempt) {
+            active.hung = true;
         }
     }
 
-    /// Attempts and the memory each holds.
-    pub fn holds(&self) -> Vec<(String, u64)> {
-        let running =
-            self.running.iter().map(|one| (one.request.attempt.clone(), one.request.memory));
+    /// Returns the memory in tokens that each running or reserved attempt takes.
+    pub fn memory_by_attempt(&self) -> Vec<(String, u64)> {
+        let running = self
+            .running
+            .iter()
+            .map(|active| (active.request.attempt.clone(), active.request.memory));
         let reserved = self.reserved.iter().map(|(attempt, tokens)| (attempt.clone(), *tokens));
         running.chain(reserved).collect()
     }
 
-    /// Memory held.
+    /// Returns the memory in use, reservations included, in tokens.
     pub fn held(&self) -> u64 {
-        let running: u64 = self.running.iter().map(|one| one.request.memory).sum();
+        let running: u64 = self.running.iter().map(|active| active.request.memory).sum();
         running + self.reserved.values().sum::<u64>()
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Prompt tokens not worked through.
+    /// Returns the number of prompt tokens left to prefill.
     pub fn prefill_backlog(&self) -> u64 {
-        self.running.iter().map(|one| one.prefill_left).sum::<f64>() as u64
+        self.running.iter().map(|active| active.prefill_left).sum::<f64>() as u64
     }
 
-    /// Memory in all.
+    /// Returns the memory capacity, in tokens.
     pub fn memory(&self) -> u64 {
-        self.shape.memory
+        self.parameters.memory
     }
 
-    /// Works for a length of time.
-    pub fn step(&mut self, span: time::Duration) -> Vec<EngineOutput> {
-        self.prefill(span);
-        self.decode(span)
+    /// Advances the engine by `elapsed` and returns its outputs.
+    pub fn step(&mut self, elapsed: time::Duration) -> Vec<EngineOutput> {
+        self.prefill(elapsed);
+        self.decode(elapsed)
     }
 
-    fn prefill(&mut self, span: time::Duration) {
-        let mut work = self.shape.prefill_rate * span.as_secs_f64();
-        while work > 0.0 {
-            let waiting = self.running.iter_mut().filter(|one| one.prefill_left > 0.0);
-            let Some(first) = waiting.min_by_key(|one| (one.request.priority, one.order)) else {
+    fn prefill(&mut self, elapsed: time::Duration) {
+        let mut budget = self.parameters.prefill_rate * elapsed.as_secs_f64();
+        while budget > 0.0 {
+            let waiting = self.running.iter_mut().filter(|active| active.prefill_left > 0.0);
+            let Some(first) =
+                waiting.min_by_key(|active| (active.request.priority, active.sequence))
+            else {
                 return;
             };
-            let part = work.min(CHUNK).min(first.prefill_left);
-            first.prefill_left -= part;
-            work -= part;
+            let chunk = budget.min(PREFILL_CHUNK_TOKENS).min(first.prefill_left);
+            first.prefill_left -= chunk;
+            budget -= chunk;
         }
     }
 
-    fn decode(&mut self, span: time::Duration) -> Vec<EngineOutput> {
-        let decoding = self.running.iter().filter(|one| one.prefill_left <= 0.0).count() as f64;
-        let interval =
-            self.shape.token_time.as_secs_f64() * (1.0 + decoding / self.shape.batch_knee);
-        let tokens = span.as_secs_f64() / interval;
+    fn decode(&mut self, elapsed: time::Duration) -> Vec<EngineOutput> {
+        let decoding =
+            self.running.iter().filter(|active| active.prefill_left <= 0.0).count() as f64;
+        let interval = self.parameters.token_time.as_secs_f64()
+            * (1.0 + decoding / self.parameters.doubling_batch_size);
+        let tokens = elapsed.as_secs_f64() / interval;
         let mut outputs = Vec::new();
-        let decoding = |one: &&mut RunningRequest| one.prefill_left <= 0.0 && !one.hung;
-        for one in self.running.iter_mut().filter(decoding) {
-            // The first token comes with the end of the prefill.
-            let step = if one.sent == 0 { tokens.max(1.0) } else { tokens };
-            one.generated = (one.generated + step).min(one.request.output as f64);
-            let whole = one.generated as u64;
-            if whole > one.sent {
-                let attempt = one.request.attempt.clone();
-                outputs.push(EngineOutput::Tokens(attempt, one.sent, whole - one.sent));
-                one.sent = whole;
+        let decoding = |active: &&mut RunningRequest| active.prefill_left <= 0.0 && !active.hung;
+        for active in self.running.iter_mut().filter(decoding) {
+            // The end of the prefill yields the first token.
+            let step = if active.tokens_sent == 0 { tokens.max(1.0) } else { tokens };
+            active.tokens_generated =
+                (active.tokens_generated + step).min(active.request.output as f64);
+            let available = active.tokens_generated as u64;
+            if available > active.tokens_sent {
+                let attempt = active.request.attempt.clone();
+                outputs.push(EngineOutput::Tokens(
+                    attempt,
+                    active.tokens_sent,
+                    available - active.tokens_sent,
+                ));
+                active.tokens_sent = available;
             }
         }
-        let done = |one: &RunningRequest| one.prefill_left <= 0.0 && one.sent >= one.request.output;
+        let done = |active: &RunningRequest| {
+            active.prefill_left <= 0.0 && active.tokens_sent >= active.request.output
+        };
         outputs.extend(
             self.running
                 .iter()
-                .filter(|one| done(one))
-                .map(|one| EngineOutput::Done(one.request.attempt.clone())),
+                .filter(|active| done(active))
+                .map(|active| EngineOutput::Done(active.request.attempt.clone())),
         );
-        self.running.retain(|one| !done(one));
+        self.running.retain(|active| !done(active));
         outputs
     }
 
-    fn remember(&mut self, prefix: u64) {
+    /// Makes `prefix` the most recently used, and evicts the least recently used one if necessary.
+    fn cache_prefix(&mut self, prefix: u64) {
         self.prefixes.retain(|known| *known != prefix);
         self.prefixes.push_back(prefix);
-        if self.prefixes.len() > MAX_PREFIXES {
+        if self.prefixes.len() > MAX_CACHED_PREFIXES {
             self.prefixes.pop_front();
         }
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `slipturn-standin`: one stand-in a process.
+//! `slipturn-standin`: serves one stand-in, or publishes a document to the platform stand-in.
 
 use std::{net, process, time};
 
@@ -13,7 +13,7 @@
     about: "Stands in for an engine, a plain service or the platform, in tests only.",
 };
 
-/// Options that a settings file may hold.
+/// Options that can also be set in a settings file.
 const OPTIONS: [&str; 6] = ["listen", "memory", "prefill", "token-ms", "to", "checks-keys"];
 
 fn main() -> process::ExitCode {
@@ -40,33 +40,35 @@
 }
 
 fn run(options: &command_line::ToolOptions) -> Result<(), String> {
-    let positional = options.positional();
-    if let ["publish", name, document, file] = positional.as_slice() {
+    let positional_arguments = options.positional();
+    if let ["publish", name, document, file] = positional_arguments.as_slice() {
         let text = std::fs::read(file).map_err(|error| format!("{file}: {error}"))?;
         return publish(address(options, "to")?, name, document, text.into());
     }
     serve(options)
 }
 
-/// Publishes a document, waiting a little for the platform to come up.
+/// Publishes a document, and retries while the platform does not respond.
 fn publish(
     address: net::SocketAddr,
     name: &str,
     document: &str,
     text: bytes::Bytes,
 ) -> Result<(), String> {
-    /// Tries, a tenth of a second apart.
-    const TRIES: usize = 100;
+    /// Number of attempts, 100 ms apart.
+    const PUBLISH_ATTEMPTS: usize = 100;
     let path = format!("/documents/{name}?number={document}");
     let publishing = async {
         let pool = http_client::ConnectionPool::default();
-        for _ in 0..TRIES {
-            let mut call = http::Request::new(text.clone());
-            *call.method_mut() = http::Method::PUT;
-            *call.uri_mut() = path.parse().unwrap_or_default();
-            let fresh = http_client::ConnectionUse::Fresh;
-            if let Ok(answer) = pool.call_buffered(address, fresh, call, 1 << 16).await {
-                return answer.status().is_success();
+        for _ in 0..PUBLISH_ATTEMPTS {
+            let mut request = http::Request::new(text.clone());
+            *request.method_mut() = http::Method::PUT;
+            *request.uri_mut() = path.parse().unwrap_or_default();
+            let connection_use = http_client::ConnectionUse::Fresh;
+            if let Ok(response) =
+                pool.call_buffered(address, connection_use, request, 1 << 16).await
+            {
+                return response.status().is_success();
             }
             monoio::time::sleep(time::Duration::from_millis(100)).await;
         }
@@ -74,25 +76,25 @@
     };
     match own_process::run(publishing) {
         Ok(true) => Ok(()),
-        Ok(false) => Err(format!("the platform at {address} did not take {name}")),
+        Ok(false) => Err(format!("the platform at {address} did not accept the document {name}")),
         Err(error) => Err(error.to_string()),
     }
 }
 
 fn serve(options: &command_line::ToolOptions) -> Result<(), String> {
     let address = address(options, "listen")?;
-    let shape = engine_model::EngineShape {
+    let parameters = engine_model::EngineParameters {
         memory: options.value("memory", 400_000)?,
         prefill_rate: options.value("prefill", 100_000.0)?,
         token_time: time::Duration::from_millis(options.value("token-ms", 10)?),
-        batch_knee: 64.0,
+        doubling_batch_size: 64.0,
     };
     let checks_keys = options.flag("checks-keys");
     let kind = options.positional().first().copied().unwrap_or_default().to_owned();
     let serving = async move {
         let listener = own_process::listen(address).map_err(|error| error.to_string())?;
         match kind.as_str() {
-            "engine" => engine::run(listener, shape).await,
+            "engine" => engine::run(listener, parameters).await,
             "service" => service::run(listener, checks_keys).await,
             "platform" => platform::run(listener).await,
             other => {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's configuration service: numbered documents that can be read and watched.
+//! The configuration service of the platform: versioned documents that can be read and watched.
 //!
-//! `GET /v1/documents/NAME?after=N&wait_ms=M` is all that slipturn uses. Tests publish with
-//! `PUT /documents/NAME?number=N`, turn faults on with `POST /faults`, and count reads with
+//! slipturn uses only `GET /v1/documents/NAME?after=N&wait_ms=M`. Tests publish documents with
+//! `PUT /documents/NAME?number=N`, set faults with `POST /faults` and read the counters with
 //! `GET /counts`.
 
 use std::{cell, collections, rc, time};
@@ -12,32 +12,33 @@
 
 use crate::{engine, faults};
 
-/// Largest value held.
-const MAX_VALUE: u64 = 1 << 20;
-/// Time between two looks at whether a waiting watch can be answered.
-const WATCH_POLL: time::Duration = time::Duration::from_millis(20);
-/// Reads a second that are answered.
-const READ_LIMIT: u64 = 2_000;
+/// Largest accepted request body, and so the largest document.
+const MAX_DOCUMENT_BYTES: u64 = 1 << 20;
+/// Interval at which a long poll checks for a new version.
+const WATCH_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Reads per second above which requests get status 429.
+const MAX_READS_PER_SECOND: u64 = 2_000;
 
-/// Reads so far, for tests.
+/// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ReadCounts {
-    /// Reads, each waiting watch as one.
+    /// Reads, including refused ones; a long poll counts once.
     pub reads: u64,
-    /// Reads refused for being too many.
+    /// Reads refused by the rate limit.
     pub refused: u64,
 }
 
 #[derive(Default)]
 struct PlatformState {
-    /// Versions of each document, by number.
+    /// Documents by name, with the versions of each by number.
     documents: cell::RefCell<collections::BTreeMap<String, collections::BTreeMap<u64, Bytes>>>,
     counts: cell::RefCell<ReadCounts>,
-    second: cell::Cell<(u64, u64)>,
+    /// Unix time in seconds of the last read, and the number of reads in that second.
+    current_second: cell::Cell<(u64, u64)>,
     faults: faults::SharedFaults,
 }
 
-/// Serves the platform on `listener` for ever.
+/// Serves the platform on `listener`; never returns.
 pub async fn run(listener: monoio::net::TcpListener) {
     let state = rc::Rc::new(PlatformState::default());
     http_server::accept_all(listener, move |connection| serve(rc::Rc::clone(&state), connection))
@@ -45,8 +46,10 @@
 }
 
 async fn serve(state: rc::Rc<PlatformState>, mut connection: http_server::ServerConnection) {
-    let limits =
-        http_server::BodyLimits { max_bytes: MAX_VALUE, time: time::Duration::from_secs(10) };
+    let limits = http_server::BodyLimits {
+        max_bytes: MAX_DOCUMENT_BYTES,
+        time: time::Duration::from_secs(10),
+    };
     while let Ok(Some(mut incoming)) = connection.next_head().await {
         let Ok(body) = connection.read_body(&mut incoming, limits).await else {
             return;
@@ -54,38 +57,39 @@
         let uri = incoming.head.uri.clone();
         let name = uri.path().rsplit('/').next().unwrap_or_default();
         let query = uri.query().unwrap_or_default();
-        let answer = match uri.path() {
+        let response = match uri.path() {
             "/faults" => engine::set_faults(&state.faults, &body),
             "/counts" => http_server::json_response(200, &*state.counts.borrow()),
             path if path.starts_with("/documents/") => publish(&state, name, query, body),
             _ if state.faults.plan().down => return,
             _ if !state.admit() => http_server::json_response(429, &"too many reads"),
-            _ => match connection.while_connected(read(&state, name, query)).await {
-                Some(answer) => answer,
+            _ => match connection.while_connected(read_document(&state, name, query)).await {
+                Some(response) => response,
                 None => return,
             },
         };
-        if connection.respond(answer).await.is_err() {
+        if connection.respond(response).await.is_err() {
             return;
         }
     }
 }
 
 impl PlatformState {
-    /// Counts a read; `false` when there are too many in this second.
+    /// Counts a read. Returns `false` if it exceeds the limit for the current second.
     fn admit(&self) -> bool {
         let since_epoch = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
-        let second = since_epoch.unwrap_or_default().as_secs();
-        let (last, reads) = self.second.get();
-        let reads = if last == second { reads + 1 } else { 1 };
-        self.second.set((second, reads));
+        let current_second = since_epoch.unwrap_or_default().as_secs();
+        let (last, reads) = self.current_second.get();
+        let reads = if last == current_second { reads + 1 } else { 1 };
+        self.current_second.set((current_second, reads));
         let mut counts = self.counts.borrow_mut();
         counts.reads += 1;
-        counts.refused += u64::from(reads > READ_LIMIT);
-        reads <= READ_LIMIT
+        counts.refused += u64::from(reads > MAX_READS_PER_SECOND);
+        reads <= MAX_READS_PER_SECOND
     }
 
-    fn newest(&self, name: &str) -> Option<(u64, Bytes)> {
+    /// Returns the number and body of the newest version, or of an older one if `stale_by` is set.
+    fn newest_version(&self, name: &str) -> Option<(u64, Bytes)> {
         let stale_by = usize::try_from(self.faults.plan().stale_by).unwrap_or(usize::MAX);
         let documents = self.documents.borrow();
         let versions = documents.get(name)?;
@@ -95,7 +99,7 @@
 }
 
 fn publish(state: &PlatformState, name: &str, query: &str, body: Bytes) -> http::Response<Bytes> {
-    let Some(number) = number(query, "number") else {
+    let Some(number) = query_number(query, "number") else {
         return http_server::json_response(400, &"number is missing");
     };
     let mut documents = state.documents.borrow_mut();
@@ -103,29 +107,30 @@
     http_server::json_response(200, &number)
 }
 
-async fn read(state: &PlatformState, name: &str, query: &str) -> http::Response<Bytes> {
-    let after = number(query, "after").unwrap_or(0);
-    let wait = time::Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
+/// Waits for a version newer than `after`; returns status 304 when `wait_ms` has passed.
+async fn read_document(state: &PlatformState, name: &str, query: &str) -> http::Response<Bytes> {
+    let after = query_number(query, "after").unwrap_or(0);
+    let wait = time::Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
     let started = time::Instant::now();
     loop {
-        if let Some((number, body)) = state.newest(name)
-            // A stale service answers what it has, whatever it was asked for.
+        if let Some((number, body)) = state.newest_version(name)
+            // With `stale_by` set, a version is returned even if it is not newer than `after`.
             && (number > after || state.faults.plan().stale_by > 0)
         {
-            let mut answer = http::Response::new(body);
-            answer.headers_mut().insert("x-document-number", number.into());
-            return answer;
+            let mut response = http::Response::new(body);
+            response.headers_mut().insert("x-document-number", number.into());
+            return response;
         }
         if started.elapsed() >= wait {
-            let mut answer = http::Response::new(Bytes::new());
-            *answer.status_mut() = http::StatusCode::NOT_MODIFIED;
-            return answer;
+            let mut response = http::Response::new(Bytes::new());
+            *response.status_mut() = http::StatusCode::NOT_MODIFIED;
+            return response;
         }
-        monoio::time::sleep(WATCH_POLL).await;
+        monoio::time::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
+fn query_number(query: &str, name: &str) -> Option<u64> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name)?.1.parse().ok()
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts what it runs, by the caller's key and by attempt.
+//! A plain HTTP service that counts its calls by idempotency key and by request.
 
 use std::{cell, collections, rc, time};
 
@@ -7,29 +7,31 @@
 
 use crate::{engine, faults};
 
-/// Largest accepted body.
-const MAX_BODY: u64 = 16 << 20;
+/// Largest accepted request body.
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// What the service has run, for tests.
+/// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ServiceCounts {
-    /// Calls run.
+    /// Number of calls run.
     pub runs: u64,
-    /// Calls run, by idempotency key.
+    /// Number of calls run by idempotency key; calls without a key are left out.
     pub by_key: collections::BTreeMap<String, u64>,
-    /// Calls run, by the request they belong to.
+    /// Number of calls run by request id.
     pub by_request: collections::BTreeMap<String, u64>,
-    /// Calls refused because their key was seen before.
+    /// Calls refused because a call with the same idempotency key had run before.
     pub key_refusals: u64,
 }
 
 struct ServiceState {
     counts: cell::RefCell<ServiceCounts>,
+    /// Whether a call with a known idempotency key is refused.
     checks_keys: bool,
     faults: faults::SharedFaults,
 }
 
-/// Serves a plain service on `listener` for ever.
+/// Serves a plain service on `listener`; never returns. With `checks_keys`, a call whose
+/// idempotency key has been used before gets status 409.
 pub async fn run(listener: monoio::net::TcpListener, checks_keys: bool) {
     let state = rc::Rc::new(ServiceState {
         counts: cell::RefCell::default(),
@@ -42,26 +44,27 @@
 
 async fn serve(state: rc::Rc<ServiceState>, mut connection: http_server::ServerConnection) {
     let limits =
-        http_server::BodyLimits { max_bytes: MAX_BODY, time: time::Duration::from_secs(60) };
+        http_server::BodyLimits { max_bytes: MAX_BODY_BYTES, time: time::Duration::from_secs(60) };
     while let Ok(Some(mut incoming)) = connection.next_head().await {
         let Ok(body) = connection.read_body(&mut incoming, limits).await else {
             return;
         };
-        let answer = match incoming.head.uri.path() {
+        let response = match incoming.head.uri.path() {
             "/faults" => engine::set_faults(&state.faults, &body),
             "/counts" => http_server::json_response(200, &*state.counts.borrow()),
             path => match run_call(&state, &incoming, path).await {
-                Some(answer) => answer,
+                Some(response) => response,
                 None => return,
             },
         };
-        if connection.respond(answer).await.is_err() {
+        if connection.respond(response).await.is_err() {
             return;
         }
     }
 }
 
-/// Runs a call; `None` when a fault has the connection closed without an answer.
+/// Runs a call. Returns `None` if a fault requires that the connection be closed without a
+/// response.
 async fn run_call(
     state: &ServiceState,
     incoming: &http_server::IncomingHead,
@@ -69,9 +72,9 @@
 ) -> Option<http::Response<bytes::Bytes>> {
     let plan = state.faults.plan();
     if plan.draining || plan.refuse {
-        let mut answer = http_server::json_response(503, &"refused, not run");
-        answer.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
-        return Some(answer);
+        let mut response = http_server::json_response(503, &"refused, not run");
+        response.headers_mut().insert("x-ran", http::HeaderValue::from_static("no"));
+        return Some(response);
     }
     let key = incoming.header("idempotency-key").unwrap_or_default().to_owned();
     let attempt = incoming.header("x-attempt-id").unwrap_or_default();
@@ -80,19 +83,19 @@
         state.counts.borrow_mut().key_refusals += 1;
         return Some(http_server::json_response(409, &"this key has run"));
     }
-    count(&mut state.counts.borrow_mut(), key, request);
+    record_run(&mut state.counts.borrow_mut(), key, request);
     monoio::time::sleep(time::Duration::from_millis(plan.delay_ms)).await;
     if plan.close_before_answer {
         return None;
     }
-    let mut answer = http_server::json_response(200, &format!("done {path}"));
+    let mut response = http_server::json_response(200, &format!("done {path}"));
     if let Ok(value) = http::HeaderValue::from_str(attempt) {
-        answer.headers_mut().insert("x-attempt-id", value);
+        response.headers_mut().insert("x-attempt-id", value);
     }
-    Some(answer)
+    Some(response)
 }
 
-fn count(counts: &mut ServiceCounts, key: String, request: String) {
+fn record_run(counts: &mut ServiceCounts, key: String, request: String) {
     counts.runs += 1;
     *counts.by_request.entry(request).or_default() += 1;
     if !key.is_empty() {
--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -57,11 +57,11 @@
 
 impl Simulation {
     fn new(seed: u64) -> Self {
-        let shape = engine_model::EngineShape {
+        let shape = engine_model::EngineParameters {
             memory: MEMORY,
             prefill_rate: 100_000.0,
             token_time: time::Duration::from_millis(10),
-            batch_knee: 64.0,
+            doubling_batch_size: 64.0,
         };
         let now = units::MonoTime(0);
         let entry = |index: usize| SimulatedEntry {
@@ -265,7 +265,7 @@
 
     /// Delivers a load report of the engine to the ledger.
     fn report(&mut self) {
-        let held = self.model.holds().into_iter();
+        let held = self.model.memory_by_attempt().into_iter();
         let report = placement::EngineReport {
             memory: units::TokenCount(MEMORY),
             prefill_backlog: units::TokenCount(self.model.prefill_backlog()),
@@ -292,7 +292,12 @@
         for _ in 0..RECOVERY_STEPS {
             simulation.step();
         }
-        assert_eq!(simulation.model.held(), 0, "round {seed}: {:?}", simulation.model.holds());
+        assert_eq!(
+            simulation.model.held(),
+            0,
+            "round {seed}: {:?}",
+            simulation.model.memory_by_attempt()
+        );
         // After one report that is certain to arrive, the ledger must agree with the engine.
         simulation.report();
         assert_eq!(simulation.ledger.free(), units::TokenCount(MEMORY), "round {seed}");
--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -625,9 +625,9 @@
 
 /// Whether a streamed answer is complete and belongs to the request with this body.
 pub fn is_complete_answer(answer: &Answer, body: &Value) -> bool {
-    let mark = slipturn_standin::engine::answer_mark(&body["messages"].to_string());
+    let mark = slipturn_standin::engine::prompt_fingerprint(&body["messages"].to_string());
     let output = body["max_tokens"].as_u64().unwrap();
     answer.status == 200
         && answer.ended
-        && slipturn_load::caller::check(&answer.text(), &mark, output).is_ok()
+        && slipturn_load::caller::check_response(&answer.text(), &mark, output).is_ok()
 }
