--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -126,11 +126,11 @@
 /// full message of leaving ones.
 #[test]
 fn messages_about_many_upstreams_fit_a_datagram() {
-    let upstream = name("i-0123456789ab@1764633600000");
-    let ask = PlaceAsk { excluded: vec![upstream.clone(); 140], ..lease(1).ask };
+    let longest_name = name("i-0123456789ab@1764633600000");
+    let ask = PlaceAsk { excluded: vec![longest_name.clone(); 140], ..lease(1).ask };
     let request =
         PeerMessage::Ask(key(), Box::new(ask)).encode().expect("a message that can be encoded");
-    let report = LeavingReport { upstream, age_ms: 9_999_999 };
+    let report = LeavingReport { upstream: longest_name, age_ms: 9_999_999 };
     let full_message = PeerMessage::Leaving(vec![report.clone(); MAX_LEAVING]);
     let full_message = full_message.encode().expect("a message that can be encoded");
     let single_message =
