--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -153,7 +153,7 @@
 /// Translates between callers and the instance.
 pub trait CallerAdapter {
     /// Parses a request's head.
-    fn read_request(&self, head: &http::request::Parts) -> Result<CallerRequest, FormatError>;
+    fn parse_request(&self, head: &http::request::Parts) -> Result<CallerRequest, FormatError>;
     /// Returns the headers of an answer that the instance generates itself.
     fn answer_headers(&self, request: &str, back_after: Option<time::Duration>) -> http::HeaderMap;
     /// Returns whether a path on the health address is the readiness check.
@@ -165,7 +165,7 @@
     /// Returns the head of a request to an upstream, without the body length.
     fn call_head(&self, call: &UpstreamCall<'_>) -> http::request::Parts;
     /// Parses an answer's head.
-    fn read_answer(&self, head: &http::response::Parts) -> UpstreamAnswer;
+    fn parse_answer(&self, head: &http::response::Parts) -> UpstreamAnswer;
     /// Returns the path and body of a memory order.
     fn memory_order(&self, order: &MemoryOrder) -> (String, Bytes);
     /// Returns the start of the engine that answered an order, if the answer names it.
@@ -173,7 +173,7 @@
     /// Returns the path of an engine's report.
     fn report_path(&self) -> String;
     /// Parses an engine's report.
-    fn read_report(&self, body: &[u8]) -> Result<EngineReport, FormatError>;
+    fn parse_report(&self, body: &[u8]) -> Result<EngineReport, FormatError>;
     /// Returns the id of an event, if it has one.
     fn event_id(&self, event: &[u8]) -> Option<String>;
 }
@@ -260,15 +260,15 @@
         head: &http::response::Parts,
     ) -> Result<Option<store_revision::StoreEra>, FormatError>;
     /// Parses a page, or the answer to a read of a single key.
-    fn read_page(&self, body: &[u8]) -> Result<StorePage, FormatError>;
+    fn parse_page(&self, body: &[u8]) -> Result<StorePage, FormatError>;
     /// Parses changes and the revision after them.
-    fn read_changes(&self, body: &[u8]) -> Result<(Vec<StoreChange>, u64), FormatError>;
+    fn parse_changes(&self, body: &[u8]) -> Result<(Vec<StoreChange>, u64), FormatError>;
     /// Returns the kind of document stored under a key.
     fn key(&self, key: &str) -> StoreKey;
     /// Parses the routes.
-    fn read_routes(&self, text: &str) -> Result<route_table::RouteTable, FormatError>;
+    fn parse_routes(&self, text: &str) -> Result<route_table::RouteTable, FormatError>;
     /// Parses the entry of the upstream `name`.
-    fn read_upstream(
+    fn parse_upstream(
         &self,
         name: &str,
         text: &str,
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -205,7 +205,7 @@
     head: http::request::Parts,
     limits: slipturn_core::route_table::CallerLimits,
 ) -> Result<ConnectionNext, h1::MessageError> {
-    let request = context.adapter.read_request(&head);
+    let request = context.adapter.parse_request(&head);
     let id = request.as_ref().map(|request| request.id.clone()).unwrap_or_default();
     let mut framing = match h1::BodyFraming::of_request(&head) {
         Ok(framing) => framing,
@@ -286,7 +286,7 @@
 ) -> start_wait::StartContact {
     let members = context.members.borrow();
     let near = &context.settings().data_center;
-    if context.belief.borrow().answers() || !members.any_sources(now, near).is_empty() {
+    if context.store_tracker.borrow().answers() || !members.any_sources(now, near).is_empty() {
         start_wait::StartContact::Source
     } else if members.alive(now).next().is_some() {
         start_wait::StartContact::Members
--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -19,8 +19,8 @@
     let asked = context.now();
     let mut refused = Vec::new();
     let mut best: Option<engine_place::PlaceRefusal> = None;
-    context.search.borrow_mut().note_request();
-    while context.search.borrow_mut().take(refused.len())
+    context.search_budget.borrow_mut().note_request();
+    while context.search_budget.borrow_mut().take(refused.len())
         && let Some(planner) = context.pick_planner(&call.service, turn, &refused)
     {
         let spent = context.now().since(asked);
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -70,8 +70,8 @@
     pub leases: cell::RefCell<collections::HashMap<engine_place::JobId, HeldLease>>,
     /// The other member that this process last asked as planner, by key.
     pub planned_by: cell::RefCell<collections::BTreeMap<planner_key::PlannerKey, ids::InstanceId>>,
-    /// Budget for asking further cells for a place.
-    pub search: cell::RefCell<search_budget::SearchBudget>,
+    /// Budget for requesting places from further cells after a refusal.
+    pub search_budget: cell::RefCell<search_budget::SearchBudget>,
     /// Where planner replies go, by waiting request.
     pub reply_senders:
         cell::RefCell<collections::HashMap<engine_place::JobId, peer_message::ReplySender>>,
@@ -104,9 +104,9 @@
     /// Number of requests and memory orders in progress.
     pub busy: cell::Cell<usize>,
     /// Believed state of the store, and document versions that other members have.
-    pub belief: cell::RefCell<store_tracker::StoreTracker>,
+    pub store_tracker: cell::RefCell<store_tracker::StoreTracker>,
     /// Number of members that joined since the last heartbeat, for the log.
-    pub joined: cell::Cell<usize>,
+    pub joined_members: cell::Cell<usize>,
     /// Sequence number of the last heartbeat.
     pub heartbeat_sequence: cell::Cell<u64>,
     /// When this process last noticed that it had been paused; it does not plan for others shortly
@@ -172,7 +172,7 @@
             classes: cell::RefCell::default(),
             leases: cell::RefCell::default(),
             planned_by: cell::RefCell::default(),
-            search: cell::RefCell::default(),
+            search_budget: cell::RefCell::default(),
             reply_senders: cell::RefCell::default(),
             retries: cell::RefCell::default(),
             pool: upstream_pool::UpstreamPool::default(),
@@ -188,8 +188,8 @@
             stats: cell::RefCell::default(),
             records: cell::RefCell::default(),
             busy: cell::Cell::new(0),
-            belief: cell::RefCell::default(),
-            joined: cell::Cell::new(0),
+            store_tracker: cell::RefCell::default(),
+            joined_members: cell::Cell::new(0),
             heartbeat_sequence: cell::Cell::new(0),
             resumed_at: cell::Cell::new(units::MonoTime::default()),
             places_until: cell::Cell::new(None),
@@ -225,9 +225,9 @@
     }
 
     /// Reports an event about a request at an upstream.
-    pub(crate) fn report_run(&self, news: upstream_ends::RunEvent) {
+    pub(crate) fn report_run(&self, event: upstream_ends::RunEvent) {
         // The receiver lives as long as the process.
-        let _ = self.runs.unbounded_send(news);
+        let _ = self.runs.unbounded_send(event);
     }
 
     /// Returns the next heartbeat, with the next sequence number.
@@ -259,7 +259,7 @@
             leaving: self.stop.asked(),
             routes: fleet.routes.version.0,
             list: fleet.list.revision(),
-            watches: self.belief.borrow().is_reliable_watcher(),
+            watches: self.store_tracker.borrow().is_reliable_watcher(),
             others: Vec::new(),
         }
     }
@@ -275,7 +275,7 @@
     pub fn lags(&self) -> store_tracker::DocumentLags {
         let now = self.now();
         let newest = self.members.borrow().newest(now);
-        self.belief.borrow_mut().lags(now, self.versions(), newest)
+        self.store_tracker.borrow_mut().lags(now, self.versions(), newest)
     }
 
     /// Returns the number of members believed to exist, or `None` if this process has just started or
--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -42,14 +42,14 @@
 
 /// A complete HTTP response.
 #[derive(Debug)]
-pub struct DocumentResponse {
+pub struct HttpResponse {
     /// Status line and headers.
     pub head: http::response::Parts,
     /// The body, at most `MAX_DOCUMENT_BYTES` long.
     pub body: Bytes,
 }
 
-impl DocumentResponse {
+impl HttpResponse {
     /// Returns the body, or an error if the status is not 200.
     pub fn into_body(self) -> Result<Bytes, CallError> {
         let status = self.head.status.as_u16();
@@ -104,7 +104,7 @@
         path: &str,
         body: Bytes,
         limit: time::Duration,
-    ) -> Result<DocumentResponse, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let mut open = self.open.take();
         let exchange_future = exchange(&mut open, self.address, method, path, body);
         let result = monoio::time::timeout(limit, exchange_future).await;
@@ -135,7 +135,7 @@
     method: &str,
     path: &str,
     body: Bytes,
-) -> Result<(DocumentResponse, bool), CallError> {
+) -> Result<(HttpResponse, bool), CallError> {
     if open.is_none() {
         *open = Some(connect(address).await?);
     }
@@ -157,5 +157,5 @@
     let reusable =
         !until_close && !h1::closes(head.version, &head.headers) && !reader.has_unread_bytes();
     reader.rest();
-    Ok((DocumentResponse { head, body }, reusable))
+    Ok((HttpResponse { head, body }, reusable))
 }
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -83,7 +83,7 @@
             return;
         }
     };
-    match context.adapter.read_report(&body) {
+    match context.adapter.parse_report(&body) {
         Ok(report) => {
             if report.pace > SLOW_PACE {
                 log::info!(engine:% = engine.name, pace = report.pace; "engine.slow");
--- a/crates/instance/src/failure_watch.rs
+++ b/crates/instance/src/failure_watch.rs
@@ -57,8 +57,8 @@
             continue;
         }
         let outcome = context.detector.borrow_mut().receive_suspect(context.now(), report);
-        let (news, actions) = outcome;
-        if news {
+        let (is_new, actions) = outcome;
+        if is_new {
             suspect(context, report);
         }
         apply_actions(context, actions);
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -85,7 +85,7 @@
     }
 
     /// Revision after which changes of the list are requested from members; the empty revision if a whole list is needed.
-    pub fn wanted_from(&self) -> store_revision::StoreRevision {
+    pub fn sync_revision(&self) -> store_revision::StoreRevision {
         if self.diverged { store_revision::StoreRevision::default() } else { self.list.revision() }
     }
 
@@ -182,7 +182,7 @@
 
     /// Puts routes into force, if they are valid and newer; returns the version and text that they replace.
     fn replace_routes(&mut self, text: String, source: &str) -> Option<(u64, String)> {
-        let routes = match self.adapter.read_routes(&text) {
+        let routes = match self.adapter.parse_routes(&text) {
             Ok(routes) => routes,
             Err(error) => {
                 log::error!(source, error:%; "routes.rejected");
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -19,42 +19,42 @@
 pub(crate) fn receive(
     context: &context::InstanceContext,
     now: units::MonoTime,
-    beat: member_heartbeat::MemberHeartbeat,
+    heartbeat: member_heartbeat::MemberHeartbeat,
 ) {
-    let from = beat.address;
-    failure_watch::restore(context, beat.boot);
+    let from = heartbeat.address;
+    failure_watch::restore(context, heartbeat.boot);
     let own = context.settings().member_address;
-    let (joined, welcome, unmet) = {
+    let (joined, welcome, uncontacted) = {
         let mut members = context.members.borrow_mut();
-        let welcome = members.welcome(&beat);
-        let joined = members.receive(now, beat);
+        let welcome = members.welcome(&heartbeat);
+        let joined = members.receive(now, heartbeat);
         (joined, welcome, members.take_uncontacted(own))
     };
     if joined {
-        context.joined.set(context.joined.get() + 1);
-        member_gossip::request_from_met(context, from);
-        let beat = context.next_heartbeat();
+        context.joined_members.set(context.joined_members.get() + 1);
+        member_gossip::request_from_joined(context, from);
+        let heartbeat = context.next_heartbeat();
         if welcome.is_empty() {
-            context.send_to(from, peer_message::PeerMessage::Beat(Box::new(beat.clone())));
+            context.send_to(from, peer_message::PeerMessage::Beat(Box::new(heartbeat.clone())));
         }
         for others in welcome {
-            let beat = member_heartbeat::MemberHeartbeat { others, ..beat.clone() };
-            context.send_to(from, peer_message::PeerMessage::Beat(Box::new(beat)));
+            let heartbeat = member_heartbeat::MemberHeartbeat { others, ..heartbeat.clone() };
+            context.send_to(from, peer_message::PeerMessage::Beat(Box::new(heartbeat)));
         }
     }
-    if !unmet.is_empty() {
-        send_beat(context, unmet);
+    if !uncontacted.is_empty() {
+        send_heartbeat(context, uncontacted);
     }
 }
 
 /// Sends this process's heartbeat to `targets`: whole when that is due and to unknown members, else in its short form.
-fn send_beat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
-    let beat = context.next_heartbeat();
+fn send_heartbeat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
+    let heartbeat = context.next_heartbeat();
     for to in targets {
-        let message = if beat.is_full() || !context.members.borrow().knows(to) {
-            peer_message::PeerMessage::Beat(Box::new(beat.clone()))
+        let message = if heartbeat.is_full() || !context.members.borrow().knows(to) {
+            peer_message::PeerMessage::Beat(Box::new(heartbeat.clone()))
         } else {
-            peer_message::PeerMessage::Alive(beat.alive())
+            peer_message::PeerMessage::Alive(heartbeat.alive())
         };
         context.send_to(to, message);
     }
@@ -69,7 +69,7 @@
         for member in forgotten {
             log::warn!(member:%; "member.forgotten");
         }
-        let joined = context.joined.take();
+        let joined = context.joined_members.take();
         if joined > 0 {
             let alive = context.members.borrow().alive(context.now()).count();
             log::info!(joined, alive; "members.joined");
@@ -111,19 +111,19 @@
 pub(crate) fn broadcast(context: &context::InstanceContext) {
     let own = context.settings().member_address;
     let targets = context.members.borrow().targets(own);
-    send_beat(context, targets);
+    send_heartbeat(context, targets);
 }
 
 /// Sends this process's heartbeat to the members of this data centre, so that they learn of its new documents or state.
 pub fn announce(context: &context::InstanceContext) {
-    send_beat(context, members_of_data_center(context));
+    send_heartbeat(context, members_of_data_center(context));
 }
 
 /// Sends this process's heartbeat to `count` random members of this data centre.
 pub(crate) fn announce_to_sample(context: &context::InstanceContext, count: usize) {
     let members = members_of_data_center(context);
     let sample = members.sample(&mut rand::rng(), count).copied().collect();
-    send_beat(context, sample);
+    send_heartbeat(context, sample);
 }
 
 fn members_of_data_center(context: &context::InstanceContext) -> Vec<net::SocketAddrV4> {
@@ -144,7 +144,11 @@
 
 impl AnnouncedState {
     /// State that a heartbeat announces.
-    pub(crate) fn of(beat: &member_heartbeat::MemberHeartbeat) -> Self {
-        Self { plans: beat.plans, leaving: beat.leaving, has_routes: beat.routes > 0 }
+    pub(crate) fn of(heartbeat: &member_heartbeat::MemberHeartbeat) -> Self {
+        Self {
+            plans: heartbeat.plans,
+            leaving: heartbeat.leaving,
+            has_routes: heartbeat.routes > 0,
+        }
     }
 }
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -170,7 +170,7 @@
             context.stats.borrow().text()
                 + &source_gauges(context)
                 + &ways_gauge(context)
-                + &held_gauge(context)
+                + &quarantined_gauge(context)
                 + &notice_gauges(context),
         ),
         ("GET", "/v1/status") => json(&status(context)),
@@ -199,7 +199,7 @@
 ) -> (u16, String) {
     let release = path_rest.strip_prefix('/').and_then(|rest| rest.strip_suffix("/release"));
     match (method.as_str(), path_rest, release.map(str::parse)) {
-        ("GET", "", _) => json(&held_rows(context)),
+        ("GET", "", _) => json(&quarantined_rows(context)),
         ("POST", _, Some(Ok(digest))) if quarantine_gossip::clear(context, digest) => {
             (200, status_body("released"))
         }
@@ -209,11 +209,11 @@
     }
 }
 
-fn held_rows(context: &context::InstanceContext) -> Vec<serde_json::Value> {
+fn quarantined_rows(context: &context::InstanceContext) -> Vec<serde_json::Value> {
     let now = context.now();
     let table = context.quarantine.borrow();
-    let held = table.quarantined_at(now).into_iter();
-    let verdicts = held.filter_map(|digest| Some((digest, table.verdict(now, digest)?)));
+    let quarantined = table.quarantined_at(now).into_iter();
+    let verdicts = quarantined.filter_map(|digest| Some((digest, table.verdict(now, digest)?)));
     let row =
         |(digest, verdict): (request_digest::RequestDigest, quarantine::QuarantineVerdict)| {
             serde_json::json!({
@@ -264,13 +264,13 @@
 /// without changes.
 fn source_gauges(context: &context::InstanceContext) -> String {
     let lags = context.lags();
-    let belief = context.belief.borrow();
+    let store_tracker = context.store_tracker.borrow();
     format!(
         "slipturn_store_ok {}\nslipturn_store_era {}\nslipturn_store_heard_ms {}\n\
          slipturn_lists_older_total {}\nslipturn_routes_lag_ms {}\nslipturn_list_lag_ms {}\n",
-        u8::from(belief.answers()),
-        belief.era(),
-        units::whole_millis(belief.last_answer_age(context.now())),
+        u8::from(store_tracker.answers()),
+        store_tracker.era(),
+        units::whole_millis(store_tracker.last_answer_age(context.now())),
         context.fleet.borrow().dropped(),
         units::whole_millis(lags.routes),
         units::whole_millis(lags.list),
@@ -278,9 +278,9 @@
 }
 
 /// Gauge of quarantined requests.
-fn held_gauge(context: &context::InstanceContext) -> String {
-    let held = context.quarantine.borrow().quarantined_at(context.now()).len();
-    format!("slipturn_requests_held {held}\n")
+fn quarantined_gauge(context: &context::InstanceContext) -> String {
+    let quarantined = context.quarantine.borrow().quarantined_at(context.now()).len();
+    format!("slipturn_requests_held {quarantined}\n")
 }
 
 /// Gauges of evacuated data centres, and of upstreams that are leaving, resting, limited, or affected by a recovery.
@@ -309,25 +309,26 @@
 fn status(context: &context::InstanceContext) -> serde_json::Value {
     let retries = upstream_rows::retries(context);
     let lags = context.lags();
-    let beat = context.own_heartbeat();
-    let belief = context.belief.borrow();
+    let heartbeat = context.own_heartbeat();
+    let store_tracker = context.store_tracker.borrow();
     let fleet = context.fleet.borrow();
     let members = context.members.borrow();
-    let alive: Vec<_> = members.alive(context.now()).map(|beat| beat.name.to_string()).collect();
+    let alive: Vec<_> =
+        members.alive(context.now()).map(|heartbeat| heartbeat.name.to_string()).collect();
     serde_json::json!({
-        "name": beat.name,
+        "name": heartbeat.name,
         "ready": is_ready(context),
-        "leaving": beat.leaving,
-        "plans": beat.plans,
-        "routes": beat.routes,
-        "list": beat.list.to_string(),
+        "leaving": heartbeat.leaving,
+        "plans": heartbeat.plans,
+        "routes": heartbeat.routes,
+        "list": heartbeat.list.to_string(),
         "list_source": &*fleet.origin().source,
         "list_age_ms": units::whole_millis(context.now().since(fleet.origin().since)),
-        "store_era": belief.era().0,
+        "store_era": store_tracker.era().0,
         "upstreams": fleet.list.entries().count(),
         "evacuated": fleet.list.evacuated().collect::<Vec<_>>(),
-        "store_ok": belief.answers(),
-        "store_heard_ms": units::whole_millis(belief.last_answer_age(context.now())),
+        "store_ok": store_tracker.answers(),
+        "store_heard_ms": units::whole_millis(store_tracker.last_answer_age(context.now())),
         "routes_lag_ms": units::whole_millis(lags.routes),
         "list_lag_ms": units::whole_millis(lags.list),
         "members": alive,
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -118,10 +118,11 @@
     upstream: &ids::UpstreamId,
     reading: upstream_limit::LimitReading,
 ) -> upstream_limit::LimitChange {
-    let news = context.fleet.borrow_mut().list.notices_mut().receive_limit(upstream, reading);
+    let limit_change =
+        context.fleet.borrow_mut().list.notices_mut().receive_limit(upstream, reading);
     let source = reading.source;
-    let change = match news {
-        upstream_limit::LimitChange::Known => return news,
+    let change = match limit_change {
+        upstream_limit::LimitChange::Known => return limit_change,
         upstream_limit::LimitChange::Begun(rate) => {
             log::info!(upstream:%, source:%, rate:%; "upstream.limited");
             "begun"
@@ -141,7 +142,7 @@
     quota_coordinator::refresh(context);
     let subject = quota_permit::QuotaSubject::Upstream(upstream.clone());
     context.quotas.cache.borrow_mut().reopen(&subject);
-    news
+    limit_change
 }
 
 /// Whether a change may be logged: limits may change with each answer.
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -103,7 +103,7 @@
         let mut entries = Vec::new();
         let mut unreadable = Vec::new();
         for (name, text) in &mut documents {
-            match self.read_entry(name, text) {
+            match self.parse_entry(name, text) {
                 Some(entry) => entries.push(entry),
                 None => {
                     text.clear();
@@ -114,7 +114,7 @@
         }
         let kept = recovery.iter().flat_map(|recovery| &recovery.kept);
         let kept = kept.filter(|(name, _)| !documents.contains_key(name));
-        entries.extend(kept.filter_map(|(name, text)| self.read_entry(name, text)));
+        entries.extend(kept.filter_map(|(name, text)| self.parse_entry(name, text)));
         let count = entries.len();
         let replaced = self.list.replace(now, entries, revision);
         if self.list.apply(now, unreadable, revision) || replaced {
@@ -267,7 +267,7 @@
             log::info!(upstream = truncated(name), revision:%; "upstream.unlisted");
             return parse_upstream_id(name).map(upstream_list::ListChange::Gone);
         };
-        let Some(entry) = self.read_entry(name, text) else {
+        let Some(entry) = self.parse_entry(name, text) else {
             return parse_upstream_id(name).map(upstream_list::ListChange::Unreadable);
         };
         if self.list.entry(&entry.name) != Some(&entry) {
@@ -280,10 +280,10 @@
     }
 
     /// Parses the document of an upstream; logs and drops an invalid one.
-    fn read_entry(&self, name: &str, text: &str) -> Option<upstream_list::UpstreamEntry> {
+    fn parse_entry(&self, name: &str, text: &str) -> Option<upstream_list::UpstreamEntry> {
         // An unreadable entry is logged once for each time it is written, not each time it is read.
         let already_rejected = self.raw.upstreams.get(name).is_some_and(String::is_empty);
-        let parsed = self.adapter.read_upstream(name, text);
+        let parsed = self.adapter.parse_upstream(name, text);
         parsed.inspect_err(|error| {
             if !already_rejected {
                 let error = error.to_string();
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -67,7 +67,7 @@
                 self.answer.finish(context, &self.upstream);
             }
             Err(ForwardError::Upstream { .. }) if waited < SLOW_CALLER_THRESHOLD => {
-                self.run.broke();
+                self.run.connection_broke();
                 self.guard.result.set(Some(CallResult::Failed));
             }
             Err(_) => self.run.answered(),
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -70,7 +70,7 @@
 /// Records that the store, asked at `asked`, had no newer routes than this process has now.
 fn refute_routes(context: &context::InstanceContext, asked: units::MonoTime) {
     let own = context.versions().routes;
-    context.belief.borrow_mut().refute_routes(own, asked);
+    context.store_tracker.borrow_mut().refute_routes(own, asked);
 }
 
 /// Outcome of fetching documents from a member.
@@ -112,7 +112,7 @@
             continue;
         };
         let routes = if has_list { u64::MAX } else { context.versions().routes };
-        let list = context.fleet.borrow().wanted_from();
+        let list = context.fleet.borrow().sync_revision();
         let path = format!("{DOCUMENTS_PATH}?routes={routes}&list={list}");
         let limit = if has_list { LIST_TIMEOUT } else { START_TIMEOUT };
         adopt_from(&context, &member, address, &path, limit).await;
@@ -165,7 +165,7 @@
     last_failed: Option<&ids::InstanceId>,
 ) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
-    let known = context.belief.borrow().known(context.versions()).routes;
+    let known = context.store_tracker.borrow().known(context.versions()).routes;
     let members = context.members.borrow();
     let mut sources = members.routes_sources(context.now(), known, &settings.data_center);
     if sources.len() > 1 {
@@ -177,7 +177,7 @@
 /// A random member with a newer list.
 fn list_source(context: &context::InstanceContext) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
-    let known = context.belief.borrow().known(context.versions()).list;
+    let known = context.store_tracker.borrow().known(context.versions()).list;
     let members = context.members.borrow();
     let sources = members.list_sources(context.now(), known, &settings.data_center);
     pick_source(&sources, settings.listen.members.port())
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -10,13 +10,13 @@
 
 /// Sends a member all state known here that is exchanged by gossip.
 pub(crate) fn send_to(context: &context::InstanceContext, to: net::SocketAddrV4) {
-    quarantine_gossip::send_held(context, to);
+    quarantine_gossip::send_quarantined(context, to);
     upstream_signals::send_leaving(context, to);
     limit_gossip::send_to(context, to);
 }
 
 /// Requests the state of a member that has just joined, up to a number of requests per second.
-pub(crate) fn request_from_met(context: &context::InstanceContext, to: net::SocketAddrV4) {
+pub(crate) fn request_from_joined(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let second = context.now().since(units::MonoTime::default()).as_secs();
     let (last, count) = context.gossip_requests.get();
     let count = if last == second { count } else { 0 };
@@ -55,7 +55,10 @@
             limit_gossip::send_to(&context, *to);
         }
         // Evidence of the quarantine is larger and only needed for future requests, so one member is enough.
-        targets.first().into_iter().for_each(|to| quarantine_gossip::send_held(&context, *to));
+        targets
+            .first()
+            .into_iter()
+            .for_each(|to| quarantine_gossip::send_quarantined(&context, *to));
     }
 }
 
@@ -65,6 +68,6 @@
     cause: gossip::GossipCause,
 ) -> Vec<net::SocketAddrV4> {
     let members = context.members.borrow();
-    let alive = members.alive(context.now()).map(|beat| beat.address);
+    let alive = members.alive(context.now()).map(|heartbeat| heartbeat.address);
     gossip::targets(cause, alive, &mut rand::rng())
 }
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -27,7 +27,7 @@
 /// How an attempt ended.
 enum AttemptEnd {
     /// The caller received the complete answer.
-    Whole,
+    Complete,
     /// The engine answered with a failure, which is forwarded if no later attempt succeeds.
     Failure(Box<http::response::Parts>, Bytes),
     /// The attempt failed without an answer that can be forwarded.
@@ -97,7 +97,7 @@
             break;
         }
         match attempt(context, call, reply, record, state).await? {
-            AttemptEnd::Whole => return Ok(None),
+            AttemptEnd::Complete => return Ok(None),
             AttemptEnd::NoPlace => break,
             AttemptEnd::NoEngine => break,
             AttemptEnd::Refused(refused) => {
@@ -264,7 +264,7 @@
     let times = rc::Rc::clone(&connection.times);
     let left = call.left(context.now());
     let run = upstream_ends::RunGuard::begin(context, call, &target.upstream, target.address);
-    let mut over = pin::pin!(context.starts.until_ended(&target.upstream));
+    let mut upstream_ended = pin::pin!(context.starts.until_ended(&target.upstream));
     let mut sending = pin::pin!(upstream_attempt::exchange(context, call, &target, connection));
     let unused_time = context.settings().bounds.unused_time();
     let mut watch = silence_watch::SilenceWatch {
@@ -284,7 +284,8 @@
     let limits = silence_watch::SilenceLimits { other: first_wait, any: last_silence };
     let retry =
         async |reach| state.give_up(context, call, &hold.grant.engine, reached, reach).await;
-    let answered = match watch.wait(sending.as_mut(), over.as_mut(), limits, retry).await {
+    let answered = match watch.wait(sending.as_mut(), upstream_ended.as_mut(), limits, retry).await
+    {
         Ok(answered) => answered,
         Err(fault) => {
             state.sent += 1;
@@ -336,10 +337,10 @@
         let sent = state.sent;
         let retry =
             async |reach| state.give_up(context, call, &hold.grant.engine, sent, reach).await;
-        let piece = match watch.wait(next.as_mut(), over.as_mut(), limits, retry).await {
+        let piece = match watch.wait(next.as_mut(), upstream_ended.as_mut(), limits, retry).await {
             Ok(Ok(piece)) => piece,
             Ok(Err(error)) => {
-                run.broke();
+                run.connection_broke();
                 return Ok(broken(state, error));
             }
             Err(fault) => {
@@ -369,7 +370,7 @@
         state.send(reply, &answer.head, &whole).await?;
     }
     if !events.is_empty() {
-        run.broke();
+        run.connection_broke();
         return Ok(broken(state, "the stream ends in the middle of an event"));
     }
     run.answered();
@@ -381,7 +382,7 @@
     record.status = Some(200);
     "answered".clone_into(&mut record.outcome);
     "whole".clone_into(&mut attempt_record.end);
-    Ok(AttemptEnd::Whole)
+    Ok(AttemptEnd::Complete)
 }
 
 /// Returns the fault of an answer that broke off.
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -74,7 +74,7 @@
     use peer_message::PeerMessage;
     let now = context.now();
     match message {
-        PeerMessage::Beat(beat) => heartbeats::receive(context, now, *beat),
+        PeerMessage::Beat(heartbeat) => heartbeats::receive(context, now, *heartbeat),
         PeerMessage::Alive(alive) => {
             failure_watch::restore(context, alive.boot);
             if !context.members.borrow_mut().receive_alive(now, &alive) {
@@ -82,8 +82,8 @@
             }
         }
         PeerMessage::Who => {
-            let beat = context.next_heartbeat();
-            context.send_to(from, PeerMessage::Beat(Box::new(beat)));
+            let heartbeat = context.next_heartbeat();
+            context.send_to(from, PeerMessage::Beat(Box::new(heartbeat)));
         }
         PeerMessage::Ask(key, ask) => {
             let job = ask.job;
@@ -113,8 +113,10 @@
         PeerMessage::Gone(upstream) => {
             context.loads.borrow_mut().receive_gone(now, &upstream);
         }
-        PeerMessage::Ends(reports) => quarantine_gossip::receive_ends(context, reports),
-        PeerMessage::Held(reports) => quarantine_gossip::receive_held(context, from, reports),
+        PeerMessage::Ends(reports) => quarantine_gossip::receive_crashes(context, reports),
+        PeerMessage::Held(reports) => {
+            quarantine_gossip::receive_quarantined(context, from, reports)
+        }
         PeerMessage::Cleared(digest, micros_ago) => {
             quarantine_gossip::receive_cleared(context, digest, micros_ago);
         }
@@ -172,7 +174,7 @@
         if now.since(last) > MIN_PAUSE {
             log::warn!(paused_ms = now.since(last).as_millis() as u64; "process.woke");
             context.resumed_at.set(now);
-            quota_coordinator::begin_anew(&context);
+            quota_coordinator::reset_quotas(&context);
             // Other members may suspect this process by now.
             heartbeats::broadcast(&context);
         }
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -24,21 +24,21 @@
         digest: run.digest,
         upstream: run.upstream.clone(),
         sent: run.sent,
-        ended: run.broke,
+        ended: run.broke_at,
     };
     record_evidence(context, runs.iter().map(ended).collect());
     let now = context.now();
     for (keeper, digests) in keepers_of(context, runs.iter().map(|run| run.digest)) {
         // All evidence known here against these requests, so that their times are relative to the same moment.
-        let ends = ends_of(context, &digests);
-        for reports in report_batches(now, &ends) {
+        let crashes = crashes_of(context, &digests);
+        for reports in report_batches(now, &crashes) {
             context.send_to(keeper, peer_message::PeerMessage::Ends(reports));
         }
     }
 }
 
 /// Handles evidence that this member is to keep.
-pub(crate) fn receive_ends(
+pub(crate) fn receive_crashes(
     context: &context::InstanceContext,
     reports: Vec<peer_message::EndReport>,
 ) {
@@ -46,16 +46,16 @@
 }
 
 /// Handles evidence against requests that another member has quarantined.
-pub(crate) fn receive_held(
+pub(crate) fn receive_quarantined(
     context: &context::InstanceContext,
     from: net::SocketAddrV4,
     reports: Vec<peer_message::EndReport>,
 ) {
     let now = context.now();
-    let ends = ended_runs(now, reports);
-    report_cleared(context, from, &ends);
-    let held = context.quarantine.borrow_mut().note_crashes(now, ends);
-    log_held(context, &held, "member");
+    let crashes = ended_runs(now, reports);
+    report_cleared(context, from, &crashes);
+    let quarantined = context.quarantine.borrow_mut().note_crashes(now, crashes);
+    log_quarantined(context, &quarantined, "member");
 }
 
 /// Clears a request of the evidence that is older than `micros_ago`, in microseconds.
@@ -69,10 +69,10 @@
 }
 
 /// Sends a member the evidence against all requests that are quarantined here.
-pub(crate) fn send_held(context: &context::InstanceContext, to: net::SocketAddrV4) {
+pub(crate) fn send_quarantined(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
-    let held = context.quarantine.borrow().quarantined_at(now);
-    for reports in report_batches(now, &ends_of(context, &held)) {
+    let quarantined = context.quarantine.borrow().quarantined_at(now);
+    for reports in report_batches(now, &crashes_of(context, &quarantined)) {
         context.send_to(to, peer_message::PeerMessage::Held(reports));
     }
 }
@@ -99,9 +99,9 @@
     digest: request_digest::RequestDigest,
 ) -> bool {
     let now = context.now();
-    let held = context.quarantine.borrow().verdict(now, digest).is_some();
+    let quarantined = context.quarantine.borrow().verdict(now, digest).is_some();
     let known = context.quarantine.borrow_mut().clear(digest, now);
-    let recipients: Vec<_> = if held {
+    let recipients: Vec<_> = if quarantined {
         context.members.borrow().targets(context.settings().member_address)
     } else {
         keepers_of(context, [digest].into_iter()).into_iter().map(|(to, _)| to).collect()
@@ -109,21 +109,21 @@
     for to in recipients {
         context.send_to(to, peer_message::PeerMessage::Cleared(digest, 0));
     }
-    if held {
+    if quarantined {
         log::warn!(digest:%; "request.released");
     }
     known
 }
 
 /// Records evidence, and informs all members of requests that are quarantined by it.
-fn record_evidence(context: &context::InstanceContext, ends: Vec<quarantine::CrashedRun>) {
+fn record_evidence(context: &context::InstanceContext, crashes: Vec<quarantine::CrashedRun>) {
     let now = context.now();
-    let held = context.quarantine.borrow_mut().note_crashes(now, ends);
-    if held.is_empty() {
+    let quarantined = context.quarantine.borrow_mut().note_crashes(now, crashes);
+    if quarantined.is_empty() {
         return;
     }
-    log_held(context, &held, "evidence");
-    let evidence = ends_of(context, &held);
+    log_quarantined(context, &quarantined, "evidence");
+    let evidence = crashes_of(context, &quarantined);
     for to in context.members.borrow().targets(context.settings().member_address) {
         for reports in report_batches(now, &evidence) {
             context.send_to(to, peer_message::PeerMessage::Held(reports));
@@ -135,18 +135,18 @@
 fn report_cleared(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
-    ends: &[quarantine::CrashedRun],
+    crashes: &[quarantine::CrashedRun],
 ) {
     let now = context.now();
     let table = context.quarantine.borrow();
-    let mut digests: Vec<_> = ends.iter().map(|end| end.digest).collect();
+    let mut digests: Vec<_> = crashes.iter().map(|crash| crash.digest).collect();
     digests.dedup();
     for digest in digests {
         let Some(age) = table.answered_age(now, digest) else {
             continue;
         };
-        let of_digest = ends.iter().filter(|end| end.digest == digest);
-        if of_digest.map(|end| now.since(end.ended)).all(|ended| ended >= age) {
+        let of_digest = crashes.iter().filter(|crash| crash.digest == digest);
+        if of_digest.map(|crash| now.since(crash.ended)).all(|ended| ended >= age) {
             let message = peer_message::PeerMessage::Cleared(digest, micros(age));
             context.send_to(to, message);
         }
@@ -154,7 +154,7 @@
 }
 
 /// Evidence known here against these requests.
-fn ends_of(
+fn crashes_of(
     context: &context::InstanceContext,
     digests: &[request_digest::RequestDigest],
 ) -> Vec<quarantine::CrashedRun> {
@@ -175,7 +175,8 @@
     digests.dedup();
     for digest in digests {
         let subject = digest.to_string();
-        let ranked = rendezvous::ranked(&subject, alive.iter(), |beat| beat.name.as_str());
+        let ranked =
+            rendezvous::ranked(&subject, alive.iter(), |heartbeat| heartbeat.name.as_str());
         let count = if alive.len() <= SMALL_FLEET_MEMBERS { alive.len() } else { EVIDENCE_KEEPERS };
         for keeper in ranked.into_iter().take(count) {
             keepers.entry(keeper.address).or_default().push(digest);
@@ -187,16 +188,16 @@
 /// Reports of these runs, split so that each part fits a message.
 fn report_batches(
     now: units::MonoTime,
-    ends: &[quarantine::CrashedRun],
+    crashes: &[quarantine::CrashedRun],
 ) -> Vec<Vec<peer_message::EndReport>> {
-    let report = |end: &quarantine::CrashedRun| peer_message::EndReport {
-        digest: end.digest,
-        upstream: end.upstream.clone(),
-        sent_us: micros(now.since(end.sent)),
-        ended_us: micros(now.since(end.ended)),
+    let report = |crash: &quarantine::CrashedRun| peer_message::EndReport {
+        digest: crash.digest,
+        upstream: crash.upstream.clone(),
+        sent_us: micros(now.since(crash.sent)),
+        ended_us: micros(now.since(crash.ended)),
     };
-    let message = |ends: &[quarantine::CrashedRun]| ends.iter().map(report).collect();
-    ends.chunks(peer_message::MAX_ENDS).map(message).collect()
+    let message = |crashes: &[quarantine::CrashedRun]| crashes.iter().map(report).collect();
+    crashes.chunks(peer_message::MAX_ENDS).map(message).collect()
 }
 
 /// Converts reports to runs with times of this process's clock; times before its start become its start.
@@ -219,13 +220,13 @@
 }
 
 /// Logs and counts requests that have just been quarantined, and signals the verdict to requests in progress.
-fn log_held(
+fn log_quarantined(
     context: &context::InstanceContext,
-    held: &[request_digest::RequestDigest],
+    quarantined: &[request_digest::RequestDigest],
     source: &str,
 ) {
     let table = context.quarantine.borrow();
-    for digest in held.iter().take(MAX_LOGGED_DIGESTS) {
+    for digest in quarantined.iter().take(MAX_LOGGED_DIGESTS) {
         let Some(verdict) = table.verdict(context.now(), *digest) else {
             continue;
         };
@@ -233,10 +234,10 @@
         log::warn!(digest:%, source, upstreams = verdict.names(), for_ms; "request.quarantined");
     }
     drop(table);
-    for _ in held {
+    for _ in quarantined {
         context.stats.borrow_mut().count("quarantined", source);
     }
-    if !held.is_empty() {
+    if !quarantined.is_empty() {
         context.verdicts.notify_all();
     }
 }
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -85,7 +85,7 @@
     let fleet = context.fleet.borrow();
     let part = context.members.borrow().reachable_share(now);
     context.quotas.last_check.set((CheckedState::of(context), now));
-    let mut kept = coordinated_retries(context, &fleet, part);
+    let mut coordinated = coordinated_retries(context, &fleet, part);
     let mut planned = collections::BTreeMap::<_, planner_set::EngineLimits>::new();
     // All engines of a cell have one coordinator.
     let mut own_keys = collections::BTreeMap::new();
@@ -99,7 +99,7 @@
         let bound = send_pace::PaceBound::of_limit(limit.scaled(part));
         if !is_planned(&fleet, entry) {
             let subject = quota_permit::QuotaSubject::Upstream(upstream.clone());
-            kept.extend(own.then_some((subject, bound)));
+            coordinated.extend(own.then_some((subject, bound)));
             continue;
         }
         let (own_engines, elsewhere) = planned.entry(key).or_default();
@@ -118,7 +118,7 @@
     context.quotas.cache.borrow_mut().retain(is_needed);
     let mut log = context.quotas.limit_log.borrow_mut();
     log.retain(|upstream, _| fleet.list.limit(upstream).is_some());
-    context.quotas.ledger.borrow_mut().set_coordinated(now, &kept);
+    context.quotas.ledger.borrow_mut().set_coordinated(now, &coordinated);
     context.planners.borrow_mut().set_limits(now, planned);
 }
 
@@ -146,7 +146,7 @@
 }
 
 /// Empties all buckets after a pause: others may have coordinated the quotas meanwhile.
-pub(crate) fn begin_anew(context: &context::InstanceContext) {
+pub(crate) fn reset_quotas(context: &context::InstanceContext) {
     let now = context.now();
     context.quotas.ledger.borrow_mut().begin_anew(now);
     context.planners.borrow_mut().reset_limits(now);
@@ -174,7 +174,7 @@
 /// Responds to a request for permits of a member or of this process.
 pub(crate) fn answer(
     context: &context::InstanceContext,
-    asker: u64,
+    requester: u64,
     subject: &quota_permit::QuotaSubject,
     ask: &quota_permit::PermitRequest,
 ) -> quota_permit::PermitResponse {
@@ -194,14 +194,14 @@
         Some((key, engine)) => {
             let mut planners = context.planners.borrow_mut();
             let planner = planners.planner(&key);
-            planner.and_then(|planner| planner.permits().ask(now, &engine, asker, ask))
+            planner.and_then(|planner| planner.permits().ask(now, &engine, requester, ask))
         }
         None => {
             let mut ledger = context.quotas.ledger.borrow_mut();
             ledger.request_reserving(
                 now,
                 &subject.shared_quota(),
-                asker,
+                requester,
                 ask,
                 subject.reserved_part(),
             )
--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -158,7 +158,7 @@
             Err(engine_call::EngineCallError::Denied { .. }) => return Some(None),
             Err(engine_call::EngineCallError::Call { .. }) => return None,
         };
-        let report = self.context.adapter.read_report(&body).ok();
+        let report = self.context.adapter.parse_report(&body).ok();
         let start = report.as_ref().and_then(|report| report.start);
         upstream_starts::receive(self.context, engine.address, start, asked);
         Some(report)
--- a/crates/instance/src/store_call.rs
+++ b/crates/instance/src/store_call.rs
@@ -84,12 +84,12 @@
 
 /// The latest era known from the store or from members.
 fn known_era(context: &context::InstanceContext) -> store_revision::StoreEra {
-    context.belief.borrow().era().max(context.fleet.borrow().revision().era)
+    context.store_tracker.borrow().era().max(context.fleet.borrow().revision().era)
 }
 
 /// Records the era of an answer, and logs a change.
 fn note_era(context: &context::InstanceContext, era: store_revision::StoreEra) {
-    let changed = context.belief.borrow_mut().note_era(context.now(), era);
+    let changed = context.store_tracker.borrow_mut().note_era(context.now(), era);
     if let Some(before) = changed {
         log::warn!(era = era.0, before = before.0; "store.era_changed");
         context.stats.borrow_mut().count("store_eras", "changed");
--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -24,7 +24,7 @@
 /// An open watch is not sufficient, as its connection may have fallen silent: once a member has had a change for
 /// [`MAX_WATCH_LAG`], the member is trusted instead.
 pub(crate) fn trusts_own_watch(context: &context::InstanceContext) -> bool {
-    let answers = context.belief.borrow().answers();
+    let answers = context.store_tracker.borrow().answers();
     answers && !is_behind(context)
 }
 
@@ -35,7 +35,7 @@
 
 /// Records that the store does not answer; returns whether that is a change.
 pub(crate) fn mark_lost(context: &context::InstanceContext, error: &str) -> bool {
-    let lost = context.belief.borrow_mut().lose(context.now());
+    let lost = context.store_tracker.borrow_mut().lose(context.now());
     if lost {
         log::warn!(error; "store.lost");
         heartbeats::announce(context);
@@ -46,13 +46,13 @@
 /// Records an answer of the store.
 pub(crate) fn mark_answered(context: &context::InstanceContext) {
     let now = context.now();
-    let contact_change = context.belief.borrow_mut().receive(now);
+    let contact_change = context.store_tracker.borrow_mut().receive(now);
     if let Some(away) = contact_change.away {
         log::info!(away_ms = units::whole_millis(away); "store.regained");
         context.fleet.borrow_mut().source_returned(now);
     }
     if contact_change.resumes_watch {
-        // From now on other members can rely on this one's watch.
+        // From now on other members can rely on this process's watch.
         heartbeats::announce(context);
     }
 }
@@ -67,12 +67,12 @@
     let behind = lags.longest() >= MAX_WATCH_LAG && context.fleet.borrow().is_known();
     if behind && behind_since.is_none() {
         *behind_since = Some(now);
-        let belief = context.belief.borrow();
+        let store_tracker = context.store_tracker.borrow();
         log::warn!(
             routes_ms = units::whole_millis(lags.routes),
             list_ms = units::whole_millis(lags.list),
-            heard_ms = units::whole_millis(belief.last_answer_age(now)),
-            store:? = belief.contact(); "store.behind_members"
+            heard_ms = units::whole_millis(store_tracker.last_answer_age(now)),
+            store:? = store_tracker.contact(); "store.behind_members"
         );
     }
     if let Some(since) = behind_since.filter(|_| !behind) {
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -37,7 +37,7 @@
         let started = context.now();
         let error = match follow(&context, &mut connection).await {
             Ok(()) => {
-                context.belief.borrow_mut().stop_watching();
+                context.store_tracker.borrow_mut().stop_watching();
                 log::info!("store.left_to_others");
                 failed = false;
                 continue;
@@ -71,7 +71,7 @@
     missing_since: &mut Option<units::MonoTime>,
     failed: bool,
 ) -> bool {
-    if context.belief.borrow().is_watching() {
+    if context.store_tracker.borrow().is_watching() {
         return true;
     }
     let now = context.now();
@@ -113,13 +113,13 @@
     connection: &mut document_call::DocumentConnection,
 ) -> Result<(), String> {
     let mut revision = first_revision(context, connection).await?;
-    context.belief.borrow_mut().watch();
+    context.store_tracker.borrow_mut().watch();
     loop {
-        let answers = context.belief.borrow().answers();
+        let answers = context.store_tracker.borrow().answers();
         if answers && others_watch(context) {
             return Ok(());
         }
-        context.belief.borrow_mut().set_watched(revision);
+        context.store_tracker.borrow_mut().set_watched(revision);
         let asked = context.now();
         let answer = match store_watch::watch(context, connection, revision).await {
             Ok(answer) if answer.era == revision.era => answer,
@@ -137,7 +137,7 @@
             Err(error) => return Err(error.to_string()),
         };
         let (changes, next) =
-            context.adapter.read_changes(&answer.body).map_err(|error| error.to_string())?;
+            context.adapter.parse_changes(&answer.body).map_err(|error| error.to_string())?;
         store_contact::mark_answered(context);
         let next = store_revision::StoreRevision::new(answer.era, next);
         let unchanged = changes.is_empty();
@@ -149,7 +149,7 @@
         revision = revision.max(next);
         if unchanged {
             let own = context.versions().list;
-            context.belief.borrow_mut().refute_list(own, asked);
+            context.store_tracker.borrow_mut().refute_list(own, asked);
         } else {
             monoio::time::sleep(context.settings().bounds.leave.0.mul_f64(CHANGE_PAUSE_SHARE))
                 .await;
@@ -162,12 +162,12 @@
     context: &context::InstanceContext,
     connection: &mut document_call::DocumentConnection,
 ) -> Result<store_revision::StoreRevision, String> {
-    let watched = context.belief.borrow().watched();
+    let watched = context.store_tracker.borrow().watched();
     let listed = context.fleet.borrow().revision();
     let known = context.fleet.borrow().is_known();
     if !known || listed.is_none() {
         let revision = store_read::read_all(context, connection).await?;
-        context.belief.borrow_mut().watch();
+        context.store_tracker.borrow_mut().watch();
         store_contact::mark_answered(context);
         return Ok(revision);
     }
@@ -196,7 +196,7 @@
     let before = context.fleet.borrow().revision().era;
     // Recorded before the read, as entries that expired during an outage must not be removed at once.
     store_contact::mark_answered(context);
-    let revision = if before == era && context.belief.borrow().watched().era < era {
+    let revision = if before == era && context.store_tracker.borrow().watched().era < era {
         join_members(context).await?
     } else {
         store_read::read_all(context, connection).await?
--- a/crates/instance/src/store_read.rs
+++ b/crates/instance/src/store_read.rs
@@ -67,7 +67,7 @@
         let answer =
             store_call::get(context, connection, &path(after.as_deref()), READ_TIMEOUT).await;
         let answer = answer.map_err(|error| error.to_string())?;
-        let page = context.adapter.read_page(&answer.body).map_err(|error| error.to_string())?;
+        let page = context.adapter.parse_page(&answer.body).map_err(|error| error.to_string())?;
         let revision = store_revision::StoreRevision::new(answer.era, page.revision);
         let first = *first_revision.get_or_insert(revision);
         if first.era != revision.era {
@@ -88,7 +88,7 @@
     let path = context.adapter.routes_path();
     let answer = store_call::get(context, &mut connection, &path, READ_TIMEOUT).await;
     let answer = answer.map_err(|error| error.to_string())?;
-    let page = context.adapter.read_page(&answer.body).map_err(|error| error.to_string())?;
+    let page = context.adapter.parse_page(&answer.body).map_err(|error| error.to_string())?;
     let mut fleet = context.fleet.borrow_mut();
     page.items.into_iter().for_each(|item| fleet.put_routes_item(item, "store"));
     Ok(())
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -32,7 +32,7 @@
     connection: &mut document_call::DocumentConnection,
     revision: store_revision::StoreRevision,
 ) -> Result<store_call::StoreAnswer, store_call::StoreError> {
-    if !context.belief.borrow().answers() {
+    if !context.store_tracker.borrow().answers() {
         // After an outage the store's return must be noticed soon.
         return probe(context, connection, revision).await;
     }
@@ -45,7 +45,7 @@
         if let Some(answered) = until_doubted(context, waiting.as_mut(), wait + MAX_DELAY).await {
             return answered;
         }
-        context.belief.borrow_mut().doubt();
+        context.store_tracker.borrow_mut().doubt();
         // Either the store is slow, or this connection is silent while new ones work: the first answer decides. Waiting
         // for the watch alone delayed changes by half a minute.
         match future::select(waiting, pin::pin!(probe(context, &mut probe_connection, revision)))
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -292,7 +292,7 @@
     };
     let head = head.map_err(AttemptFault::broke)?;
     connection.times.receive();
-    let head_fields = context.adapter.read_answer(&head);
+    let head_fields = context.adapter.parse_answer(&head);
     if head_fields.id.as_deref() != Some(call.request.id.as_str()) {
         return Err(AttemptFault::broke("the answer belongs to another request"));
     }
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -62,7 +62,7 @@
     /// When the request was sent.
     pub sent: units::MonoTime,
     /// When the run broke or was abandoned.
-    pub broke: units::MonoTime,
+    pub broke_at: units::MonoTime,
     /// Whether the run was abandoned by its caller or by this process, rather than broken.
     pub abandoned: bool,
 }
@@ -92,7 +92,7 @@
     address: net::SocketAddrV4,
     sent: units::MonoTime,
     ended: bool,
-    broke: bool,
+    broken: bool,
 }
 
 impl<'a> RunGuard<'a> {
@@ -111,19 +111,19 @@
             address,
             sent,
             ended: false,
-            broke: false,
+            broken: false,
         }
     }
 
     /// Records that the run failed; it counts as broken unless the upstream certainly did not run the request.
     pub(crate) fn failed(mut self, fault: &upstream_attempt::AttemptFault) {
         self.ended = fault.failure.definitely_not_run();
-        self.broke = !self.ended;
+        self.broken = !self.ended;
     }
 
     /// Records that the connection of the run broke.
-    pub(crate) fn broke(mut self) {
-        self.broke = true;
+    pub(crate) fn connection_broke(mut self) {
+        self.broken = true;
     }
 
     /// Records that the upstream has answered completely, whatever the answer: the request does not crash it.
@@ -143,8 +143,8 @@
             address: self.address,
             digest: self.call.digest(),
             sent: self.sent,
-            broke: self.context.now(),
-            abandoned: !self.broke,
+            broke_at: self.context.now(),
+            abandoned: !self.broken,
         };
         self.context.report_run(RunEvent::Broke(run));
     }
@@ -189,7 +189,7 @@
 
     /// Forgets runs that have waited for [`PROOF_TIMEOUT`].
     fn forget_expired(&mut self, now: units::MonoTime) {
-        self.runs.retain(|run| now.since(run.broke) < PROOF_TIMEOUT);
+        self.runs.retain(|run| now.since(run.broke_at) < PROOF_TIMEOUT);
         let runs = &self.runs;
         self.accepting.retain(|upstream| runs.iter().any(|run| run.upstream == *upstream));
     }
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -45,7 +45,7 @@
     head: &http::response::Parts,
     origin: SignalOrigin,
 ) {
-    let answer = adapter::UpstreamAdapter::read_answer(&*context.adapter, head);
+    let answer = adapter::UpstreamAdapter::parse_answer(&*context.adapter, head);
     if answer.misdirected || !(answer.leaving || answer.rest.is_some() || answer.limit.is_some()) {
         return;
     }
