--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -13,7 +13,7 @@
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
     ask: engine_place::PlaceAsk,
-    turn: send_gate::ProbePermission,
+    probe_permission: send_gate::ProbePermission,
     limit: time::Duration,
 ) -> plan_client::PlaceOutcome {
     let asked = context.now();
@@ -21,12 +21,12 @@
     let mut best: Option<engine_place::PlaceRefusal> = None;
     context.search_budget.borrow_mut().note_request();
     while context.search_budget.borrow_mut().take(refused.len())
-        && let Some(planner) = context.pick_planner(&call.service, turn, &refused)
+        && let Some(planner) = context.pick_planner(&call.service, probe_permission, &refused)
     {
         let spent = context.now().since(asked);
         let mut ask = engine_place::PlaceAsk { job: context.next_job(), ..ask.after(spent) };
         if context.settings().experiments.closed_engines == ways::ClosedEngineWay::Asked {
-            ask.excluded.extend(context.closed_engines(&planner, turn));
+            ask.excluded.extend(context.closed_engines(&planner, probe_permission));
         }
         if !refused.is_empty() && ask.goal_left_ms == 0 {
             // The request used up its goal in earlier cells; another one would delay the caller further.
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -293,14 +293,14 @@
     pub fn pick_planner(
         &self,
         service: &ids::ServiceId,
-        turn: send_gate::ProbePermission,
+        probe_permission: send_gate::ProbePermission,
         refused: &[u16],
     ) -> Option<planner_key::PlannerKey> {
         let fleet = self.fleet.borrow();
         let cells = planner_key::cell_count(fleet.list.listed_count(service));
         let usable = fleet.list.usable(service);
         let engines: Vec<_> = usable.into_iter().map(|entry| &entry.name).collect();
-        let closed = fleet.list.closed(self.now(), service, turn);
+        let closed = fleet.list.closed(self.now(), service, probe_permission);
         let drawn = rand::random_range(0..=engines.len());
         planner_key::pick(service, cells, &engines, &closed, refused, drawn)
     }
@@ -309,10 +309,10 @@
     pub fn closed_engines(
         &self,
         key: &planner_key::PlannerKey,
-        turn: send_gate::ProbePermission,
+        probe_permission: send_gate::ProbePermission,
     ) -> Vec<ids::UpstreamId> {
         let fleet = self.fleet.borrow();
-        let closed = fleet.list.closed(self.now(), &key.service, turn);
+        let closed = fleet.list.closed(self.now(), &key.service, probe_permission);
         if closed.is_empty() {
             return Vec::new();
         }
--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -111,9 +111,9 @@
         let Ok(result) = result else {
             return SilentSnafu { limit }.fail();
         };
-        let (answer, reusable) = result?;
+        let (response, reusable) = result?;
         self.open = open.filter(|_| reusable);
-        Ok(answer)
+        Ok(response)
     }
 }
 
--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Adopts what another member keeps in force of the era before.
+    /// Adopts the state of the previous era that another member keeps in force.
     pub(crate) fn adopt_recovery(&mut self, now: units::MonoTime, report: RecoveryReport) {
         let identifiers = report.kept.iter().map(|(name, _)| name.as_str().into());
         let state = list_recovery::RecoveryState {
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -87,7 +87,7 @@
         self.replace_all(now, list, None, source);
     }
 
-    /// Replaces the list, and adopts what another member keeps in force besides it.
+    /// Replaces the list, and adopts the state of the previous era that another member keeps in force besides it.
     fn replace_all(
         &mut self,
         now: units::MonoTime,
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -97,7 +97,7 @@
     if outcome == CopyOutcome::Adopted && !newer { CopyOutcome::Missing } else { outcome }
 }
 
-/// Fetches the list from members while other members watch the store for this one, or while the store is silent.
+/// Fetches the list from members while other members watch the store for this process, or while the store is silent.
 pub async fn follow_list(context: rc::Rc<context::InstanceContext>) {
     let mut behind_since = None;
     loop {
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -195,12 +195,12 @@
         excluded: &state.excluded,
     };
     let ask = stream_policy::ask(context, call, &progress);
-    let mut hold = match cell_search::place(context, call, ask, state.trial_turn(call), limit).await
-    {
-        plan_client::PlaceOutcome::Placed(hold) => hold,
-        plan_client::PlaceOutcome::Refused(refusal) => return Ok(AttemptEnd::Refused(refusal)),
-        plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
-    };
+    let mut hold =
+        match cell_search::place(context, call, ask, state.probe_permission(call), limit).await {
+            plan_client::PlaceOutcome::Placed(hold) => hold,
+            plan_client::PlaceOutcome::Refused(refusal) => return Ok(AttemptEnd::Refused(refusal)),
+            plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
+        };
     let mut attempt_record = request_record::AttemptRecord {
         // Remains in the record if the caller disconnects during the attempt.
         end: "under way".to_owned(),
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -134,10 +134,10 @@
     monoio::spawn(prune(share()));
     monoio::spawn(upstream_ends::find_ended_upstreams(share(), run_events));
     monoio::spawn(member_gossip::repeat(share()));
-    let small = internal_server::accept_all;
-    monoio::spawn(small(share(), health, internal_server::ServerRole::Health));
-    monoio::spawn(small(share(), members, internal_server::ServerRole::Members));
-    monoio::spawn(small(share(), operators, internal_server::ServerRole::Operators));
+    let accept_internal = internal_server::accept_all;
+    monoio::spawn(accept_internal(share(), health, internal_server::ServerRole::Health));
+    monoio::spawn(accept_internal(share(), members, internal_server::ServerRole::Members));
+    monoio::spawn(accept_internal(share(), operators, internal_server::ServerRole::Operators));
     monoio::spawn(accept_callers(share(), callers));
 
     wait_for_stop(&context, &reload, &path).await;
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -56,8 +56,8 @@
     refused: &[ids::UpstreamId],
 ) -> Option<upstream_list::UpstreamEntry> {
     let fleet = context.fleet.borrow();
-    let turn = send_gate::ProbePermission::of(excluded.len(), call.route.max_attempts);
-    let mut open = fleet.list.open(context.now(), &call.service, turn);
+    let probe_permission = send_gate::ProbePermission::of(excluded.len(), call.route.max_attempts);
+    let mut open = fleet.list.open(context.now(), &call.service, probe_permission);
     open.retain(|entry| !excluded.contains(&entry.name) && !refused.contains(&entry.name));
     open.retain(|entry| permit_request::closed(context, &entry.name).is_zero());
     let own = context.settings().data_center.clone();
@@ -92,8 +92,8 @@
     excluded: &[ids::UpstreamId],
 ) -> Vec<upstream_list::UpstreamEntry> {
     let fleet = context.fleet.borrow();
-    let turn = send_gate::ProbePermission::of(excluded.len(), call.route.max_attempts);
-    let open = fleet.list.open(context.now(), &call.service, turn).into_iter();
+    let probe_permission = send_gate::ProbePermission::of(excluded.len(), call.route.max_attempts);
+    let open = fleet.list.open(context.now(), &call.service, probe_permission).into_iter();
     let is_closed = |entry: &&upstream_list::UpstreamEntry| {
         !excluded.contains(&entry.name) && fleet.list.limit(&entry.name).is_some()
     };
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -106,7 +106,7 @@
         if chosen.is_none()
             && let Some(again) = reused_silent.take()
         {
-            // Only a pooled connection to this upstream failed; it gets the call over a new one.
+            // Only a pooled connection to this upstream failed; the call is sent to it over a new one.
             excluded.retain(|name| *name != again);
             chosen = service_choice::choose(context, call, &excluded).await;
         }
@@ -229,9 +229,9 @@
     start: AttemptStart<'_>,
     give_up: impl AsyncFnMut(upstream_attempt::RetryReach) -> bool,
 ) -> Result<UpstreamReply<'a>, upstream_attempt::AttemptFault> {
-    let over = pin::pin!(context.starts.until_ended(&start.entry.name));
+    let upstream_ended = pin::pin!(context.starts.until_ended(&start.entry.name));
     let work = pin::pin!(call_upstream(context, call, start, give_up));
-    match future::select(work, over).await {
+    match future::select(work, upstream_ended).await {
         future::Either::Left((result, _)) => result,
         future::Either::Right(_) => Err(upstream_attempt::AttemptFault::restarted()),
     }
--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -67,9 +67,9 @@
 }
 
 impl SilenceWatch<'_> {
-    /// Waits for `work`, or until `over` signals that the engine was restarted; the error says why
-    /// the attempt is given up. `over` must be created before the request is sent, so that a restart
-    /// between two waits ends the next one.
+    /// Waits for `work`, or until `upstream_ended` signals that the engine was restarted; the error
+    /// says why the attempt is given up. `upstream_ended` must be created before the request is sent,
+    /// so that a restart between two waits ends the next one.
     ///
     /// After each of `limits` the engine is given up if `take_retry`, called with the reach of that
     /// limit, returns true. Silence alone does not end an answer that cannot be retried, unless memory
@@ -77,12 +77,12 @@
     pub async fn wait<T>(
         &self,
         work: pin::Pin<&mut impl Future<Output = T>>,
-        over: pin::Pin<&mut impl Future<Output = ()>>,
+        upstream_ended: pin::Pin<&mut impl Future<Output = ()>>,
         limits: SilenceLimits,
         take_retry: impl AsyncFnMut(upstream_attempt::RetryReach) -> bool,
     ) -> Result<T, WaitFault> {
         let silence = pin::pin!(self.until_given_up(work, limits, take_retry));
-        match future::select(silence, over).await {
+        match future::select(silence, upstream_ended).await {
             future::Either::Left((waited, _)) => waited.map_err(WaitFault::Silent),
             future::Either::Right(_) => Err(WaitFault::Restarted),
         }
--- a/crates/instance/src/store_read.rs
+++ b/crates/instance/src/store_read.rs
@@ -24,11 +24,12 @@
 ) -> Result<store_revision::StoreRevision, String> {
     let adapter = &context.adapter;
     let upstreams = read_range(context, connection, |after| adapter.upstreams_path(after)).await?;
-    let published = read_range(context, connection, |after| adapter.operator_path(after)).await?;
-    if upstreams.revision.era != published.revision.era {
+    let operator_documents =
+        read_range(context, connection, |after| adapter.operator_path(after)).await?;
+    if upstreams.revision.era != operator_documents.revision.era {
         return Err(format!(
             "the store returned from a copy during a read, {}",
-            published.revision
+            operator_documents.revision
         ));
     }
     // Pages are not a snapshot: the watch starts at the first page, and repeats changes that later pages contain.
@@ -41,7 +42,7 @@
     let now = context.now();
     let mut fleet = context.fleet.borrow_mut();
     let mut evacuated = collections::BTreeSet::<ids::DataCenterId>::new();
-    for item in published.items {
+    for item in operator_documents.items {
         match adapter.key(&item.key) {
             adapter::StoreKey::Routes => fleet.put_routes_item(item, "store"),
             adapter::StoreKey::Evacuation(data_center) => {
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns whether the next attempt may probe an engine after its backoff.
-    pub(crate) fn trial_turn(
+    pub(crate) fn probe_permission(
         &self,
         call: &incoming_call::IncomingCall,
     ) -> send_gate::ProbePermission {
@@ -87,7 +87,7 @@
         used: Option<&ids::UpstreamId>,
     ) -> bool {
         let fleet = context.fleet.borrow();
-        let open = fleet.list.open(context.now(), &call.service, self.trial_turn(call));
+        let open = fleet.list.open(context.now(), &call.service, self.probe_permission(call));
         let mut open = open.into_iter().map(|entry| &entry.name);
         open.any(|name| Some(name) != used && !self.excluded.contains(name))
     }
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -191,8 +191,8 @@
 ) -> Result<upstream_pool::UpstreamConnection, AttemptFault> {
     // Avoids a useless connection; the gate decides again right before the first byte is sent.
     upstream_gate::check_request(context, target)?;
-    let another = call.route.repeat.allows_repeat() && call.route.max_attempts > 1;
-    let opened = if new_connection || !another {
+    let retry_allowed = call.route.repeat.allows_repeat() && call.route.max_attempts > 1;
+    let opened = if new_connection || !retry_allowed {
         context.pool.open(target.address).await
     } else {
         context.pool.get(target.address).await
--- a/crates/instance/src/upstream_gate.rs
+++ b/crates/instance/src/upstream_gate.rs
@@ -15,12 +15,12 @@
     context: &'a context::InstanceContext,
     upstream: ids::UpstreamId,
     /// Whether this request probes the upstream after its backoff.
-    trial: bool,
+    is_probe: bool,
 }
 
 impl Drop for SendPass<'_> {
     fn drop(&mut self) {
-        if self.trial {
+        if self.is_probe {
             // Another request may probe now; a successful probe has ended the backoff.
             let mut fleet = self.context.fleet.borrow_mut();
             fleet.list.notices_mut().end_trial(&self.upstream);
@@ -41,8 +41,8 @@
         context.sent.borrow_mut().count(context.now(), upstream);
     }
     let mut fleet = context.fleet.borrow_mut();
-    let trial = begun && fleet.list.notices_mut().begin(context.now(), upstream);
-    Ok(SendPass { context, upstream: upstream.clone(), trial })
+    let is_probe = begun && fleet.list.notices_mut().begin(context.now(), upstream);
+    Ok(SendPass { context, upstream: upstream.clone(), is_probe })
 }
 
 /// Checks whether a send would pass now.
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -99,7 +99,7 @@
 
 /// Numbers of this process's connections to one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct HeldConnections {
+pub(crate) struct ConnectionCounts {
     /// All open connections.
     pub(crate) open: usize,
     /// Idle connections in the pool.
@@ -182,10 +182,10 @@
     }
 
     /// Returns the numbers of connections to an address.
-    pub(crate) fn held(&self, address: net::SocketAddrV4) -> HeldConnections {
+    pub(crate) fn connection_counts(&self, address: net::SocketAddrV4) -> ConnectionCounts {
         let is_open = |times: &&rc::Weak<ConnectionTimes>| times.strong_count() > 0;
         let connection_times = self.connection_times.borrow();
-        HeldConnections {
+        ConnectionCounts {
             open: connection_times
                 .get(&address)
                 .map_or(0, |connection_times| connection_times.iter().filter(is_open).count()),
--- a/crates/instance/src/upstream_rows.rs
+++ b/crates/instance/src/upstream_rows.rs
@@ -34,8 +34,8 @@
     let services: Vec<_> = context.fleet.borrow().routes.services.keys().cloned().collect();
     let row = |service: ids::ServiceId| {
         let subject = quota_permit::QuotaSubject::all_retries(service.clone());
-        let kept = quota_coordinator::summary(context, &subject).unwrap_or_default();
-        serde_json::json!({ "service": service, "kept": kept })
+        let summary = quota_coordinator::summary(context, &subject).unwrap_or_default();
+        serde_json::json!({ "service": service, "kept": summary })
     };
     services.into_iter().map(row).collect()
 }
@@ -81,7 +81,7 @@
 
 /// Open and idle connections to an upstream, and the most that may stay idle.
 fn connections(context: &context::InstanceContext, entry: &upstream_list::UpstreamEntry) -> String {
-    let held = context.pool.held(entry.address);
+    let counts = context.pool.connection_counts(entry.address);
     let max_idle = context.idle_connection_limit(&entry.name);
-    format!("{} open, {} of {max_idle} at rest", held.open, held.idle)
+    format!("{} open, {} of {max_idle} at rest", counts.open, counts.idle)
 }
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -92,8 +92,8 @@
     upstream: &ids::UpstreamId,
     source: upstream_notice::NoticeSource,
 ) {
-    let news = note_leaving(context, upstream, source, time::Duration::ZERO);
-    if !news || context.settings().experiments.leaving_news == ways::LeavingNewsWay::Heard {
+    let is_new = note_leaving(context, upstream, source, time::Duration::ZERO);
+    if !is_new || context.settings().experiments.leaving_news == ways::LeavingNewsWay::Heard {
         return;
     }
     let report = peer_message::LeavingReport { upstream: upstream.clone(), age_ms: 0 };
@@ -108,8 +108,8 @@
     age: time::Duration,
 ) -> bool {
     let mut fleet = context.fleet.borrow_mut();
-    let news = fleet.list.receive_leaving(context.now(), upstream, source, age);
-    if news {
+    let is_new = fleet.list.receive_leaving(context.now(), upstream, source, age);
+    if is_new {
         let age_ms = units::whole_millis(age);
         log::info!(upstream:%, source:%, age_ms; "upstream.leaves");
         context.stats.borrow_mut().count("upstream_leaves", &source.to_string());
@@ -118,7 +118,7 @@
             context.pool.close_idle(entry.address);
         }
     }
-    news
+    is_new
 }
 
 /// Records that an upstream has accepted a request.
@@ -143,13 +143,13 @@
             return;
         }
     };
-    let news = {
+    let change = {
         let mut fleet = context.fleet.borrow_mut();
         fleet.list.notices_mut().receive_rest(context.now(), upstream, asked)
     };
     let asked_ms = units::whole_millis(asked);
     let for_ms = units::whole_millis(asked.min(upstream_notice::MAX_REST));
-    match news {
+    match change {
         upstream_notice::RestNews::Known => return,
         upstream_notice::RestNews::Begun => {
             log::info!(upstream:%, asked_ms, for_ms; "upstream.rests");
@@ -164,8 +164,8 @@
 /// Broadcasts that an upstream has gone from its address, if another one answered there: a failed connection may be
 /// the fault of this instance.
 pub(crate) fn broadcast_gone(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
-    let news = context.loads.borrow_mut().receive_gone(context.now(), upstream);
-    if !news {
+    let is_new = context.loads.borrow_mut().receive_gone(context.now(), upstream);
+    if !is_new {
         return;
     }
     log::info!(upstream:%; "upstream.gone");
--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -155,11 +155,11 @@
             if sent_attempts >= ATTEMPTS {
                 return false;
             }
-            let turn = ProbePermission::of(excluded.len(), ATTEMPTS);
+            let probe_permission = ProbePermission::of(excluded.len(), ATTEMPTS);
             let mut all = excluded.clone();
             if closed == ClosedEngineWay::Asked {
                 let service = service();
-                let names = self.lists[member].closed(at(now), &service, turn);
+                let names = self.lists[member].closed(at(now), &service, probe_permission);
                 all.extend(names.into_iter().cloned());
             }
             self.jobs += 1;
--- a/crates/instance/tests/upstream_shares.rs
+++ b/crates/instance/tests/upstream_shares.rs
@@ -179,8 +179,8 @@
             println!(
                 "load {load}, slowdown {slowdown}, {instances} instances, load reported {reports_load}: late {all:.3?}"
             );
-            let kept = late(LoadChoiceWay::default());
-            assert!(kept <= late(LoadChoiceWay::First) + 0.01, "{plan:?}");
+            let default_late = late(LoadChoiceWay::default());
+            assert!(default_late <= late(LoadChoiceWay::First) + 0.01, "{plan:?}");
         }
     }
 }
