--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -10,7 +10,7 @@
 
 /// Sends a member all state known here that is exchanged by gossip.
 pub(crate) fn send_to(context: &context::InstanceContext, to: net::SocketAddrV4) {
-    quarantine_gossip::send_quarantined(context, to);
+    quarantine_gossip::send_quarantine(context, to);
     upstream_signals::send_leaving(context, to);
     limit_gossip::send_to(context, to);
 }
@@ -58,7 +58,7 @@
         targets
             .first()
             .into_iter()
-            .for_each(|to| quarantine_gossip::send_quarantined(&context, *to));
+            .for_each(|to| quarantine_gossip::send_quarantine(&context, *to));
     }
 }
 
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -114,9 +114,7 @@
             context.loads.borrow_mut().receive_gone(now, &upstream);
         }
         PeerMessage::Ends(reports) => quarantine_gossip::receive_crashes(context, reports),
-        PeerMessage::Held(reports) => {
-            quarantine_gossip::receive_quarantined(context, from, reports)
-        }
+        PeerMessage::Held(reports) => quarantine_gossip::receive_quarantine(context, from, reports),
         PeerMessage::Cleared(digest, micros_ago) => {
             quarantine_gossip::receive_cleared(context, digest, micros_ago);
         }
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -46,7 +46,7 @@
 }
 
 /// Handles evidence against requests that another member has quarantined.
-pub(crate) fn receive_quarantined(
+pub(crate) fn receive_quarantine(
     context: &context::InstanceContext,
     from: net::SocketAddrV4,
     reports: Vec<peer_message::EndReport>,
@@ -69,7 +69,7 @@
 }
 
 /// Sends a member the evidence against all requests that are quarantined here.
-pub(crate) fn send_quarantined(context: &context::InstanceContext, to: net::SocketAddrV4) {
+pub(crate) fn send_quarantine(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
     let quarantined = context.quarantine.borrow().quarantined_at(now);
     for reports in report_batches(now, &crashes_of(context, &quarantined)) {
