--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -191,8 +191,8 @@
 ) -> Result<upstream_pool::UpstreamConnection, AttemptFault> {
     // Avoids a useless connection; the gate decides again right before the first byte is sent.
     upstream_gate::check_request(context, target)?;
-    let another = call.route.repeat.allows_repeat() && call.route.max_attempts > 1;
-    let opened = if new_connection || !another {
+    let retry_allowed = call.route.repeat.allows_repeat() && call.route.max_attempts > 1;
+    let opened = if new_connection || !retry_allowed {
         context.pool.open(target.address).await
     } else {
         context.pool.get(target.address).await
@@ -292,7 +292,7 @@
     };
     let head = head.map_err(AttemptFault::broke)?;
     connection.times.receive();
-    let head_fields = context.adapter.read_answer(&head);
+    let head_fields = context.adapter.parse_answer(&head);
     if head_fields.id.as_deref() != Some(call.request.id.as_str()) {
         return Err(AttemptFault::broke("the answer belongs to another request"));
     }
