--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -76,7 +76,7 @@
 /// Adds `connection: close` when the process is stopping, so that callers connect to another
 /// instance.
 pub fn add_close_header(headers: &mut http::HeaderMap, stop: &process::StopSignal) {
-    if stop.asked() {
+    if stop.is_triggered() {
         let close = http::HeaderValue::from_static("close");
         headers.insert(http::header::CONNECTION, close);
     }
--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -57,7 +57,7 @@
     match context.links.link(keeper).draw(customer, limit, want).await {
         Ok(Ok(portion)) => {
             record.notes.push(format!("budget: {} drawn from {keeper}", portion.tokens));
-            context.events.send_to(event::EntryEvent::Portion(customer.clone(), portion));
+            context.events.send(event::EntryEvent::Portion(customer.clone(), portion));
             context.events.ask(spend).await
         }
         Ok(Err(empty)) => entry_router::BudgetStep::Empty(empty.0),
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -40,7 +40,7 @@
         let end = serve_one(&context, &mut connection, incoming).await;
         drop(active);
         match end {
-            Ok(RequestEnd::Answered) if !close && !context.stop.asked() => {}
+            Ok(RequestEnd::Answered) if !close && !context.stop.is_triggered() => {}
             Ok(_) => return,
             Err(error) => {
                 log::debug!("caller connection: {error}");
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -113,8 +113,8 @@
             EntryEvent::Histograms(answer) => reply(answer, self.histograms.rows()),
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
-            EntryEvent::Documents(update, wakes) => self.apply_documents(now, &update, wakes),
-            EntryEvent::AllSilent(wakes) => router.note_sources_asked(now, wakes),
+            EntryEvent::Documents(update, pauses) => self.apply_documents(now, &update, pauses),
+            EntryEvent::SourcesUnreachable(pauses) => router.note_sources_asked(now, pauses),
             EntryEvent::Tick => self.tick(now),
         }
     }
@@ -162,12 +162,12 @@
     }
 
     /// Applies settings and list from an update; without new settings, it confirms those in force.
-    /// `wakes` is the number of detected process pauses when the sources were asked.
+    /// `pauses` is the number of detected process pauses when the sources were asked.
     fn apply_documents(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
-        wakes: u64,
+        pauses: u64,
     ) {
         match &update.settings {
             Some(text) => self.apply_settings(now, text),
@@ -179,7 +179,7 @@
                 Err(fault) => log::error!("list refused: {fault}"),
             }
         }
-        self.router.note_sources_asked(now, wakes);
+        self.router.note_sources_asked(now, pauses);
         self.update_summary();
     }
 
@@ -201,7 +201,7 @@
             list: list.revision,
         };
         self.summary.known.set(known);
-        self.summary.wakes.set(self.router.wakes());
+        self.summary.pauses.set(self.router.wakes());
         let schedulers = list.live_instances().map(|instance| instance.scheduler);
         self.summary.schedulers.replace(schedulers.collect());
     }
@@ -225,7 +225,7 @@
 
     fn tick(&mut self, now: units::MonoTime) {
         self.router.tick(now);
-        self.summary.wakes.set(self.router.wakes());
+        self.summary.pauses.set(self.router.wakes());
         self.sender.gauge("running", self.running.len() as u64);
         self.sender.flush();
     }
--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -16,18 +16,18 @@
     /// Version of the settings and revision of the list in force.
     pub known: cell::Cell<scheduler_link::KnownDocuments>,
     /// Number of detected pauses of the process.
-    pub wakes: cell::Cell<u64>,
+    pub pauses: cell::Cell<u64>,
     /// Addresses of the schedulers of all live instances, in the order of the list.
     pub schedulers: cell::RefCell<Vec<net::SocketAddr>>,
 }
 
-/// [`document_feed::DocumentHolder`] of an entry.
+/// [`document_feed::FeedConsumer`] of an entry.
 pub struct EntryDocuments {
     local: rc::Rc<local_settings::LocalSettings>,
     summary: rc::Rc<DocumentSummary>,
     events: event::EventSender,
     /// Number of detected pauses when the sources were last asked.
-    wakes_when_asked: cell::Cell<u64>,
+    pauses_when_asked: cell::Cell<u64>,
 }
 
 impl EntryDocuments {
@@ -37,17 +37,17 @@
         summary: rc::Rc<DocumentSummary>,
         events: event::EventSender,
     ) -> Self {
-        Self { local, summary, events, wakes_when_asked: cell::Cell::new(0) }
+        Self { local, summary, events, pauses_when_asked: cell::Cell::new(0) }
     }
 }
 
-impl document_feed::DocumentHolder for EntryDocuments {
-    fn known(&self) -> scheduler_link::KnownDocuments {
+impl document_feed::FeedConsumer for EntryDocuments {
+    fn known_versions(&self) -> scheduler_link::KnownDocuments {
         self.summary.known.get()
     }
 
     fn sources(&self) -> Vec<document_feed::FeedSource> {
-        self.wakes_when_asked.set(self.summary.wakes.get());
+        self.pauses_when_asked.set(self.summary.pauses.get());
         let local_scheduler = self.local.listen.scheduler;
         let schedulers = self.summary.schedulers.borrow();
         let others =
@@ -61,12 +61,12 @@
             .collect()
     }
 
-    fn take(&self, update: scheduler_link::DocumentUpdate) {
-        self.events.send_to(event::EntryEvent::Documents(update, self.wakes_when_asked.get()));
+    fn apply(&self, update: scheduler_link::DocumentUpdate) {
+        self.events.send(event::EntryEvent::Documents(update, self.pauses_when_asked.get()));
     }
 
     fn sources_unreachable(&self) {
-        self.events.send_to(event::EntryEvent::AllSilent(self.wakes_when_asked.get()));
+        self.events.send(event::EntryEvent::SourcesUnreachable(self.pauses_when_asked.get()));
     }
 
     fn jitter(&self) -> f64 {
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -122,7 +122,7 @@
     Documents(scheduler_link::DocumentUpdate, u64),
     /// Reports that no source of documents answered. The number is the count of detected process
     /// pauses at the time of the query.
-    AllSilent(u64),
+    SourcesUnreachable(u64),
     /// Runs the periodic work of the director.
     Tick,
 }
@@ -164,7 +164,7 @@
     }
 
     /// Sends a message without waiting for it to be handled.
-    pub fn send_to(&self, message: EntryEvent) {
+    pub fn send(&self, message: EntryEvent) {
         // Sending fails only when the director has ended, which happens only with the process.
         let _ = self.0.unbounded_send(message);
     }
@@ -176,7 +176,7 @@
     /// Panics if the director ends without an answer.
     pub async fn ask<T>(&self, to_event: impl FnOnce(oneshot::Sender<T>) -> EntryEvent) -> T {
         let (answer, answered) = oneshot::channel();
-        self.send_to(to_event(answer));
+        self.send(to_event(answer));
         answered.await.expect("the director runs as long as the process and answers every message")
     }
 }
--- a/crates/entry/src/model_answer.rs
+++ b/crates/entry/src/model_answer.rs
@@ -85,7 +85,7 @@
             );
         }
         match connection.finish_stream().await {
-            Ok(()) => model_request::AttemptEnd::Whole,
+            Ok(()) => model_request::AttemptEnd::Complete,
             Err(_) => model_request::AttemptEnd::CallerGone,
         }
     }
@@ -110,15 +110,15 @@
         };
         let now = self.context.clock.now();
         self.measure(histogram::MeasureKind::FirstToken, now.since(self.call.arrived));
-        let mut whole = http::Response::new(body);
-        *whole.status_mut() = answer.head.status;
-        let headers = whole.headers_mut();
+        let mut response = http::Response::new(body);
+        *response.status_mut() = answer.head.status;
+        let headers = response.headers_mut();
         let content_type = http::HeaderValue::from_static("application/json");
         headers.insert(http::header::CONTENT_TYPE, content_type);
         self.call.request_ids.add_headers(headers);
         answer::add_close_header(headers, &self.context.stop);
-        match connection.respond(whole).await {
-            Ok(()) => model_request::AttemptEnd::Whole,
+        match connection.respond(response).await {
+            Ok(()) => model_request::AttemptEnd::Complete,
             Err(_) => model_request::AttemptEnd::CallerGone,
         }
     }
--- a/crates/entry/src/model_measure.rs
+++ b/crates/entry/src/model_measure.rs
@@ -19,7 +19,7 @@
         let band = histogram::band_name(self.admitted.plan.prompt);
         let series =
             vec![format!("customer/{}", settings.customer), format!("class/{class}/{band}")];
-        self.context.events.send_to(event::EntryEvent::Measure(measure, series, spans));
+        self.context.events.send(event::EntryEvent::Measure(measure, series, spans));
     }
 
     /// Records the time that the attempt waited for its place.
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -38,7 +38,7 @@
 /// How an attempt ended.
 pub(crate) enum AttemptEnd {
     /// The complete answer was sent to the caller.
-    Whole,
+    Complete,
     /// The caller closed its connection.
     CallerGone,
     /// The time limit of the request has passed.
@@ -93,7 +93,7 @@
             let refusal = context.spread_retry_after(refusal).await;
             record.end = Some(format!("refused: {}", refusal.message));
             record.total_ms = Some(units::whole_millis(context.clock.now().since(call.arrived)));
-            context.events.send_to(event::EntryEvent::Decision(Box::new(record)));
+            context.events.send(event::EntryEvent::Decision(Box::new(record)));
             let refused = answer::refusal_answer(&request_ids, &refusal);
             connection.respond(refused).await?;
             Ok(RequestEnd::Answered)
@@ -183,7 +183,7 @@
             let end = self.attempt(connection, &place, &question.attempt).await;
             self.record_attempt(&place, &end);
             match end {
-                AttemptEnd::Whole => {
+                AttemptEnd::Complete => {
                     place.free_members().await;
                     return Ok(RequestEnd::Answered);
                 }
@@ -217,7 +217,7 @@
         self.ran = self.ran.or(fault.ran());
         for member in &place.members {
             self.tried.push(member.engine.clone());
-            self.context.events.send_to(event::EntryEvent::Eject(member.engine.clone()));
+            self.context.events.send(event::EntryEvent::Eject(member.engine.clone()));
         }
         let question = retry::FailedAttempt {
             failure: fault.failure,
@@ -267,7 +267,7 @@
         }
         let context = rc::Rc::clone(&self.context);
         let call = self.engine_call(place, attempt);
-        let pooled = http_client::ConnectionUse::Pooled;
+        let pooled = http_client::ConnectionPolicy::Pooled;
         let calling = context.pool.call(place.engine().address, pooled, call);
         let limited = monoio::time::timeout(self.remaining_time(), calling);
         let mut answer = match connection.while_connected(limited).await {
@@ -373,7 +373,7 @@
     fn record_attempt(&mut self, place: &place::HeldPlace, end: &AttemptEnd) {
         let mut row = place.row.clone();
         row.end = Some(match end {
-            AttemptEnd::Whole => "whole answer".to_owned(),
+            AttemptEnd::Complete => "whole answer".to_owned(),
             AttemptEnd::CallerGone => "caller gone, cancelled".to_owned(),
             AttemptEnd::TimedOut => "time limit passed, cancelled".to_owned(),
             AttemptEnd::Failed(fault) => fault.text.clone(),
@@ -390,7 +390,7 @@
         self.record.total_ms = Some(units::whole_millis(total));
         self.record.end = Some(end);
         let record = Box::new(self.record.clone());
-        self.context.events.send_to(event::EntryEvent::Decision(record));
+        self.context.events.send(event::EntryEvent::Decision(record));
     }
 }
 
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -62,7 +62,7 @@
         }
         "/v1/drain" if post => {
             log::info!("stop requested by an operator");
-            context.stop.ask();
+            context.stop.trigger();
             status_message(200, "stopping")
         }
         _ => match path.strip_prefix("/v1/decisions/") {
@@ -74,7 +74,7 @@
 
 async fn ready(context: &request_context::EntryContext) -> http::Response<Bytes> {
     let status = context.events.ask(event::EntryEvent::Status).await;
-    match (status.ready, context.stop.asked()) {
+    match (status.ready, context.stop.is_triggered()) {
         (_, true) => status_message(503, "stopping"),
         (false, _) => status_message(503, "settings or list not known yet"),
         (true, false) => status_message(200, "ready"),
@@ -90,7 +90,7 @@
 async fn status(context: &request_context::EntryContext) -> http::Response<Bytes> {
     let mut entry = context.events.ask(event::EntryEvent::Status).await;
     entry.requests = context.active.get();
-    entry.ready &= !context.stop.asked();
+    entry.ready &= !context.stop.is_triggered();
     let scheduler = match context.links.link(context.local.listen.scheduler).status().await {
         Ok(json) => serde_json::from_str(&json).unwrap_or(serde_json::Value::Null),
         Err(error) => serde_json::json!({ "unreachable": error.to_string() }),
@@ -204,7 +204,7 @@
     let mut call = http::Request::new(Bytes::new());
     *call.uri_mut() = format!("/v1/decisions/{id}").parse().ok()?;
     call.headers_mut().insert(FORWARDED_HEADER, http::HeaderValue::from_static("1"));
-    let pooled = http_client::ConnectionUse::Pooled;
+    let pooled = http_client::ConnectionPolicy::Pooled;
     let calling = context.pool.call_buffered(peer.operators, pooled, call, MAX_PEER_ANSWER);
     let answer = monoio::time::timeout(PEER_LIMIT, calling).await.ok()?.ok()?;
     if answer.status() != http::StatusCode::OK {
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -121,7 +121,7 @@
     fn drop(&mut self) {
         for member in &self.members {
             let ended = event::EntryEvent::Ended(self.attempt.clone(), member.engine.clone());
-            self.context.events.send_to(ended);
+            self.context.events.send(ended);
             if self.leased {
                 let context = rc::Rc::clone(&self.context);
                 monoio::spawn(release_lease(context, member.clone(), self.attempt.clone()));
@@ -204,14 +204,14 @@
     Offered(placement::EngineOffer),
     Refused(refusal::RequestRefusal),
     /// The scheduler could not be reached, with the text of the error.
-    Silent(String),
+    Unreachable(String),
 }
 
 impl OfferOutcome {
     fn offer(&self) -> Option<placement::EngineOffer> {
         match self {
             Self::Offered(offer) => Some(*offer),
-            Self::Refused(_) | Self::Silent(_) => None,
+            Self::Refused(_) | Self::Unreachable(_) => None,
         }
     }
 }
@@ -227,7 +227,7 @@
         match context.links.link(target.scheduler).offer(&target.engine, &request, now).await {
             Ok(Ok(offer)) => OfferOutcome::Offered(offer),
             Ok(Err(refusal)) => OfferOutcome::Refused(refusal),
-            Err(error) => OfferOutcome::Silent(error.to_string()),
+            Err(error) => OfferOutcome::Unreachable(error.to_string()),
         }
     });
     future::join_all(queries).await
@@ -246,7 +246,7 @@
             if target.warm { ", prefix cached" } else { "" },
         ),
         OfferOutcome::Refused(refusal) => format!("refused: {}", refusal.message),
-        OfferOutcome::Silent(text) => format!("no answer: {text}"),
+        OfferOutcome::Unreachable(text) => format!("no answer: {text}"),
     };
     decision::CandidateRow { name: target.engine.to_string(), offer }
 }
@@ -269,7 +269,7 @@
         match answer {
             OfferOutcome::Refused(refusal) => refused = Some(shorter_wait(refused, refusal)),
             OfferOutcome::Offered(_) => {}
-            OfferOutcome::Silent(_) => {
+            OfferOutcome::Unreachable(_) => {
                 let to_event =
                     |answer| event::EntryEvent::DirectShare(target.engine.clone(), answer);
                 if context.events.ask(to_event).await {
@@ -388,7 +388,7 @@
     place.row.target.push_str(member.engine.as_str());
     let engine = member.engine.clone();
     let running = event::RunningPlace { engine, request, prefix: question.prefix };
-    context.events.send_to(event::EntryEvent::Started(running));
+    context.events.send(event::EntryEvent::Started(running));
     place.members.push(member);
 }
 
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -69,10 +69,10 @@
         active: cell::Cell::new(0),
         sequence: cell::Cell::new(0),
     });
-    let holder: rc::Rc<dyn document_feed::DocumentHolder> =
+    let consumer: rc::Rc<dyn document_feed::FeedConsumer> =
         rc::Rc::new(documents::EntryDocuments::new(rc::Rc::clone(&local), summary, events));
     let (pool, links) = (rc::Rc::clone(&context.pool), rc::Rc::clone(&context.links));
-    monoio::spawn(document_feed::follow(holder, pool, links));
+    monoio::spawn(document_feed::follow(consumer, pool, links));
     monoio::spawn(renewal::run(rc::Rc::clone(&context)));
     monoio::spawn(prune(rc::Rc::clone(&context)));
 
@@ -113,7 +113,7 @@
 /// Sends the director a message for its periodic work at every interval.
 async fn tick(events: event::EventSender) {
     loop {
-        events.send_to(event::EntryEvent::Tick);
+        events.send(event::EntryEvent::Tick);
         monoio::time::sleep(TICK).await;
     }
 }
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -58,7 +58,7 @@
 /// A complete answer, with the attempt that it belongs to.
 struct AttemptAnswer {
     attempt: ids::AttemptId,
-    whole: http::Response<Bytes>,
+    response: http::Response<Bytes>,
 }
 
 /// A call being served.
@@ -130,7 +130,7 @@
         }
     };
     record.set_settings(&settings);
-    context.events.send_to(event::EntryEvent::CountRequest);
+    context.events.send(event::EntryEvent::CountRequest);
     let limit = call
         .requested_limit
         .map_or(node.time_limit.0, |requested_limit| requested_limit.min(node.time_limit.0));
@@ -176,7 +176,7 @@
         let series = vec![format!("service/{}/{}", self.call.service, settings.customer)];
         let elapsed = context.clock.now().since(arrived);
         let total = histogram::MeasureKind::Total;
-        context.events.send_to(event::EntryEvent::Measure(total, series, vec![elapsed]));
+        context.events.send(event::EntryEvent::Measure(total, series, vec![elapsed]));
         finish(&context, self.record, arrived, end);
         match served {
             None => Ok(None),
@@ -205,7 +205,7 @@
             let result = first_success(self.attempt(&upstream, &attempt, number), &mut late).await;
             self.record_attempt(&upstream, attempt, &result);
             let fault = match result {
-                Ok(answer) => return Ok(self.add_answer_headers(answer.whole)),
+                Ok(answer) => return Ok(self.add_answer_headers(answer.response)),
                 Err(fault) => fault,
             };
             ran = ran.or(fault.ran());
@@ -276,12 +276,12 @@
                 text,
             });
         }
-        let connection_use = if self.repeatable && !self.new_connections_only {
-            http_client::ConnectionUse::Pooled
+        let connection_policy = if self.repeatable && !self.new_connections_only {
+            http_client::ConnectionPolicy::Pooled
         } else {
-            http_client::ConnectionUse::Fresh
+            http_client::ConnectionPolicy::Fresh
         };
-        let connecting = self.context.pool.connect(upstream.address, connection_use);
+        let connecting = self.context.pool.connect(upstream.address, connection_policy);
         let connection = connecting.await.map_err(before_answer)?;
         let was_idle = connection.is_reused();
         let sent_at = time::Instant::now();
@@ -313,10 +313,10 @@
     }
 
     /// Adds the request's ids to an answer, and `connection: close` if the process is stopping.
-    fn add_answer_headers(&self, mut whole: http::Response<Bytes>) -> http::Response<Bytes> {
-        self.call.request_ids.add_headers(whole.headers_mut());
-        answer::add_close_header(whole.headers_mut(), &self.context.stop);
-        whole
+    fn add_answer_headers(&self, mut response: http::Response<Bytes>) -> http::Response<Bytes> {
+        self.call.request_ids.add_headers(response.headers_mut());
+        answer::add_close_header(response.headers_mut(), &self.context.stop);
+        response
     }
 
     /// Builds the call to an upstream from the caller's method, path, headers and body.
@@ -355,7 +355,7 @@
             Ok(answer) if answer.attempt != attempt => {
                 format!("given up: {} answered late", answer.attempt)
             }
-            Ok(answer) => format!("answered {}", answer.whole.status().as_u16()),
+            Ok(answer) => format!("answered {}", answer.response.status().as_u16()),
             Err(fault) => fault.text.clone(),
         };
         self.record.attempts.push(decision::AttemptRow {
@@ -382,7 +382,7 @@
 ) {
     record.total_ms = Some(units::whole_millis(context.clock.now().since(arrived)));
     record.end = Some(end);
-    context.events.send_to(event::EntryEvent::Decision(Box::new(record)));
+    context.events.send(event::EntryEvent::Decision(Box::new(record)));
 }
 
 /// Appends all headers except [`UNFORWARDED_HEADERS`].
@@ -405,10 +405,10 @@
     let body =
         answer.read_full_body(context.local.limits.max_answer.0).await.map_err(before_answer)?;
     upstream_call::check_head(&answer.head, &attempt)?;
-    let mut whole = http::Response::new(body);
-    *whole.status_mut() = answer.head.status;
-    copy_headers(&answer.head.headers, whole.headers_mut());
-    Ok(AttemptAnswer { attempt, whole })
+    let mut response = http::Response::new(body);
+    *response.status_mut() = answer.head.status;
+    copy_headers(&answer.head.headers, response.headers_mut());
+    Ok(AttemptAnswer { attempt, response })
 }
 
 /// Returns the result of `attempt`, or the answer of the earlier attempt `late` if that succeeds
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -35,9 +35,8 @@
     pub fn before_answer(error: &http_client::CallError) -> Self {
         let failure = match error {
             http_client::CallError::NotConnected { .. } => retry::AttemptFailure::NotConnected,
-            http_client::CallError::Broken { .. } | http_client::CallError::TooLarge { .. } => {
-                retry::AttemptFailure::BrokeBeforeAnswer
-            }
+            http_client::CallError::Interrupted { .. }
+            | http_client::CallError::TooLarge { .. } => retry::AttemptFailure::BrokeBeforeAnswer,
         };
         Self { failure, text: error.to_string() }
     }
@@ -146,7 +145,7 @@
 ) -> Result<(), AttemptFault> {
     let body = Bytes::from(body.to_string());
     let order = call(http::Method::POST, path, &attempt, ORDER_LIMIT, body);
-    let pooled = http_client::ConnectionUse::Pooled;
+    let pooled = http_client::ConnectionPolicy::Pooled;
     let calling = pool.call_buffered(address, pooled, order, MAX_ORDER_ANSWER);
     let fault = |failure, text: &str| AttemptFault { failure, text: format!("{path}: {text}") };
     match monoio::time::timeout(ORDER_LIMIT, calling).await {
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -138,7 +138,7 @@
 
     /// Returns whether the connection is closed after this answer.
     pub fn closing(&self) -> bool {
-        self.close || self.context.stop.asked()
+        self.close || self.context.stop.is_triggered()
     }
 }
 
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -256,7 +256,7 @@
             data_center: settings.data_center.clone(),
             cpu: (settings.cpu_share * 1_000.0) as u32,
             plans,
-            leaving: self.stop.asked(),
+            leaving: self.stop.is_triggered(),
             routes: fleet.routes.version.0,
             list: fleet.list.revision(),
             watches: self.belief.borrow().is_reliable_watcher(),
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -121,7 +121,7 @@
     let now = context.now();
     let failed_lately =
         context.accept_failed_at.get().is_some_and(|since| now.since(since) < ACCEPT_FAILURE_TIME);
-    context.fleet.borrow().is_known() && !context.stop.asked() && !failed_lately
+    context.fleet.borrow().is_known() && !context.stop.is_triggered() && !failed_lately
 }
 
 /// Serves the documents that a member requests.
@@ -179,7 +179,7 @@
         ("GET", "/v1/settings") => json(&routes(context)),
         ("POST", "/v1/drain") => {
             log::info!("drain.asked");
-            context.stop.ask();
+            context.stop.trigger();
             (200, status_body("draining"))
         }
         _ => (
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -179,7 +179,7 @@
 async fn wait_for_stop(context: &context::InstanceContext, reload: &AtomicBool, path: &path::Path) {
     let mut last_modified = modified_at(path);
     let mut polls = 0_u32;
-    while !context.stop.asked() {
+    while !context.stop.is_triggered() {
         polls += 1;
         // The file may be changed without a signal.
         let found = if polls.is_multiple_of(POLLS_PER_FILE_CHECK) {
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -128,8 +128,8 @@
     output: u64,
 ) -> CallOutcome {
     let started = time::Instant::now();
-    let connection_use = http_client::ConnectionUse::Pooled;
-    let mut response = match pool.call(target.address, connection_use, http_request).await {
+    let connection_policy = http_client::ConnectionPolicy::Pooled;
+    let mut response = match pool.call(target.address, connection_policy, http_request).await {
         Ok(response) => response,
         Err(error) => return CallOutcome::Failed(error.to_string()),
     };
--- a/crates/net/src/document_feed.rs
+++ b/crates/net/src/document_feed.rs
@@ -40,46 +40,46 @@
 }
 
 /// The part of a process that holds the current documents.
-pub trait DocumentHolder {
+pub trait FeedConsumer {
     /// Returns the versions of the documents that are held.
-    fn known(&self) -> scheduler_link::KnownDocuments;
+    fn known_versions(&self) -> scheduler_link::KnownDocuments;
     /// Returns the sources to ask, in order of preference.
     fn sources(&self) -> Vec<FeedSource>;
     /// Applies an update. An update without documents confirms that the held ones are current.
-    fn take(&self, update: scheduler_link::DocumentUpdate);
+    fn apply(&self, update: scheduler_link::DocumentUpdate);
     /// Called after a round in which no source responded.
     fn sources_unreachable(&self);
     /// Returns a number between 0 and 1 that spreads the pauses of the processes.
     fn jitter(&self) -> f64;
 }
 
-/// Keeps the documents of `holder` up to date. Never returns.
+/// Keeps the documents of `consumer` up to date. Never returns.
 pub async fn follow(
-    holder: rc::Rc<dyn DocumentHolder>,
+    consumer: rc::Rc<dyn FeedConsumer>,
     pool: rc::Rc<http_client::ConnectionPool>,
     links: rc::Rc<scheduler_link::LinkPool>,
 ) {
     let mut mode = FetchMode::Immediate;
     loop {
-        if fetch_from_any(&*holder, &pool, &links, mode).await {
+        if fetch_from_any(&*consumer, &pool, &links, mode).await {
             mode = FetchMode::Watch;
             monoio::time::sleep(MIN_PAUSE).await;
         } else {
-            holder.sources_unreachable();
+            consumer.sources_unreachable();
             mode = FetchMode::Immediate;
-            monoio::time::sleep(RETRY_PAUSE.mul_f64(1.0 + holder.jitter())).await;
+            monoio::time::sleep(RETRY_PAUSE.mul_f64(1.0 + consumer.jitter())).await;
         }
     }
 }
 
 /// Asks the sources in order until one responds and applies its update. Returns whether one responded.
 async fn fetch_from_any(
-    holder: &dyn DocumentHolder,
+    consumer: &dyn FeedConsumer,
     pool: &http_client::ConnectionPool,
     links: &scheduler_link::LinkPool,
     mode: FetchMode,
 ) -> bool {
-    for (index, source) in holder.sources().into_iter().enumerate() {
+    for (index, source) in consumer.sources().into_iter().enumerate() {
         // Only the preferred source is watched. The others are asked when it has failed, and respond at
         // once.
         let wait = match (mode, source) {
@@ -87,8 +87,8 @@
             (FetchMode::Watch, FeedSource::Platform(_)) if index == 0 => PLATFORM_WAIT,
             _ => time::Duration::ZERO,
         };
-        if let Some(update) = fetch(holder.known(), pool, links, source, wait).await {
-            holder.take(update);
+        if let Some(update) = fetch(consumer.known_versions(), pool, links, source, wait).await {
+            consumer.apply(update);
             return true;
         }
     }
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -50,7 +50,7 @@
     },
     /// The call failed after a part of the request may have been sent.
     #[snafu(display("the call broke off: {reason}"))]
-    Broken {
+    Interrupted {
         /// Description of the cause.
         reason: String,
     },
@@ -105,9 +105,9 @@
 
 /// Whether a call may use a pooled connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ConnectionUse {
+pub enum ConnectionPolicy {
     /// Use an idle connection if there is one. The upstream may be about to close it, in which case
-    /// the call fails with [`CallError::Broken`], so this is for calls that may be repeated.
+    /// the call fails with [`CallError::Interrupted`], so this is for calls that may be repeated.
     Pooled,
     /// Open a new connection, so that a call that must not run twice cannot fail because an idle
     /// connection was closed.
@@ -140,10 +140,10 @@
     pub async fn call(
         &self,
         address: std_net::SocketAddr,
-        connection_use: ConnectionUse,
+        connection_policy: ConnectionPolicy,
         request: http::Request<Bytes>,
     ) -> Result<StreamedResponse<'_>, CallError> {
-        let connection = self.connect(address, connection_use).await?;
+        let connection = self.connect(address, connection_policy).await?;
         self.send(connection, request).await
     }
 
@@ -151,11 +151,11 @@
     pub async fn connect(
         &self,
         address: std_net::SocketAddr,
-        connection_use: ConnectionUse,
+        connection_policy: ConnectionPolicy,
     ) -> Result<CallConnection, CallError> {
-        let pooled = match connection_use {
-            ConnectionUse::Pooled => self.take_idle(address).await,
-            ConnectionUse::Fresh => None,
+        let pooled = match connection_policy {
+            ConnectionPolicy::Pooled => self.take_idle(address).await,
+            ConnectionPolicy::Fresh => None,
         };
         let reused = pooled.is_some();
         let connection = match pooled {
@@ -181,7 +181,7 @@
             );
         }
         let request = request::Request::from_parts(head, body::full_payload(body));
-        connection.encoder.send_and_flush(request).await.map_err(broken)?;
+        connection.encoder.send_and_flush(request).await.map_err(interrupted)?;
         connection.allowance.set(HEAD_ALLOWANCE);
         let (head, body) = read_head(&mut connection).await?;
         Ok(StreamedResponse {
@@ -198,11 +198,11 @@
     pub async fn call_buffered(
         &self,
         address: std_net::SocketAddr,
-        connection_use: ConnectionUse,
+        connection_policy: ConnectionPolicy,
         request: http::Request<Bytes>,
         limit: u64,
     ) -> Result<http::Response<Bytes>, CallError> {
-        let mut streamed = self.call(address, connection_use, request).await?;
+        let mut streamed = self.call(address, connection_policy, request).await?;
         let body = streamed.read_full_body(limit).await?;
         let (status, headers) = (streamed.head.status, streamed.head.headers.clone());
         let mut response = http::Response::new(body);
@@ -281,7 +281,7 @@
             return Ok(None);
         }
         let Some(connection) = self.connection.as_mut() else {
-            return BrokenSnafu { reason: "an earlier piece failed" }.fail();
+            return InterruptedSnafu { reason: "an earlier piece failed" }.fail();
         };
         connection.allowance.set(limit.saturating_add(HEAD_ALLOWANCE));
         let piece = match &mut self.body {
@@ -292,14 +292,14 @@
                     self.body = decoder::PayloadDecoder::None;
                     return Ok(Some(body));
                 }
-                Some(Err(error)) => Err(broken(error)),
-                None => BrokenSnafu { reason: "the answer ends early" }.fail(),
+                Some(Err(error)) => Err(interrupted(error)),
+                None => InterruptedSnafu { reason: "the answer ends early" }.fail(),
             },
             decoder::PayloadDecoder::Streamed(chunks) => {
                 match connection.reader.next_with(chunks).await {
                     Some(Ok(chunk)) => Ok(chunk),
-                    Some(Err(error)) => Err(broken(error)),
-                    None => BrokenSnafu { reason: "the answer ends early" }.fail(),
+                    Some(Err(error)) => Err(interrupted(error)),
+                    None => InterruptedSnafu { reason: "the answer ends early" }.fail(),
                 }
             }
         };
@@ -352,11 +352,11 @@
     use monoio::io::stream::Stream as _;
     match connection.reader.next().await {
         Some(Ok((head, body))) => Ok((head, body)),
-        Some(Err(error)) => Err(broken(error)),
-        None => BrokenSnafu { reason: "closed before an answer" }.fail(),
+        Some(Err(error)) => Err(interrupted(error)),
+        None => InterruptedSnafu { reason: "closed before an answer" }.fail(),
     }
 }
 
-fn broken(error: impl ToString) -> CallError {
-    CallError::Broken { reason: error.to_string() }
+fn interrupted(error: impl ToString) -> CallError {
+    CallError::Interrupted { reason: error.to_string() }
 }
--- a/crates/net/src/process.rs
+++ b/crates/net/src/process.rs
@@ -74,18 +74,18 @@
     }
 
     /// Requests a stop.
-    pub fn ask(&self) {
+    pub fn trigger(&self) {
         self.0.store(true, atomic::Ordering::SeqCst);
     }
 
     /// Returns whether a stop has been requested.
-    pub fn asked(&self) -> bool {
+    pub fn is_triggered(&self) -> bool {
         self.0.load(atomic::Ordering::SeqCst)
     }
 
     /// Waits until a stop is requested.
     pub async fn wait(&self) {
-        while !self.asked() {
+        while !self.is_triggered() {
             monoio::time::sleep(STOP_POLL_INTERVAL).await;
         }
     }
--- a/crates/scheduler/src/document_sources.rs
+++ b/crates/scheduler/src/document_sources.rs
@@ -35,9 +35,9 @@
     }
 }
 
-impl document_feed::DocumentHolder for SchedulerDocuments {
-    fn known(&self) -> scheduler_link::KnownDocuments {
-        self.state.borrow().documents().known()
+impl document_feed::FeedConsumer for SchedulerDocuments {
+    fn known_versions(&self) -> scheduler_link::KnownDocuments {
+        self.state.borrow().documents().known_versions()
     }
 
     fn sources(&self) -> Vec<document_feed::FeedSource> {
@@ -46,7 +46,7 @@
         sources(state.documents().list(), &local.instance, &local.data_center, &local.platform)
     }
 
-    fn take(&self, update: scheduler_link::DocumentUpdate) {
+    fn apply(&self, update: scheduler_link::DocumentUpdate) {
         // Fails only after the event loop has ended, when the process is stopping.
         let _ = self.events.unbounded_send(event::SchedulerEvent::Documents(update));
     }
--- a/crates/scheduler/src/document_store.rs
+++ b/crates/scheduler/src/document_store.rs
@@ -9,7 +9,7 @@
 use crate::event;
 
 /// An entry or another scheduler that waits for newer documents.
-struct DocumentWaiter {
+struct DocumentWatcher {
     known: scheduler_link::KnownDocuments,
     deadline: units::MonoTime,
     answer: oneshot::Sender<event::DocumentAnswer>,
@@ -32,12 +32,12 @@
     list: fleet_list::FleetList,
     /// The list in its published form, to pass on to watchers.
     list_text: rc::Rc<str>,
-    watchers: Vec<DocumentWaiter>,
+    watchers: Vec<DocumentWatcher>,
 }
 
 impl DocumentStore {
     /// Version and revision of the documents held, so that a source sends only newer ones.
-    pub fn known(&self) -> scheduler_link::KnownDocuments {
+    pub fn known_versions(&self) -> scheduler_link::KnownDocuments {
         scheduler_link::KnownDocuments {
             settings: self.settings.version().0,
             list: self.list.revision,
@@ -85,26 +85,26 @@
         deadline: units::MonoTime,
         answer: oneshot::Sender<event::DocumentAnswer>,
     ) {
-        self.watchers.push(DocumentWaiter { known, deadline, answer });
+        self.watchers.push(DocumentWatcher { known, deadline, answer });
         self.answer_watchers(now);
     }
 
     /// Answers the watchers for which there is a newer document or whose deadline has passed, and
     /// drops those that have disconnected.
     pub fn answer_watchers(&mut self, now: units::MonoTime) {
-        let known = self.known();
-        let due = |waiter: &DocumentWaiter| {
-            let newer = known.settings > waiter.known.settings || known.list > waiter.known.list;
-            newer || waiter.deadline <= now
+        let known = self.known_versions();
+        let due = |watcher: &DocumentWatcher| {
+            let newer = known.settings > watcher.known.settings || known.list > watcher.known.list;
+            newer || watcher.deadline <= now
         };
-        let waiters = std::mem::take(&mut self.watchers);
+        let watchers = std::mem::take(&mut self.watchers);
         let (ready, remaining): (Vec<_>, Vec<_>) =
-            waiters.into_iter().filter(|waiter| !waiter.answer.is_canceled()).partition(due);
+            watchers.into_iter().filter(|watcher| !watcher.answer.is_canceled()).partition(due);
         self.watchers = remaining;
-        for waiter in ready {
-            let answer = self.newer_than(now, waiter.known);
+        for watcher in ready {
+            let answer = self.newer_than(now, watcher.known);
             // A failed send means that the watcher has disconnected and needs no answer.
-            let _ = waiter.answer.send(answer);
+            let _ = watcher.answer.send(answer);
         }
     }
 
@@ -145,7 +145,7 @@
         now: units::MonoTime,
         known: scheduler_link::KnownDocuments,
     ) -> event::DocumentAnswer {
-        let held = self.known();
+        let held = self.known_versions();
         let settings = self.settings.text().filter(|_| held.settings > known.settings);
         let list = (held.list > known.list).then(|| rc::Rc::clone(&self.list_text));
         event::DocumentAnswer {
--- a/crates/scheduler/src/engine_client.rs
+++ b/crates/scheduler/src/engine_client.rs
@@ -92,8 +92,9 @@
         address: net::SocketAddr,
         request: http::Request<Bytes>,
     ) -> Result<Bytes, EngineError> {
-        let connection_use = http_client::ConnectionUse::Pooled;
-        let response = self.pool.call_buffered(address, connection_use, request, MAX_ANSWER_BYTES);
+        let connection_policy = http_client::ConnectionPolicy::Pooled;
+        let response =
+            self.pool.call_buffered(address, connection_policy, request, MAX_ANSWER_BYTES);
         let Ok(response) = monoio::time::timeout(ANSWER_TIMEOUT, response).await else {
             return TimedOutSnafu.fail();
         };
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -47,8 +47,8 @@
         rc::Rc::clone(&shared),
         events.clone(),
     );
-    let holder: rc::Rc<dyn document_feed::DocumentHolder> = rc::Rc::new(documents);
-    monoio::spawn(document_feed::follow(holder, rc::Rc::clone(&pool), links));
+    let consumer: rc::Rc<dyn document_feed::FeedConsumer> = rc::Rc::new(documents);
+    monoio::spawn(document_feed::follow(consumer, rc::Rc::clone(&pool), links));
     log::info!("scheduler listening on {address}");
 
     let engines: rc::Rc<dyn engine_client::EngineControl> =
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -64,9 +64,9 @@
             let mut request = http::Request::new(text.clone());
             *request.method_mut() = http::Method::PUT;
             *request.uri_mut() = path.parse().unwrap_or_default();
-            let connection_use = http_client::ConnectionUse::Fresh;
+            let connection_policy = http_client::ConnectionPolicy::Fresh;
             if let Ok(response) =
-                pool.call_buffered(address, connection_use, request, 1 << 16).await
+                pool.call_buffered(address, connection_policy, request, 1 << 16).await
             {
                 return response.status().is_success();
             }
