--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `slipturnctl`: exit codes, error messages and tables.
+//! Tests of the command line of `slipturnctl`: exit codes, error messages and tables.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/entry/tests/command_line.rs
+++ b/crates/entry/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Command line of `slipturn-entry`: exit codes and error messages.
+//! Tests of the command line of `slipturn-entry`: exit codes and error messages.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,11 +8,11 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_slipturn-entry");
 
 #[test]
-fn help_and_version_exit_with_0_and_wrong_usage_with_2() {
+fn help_and_version_exit_with_0_and_an_invalid_command_line_with_2() {
     programs::check_usage(PROGRAM);
 }
 
 #[test]
-fn check_option_validates_settings_without_serving() {
+fn check_option_validates_the_settings_file_without_serving() {
     programs::check_settings(PROGRAM, env!("CARGO_TARGET_TMPDIR"));
 }
--- a/crates/scheduler/tests/command_line.rs
+++ b/crates/scheduler/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `slipturn-scheduler`: exit codes and error messages.
+//! Tests of the command line of `slipturn-scheduler`: exit codes and error messages.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,7 +8,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_slipturn-scheduler");
 
 #[test]
-fn help_and_version_exit_0_and_wrong_usage_exits_2() {
+fn help_and_version_exit_with_0_and_an_invalid_command_line_with_2() {
     programs::check_usage(PROGRAM);
 }
 
--- a/crates/standin/tests/command_line.rs
+++ b/crates/standin/tests/command_line.rs
@@ -8,6 +8,6 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_slipturn-standin");
 
 #[test]
-fn help_and_version_exit_zero_and_usage_errors_exit_two() {
+fn help_and_version_exit_with_0_and_an_invalid_command_line_with_2() {
     programs::check_usage(PROGRAM);
 }
