--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -9,8 +9,8 @@
 
 /// Takes the tokens from the portion of the customer's budget that this entry holds.
 ///
-/// If that doesn't suffice, a new portion is drawn from the customer's keeper, the instance that
-/// keeps the budget. While the keeper is unreachable, this entry's own share is used.
+/// If that doesn't suffice, a new portion is drawn from the customer's budget keeper, the
+/// instance that holds the customer's token bucket. While the keeper is unreachable, this entry's own share is used.
 ///
 /// # Errors
 ///
@@ -45,7 +45,7 @@
     }
 }
 
-/// Draws a portion from the customer's keeper and takes the request's tokens from it.
+/// Draws a portion from the customer's budget keeper and takes the request's tokens from it.
 async fn draw(
     context: &request_context::EntryContext,
     settings: &settings_resolve::ResolvedSettings,
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -14,7 +14,7 @@
 
 use crate::{documents, event};
 
-/// State that handles [`event::EntryEvent`] messages one at a time.
+/// State that handles [`event::EntryEvent`]s one at a time.
 pub struct EntryDirector {
     router: entry_router::EntryRouter,
     boot: ids::BootId,
@@ -47,22 +47,22 @@
         }
     }
 
-    /// Handles messages until all senders are dropped.
+    /// Handles events until all senders are dropped.
     pub async fn run(
         mut self,
         mut incoming: mpsc::UnboundedReceiver<event::EntryEvent>,
         clock: process::ProcessClock,
     ) {
-        while let Some(message) = incoming.next().await {
-            self.handle(clock.now(), message);
+        while let Some(event) = incoming.next().await {
+            self.handle(clock.now(), event);
         }
     }
 
-    /// Handles one message.
-    fn handle(&mut self, now: units::MonoTime, message: event::EntryEvent) {
+    /// Handles one event.
+    fn handle(&mut self, now: units::MonoTime, event: event::EntryEvent) {
         use event::EntryEvent;
         let router = &mut self.router;
-        match message {
+        match event {
             EntryEvent::Plan(question, answer) => reply(answer, router.plan(now, &question)),
             EntryEvent::Resolve(key, answer) => {
                 reply(answer, router.resolve(now, &key, units::TokenCount::ZERO));
@@ -176,7 +176,7 @@
         if let Some(text) = &update.list {
             match fleet_list::FleetList::parse(text) {
                 Ok(list) => self.router.offer_list(list),
-                Err(fault) => log::error!("list refused: {fault}"),
+                Err(error) => log::error!("invalid list: {error}"),
             }
         }
         self.router.note_sources_asked(now, pauses);
@@ -188,8 +188,8 @@
             live_settings::OfferOutcome::Accepted => {
                 log::info!("settings version {} is in force", self.router.store().version());
             }
-            live_settings::OfferOutcome::Invalid(fault) => log::error!("settings refused: {fault}"),
-            live_settings::OfferOutcome::Older => log::warn!("older settings were dropped"),
+            live_settings::OfferOutcome::Invalid(error) => log::error!("invalid settings: {error}"),
+            live_settings::OfferOutcome::Older => log::warn!("ignored older settings"),
             live_settings::OfferOutcome::Same => {}
         }
     }
@@ -231,7 +231,7 @@
     }
 }
 
-/// Sends an answer. The task that asked may have been dropped; the answer is then lost on purpose.
+/// Sends an answer. A failed send means that the asking task was dropped and needs no answer.
 fn reply<T>(reply_to: oneshot::Sender<T>, answer: T) {
     let _ = reply_to.send(answer);
 }
--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -21,7 +21,7 @@
     pub schedulers: cell::RefCell<Vec<net::SocketAddr>>,
 }
 
-/// [`document_feed::FeedConsumer`] of an entry.
+/// The document feed's access to the entry: reads the summary, and sends updates to the director.
 pub struct EntryDocuments {
     local: rc::Rc<local_settings::LocalSettings>,
     summary: rc::Rc<DocumentSummary>,
@@ -31,7 +31,7 @@
 }
 
 impl EntryDocuments {
-    /// Creates a holder that reads from `summary` and sends updates to the director by `events`.
+    /// Creates a consumer that reads from `summary` and sends updates to the director by `events`.
     pub fn new(
         local: rc::Rc<local_settings::LocalSettings>,
         summary: rc::Rc<DocumentSummary>,
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,4 +1,4 @@
-//! Messages from the tasks of an entry to its director.
+//! Events that the tasks of an entry send to its director.
 
 use std::{net, rc, time};
 
@@ -35,7 +35,8 @@
     pub voters: Vec<(ids::InstanceId, net::SocketAddr)>,
 }
 
-/// A message to the director. Messages with a `oneshot::Sender` are answered through it.
+/// A call, measurement, update or timer tick that the director handles. An event with a
+/// `oneshot::Sender` is answered through it.
 pub enum EntryEvent {
     /// Identifies the caller of a model request, resolves its settings and checks the request.
     Plan(
@@ -50,13 +51,14 @@
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
     ),
-    /// Takes tokens from this entry's own share of the budget, while the keeper is unreachable.
+    /// Takes tokens from this entry's own share of the budget, while the customer's budget keeper
+    /// is unreachable.
     SpendAlone(
         settings_resolve::ResolvedSettings,
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
     ),
-    /// Adds a portion drawn from the keeper of the customer's budget.
+    /// Adds a portion drawn from the customer's budget keeper.
     Portion(ids::CustomerId, budget::BudgetPortion),
     /// Selects the engines to consider for a prompt with this prefix hash, without those listed.
     Candidates(
@@ -152,7 +154,7 @@
     pub requests: usize,
 }
 
-/// Handle by which the tasks of an entry send messages to the director.
+/// Sends events to the director.
 #[derive(Clone)]
 pub struct EventSender(mpsc::UnboundedSender<EntryEvent>);
 
@@ -163,13 +165,13 @@
         (Self(sender), receiver)
     }
 
-    /// Sends a message without waiting for it to be handled.
-    pub fn send(&self, message: EntryEvent) {
+    /// Sends an event without waiting for it to be handled.
+    pub fn send(&self, event: EntryEvent) {
         // Sending fails only when the director has ended, which happens only with the process.
-        let _ = self.0.unbounded_send(message);
+        let _ = self.0.unbounded_send(event);
     }
 
-    /// Sends the message that `to_event` builds around an answer channel, and waits for the answer.
+    /// Sends the event that `to_event` builds around an answer channel, and waits for the answer.
     ///
     /// # Panics
     ///
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -90,7 +90,7 @@
     monoio::spawn(async move {
         future::select(Box::pin(accepting), closed).await;
     });
-    log::info!("entry listens on {}", local.listen.callers);
+    log::info!("entry listening on {}", local.listen.callers);
 
     stop.wait().await;
     log::info!("stop requested, {} requests in progress", context.active.get());
@@ -110,7 +110,7 @@
     monoio::time::sleep(STOP_POLL * 5).await;
 }
 
-/// Sends the director a message for its periodic work at every interval.
+/// Sends a tick to the director at every interval.
 async fn tick(events: event::EventSender) {
     loop {
         events.send(event::EntryEvent::Tick);
