--- a/crates/net/src/boot_clock.rs
+++ b/crates/net/src/boot_clock.rs
@@ -1,11 +1,11 @@
-//! A monotonic clock that keeps counting while the machine is suspended.
+//! A monotonic clock that keeps counting while the system is suspended.
 //!
 //! [`time::Instant`] does not count that time. After a suspension, a process that used it would take its
-//! leases, its list, the liveness of members and its idle connections for fresh.
+//! leases, list, member liveness and idle connections to be fresh.
 
 use std::{ops, time};
 
-/// A point in time on `CLOCK_BOOTTIME`, which counts from the boot of the machine and includes suspensions.
+/// A point in time on `CLOCK_BOOTTIME`, which counts from the boot of the system and includes suspensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(time::Duration);
 
--- a/crates/net/src/document_feed.rs
+++ b/crates/net/src/document_feed.rs
@@ -39,11 +39,11 @@
     Platform(net::SocketAddr),
 }
 
-/// The part of a process that holds the current documents.
+/// The part of a process that the feed keeps up to date.
 pub trait FeedConsumer {
     /// Returns the versions of the documents that are held.
     fn known_versions(&self) -> scheduler_link::KnownDocuments;
-    /// Returns the sources to ask, in order of preference.
+    /// Returns the sources to ask, most preferred first.
     fn sources(&self) -> Vec<FeedSource>;
     /// Applies an update. An update without documents confirms that the held ones are current.
     fn apply(&self, update: scheduler_link::DocumentUpdate);
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -103,7 +103,7 @@
     since: time::Instant,
 }
 
-/// Whether a call may use a pooled connection.
+/// Whether a call may reuse an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionPolicy {
     /// Use an idle connection if there is one. The upstream may be about to close it, in which case
--- a/crates/net/src/process.rs
+++ b/crates/net/src/process.rs
@@ -73,7 +73,7 @@
         Ok(Self(flag))
     }
 
-    /// Requests a stop.
+    /// Sets the flag, which requests a stop.
     pub fn trigger(&self) {
         self.0.store(true, atomic::Ordering::SeqCst);
     }
--- a/crates/net/tests/boot_clock.rs
+++ b/crates/net/tests/boot_clock.rs
@@ -1,4 +1,4 @@
-//! The monotonic clock that includes suspensions of the machine: its source, its arithmetic and its cost.
+//! The monotonic clock that includes suspensions of the system: its source, its arithmetic and its cost.
 
 use std::time::{Duration, Instant};
 
