--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     answer, budget_step, event, place, prompt, request_context, upstream_call,
-    upstream_call::EngineOrders as _,
+    upstream_call::EngineCommands as _,
 };
 
 /// A model request as sent by the caller, without its body.
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -5,7 +5,7 @@
 use futures::future;
 use slipturn_core::{decision, engine_directory, entry_router, ids, placement, refusal, units};
 
-use crate::{event, group_place, request_context, upstream_call::EngineOrders as _};
+use crate::{event, group_place, request_context, upstream_call::EngineCommands as _};
 
 /// Largest number of rounds of candidates before a request is refused.
 const MAX_ROUNDS: usize = 3;
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -16,10 +16,10 @@
 pub const PEERS_HEADER: &str = "x-kv-peers";
 /// Header in which an upstream states with `no` that it did not run a call.
 pub const RAN_HEADER: &str = "x-ran";
-/// Largest accepted answer to an order, in bytes.
-const MAX_ORDER_ANSWER: u64 = 64 * 1024;
-/// Time limit for an engine to carry out an order.
-const ORDER_LIMIT: time::Duration = time::Duration::from_millis(1_000);
+/// Largest accepted answer to a command, in bytes.
+const MAX_COMMAND_ANSWER_BYTES: u64 = 64 * 1024;
+/// Time limit for an engine to carry out a command.
+const COMMAND_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 
 /// Failure of an attempt, with a description.
 #[derive(Debug)]
@@ -96,8 +96,9 @@
     }
 }
 
-/// Orders that an entry sends to engines. An implementation adapts them to the engine's interface.
-pub trait EngineOrders {
+/// Commands that an entry sends to engines. An implementation adapts them to the engine's
+/// interface.
+pub trait EngineCommands {
     /// Reserves memory for a part of a prompt whose answer another engine sends.
     fn reserve(
         &self,
@@ -114,7 +115,7 @@
     ) -> futures::future::LocalBoxFuture<'_, Result<(), AttemptFault>>;
 }
 
-impl EngineOrders for http_client::ConnectionPool {
+impl EngineCommands for http_client::ConnectionPool {
     fn reserve(
         &self,
         address: net::SocketAddr,
@@ -122,7 +123,7 @@
         tokens: units::TokenCount,
     ) -> futures::future::LocalBoxFuture<'_, Result<(), AttemptFault>> {
         let body = serde_json::json!({ "attempt": attempt.as_str(), "tokens": tokens.0 });
-        Box::pin(order(self, address, "/v1/kv/reserve", attempt, body))
+        Box::pin(send_command(self, address, "/v1/kv/reserve", attempt, body))
     }
 
     fn cancel(
@@ -131,12 +132,12 @@
         attempt: ids::AttemptId,
     ) -> futures::future::LocalBoxFuture<'_, Result<(), AttemptFault>> {
         let body = serde_json::json!({ "attempt": attempt.as_str() });
-        Box::pin(order(self, address, "/v1/cancel", attempt, body))
+        Box::pin(send_command(self, address, "/v1/cancel", attempt, body))
     }
 }
 
-/// Posts an order to an engine; any successful status counts as carried out.
-async fn order(
+/// Posts a command to an engine; any successful status counts as carried out.
+async fn send_command(
     pool: &http_client::ConnectionPool,
     address: net::SocketAddr,
     path: &'static str,
@@ -144,11 +145,11 @@
     body: serde_json::Value,
 ) -> Result<(), AttemptFault> {
     let body = Bytes::from(body.to_string());
-    let order = call(http::Method::POST, path, &attempt, ORDER_LIMIT, body);
+    let command = call(http::Method::POST, path, &attempt, COMMAND_TIMEOUT, body);
     let pooled = http_client::ConnectionPolicy::Pooled;
-    let calling = pool.call_buffered(address, pooled, order, MAX_ORDER_ANSWER);
+    let calling = pool.call_buffered(address, pooled, command, MAX_COMMAND_ANSWER_BYTES);
     let fault = |failure, text: &str| AttemptFault { failure, text: format!("{path}: {text}") };
-    match monoio::time::timeout(ORDER_LIMIT, calling).await {
+    match monoio::time::timeout(COMMAND_TIMEOUT, calling).await {
         Ok(Ok(answer)) if answer.status().is_success() => Ok(()),
         Ok(Ok(answer)) => {
             let text = format!("answered {}", answer.status().as_u16());
