--- a/crates/scheduler/src/rpc_service.rs
+++ b/crates/scheduler/src/rpc_service.rs
@@ -36,7 +36,7 @@
     ) -> Result<T, capnp::Error> {
         let (sender, receiver) = oneshot::channel();
         self.send(make_event(sender))?;
-        let dropped = |_| capnp::Error::failed("the event was dropped without a reply".to_owned());
+        let dropped = |_| capnp::Error::failed("the question was dropped".to_owned());
         receiver.await.map_err(dropped)
     }
 }
