--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -72,8 +72,8 @@
     let mut router = entry_router::EntryRouter::new(name("instance-0"), center, hour, 1);
     router.offer_settings(now, text);
     router.offer_list(list);
-    router.note_sources_asked(now, 0);
-    let question = entry_router::PlanQuestion {
+    router.note_sources_queried(now, 0);
+    let question = entry_router::PlanQuery {
         key: key(17),
         model: "model-0".parse().expect("a valid name"),
         prompt: units::TokenCount(5_000),
@@ -98,7 +98,7 @@
     let mut ledger = engine_ledger::EngineLedger::new(now, memory, rate, options);
     let report = placement::EngineReport { memory, ..Default::default() };
     ledger.report(now, &report);
-    let request = |number: u64| placement::PlaceRequest {
+    let request = |number: u64| placement::CapacityRequest {
         attempt: format!("instance-0:1:{number:x}:1").parse().expect("a valid name"),
         entry: "instance-0".parse().expect("a valid name"),
         boot: ids::BootId(1),
--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -33,7 +33,7 @@
     let names: Vec<_> = (0..engines).map(|number| (name("e", number), number as u64)).collect();
     planner.set_engines(at(0), &names);
     for sequence in 0..PLACED.min(engines as u64 * 8) {
-        let answer = planner.ask(at(0), ask(sequence, 5_000));
+        let answer = planner.request(at(0), ask(sequence, 5_000));
         hint::black_box(answer);
         planner.first_token(at(0), job(sequence));
     }
@@ -42,7 +42,7 @@
         let sequence = PLACED + round;
         // A millisecond a round: what was read before is done by then.
         let now = at(10_000 + round);
-        hint::black_box(planner.ask(now, ask(sequence, prompt)));
+        hint::black_box(planner.request(now, ask(sequence, prompt)));
         planner.first_token(now, job(sequence));
         planner.end(now, job(sequence), engine_place::PlaceEnd::Done);
     }
@@ -66,10 +66,10 @@
     planned_size::row(format!("which of {MEMBERS} members plans"), format!("{each:?}"))
 }
 
-fn ask(sequence: u64, prompt: u64) -> engine_place::PlaceAsk {
+fn ask(sequence: u64, prompt: u64) -> engine_place::PlacementRequest {
     let long = prompt > 24_000;
     let goal_ms = if long { 3_000 } else { 300 };
-    engine_place::PlaceAsk {
+    engine_place::PlacementRequest {
         job: job(sequence),
         prompt,
         output: 1_000,
@@ -95,10 +95,10 @@
         memory: units::TokenCount(315_000),
         stride: 51.0,
         step_ms: 0.85,
-        step_per_writer_ms: 0.004_25,
+        step_per_decoding_ms: 0.004_25,
         step_per_context_ms: 0.002_85,
-        read_per_ms: 177.0,
-        read_per_pairs_ms: 0.184,
+        prefill_tokens_per_ms: 177.0,
+        prefill_per_million_pairs_ms: 0.184,
         report_lag_ms: 200.0,
     }
 }
--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -45,7 +45,7 @@
     arrival: arrivals::Arrival,
     entry: usize,
     engine: usize,
-    place: placement::PlaceRequest,
+    place: placement::CapacityRequest,
     attempts: u32,
     arrived: units::MonoTime,
     /// What asking schedulers cost on the network.
@@ -96,7 +96,7 @@
             let mut router = entry_router::EntryRouter::new(instance, center, hour, seed);
             router.offer_settings(start, &text);
             router.offer_list(scenario.list());
-            router.note_sources_asked(start, 0);
+            router.note_sources_queried(start, 0);
             router
         });
         let entries = entries.collect();
@@ -138,7 +138,7 @@
         attempts: u32,
         mut tried: Vec<ids::EngineId>,
     ) {
-        let question = entry_router::PlanQuestion {
+        let question = entry_router::PlanQuery {
             key: scenario::key(arrival.key),
             model: "invitation".parse().expect("a valid name"),
             prompt: units::TokenCount(arrival.prompt),
@@ -189,7 +189,7 @@
         &mut self,
         entry: usize,
         targets: &[engine_directory::EngineTarget],
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
     ) -> (Option<routing::RouteChoice>, time::Duration) {
         if !self.entries[entry].wants_offers() {
             let choice = self.entries[entry].choose(targets, &vec![None; targets.len()]);
@@ -389,7 +389,7 @@
         };
         let router = &mut self.entries[open.entry];
         router.eject(self.now, engine);
-        if router.ask_retry(self.now, question) != retry::RetryVerdict::Retry {
+        if router.decide_retry(self.now, question) != retry::RetryVerdict::Retry {
             self.fail(attempt);
             return;
         }
@@ -404,11 +404,11 @@
         entry: usize,
         arrived: units::MonoTime,
         attempts: u32,
-    ) -> placement::PlaceRequest {
+    ) -> placement::CapacityRequest {
         let instance = self.entries[entry].instance().clone();
         let request = ids::RequestId::new(&instance, ids::BootId(1), arrival.number);
         let deadline = arrived + scenario::TIME_LIMIT;
-        placement::PlaceRequest {
+        placement::CapacityRequest {
             attempt: ids::AttemptId::new(&request, attempts),
             entry: instance,
             boot: ids::BootId(1),
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -206,7 +206,7 @@
     }
 
     /// Spends from this entry's share of the limit, without the scheduler.
-    pub fn spend_alone(
+    pub fn spend_own_share(
         &mut self,
         now: units::MonoTime,
         customer: &ids::CustomerId,
--- a/crates/core/src/class_worth.rs
+++ b/crates/core/src/class_worth.rs
@@ -55,19 +55,19 @@
 
 impl ClassWorth {
     /// Records a prompt and returns its worth, where 1 is an average request of the service's most urgent class.
-    pub fn count(&mut self, ask: &WorthQuery<'_>) -> f64 {
-        let prompt = ask.prompt as f64;
-        if self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(ask.class) {
+    pub fn count(&mut self, query: &WorthQuery<'_>) -> f64 {
+        let prompt = query.prompt as f64;
+        if self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(query.class) {
             self.classes.clear();
         }
-        let class = self.classes.entry(ask.class.clone()).or_default();
+        let class = self.classes.entry(query.class.clone()).or_default();
         class.add(prompt);
         let mean = class.tokens.max(1.0);
-        if ask.goal <= ask.shortest_goal {
-            self.urgent.entry(ask.service.clone()).or_default().add(prompt);
+        if query.goal <= query.shortest_goal {
+            self.urgent.entry(query.service.clone()).or_default().add(prompt);
         }
-        let urgent = self.urgent.get(ask.service).map(|urgent| urgent.tokens.max(1.0));
-        let goals = ask.goal.as_secs_f64() / ask.shortest_goal.as_secs_f64().max(f64::EPSILON);
+        let urgent = self.urgent.get(query.service).map(|urgent| urgent.tokens.max(1.0));
+        let goals = query.goal.as_secs_f64() / query.shortest_goal.as_secs_f64().max(f64::EPSILON);
         let sizes = urgent.map_or(goals, |urgent| mean / urgent);
         let class = (goals * sizes).sqrt().clamp(WORTH_RANGE.0, WORTH_RANGE.1);
         class * (BASE_FRACTION + (1.0 - BASE_FRACTION) * prompt / mean)
--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -50,7 +50,7 @@
     }
 
     /// Time within which answers usually arrive; zero until enough answers are known.
-    pub fn usual(&self) -> time::Duration {
+    pub fn usual_time(&self) -> time::Duration {
         if self.answers < MIN_ANSWERS {
             return time::Duration::ZERO;
         }
@@ -60,11 +60,15 @@
 
     /// How long to wait for a head on a reused connection before the request is sent again; at most
     /// `longest`, the wait for a slow upstream.
-    pub fn kept_wait(&self, goal: time::Duration, longest: time::Duration) -> time::Duration {
+    pub fn reused_connection_wait(
+        &self,
+        goal: time::Duration,
+        longest: time::Duration,
+    ) -> time::Duration {
         if self.answers < MIN_ANSWERS {
             return longest;
         }
-        let wait = self.usual().mul_f64(REUSED_FACTOR);
+        let wait = self.usual_time().mul_f64(REUSED_FACTOR);
         wait.max(goal.mul_f64(GOAL_PART)).min(longest)
     }
 }
@@ -115,7 +119,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceCause {
     /// A reused connection is dead; others that were idle during the same time may be dead as well.
-    KeptConnection,
+    ReusedConnection,
     /// A connection died in the middle of an answer; others that were open then may be dead as well.
     OpenConnection,
     /// A connection never received any data: the upstream is unresponsive.
@@ -141,20 +145,20 @@
             return Self::SlowUpstream;
         }
         match moment {
-            SilencePhase::Head => Self::KeptConnection,
+            SilencePhase::Head => Self::ReusedConnection,
             SilencePhase::MidAnswer => Self::OpenConnection,
         }
     }
 
     /// Whether other connections may be dead as well, unless they received data since.
-    pub fn doubts_others(self) -> bool {
-        matches!(self, Self::KeptConnection | Self::OpenConnection)
+    pub fn may_affect_others(self) -> bool {
+        matches!(self, Self::ReusedConnection | Self::OpenConnection)
     }
 
     /// Label in metrics and log lines.
     pub fn label(self) -> &'static str {
         match self {
-            Self::KeptConnection => "kept connection",
+            Self::ReusedConnection => "kept connection",
             Self::OpenConnection => "open connection",
             Self::Upstream => "upstream",
             Self::SlowUpstream => "slow upstream",
--- a/crates/core/src/document_source.rs
+++ b/crates/core/src/document_source.rs
@@ -46,10 +46,10 @@
 
     /// Chooses where to fetch the missing document now.
     pub fn choose(&mut self, now: units::MonoTime) -> DocumentOrigin {
-        let asked = now.since(*self.since.get_or_insert(now));
+        let elapsed = now.since(*self.since.get_or_insert(now));
         let doubted = self.failed.is_some_and(|failed| now.since(failed) < STORE_RETRY_DELAY);
         let patience = MEMBERS_ONLY_TIME + STORE_SPREAD_TIME.mul_f64(self.spread);
-        if !doubted && (self.damaged || asked >= patience) {
+        if !doubted && (self.damaged || elapsed >= patience) {
             DocumentOrigin::Store
         } else {
             DocumentOrigin::Member
--- a/crates/core/src/engine_estimate.rs
+++ b/crates/core/src/engine_estimate.rs
@@ -9,7 +9,7 @@
     pub(crate) fn check(
         &mut self,
         now: units::MonoTime,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
     ) -> Result<(), refusal::RequestRefusal> {
         if self.draining {
             return Err(engine_ledger::leaving_refusal());
@@ -42,7 +42,7 @@
     fn check_backlog(
         &self,
         now: units::MonoTime,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
     ) -> Result<(), refusal::RequestRefusal> {
         if self.band(request) == service_rank::LengthBand::Short {
             return Ok(());
@@ -59,7 +59,7 @@
     }
 
     /// Largest memory of one request. Only short requests may use the headroom.
-    fn largest(&self, request: &placement::PlaceRequest) -> units::TokenCount {
+    fn largest(&self, request: &placement::CapacityRequest) -> units::TokenCount {
         match self.band(request) {
             service_rank::LengthBand::Short => self.capacity,
             _ => self.capacity.scale(1.0 - self.options.headroom.factor()),
@@ -70,7 +70,7 @@
     pub(crate) fn first_token(
         &mut self,
         now: units::MonoTime,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
     ) -> time::Duration {
         let rank = self.rank(now, request);
         let cost = request.prefill() + request.output;
@@ -80,12 +80,12 @@
         if self.fits_now(request) { prefill } else { prefill + self.memory_wait(request) }
     }
 
-    fn fits_now(&self, request: &placement::PlaceRequest) -> bool {
+    fn fits_now(&self, request: &placement::CapacityRequest) -> bool {
         self.leases.len() < self.options.max_running && request.memory <= self.free()
     }
 
     /// Expected time until enough leases end, each after its remaining prefill and half its longest answer.
-    fn memory_wait(&self, request: &placement::PlaceRequest) -> time::Duration {
+    fn memory_wait(&self, request: &placement::CapacityRequest) -> time::Duration {
         let mut ends: Vec<_> = self
             .leases
             .values()
--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -26,7 +26,7 @@
 /// Capacity on an engine, held for one attempt.
 #[derive(Debug, Clone)]
 pub struct EngineLease {
-    pub(crate) request: placement::PlaceRequest,
+    pub(crate) request: placement::CapacityRequest,
     pub(crate) rank: service_rank::ServiceRank,
     /// Estimated number of prompt tokens that are not prefilled yet. Never increases.
     pub(crate) prefill_left: f64,
@@ -54,7 +54,7 @@
     pub(crate) orphans: collections::HashMap<ids::AttemptId, OrphanRecord>,
     /// Attempts whose lease has ended, with the time of its end.
     pub(crate) released: collections::HashMap<ids::AttemptId, units::MonoTime>,
-    pub(crate) queue: fair_queue::FairQueue<placement::PlaceRequest>,
+    pub(crate) queue: fair_queue::FairQueue<placement::CapacityRequest>,
     pub(crate) shares: service_rank::ShareMeter,
     /// Prefill work that the engine reported beyond that of the leases, tokens.
     pub(crate) foreign_prefill: f64,
@@ -136,7 +136,7 @@
     pub fn offer(
         &mut self,
         now: units::MonoTime,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
     ) -> Result<placement::EngineOffer, refusal::RequestRefusal> {
         self.advance_prefill(now);
         self.check(now, request)?;
@@ -152,10 +152,10 @@
     pub fn enqueue(
         &mut self,
         now: units::MonoTime,
-        request: placement::PlaceRequest,
+        request: placement::CapacityRequest,
     ) -> Vec<placement::LedgerAction> {
         self.advance_prefill(now);
-        let known = |waiting: &fair_queue::QueueItem<placement::PlaceRequest>| {
+        let known = |waiting: &fair_queue::QueueItem<placement::CapacityRequest>| {
             waiting.payload.attempt == request.attempt
         };
         if self.leases.contains_key(&request.attempt) || self.queue.iter().any(known) {
@@ -207,7 +207,7 @@
         now: units::MonoTime,
         entry: &ids::InstanceId,
         boot: ids::BootId,
-        streaming: &[placement::PlaceRequest],
+        streaming: &[placement::CapacityRequest],
     ) -> Vec<placement::LedgerAction> {
         for request in streaming {
             self.adopt(now, request);
@@ -267,7 +267,7 @@
         }
     }
 
-    fn adopt(&mut self, now: units::MonoTime, request: &placement::PlaceRequest) {
+    fn adopt(&mut self, now: units::MonoTime, request: &placement::CapacityRequest) {
         let waits = self.queue.iter().any(|item| item.payload.attempt == request.attempt);
         if waits || self.released.contains_key(&request.attempt) {
             return;
@@ -392,12 +392,12 @@
             let mut free_capacity = self.free_capacity();
             let over = self.waiting_over_share(now);
             let options = &self.options;
-            let rank = |request: &placement::PlaceRequest| service_rank::ServiceRank {
+            let rank = |request: &placement::CapacityRequest| service_rank::ServiceRank {
                 band: service_rank::LengthBand::of(request.prefill(), options),
                 over_share: over.contains(&request.customer),
             };
-            let yields = |request: &placement::PlaceRequest| over.contains(&request.customer);
-            let fits = |item: &fair_queue::QueueItem<placement::PlaceRequest>, overdue| {
+            let yields = |request: &placement::CapacityRequest| over.contains(&request.customer);
+            let fits = |item: &fair_queue::QueueItem<placement::CapacityRequest>, overdue| {
                 free_capacity.fits(&item.payload, rank(&item.payload), overdue)
             };
             let Some(item) = self.queue.pop_where(now, yields, fits) else { break };
@@ -428,7 +428,7 @@
     pub(crate) fn rank(
         &mut self,
         now: units::MonoTime,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
     ) -> service_rank::ServiceRank {
         let over_share = self.shares.over_share(now, &request.customer, self.prefill_rate);
         service_rank::ServiceRank { band: self.band(request), over_share }
@@ -447,11 +447,11 @@
         }
     }
 
-    pub(crate) fn band(&self, request: &placement::PlaceRequest) -> service_rank::LengthBand {
+    pub(crate) fn band(&self, request: &placement::CapacityRequest) -> service_rank::LengthBand {
         service_rank::LengthBand::of(request.prefill(), &self.options)
     }
 
-    pub(crate) fn latest_start(&self, request: &placement::PlaceRequest) -> units::MonoTime {
+    pub(crate) fn latest_start(&self, request: &placement::CapacityRequest) -> units::MonoTime {
         let needed = self.prefill_rate.time_for(request.prefill()) + answer_time(request.output);
         request.deadline.earlier_by(needed)
     }
--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -20,7 +20,7 @@
 
 /// A request for a placement.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PlaceAsk {
+pub struct PlacementRequest {
     /// The attempt to place.
     pub job: JobId,
     /// Prompt length, tokens.
@@ -49,7 +49,7 @@
     pub excluded: Vec<ids::UpstreamId>,
 }
 
-impl PlaceAsk {
+impl PlacementRequest {
     /// Returns the same request with its time limits reduced by `spent`.
     pub fn after(&self, spent: time::Duration) -> Self {
         let spent_ms = u32::try_from(spent.as_millis()).unwrap_or(u32::MAX);
@@ -111,7 +111,7 @@
     }
 }
 
-/// The planner's answer to a [`PlaceAsk`].
+/// The planner's answer to a [`PlacementRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PlaceAnswer {
     /// The request is placed.
@@ -136,11 +136,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceLease {
     /// The original request.
-    pub ask: PlaceAsk,
+    pub request: PlacementRequest,
     /// Its placement.
     pub grant: PlaceGrant,
     /// Whether its prompt is still being prefilled.
-    pub reading: bool,
+    pub prefilling: bool,
 }
 
 /// How an attempt ended, as far as it concerns its engine.
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -14,7 +14,7 @@
 
 /// Properties of a model request that determine its settings and engines.
 #[derive(Debug, Clone)]
-pub struct PlanQuestion {
+pub struct PlanQuery {
     /// API key of the caller.
     pub key: String,
     /// Requested model.
@@ -73,10 +73,10 @@
     data_center: ids::DataCenterId,
     list: fleet_list::FleetList,
     store: live_settings::LiveSettings,
-    wake: pause_detector::PauseDetector,
+    pause_detector: pause_detector::PauseDetector,
     policy: Box<dyn routing::RoutingPolicy>,
     policy_kind: settings::RoutingKind,
-    purse: budget::BudgetCache,
+    budget_cache: budget::BudgetCache,
     retries: retry::RetryBudget,
     outstanding: collections::HashMap<ids::EngineId, OutstandingLoad>,
     /// Engines left out of the sample after a refusal or failure, with the time at which that ends.
@@ -103,10 +103,10 @@
             data_center,
             list: fleet_list::FleetList::default(),
             store: live_settings::LiveSettings::default(),
-            wake: pause_detector::PauseDetector::new(sleep_bound),
+            pause_detector: pause_detector::PauseDetector::new(sleep_bound),
             policy: routing::policy_for(fleet.routing),
             policy_kind: fleet.routing,
-            purse: budget::BudgetCache::default(),
+            budget_cache: budget::BudgetCache::default(),
             retries: retry::RetryBudget::new(fleet.retry_share),
             outstanding: collections::HashMap::new(),
             ejected: collections::HashMap::new(),
@@ -139,19 +139,19 @@
 
     /// Number of detected pauses of the process.
     ///
-    /// Callers read it before they ask a source, and pass it to [`Self::note_sources_asked`] with the answer.
-    pub fn wakes(&self) -> u64 {
-        self.wake.wakes
+    /// Callers read it before they ask a source, and pass it to [`Self::note_sources_queried`] with the answer.
+    pub fn pause_count(&self) -> u64 {
+        self.pause_detector.pause_count
     }
 
     /// Records that the sources have been asked, whether one answered or all were silent.
     ///
-    /// `asked_at` is the value of [`Self::wakes`] before asking: if the process was paused since, the answer may be
+    /// `pause_count` is the value of [`Self::pause_count`] before asking: if the process was paused since, the answer may be
     /// outdated and does not count.
-    pub fn note_sources_asked(&mut self, now: units::MonoTime, asked_at: u64) {
-        self.wake.notice(now);
-        if asked_at == self.wake.wakes {
-            self.wake.unrefreshed = false;
+    pub fn note_sources_queried(&mut self, now: units::MonoTime, pause_count: u64) {
+        self.pause_detector.notice(now);
+        if pause_count == self.pause_detector.pause_count {
+            self.pause_detector.unrefreshed = false;
         }
     }
 
@@ -175,15 +175,17 @@
     /// Whether requests may be accepted: settings and list are known, and the process has asked for newer ones since
     /// its last pause.
     pub fn ready(&mut self, now: units::MonoTime) -> bool {
-        self.wake.notice(now);
-        !self.wake.unrefreshed && self.store.tree().is_some() && !self.list.instances.is_empty()
+        self.pause_detector.notice(now);
+        !self.pause_detector.unrefreshed
+            && self.store.tree().is_some()
+            && !self.list.instances.is_empty()
     }
 
     /// Identifies the caller of a model request, resolves its settings, and checks the request against them.
     pub fn plan(
         &mut self,
         now: units::MonoTime,
-        question: &PlanQuestion,
+        question: &PlanQuery,
     ) -> Result<RequestGrant, refusal::RequestRefusal> {
         let (tree, mut resolved) = self.resolve(now, &question.key, question.prompt)?;
         if let Some(requested_limit) = question.requested_limit {
@@ -241,16 +243,16 @@
         want: units::TokenCount,
     ) -> BudgetStep {
         let customer = &resolved.customer;
-        if self.purse.spend(now, customer, want) {
+        if self.budget_cache.spend(now, customer, want) {
             return BudgetStep::Spent;
         }
         match rendezvous::budget_keeper(&self.list, customer) {
             Some(keeper) => BudgetStep::Draw {
                 keeper: keeper.scheduler,
                 limit: limit_of(resolved),
-                want: self.purse.draw_size(now, customer, want),
+                want: self.budget_cache.draw_size(now, customer, want),
             },
-            None => self.spend_alone(now, resolved, want),
+            None => self.spend_own_share(now, resolved, want),
         }
     }
 
@@ -261,11 +263,11 @@
         customer: &ids::CustomerId,
         portion: budget::BudgetPortion,
     ) {
-        self.purse.add(now, customer, portion);
+        self.budget_cache.add(now, customer, portion);
     }
 
     /// Draws the request's tokens from this entry's own share of the budget, while the keeper is unreachable.
-    pub fn spend_alone(
+    pub fn spend_own_share(
         &mut self,
         now: units::MonoTime,
         resolved: &settings_resolve::ResolvedSettings,
@@ -273,7 +275,7 @@
     ) -> BudgetStep {
         let live = self.list.live_instances().count();
         let limit = limit_of(resolved);
-        match self.purse.spend_alone(now, &resolved.customer, limit, live, want) {
+        match self.budget_cache.spend_own_share(now, &resolved.customer, limit, live, want) {
             Ok(()) => BudgetStep::Spent,
             Err(budget::BudgetExhausted(wait)) => BudgetStep::Empty(wait),
         }
@@ -283,7 +285,7 @@
     pub fn candidates(
         &mut self,
         now: units::MonoTime,
-        question: &PlanQuestion,
+        question: &PlanQuery,
         fleet: &settings::FleetOptions,
         prefix: u64,
         tried: &[ids::EngineId],
@@ -383,12 +385,12 @@
     }
 
     /// Decides whether a request gets another attempt.
-    pub fn ask_retry(
+    pub fn decide_retry(
         &mut self,
         now: units::MonoTime,
         question: retry::FailedAttempt,
     ) -> retry::RetryVerdict {
-        self.retries.ask(now, question)
+        self.retries.decide(now, question)
     }
 
     /// Counts a request towards the retry budget.
@@ -415,8 +417,8 @@
 
     /// Performs periodic cleanup.
     pub fn tick(&mut self, now: units::MonoTime) {
-        self.wake.notice(now);
-        self.purse.prune(now);
+        self.pause_detector.notice(now);
+        self.budget_cache.prune(now);
         self.ejected.retain(|_, until| *until > now);
     }
 
--- a/crates/core/src/fleet_budget.rs
+++ b/crates/core/src/fleet_budget.rs
@@ -31,7 +31,7 @@
 impl RetryBound {
     /// Bound of the coordinator's token bucket for its `part` of the quota. Half of it is available at once and the
     /// rest over time, so that no window exceeds the quota.
-    pub fn kept(&self, part: f64, members: Option<usize>) -> send_pace::PaceBound {
+    pub fn coordinator_bound(&self, part: f64, members: Option<usize>) -> send_pace::PaceBound {
         let is_split = members.is_none_or(|members| self.split(members) >= 1.0);
         let granted_part = if is_split { GRANTED_PART } else { GRANTED_ALONE_PART };
         let quota = self.extra * granted_part * part.clamp(0.0, 1.0);
--- a/crates/core/src/free_capacity.rs
+++ b/crates/core/src/free_capacity.rs
@@ -27,7 +27,7 @@
     /// Whether a waiting request can start now; reserves the capacity for it if it is overdue and cannot.
     pub(crate) fn fits(
         &mut self,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
         rank: service_rank::ServiceRank,
         overdue: bool,
     ) -> bool {
@@ -42,7 +42,7 @@
 
     fn has_capacity(
         &self,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
         rank: service_rank::ServiceRank,
     ) -> bool {
         let usable = match rank.band {
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -23,7 +23,7 @@
     /// The periodic round.
     Repeat,
     /// The end of a pause of this process.
-    Woke,
+    Resumed,
 }
 
 /// Chooses the targets of a round among the live members.
@@ -35,7 +35,7 @@
     match cause {
         GossipCause::Found => alive.collect(),
         GossipCause::Repeat => alive.sample(random, REPEATED_MEMBERS),
-        GossipCause::Woke => alive.sample(random, REQUESTED_MEMBERS),
+        GossipCause::Resumed => alive.sample(random, REQUESTED_MEMBERS),
     }
 }
 
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -12,7 +12,7 @@
     /// leaving by plan are not counted.
     pub fn reachable_share(&self, now: units::MonoTime) -> f64 {
         let limit = self.heartbeat_interval() * membership::SUSPECT_HEARTBEATS;
-        let staying = || self.members.values().filter(|member| !member.beat.leaving);
+        let staying = || self.members.values().filter(|member| !member.heartbeat.leaving);
         let is_live = |member: &&membership::MemberState| {
             member.is_live(now, limit) && member.unanswered < membership::MAX_UNANSWERED
         };
@@ -31,14 +31,14 @@
     }
 
     /// Records an unanswered call.
-    pub fn unanswered(&mut self, name: &ids::InstanceId) {
+    pub fn note_unanswered(&mut self, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered += 1;
         }
     }
 
     /// Records an answered call.
-    pub fn answered(&mut self, now: units::MonoTime, name: &ids::InstanceId) {
+    pub fn note_answered(&mut self, now: units::MonoTime, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered = 0;
             member.suspected = false;
@@ -53,12 +53,12 @@
 
     /// The ring of the failure detector: all members but those that are leaving by plan.
     pub fn ring(&self) -> sync::Arc<[failure_detector::RingMember]> {
-        let staying = self.members.values().filter(|member| !member.beat.leaving);
+        let staying = self.members.values().filter(|member| !member.heartbeat.leaving);
         let mut ring: Vec<_> = staying
             .map(|member| failure_detector::RingMember {
                 hash: member.hash,
-                boot: member.beat.boot,
-                address: member.beat.address,
+                boot: member.heartbeat.boot,
+                address: member.heartbeat.address,
             })
             .collect();
         ring.sort_unstable_by_key(|member| (member.hash, member.boot));
@@ -92,6 +92,6 @@
     pub fn silent(&self) -> Vec<net::SocketAddrV4> {
         let silent =
             self.members.values().filter(|member| member.unanswered >= membership::MAX_UNANSWERED);
-        silent.map(|member| member.beat.address).collect()
+        silent.map(|member| member.heartbeat.address).collect()
     }
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -22,7 +22,7 @@
 /// Addresses of other members in a full heartbeat.
 const NAMED_MEMBERS: usize = 4;
 /// Addresses in a reply to a member that knows few; 7 bytes each, to keep the datagram unfragmented.
-const WELCOME_MEMBERS: usize = 160;
+const NEWCOMER_ADDRESSES: usize = 160;
 /// Most addresses kept of members not met yet: twice the largest planned fleet, some 40 bytes each.
 const MAX_LEARNED_ADDRESSES: usize = 2_400;
 /// Unanswered calls in a row that exclude a member from planning.
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct MemberState {
     /// The last heartbeat, with later short ones merged in.
-    beat: member_heartbeat::MemberHeartbeat,
+    heartbeat: member_heartbeat::MemberHeartbeat,
     /// Hash of the name, for the order of members by key.
     hash: u64,
     /// When there was a sign of life last.
@@ -112,7 +112,7 @@
 
     /// Targets of the next heartbeat: members, learned addresses and seeds, without the `own` address.
     pub fn targets(&self, own: net::SocketAddrV4) -> Vec<net::SocketAddrV4> {
-        let known = self.members.values().map(|member| member.beat.address);
+        let known = self.members.values().map(|member| member.heartbeat.address);
         let mut targets: Vec<_> = known
             .chain(self.learned_addresses.keys().copied())
             .chain(self.seeds.iter().copied())
@@ -133,13 +133,16 @@
 
     /// All known addresses in chunks, for a member whose heartbeat shows that it knows few; empty for others. A starting
     /// member is known to all after one exchange, however long the heartbeat interval is.
-    pub fn welcome(&self, beat: &member_heartbeat::MemberHeartbeat) -> Vec<Vec<net::SocketAddrV4>> {
-        if beat.others.len() >= NAMED_MEMBERS {
+    pub fn addresses_for_newcomer(
+        &self,
+        heartbeat: &member_heartbeat::MemberHeartbeat,
+    ) -> Vec<Vec<net::SocketAddrV4>> {
+        if heartbeat.others.len() >= NAMED_MEMBERS {
             return Vec::new();
         }
         let mut addresses = self.addresses();
-        addresses.retain(|address| *address != beat.address);
-        addresses.chunks(WELCOME_MEMBERS).map(<[_]>::to_vec).collect()
+        addresses.retain(|address| *address != heartbeat.address);
+        addresses.chunks(NEWCOMER_ADDRESSES).map(<[_]>::to_vec).collect()
     }
 
     /// Takes the learned addresses that have not been contacted yet.
@@ -151,7 +154,7 @@
 
     /// Addresses of all members, met or not.
     fn addresses(&self) -> Vec<net::SocketAddrV4> {
-        let known = self.members.values().map(|member| member.beat.address);
+        let known = self.members.values().map(|member| member.heartbeat.address);
         known.chain(self.learned_addresses.keys().copied()).collect()
     }
 
@@ -159,22 +162,22 @@
     pub fn receive(
         &mut self,
         now: units::MonoTime,
-        beat: member_heartbeat::MemberHeartbeat,
+        heartbeat: member_heartbeat::MemberHeartbeat,
     ) -> bool {
-        if beat.name == self.own {
+        if heartbeat.name == self.own {
             return false;
         }
-        self.learned_addresses.remove(&beat.address);
-        for address in &beat.others {
+        self.learned_addresses.remove(&heartbeat.address);
+        for address in &heartbeat.others {
             let heard_of = self.knows(*address) || self.learned_addresses.contains_key(address);
             if !heard_of && self.learned_addresses.len() < MAX_LEARNED_ADDRESSES {
                 self.learned_addresses.insert(*address, now);
                 self.uncontacted.push(*address);
             }
         }
-        let known = self.members.get(&beat.name);
+        let known = self.members.get(&heartbeat.name);
         let stale = known.is_some_and(|known| {
-            known.beat.boot == beat.boot && known.beat.sequence >= beat.sequence
+            known.heartbeat.boot == heartbeat.boot && known.heartbeat.sequence >= heartbeat.sequence
         });
         if stale {
             return false;
@@ -182,10 +185,10 @@
         if known.is_none() {
             self.last_joined = Some(now);
         }
-        let joined = known.is_none_or(|known| known.beat.boot != beat.boot);
-        let name = beat.name.clone();
+        let joined = known.is_none_or(|known| known.heartbeat.boot != heartbeat.boot);
+        let name = heartbeat.name.clone();
         let hash = rendezvous::stable_hash(&[name.as_str()]);
-        let state = MemberState { beat, hash, heard: now, unanswered: 0, suspected: false };
+        let state = MemberState { heartbeat, hash, heard: now, unanswered: 0, suspected: false };
         self.insert(name, state);
         if joined {
             self.max_size = self.max_size.max(self.alive(now).count() + 1);
@@ -195,10 +198,10 @@
 
     /// Inserts or replaces a member.
     fn insert(&mut self, name: ids::InstanceId, state: MemberState) {
-        let (boot, address) = (state.beat.boot, state.beat.address);
+        let (boot, address) = (state.heartbeat.boot, state.heartbeat.address);
         if let Some(before) = self.members.insert(name.clone(), state) {
-            self.by_boot.remove(&before.beat.boot);
-            self.by_address.remove(&before.beat.address);
+            self.by_boot.remove(&before.heartbeat.boot);
+            self.by_address.remove(&before.heartbeat.address);
         }
         self.by_boot.insert(boot, name.clone());
         self.by_address.insert(address, name);
@@ -207,8 +210,8 @@
     /// Removes a member.
     fn remove(&mut self, name: &ids::InstanceId) {
         if let Some(removed) = self.members.remove(name) {
-            self.by_boot.remove(&removed.beat.boot);
-            self.by_address.remove(&removed.beat.address);
+            self.by_boot.remove(&removed.heartbeat.boot);
+            self.by_address.remove(&removed.heartbeat.address);
         }
     }
 
@@ -222,15 +225,15 @@
         let Some(member) = name.and_then(|name| self.members.get_mut(name)) else {
             return false;
         };
-        if alive.sequence > member.beat.sequence {
-            member.beat = member_heartbeat::MemberHeartbeat {
+        if alive.sequence > member.heartbeat.sequence {
+            member.heartbeat = member_heartbeat::MemberHeartbeat {
                 sequence: alive.sequence,
                 plans: alive.plans,
                 leaving: alive.leaving,
                 watches: alive.watches,
                 routes: alive.routes,
                 list: alive.list,
-                ..member.beat.clone()
+                ..member.heartbeat.clone()
             };
             member.heard = now;
             member.unanswered = 0;
@@ -267,7 +270,7 @@
         self.members
             .values()
             .filter(move |member| member.is_live(now, limit))
-            .map(|member| &member.beat)
+            .map(|member| &member.heartbeat)
     }
 
     /// Whether a process that started at time 0 knows the size of the fleet: members that start together meet within some
@@ -295,19 +298,19 @@
     ) -> Option<member_heartbeat::MemberHeartbeat> {
         let limit = self.heartbeat_interval() * SUSPECT_HEARTBEATS;
         let may_plan = |member: &&MemberState| {
-            let beat = &member.beat;
-            beat.routes > 0
-                && !beat.leaving
+            let heartbeat = &member.heartbeat;
+            heartbeat.routes > 0
+                && !heartbeat.leaving
                 && member.unanswered < MAX_UNANSWERED
                 && member.is_live(now, limit)
         };
         let others =
-            self.members.values().filter(may_plan).map(|member| (&member.beat, member.hash));
+            self.members.values().filter(may_plan).map(|member| (&member.heartbeat, member.hash));
         let this = Some((own, rendezvous::stable_hash(&[own.name.as_str()])));
         let this = this.filter(|(own, _)| own.routes > 0 && !own.leaving);
         let key = rendezvous::stable_hash(&[&key.to_string()]);
-        let score = |(beat, hash): &(&member_heartbeat::MemberHeartbeat, u64)| {
-            (beat.plans, beat.cpu, rendezvous::mixed_hash(key ^ hash))
+        let score = |(heartbeat, hash): &(&member_heartbeat::MemberHeartbeat, u64)| {
+            (heartbeat.plans, heartbeat.cpu, rendezvous::mixed_hash(key ^ hash))
         };
         let (best, _) = others.chain(this).max_by_key(score)?;
         (best.name != own.name).then(|| best.clone())
@@ -321,7 +324,7 @@
         version: u64,
         near: &ids::DataCenterId,
     ) -> Vec<&member_heartbeat::MemberHeartbeat> {
-        self.sources(now, near, version, |beat| beat.routes)
+        self.sources(now, near, version, |heartbeat| heartbeat.routes)
     }
 
     /// Members with any version of both documents, in this data centre or else in any, for a process without documents:
@@ -331,14 +334,15 @@
         now: units::MonoTime,
         near: &ids::DataCenterId,
     ) -> Vec<&member_heartbeat::MemberHeartbeat> {
-        let is_source =
-            |beat: &&member_heartbeat::MemberHeartbeat| beat.routes > 0 && !beat.list.is_none();
+        let is_source = |heartbeat: &&member_heartbeat::MemberHeartbeat| {
+            heartbeat.routes > 0 && !heartbeat.list.is_none()
+        };
         nearest(self.alive(now).filter(is_source).collect(), near)
     }
 
     /// Whether no live member has more CPU than `cpu`, in thousandths of a core; planners are chosen among the largest.
     pub fn is_largest(&self, now: units::MonoTime, cpu: u32) -> bool {
-        self.alive(now).all(|beat| beat.cpu <= cpu)
+        self.alive(now).all(|heartbeat| heartbeat.cpu <= cpu)
     }
 
     /// Members with the newest list beyond `revision`; see [`Self::routes_sources`].
@@ -348,15 +352,15 @@
         revision: store_revision::StoreRevision,
         near: &ids::DataCenterId,
     ) -> Vec<&member_heartbeat::MemberHeartbeat> {
-        self.sources(now, near, revision, |beat| beat.list)
+        self.sources(now, near, revision, |heartbeat| heartbeat.list)
     }
 
     /// Newest versions that live members have.
     pub fn newest(&self, now: units::MonoTime) -> store_tracker::DocumentVersions {
         let none = store_tracker::DocumentVersions::default();
-        self.alive(now).fold(none, |newest, beat| store_tracker::DocumentVersions {
-            routes: newest.routes.max(beat.routes),
-            list: newest.list.max(beat.list),
+        self.alive(now).fold(none, |newest, heartbeat| store_tracker::DocumentVersions {
+            routes: newest.routes.max(heartbeat.routes),
+            list: newest.list.max(heartbeat.list),
         })
     }
 
@@ -372,7 +376,7 @@
         let Some(newest) = newest else {
             return Vec::new();
         };
-        nearest(self.alive(now).filter(|beat| version(beat) == newest).collect(), near)
+        nearest(self.alive(now).filter(|heartbeat| version(heartbeat) == newest).collect(), near)
     }
 
     /// Whether a process of this age may plan for others.
@@ -386,6 +390,7 @@
     all: Vec<&'a member_heartbeat::MemberHeartbeat>,
     near: &ids::DataCenterId,
 ) -> Vec<&'a member_heartbeat::MemberHeartbeat> {
-    let own: Vec<_> = all.iter().copied().filter(|beat| beat.data_center == *near).collect();
+    let own: Vec<_> =
+        all.iter().copied().filter(|heartbeat| heartbeat.data_center == *near).collect();
     if own.is_empty() { all } else { own }
 }
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -33,19 +33,21 @@
     ) -> bool {
         let near: Vec<_> = self
             .alive(now)
-            .filter(|beat| beat.data_center == own.data_center && !beat.leaving)
+            .filter(|heartbeat| heartbeat.data_center == own.data_center && !heartbeat.leaving)
             .collect();
         if near.len() < SMALL_DATA_CENTER {
             return true;
         }
-        let order = |beat: &member_heartbeat::MemberHeartbeat| {
-            rendezvous::stable_hash(&["watch", beat.name.as_str()])
+        let order = |heartbeat: &member_heartbeat::MemberHeartbeat| {
+            rendezvous::stable_hash(&["watch", heartbeat.name.as_str()])
         };
         let own_order = order(own);
         let before = |wanted: bool| {
-            near.iter().filter(|beat| beat.watches == wanted && order(beat) < own_order).count()
+            near.iter()
+                .filter(|heartbeat| heartbeat.watches == wanted && order(heartbeat) < own_order)
+                .count()
         };
-        let watching = near.iter().filter(|beat| beat.watches).count();
+        let watching = near.iter().filter(|heartbeat| heartbeat.watches).count();
         if own.watches {
             return before(true) < WATCHERS;
         }
@@ -61,7 +63,7 @@
         now: units::MonoTime,
         own: &member_heartbeat::MemberHeartbeat,
     ) -> bool {
-        let near = self.alive(now).filter(|beat| beat.data_center == own.data_center);
-        near.filter(|beat| beat.watches).count() < WATCHERS
+        let near = self.alive(now).filter(|heartbeat| heartbeat.data_center == own.data_center);
+        near.filter(|heartbeat| heartbeat.watches).count() < WATCHERS
     }
 }
--- a/crates/core/src/pass_model.rs
+++ b/crates/core/src/pass_model.rs
@@ -15,7 +15,8 @@
 pub fn part_ms(shape: &route_table::EngineShape, prompt: u64, parts: usize) -> f64 {
     let tokens = prompt as f64;
     let million_pairs = tokens * tokens / 2.0 / 1e6;
-    let whole = tokens / shape.read_per_ms + million_pairs * shape.read_per_pairs_ms;
+    let whole =
+        tokens / shape.prefill_tokens_per_ms + million_pairs * shape.prefill_per_million_pairs_ms;
     whole / parts.max(1) as f64
 }
 
@@ -26,7 +27,7 @@
         return shape.step_ms;
     }
     let step = shape.step_ms
-        + shape.step_per_writer_ms * decoding as f64
+        + shape.step_per_decoding_ms * decoding as f64
         + shape.step_per_context_ms * context as f64 / 1_000.0;
     step * shape.stride
 }
--- a/crates/core/src/pause_detector.rs
+++ b/crates/core/src/pause_detector.rs
@@ -11,7 +11,7 @@
     /// Time of the last event.
     last: Option<units::MonoTime>,
     /// Number of pauses so far.
-    pub(crate) wakes: u64,
+    pub(crate) pause_count: u64,
     /// Whether the sources have not been asked again since the last pause, or since the start.
     pub(crate) unrefreshed: bool,
 }
@@ -19,13 +19,13 @@
 impl PauseDetector {
     /// Considers a time longer than `bound` between two events a pause.
     pub(crate) fn new(bound: time::Duration) -> Self {
-        Self { bound, last: None, wakes: 0, unrefreshed: true }
+        Self { bound, last: None, pause_count: 0, unrefreshed: true }
     }
 
     /// Records an event.
     pub(crate) fn notice(&mut self, now: units::MonoTime) {
         if self.last.is_some_and(|last| now.since(last) > self.bound) {
-            self.wakes += 1;
+            self.pause_count += 1;
             self.unrefreshed = true;
         }
         self.last = Some(now);
--- a/crates/core/src/permit_cache.rs
+++ b/crates/core/src/permit_cache.rs
@@ -17,7 +17,7 @@
     /// Request permits from the coordinator.
     Ask(quota_permit::PermitRequest),
     /// Try another upstream: no permit can be requested for this long.
-    Closed(time::Duration),
+    Backoff(time::Duration),
 }
 
 /// Permits of one quota.
@@ -62,7 +62,7 @@
         }
         let backoff = row.backoff_until.since(now);
         if backoff > patience {
-            return PermitStep::Closed(backoff);
+            return PermitStep::Backoff(backoff);
         }
         let wanted = u32::try_from(row.demand.len() / PREFETCH_DIVISOR).unwrap_or(u32::MAX).max(1);
         let patience_ms = u32::try_from(patience.as_millis()).unwrap_or(u32::MAX);
@@ -70,7 +70,7 @@
     }
 
     /// Time until permits may be requested again.
-    pub fn closed(&self, now: units::MonoTime, subject: &K) -> time::Duration {
+    pub fn backoff_left(&self, now: units::MonoTime, subject: &K) -> time::Duration {
         self.rows.get(subject).map_or(time::Duration::ZERO, |row| row.backoff_until.since(now))
     }
 
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -6,7 +6,7 @@
 
 /// A request for capacity on an engine.
 #[derive(Debug, Clone)]
-pub struct PlaceRequest {
+pub struct CapacityRequest {
     /// Attempt that needs the capacity.
     pub attempt: ids::AttemptId,
     /// Entry that sends the request.
@@ -33,7 +33,7 @@
     pub patience: units::MonoTime,
 }
 
-impl PlaceRequest {
+impl CapacityRequest {
     /// Length of the prompt without its cached prefix.
     pub fn prefill(&self) -> units::TokenCount {
         self.prompt.saturating_sub(self.cached)
--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -87,8 +87,8 @@
             // A late prompt also waits for prompts that arrive after it, so its expected time grows with the load.
             // The load is counted only the first time: a prompt that was admitted late stays as long as its caller
             // would still get an answer.
-            let prefill_load = self.price.load(self.now, free, &self.table.shape, &job.ask);
-            let rate = self.table.limited_rate(&job.ask.excluded);
+            let prefill_load = self.price.load(self.now, free, &self.table.shape, &job.request);
+            let rate = self.table.limited_rate(&job.request.excluded);
             let limit_load = rate.map_or(0.0, |rate| self.price.limited_load(self.now, rate));
             let load = prefill_load.max(limit_load);
             let load_factor = if job.admitted_late { 1.0 } else { 1.0 / (1.0 - load) };
@@ -96,7 +96,7 @@
             job.admitted_late = true;
             if was_late || expected_ms > job.due_ms(self.now) {
                 order.retain(|index| *index != displaced.index);
-                let refusal = self.refuse(&job.ask, expected_ms);
+                let refusal = self.refuse(&job.request, expected_ms);
                 answers.push(engine_place::PlaceAnswer::Refuse(refusal));
             }
         }
@@ -116,11 +116,11 @@
             else {
                 continue;
             };
-            if !timetable.can_hold(&job.ask) && !job.ask.resumed {
+            if !timetable.can_hold(&job.request) && !job.request.resumed {
                 // Displacing another prompt would not help.
                 return Err(DisplacedPrompt { index: *index, expected_ms: f64::INFINITY });
             }
-            let missed = booking.first_ms > job.due_ms(self.now) && !job.ask.resumed;
+            let missed = booking.first_ms > job.due_ms(self.now) && !job.request.resumed;
             if !missed && !allowed {
                 // It waits for a start that costs others less.
                 continue;
@@ -129,8 +129,8 @@
             if missed {
                 return Err(self.pick_displaced(jobs, booked));
             }
-            let granted = if booking.starts_now() || job.ask.resumed && booking.has_permit() {
-                timetable.grant(job, &booking, job.waited_ms(self.now), job.ask.resumed)
+            let granted = if booking.starts_now() || job.request.resumed && booking.has_permit() {
+                timetable.grant(job, &booking, job.waited_ms(self.now), job.request.resumed)
             } else {
                 None
             };
@@ -153,18 +153,18 @@
         timetable: &timetable::PrefillTimetable<'_>,
         job: &waiting_job::WaitingJob,
     ) -> Option<PrefillCandidate> {
-        let forced = || timetable.cheapest(&job.ask, f64::INFINITY);
-        if job.ask.resumed {
+        let forced = || timetable.cheapest(&job.request, f64::INFINITY);
+        if job.request.resumed {
             return forced().map(|booking| PrefillCandidate { booking, allowed: true });
         }
         let due = job.due_ms(self.now);
-        let in_time = |read: &timetable::PrefillBooking| read.first_ms <= due;
-        let lossless = timetable.cheapest(&job.ask, 0.0);
+        let in_time = |booking: &timetable::PrefillBooking| booking.first_ms <= due;
+        let lossless = timetable.cheapest(&job.request, 0.0);
         if lossless.as_ref().is_some_and(in_time) {
             return lossless.map(|booking| PrefillCandidate { booking, allowed: true });
         }
         let part = if job.late { LATE_MAX_LOSS_FRACTION } else { MAX_LOSS_FRACTION };
-        let lossy = timetable.cheapest(&job.ask, job.loss_if_missed() * part);
+        let lossy = timetable.cheapest(&job.request, job.loss_if_missed() * part);
         if let Some(booking) = lossy.filter(in_time).or(lossless) {
             return Some(PrefillCandidate { booking, allowed: true });
         }
@@ -181,10 +181,10 @@
     ) -> DisplacedPrompt {
         let density = |row: &DisplacedPrompt| {
             let job = &jobs[row.index];
-            job.loss_if_missed() / pass_model::prefill_ms(&self.table.shape, job.ask.prompt)
+            job.loss_if_missed() / pass_model::prefill_ms(&self.table.shape, job.request.prompt)
         };
         let worst = (0..booked.len())
-            .filter(|index| !jobs[booked[*index].index].ask.resumed)
+            .filter(|index| !jobs[booked[*index].index].request.resumed)
             .min_by(|left, right| {
                 let since = |index: usize| jobs[booked[index].index].since;
                 let by_density = density(&booked[*left]).total_cmp(&density(&booked[*right]));
@@ -194,9 +194,13 @@
     }
 
     /// Builds a refusal with a retry delay of about the expected time to the first token.
-    fn refuse(&self, ask: &engine_place::PlaceAsk, expected_ms: f64) -> engine_place::PlaceRefusal {
+    fn refuse(
+        &self,
+        request: &engine_place::PlacementRequest,
+        expected_ms: f64,
+    ) -> engine_place::PlaceRefusal {
         let back_after_ms = expected_ms.clamp(RETRY_AFTER_RANGE_MS.0, RETRY_AFTER_RANGE_MS.1);
         let expected_ms = Some(expected_ms).filter(|expected| expected.is_finite());
-        self.table.refusal(ask.job, back_after_ms, expected_ms)
+        self.table.refusal(request.job, back_after_ms, expected_ms)
     }
 }
--- a/crates/core/src/planner/baseline_choice.rs
+++ b/crates/core/src/planner/baseline_choice.rs
@@ -19,15 +19,15 @@
         settings::RoutingKind::LeastTokens => u64::MAX - view.free,
         _ => 0,
     };
-    let usable = engine_view::usable(views, &job.ask);
+    let usable = engine_view::usable(views, &job.request);
     let usable = usable.into_iter().map(|at| &views[at]);
     let usable: Vec<_> = usable.filter(|view| view.has_permit()).collect();
-    let turn = job.ask.job.sequence as usize % usable.len().max(1);
+    let turn = job.request.job.sequence as usize % usable.len().max(1);
     let (before, behind) = usable.split_at(turn);
     let engine = behind.iter().chain(before).copied().min_by_key(load)?;
-    let part = pass_model::prefill_ms(shape, job.ask.prompt);
+    let part = pass_model::prefill_ms(shape, job.request.prompt);
     Some(engine_place::PlaceGrant {
-        job: job.ask.job,
+        job: job.request.job,
         engine: engine.name.clone(),
         helpers: Vec::new(),
         held: Vec::new(),
--- a/crates/core/src/planner/engine_limits.rs
+++ b/crates/core/src/planner/engine_limits.rs
@@ -27,17 +27,17 @@
     pub(crate) fn set(
         &mut self,
         now: units::MonoTime,
-        kept: &collections::BTreeMap<ids::UpstreamId, send_pace::PaceBound>,
+        enforced: &collections::BTreeMap<ids::UpstreamId, send_pace::PaceBound>,
         elsewhere: collections::BTreeSet<ids::UpstreamId>,
     ) {
-        self.permits.set_coordinated(now, kept);
+        self.permits.set_coordinated(now, enforced);
         self.elsewhere = elsewhere;
     }
 
     /// Requests per second that this planner may send to an engine; `None` without a limit.
     pub(crate) fn rate(&self, engine: &ids::UpstreamId) -> Option<f64> {
-        let kept = self.permits.bound(engine).map(|bound| bound.rate.per_second());
-        kept.or_else(|| self.elsewhere.contains(engine).then_some(0.0))
+        let enforced = self.permits.bound(engine).map(|bound| bound.rate.per_second());
+        enforced.or_else(|| self.elsewhere.contains(engine).then_some(0.0))
     }
 
     /// When this planner may send requests to an engine.
@@ -59,9 +59,9 @@
         &mut self,
         now: units::MonoTime,
         engines: impl Iterator<Item = &'a ids::UpstreamId>,
-        asker: u64,
+        requester: u64,
     ) -> Vec<ids::UpstreamId> {
-        let limited = engines.filter(|engine| self.permits.take(now, engine, asker));
+        let limited = engines.filter(|engine| self.permits.take(now, engine, requester));
         limited.cloned().collect()
     }
 }
--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -85,10 +85,13 @@
 }
 
 /// Indices of the engines that a request may use. Ejected engines are used only if there are no others.
-pub(crate) fn usable(views: &[EngineView<'_>], ask: &engine_place::PlaceAsk) -> Vec<usize> {
+pub(crate) fn usable(
+    views: &[EngineView<'_>],
+    request: &engine_place::PlacementRequest,
+) -> Vec<usize> {
     let allowed = |ejected: bool| {
         let rows = views.iter().enumerate();
-        rows.filter(|(_, view)| view.ejected == ejected && !ask.excluded.contains(view.name))
+        rows.filter(|(_, view)| view.ejected == ejected && !request.excluded.contains(view.name))
             .map(|(at, _)| at)
             .collect::<Vec<_>>()
     };
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -276,7 +276,7 @@
 
     /// Time until all prefill that is running or queued is complete, milliseconds.
     pub(crate) fn prefill_left_ms(&self) -> f64 {
-        let reads = self.pass.as_ref().filter(|pass| !pass.parts.is_empty());
-        reads.map_or(0.0, |pass| pass.left_ms) + self.pending_ms()
+        let pass = self.pass.as_ref().filter(|pass| !pass.parts.is_empty());
+        pass.map_or(0.0, |pass| pass.left_ms) + self.pending_ms()
     }
 }
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -3,7 +3,7 @@
 //! One planner tracks the work of every engine of a service, or of one cell of a large service. A request passes
 //! through these steps:
 //!
-//! 1. [`PlacementPlanner::ask`] receives it, and the place table provides the current state of the engines.
+//! 1. [`PlacementPlanner::request`] receives it, and the place table provides the current state of the engines.
 //! 2. A short prompt gets one engine. Long prompts are scheduled together on a timetable, and admission decides
 //!    which of them meet their goal, which run late and which are refused.
 //! 3. The place table records the grant.
@@ -66,7 +66,7 @@
     price: price::EnginePrice,
     /// Requests without a placement, unordered.
     waiting: Vec<waiting_job::WaitingJob>,
-    /// Answers for other requests that became known during a call of [`PlacementPlanner::ask`]; the next
+    /// Answers for other requests that became known during a call of [`PlacementPlanner::request`]; the next
     /// [`PlacementPlanner::tick`] returns them.
     ready_answers: Vec<engine_place::PlaceAnswer>,
     /// Retry times for requests that rate limits keep from all engines.
@@ -86,15 +86,15 @@
         }
     }
 
-    /// Sets which engines have a rate limit. `kept` holds the limits that this process enforces; engines in
+    /// Sets which engines have a rate limit. `enforced` holds the limits that this process enforces; engines in
     /// `elsewhere` have a limit that another process enforces, and get no requests from this planner.
     pub fn set_limits(
         &mut self,
         now: units::MonoTime,
-        kept: &collections::BTreeMap<ids::UpstreamId, send_pace::PaceBound>,
+        enforced: &collections::BTreeMap<ids::UpstreamId, send_pace::PaceBound>,
         elsewhere: collections::BTreeSet<ids::UpstreamId>,
     ) {
-        self.table.limits.set(now, kept, elsewhere);
+        self.table.limits.set(now, enforced, elsewhere);
     }
 
     /// Rate-limit permits of this planner's engines, also for requests that need no placement.
@@ -130,23 +130,23 @@
     /// Requests a placement. Idempotent: a job that has a placement gets the same answer again.
     ///
     /// Returns `None` while the request waits; [`Self::tick`] returns its answer later.
-    pub fn ask(
+    pub fn request(
         &mut self,
         now: units::MonoTime,
-        ask: engine_place::PlaceAsk,
+        request: engine_place::PlacementRequest,
     ) -> Option<engine_place::PlaceAnswer> {
-        let id = ask.job;
+        let id = request.job;
         if let Some(answer) = self.table.answer(id) {
             return Some(answer);
         }
-        if let Some(waiting) = self.waiting.iter_mut().find(|waiting| waiting.ask.job == id) {
+        if let Some(waiting) = self.waiting.iter_mut().find(|waiting| waiting.request.job == id) {
             // The set may have changed: engines can ask a member to stop sending for a while.
-            waiting.ask.excluded = ask.excluded;
+            waiting.request.excluded = request.excluded;
             return None;
         }
-        let job = waiting_job::WaitingJob::new(ask, now);
+        let job = waiting_job::WaitingJob::new(request, now);
         self.table.advance(now);
-        if self.is_short(&job.ask) {
+        if self.is_short(&job.request) {
             if self.table.limited_rate(&[]).is_some() {
                 // Requests that already wait get the permits that are due before this one does.
                 let answers = self.tick_short(now);
@@ -158,7 +158,7 @@
             }
             return answer;
         }
-        self.price.note_demand(now, &self.table.shape, &job.ask);
+        self.price.note_demand(now, &self.table.shape, &job.request);
         self.waiting.push(job);
         let (own, others) = self.plan_long(now).into_iter().partition(|answer| answer.job() == id);
         self.ready_answers.extend::<Vec<_>>(others);
@@ -205,19 +205,24 @@
         job: engine_place::JobId,
         end: engine_place::PlaceEnd,
     ) {
-        self.waiting.retain(|waiting| waiting.ask.job != job);
+        self.waiting.retain(|waiting| waiting.request.job != job);
         self.table.end(now, job, end);
     }
 
     /// Renews the lease of a placement; returns `false` if this planner does not know it.
-    pub fn renew(&mut self, now: units::MonoTime, job: engine_place::JobId, reading: bool) -> bool {
-        self.table.renew(now, job, reading)
+    pub fn renew(
+        &mut self,
+        now: units::MonoTime,
+        job: engine_place::JobId,
+        prefilling: bool,
+    ) -> bool {
+        self.table.renew(now, job, prefilling)
     }
 
     /// Adopts placements that another planner granted.
     pub fn take_over(&mut self, now: units::MonoTime, leases: Vec<engine_place::PlaceLease>) {
         for lease in &leases {
-            self.waiting.retain(|waiting| waiting.ask.job != lease.ask.job);
+            self.waiting.retain(|waiting| waiting.request.job != lease.request.job);
         }
         self.table.take_over(now, leases);
     }
@@ -247,27 +252,27 @@
     }
 
     /// Whether one engine prefills the whole prompt. Baseline routing policies treat every request so.
-    fn is_short(&self, ask: &engine_place::PlaceAsk) -> bool {
-        ask.tight || self.options.routing != settings::RoutingKind::ExpectedStart
+    fn is_short(&self, request: &engine_place::PlacementRequest) -> bool {
+        request.tight || self.options.routing != settings::RoutingKind::ExpectedStart
     }
 
     fn take(
         &mut self,
         now: units::MonoTime,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
         grant: engine_place::PlaceGrant,
     ) -> Option<engine_place::PlaceAnswer> {
-        self.table.take(now, ask, grant);
-        self.table.answer(ask.job)
+        self.table.take(now, request, grant);
+        self.table.answer(request.job)
     }
 
     /// Places waiting short requests, retries first and then by age.
     fn tick_short(&mut self, now: units::MonoTime) -> Vec<engine_place::PlaceAnswer> {
         let waiting = std::mem::take(&mut self.waiting);
         let (mut shorts, longs): (Vec<_>, Vec<_>) =
-            waiting.into_iter().partition(|job| self.is_short(&job.ask));
+            waiting.into_iter().partition(|job| self.is_short(&job.request));
         self.waiting = longs;
-        shorts.sort_by_key(|job| (job.ask.refusable, job.since));
+        shorts.sort_by_key(|job| (job.request.refusable, job.since));
         let mut answers = Vec::new();
         for job in shorts {
             match self.place_short(now, &job) {
@@ -288,16 +293,16 @@
         if self.options.routing != settings::RoutingKind::ExpectedStart {
             let shape = &self.table.shape;
             let grant = baseline_choice::choose(shape, self.options.routing, now, job, &views)?;
-            return self.take(now, &job.ask, grant);
+            return self.take(now, &job.request, grant);
         }
         let shape = &self.table.shape;
         let packing_target = self.options.ways.packing.packing_target(shape);
         let choice = short_choice::ShortChoice { shape, packing_target };
         if let Some(grant) = choice.choose(now, job, &views, true) {
-            return self.take(now, &job.ask, grant);
+            return self.take(now, &job.request, grant);
         }
         let grant = choice.choose(now, job, &views, false);
-        if !job.ask.resumed {
+        if !job.request.resumed {
             self.price.note_contention(now);
         }
         let Some(grant) = grant else {
@@ -307,14 +312,14 @@
         if let Some(refusal) = self.refuse_short(now, job, &grant) {
             return Some(engine_place::PlaceAnswer::Refuse(refusal));
         }
-        self.take(now, &job.ask, grant)
+        self.take(now, &job.request, grant)
     }
 
     /// Whether a short request would queue at its engine or take more than twice its first-token goal.
     fn is_crowded(&self, job: &waiting_job::WaitingJob, grant: &engine_place::PlaceGrant) -> bool {
-        let more = if job.ask.refusable { 0 } else { MAX_QUEUED_RETRIES };
+        let more = if job.request.refusable { 0 } else { MAX_QUEUED_RETRIES };
         self.table.running_on(&grant.engine) >= self.table.shape.slots + more
-            || grant.first_token_ms > job.ask.goal_ms * 2
+            || grant.first_token_ms > job.request.goal_ms * 2
     }
 
     /// Refuses a short request whose caller would give up before the first token, and one that would be late while
@@ -326,17 +331,17 @@
         grant: &engine_place::PlaceGrant,
     ) -> Option<engine_place::PlaceRefusal> {
         // Slots of engines that it must not use don't count.
-        let (running, slots) = self.table.used_slots(&job.ask.excluded);
+        let (running, slots) = self.table.used_slots(&job.request.excluded);
         let full = running as f64 >= slots as f64 * CROWDED_FRACTION;
         let hopeless = f64::from(grant.first_token_ms) > job.patience_ms(now);
         let crowded = self.options.ways.short_refusal == ways::ShortRefusalWay::Crowded
             && full
             && self.is_crowded(job, grant);
-        if job.ask.resumed || !(hopeless || crowded) {
+        if job.request.resumed || !(hopeless || crowded) {
             return None;
         }
         let expected_ms = hopeless.then_some(f64::from(grant.first_token_ms));
-        Some(self.table.refusal(job.ask.job, self.slot_retry_ms(), expected_ms))
+        Some(self.table.refusal(job.request.job, self.slot_retry_ms(), expected_ms))
     }
 
     /// Refuses a short request that rate limits keep from all engines for longer than it can wait.
@@ -348,28 +353,28 @@
         now: units::MonoTime,
         job: &waiting_job::WaitingJob,
     ) -> Option<engine_place::PlaceRefusal> {
-        let rate = self.table.limited_rate(&job.ask.excluded)?;
-        if job.ask.resumed {
+        let rate = self.table.limited_rate(&job.request.excluded)?;
+        if job.request.resumed {
             return None;
         }
         let ahead = |other: &&waiting_job::WaitingJob| {
-            let order = |job: &waiting_job::WaitingJob| (job.ask.refusable, job.since);
-            self.is_short(&other.ask) && order(other) < order(job)
+            let order = |job: &waiting_job::WaitingJob| (job.request.refusable, job.since);
+            self.is_short(&other.request) && order(other) < order(job)
         };
         let ahead = self.waiting.iter().filter(ahead).count();
         let wait_ms = self.table.next_permit_ms(now) + ahead as f64 * 1_000.0 / rate;
-        let would_wait_ms = match (job.waited_ms(now) > 0.0, job.ask.refusable) {
+        let would_wait_ms = match (job.waited_ms(now) > 0.0, job.request.refusable) {
             // A request that has been queued stays queued.
             (true, _) => f64::INFINITY,
             (false, true) => job.goal_left_ms(now),
-            (false, false) => f64::from(job.ask.goal_ms) * RETRY_WAIT_GOALS,
+            (false, false) => f64::from(job.request.goal_ms) * RETRY_WAIT_GOALS,
         };
         if wait_ms <= would_wait_ms.min(job.patience_ms(now)) {
             return None;
         }
         let back = self.retry_schedule.next(now, rate);
         let back_ms = back.as_secs_f64() * 1_000.0;
-        Some(self.table.refusal(job.ask.job, back_ms.max(MIN_RETRY_AFTER_MS), Some(wait_ms)))
+        Some(self.table.refusal(job.request.job, back_ms.max(MIN_RETRY_AFTER_MS), Some(wait_ms)))
     }
 
     /// Retry delay of a refused short request, from the rate at which slots are released, milliseconds.
@@ -380,7 +385,7 @@
 
     /// Schedules all waiting long prompts; returns the answers of those that start now or are refused.
     fn plan_long(&mut self, now: units::MonoTime) -> Vec<engine_place::PlaceAnswer> {
-        let longs = self.waiting.iter_mut().filter(|job| !job.ask.tight);
+        let longs = self.waiting.iter_mut().filter(|job| !job.request.tight);
         let mut jobs: Vec<_> = longs.collect();
         if jobs.is_empty() {
             return Vec::new();
@@ -404,12 +409,12 @@
         now: units::MonoTime,
         answer: engine_place::PlaceAnswer,
     ) -> Option<engine_place::PlaceAnswer> {
-        let at = self.waiting.iter().position(|waiting| waiting.ask.job == answer.job())?;
+        let at = self.waiting.iter().position(|waiting| waiting.request.job == answer.job())?;
         let waiting = self.waiting.swap_remove(at);
         let engine_place::PlaceAnswer::Grant(grant) = answer else {
             return Some(answer);
         };
-        self.price.note_prefill(&self.table.shape, &waiting.ask);
-        self.take(now, &waiting.ask, grant)
+        self.price.note_prefill(&self.table.shape, &waiting.request);
+        self.take(now, &waiting.request, grant)
     }
 }
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -23,7 +23,7 @@
 const MAX_REPORT_INTERVAL: time::Duration = time::Duration::from_secs(6);
 
 /// Assumed duration of an answer before any has ended, milliseconds.
-const FIRST_ANSWER_MS: f64 = 1_500.0;
+const INITIAL_ANSWER_MS: f64 = 1_500.0;
 /// Weight of the newest answer in the moving average of answer durations.
 const ANSWER_WEIGHT: f64 = 0.05;
 
@@ -69,7 +69,7 @@
             engines: collections::BTreeMap::new(),
             jobs: collections::HashMap::new(),
             suspects: collections::BTreeSet::new(),
-            answer_ms: FIRST_ANSWER_MS,
+            answer_ms: INITIAL_ANSWER_MS,
             min_pause_goal_ms: f64::INFINITY,
             limits: engine_limits::EngineLimits::default(),
         }
@@ -113,7 +113,7 @@
         let Some(state) = self.jobs.get_mut(&job) else {
             return;
         };
-        state.lease.reading = false;
+        state.lease.prefilling = false;
         state.first_token_at = Some(now);
         let grant = state.lease.grant.clone();
         for name in std::iter::once(&grant.engine).chain(&grant.helpers) {
@@ -139,7 +139,7 @@
             return;
         };
         self.release(&state.lease);
-        if let Some(since) = state.first_token_at.filter(|_| state.lease.ask.tight) {
+        if let Some(since) = state.first_token_at.filter(|_| state.lease.request.tight) {
             let lasted = now.since(since).as_secs_f64() * 1_000.0;
             self.answer_ms += (lasted - self.answer_ms) * ANSWER_WEIGHT;
         }
@@ -209,13 +209,13 @@
         &mut self,
         now: units::MonoTime,
         job: engine_place::JobId,
-        reading: bool,
+        prefilling: bool,
     ) -> bool {
         let Some(state) = self.jobs.get_mut(&job) else {
             return false;
         };
         state.renewed = now;
-        if state.lease.reading && !reading {
+        if state.lease.prefilling && !prefilling {
             self.first_token(now, job);
         }
         true
@@ -228,7 +228,7 @@
         leases: Vec<engine_place::PlaceLease>,
     ) {
         for lease in leases {
-            if !self.renew(now, lease.ask.job, lease.reading) {
+            if !self.renew(now, lease.request.job, lease.prefilling) {
                 self.adopt(now, lease);
             }
         }
@@ -237,9 +237,10 @@
     fn adopt(&mut self, now: units::MonoTime, lease: engine_place::PlaceLease) {
         self.occupy(now, &lease);
         let engine = lease.grant.engine.clone();
-        let first_token_at = (!lease.reading).then_some(now);
+        let first_token_at = (!lease.prefilling).then_some(now);
         let paced = Vec::new();
-        self.jobs.insert(lease.ask.job, JobState { lease, renewed: now, first_token_at, paced });
+        self.jobs
+            .insert(lease.request.job, JobState { lease, renewed: now, first_token_at, paced });
         self.refresh_steps(&engine);
     }
 
@@ -262,19 +263,19 @@
     pub(crate) fn take(
         &mut self,
         now: units::MonoTime,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
         grant: engine_place::PlaceGrant,
     ) {
         let engines = std::iter::once(&grant.engine).chain(&grant.helpers);
-        let paced = self.limits.take(now, engines, ask.job.boot);
-        let lease = engine_place::PlaceLease { ask: ask.clone(), grant, reading: true };
+        let paced = self.limits.take(now, engines, request.job.boot);
+        let lease = engine_place::PlaceLease { request: request.clone(), grant, prefilling: true };
         self.occupy(now, &lease);
         let first_token_at = None;
-        self.jobs.insert(ask.job, JobState { lease, renewed: now, first_token_at, paced });
+        self.jobs.insert(request.job, JobState { lease, renewed: now, first_token_at, paced });
     }
 }
 
 /// Prompt tokens of a request that its engine holds and that slow down each decode step there.
 fn context_of(lease: &engine_place::PlaceLease) -> u64 {
-    lease.ask.prompt / (lease.grant.helpers.len() as u64 + 1)
+    lease.request.prompt / (lease.grant.helpers.len() as u64 + 1)
 }
--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -99,16 +99,16 @@
         name: &'a ids::UpstreamId,
         engine: &engine_work::EngineWork,
     ) -> engine_view::EngineView<'a> {
-        let asks = engine.answering.iter().filter_map(|job| self.jobs.get(job));
+        let states = engine.answering.iter().filter_map(|job| self.jobs.get(job));
         let (mut context, mut pause_goal_ms, mut worth) = (0, f64::INFINITY, 0.0);
         let (mut tight, mut prefilling) = (0, 0);
-        for state in asks {
-            let ask = &state.lease.ask;
+        for state in states {
+            let request = &state.lease.request;
             context += place_table::context_of(&state.lease);
-            pause_goal_ms = pause_goal_ms.min(f64::from(ask.pause_ms));
-            worth += f64::from(ask.worth);
-            tight += usize::from(ask.tight);
-            prefilling += usize::from(ask.tight && state.lease.reading);
+            pause_goal_ms = pause_goal_ms.min(f64::from(request.pause_ms));
+            worth += f64::from(request.worth);
+            tight += usize::from(request.tight);
+            prefilling += usize::from(request.tight && state.lease.prefilling);
         }
         if engine.foreign > 0 {
             // The pause goals of another planner's requests are unknown. They are treated as short requests, so that
@@ -141,9 +141,9 @@
     /// Mean time until a decoding request with tight pause goals ends and releases its slot, milliseconds; infinite
     /// if there is none.
     pub(crate) fn mean_slot_release_ms(&self) -> f64 {
-        let writing = self.jobs.values().filter(|state| state.lease.ask.tight);
-        let writing = writing.filter(|state| state.first_token_at.is_some()).count();
-        self.answer_ms / writing as f64
+        let decoding = self.jobs.values().filter(|state| state.lease.request.tight);
+        let decoding = decoding.filter(|state| state.first_token_at.is_some()).count();
+        self.answer_ms / decoding as f64
     }
 
     /// Time until the first tokens of the long prompts on this engine are expected, milliseconds: only these confirm
@@ -152,7 +152,7 @@
         engine
             .expected
             .iter()
-            .filter(|(job, _)| self.jobs.get(job).is_some_and(|state| !state.lease.ask.tight))
+            .filter(|(job, _)| self.jobs.get(job).is_some_and(|state| !state.lease.request.tight))
             .filter(|(_, due)| now.since(**due).as_secs_f64() * 1_000.0 <= MAX_OVERDUE_MS)
             .map(|(_, due)| (due.since(now).as_secs_f64() * 1_000.0).max(MIN_PREFILL_LEFT_MS))
             .fold(0.0, f64::max)
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -10,7 +10,7 @@
 const SHORT_ANSWER: u64 = 1_700;
 
 /// Initial estimate of the engine time that earns as much as one short request, milliseconds.
-const FIRST_MS_PER_WORTH: f64 = 150.0;
+const INITIAL_MS_PER_WORTH: f64 = 150.0;
 /// Time constant of the decaying averages of demand.
 const LOAD_TIME: time::Duration = time::Duration::from_secs(3);
 /// Upper bound of a load estimate, so that some capacity always remains.
@@ -18,7 +18,7 @@
 /// Load of other prompts below which they are ignored.
 const ALONE_LOAD: f64 = 0.1;
 /// Weight of the newest prompt in the moving average of engine time per worth.
-const READING_WEIGHT: f64 = 0.05;
+const MS_PER_WORTH_WEIGHT: f64 = 0.05;
 
 /// Price of engine time, from recent contention and demand.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             contended_until: units::MonoTime::default(),
-            ms_per_worth: FIRST_MS_PER_WORTH,
+            ms_per_worth: INITIAL_MS_PER_WORTH,
             demand_ms: 0.0,
             demand_count: 0.0,
             demand_since: units::MonoTime::default(),
@@ -52,10 +52,10 @@
     pub(crate) fn note_prefill(
         &mut self,
         shape: &route_table::EngineShape,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
     ) {
-        let sample = pass_model::prefill_ms(shape, ask.prompt) / f64::from(ask.worth);
-        self.ms_per_worth += (sample - self.ms_per_worth) * READING_WEIGHT;
+        let sample = pass_model::prefill_ms(shape, request.prompt) / f64::from(request.worth);
+        self.ms_per_worth += (sample - self.ms_per_worth) * MS_PER_WORTH_WEIGHT;
     }
 
     /// Records that a long prompt requests engine time.
@@ -63,9 +63,9 @@
         &mut self,
         now: units::MonoTime,
         shape: &route_table::EngineShape,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
     ) {
-        self.demand_ms = self.demand_ms(now) + pass_model::prefill_ms(shape, ask.prompt);
+        self.demand_ms = self.demand_ms(now) + pass_model::prefill_ms(shape, request.prompt);
         self.demand_count = self.demand_count * self.remaining_fraction(now) + 1.0;
         self.demand_since = now;
     }
@@ -77,17 +77,17 @@
     }
 
     /// Fraction of the time of `engines` engines that long prompts have requested recently; 0 if prompts other than
-    /// that of `ask` requested less than [`ALONE_LOAD`].
+    /// that of `request` requested less than [`ALONE_LOAD`].
     pub(crate) fn load(
         &self,
         now: units::MonoTime,
         engines: usize,
         shape: &route_table::EngineShape,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
     ) -> f64 {
         let whole = LOAD_TIME.as_secs_f64() * 1_000.0 * engines.max(1) as f64;
         let demand = self.demand_ms(now);
-        let others = demand - pass_model::prefill_ms(shape, ask.prompt);
+        let others = demand - pass_model::prefill_ms(shape, request.prompt);
         if others < whole * ALONE_LOAD {
             return 0.0;
         }
@@ -122,10 +122,10 @@
         shape: &route_table::EngineShape,
         job: &waiting_job::WaitingJob,
     ) -> bool {
-        if job.ask.resumed || now >= self.contended_until {
+        if job.request.resumed || now >= self.contended_until {
             return true;
         }
-        let seconds = pass_model::prefill_ms(shape, job.ask.prompt) / 1_000.0;
+        let seconds = pass_model::prefill_ms(shape, job.request.prompt) / 1_000.0;
         let answer_ms = pass_model::decode_ms(shape, shape.slots, 0, SHORT_ANSWER);
         let shorts = shape.slots as f64 * 1_000.0 / answer_ms;
         job.value() >= seconds * shorts
--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -46,19 +46,20 @@
         views: &[engine_view::EngineView<'_>],
         strict: bool,
     ) -> Option<engine_place::PlaceGrant> {
-        let part = pass_model::prefill_ms(self.shape, job.ask.prompt);
-        let usable = engine_view::usable(views, &job.ask);
+        let part = pass_model::prefill_ms(self.shape, job.request.prompt);
+        let usable = engine_view::usable(views, &job.request);
         let engine = usable
             .into_iter()
             .map(|at| &views[at])
             .filter(|view| view.has_permit())
-            .filter(|view| !strict || self.meets_limits(view, &job.ask, part))
+            .filter(|view| !strict || self.meets_limits(view, &job.request, part))
             .min_by(|left, right| {
-                let loss = self.loss(left, &job.ask, part);
-                loss.total_cmp(&self.loss(right, &job.ask, part)).then(left.rank.cmp(&right.rank))
+                let loss = self.loss(left, &job.request, part);
+                loss.total_cmp(&self.loss(right, &job.request, part))
+                    .then(left.rank.cmp(&right.rank))
             })?;
         Some(engine_place::PlaceGrant {
-            job: job.ask.job,
+            job: job.request.job,
             engine: engine.name.clone(),
             helpers: Vec::new(),
             held: Vec::new(),
@@ -71,13 +72,13 @@
     fn meets_limits(
         &self,
         view: &engine_view::EngineView<'_>,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
         part: f64,
     ) -> bool {
         let pass = (view.steps_ms + view.pending_ms + part) * view.pace;
         view.answering < self.shape.slots
-            && pass <= f64::from(ask.pause_ms) * engine_view::PAUSE_FRACTION
-            && view.first_ms(part) <= f64::from(ask.goal_ms) * GOAL_FRACTION
+            && pass <= f64::from(request.pause_ms) * engine_view::PAUSE_FRACTION
+            && view.first_ms(part) <= f64::from(request.goal_ms) * GOAL_FRACTION
             && view.pause_loss(part) <= 0.0
     }
 
@@ -85,12 +86,12 @@
     fn loss(
         &self,
         view: &engine_view::EngineView<'_>,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
         part: f64,
     ) -> f64 {
         let wait = (view.pending_ms + view.steps_ms + part) * view.pace;
         let full_loss = if view.answering >= self.shape.slots { FULL_LOSS } else { 0.0 };
-        let pause_limit = f64::from(ask.pause_ms) * engine_view::PAUSE_FRACTION;
+        let pause_limit = f64::from(request.pause_ms) * engine_view::PAUSE_FRACTION;
         let long_pass_loss = if wait > pause_limit { LONG_PASS_LOSS } else { 0.0 };
         let packing_loss = match self.packing_target {
             Some(packed) if view.tight < packed => (packed - view.tight) as f64 * PACK_LOSS,
@@ -101,7 +102,7 @@
         let neighbor_loss =
             (view.answering - view.tight - view.foreign) as f64 * LONG_NEIGHBOR_LOSS;
         // A first token within this time has no cost.
-        let goal_without_loss = f64::from(ask.goal_ms) * NO_LOSS_GOAL_FRACTION;
+        let goal_without_loss = f64::from(request.goal_ms) * NO_LOSS_GOAL_FRACTION;
         let delay_loss = (view.first_ms(part) - goal_without_loss).max(0.0) / 1_000.0;
         let pace = (view.pace - 1.0).max(0.0) * PACE_LOSS;
         view.pause_loss(part)
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -103,12 +103,12 @@
     /// if there is none.
     pub(crate) fn cheapest(
         &self,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
         max_loss: f64,
     ) -> Option<PrefillBooking> {
-        let usable = engine_view::usable(&self.views, ask);
+        let usable = engine_view::usable(&self.views, request);
         let most = usable.len().min(engine_place::MAX_HELPERS + 1);
-        let whole = pass_model::prefill_ms(self.shape, ask.prompt);
+        let whole = pass_model::prefill_ms(self.shape, request.prompt);
         PART_COUNTS
             .iter()
             .filter(|parts| **parts <= most)
@@ -118,11 +118,12 @@
     }
 
     /// Whether all engines together could hold a prompt and its answer.
-    pub(crate) fn can_hold(&self, ask: &engine_place::PlaceAsk) -> bool {
+    pub(crate) fn can_hold(&self, request: &engine_place::PlacementRequest) -> bool {
         let engines =
-            engine_view::usable(&self.views, ask).len().min(engine_place::MAX_HELPERS + 1);
+            engine_view::usable(&self.views, request).len().min(engine_place::MAX_HELPERS + 1);
         let others = engines.saturating_sub(1) as f64 * MAX_HELD_FRACTION;
-        (ask.prompt + ask.output) as f64 <= self.capacity() * (SINGLE_HOST_FRACTION + others)
+        (request.prompt + request.output) as f64
+            <= self.capacity() * (SINGLE_HOST_FRACTION + others)
     }
 
     /// Tokens of one engine's memory that the planner assigns.
@@ -213,19 +214,21 @@
         waited_ms: f64,
         forced: bool,
     ) -> Option<engine_place::PlaceGrant> {
-        let ask = &job.ask;
+        let request = &job.request;
         let capacity = self.capacity() as u64;
-        let alone = (ask.prompt + ask.output) as f64 <= capacity as f64 * SINGLE_HOST_FRACTION;
-        let index = self.pick_host(ask, booking, alone, forced)?;
-        let held = if alone { Vec::new() } else { self.hold(ask, index, booking, capacity)? };
+        let alone =
+            (request.prompt + request.output) as f64 <= capacity as f64 * SINGLE_HOST_FRACTION;
+        let index = self.pick_host(request, booking, alone, forced)?;
+        let held = if alone { Vec::new() } else { self.hold(request, index, booking, capacity)? };
         let reserved: u64 = held.iter().map(|part| part.tokens).sum();
         let host = &mut self.views[index];
         host.answering += 1;
-        host.free = host.free.saturating_sub((ask.prompt + ask.output).saturating_sub(reserved));
+        host.free =
+            host.free.saturating_sub((request.prompt + request.output).saturating_sub(reserved));
         let engine = host.name.clone();
         let others = booking.engines.iter().filter(|other| **other != index);
         Some(engine_place::PlaceGrant {
-            job: ask.job,
+            job: request.job,
             engine,
             helpers: others.map(|other| self.views[*other].name.clone()).collect(),
             held,
@@ -237,12 +240,12 @@
     /// Picks the engine that answers, among those that prefill the prompt.
     fn pick_host(
         &self,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
         booking: &PrefillBooking,
         alone: bool,
         forced: bool,
     ) -> Option<usize> {
-        let need = ask.prompt + ask.output;
+        let need = request.prompt + request.output;
         // Answers of long prompts are decoded together, so that fewer engines interrupt their prefill for decode
         // steps.
         let cost = |index: usize| {
@@ -264,13 +267,13 @@
     /// memory does not suffice.
     fn hold(
         &self,
-        ask: &engine_place::PlaceAsk,
+        request: &engine_place::PlacementRequest,
         host: usize,
         booking: &PrefillBooking,
         capacity: u64,
     ) -> Option<Vec<engine_place::HeldPart>> {
         let own = self.views[host].free.min((capacity as f64 * SINGLE_HOST_FRACTION) as u64);
-        let mut left = (ask.prompt + ask.output).saturating_sub(own);
+        let mut left = (request.prompt + request.output).saturating_sub(own);
         let others = booking.engines.iter().filter(|index| **index != host);
         let mut others: Vec<_> = others.map(|index| &self.views[*index]).collect();
         others.sort_by_key(|view| std::cmp::Reverse(view.free));
--- a/crates/core/src/planner/waiting_job.rs
+++ b/crates/core/src/planner/waiting_job.rs
@@ -14,7 +14,7 @@
 /// A request without a placement.
 #[derive(Debug, Clone)]
 pub(crate) struct WaitingJob {
-    pub(crate) ask: engine_place::PlaceAsk,
+    pub(crate) request: engine_place::PlacementRequest,
     /// When it arrived at this planner.
     pub(crate) since: units::MonoTime,
     /// Whether its first token is planned to be late; decided anew in each planning round.
@@ -25,8 +25,8 @@
 
 impl WaitingJob {
     /// Creates a request that starts to wait at `since`.
-    pub(crate) fn new(ask: engine_place::PlaceAsk, since: units::MonoTime) -> Self {
-        Self { ask, since, late: false, admitted_late: false }
+    pub(crate) fn new(request: engine_place::PlacementRequest, since: units::MonoTime) -> Self {
+        Self { request, since, late: false, admitted_late: false }
     }
 
     /// Time it has waited, milliseconds.
@@ -36,7 +36,7 @@
 
     /// Time left until its first token is late, milliseconds; negative when it is.
     pub(crate) fn goal_left_ms(&self, now: units::MonoTime) -> f64 {
-        f64::from(self.ask.goal_left_ms) - self.waited_ms(now)
+        f64::from(self.request.goal_left_ms) - self.waited_ms(now)
     }
 
     /// Time within which its first token must be planned, milliseconds: to meet its goal, or if it is late, before its
@@ -51,17 +51,17 @@
 
     /// Time within which its first token must be planned before its caller gives up, milliseconds.
     pub(crate) fn patience_ms(&self, now: units::MonoTime) -> f64 {
-        (f64::from(self.ask.patience_ms) - self.waited_ms(now)) * PATIENCE_FRACTION
+        (f64::from(self.request.patience_ms) - self.waited_ms(now)) * PATIENCE_FRACTION
     }
 
     /// Worth of its answer, reduced if it is late.
     pub(crate) fn value(&self) -> f64 {
-        f64::from(self.ask.worth) * if self.late { LATE_FRACTION } else { 1.0 }
+        f64::from(self.request.worth) * if self.late { LATE_FRACTION } else { 1.0 }
     }
 
     /// Worth lost if it misses its due time: the difference to a late answer, or if it is late already, that answer.
     pub(crate) fn loss_if_missed(&self) -> f64 {
         let part = if self.late { LATE_FRACTION } else { 1.0 - LATE_FRACTION };
-        f64::from(self.ask.worth) * part
+        f64::from(self.request.worth) * part
     }
 }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -205,7 +205,7 @@
     }
 
     /// The crashes kept as evidence against a request, oldest first.
-    pub fn ends(&self, digest: request_digest::RequestDigest) -> &[CrashedRun] {
+    pub fn crashes_of(&self, digest: request_digest::RequestDigest) -> &[CrashedRun] {
         self.suspects.get(&digest).map_or(&[], |record| &record.crashes)
     }
 
--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -87,7 +87,7 @@
     }
 
     /// Responds to a request of the member `requester`; `None` when this process does not coordinate the quota.
-    pub fn ask(
+    pub fn request(
         &mut self,
         now: units::MonoTime,
         subject: &K,
@@ -97,7 +97,7 @@
         self.request_reserving(now, subject, requester, request, 0.0)
     }
 
-    /// Like [`Self::ask`], leaving `part` of the burst allowance to other requests.
+    /// Like [`Self::request`], leaving `part` of the burst allowance to other requests.
     pub fn request_reserving(
         &mut self,
         now: units::MonoTime,
@@ -145,7 +145,7 @@
     }
 
     /// Number of permits granted recently, by member; `None` when this process does not coordinate the quota.
-    pub fn given(
+    pub fn recent_grants(
         &self,
         now: units::MonoTime,
         subject: &K,
--- a/crates/core/src/request_limits.rs
+++ b/crates/core/src/request_limits.rs
@@ -30,8 +30,8 @@
         announced.filter(is_lower).or(Some(upstream_limit::LimitNotice {
             reading: upstream_limit::LimitReading {
                 rate: Some(rate),
-                asked: phase.since,
-                heard: phase.since,
+                requested: phase.since,
+                received: phase.since,
                 source: upstream_notice::NoticeSource::List,
             },
             since: phase.since,
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -101,7 +101,7 @@
     }
 
     /// Decides whether to make another attempt and, if so, takes it from the budget.
-    pub fn ask(&mut self, now: units::MonoTime, failed: FailedAttempt) -> RetryVerdict {
+    pub fn decide(&mut self, now: units::MonoTime, failed: FailedAttempt) -> RetryVerdict {
         if failed.failure == AttemptFailure::BrokeMidAnswer {
             return RetryVerdict::GiveUp("part of the answer has reached the caller");
         }
--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -97,14 +97,14 @@
     /// Duration of one step without load, in milliseconds.
     pub step_ms: f64,
     /// Time that each generating request adds to a step, in milliseconds.
-    pub step_per_writer_ms: f64,
+    pub step_per_decoding_ms: f64,
     /// Time that each 1,000 context tokens of the generating requests add to a step, in milliseconds.
     pub step_per_context_ms: f64,
     /// Prompt tokens processed per millisecond.
-    pub read_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Time that each million pairs of a prompt token and an earlier one add to the processing of the prompt, in
     /// milliseconds.
-    pub read_per_pairs_ms: f64,
+    pub prefill_per_million_pairs_ms: f64,
     /// Age of the state in an engine's report, in milliseconds.
     pub report_lag_ms: f64,
 }
--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -57,7 +57,7 @@
     /// The upstream is leaving. Holds the source of that notice, and its age.
     Leaves(upstream_notice::NoticeSource, time::Duration),
     /// The upstream is in backoff for this long.
-    Rests(time::Duration),
+    Backoff(time::Duration),
     /// The upstream has this limit, and the send has no permit.
     Limited(units::RequestRate),
     /// The data centre of the upstream is evacuated.
@@ -71,7 +71,7 @@
     pub fn label(self) -> &'static str {
         match self {
             Self::Leaves(..) => "leaves",
-            Self::Rests(_) => "rests",
+            Self::Backoff(_) => "rests",
             Self::Limited(_) => "limited",
             Self::Evacuated => "evacuated",
             Self::Unlisted => "unlisted",
@@ -89,7 +89,7 @@
                     upstream_notice::seconds(*age)
                 )
             }
-            Self::Rests(left) => {
+            Self::Backoff(left) => {
                 write!(f, "kept back: it rests {} more", upstream_notice::seconds(*left))
             }
             Self::Limited(rate) => {
--- a/crates/core/src/store_tracker.rs
+++ b/crates/core/src/store_tracker.rs
@@ -69,7 +69,7 @@
     /// Since when calls have failed; `None` while the store answers.
     away_since: Option<units::MonoTime>,
     /// When the last answer arrived; before any, when the process started.
-    heard: units::MonoTime,
+    last_answer_at: units::MonoTime,
     /// Highest era in the store's answers; `None` before the first answer.
     era: Option<store_revision::StoreEra>,
     /// When `era` became known, if it replaced an earlier one.
@@ -87,7 +87,7 @@
             watching: false,
             watched: store_revision::StoreRevision::default(),
             away_since: None,
-            heard: units::MonoTime::default(),
+            last_answer_at: units::MonoTime::default(),
             era: None,
             era_since: None,
             routes: document_lag::DocumentLag::default(),
@@ -125,7 +125,7 @@
 
     /// Age of the store's last answer; before any, the time since the process started.
     pub fn last_answer_age(&self, now: units::MonoTime) -> time::Duration {
-        now.since(self.heard)
+        now.since(self.last_answer_at)
     }
 
     /// Highest era in the store's answers.
@@ -155,17 +155,17 @@
     pub fn receive(&mut self, now: units::MonoTime) -> AnswerEffect {
         let before = std::mem::replace(&mut self.contact, StoreContact::Answering);
         let away = self.away_since.take().map(|since| now.since(since));
-        self.heard = now;
+        self.last_answer_at = now;
         AnswerEffect { away, resumes_watch: before == StoreContact::Away && self.watching }
     }
 
     /// Records that an answer is overdue.
-    pub fn doubt(&mut self) {
+    pub fn note_overdue(&mut self) {
         self.contact = StoreContact::Doubted;
     }
 
     /// Records a failed call; returns whether it ends the contact with the store.
-    pub fn lose(&mut self, now: units::MonoTime) -> bool {
+    pub fn note_failure(&mut self, now: units::MonoTime) -> bool {
         self.away_since.get_or_insert(now);
         std::mem::replace(&mut self.contact, StoreContact::Away) != StoreContact::Away
     }
--- a/crates/core/src/upstream_limit.rs
+++ b/crates/core/src/upstream_limit.rs
@@ -13,10 +13,10 @@
     /// The limit; `None` when the answer has none.
     pub rate: Option<units::RequestRate>,
     /// When the request was sent; the reading is not older than that.
-    pub asked: units::MonoTime,
-    /// When the answer arrived at the instance that sent the request, not before `asked`; the reading is not newer than
+    pub requested: units::MonoTime,
+    /// When the answer arrived at the instance that sent the request, not before `requested`; the reading is not newer than
     /// that.
-    pub heard: units::MonoTime,
+    pub received: units::MonoTime,
     /// How this instance received the reading.
     pub source: upstream_notice::NoticeSource,
 }
@@ -24,9 +24,9 @@
 impl LimitReading {
     /// Returns the one of two readings that holds. Both must be of the same start of an upstream.
     pub fn or(self, other: Self) -> Self {
-        if other.asked >= self.heard {
+        if other.requested >= self.received {
             other
-        } else if self.asked >= other.heard || self.is_lower(&other) {
+        } else if self.requested >= other.received || self.is_lower(&other) {
             self
         } else {
             other
@@ -38,7 +38,7 @@
         let rate =
             |reading: &Self| reading.rate.map_or(f64::INFINITY, units::RequestRate::per_second);
         let (own_rate, other_rate) = (rate(self), rate(other));
-        own_rate < other_rate || (own_rate == other_rate && self.heard >= other.heard)
+        own_rate < other_rate || (own_rate == other_rate && self.received >= other.received)
     }
 }
 
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -81,7 +81,7 @@
     pub(crate) cold: cold_start::ColdTable,
     /// Evacuated data centres, and when each evacuation became known.
     pub(crate) evacuated: collections::BTreeMap<ids::DataCenterId, units::MonoTime>,
-    /// Starts that ended since the last call of [`Self::take_ended`].
+    /// Starts that ended since the last call of [`Self::take_ended_starts`].
     pub(crate) ended: Vec<EndedStart>,
     /// Until when upstreams that are dropped from the list become doubtful instead of being removed at once.
     pub(crate) doubt_until: Option<units::MonoTime>,
@@ -273,7 +273,7 @@
     }
 
     /// Takes the starts that ended since the last call.
-    pub fn take_ended(&mut self) -> Vec<EndedStart> {
+    pub fn take_ended_starts(&mut self) -> Vec<EndedStart> {
         std::mem::take(&mut self.ended)
     }
 }
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -9,11 +9,11 @@
 use crate::{ids, send_gate, units, upstream_limit};
 
 /// Longest accepted backoff. An instance that sends nothing cannot receive a correction of a longer one.
-pub const MAX_REST: time::Duration = time::Duration::from_secs(300);
+pub const MAX_ACCEPTED_BACKOFF: time::Duration = time::Duration::from_secs(300);
 /// How long notices of an unlisted start are kept: its entry may expire in an outage of the list's source and return.
 pub(crate) const NOTICE_MEMORY: time::Duration = time::Duration::from_secs(120);
 /// Timeout of a probe; its caller may have left.
-const TRIAL_TIME: time::Duration = time::Duration::from_secs(2);
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// How long after a backoff the first request is a probe.
 const RETURN_TIME: time::Duration = time::Duration::from_secs(10);
 /// How long after the end of a limit older readings of it may arrive.
@@ -63,18 +63,18 @@
 
 /// A start of an upstream asked this instance for a backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RestNotice {
+pub struct BackoffNotice {
     /// Length that the upstream asked for.
-    pub asked: time::Duration,
+    pub requested: time::Duration,
     /// When it was received.
     pub since: units::MonoTime,
-    /// End of the backoff: at most [`MAX_REST`] after `since`.
+    /// End of the backoff: at most [`MAX_ACCEPTED_BACKOFF`] after `since`.
     pub until: units::MonoTime,
     /// When the pending probe was sent; not before `until`.
-    trial: Option<units::MonoTime>,
+    probe_sent: Option<units::MonoTime>,
 }
 
-impl RestNotice {
+impl BackoffNotice {
     /// Accepted length of the backoff.
     pub fn lasts(&self) -> time::Duration {
         self.until.since(self.since)
@@ -94,7 +94,7 @@
 
 /// Change made by a backoff notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RestNews {
+pub enum BackoffChange {
     /// A backoff began.
     Begun,
     /// The backoff ends later.
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct UpstreamNotice {
     leaving: Option<LeavingNotice>,
-    rest: Option<RestNotice>,
+    backoff: Option<BackoffNotice>,
     /// Also kept after its end while older readings may arrive.
     limit: Option<upstream_limit::LimitNotice>,
     /// When the start was last listed or sent a notice.
@@ -191,8 +191,8 @@
         if let Some(leaving) = notice.leaving.filter(|_| kind != send_gate::SendKind::Report) {
             return Err(send_gate::SendDenial::Leaves(leaving.source, now.since(leaving.since)));
         }
-        match notice.rest.filter(|rest| now < rest.until) {
-            Some(rest) => Err(send_gate::SendDenial::Rests(rest.until.since(now))),
+        match notice.backoff.filter(|backoff| now < backoff.until) {
+            Some(backoff) => Err(send_gate::SendDenial::Backoff(backoff.until.since(now))),
             None => Ok(()),
         }
     }
@@ -204,29 +204,31 @@
         name: &ids::UpstreamId,
         turn: send_gate::ProbePermission,
     ) -> bool {
-        let rest = self.notices.get(name).and_then(|notice| notice.rest);
-        let rested = rest.filter(|rest| rest.until <= now && now < rest.until + RETURN_TIME);
-        let Some(rest) = rested.filter(|_| self.rest_return == RestReturnWay::One) else {
+        let backoff = self.notices.get(name).and_then(|notice| notice.backoff);
+        let rested =
+            backoff.filter(|backoff| backoff.until <= now && now < backoff.until + RETURN_TIME);
+        let Some(backoff) = rested.filter(|_| self.rest_return == RestReturnWay::One) else {
             return false;
         };
-        let tried = rest.trial.is_some_and(|at| now.since(at) < TRIAL_TIME);
+        let tried = backoff.probe_sent.is_some_and(|at| now.since(at) < PROBE_TIMEOUT);
         tried || turn == send_gate::ProbePermission::No
     }
 
     /// Records a send to a start; returns whether it is a probe.
     pub fn begin(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
-        let rest = self.notices.get_mut(name).and_then(|notice| notice.rest.as_mut());
-        let Some(rest) = rest.filter(|rest| rest.until <= now) else {
+        let backoff = self.notices.get_mut(name).and_then(|notice| notice.backoff.as_mut());
+        let Some(backoff) = backoff.filter(|backoff| backoff.until <= now) else {
             return false;
         };
-        rest.trial = Some(now);
+        backoff.probe_sent = Some(now);
         true
     }
 
     /// Ends a probe; without a result another request may probe.
-    pub fn end_trial(&mut self, name: &ids::UpstreamId) {
-        if let Some(rest) = self.notices.get_mut(name).and_then(|notice| notice.rest.as_mut()) {
-            rest.trial = None;
+    pub fn end_probe(&mut self, name: &ids::UpstreamId) {
+        if let Some(backoff) = self.notices.get_mut(name).and_then(|notice| notice.backoff.as_mut())
+        {
+            backoff.probe_sent = None;
         }
     }
 
@@ -236,28 +238,28 @@
             return false;
         };
         // Answers to requests sent before the backoff say nothing of its end.
-        let over = notice.rest.is_some_and(|rest| rest.until <= now);
+        let over = notice.backoff.is_some_and(|backoff| backoff.until <= now);
         if over {
-            notice.rest = None;
+            notice.backoff = None;
         }
         over
     }
 
     /// Records a backoff. A shorter one within a longer one changes nothing.
-    pub fn receive_rest(
+    pub fn receive_backoff(
         &mut self,
         now: units::MonoTime,
         name: &ids::UpstreamId,
-        asked: time::Duration,
-    ) -> RestNews {
-        let until = now + asked.min(MAX_REST);
+        requested: time::Duration,
+    ) -> BackoffChange {
+        let until = now + requested.min(MAX_ACCEPTED_BACKOFF);
         let notice = self.notice(now, name);
-        let known = notice.rest.map_or(now, |rest| rest.until).max(now);
+        let known = notice.backoff.map_or(now, |backoff| backoff.until).max(now);
         if until <= known {
-            return RestNews::Known;
+            return BackoffChange::Known;
         }
-        notice.rest = Some(RestNotice { asked, since: now, until, trial: None });
-        if known <= now { RestNews::Begun } else { RestNews::Longer }
+        notice.backoff = Some(BackoffNotice { requested, since: now, until, probe_sent: None });
+        if known <= now { BackoffChange::Begun } else { BackoffChange::Longer }
     }
 
     /// Records the limit in an answer, or its absence.
@@ -275,8 +277,8 @@
         let reading = known.map_or(reading, |known| known.reading.or(reading));
         let news = upstream_limit::LimitChange::of(before, reading.rate);
         let goes_on = known.filter(|_| before.is_some() == reading.rate.is_some());
-        let since = goes_on.map_or(reading.heard, |known| known.since);
-        self.notice(reading.heard, name).limit =
+        let since = goes_on.map_or(reading.received, |known| known.since);
+        self.notice(reading.received, name).limit =
             Some(upstream_limit::LimitNotice { reading, since });
         self.limit_changes += u64::from(news != upstream_limit::LimitChange::Known);
         news
@@ -315,8 +317,8 @@
     }
 
     /// The backoff in force for a start.
-    pub fn rest(&self, now: units::MonoTime, name: &ids::UpstreamId) -> Option<RestNotice> {
-        self.notices.get(name)?.rest.filter(|rest| now < rest.until)
+    pub fn backoff(&self, now: units::MonoTime, name: &ids::UpstreamId) -> Option<BackoffNotice> {
+        self.notices.get(name)?.backoff.filter(|backoff| now < backoff.until)
     }
 
     /// The notices of a start with origin and age, for operators; `None` without any.
@@ -325,18 +327,18 @@
             let age = seconds(now.since(leaving.since));
             format!("leaves, by {} {age} ago", leaving.source)
         });
-        let rest = self.rest(now, name).map(|rest| {
-            let (left, age) = (rest.until.since(now), now.since(rest.since));
+        let backoff = self.backoff(now, name).map(|backoff| {
+            let (left, age) = (backoff.until.since(now), now.since(backoff.since));
             format!(
                 "rests {} more, asked for {} {} ago",
                 seconds(left),
-                seconds(rest.asked),
+                seconds(backoff.requested),
                 seconds(age)
             )
         });
         let limit = self.limit(name).and_then(|limit| {
             let rate = limit.reading.rate?;
-            let (age, lasts) = (now.since(limit.reading.heard), now.since(limit.since));
+            let (age, lasts) = (now.since(limit.reading.received), now.since(limit.since));
             let source = limit.reading.source;
             Some(format!(
                 "takes {rate} of all, by {source} {} ago, limited for {}",
@@ -344,7 +346,7 @@
                 seconds(lasts)
             ))
         });
-        let parts: Vec<_> = leaving.into_iter().chain(rest).chain(limit).collect();
+        let parts: Vec<_> = leaving.into_iter().chain(backoff).chain(limit).collect();
         (!parts.is_empty()).then(|| parts.join("; "))
     }
 
@@ -366,12 +368,13 @@
             if listed(name) {
                 notice.known = now;
             }
-            let remembered = |rest: RestNotice| now < rest.until + RETURN_TIME;
+            let remembered = |backoff: BackoffNotice| now < backoff.until + RETURN_TIME;
             let is_limited = |limit: upstream_limit::LimitNotice| {
-                limit.reading.rate.is_some() || now.since(limit.reading.heard) < ENDED_LIMIT_MEMORY
+                limit.reading.rate.is_some()
+                    || now.since(limit.reading.received) < ENDED_LIMIT_MEMORY
             };
             let has_notices = notice.leaving.is_some()
-                || notice.rest.is_some_and(remembered)
+                || notice.backoff.is_some_and(remembered)
                 || notice.limit.is_some_and(is_limited);
             has_notices && now.since(notice.known) < NOTICE_MEMORY
         });
--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -12,7 +12,7 @@
         turn: send_gate::ProbePermission,
     ) -> Vec<&'a upstream_list::UpstreamEntry> {
         let mut open = self.usable(service);
-        open.retain(|entry| self.notices().rest(now, &entry.name).is_none());
+        open.retain(|entry| self.notices().backoff(now, &entry.name).is_none());
         let avoided = |entry: &&upstream_list::UpstreamEntry| {
             self.notices().is_avoided(now, &entry.name, turn)
         };
@@ -50,10 +50,10 @@
         &self,
         now: units::MonoTime,
         service: &ids::ServiceId,
-    ) -> Option<upstream_notice::RestNotice> {
+    ) -> Option<upstream_notice::BackoffNotice> {
         let usable = self.usable(service).into_iter();
-        let rests = usable.filter_map(|entry| self.notices().rest(now, &entry.name));
-        rests.min_by_key(|rest| rest.until)
+        let backoffs = usable.filter_map(|entry| self.notices().backoff(now, &entry.name));
+        backoffs.min_by_key(|backoff| backoff.until)
     }
 
     /// Whether something may be sent to an upstream now, whichever its present start is. New work requires the upstream to be
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -91,7 +91,7 @@
     let mut spent = 0;
     for millis in (0..60_000).step_by(5) {
         for cache in &mut caches {
-            if cache.spend_alone(now(millis), &customer(), limit, 6, TOKENS).is_ok() {
+            if cache.spend_own_share(now(millis), &customer(), limit, 6, TOKENS).is_ok() {
                 spent += TOKENS.0;
             }
         }
--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -91,7 +91,8 @@
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
     for (announced, heard, expected) in [(30.0, 1_100, 17.0), (5.0, 1_200, 5.0)] {
         let (rate, at) = (Some(rate(announced)), at(heard));
-        let reading = LimitReading { rate, asked: at, heard: at, source: NoticeSource::Answer };
+        let reading =
+            LimitReading { rate, requested: at, received: at, source: NoticeSource::Answer };
         list.notices_mut().receive_limit(&name(1), reading);
         assert_eq!(limit(&list, 1), Some(expected), "announced: {announced}");
     }
--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -32,10 +32,11 @@
         ("answers slower than the longest wait", vec![800; 60], LONGEST),
     ];
     for (case, spans, expected) in table {
-        let wait = times(&spans).kept_wait(GOAL, LONGEST);
+        let wait = times(&spans).reused_connection_wait(GOAL, LONGEST);
         assert!(wait.abs_diff(expected) < millis(2), "{case}: {wait:?}");
     }
-    let uneven = times(&[40, 120, 60, 90, 30, 110, 70, 50, 100, 80]).kept_wait(GOAL, LONGEST);
+    let uneven =
+        times(&[40, 120, 60, 90, 30, 110, 70, 50, 100, 80]).reused_connection_wait(GOAL, LONGEST);
     assert!(uneven > millis(200) && uneven < millis(500), "{uneven:?}");
 }
 
@@ -43,15 +44,15 @@
 fn a_live_connection_open_for_as_long_shows_that_the_upstream_is_slow() {
     let reused = ages(5_000, Some(1_200));
     let table = [
-        ("no other", reused, vec![], SilenceCause::KeptConnection),
+        ("no other", reused, vec![], SilenceCause::ReusedConnection),
         ("never any data", ages(220, None), vec![ages(9_000, Some(10))], SilenceCause::Upstream),
         ("open throughout, live", reused, vec![ages(3_000, Some(20))], SilenceCause::SlowUpstream),
-        ("opened later, live", reused, vec![ages(1_100, Some(20))], SilenceCause::KeptConnection),
+        ("opened later, live", reused, vec![ages(1_100, Some(20))], SilenceCause::ReusedConnection),
         (
             "open throughout, not live",
             reused,
             vec![ages(3_000, Some(150))],
-            SilenceCause::KeptConnection,
+            SilenceCause::ReusedConnection,
         ),
     ];
     for (case, silent, others, expected) in table {
@@ -81,6 +82,6 @@
     assert!(!ages(5_000, Some(120)).trusted(WAITED), "it may have gone silent with the other");
     assert!(!ages(50, None).trusted(WAITED));
     for cause in [SilenceCause::Upstream, SilenceCause::SlowUpstream] {
-        assert!(!cause.doubts_others(), "{cause:?}");
+        assert!(!cause.may_affect_others(), "{cause:?}");
     }
 }
--- a/crates/core/tests/engine_ledger.rs
+++ b/crates/core/tests/engine_ledger.rs
@@ -37,8 +37,8 @@
     placement::EngineReport { held: held.collect(), ..idle() }
 }
 
-fn request(attempt: &str, prompt: u64, deadline_ms: u64) -> placement::PlaceRequest {
-    placement::PlaceRequest {
+fn request(attempt: &str, prompt: u64, deadline_ms: u64) -> placement::CapacityRequest {
+    placement::CapacityRequest {
         attempt: name(attempt),
         entry: name("instance-1"),
         boot: ids::BootId(1),
@@ -325,7 +325,7 @@
 #[test]
 fn two_groups_never_share_an_engine_and_the_second_waits_within_its_patience() {
     let mut ledger = ledger();
-    let grouped = |attempt: &str, patience: u64| placement::PlaceRequest {
+    let grouped = |attempt: &str, patience: u64| placement::CapacityRequest {
         grouped: true,
         memory: units::TokenCount(30_000),
         patience: at(patience),
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -25,7 +25,7 @@
 fn requested_reports(planner: &mut PlacementPlanner, rounds: u64) -> (usize, usize) {
     let (mut all, mut used) = (0, 0);
     for round in 0..rounds {
-        planner.ask(at(round * ROUND_MS), short(round));
+        planner.request(at(round * ROUND_MS), short(round));
         for number in 0..ENGINES {
             let due = planner.take_report_due(at(round * ROUND_MS + 1), &engine(number));
             all += usize::from(due);
--- a/crates/core/tests/fleet_budget.rs
+++ b/crates/core/tests/fleet_budget.rs
@@ -33,7 +33,7 @@
             let mut ledger = QuotaLedger::default();
             ledger.set_coordinated(
                 at(0),
-                &collections::BTreeMap::from([((), BOUND.kept(part, known))]),
+                &collections::BTreeMap::from([((), BOUND.coordinator_bound(part, known))]),
             );
             ledger
         };
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -117,7 +117,7 @@
 fn requests_to_three_members_get_an_answer() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let missed = (0..10_000).filter(|_| {
-        let asked = gossip::targets(GossipCause::Woke, 0..300, &mut random);
+        let asked = gossip::targets(GossipCause::Resumed, 0..300, &mut random);
         assert_eq!(asked.len(), 3);
         asked.iter().all(|_| random.random::<f64>() < 2.0 * LOST)
     });
--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -276,7 +276,7 @@
         let step = self.members[from].cache.step(at(now), &upstream(), time::Duration::ZERO);
         match step {
             PermitStep::Send(_) => self.sends.push(now),
-            PermitStep::Closed(_) => {}
+            PermitStep::Backoff(_) => {}
             PermitStep::Ask(request) => {
                 let wanted = if self.way == LimitWay::GrantEach { 1 } else { request.wanted };
                 let request = PermitRequest { wanted, ..request };
@@ -286,7 +286,7 @@
                     return;
                 }
                 if let Some(response) =
-                    self.members[from].ledger.ask(at(now), &upstream(), from as u64, &request)
+                    self.members[from].ledger.request(at(now), &upstream(), from as u64, &request)
                 {
                     self.receive_response(now, from, response, now);
                 }
@@ -298,7 +298,7 @@
         match message {
             Message::Request(from, request, sent) => {
                 if let Some(response) =
-                    self.members[to].ledger.ask(at(now), &upstream(), from as u64, &request)
+                    self.members[to].ledger.request(at(now), &upstream(), from as u64, &request)
                 {
                     self.send_to(now, from, Message::Response(from, response, sent));
                 }
--- a/crates/core/tests/list_recovery.rs
+++ b/crates/core/tests/list_recovery.rs
@@ -39,7 +39,7 @@
         list.tick(at(now));
         assert!(list.is_present(&start(1, 200).name) && !list.is_usable(&name(1)), "{now}");
     }
-    assert!(list.take_ended().is_empty());
+    assert!(list.take_ended_starts().is_empty());
 }
 
 #[test]
@@ -49,5 +49,5 @@
     assert!(list.is_present(&start(1, 200).name));
     list.tick(at(10_700));
     assert!(list.is_present(&start(1, 100).name));
-    assert_eq!(list.take_ended().len(), 1);
+    assert_eq!(list.take_ended_starts().len(), 1);
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -18,7 +18,7 @@
     format!("m{number}").parse().expect("a valid name")
 }
 
-fn beat(number: u8, boot: u64, sequence: u64) -> MemberHeartbeat {
+fn heartbeat(number: u8, boot: u64, sequence: u64) -> MemberHeartbeat {
     MemberHeartbeat {
         name: name(number),
         boot,
@@ -47,7 +47,7 @@
 fn heartbeats_go_to_seeds_and_to_addresses_learned_from_members() {
     let mut view = view();
     assert_eq!(view.targets(address(0)), vec![address(1), address(2)]);
-    let mut first = beat(1, 1, 1);
+    let mut first = heartbeat(1, 1, 1);
     first.others = vec![address(3), address(0)];
     assert!(view.receive(at(0), first));
     assert_eq!(view.targets(address(0)), vec![address(1), address(2), address(3)]);
@@ -56,7 +56,7 @@
 #[test]
 fn a_silent_member_is_suspected_then_removed() {
     let mut view = view();
-    view.receive(at(0), beat(1, 1, 1));
+    view.receive(at(0), heartbeat(1, 1, 1));
     assert_eq!(view.alive(at(500)).count(), 1);
     assert_eq!(view.alive(at(1_000)).count(), 0);
     assert!(view.tick(at(1_000)).is_empty());
@@ -66,13 +66,13 @@
 #[test]
 fn an_old_heartbeat_changes_nothing_and_a_restart_is_noticed() {
     let mut view = view();
-    view.receive(at(0), beat(1, 1, 5));
-    let mut old = beat(1, 1, 4);
+    view.receive(at(0), heartbeat(1, 1, 5));
+    let mut old = heartbeat(1, 1, 4);
     old.routes = 99;
     assert!(!view.receive(at(10), old));
     let near = "a".parse().expect("a valid name");
     assert!(view.routes_sources(at(10), 50, &near).is_empty());
-    assert!(view.receive(at(20), beat(1, 2, 1)));
+    assert!(view.receive(at(20), heartbeat(1, 2, 1)));
 }
 
 /// Simulates the messages that `count` members, which all know one seed, exchange without waiting for periodic heartbeats.
@@ -82,16 +82,16 @@
         (0..count).map(|own| MemberView::new(name(own), vec![address(0)])).collect();
     let mut sent = vec![0; usize::from(count)];
     let mut messages: std::collections::VecDeque<(u8, MemberHeartbeat)> =
-        (1..count).map(|own| (0, beat(own, 1, 1))).collect();
-    while let Some((to, heartbeat)) = messages.pop_front() {
+        (1..count).map(|own| (0, heartbeat(own, 1, 1))).collect();
+    while let Some((to, received)) = messages.pop_front() {
         let view = &mut views[usize::from(to)];
-        let from = heartbeat.address.ip().octets()[3];
-        let mut replies = view.welcome(&heartbeat);
-        let joined = view.receive(at(1), heartbeat);
+        let from = received.address.ip().octets()[3];
+        let mut replies = view.addresses_for_newcomer(&received);
+        let joined = view.receive(at(1), received);
         if joined && replies.is_empty() {
             replies.push(view.sample_addresses(7));
         }
-        let say = |others| MemberHeartbeat { others, ..beat(to, 1, 2) };
+        let say = |others| MemberHeartbeat { others, ..heartbeat(to, 1, 2) };
         let unmet = view.take_uncontacted(address(to));
         let met =
             unmet.iter().map(|address| (address.ip().octets()[3], say(view.sample_addresses(8))));
@@ -120,19 +120,20 @@
 fn only_a_member_that_knows_few_is_sent_all_addresses() {
     let mut view = view();
     for number in 1..=60 {
-        view.receive(at(0), beat(number, 1, 1));
+        view.receive(at(0), heartbeat(number, 1, 1));
     }
-    let few = beat(99, 1, 1);
-    let listed: Vec<_> = view.welcome(&few).into_iter().flatten().collect();
+    let few = heartbeat(99, 1, 1);
+    let listed: Vec<_> = view.addresses_for_newcomer(&few).into_iter().flatten().collect();
     assert_eq!(listed.len(), 60);
-    let enough = MemberHeartbeat { others: (1..=4).map(address).collect(), ..beat(99, 1, 1) };
-    assert!(view.welcome(&enough).is_empty());
+    let enough = MemberHeartbeat { others: (1..=4).map(address).collect(), ..heartbeat(99, 1, 1) };
+    assert!(view.addresses_for_newcomer(&enough).is_empty());
 }
 
 #[test]
 fn an_address_learned_twice_is_contacted_once() {
     let mut view = view();
-    let naming = |sequence| MemberHeartbeat { others: vec![address(9)], ..beat(1, 1, sequence) };
+    let naming =
+        |sequence| MemberHeartbeat { others: vec![address(9)], ..heartbeat(1, 1, sequence) };
     view.receive(at(0), naming(1));
     assert_eq!(view.take_uncontacted(address(0)), vec![address(9)]);
     view.receive(at(10), naming(2));
@@ -143,18 +144,18 @@
 #[test]
 fn a_short_heartbeat_updates_only_the_known_start_of_a_member() {
     let mut view = view();
-    view.receive(at(0), beat(1, 7, 1));
-    let alive = MemberHeartbeat { routes: 9, leaving: true, ..beat(1, 7, 2) }.alive();
+    view.receive(at(0), heartbeat(1, 7, 1));
+    let alive = MemberHeartbeat { routes: 9, leaving: true, ..heartbeat(1, 7, 2) }.alive();
     assert!(view.receive_alive(at(900), &alive));
     assert_eq!(
-        view.alive(at(1_000)).map(|beat| (beat.routes, beat.leaving)).next(),
+        view.alive(at(1_000)).map(|heartbeat| (heartbeat.routes, heartbeat.leaving)).next(),
         Some((9, true))
     );
-    let old = beat(1, 7, 1).alive();
+    let old = heartbeat(1, 7, 1).alive();
     assert!(view.receive_alive(at(1_100), &old), "known, but nothing new");
-    assert_eq!(view.alive(at(1_100)).map(|beat| beat.routes).next(), Some(9));
+    assert_eq!(view.alive(at(1_100)).map(|heartbeat| heartbeat.routes).next(), Some(9));
     assert!(
-        !view.receive_alive(at(1_200), &beat(1, 8, 3).alive()),
+        !view.receive_alive(at(1_200), &heartbeat(1, 8, 3).alive()),
         "another start must send a full heartbeat first"
     );
 }
@@ -162,21 +163,21 @@
 #[test]
 fn a_process_ignores_its_own_heartbeat() {
     let mut view = view();
-    assert!(!view.receive(at(0), beat(0, 1, 1)));
+    assert!(!view.receive(at(0), heartbeat(0, 1, 1)));
     assert_eq!(view.size(), 1);
 }
 
 #[test]
 fn all_members_choose_the_same_planner() {
-    let beats: Vec<_> = (0..6).map(|number| beat(number, 1, 1)).collect();
+    let beats: Vec<_> = (0..6).map(|number| heartbeat(number, 1, 1)).collect();
     let planners: std::collections::BTreeSet<_> = (0..6)
         .map(|own| {
             let mut view = MemberView::new(name(own), Vec::new());
-            for beat in &beats {
-                view.receive(at(0), beat.clone());
+            for heartbeat in &beats {
+                view.receive(at(0), heartbeat.clone());
             }
             let planner = view.planner(at(10), &service(), &beats[usize::from(own)]);
-            planner.map_or_else(|| name(own), |beat| beat.name)
+            planner.map_or_else(|| name(own), |heartbeat| heartbeat.name)
         })
         .collect();
     assert_eq!(planners.len(), 1, "{planners:?}");
@@ -185,37 +186,43 @@
 #[test]
 fn a_member_that_does_not_answer_no_longer_plans() {
     let mut view = view();
-    let mut strong = beat(1, 1, 1);
+    let mut strong = heartbeat(1, 1, 1);
     strong.cpu = 500;
     view.receive(at(0), strong);
-    let own = beat(0, 1, 1);
-    assert_eq!(view.planner(at(10), &service(), &own).map(|beat| beat.name), Some(name(1)));
-    view.unanswered(&name(1));
-    view.unanswered(&name(1));
+    let own = heartbeat(0, 1, 1);
+    assert_eq!(
+        view.planner(at(10), &service(), &own).map(|heartbeat| heartbeat.name),
+        Some(name(1))
+    );
+    view.note_unanswered(&name(1));
+    view.note_unanswered(&name(1));
     assert_eq!(view.planner(at(10), &service(), &own), None);
-    view.answered(at(20), &name(1));
+    view.note_answered(at(20), &name(1));
     assert!(view.planner(at(30), &service(), &own).is_some());
 }
 
 #[test]
 fn young_members_plan_only_if_all_are_young() {
     let mut view = view();
-    let mut young = beat(1, 1, 1);
+    let mut young = heartbeat(1, 1, 1);
     young.plans = false;
     young.cpu = 900;
     view.receive(at(0), young.clone());
-    let own = beat(0, 1, 1);
+    let own = heartbeat(0, 1, 1);
     assert_eq!(view.planner(at(10), &service(), &own), None);
-    let own = MemberHeartbeat { plans: false, ..beat(0, 1, 1) };
-    assert_eq!(view.planner(at(10), &service(), &own).map(|beat| beat.name), Some(name(1)));
+    let own = MemberHeartbeat { plans: false, ..heartbeat(0, 1, 1) };
+    assert_eq!(
+        view.planner(at(10), &service(), &own).map(|heartbeat| heartbeat.name),
+        Some(name(1))
+    );
 }
 
 #[test]
 fn a_leaving_member_and_one_without_routes_do_not_plan() {
     let mut view = view();
-    view.receive(at(0), MemberHeartbeat { leaving: true, cpu: 900, ..beat(1, 1, 1) });
-    view.receive(at(0), MemberHeartbeat { routes: 0, cpu: 900, ..beat(2, 1, 1) });
-    assert_eq!(view.planner(at(10), &service(), &beat(0, 1, 1)), None);
+    view.receive(at(0), MemberHeartbeat { leaving: true, cpu: 900, ..heartbeat(1, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { routes: 0, cpu: 900, ..heartbeat(2, 1, 1) });
+    assert_eq!(view.planner(at(10), &service(), &heartbeat(0, 1, 1)), None);
 }
 
 #[test]
@@ -223,7 +230,7 @@
     let mut view = view();
     let small = view.heartbeat_interval();
     for number in 1..=60 {
-        view.receive(at(0), beat(number, 1, 1));
+        view.receive(at(0), heartbeat(number, 1, 1));
     }
     assert!(view.heartbeat_interval() >= small * 5);
     let sample_addresses: std::collections::BTreeSet<_> =
@@ -235,7 +242,7 @@
 fn the_size_outlasts_a_mass_failure() {
     let mut view = view();
     for number in 1..6 {
-        view.receive(at(0), beat(number, 1, 1));
+        view.receive(at(0), heartbeat(number, 1, 1));
     }
     assert_eq!(view.size(), 6);
     view.tick(at(60_000));
@@ -248,8 +255,9 @@
 
 /// The members of a data centre that watch the store after 30 rounds; those in `failing` cannot reach it.
 fn watchers(count: u8, failing: &[u8]) -> Vec<u8> {
-    let mut beats: Vec<_> =
-        (0..count).map(|number| MemberHeartbeat { watches: false, ..beat(number, 1, 1) }).collect();
+    let mut beats: Vec<_> = (0..count)
+        .map(|number| MemberHeartbeat { watches: false, ..heartbeat(number, 1, 1) })
+        .collect();
     for round in 0..30_u64 {
         let before = beats.clone();
         for own in 0..count {
@@ -282,8 +290,9 @@
 /// Number of calls to an unreachable store by 60 instances of a data centre in ten seconds. Each waits for its turn, calls,
 /// fails at once, and pauses for 0.4 s.
 fn calls_during_outage() -> usize {
-    let beats: Vec<_> =
-        (0..60).map(|number| MemberHeartbeat { watches: false, ..beat(number, 1, 1) }).collect();
+    let beats: Vec<_> = (0..60)
+        .map(|number| MemberHeartbeat { watches: false, ..heartbeat(number, 1, 1) })
+        .collect();
     let mut calls = 0;
     for own in 0..60_u8 {
         let mut view = MemberView::new(name(own), Vec::new());
@@ -316,14 +325,17 @@
     let near: ids::DataCenterId = "a".parse().expect("a valid name");
     let far: ids::DataCenterId = "b".parse().expect("a valid name");
     for number in 1..4 {
-        view.receive(at(0), MemberHeartbeat { routes: 7, ..beat(number, 1, 1) });
+        view.receive(at(0), MemberHeartbeat { routes: 7, ..heartbeat(number, 1, 1) });
     }
-    view.receive(at(0), MemberHeartbeat { routes: 7, data_center: far.clone(), ..beat(4, 1, 1) });
+    view.receive(
+        at(0),
+        MemberHeartbeat { routes: 7, data_center: far.clone(), ..heartbeat(4, 1, 1) },
+    );
     assert_eq!(view.routes_sources(at(1), 6, &near).len(), 3);
     assert!(view.routes_sources(at(1), 7, &near).is_empty(), "nothing newer");
-    view.receive(at(1), MemberHeartbeat { routes: 8, data_center: far, ..beat(5, 1, 1) });
+    view.receive(at(1), MemberHeartbeat { routes: 8, data_center: far, ..heartbeat(5, 1, 1) });
     let sources: Vec<_> = view.routes_sources(at(2), 6, &near);
-    assert_eq!(sources.iter().map(|beat| &beat.name).collect::<Vec<_>>(), [&name(5)]);
+    assert_eq!(sources.iter().map(|heartbeat| &heartbeat.name).collect::<Vec<_>>(), [&name(5)]);
 }
 
 #[test]
@@ -331,22 +343,22 @@
     let mut view = view();
     assert!(!view.is_settled(at(200)), "the seeds may not have started yet");
     assert!(view.is_settled(at(400)), "no member answers");
-    view.receive(at(410), beat(1, 1, 1));
-    view.receive(at(450), beat(2, 1, 1));
+    view.receive(at(410), heartbeat(1, 1, 1));
+    view.receive(at(450), heartbeat(2, 1, 1));
     assert!(!view.is_settled(at(500)));
-    view.receive(at(520), beat(2, 1, 2));
+    view.receive(at(520), heartbeat(2, 1, 2));
     assert!(view.is_settled(at(540)), "known members do not extend the wait");
 }
 
 #[test]
 fn a_member_with_unanswered_calls_is_probed_until_a_sign_of_life() {
     let mut view = view();
-    view.receive(at(0), beat(1, 1, 1));
-    view.receive(at(0), beat(2, 1, 1));
+    view.receive(at(0), heartbeat(1, 1, 1));
+    view.receive(at(0), heartbeat(2, 1, 1));
     assert!(view.silent().is_empty());
-    (0..2).for_each(|_| view.unanswered(&name(1)));
-    assert_eq!(view.silent(), [beat(1, 1, 1).address]);
-    view.receive(at(900), beat(1, 1, 2));
+    (0..2).for_each(|_| view.note_unanswered(&name(1)));
+    assert_eq!(view.silent(), [heartbeat(1, 1, 1).address]);
+    view.receive(at(900), heartbeat(1, 1, 2));
     assert!(view.silent().is_empty(), "it may plan again at once");
 }
 
@@ -355,22 +367,22 @@
 fn each_side_of_a_partition_sees_its_share_of_the_members() {
     let mut view = view();
     for number in 1..6 {
-        view.receive(at(0), beat(number, 1, 1));
+        view.receive(at(0), heartbeat(number, 1, 1));
     }
     assert!((view.reachable_share(at(500)) - 1.0).abs() < 1e-9);
     for number in 1..3 {
-        view.receive(at(900), beat(number, 1, 2));
+        view.receive(at(900), heartbeat(number, 1, 2));
     }
     assert!((view.reachable_share(at(1_000)) - 0.5).abs() < 1e-9, "three of six are silent");
     // A member that leaves by plan is not counted.
-    let leaving = MemberHeartbeat { leaving: true, ..beat(3, 1, 2) };
+    let leaving = MemberHeartbeat { leaving: true, ..heartbeat(3, 1, 2) };
     view.receive(at(950), leaving);
     assert!((view.reachable_share(at(1_000)) - 0.6).abs() < 1e-9, "three of five that stay");
     // Unanswered calls show a partition sooner than missed heartbeats.
-    (0..2).for_each(|_| view.unanswered(&name(1)));
+    (0..2).for_each(|_| view.note_unanswered(&name(1)));
     assert!((view.reachable_share(at(1_000)) - 0.4).abs() < 1e-9);
     assert!(!view.was_heard_since(&name(1), at(900)));
-    view.receive(at(1_100), beat(1, 1, 3));
+    view.receive(at(1_100), heartbeat(1, 1, 3));
     assert!(view.was_heard_since(&name(1), at(900)));
     assert!((view.reachable_share(at(1_200)) - 0.6).abs() < 1e-9);
     assert_eq!(view.name_of_boot(1), Some(&name(1)));
@@ -381,11 +393,11 @@
 #[test]
 fn a_process_without_documents_accepts_any_version() {
     let mut view = view();
-    view.receive(at(0), MemberHeartbeat { list: 12.into(), ..beat(1, 1, 1) });
-    view.receive(at(0), beat(2, 1, 1));
-    view.receive(at(0), MemberHeartbeat { routes: 0, list: 0.into(), ..beat(3, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { list: 12.into(), ..heartbeat(1, 1, 1) });
+    view.receive(at(0), heartbeat(2, 1, 1));
+    view.receive(at(0), MemberHeartbeat { routes: 0, list: 0.into(), ..heartbeat(3, 1, 1) });
     let far = "b".parse().expect("a valid name");
-    view.receive(at(0), MemberHeartbeat { data_center: far, ..beat(4, 1, 1) });
+    view.receive(at(0), MemberHeartbeat { data_center: far, ..heartbeat(4, 1, 1) });
     let near = "a".parse().expect("a valid name");
     let names = |sources: Vec<&MemberHeartbeat>| {
         sources.iter().map(|source| source.name.to_string()).collect::<Vec<_>>()
@@ -399,13 +411,13 @@
 #[test]
 fn a_suspected_member_counts_as_silent_until_a_sign_of_life() {
     let mut view = view();
-    view.receive(at(0), beat(1, 7, 1));
+    view.receive(at(0), heartbeat(1, 7, 1));
     let silent = |millis| Some(time::Duration::from_millis(millis));
     assert!(!view.set_suspected(at(100), 7, silent(300)), "there was a sign of life since");
     assert!(view.set_suspected(at(700), 7, silent(300)));
     assert_eq!(view.alive(at(700)).count(), 0);
     assert!(view.reachable_share(at(700)) < 1.0);
-    assert!(view.receive_alive(at(750), &beat(1, 7, 2).alive()));
+    assert!(view.receive_alive(at(750), &heartbeat(1, 7, 2).alive()));
     assert_eq!(view.alive(at(750)).count(), 1);
     assert!(!view.set_suspected(at(2_000), 99, silent(300)), "no such member");
 }
@@ -414,14 +426,14 @@
 fn members_are_probed_in_fleets_whose_heartbeats_are_too_far_apart() {
     let mut view = view();
     for number in 1..36 {
-        view.receive(at(0), beat(number, u64::from(number), 1));
+        view.receive(at(0), heartbeat(number, u64::from(number), 1));
     }
     assert!(!view.needs_probes(), "four missed heartbeats show a silent member of 36 within 2.4 s");
     for number in 36..60 {
-        view.receive(at(0), beat(number, u64::from(number), 1));
+        view.receive(at(0), heartbeat(number, u64::from(number), 1));
     }
     assert!(view.needs_probes());
-    let leaving = MemberHeartbeat { leaving: true, ..beat(1, 1, 2) };
+    let leaving = MemberHeartbeat { leaving: true, ..heartbeat(1, 1, 2) };
     view.receive(at(10), leaving);
     assert_eq!(view.ring().len(), 58, "one leaves by plan");
 }
--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -4,7 +4,9 @@
 
 use proptest::prelude::*;
 use slipturn_core::{
-    engine_place::{JobId, PlaceAnswer, PlaceAsk, PlaceEnd, PlaceGrant, PlaceLease, PlaceNote},
+    engine_place::{
+        JobId, PlaceAnswer, PlaceEnd, PlaceGrant, PlaceLease, PlaceNote, PlacementRequest,
+    },
     pass_model,
     planner::{PlacementPlanner, PlannerOptions},
     settings::RoutingKind,
@@ -25,12 +27,12 @@
     }
 }
 
-fn place(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
-    grant(planner.ask(at(now), ask))
+fn place(planner: &mut PlacementPlanner, now: u64, ask: PlacementRequest) -> PlaceGrant {
+    grant(planner.request(at(now), ask))
 }
 
 /// Places a request and reports its first token, so that it is decoding.
-fn place_decoding(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
+fn place_decoding(planner: &mut PlacementPlanner, now: u64, ask: PlacementRequest) -> PlaceGrant {
     let grant = place(planner, now, ask);
     planner.first_token(at(now), grant.job);
     grant
@@ -59,7 +61,7 @@
 fn long_prompts_do_not_share_engines() {
     let mut planner = planner(4);
     let first = place(&mut planner, 0, long(1, 154_000));
-    let second = planner.ask(at(10), long(2, 154_000));
+    let second = planner.request(at(10), long(2, 154_000));
     if let Some(PlaceAnswer::Grant(second)) = second {
         let used: Vec<_> = second.helpers.iter().chain([&second.engine]).collect();
         assert!(!used.contains(&&first.engine), "{first:?} {second:?}");
@@ -71,7 +73,7 @@
 fn a_waiting_long_prompt_is_placed_once_the_parts_before_it_are_prefilled() {
     let mut planner = planner(2);
     place(&mut planner, 0, long(1, 90_000));
-    assert!(planner.ask(at(1), long(2, 90_000)).is_none());
+    assert!(planner.request(at(1), long(2, 90_000)).is_none());
     assert!(planner.tick(at(100)).is_empty());
     let whole = pass_model::prefill_ms(&shape(), 90_000) as u64;
     let answers = planner.tick(at(whole + 10));
@@ -82,8 +84,8 @@
 fn the_earliest_due_prompt_goes_first_if_all_can_be_in_time() {
     let mut planner = planner(1);
     place(&mut planner, 0, long(1, 60_000));
-    assert!(planner.ask(at(1), long(2, 50_000)).is_none());
-    assert!(planner.ask(at(2), long(3, 30_000)).is_none());
+    assert!(planner.request(at(1), long(2, 50_000)).is_none());
+    assert!(planner.request(at(2), long(3, 30_000)).is_none());
     planner.end(at(700), JobId { boot: 1, sequence: 1 }, PlaceEnd::Done);
     let first = planner.tick(at(700)).into_iter().next();
     assert_eq!(grant(first).job.sequence, 2);
@@ -93,9 +95,9 @@
 fn an_urgent_prompt_goes_before_a_smaller_one() {
     let mut planner = planner(1);
     place(&mut planner, 0, long(1, 60_000));
-    let urgent = PlaceAsk { goal_left_ms: 1_900, goal_ms: 1_900, ..long(2, 80_000) };
-    assert!(planner.ask(at(1), urgent).is_none());
-    assert!(planner.ask(at(2), long(3, 30_000)).is_none());
+    let urgent = PlacementRequest { goal_left_ms: 1_900, goal_ms: 1_900, ..long(2, 80_000) };
+    assert!(planner.request(at(1), urgent).is_none());
+    assert!(planner.request(at(2), long(3, 30_000)).is_none());
     planner.end(at(700), JobId { boot: 1, sequence: 1 }, PlaceEnd::Done);
     let first = planner.tick(at(700)).into_iter().next();
     assert_eq!(grant(first).job.sequence, 2);
@@ -107,9 +109,9 @@
     for number in 0..28 {
         place_decoding(&mut planner, number * 20, short(number));
     }
-    let late = PlaceAsk { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 200_000) };
+    let late = PlacementRequest { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 200_000) };
     assert!(
-        planner.ask(at(1_000), late).is_none(),
+        planner.request(at(1_000), late).is_none(),
         "it waits for an engine where it delays no others"
     );
     assert!(planner.tick(at(2_000)).is_empty());
@@ -121,7 +123,7 @@
     for number in 0..SLOTS as u64 {
         place_decoding(&mut planner, number * 60, short(number));
     }
-    let answer = planner.ask(at(2_000), short(50));
+    let answer = planner.request(at(2_000), short(50));
     let Some(PlaceAnswer::Refuse(refusal)) = answer else {
         panic!("expected a refusal, found {answer:?}");
     };
@@ -136,9 +138,9 @@
 fn a_short_prompt_is_refused_if_its_caller_would_give_up_first() {
     let mut planner = planner(1);
     // The only engine prefills for seconds; few of its slots are in use.
-    let late = PlaceAsk { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 250_000) };
+    let late = PlacementRequest { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 250_000) };
     place(&mut planner, 0, late);
-    let answer = planner.ask(at(100), short(1));
+    let answer = planner.request(at(100), short(1));
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
     assert!(refusal.expected_ms > Some(2_000), "{refusal:?}");
     assert_eq!((planner.placed_count(), planner.waiting_count()), (1, 0));
@@ -148,13 +150,14 @@
 fn slots_of_an_engine_that_prefills_for_seconds_do_not_count_as_free() {
     let mut planner = planner(3);
     // Only one engine may prefill it, which takes 7.2 s: late, but within the caller's patience.
-    let late = PlaceAsk { goal_left_ms: 0, patience_ms: 8_000, ..long(99, 250_000) };
-    let long = place(&mut planner, 0, PlaceAsk { excluded: vec![engine(1), engine(2)], ..late });
+    let late = PlacementRequest { goal_left_ms: 0, patience_ms: 8_000, ..long(99, 250_000) };
+    let long =
+        place(&mut planner, 0, PlacementRequest { excluded: vec![engine(1), engine(2)], ..late });
     assert_eq!(long.engine, engine(0));
     for number in 0..2 * SLOTS as u64 {
         place_decoding(&mut planner, 10 + number, short(number));
     }
-    let answer = planner.ask(at(100), short(70));
+    let answer = planner.request(at(100), short(70));
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "{answer:?}");
 }
 
@@ -164,10 +167,10 @@
     for number in 0..SLOTS as u64 {
         place_decoding(&mut planner, number * 60, short(number));
     }
-    let back = |sequence| PlaceAsk { refusable: false, ..short(sequence) };
+    let back = |sequence| PlacementRequest { refusable: false, ..short(sequence) };
     place(&mut planner, 2_000, back(60));
     place(&mut planner, 2_001, back(61));
-    let answer = planner.ask(at(2_002), back(62));
+    let answer = planner.request(at(2_002), back(62));
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "at most two: {answer:?}");
 }
 
@@ -177,9 +180,10 @@
     for number in 0..2 * SLOTS as u64 {
         place_decoding(&mut planner, number * 30, short(number));
     }
-    let resumed = PlaceAsk { refusable: false, resumed: true, ..short(80) };
+    let resumed = PlacementRequest { refusable: false, resumed: true, ..short(80) };
     place(&mut planner, 2_000, resumed);
-    let long = PlaceAsk { refusable: false, resumed: true, goal_left_ms: 0, ..long(81, 90_000) };
+    let long =
+        PlacementRequest { refusable: false, resumed: true, goal_left_ms: 0, ..long(81, 90_000) };
     place(&mut planner, 2_001, long);
 }
 
@@ -198,8 +202,8 @@
 #[test]
 fn a_prompt_larger_than_all_engines_is_refused_at_once() {
     let mut planner = planner(2);
-    let ask = PlaceAsk { patience_ms: 600_000, goal_left_ms: 500_000, ..long(1, 900_000) };
-    let answer = planner.ask(at(0), ask);
+    let ask = PlacementRequest { patience_ms: 600_000, goal_left_ms: 500_000, ..long(1, 900_000) };
+    let answer = planner.request(at(0), ask);
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "{answer:?}");
     assert_eq!(planner.waiting_count(), 0);
 }
@@ -208,11 +212,12 @@
 fn a_long_prompt_that_cannot_be_in_time_is_refused_at_once() {
     let mut planner = planner(2);
     place(&mut planner, 0, long(1, 250_000));
-    let answer = planner.ask(at(5), PlaceAsk { patience_ms: 6_000, ..long(2, 250_000) });
+    let answer =
+        planner.request(at(5), PlacementRequest { patience_ms: 6_000, ..long(2, 250_000) });
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
     assert!(refusal.back_after_ms >= 3_000, "not before the first is prefilled: {refusal:?}");
-    let back = PlaceAsk { refusable: false, patience_ms: 6_000, ..long(3, 250_000) };
-    let answer = planner.ask(at(460), back);
+    let back = PlacementRequest { refusable: false, patience_ms: 6_000, ..long(3, 250_000) };
+    let answer = planner.request(at(460), back);
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
     assert_eq!(refusal.job.sequence, 3, "a retry is refused, too");
     assert_eq!(planner.waiting_count(), 0, "a refused request must not stay queued");
@@ -230,7 +235,7 @@
         place(&mut planner, now, long(number, 130_000));
         planner.end(at(now + 990), JobId { boot: 1, sequence: number }, PlaceEnd::Done);
     }
-    let answer = planner.ask(at(26_000), long(26, 300_000));
+    let answer = planner.request(at(26_000), long(26, 300_000));
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
     assert!(refusal.expected_ms > Some(alone.first_token_ms * 2), "{refusal:?}");
 }
@@ -248,7 +253,7 @@
     let mut planner = planner(1);
     let kept = place(&mut planner, 0, short(1));
     place(&mut planner, 0, short(2));
-    let lease = PlaceLease { ask: short(1), grant: kept, reading: false };
+    let lease = PlaceLease { request: short(1), grant: kept, prefilling: false };
     planner.take_over(at(2_000), vec![lease]);
     planner.tick(at(2_600));
     assert_eq!(planner.placed_count(), 1);
@@ -260,13 +265,13 @@
     let leases: Vec<_> = (0..SLOTS as u64)
         .map(|number| {
             let grant = place_decoding(&mut before, number * 60, short(number));
-            PlaceLease { ask: short(number), grant, reading: false }
+            PlaceLease { request: short(number), grant, prefilling: false }
         })
         .collect();
     let mut after = planner(1);
     after.take_over(at(2_000), leases);
     assert_eq!(after.placed_count(), SLOTS);
-    let answer = after.ask(at(2_001), short(90));
+    let answer = after.request(at(2_001), short(90));
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "all slots are in use: {answer:?}");
 }
 
@@ -296,10 +301,10 @@
 #[test]
 fn an_excluded_engine_is_never_used_and_a_failed_one_only_as_the_last() {
     let mut planner = planner(2);
-    let ask = PlaceAsk { excluded: vec![engine(0)], ..short(1) };
+    let ask = PlacementRequest { excluded: vec![engine(0)], ..short(1) };
     assert_eq!(place(&mut planner, 0, ask).engine, engine(1));
     planner.eject(at(0), &engine(1));
-    let ask = PlaceAsk { excluded: vec![engine(0)], ..short(2) };
+    let ask = PlacementRequest { excluded: vec![engine(0)], ..short(2) };
     assert_eq!(place(&mut planner, 1, ask).engine, engine(1));
 }
 
@@ -324,13 +329,13 @@
     for number in 0..3 * SLOTS as u64 {
         place_decoding(&mut planner, number * 10, short(number));
     }
-    let answer = planner.ask(at(1_150), short(90));
+    let answer = planner.request(at(1_150), short(90));
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "{answer:?}");
     for number in 0..3 * SLOTS as u64 {
         planner.end(at(1_160), JobId { boot: 1, sequence: number }, PlaceEnd::Done);
     }
-    let late = PlaceAsk { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 150_000) };
-    assert!(planner.ask(at(1_170), late).is_none());
+    let late = PlacementRequest { goal_left_ms: 0, patience_ms: 9_000, ..long(99, 150_000) };
+    assert!(planner.request(at(1_170), late).is_none());
     assert!(planner.tick(at(1_300)).is_empty());
     assert_eq!(planner.tick(at(2_000)).len(), 1, "no short prompt was refused recently");
 }
@@ -339,9 +344,9 @@
 fn a_long_prompt_is_refused_if_its_caller_would_give_up_first() {
     let mut planner = planner(2);
     place(&mut planner, 0, long(1, 250_000));
-    let late = PlaceAsk { goal_left_ms: 0, patience_ms: 900, ..long(2, 150_000) };
-    let late = PlaceAsk { refusable: false, ..late };
-    let answer = planner.ask(at(100), late);
+    let late = PlacementRequest { goal_left_ms: 0, patience_ms: 900, ..long(2, 150_000) };
+    let late = PlacementRequest { refusable: false, ..late };
+    let answer = planner.request(at(100), late);
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "{answer:?}");
     assert_eq!((planner.placed_count(), planner.waiting_count()), (1, 0));
 }
@@ -353,8 +358,8 @@
         place_decoding(&mut planner, number * 50, short(number));
     }
     // It takes 2.9 s, which would pause ten decoding requests, and is due in 1.5 s.
-    let hurried = PlaceAsk { goal_left_ms: 1_500, refusable: false, ..long(99, 150_000) };
-    let answer = planner.ask(at(600), hurried);
+    let hurried = PlacementRequest { goal_left_ms: 1_500, refusable: false, ..long(99, 150_000) };
+    let answer = planner.request(at(600), hurried);
     assert!(answer.is_none(), "{answer:?}");
     assert!(planner.tick(at(900)).is_empty(), "it waits for an engine where it delays no others");
 }
@@ -388,14 +393,14 @@
     // A pass has just ended. The next one runs 51 decode steps, about 55 ms, and the one after it also prefills
     // 19,000 tokens, about 140 ms.
     let first = place_decoding(&mut planner, 1_000, short(20));
-    let second = place(&mut planner, 1_000, PlaceAsk { prompt: 19_000, ..short(21) });
+    let second = place(&mut planner, 1_000, PlacementRequest { prompt: 19_000, ..short(21) });
     assert!(second.first_token_ms > first.first_token_ms + 100, "{first:?} {second:?}");
     // That pass still has about 50 ms to go because of its decode steps; the next one prefills this prompt.
     let third = place(&mut planner, 1_150, short(22));
     assert!(third.first_token_ms > 120, "{third:?}");
     // The first token shows that the pass has ended.
     planner.first_token(at(1_200), second.job);
-    let fourth = place(&mut planner, 1_201, PlaceAsk { prompt: 500, ..short(23) });
+    let fourth = place(&mut planner, 1_201, PlacementRequest { prompt: 500, ..short(23) });
     assert!(fourth.first_token_ms < 180, "{fourth:?}");
 }
 
@@ -405,9 +410,9 @@
     for number in 0..8 {
         place_decoding(&mut planner, number * 100, short(number));
     }
-    let ask = PlaceAsk { excluded: vec![engine(1)], ..short(20) };
+    let ask = PlacementRequest { excluded: vec![engine(1)], ..short(20) };
     let beside = place(&mut planner, 1_000, ask).first_token_ms;
-    let ask = PlaceAsk { excluded: vec![engine(0)], ..short(21) };
+    let ask = PlacementRequest { excluded: vec![engine(0)], ..short(21) };
     let alone = place(&mut planner, 1_000, ask).first_token_ms;
     assert!(
         beside >= alone + 40,
@@ -441,8 +446,8 @@
             let job = JobId { boot: 1, sequence: number };
             let mut answers = Vec::new();
             match kind {
-                0 => answers.extend(planner.ask(at(now), short(number))),
-                1 => answers.extend(planner.ask(at(now), long(number, prompt))),
+                0 => answers.extend(planner.request(at(now), short(number))),
+                1 => answers.extend(planner.request(at(now), long(number, prompt))),
                 2 => planner.first_token(at(now), job),
                 3 => planner.end(at(now), job, PlaceEnd::Failed),
                 _ => answers.extend(planner.tick(at(now))),
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use slipturn_core::{
-    engine_place::{JobId, PlaceAnswer, PlaceAsk, PlaceEnd, PlaceGrant},
+    engine_place::{JobId, PlaceAnswer, PlaceEnd, PlaceGrant, PlacementRequest},
     ids,
     planner::{
         PlacementPlanner, PlannerOptions,
@@ -25,8 +25,8 @@
     planner.set_engines(at(now), &ranked);
 }
 
-fn place(planner: &mut PlacementPlanner, now: u64, ask: PlaceAsk) -> PlaceGrant {
-    match planner.ask(at(now), ask) {
+fn place(planner: &mut PlacementPlanner, now: u64, ask: PlacementRequest) -> PlaceGrant {
+    match planner.request(at(now), ask) {
         Some(PlaceAnswer::Grant(grant)) => grant,
         other => panic!("expected a placement, found {other:?}"),
     }
@@ -79,7 +79,8 @@
     let beside = place(&mut planner, 710, short(2));
     assert_ne!(beside.engine, failed.engine);
     planner.first_token(at(760), probe.job);
-    let next = place(&mut planner, 800, PlaceAsk { excluded: vec![beside.engine], ..short(3) });
+    let next =
+        place(&mut planner, 800, PlacementRequest { excluded: vec![beside.engine], ..short(3) });
     assert_eq!(next.engine, failed.engine);
 }
 
@@ -106,7 +107,8 @@
     // Late updates about the previous start have no effect.
     planner.first_token(at(40), under_way.job);
     planner.end(at(50), under_way.job, PlaceEnd::Failed);
-    let next = place(&mut planner, 60, PlaceAsk { excluded: vec![starts[0].clone()], ..short(3) });
+    let next =
+        place(&mut planner, 60, PlacementRequest { excluded: vec![starts[0].clone()], ..short(3) });
     assert_eq!(next.engine, starts[1]);
 }
 
@@ -137,7 +139,7 @@
     let refused = |short_refusal| {
         let mut planner = planner(1, PlannerWays { short_refusal, ..Default::default() });
         (0..24).any(|number| {
-            matches!(planner.ask(at(number), short(number)), Some(PlaceAnswer::Refuse(_)))
+            matches!(planner.request(at(number), short(number)), Some(PlaceAnswer::Refuse(_)))
         })
     };
     assert!(refused(ShortRefusalWay::Crowded) && !refused(ShortRefusalWay::Hopeless));
@@ -148,15 +150,18 @@
 fn slots_of_excluded_engines_do_not_count_as_free() {
     let mut planner = planner(3, PlannerWays::default());
     let closed = vec![engine(0), engine(1)];
-    let closed_to = |number| PlaceAsk { excluded: closed.clone(), ..short(number) };
+    let closed_to = |number| PlacementRequest { excluded: closed.clone(), ..short(number) };
     for number in 0..SLOTS as u64 {
-        let grant =
-            place(&mut planner, number * 100, PlaceAsk { refusable: false, ..closed_to(number) });
+        let grant = place(
+            &mut planner,
+            number * 100,
+            PlacementRequest { refusable: false, ..closed_to(number) },
+        );
         assert_eq!(grant.engine, engine(2));
         planner.first_token(at(number * 100 + 60), grant.job);
     }
     let now = SLOTS as u64 * 100;
-    let answer = planner.ask(at(now), closed_to(100));
+    let answer = planner.request(at(now), closed_to(100));
     assert!(
         matches!(answer, Some(PlaceAnswer::Refuse(_))),
         "refused at once, not queued: {answer:?}"
@@ -169,22 +174,22 @@
 #[test]
 fn a_waiting_prompt_uses_the_excluded_engines_of_its_latest_request() {
     let mut planner = planner(2, PlannerWays::default());
-    let patient = |number| PlaceAsk {
+    let patient = |number| PlacementRequest {
         goal_ms: 20_000,
         goal_left_ms: 20_000,
         patience_ms: 40_000,
         ..long(number, 280_000)
     };
-    let closed = |number| PlaceAsk { excluded: vec![engine(0)], ..patient(number) };
+    let closed = |number| PlacementRequest { excluded: vec![engine(0)], ..patient(number) };
     let mut reading = Vec::new();
     let mut waiting = Vec::new();
     for number in 0..6 {
-        match planner.ask(at(number), patient(number)) {
+        match planner.request(at(number), patient(number)) {
             Some(PlaceAnswer::Grant(grant)) => reading.push((number, grant)),
             _ => waiting.push(number),
         }
     }
-    waiting.retain(|number| planner.ask(at(10), closed(*number)).is_none());
+    waiting.retain(|number| planner.request(at(10), closed(*number)).is_none());
     assert!(!waiting.is_empty(), "some prompts must wait for engine time");
     let mut answered = std::collections::BTreeSet::new();
     for now in (20..60_000).step_by(10) {
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -5,7 +5,7 @@
 use std::collections;
 
 use slipturn_core::{
-    engine_place::{PlaceAnswer, PlaceAsk, PlaceEnd},
+    engine_place::{PlaceAnswer, PlaceEnd, PlacementRequest},
     ids,
     planner::{PlacementPlanner, PlannerOptions},
     send_pace::PaceBound,
@@ -46,7 +46,7 @@
         planner: &mut PlacementPlanner,
         until: u64,
         every: u64,
-        ask: impl Fn(u64) -> PlaceAsk,
+        ask: impl Fn(u64) -> PlacementRequest,
     ) -> Self {
         let mut load = Self::default();
         let mut asked = collections::HashMap::new();
@@ -63,7 +63,7 @@
             if now % every <= 1 {
                 let ask = ask(now);
                 asked.insert(ask.job, now);
-                answers.extend(planner.ask(at(now), ask));
+                answers.extend(planner.request(at(now), ask));
             }
             for answer in answers {
                 let job = answer.job();
@@ -191,12 +191,14 @@
 fn a_new_limit_starts_with_one_interval_and_ends_at_once() {
     let mut planner = planner(1, &[(0, 0.5)]);
     assert!(
-        planner.ask(at(1), short(1)).is_none_or(|answer| matches!(answer, PlaceAnswer::Refuse(_)))
+        planner
+            .request(at(1), short(1))
+            .is_none_or(|answer| matches!(answer, PlaceAnswer::Refuse(_)))
     );
     set_limits(&mut planner, 500, &[]);
-    assert!(matches!(planner.ask(at(501), short(2)), Some(PlaceAnswer::Grant(_))));
+    assert!(matches!(planner.request(at(501), short(2)), Some(PlaceAnswer::Grant(_))));
     set_limits(&mut planner, 1_000, &[(0, 4.0)]);
-    assert!(planner.ask(at(1_200), short(3)).is_none(), "it waits for a permit");
+    assert!(planner.request(at(1_200), short(3)).is_none(), "it waits for a permit");
     assert!(planner.tick(at(1_260)).iter().any(|answer| matches!(answer, PlaceAnswer::Paced(..))));
 }
 
@@ -204,8 +206,8 @@
 #[test]
 fn a_new_request_does_not_take_the_permit_of_a_waiting_one() {
     let mut planner = planner(1, &[(0, 4.0)]);
-    assert!(planner.ask(at(1), short(1)).is_none(), "it waits for a permit");
-    let later = planner.ask(at(251), short(2));
+    assert!(planner.request(at(1), short(1)).is_none(), "it waits for a permit");
+    let later = planner.request(at(251), short(2));
     assert!(!matches!(later, Some(PlaceAnswer::Paced(..))), "{later:?}");
     let answers = planner.tick(at(255));
     assert!(answers.iter().any(|answer| answer.job() == short(1).job), "{answers:?}");
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_request_that_must_not_run_twice_is_retried_only_if_it_did_not_run() {
     for failure in FAILURES {
-        let verdict = budget().ask(units::MonoTime(0), failed(failure, false));
+        let verdict = budget().decide(units::MonoTime(0), failed(failure, false));
         let retried = verdict == retry::RetryVerdict::Retry;
         assert_eq!(retried, failure.definitely_not_run(), "{failure:?}");
     }
@@ -31,7 +31,7 @@
 #[test]
 fn a_request_is_not_retried_after_part_of_the_answer_was_delivered() {
     let attempt = failed(retry::AttemptFailure::BrokeMidAnswer, true);
-    assert_ne!(budget().ask(units::MonoTime(0), attempt), retry::RetryVerdict::Retry);
+    assert_ne!(budget().decide(units::MonoTime(0), attempt), retry::RetryVerdict::Retry);
 }
 
 #[test]
@@ -39,8 +39,8 @@
     let attempt = failed(retry::AttemptFailure::NotConnected, true);
     let last = retry::FailedAttempt { attempts: 3, ..attempt };
     let late = retry::FailedAttempt { time_left: false, ..attempt };
-    assert_ne!(budget().ask(units::MonoTime(0), last), retry::RetryVerdict::Retry);
-    assert_ne!(budget().ask(units::MonoTime(0), late), retry::RetryVerdict::Retry);
+    assert_ne!(budget().decide(units::MonoTime(0), last), retry::RetryVerdict::Retry);
+    assert_ne!(budget().decide(units::MonoTime(0), late), retry::RetryVerdict::Retry);
 }
 
 #[test]
@@ -61,7 +61,7 @@
                 attempts: tries,
                 ..failed(retry::AttemptFailure::NotConnected, true)
             };
-            if !fails || budget.ask(now, attempt) != retry::RetryVerdict::Retry {
+            if !fails || budget.decide(now, attempt) != retry::RetryVerdict::Retry {
                 break;
             }
         }
@@ -76,7 +76,7 @@
     let mut budget = budget();
     let attempt = failed(retry::AttemptFailure::NotConnected, true);
     budget.count_request(units::MonoTime(0));
-    assert_eq!(budget.ask(units::MonoTime(0), attempt), retry::RetryVerdict::Retry);
+    assert_eq!(budget.decide(units::MonoTime(0), attempt), retry::RetryVerdict::Retry);
 }
 
 /// Guards against wrongly counting attempts of which no upstream received any part. An upstream that rejected a request
--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -145,8 +145,8 @@
             let after = simulation.interval.mul_f64(simulation.random.random());
             // All members know each other.
             for other in (0..count).filter(|other| *other != own) {
-                let beat = simulation.beat(other);
-                simulation.members[own].view.receive(simulation.now, beat);
+                let heartbeat = simulation.heartbeat(other);
+                simulation.members[own].view.receive(simulation.now, heartbeat);
             }
             simulation.schedule(after, own, Step::SendHeartbeats);
             let first_check = CHECK_INTERVAL.mul_f64(simulation.random.random());
@@ -177,7 +177,7 @@
         at(OUTAGE_START_MS) <= self.now && self.now < at(OUTAGE_END_MS)
     }
 
-    fn beat(&self, own: usize) -> MemberHeartbeat {
+    fn heartbeat(&self, own: usize) -> MemberHeartbeat {
         let member = &self.members[own];
         MemberHeartbeat {
             name: name(own),
@@ -198,10 +198,11 @@
     /// Sends a heartbeat to all other members.
     fn announce(&mut self, own: usize) {
         self.members[own].sequence += 1;
-        let beat = self.beat(own);
+        let heartbeat = self.heartbeat(own);
         for to in (0..self.members.len()).filter(|to| *to != own) {
             if self.random.random::<f64>() >= LOSS {
-                self.events.push(self.now + DELAY, (to, Step::Heartbeat(Box::new(beat.clone()))));
+                self.events
+                    .push(self.now + DELAY, (to, Step::Heartbeat(Box::new(heartbeat.clone()))));
             }
         }
     }
@@ -225,7 +226,7 @@
                 self.announce(own);
                 self.schedule(self.interval, own, Step::SendHeartbeats);
             }
-            Step::Heartbeat(beat) => _ = self.members[own].view.receive(self.now, *beat),
+            Step::Heartbeat(heartbeat) => _ = self.members[own].view.receive(self.now, *heartbeat),
             Step::Check => {
                 self.check(own);
                 self.schedule(CHECK_INTERVAL, own, Step::Check);
@@ -254,7 +255,7 @@
 
     /// Detects the loss of the store, fetches a newer list from a member, or starts to watch the store.
     fn check(&mut self, own: usize) {
-        let own_beat = self.beat(own);
+        let own_beat = self.heartbeat(own);
         let now = self.now;
         let is_lost = now >= at(OUTAGE_START_MS) && self.members[own].list.era == FORMER.era;
         let member = &mut self.members[own];
@@ -270,7 +271,7 @@
         }
         let near: ids::DataCenterId = "a".parse().expect("a valid name");
         let sources = member.view.list_sources(now, member.list, &near);
-        let newest: Vec<_> = sources.iter().map(|beat| beat.list).collect();
+        let newest: Vec<_> = sources.iter().map(|heartbeat| heartbeat.list).collect();
         if let (Some(list), false) = (newest.choose(&mut self.random), member.fetching) {
             member.fetching = true;
             let list = *list;
@@ -300,7 +301,7 @@
             member.failed = true;
             let pause = member.pause.mul_f64(self.random.random_range(0.7..1.3));
             member.pause = (member.pause * 2).min(PAUSES.1);
-            let own_beat = self.beat(own);
+            let own_beat = self.heartbeat(own);
             let member = &mut self.members[own];
             // The first in order keep trying; the others leave it to them.
             member.calling =
--- a/crates/core/tests/store_tracker.rs
+++ b/crates/core/tests/store_tracker.rs
@@ -36,8 +36,8 @@
 #[test]
 fn an_outage_lasts_from_the_first_failure_to_the_next_answer() {
     let mut tracker = watching();
-    assert!(tracker.lose(at(1_000)), "new");
-    assert!(!tracker.lose(at(2_000)), "known");
+    assert!(tracker.note_failure(at(1_000)), "new");
+    assert!(!tracker.note_failure(at(2_000)), "known");
     assert!(
         !tracker.is_reliable_watcher() && tracker.is_watching(),
         "other members take over; this one keeps trying"
@@ -51,7 +51,7 @@
 #[test]
 fn members_rely_on_a_watcher_while_its_store_is_only_doubted() {
     let mut tracker = watching();
-    tracker.doubt();
+    tracker.note_overdue();
     assert!(!tracker.answers() && tracker.is_reliable_watcher());
     assert_eq!(tracker.receive(at(900)), AnswerEffect { away: None, resumes_watch: false });
     assert!(tracker.answers());
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use slipturn_core::{
-    engine_place::{JobId, PlaceAsk},
+    engine_place::{JobId, PlacementRequest},
     ids, route_table, units,
 };
 
@@ -18,10 +18,10 @@
         memory: units::TokenCount(MEMORY),
         stride: 51.0,
         step_ms: 0.85,
-        step_per_writer_ms: 0.004_25,
+        step_per_decoding_ms: 0.004_25,
         step_per_context_ms: 0.002_85,
-        read_per_ms: 177.0,
-        read_per_pairs_ms: 0.184,
+        prefill_tokens_per_ms: 177.0,
+        prefill_per_million_pairs_ms: 0.184,
         report_lag_ms: 200.0,
     }
 }
@@ -35,8 +35,8 @@
 }
 
 /// A short request of the member with this boot id.
-pub(crate) fn short_of(boot: u64, sequence: u64) -> PlaceAsk {
-    PlaceAsk {
+pub(crate) fn short_of(boot: u64, sequence: u64) -> PlacementRequest {
+    PlacementRequest {
         job: JobId { boot, sequence },
         prompt: 5_000,
         output: 1_700,
@@ -54,8 +54,8 @@
 
 /// A long request of the member with boot id 1.
 #[allow(dead_code, reason = "not every test file uses it")]
-pub(crate) fn long(sequence: u64, prompt: u64) -> PlaceAsk {
-    PlaceAsk {
+pub(crate) fn long(sequence: u64, prompt: u64) -> PlacementRequest {
+    PlacementRequest {
         prompt,
         output: 800,
         pause_ms: 1_000,
@@ -69,6 +69,6 @@
 }
 
 /// A short request of the member with boot id 1.
-pub(crate) fn short(sequence: u64) -> PlaceAsk {
+pub(crate) fn short(sequence: u64) -> PlacementRequest {
     short_of(1, sequence)
 }
--- a/crates/core/tests/support/virtual_start.rs
+++ b/crates/core/tests/support/virtual_start.rs
@@ -188,7 +188,7 @@
     fn send(&mut self, from: usize, to: usize, others: Vec<net::SocketAddrV4>) {
         let own = &mut self.members[from];
         own.sequence += 1;
-        let beat = MemberHeartbeat {
+        let heartbeat = MemberHeartbeat {
             name: name(from),
             boot: from as u64,
             sequence: own.sequence,
@@ -203,7 +203,7 @@
             others,
         };
         if self.reaches(from, to) && self.random.random::<f64>() >= LOSS {
-            self.schedule(DELAY, to, Step::Heartbeat(Box::new(beat)));
+            self.schedule(DELAY, to, Step::Heartbeat(Box::new(heartbeat)));
         }
     }
 
@@ -227,7 +227,7 @@
             }
             // Members receive nothing before their start.
             Step::Heartbeat(_) if self.members[own].started == units::MonoTime::default() => {}
-            Step::Heartbeat(beat) => self.receive(own, *beat),
+            Step::Heartbeat(heartbeat) => self.receive(own, *heartbeat),
             Step::Retry => self.find_documents(own),
             Step::Received(from, list) => self.receive_documents(own, from, list),
             Step::Change => {
@@ -239,18 +239,18 @@
         }
     }
 
-    fn receive(&mut self, own: usize, beat: MemberHeartbeat) {
-        let from = number_at(beat.address);
+    fn receive(&mut self, own: usize, heartbeat: MemberHeartbeat) {
+        let from = number_at(heartbeat.address);
         let sequence = self.members[own].sequence;
         let view = &mut self.members[own].view;
-        let welcome = view.welcome(&beat);
-        let joined = view.receive(self.now, beat);
+        let newcomer_addresses = view.addresses_for_newcomer(&heartbeat);
+        let joined = view.receive(self.now, heartbeat);
         let unmet = view.take_uncontacted(address(own));
         let sample_addresses = view.sample_addresses(sequence);
-        if joined && welcome.is_empty() {
+        if joined && newcomer_addresses.is_empty() {
             self.send(own, from, sample_addresses.clone());
         }
-        for others in welcome.into_iter().filter(|_| joined) {
+        for others in newcomer_addresses.into_iter().filter(|_| joined) {
             self.send(own, from, others);
         }
         unmet.into_iter().for_each(|to| self.send(own, number_at(to), sample_addresses.clone()));
@@ -270,7 +270,8 @@
             SourceChoice::Any => view.any_sources(self.now, &near),
             SourceChoice::Newest => view.list_sources(self.now, 0.into(), &near),
         };
-        let sources: Vec<_> = sources.iter().map(|beat| number_at(beat.address)).collect();
+        let sources: Vec<_> =
+            sources.iter().map(|heartbeat| number_at(heartbeat.address)).collect();
         if let Some(source) = sources.choose(&mut self.random).copied() {
             self.fetch(own, source);
         } else if (is_seed || (settled && own < SEED_COUNT)) && !self.members[own].cut {
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -6,7 +6,7 @@
 use std::collections;
 
 use slipturn_core::{
-    engine_place::{JobId, PlaceAnswer, PlaceAsk, PlaceEnd, PlaceGrant, PlaceNote},
+    engine_place::{JobId, PlaceAnswer, PlaceEnd, PlaceGrant, PlaceNote, PlacementRequest},
     ids,
     planner::{PlacementPlanner, PlannerOptions},
 };
@@ -40,8 +40,8 @@
         Self { boot, planner, open: collections::BTreeMap::new() }
     }
 
-    fn ask(&mut self, now: u64, ask: PlaceAsk) -> Option<PlaceGrant> {
-        let answer = self.planner.ask(at(now), ask)?;
+    fn ask(&mut self, now: u64, ask: PlacementRequest) -> Option<PlaceGrant> {
+        let answer = self.planner.request(at(now), ask)?;
         let PlaceAnswer::Grant(grant) = answer else { return None };
         self.open.insert(grant.job, (grant.engine.clone(), now));
         Some(grant)
@@ -131,7 +131,7 @@
     let mut side = PlannerSide::new(1, 3);
     let mut shared = Vec::new();
     for number in 0..2 {
-        let ask = PlaceAsk { excluded: shared.clone(), ..short(number) };
+        let ask = PlacementRequest { excluded: shared.clone(), ..short(number) };
         let grant = side.ask(number, ask).expect("a place");
         let note = PlaceNote::FirstToken(grant.job, Some(8));
         side.planner.note(at(number + FIRST_MS), &note);
--- a/crates/core/tests/upstream_limit.rs
+++ b/crates/core/tests/upstream_limit.rs
@@ -25,7 +25,7 @@
 
 fn reading(limit: Option<f64>, asked: u64, heard: u64) -> LimitReading {
     let source = NoticeSource::Answer;
-    LimitReading { rate: limit.map(rate), asked: at(asked), heard: at(heard), source }
+    LimitReading { rate: limit.map(rate), requested: at(asked), received: at(heard), source }
 }
 
 #[test]
--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -142,7 +142,7 @@
         "starts differ but are not ordered"
     );
     assert_eq!(present(&list, 1), Some(40));
-    let ended = list.take_ended();
+    let ended = list.take_ended_starts();
     assert_eq!(ended.len(), 1);
     assert_eq!(ended[0].name, start(1, 50).name);
     assert!(list.is_present(&start(1, 40).name) && !list.is_present(&start(1, 50).name));
@@ -288,7 +288,7 @@
 /// Records a backoff.
 fn rest(list: &mut UpstreamList, now: u64, number: u8, millis: u64) {
     let asked = time::Duration::from_millis(millis);
-    list.notices_mut().receive_rest(at(now), &name(number), asked);
+    list.notices_mut().receive_backoff(at(now), &name(number), asked);
 }
 
 fn open(list: &UpstreamList, now: u64, turn: ProbePermission) -> Vec<ids::UpstreamId> {
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -7,7 +7,9 @@
     ids,
     send_gate::{ProbePermission, SendDenial, SendKind},
     units,
-    upstream_notice::{MAX_REST, NoticeSource, NoticeTable, RestNews, RestReturnWay},
+    upstream_notice::{
+        BackoffChange, MAX_ACCEPTED_BACKOFF, NoticeSource, NoticeTable, RestReturnWay,
+    },
 };
 
 const ALL_KINDS: [SendKind; 6] = [
@@ -42,7 +44,7 @@
     let mut table = NoticeTable::default();
     let (leaving, resting, other) = (name("e1"), name("e2"), name("e3"));
     table.receive_leaving(at(10), &leaving, NoticeSource::Answer, ms(0));
-    table.receive_rest(at(10), &resting, ms(3_000));
+    table.receive_backoff(at(10), &resting, ms(3_000));
     let ends_work = [SendKind::Renewal, SendKind::Release];
     assert_eq!(permitted(&table, 20, &leaving), [&ends_work[..], &[SendKind::Report]].concat());
     assert_eq!(permitted(&table, 20, &resting), ends_work);
@@ -89,7 +91,7 @@
     let mut table = NoticeTable::default();
     let (before, after) = (name("e1@100"), name("e1@200"));
     table.receive_leaving(at(0), &before, NoticeSource::Answer, ms(0));
-    table.receive_rest(at(0), &before, ms(60_000));
+    table.receive_backoff(at(0), &before, ms(60_000));
     assert_eq!(permitted(&table, 10, &after), ALL_KINDS);
     assert_eq!(permitted(&table, 10, &before).len(), 2);
 }
@@ -99,27 +101,27 @@
     let mut table = NoticeTable::default();
     let upstream = name("p1");
     assert_eq!(
-        table.receive_rest(at(0), &upstream, ms(0)),
-        RestNews::Known,
+        table.receive_backoff(at(0), &upstream, ms(0)),
+        BackoffChange::Known,
         "a backoff of no length"
     );
-    assert_eq!(table.receive_rest(at(0), &upstream, ms(4_000)), RestNews::Begun);
+    assert_eq!(table.receive_backoff(at(0), &upstream, ms(4_000)), BackoffChange::Begun);
     assert_eq!(
-        table.receive_rest(at(1_000), &upstream, ms(1_000)),
-        RestNews::Known,
+        table.receive_backoff(at(1_000), &upstream, ms(1_000)),
+        BackoffChange::Known,
         "a shorter one"
     );
-    assert_eq!(table.receive_rest(at(2_000), &upstream, ms(4_000)), RestNews::Longer);
-    assert_eq!(table.rest(at(5_999), &upstream).expect("it is in backoff").until, at(6_000));
-    assert_eq!(table.rest(at(6_000), &upstream), None);
+    assert_eq!(table.receive_backoff(at(2_000), &upstream, ms(4_000)), BackoffChange::Longer);
+    assert_eq!(table.backoff(at(5_999), &upstream).expect("it is in backoff").until, at(6_000));
+    assert_eq!(table.backoff(at(6_000), &upstream), None);
     assert_eq!(
-        table.receive_rest(at(6_500), &upstream, ms(1_000)),
-        RestNews::Begun,
+        table.receive_backoff(at(6_500), &upstream, ms(1_000)),
+        BackoffChange::Begun,
         "another backoff"
     );
-    table.receive_rest(at(8_000), &upstream, ms(31_536_000_000));
-    let until = table.rest(at(8_000), &upstream).expect("it is in backoff").until;
-    assert_eq!(until.since(at(8_000)), MAX_REST);
+    table.receive_backoff(at(8_000), &upstream, ms(31_536_000_000));
+    let until = table.backoff(at(8_000), &upstream).expect("it is in backoff").until;
+    assert_eq!(until.since(at(8_000)), MAX_ACCEPTED_BACKOFF);
 }
 
 /// After a backoff one request probes the upstream, and the others follow its result. A probe without a result must not block
@@ -129,7 +131,7 @@
     let mut table = NoticeTable::default();
     let upstream = name("p1");
     let avoided = |table: &NoticeTable, now, turn| table.is_avoided(at(now), &upstream, turn);
-    table.receive_rest(at(0), &upstream, ms(1_000));
+    table.receive_backoff(at(0), &upstream, ms(1_000));
     assert!(!table.begin(at(500), &upstream), "a request within the backoff is no probe");
     assert!(!table.receive_accepted(at(900), &upstream), "its answer does not end the backoff");
     assert!(!avoided(&table, 1_000, ProbePermission::Yes));
@@ -140,14 +142,14 @@
     assert!(table.begin(at(1_000), &upstream));
     assert!(avoided(&table, 1_100, ProbePermission::Yes), "one at a time");
     assert!(!avoided(&table, 3_000, ProbePermission::Yes), "its caller may have left");
-    table.end_trial(&upstream);
+    table.end_probe(&upstream);
     assert!(!avoided(&table, 1_100, ProbePermission::Yes), "the probe ended without a result");
     table.begin(at(1_200), &upstream);
     assert!(table.receive_accepted(at(1_300), &upstream));
     for turn in [ProbePermission::Yes, ProbePermission::No] {
         assert!(!avoided(&table, 1_300, turn), "it takes work again");
     }
-    table.receive_rest(at(2_000), &upstream, ms(1_000));
+    table.receive_backoff(at(2_000), &upstream, ms(1_000));
     assert!(!avoided(&table, 13_000, ProbePermission::No), "the time for probes is over");
     table.set_return(RestReturnWay::All);
     assert!(!avoided(&table, 3_500, ProbePermission::No));
@@ -183,10 +185,10 @@
 fn a_full_table_drops_the_oldest_notices() {
     let mut table = NoticeTable::default();
     for number in 0..5_000 {
-        table.receive_rest(at(number), &name(&format!("e{number}")), ms(60_000));
+        table.receive_backoff(at(number), &name(&format!("e{number}")), ms(60_000));
     }
     assert!(table.names().count() <= 2_048);
-    assert!(table.rest(at(5_000), &name("e4999")).is_some());
+    assert!(table.backoff(at(5_000), &name("e4999")).is_some());
 }
 
 /// A step of a random history.
@@ -197,7 +199,7 @@
     Rest(u64),
     Begin,
     Taken,
-    EndTrial,
+    EndProbe,
     Retain(bool),
     Pass(u64),
 }
@@ -215,7 +217,7 @@
         (0..8_000_u64).prop_map(Step::Rest),
         Just(Step::Begin),
         Just(Step::Taken),
-        Just(Step::EndTrial),
+        Just(Step::EndProbe),
         any::<bool>().prop_map(Step::Retain),
         (1..3_000_u64).prop_map(Step::Pass),
     ]
@@ -240,13 +242,13 @@
                 }
                 Step::Live => table.receive_live(&upstream),
                 Step::Rest(span) => {
-                    table.receive_rest(at(now), &upstream, ms(span));
+                    table.receive_backoff(at(now), &upstream, ms(span));
                     rest_until = rest_until.max(now + span);
                     known = now;
                 }
                 Step::Begin => _ = table.begin(at(now), &upstream),
                 Step::Taken => _ = table.receive_accepted(at(now), &upstream),
-                Step::EndTrial => table.end_trial(&upstream),
+                Step::EndProbe => table.end_probe(&upstream),
                 Step::Retain(listed) => {
                     table.retain(at(now), |_| listed);
                     known = if listed { now } else { known };
--- a/crates/core/tests/upstream_starts.rs
+++ b/crates/core/tests/upstream_starts.rs
@@ -84,10 +84,10 @@
         last in 1_u64..12,
     ) {
         let (mut list, revision, now) = apply_history(&history);
-        for beat in 0..4 {
+        for heartbeat in 0..4 {
             let change = vec![ListChange::Present(entry(last))];
-            list.apply(at(now + beat * 1_200), change, (revision + 1 + beat).into());
-            list.tick(at(now + beat * 1_200));
+            list.apply(at(now + heartbeat * 1_200), change, (revision + 1 + heartbeat).into());
+            list.tick(at(now + heartbeat * 1_200));
         }
         prop_assert!(list.is_present(&name(last)));
         prop_assert_eq!(list.usable(&"s".parse().expect("a valid name")).len(), 1);
@@ -105,7 +105,7 @@
         list.update_start(at(now + 1), &name(1), ids::UpstreamStart(reported), at(now + 1));
         prop_assert!(list.is_present(&name(reported)));
         // A single late write of an ended start does not replace it.
-        let ended = list.take_ended();
+        let ended = list.take_ended_starts();
         if let Some(before) = ended.last().filter(|ended| ended.name != name(reported)) {
             let start = before.name.start().map_or(0, |start| start.0);
             let late = vec![ListChange::Present(entry(start))];
@@ -131,7 +131,7 @@
                 }
                 Step::Gone | Step::Unreadable => continue,
             }
-            let ended = list.take_ended();
+            let ended = list.take_ended_starts();
             let now_present = list.entry(&name(1)).expect("it is listed").name.clone();
             let changed = usize::from(now_present != present);
             prop_assert_eq!(ended.len(), changed);
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -71,7 +71,7 @@
                 reply(answer, router.spend(now, &resolved, want));
             }
             EntryEvent::SpendAlone(resolved, want, answer) => {
-                reply(answer, router.spend_alone(now, &resolved, want));
+                reply(answer, router.spend_own_share(now, &resolved, want));
             }
             EntryEvent::Portion(customer, portion) => router.add_portion(now, &customer, portion),
             EntryEvent::Candidates(question, tree, prefix, tried, answer) => {
@@ -92,7 +92,7 @@
             EntryEvent::Ended(attempt, engine) => self.end(&attempt, &engine),
             EntryEvent::Eject(engine) => router.eject(now, &engine),
             EntryEvent::Retry(question, answer) => {
-                reply(answer, router.ask_retry(now, question));
+                reply(answer, router.decide_retry(now, question));
             }
             EntryEvent::CountRequest => router.count_request(now),
             EntryEvent::Upstreams(service, answer) => reply(answer, router.upstreams(&service)),
@@ -113,8 +113,10 @@
             EntryEvent::Histograms(answer) => reply(answer, self.histograms.rows()),
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
-            EntryEvent::Documents(update, wakes) => self.apply_documents(now, &update, wakes),
-            EntryEvent::AllSilent(wakes) => router.note_sources_asked(now, wakes),
+            EntryEvent::Documents(update, pause_count) => {
+                self.apply_documents(now, &update, pause_count)
+            }
+            EntryEvent::AllSilent(pause_count) => router.note_sources_queried(now, pause_count),
             EntryEvent::Tick => self.tick(now),
         }
     }
@@ -162,12 +164,12 @@
     }
 
     /// Applies settings and list from an update; without new settings, it confirms those in force.
-    /// `wakes` is the number of detected process pauses when the sources were asked.
+    /// `pause_count` is the number of detected process pauses when the sources were asked.
     fn apply_documents(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
-        wakes: u64,
+        pause_count: u64,
     ) {
         match &update.settings {
             Some(text) => self.apply_settings(now, text),
@@ -179,7 +181,7 @@
                 Err(fault) => log::error!("list refused: {fault}"),
             }
         }
-        self.router.note_sources_asked(now, wakes);
+        self.router.note_sources_queried(now, pause_count);
         self.update_summary();
     }
 
@@ -201,7 +203,7 @@
             list: list.revision,
         };
         self.summary.known.set(known);
-        self.summary.wakes.set(self.router.wakes());
+        self.summary.pause_count.set(self.router.pause_count());
         let schedulers = list.live_instances().map(|instance| instance.scheduler);
         self.summary.schedulers.replace(schedulers.collect());
     }
@@ -225,7 +227,7 @@
 
     fn tick(&mut self, now: units::MonoTime) {
         self.router.tick(now);
-        self.summary.wakes.set(self.router.wakes());
+        self.summary.pause_count.set(self.router.pause_count());
         self.sender.gauge("running", self.running.len() as u64);
         self.sender.flush();
     }
--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -16,7 +16,7 @@
     /// Version of the settings and revision of the list in force.
     pub known: cell::Cell<scheduler_link::KnownDocuments>,
     /// Number of detected pauses of the process.
-    pub wakes: cell::Cell<u64>,
+    pub pause_count: cell::Cell<u64>,
     /// Addresses of the schedulers of all live instances, in the order of the list.
     pub schedulers: cell::RefCell<Vec<net::SocketAddr>>,
 }
@@ -47,7 +47,7 @@
     }
 
     fn sources(&self) -> Vec<document_feed::FeedSource> {
-        self.wakes_when_asked.set(self.summary.wakes.get());
+        self.wakes_when_asked.set(self.summary.pause_count.get());
         let local_scheduler = self.local.listen.scheduler;
         let schedulers = self.summary.schedulers.borrow();
         let others =
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -15,13 +15,13 @@
     /// Engine of the place.
     pub engine: ids::EngineId,
     /// Request for the place, which renewals repeat.
-    pub request: placement::PlaceRequest,
+    pub request: placement::CapacityRequest,
     /// Hash of the prompt's prefix, which the engine is expected to cache.
     pub prefix: u64,
 }
 
 /// Places in use, by the address of the scheduler that owns their engine.
-pub type RenewalBatch = Vec<(net::SocketAddr, Vec<(ids::EngineId, placement::PlaceRequest)>)>;
+pub type RenewalBatch = Vec<(net::SocketAddr, Vec<(ids::EngineId, placement::CapacityRequest)>)>;
 /// Settings tree in force and the settings resolved for a caller of a plain service.
 pub type ResolveAnswer = Result<
     (rc::Rc<settings::SettingsTree>, settings_resolve::ResolvedSettings),
@@ -39,7 +39,7 @@
 pub enum EntryEvent {
     /// Identifies the caller of a model request, resolves its settings and checks the request.
     Plan(
-        entry_router::PlanQuestion,
+        entry_router::PlanQuery,
         oneshot::Sender<Result<entry_router::RequestGrant, refusal::RequestRefusal>>,
     ),
     /// Identifies the caller of a plain service by its key and resolves its settings.
@@ -60,7 +60,7 @@
     Portion(ids::CustomerId, budget::BudgetPortion),
     /// Selects the engines to consider for a prompt with this prefix hash, without those listed.
     Candidates(
-        entry_router::PlanQuestion,
+        entry_router::PlanQuery,
         rc::Rc<settings::SettingsTree>,
         u64,
         Vec<ids::EngineId>,
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -103,7 +103,7 @@
 
 /// Data of a request that has passed admission.
 pub(crate) struct AdmittedRequest {
-    pub(crate) plan: entry_router::PlanQuestion,
+    pub(crate) plan: entry_router::PlanQuery,
     pub(crate) grant: entry_router::RequestGrant,
     pub(crate) body: Bytes,
     pub(crate) prefix: u64,
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -17,7 +17,7 @@
     /// Attempt that needs the place.
     pub attempt: ids::AttemptId,
     /// Routing data of the request: its key, model, prompt length and requested limits.
-    pub plan: entry_router::PlanQuestion,
+    pub plan: entry_router::PlanQuery,
     /// Settings that the router resolved for the request.
     pub grant: entry_router::RequestGrant,
     /// Hash of the prompt's prefix.
@@ -42,9 +42,9 @@
         &self,
         context: &request_context::EntryContext,
         target: &engine_directory::EngineTarget,
-    ) -> placement::PlaceRequest {
+    ) -> placement::CapacityRequest {
         let cached = if target.warm { self.prefix_tokens } else { units::TokenCount::ZERO };
-        placement::PlaceRequest {
+        placement::CapacityRequest {
             attempt: self.attempt.clone(),
             entry: context.local.instance.clone(),
             boot: context.boot,
@@ -380,7 +380,7 @@
     question: &PlaceQuestion,
     place: &mut HeldPlace,
     member: engine_directory::EngineTarget,
-    request: placement::PlaceRequest,
+    request: placement::CapacityRequest,
 ) {
     if !place.row.target.is_empty() {
         place.row.target.push('+');
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -65,9 +65,9 @@
         &self,
         key: String,
         requested_limit: Option<std::time::Duration>,
-    ) -> entry_router::PlanQuestion {
+    ) -> entry_router::PlanQuery {
         let (model, prompt, output) = (self.model.clone(), self.tokens, self.output);
-        entry_router::PlanQuestion { key, model, prompt, output, requested_limit }
+        entry_router::PlanQuery { key, model, prompt, output, requested_limit }
     }
 
     /// Encodes the body for the engine: the caller's members, with the output limited to `output`.
--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -12,7 +12,7 @@
 pub(crate) async fn place(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
-    ask: engine_place::PlaceAsk,
+    ask: engine_place::PlacementRequest,
     turn: send_gate::ProbePermission,
     limit: time::Duration,
 ) -> plan_client::PlaceOutcome {
@@ -24,7 +24,8 @@
         && let Some(planner) = context.pick_planner(&call.service, turn, &refused)
     {
         let spent = context.now().since(asked);
-        let mut ask = engine_place::PlaceAsk { job: context.next_job(), ..ask.after(spent) };
+        let mut ask =
+            engine_place::PlacementRequest { job: context.next_job(), ..ask.after(spent) };
         if context.settings().experiments.closed_engines == ways::ClosedEngineWay::Asked {
             ask.excluded.extend(context.closed_engines(&planner, turn));
         }
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -54,7 +54,7 @@
             .filter(|entry| planner_key::cell_of(&key.service, &entry.name, cells) == key.cell)
             .filter(|entry| {
                 let limit = fleet.list.notices().limit(&entry.name);
-                limit.is_none_or(|limit| now.since(limit.reading.heard) >= LIMITED_INTERVAL)
+                limit.is_none_or(|limit| now.since(limit.reading.received) >= LIMITED_INTERVAL)
             });
         engines.extend(in_cell.cloned());
     }
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -26,7 +26,7 @@
     let own = context.settings().member_address;
     let (joined, welcome, unmet) = {
         let mut members = context.members.borrow_mut();
-        let welcome = members.welcome(&beat);
+        let welcome = members.addresses_for_newcomer(&beat);
         let joined = members.receive(now, beat);
         (joined, welcome, members.take_uncontacted(own))
     };
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -289,7 +289,7 @@
     let fleet = context.fleet.borrow();
     let notices = fleet.list.notices();
     let leaving = notices.names().filter(|name| notices.leaving(name).is_some()).count();
-    let resting = notices.names().filter(|name| notices.rest(now, name).is_some()).count();
+    let resting = notices.names().filter(|name| notices.backoff(now, name).is_some()).count();
     let limited = fleet.list.limits().len();
     let evacuated = fleet.list.evacuated().count();
     let recovery = fleet.list.recovery().unwrap_or_default();
--- a/crates/instance/src/lease_renewal.rs
+++ b/crates/instance/src/lease_renewal.rs
@@ -108,7 +108,7 @@
         let mut by_key: collections::BTreeMap<planner_key::PlannerKey, Vec<_>> =
             collections::BTreeMap::new();
         for (job, held) in context.leases.borrow().iter() {
-            let reading = held.lease.reading;
+            let reading = held.lease.prefilling;
             let renewed = peer_message::RenewedJob { sequence: job.sequence, reading };
             by_key.entry(held.key.clone()).or_default().push(renewed);
         }
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -34,7 +34,8 @@
         None => return,
     };
     let (heard, source) = (context.now(), origin.source);
-    let reading = upstream_limit::LimitReading { rate, asked: origin.at, heard, source };
+    let reading =
+        upstream_limit::LimitReading { rate, requested: origin.at, received: heard, source };
     match apply_reading(context, upstream, reading) {
         upstream_limit::LimitChange::Known => {}
         upstream_limit::LimitChange::Changed(..) => notify_coordinator(context, upstream),
@@ -58,8 +59,8 @@
         let heard = ago(report.heard_us);
         let reading = upstream_limit::LimitReading {
             rate: report.rate,
-            asked: ago(report.asked_us).min(heard),
-            heard,
+            requested: ago(report.asked_us).min(heard),
+            received: heard,
             source: upstream_notice::NoticeSource::Member,
         };
         apply_reading(context, &report.upstream, reading);
@@ -107,8 +108,8 @@
     peer_message::LimitReport {
         upstream: upstream.clone(),
         rate: reading.rate,
-        asked_us: micros(reading.asked),
-        heard_us: micros(reading.heard),
+        asked_us: micros(reading.requested),
+        heard_us: micros(reading.received),
     }
 }
 
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -28,7 +28,7 @@
 
 /// Requests the state of a few random members, after this process may have missed messages.
 pub(crate) fn request(context: &context::InstanceContext) {
-    for to in targets_for(context, gossip::GossipCause::Woke) {
+    for to in targets_for(context, gossip::GossipCause::Resumed) {
         context.send_to(to, peer_message::PeerMessage::RequestGossip);
     }
 }
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -14,7 +14,7 @@
         /// The service.
         service: ids::ServiceId,
         /// The backoff that ends first.
-        first: upstream_notice::RestNotice,
+        first: upstream_notice::BackoffNotice,
         /// The time at which this was determined.
         now: units::MonoTime,
     },
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -35,7 +35,7 @@
     /// Requests a complete heartbeat, from an unknown member or to probe a silent one.
     Who,
     /// Requests a place on an engine from a planner.
-    Ask(planner_key::PlannerKey, Box<engine_place::PlaceAsk>),
+    Ask(planner_key::PlannerKey, Box<engine_place::PlacementRequest>),
     /// Grants or refuses a place.
     Answer(Box<engine_place::PlaceAnswer>),
     /// The planner has queued the request; a [`Self::Answer`] follows.
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -45,7 +45,7 @@
         return time::Duration::ZERO;
     }
     let subject = quota_permit::QuotaSubject::Upstream(upstream.clone());
-    context.quotas.cache.borrow().closed(context.now(), &subject)
+    context.quotas.cache.borrow().backoff_left(context.now(), &subject)
 }
 
 /// Acquires a permit for one request to an upstream within `patience`; `None` if the upstream has no limit.
@@ -87,7 +87,7 @@
     let step = context.quotas.cache.borrow_mut().step(now, subject, patience);
     let term = match step {
         permit_cache::PermitStep::Send(term) => term,
-        permit_cache::PermitStep::Closed(closed) => return Err(NoPermit(closed)),
+        permit_cache::PermitStep::Backoff(closed) => return Err(NoPermit(closed)),
         permit_cache::PermitStep::Ask(ask) => {
             let Some(answer) = request_coordinator(context, subject, ask).await else {
                 let mut cache = context.quotas.cache.borrow_mut();
@@ -144,11 +144,11 @@
         .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(request)));
     match monoio::time::timeout(REPLY_TIMEOUT, reply).await {
         Ok(answer) => {
-            context.members.borrow_mut().answered(context.now(), &coordinator.name);
+            context.members.borrow_mut().note_answered(context.now(), &coordinator.name);
             answer.ok()
         }
         Err(_) => {
-            context.members.borrow_mut().unanswered(&coordinator.name);
+            context.members.borrow_mut().note_unanswered(&coordinator.name);
             context.stats.borrow_mut().count("leaves", "unanswered");
             log::debug!(member:% = coordinator.name; "keeper.silent");
             None
