--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -37,7 +37,7 @@
     pub fn first_token(&self, requests: Option<u16>) {
         let job = self.grant.job;
         if let Some(held) = self.context.leases.borrow_mut().get_mut(&job) {
-            held.lease.reading = false;
+            held.lease.prefilling = false;
         }
         let note = engine_place::PlaceNote::FirstToken(job, requests);
         peers::notify_planner(&self.context, &self.key, note);
@@ -98,7 +98,7 @@
 pub async fn place(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
-    mut ask: engine_place::PlaceAsk,
+    mut ask: engine_place::PlacementRequest,
     limit: time::Duration,
 ) -> PlaceOutcome {
     let started = context.now();
@@ -143,13 +143,13 @@
 fn record_lease(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
-    ask: engine_place::PlaceAsk,
+    ask: engine_place::PlacementRequest,
     grant: engine_place::PlaceGrant,
 ) -> PlaceHold {
     let job = ask.job;
     // Only the choice of an engine needs the excluded ones, and many leases must fit into a datagram.
-    let ask = engine_place::PlaceAsk { excluded: Vec::new(), ..ask };
-    let lease = engine_place::PlaceLease { ask, grant: grant.clone(), reading: true };
+    let ask = engine_place::PlacementRequest { excluded: Vec::new(), ..ask };
+    let lease = engine_place::PlaceLease { request: ask, grant: grant.clone(), prefilling: true };
     let held = context::HeldLease { key: key.clone(), lease };
     context.leases.borrow_mut().insert(job, held);
     PlaceHold {
@@ -165,7 +165,7 @@
 async fn ask_once(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
-    ask: &engine_place::PlaceAsk,
+    ask: &engine_place::PlacementRequest,
     replies: &mut mpsc::UnboundedReceiver<peer_message::PlanReply>,
 ) -> Option<engine_place::PlaceAnswer> {
     let Some(member) = peers::planner_of(context, key) else {
@@ -180,17 +180,17 @@
     loop {
         match monoio::time::timeout(reply_timeout, replies.next()).await {
             Ok(Some(peer_message::PlanReply::Answer(answer))) => {
-                context.members.borrow_mut().answered(context.now(), &member.name);
+                context.members.borrow_mut().note_answered(context.now(), &member.name);
                 return Some(*answer);
             }
             Ok(Some(peer_message::PlanReply::Queued)) => {
-                context.members.borrow_mut().answered(context.now(), &member.name);
+                context.members.borrow_mut().note_answered(context.now(), &member.name);
                 reply_timeout = REPEAT_INTERVAL;
             }
             Ok(None) => return None,
             Err(_) => {
                 if reply_timeout == REPLY_TIMEOUT {
-                    context.members.borrow_mut().unanswered(&member.name);
+                    context.members.borrow_mut().note_unanswered(&member.name);
                     log::debug!(member:% = member.name; "planner.silent");
                 }
                 return None;
@@ -215,7 +215,7 @@
 async fn ask_local(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
-    ask: &engine_place::PlaceAsk,
+    ask: &engine_place::PlacementRequest,
     replies: &mut mpsc::UnboundedReceiver<peer_message::PlanReply>,
 ) -> Option<engine_place::PlaceAnswer> {
     let answer = ask_local_planner(context, key, ask, context.now());
@@ -235,7 +235,7 @@
 fn ask_local_planner(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
-    ask: &engine_place::PlaceAsk,
+    ask: &engine_place::PlacementRequest,
     now: units::MonoTime,
 ) -> Option<engine_place::PlaceAnswer> {
     let mut planners = context.planners.borrow_mut();
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -116,12 +116,12 @@
         &mut self,
         now: units::MonoTime,
         key: &planner_key::PlannerKey,
-        ask: engine_place::PlaceAsk,
+        ask: engine_place::PlacementRequest,
         origin: AskOrigin,
     ) -> Option<engine_place::PlaceAnswer> {
         self.asked.insert(key.clone(), now);
         let job = ask.job;
-        let answer = self.planners.get_mut(key)?.ask(now, ask);
+        let answer = self.planners.get_mut(key)?.request(now, ask);
         if answer.is_none() {
             self.origins.insert(job, origin);
         }
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -159,7 +159,7 @@
     digests: &[request_digest::RequestDigest],
 ) -> Vec<quarantine::CrashedRun> {
     let table = context.quarantine.borrow();
-    digests.iter().flat_map(|digest| table.ends(*digest).to_vec()).collect()
+    digests.iter().flat_map(|digest| table.crashes_of(*digest).to_vec()).collect()
 }
 
 /// Members that keep the evidence against these requests, each with the requests that it keeps evidence against.
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -137,7 +137,8 @@
         // After a start of all members each would consider itself the coordinator.
         return collections::BTreeMap::new();
     }
-    let bound = context.settings().bounds.retry_bound().kept(part, context.member_count());
+    let bound =
+        context.settings().bounds.retry_bound().coordinator_bound(part, context.member_count());
     let services = fleet.routes.services.keys();
     let own = services.filter(|service| {
         peers::planner_of(context, &planner_key::PlannerKey::of_retries(service)).is_none()
@@ -194,7 +195,7 @@
         Some((key, engine)) => {
             let mut planners = context.planners.borrow_mut();
             let planner = planners.planner(&key);
-            planner.and_then(|planner| planner.permits().ask(now, &engine, asker, ask))
+            planner.and_then(|planner| planner.permits().request(now, &engine, asker, ask))
         }
         None => {
             let mut ledger = context.quotas.ledger.borrow_mut();
@@ -249,9 +250,9 @@
     let grants = match planned_engine(context, subject) {
         Some((key, engine)) => {
             let mut planners = context.planners.borrow_mut();
-            planners.planner(&key).and_then(|planner| planner.permits().given(now, &engine))
+            planners.planner(&key).and_then(|planner| planner.permits().recent_grants(now, &engine))
         }
-        None => context.quotas.ledger.borrow().given(now, subject),
+        None => context.quotas.ledger.borrow().recent_grants(now, subject),
     };
     let members = context.members.borrow();
     let name = |boot: u64| {
@@ -275,7 +276,7 @@
         }
         let mut members = context.members.borrow_mut();
         if !members.was_heard_since(name, *at) {
-            members.unanswered(name);
+            members.note_unanswered(name);
         }
     }
     context.quotas.probe.replace(Some((coordinator.name.clone(), now)));
--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -35,7 +35,7 @@
 
 /// Records that the store does not answer; returns whether that is a change.
 pub(crate) fn mark_lost(context: &context::InstanceContext, error: &str) -> bool {
-    let lost = context.belief.borrow_mut().lose(context.now());
+    let lost = context.belief.borrow_mut().note_failure(context.now());
     if lost {
         log::warn!(error; "store.lost");
         heartbeats::announce(context);
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -45,7 +45,7 @@
         if let Some(answered) = until_doubted(context, waiting.as_mut(), wait + MAX_DELAY).await {
             return answered;
         }
-        context.belief.borrow_mut().doubt();
+        context.belief.borrow_mut().note_overdue();
         // Either the store is slow, or this connection is silent while new ones work: the first answer decides. Waiting
         // for the watch alone delayed changes by half a minute.
         match future::select(waiting, pin::pin!(probe(context, &mut probe_connection, revision)))
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -61,7 +61,7 @@
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     progress: &AskProgress<'_>,
-) -> engine_place::PlaceAsk {
+) -> engine_place::PlacementRequest {
     let spent = context.now().since(call.arrived);
     let millis = |span: time::Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
     let goal_left = if progress.begun {
@@ -70,7 +70,7 @@
     } else {
         call.route.first_token_goal.saturating_sub(spent)
     };
-    engine_place::PlaceAsk {
+    engine_place::PlacementRequest {
         job: context.next_job(),
         prompt: call.request.prompt,
         output: call.request.output,
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -226,7 +226,7 @@
         return answered;
     }
     let moment = connection_silence::SilencePhase::Head;
-    let is_doubted = used && context.pool.cause(&times, moment, wait.reused).doubts_others();
+    let is_doubted = used && context.pool.cause(&times, moment, wait.reused).may_affect_others();
     let in_time = call.left(context.now()) >= wait.usual;
     let reused_silent = is_doubted && in_time && give_up(RetryReach::AnyUpstream).await;
     if !reused_silent {
--- a/crates/instance/src/upstream_gate.rs
+++ b/crates/instance/src/upstream_gate.rs
@@ -23,7 +23,7 @@
         if self.trial {
             // Another request may probe now; a successful probe has ended the backoff.
             let mut fleet = self.context.fleet.borrow_mut();
-            fleet.list.notices_mut().end_trial(&self.upstream);
+            fleet.list.notices_mut().end_probe(&self.upstream);
         }
     }
 }
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -143,7 +143,7 @@
 
     /// Returns the time within which answers of a route usually arrive; zero while too few are known.
     pub fn usual(&self, route: &route_table::RoutePolicy) -> time::Duration {
-        self.times.get(&route.name).copied().unwrap_or_default().usual()
+        self.times.get(&route.name).copied().unwrap_or_default().usual_time()
     }
 
     /// Returns how long to wait for the head of an answer on a reused connection.
@@ -153,7 +153,7 @@
         longest: time::Duration,
     ) -> time::Duration {
         let times = self.times.get(&route.name).copied().unwrap_or_default();
-        times.kept_wait(route.first_token_goal, longest)
+        times.reused_connection_wait(route.first_token_goal, longest)
     }
 
     /// Records the load reported by an upstream.
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -31,7 +31,7 @@
     let refusals = [http::StatusCode::SERVICE_UNAVAILABLE, http::StatusCode::TOO_MANY_REQUESTS];
     if refusals.contains(&status) {
         if let Some(rest) = &answer.rest {
-            receive_rest(context, upstream, rest);
+            receive_backoff(context, upstream, rest);
         }
     } else if source == upstream_notice::NoticeSource::Answer {
         receive_accepted(context, upstream);
@@ -130,7 +130,7 @@
 }
 
 /// Handles a Retry-After. In answers other than refusals the header has another meaning.
-fn receive_rest(
+fn receive_backoff(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
     rest: &Result<time::Duration, adapter::FormatError>,
@@ -145,16 +145,16 @@
     };
     let news = {
         let mut fleet = context.fleet.borrow_mut();
-        fleet.list.notices_mut().receive_rest(context.now(), upstream, asked)
+        fleet.list.notices_mut().receive_backoff(context.now(), upstream, asked)
     };
     let asked_ms = units::whole_millis(asked);
-    let for_ms = units::whole_millis(asked.min(upstream_notice::MAX_REST));
+    let for_ms = units::whole_millis(asked.min(upstream_notice::MAX_ACCEPTED_BACKOFF));
     match news {
-        upstream_notice::RestNews::Known => return,
-        upstream_notice::RestNews::Begun => {
+        upstream_notice::BackoffChange::Known => return,
+        upstream_notice::BackoffChange::Begun => {
             log::info!(upstream:%, asked_ms, for_ms; "upstream.rests");
         }
-        upstream_notice::RestNews::Longer => {
+        upstream_notice::BackoffChange::Longer => {
             log::debug!(upstream:%, asked_ms, for_ms; "upstream.rests_longer");
         }
     }
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -37,7 +37,7 @@
 ) -> connection_silence::SilenceCause {
     let cause = context.pool.cause(wait.times, wait.moment, wait.waited);
     context.stats.borrow_mut().count("silent", cause.label());
-    let is_doubted = cause.doubts_others();
+    let is_doubted = cause.may_affect_others();
     let dropped =
         if is_doubted { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
     let log = &context.silence_log;
--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -59,7 +59,7 @@
 
 /// Fails the attempts and closes the idle connections of starts that have been found to have ended.
 pub(crate) fn handle_ended(context: &context::InstanceContext) {
-    let ended = context.fleet.borrow_mut().list.take_ended();
+    let ended = context.fleet.borrow_mut().list.take_ended_starts();
     if ended.is_empty() {
         return;
     }
--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use slipturn_core::{
-    engine_place::{JobId, PlaceAnswer, PlaceAsk, PlaceEnd},
+    engine_place::{JobId, PlaceAnswer, PlaceEnd, PlacementRequest},
     fleet_list::ListState,
     ids,
     planner::{
@@ -73,10 +73,10 @@
         memory: units::TokenCount(315_000),
         stride: 51.0,
         step_ms: 0.85,
-        step_per_writer_ms: 0.004_25,
+        step_per_decoding_ms: 0.004_25,
         step_per_context_ms: 0.002_85,
-        read_per_ms: 177.0,
-        read_per_pairs_ms: 0.184,
+        prefill_tokens_per_ms: 177.0,
+        prefill_per_million_pairs_ms: 0.184,
         report_lag_ms: 200.0,
     };
     let options =
@@ -87,8 +87,8 @@
     planner
 }
 
-fn ask(number: u64, excluded: Vec<ids::UpstreamId>) -> PlaceAsk {
-    PlaceAsk {
+fn ask(number: u64, excluded: Vec<ids::UpstreamId>) -> PlacementRequest {
+    PlacementRequest {
         job: JobId { boot: 1, sequence: number },
         prompt: 5_000,
         output: 1_700,
@@ -163,7 +163,8 @@
                 all.extend(names.into_iter().cloned());
             }
             self.jobs += 1;
-            let Some(PlaceAnswer::Grant(grant)) = self.planner.ask(at(now), ask(self.jobs, all))
+            let Some(PlaceAnswer::Grant(grant)) =
+                self.planner.request(at(now), ask(self.jobs, all))
             else {
                 self.outcome.refused += 1;
                 return true;
@@ -181,7 +182,7 @@
                 && (0..self.failing_engines).any(|number| engine(number) == grant.engine);
             if is_failing && self.random.random::<f64>() < self.refused_fraction {
                 self.outcome.refused_attempts += 1;
-                list.notices_mut().receive_rest(at(now), &grant.engine, BACKOFF);
+                list.notices_mut().receive_backoff(at(now), &grant.engine, BACKOFF);
                 self.planner.end(at(now), grant.job, PlaceEnd::Full);
                 excluded.push(grant.engine);
                 continue;
--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use slipturn_core::engine_place::{
-    JobId, PlaceAnswer, PlaceAsk, PlaceEnd, PlaceGrant, PlaceLease, PlaceNote,
+    JobId, PlaceAnswer, PlaceEnd, PlaceGrant, PlaceLease, PlaceNote, PlacementRequest,
 };
 use slipturn_core::member_heartbeat::ShortHeartbeat;
 use slipturn_core::planner_key::PlannerKey;
@@ -25,7 +25,7 @@
 
 fn lease(sequence: u64) -> PlaceLease {
     let job = JobId { boot: u64::MAX, sequence };
-    let ask = PlaceAsk {
+    let ask = PlacementRequest {
         job,
         prompt: u64::MAX,
         output: u64::MAX,
@@ -47,7 +47,7 @@
         first_token_ms: u32::MAX,
         waited_ms: u32::MAX,
     };
-    PlaceLease { ask, grant, reading: true }
+    PlaceLease { request: ask, grant, prefilling: true }
 }
 
 #[test]
@@ -61,7 +61,7 @@
         PeerMessage::Who,
         PeerMessage::Note(service.clone(), PlaceNote::Ended(job, PlaceEnd::Silent)),
         PeerMessage::Note(service.clone(), PlaceNote::Eject(name("e1"))),
-        PeerMessage::Ask(service, Box::new(lease(3).ask)),
+        PeerMessage::Ask(service, Box::new(lease(3).request)),
     ];
     for message in messages {
         let bytes = message.encode().expect("a message that can be encoded");
@@ -92,10 +92,10 @@
 #[test]
 fn messages_sent_for_each_request_are_small() {
     let short_request =
-        PlaceAsk { prompt: 5_000, output: 1_700, excluded: Vec::new(), ..lease(7).ask };
+        PlacementRequest { prompt: 5_000, output: 1_700, excluded: Vec::new(), ..lease(7).request };
     let grant = PlaceGrant { helpers: Vec::new(), ..lease(7).grant };
     let answer = PlaceAnswer::Grant(grant);
-    let job = lease(7).ask.job;
+    let job = lease(7).request.job;
     // After a day at 13 requests a second.
     let renewed = RenewedJob { sequence: 1_200_000, reading: false };
     let alive = ShortHeartbeat {
@@ -127,7 +127,7 @@
 #[test]
 fn messages_about_many_upstreams_fit_a_datagram() {
     let upstream = name("i-0123456789ab@1764633600000");
-    let ask = PlaceAsk { excluded: vec![upstream.clone(); 140], ..lease(1).ask };
+    let ask = PlacementRequest { excluded: vec![upstream.clone(); 140], ..lease(1).request };
     let request =
         PeerMessage::Ask(key(), Box::new(ask)).encode().expect("a message that can be encoded");
     let report = LeavingReport { upstream, age_ms: 9_999_999 };
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -86,7 +86,7 @@
     pub async fn offer(
         &self,
         engine: &ids::EngineId,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
         now: units::MonoTime,
     ) -> Result<Result<placement::EngineOffer, refusal::RequestRefusal>, LinkError> {
         self.call(CALL_TIMEOUT, async |client| {
@@ -102,7 +102,7 @@
     pub async fn acquire(
         &self,
         engine: &ids::EngineId,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
         now: units::MonoTime,
     ) -> Result<Result<u8, refusal::RequestRefusal>, LinkError> {
         let limit = request.patience.min(request.deadline).since(now) + WAIT_MARGIN;
@@ -136,7 +136,7 @@
         &self,
         entry: &ids::InstanceId,
         boot: ids::BootId,
-        places: &[(ids::EngineId, placement::PlaceRequest)],
+        places: &[(ids::EngineId, placement::CapacityRequest)],
         now: units::MonoTime,
     ) -> Result<(), LinkError> {
         self.call(CALL_TIMEOUT, async |client| {
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -31,13 +31,13 @@
 #[derive(Debug)]
 pub enum SchedulerEvent {
     /// An entry asks for an engine's estimate for a request.
-    Offer(ids::EngineId, placement::PlaceRequest, oneshot::Sender<OfferAnswer>),
+    Offer(ids::EngineId, placement::CapacityRequest, oneshot::Sender<OfferAnswer>),
     /// An entry requests a place on an engine, and waits until it is granted or refused.
-    Acquire(ids::EngineId, placement::PlaceRequest, oneshot::Sender<PlaceAnswer>),
+    Acquire(ids::EngineId, placement::CapacityRequest, oneshot::Sender<PlaceAnswer>),
     /// An entry releases a place, or leaves the engine's queue.
     Release(ids::EngineId, ids::AttemptId),
     /// An entry lists all attempts that it is streaming, which renews their leases.
-    Renew(ids::InstanceId, ids::BootId, Vec<(ids::EngineId, placement::PlaceRequest)>),
+    Renew(ids::InstanceId, ids::BootId, Vec<(ids::EngineId, placement::CapacityRequest)>),
     /// An entry draws a portion of a customer's budget.
     Draw(ids::CustomerId, budget::BudgetLimit, units::TokenCount, oneshot::Sender<PortionAnswer>),
     /// An entry asks for a vote on an idempotency key.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -114,7 +114,7 @@
         &mut self,
         now: units::MonoTime,
         engine: &ids::EngineId,
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
     ) -> (event::OfferAnswer, Vec<event::SchedulerEffect>) {
         let effects = self.ensure_engine(now, engine);
         match self.engines.get_mut(engine) {
@@ -127,7 +127,7 @@
         &mut self,
         now: units::MonoTime,
         engine: &ids::EngineId,
-        request: placement::PlaceRequest,
+        request: placement::CapacityRequest,
         answer: oneshot::Sender<event::PlaceAnswer>,
     ) -> Vec<event::SchedulerEffect> {
         let mut effects = self.ensure_engine(now, engine);
@@ -160,7 +160,7 @@
         now: units::MonoTime,
         entry: &ids::InstanceId,
         boot: ids::BootId,
-        places: Vec<(ids::EngineId, placement::PlaceRequest)>,
+        places: Vec<(ids::EngineId, placement::CapacityRequest)>,
     ) -> Vec<event::SchedulerEffect> {
         let mut by_engine: collections::BTreeMap<ids::EngineId, Vec<_>> =
             collections::BTreeMap::new();
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -35,7 +35,7 @@
 const UNREAD_STREAM: u64 = 2;
 /// Longest rest of a connection that is used again: well under the instances' idle time of 10 s,
 /// so that its use does not cross their close.
-const MAX_REST: time::Duration = time::Duration::from_secs(8);
+const MAX_ACCEPTED_BACKOFF: time::Duration = time::Duration::from_secs(8);
 /// Time a client is given, of each kind of request.
 const DEADLINE: time::Duration = time::Duration::from_secs(6);
 
@@ -68,7 +68,7 @@
     /// The connection, if it may be used again; or else whether it has ended early, and since when
     /// it had rested.
     fn wake(mut self) -> Result<Caller, Option<time::Instant>> {
-        if self.since.elapsed() >= MAX_REST {
+        if self.since.elapsed() >= MAX_ACCEPTED_BACKOFF {
             return Err(None);
         }
         if self.caller.ended() { Err(Some(self.since)) } else { Ok(self.caller) }
--- a/crates/trial/tests/engine_memory.rs
+++ b/crates/trial/tests/engine_memory.rs
@@ -22,7 +22,7 @@
 struct FakeEntry {
     name: ids::InstanceId,
     boot: u64,
-    streaming: collections::BTreeMap<ids::AttemptId, placement::PlaceRequest>,
+    streaming: collections::BTreeMap<ids::AttemptId, placement::CapacityRequest>,
 }
 
 /// One round's world.
@@ -33,7 +33,7 @@
     model: engine_model::EngineModel,
     entries: Vec<FakeEntry>,
     /// Requests that wait for a place, by attempt, with their entry.
-    asked: collections::BTreeMap<ids::AttemptId, (usize, placement::PlaceRequest)>,
+    asked: collections::BTreeMap<ids::AttemptId, (usize, placement::CapacityRequest)>,
     /// Releases on their way, and when they arrive.
     late: Vec<(units::MonoTime, ids::AttemptId)>,
     number: u64,
@@ -109,7 +109,7 @@
         let limit = time::Duration::from_secs(5 + self.random.random_range(0..15));
         let FakeEntry { name, boot, .. } = &self.entries[entry];
         let request = ids::RequestId::new(name, ids::BootId(*boot), self.number);
-        let place = placement::PlaceRequest {
+        let place = placement::CapacityRequest {
             attempt: ids::AttemptId::new(&request, 1),
             entry: name.clone(),
             boot: ids::BootId(*boot),
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -60,7 +60,7 @@
 pub fn write_place(
     mut builder: scheduler_capnp::place::Builder<'_>,
     engine: &ids::EngineId,
-    request: &placement::PlaceRequest,
+    request: &placement::CapacityRequest,
     now: units::MonoTime,
 ) {
     builder.set_attempt(request.attempt.as_str());
@@ -82,8 +82,8 @@
 pub fn read_place(
     reader: scheduler_capnp::place::Reader<'_>,
     now: units::MonoTime,
-) -> Result<(ids::EngineId, placement::PlaceRequest), WireError> {
-    let request = placement::PlaceRequest {
+) -> Result<(ids::EngineId, placement::CapacityRequest), WireError> {
+    let request = placement::CapacityRequest {
         attempt: read_name(reader.get_attempt()?)?,
         entry: read_name(reader.get_entry()?)?,
         boot: ids::BootId(reader.get_boot()),
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -34,7 +34,7 @@
 #[test]
 fn a_place_keeps_its_remaining_times_on_another_clock() {
     let now = units::MonoTime(5_000_000);
-    let request = placement::PlaceRequest {
+    let request = placement::CapacityRequest {
         attempt: "instance-1:a:b:1".parse().unwrap(),
         entry: "instance-1".parse().unwrap(),
         boot: slipturn_core::ids::BootId(10),
