--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -185,24 +185,24 @@
     pub fn plan(
         &mut self,
         now: units::MonoTime,
-        question: &PlanQuery,
+        query: &PlanQuery,
     ) -> Result<RequestGrant, refusal::RequestRefusal> {
-        let (tree, mut resolved) = self.resolve(now, &question.key, question.prompt)?;
-        if let Some(requested_limit) = question.requested_limit {
+        let (tree, mut resolved) = self.resolve(now, &query.key, query.prompt)?;
+        if let Some(requested_limit) = query.requested_limit {
             resolved.shorten_limit(requested_limit);
         }
-        check_model(&resolved, &question.model)?;
-        if !self.list.engines.iter().any(|engine| engine.model == question.model) {
-            return Err(unknown_model(&question.model));
+        check_model(&resolved, &query.model)?;
+        if !self.list.engines.iter().any(|engine| engine.model == query.model) {
+            return Err(unknown_model(&query.model));
         }
         let longest = resolved.max_prompt_tokens.value;
-        if question.prompt > longest {
+        if query.prompt > longest {
             let text =
-                format!("the prompt has about {}, at most {longest} are allowed", question.prompt);
+                format!("the prompt has about {}, at most {longest} are allowed", query.prompt);
             return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
         }
         let most = resolved.max_output_tokens.value;
-        let output = question.output.map_or(most, |requested| requested.min(most));
+        let output = query.output.map_or(most, |requested| requested.min(most));
         self.retries.count_request(now);
         Ok(RequestGrant {
             settings: resolved,
@@ -285,7 +285,7 @@
     pub fn candidates(
         &mut self,
         now: units::MonoTime,
-        question: &PlanQuery,
+        query: &PlanQuery,
         fleet: &settings::FleetOptions,
         prefix: u64,
         tried: &[ids::EngineId],
@@ -293,10 +293,10 @@
         self.ejected.retain(|_, until| *until > now);
         let warm = self.affinity.get(&prefix).cloned();
         let sampled = self.policy.wants_offers();
-        let long = sampled && question.prompt > fleet.long_tokens;
+        let long = sampled && query.prompt > fleet.long_tokens;
         let directory = engine_directory::EngineDirectory::new(&self.list, &self.data_center);
         let share = if long { fleet.long_engines.factor() } else { 1.0 };
-        let eligible = directory.share_of(&question.model, share);
+        let eligible = directory.share_of(&query.model, share);
         let untried = eligible.into_iter().filter(|engine| !tried.contains(&engine.name));
         let (ejected, mut open): (Vec<_>, Vec<_>) =
             untried.partition(|engine| self.ejected.contains_key(&engine.name));
@@ -388,9 +388,9 @@
     pub fn decide_retry(
         &mut self,
         now: units::MonoTime,
-        question: retry::FailedAttempt,
+        failed: retry::FailedAttempt,
     ) -> retry::RetryVerdict {
-        self.retries.decide(now, question)
+        self.retries.decide(now, failed)
     }
 
     /// Counts a request towards the retry budget.
--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -143,7 +143,7 @@
             let member = probe.member;
             let is_suspected = self.suspected.contains(&member.boot);
             if probe.is_silent(now) && !is_suspected {
-                silent.push((member.boot, probe.asked.unwrap_or(now)));
+                silent.push((member.boot, probe.unanswered_since.unwrap_or(now)));
             } else if probe.needs_relays(now) && !is_suspected {
                 probe.relayed = Some(now);
                 self.number += 1;
@@ -156,7 +156,7 @@
             }
             if now >= probe.due {
                 probe.due = now + PROBE_INTERVAL.mul_f64(random.random_range(0.9..1.1));
-                probe.asked = probe.asked.or(Some(now));
+                probe.unanswered_since = probe.unanswered_since.or(Some(now));
                 self.number += 1;
                 actions.push(DetectorAction::Send(member.address, ProbeMessage::Ping(self.number)));
             }
--- a/crates/core/src/failure_detector/probe.rs
+++ b/crates/core/src/failure_detector/probe.rs
@@ -22,7 +22,7 @@
     /// When the next probe is due.
     pub(super) due: units::MonoTime,
     /// When the first unanswered probe was sent.
-    pub(super) asked: Option<units::MonoTime>,
+    pub(super) unanswered_since: Option<units::MonoTime>,
     /// When relayed probes were requested.
     pub(super) relayed: Option<units::MonoTime>,
 }
@@ -30,12 +30,12 @@
 impl MemberProbe {
     /// A probe that is due now.
     pub(super) fn new(member: failure_detector::RingMember, now: units::MonoTime) -> Self {
-        Self { member, rank: 0, answered: None, due: now, asked: None, relayed: None }
+        Self { member, rank: 0, answered: None, due: now, unanswered_since: None, relayed: None }
     }
 
     /// Forgets unanswered probes.
     pub(super) fn reset(&mut self) {
-        (self.asked, self.relayed) = (None, None);
+        (self.unanswered_since, self.relayed) = (None, None);
     }
 
     /// Records an answer.
@@ -46,8 +46,8 @@
 
     /// Whether the direct probe timed out and relayed ones are due.
     pub(super) fn needs_relays(&self, now: units::MonoTime) -> bool {
-        let asked = self.asked.filter(|_| self.relayed.is_none());
-        asked.is_some_and(|asked| now.since(asked) >= DIRECT_TIMEOUT)
+        let unanswered_since = self.unanswered_since.filter(|_| self.relayed.is_none());
+        unanswered_since.is_some_and(|unanswered_since| now.since(unanswered_since) >= DIRECT_TIMEOUT)
     }
 
     /// Whether the relayed probes timed out as well.
--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -118,7 +118,7 @@
     ///
     /// The first request for a key is recorded even if this instance then abstains, unless it already
     /// has [`MAX_KEYS`] keys.
-    pub fn ask(
+    pub fn vote(
         &mut self,
         now: units::MonoTime,
         key: &ScopedKey,
--- a/crates/core/src/permit_cache.rs
+++ b/crates/core/src/permit_cache.rs
@@ -15,7 +15,7 @@
     /// Send with this permit.
     Send(quota_permit::PermitTerm),
     /// Request permits from the coordinator.
-    Ask(quota_permit::PermitRequest),
+    Request(quota_permit::PermitRequest),
     /// Try another upstream: no permit can be requested for this long.
     Backoff(time::Duration),
 }
@@ -66,7 +66,7 @@
         }
         let wanted = u32::try_from(row.demand.len() / PREFETCH_DIVISOR).unwrap_or(u32::MAX).max(1);
         let patience_ms = u32::try_from(patience.as_millis()).unwrap_or(u32::MAX);
-        PermitStep::Ask(quota_permit::PermitRequest { wanted, patience_ms })
+        PermitStep::Request(quota_permit::PermitRequest { wanted, patience_ms })
     }
 
     /// Time until permits may be requested again.
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -205,13 +205,13 @@
         turn: send_gate::ProbePermission,
     ) -> bool {
         let backoff = self.notices.get(name).and_then(|notice| notice.backoff);
-        let rested =
+        let ended =
             backoff.filter(|backoff| backoff.until <= now && now < backoff.until + RETURN_TIME);
-        let Some(backoff) = rested.filter(|_| self.rest_return == RestReturnWay::One) else {
+        let Some(backoff) = ended.filter(|_| self.rest_return == RestReturnWay::One) else {
             return false;
         };
-        let tried = backoff.probe_sent.is_some_and(|at| now.since(at) < PROBE_TIMEOUT);
-        tried || turn == send_gate::ProbePermission::No
+        let probed = backoff.probe_sent.is_some_and(|at| now.since(at) < PROBE_TIMEOUT);
+        probed || turn == send_gate::ProbePermission::No
     }
 
     /// Records a send to a start; returns whether it is a probe.
--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -99,7 +99,7 @@
     /// Lets the request with number `requester` ask one instance.
     fn ask(&mut self, number: u64, requester: u64) -> key_vote::VoteAnswer {
         let clock = now(self.clock);
-        self.voters.get_mut(&number).unwrap().ask(clock, &key(), &request(requester))
+        self.voters.get_mut(&number).unwrap().vote(clock, &key(), &request(requester))
     }
 
     /// Lets a request ask all instances; the answers of those for which `lost` is true do not arrive.
--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -277,7 +277,7 @@
         match step {
             PermitStep::Send(_) => self.sends.push(now),
             PermitStep::Backoff(_) => {}
-            PermitStep::Ask(request) => {
+            PermitStep::Request(request) => {
                 let wanted = if self.way == LimitWay::GrantEach { 1 } else { request.wanted };
                 let request = PermitRequest { wanted, ..request };
                 let coordinator = self.coordinator_of(now, from);
@@ -453,7 +453,7 @@
     let granted = PermitResponse::Granted { count: 3, wait_ms: 0 };
     assert!(cache.receive(at(700), &upstream(), at(100), granted).is_err());
     let step = cache.step(at(701), &upstream(), time::Duration::ZERO);
-    assert!(matches!(step, PermitStep::Ask(_)), "{step:?}");
+    assert!(matches!(step, PermitStep::Request(_)), "{step:?}");
     let term = PermitTerm::of_answer(at(100), time::Duration::ZERO);
     assert!(term.is_valid(at(599)) && !term.is_valid(at(600)));
 }
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -88,7 +88,7 @@
     let term = match step {
         permit_cache::PermitStep::Send(term) => term,
         permit_cache::PermitStep::Backoff(closed) => return Err(NoPermit(closed)),
-        permit_cache::PermitStep::Ask(ask) => {
+        permit_cache::PermitStep::Request(ask) => {
             let Some(answer) = request_coordinator(context, subject, ask).await else {
                 let mut cache = context.quotas.cache.borrow_mut();
                 cache.note_silence(context.now(), subject, SILENCE_BACKOFF);
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -88,7 +88,7 @@
                 Vec::new()
             }
             SchedulerEvent::Vote(key, request, answer) => {
-                let _ = answer.send(self.voter.ask(now, &key, &request));
+                let _ = answer.send(self.voter.vote(now, &key, &request));
                 Vec::new()
             }
             SchedulerEvent::Watch(known, deadline, answer) => {
