--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -135,7 +135,7 @@
 /// A placement in use, as its member reports it to a planner that has just taken over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceLease {
-    /// The original request.
+    /// The request for this placement.
     pub request: PlacementRequest,
     /// Its placement.
     pub grant: PlaceGrant,
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -137,16 +137,16 @@
         self.store.confirm(now, age);
     }
 
-    /// Number of detected pauses of the process.
+    /// Number of pauses of this process detected so far.
     ///
-    /// Callers read it before they ask a source, and pass it to [`Self::note_sources_queried`] with the answer.
+    /// Callers read it before they query a source, and pass it to [`Self::note_sources_queried`] with the answer.
     pub fn pause_count(&self) -> u64 {
         self.pause_detector.pause_count
     }
 
-    /// Records that the sources have been asked, whether one answered or all were silent.
+    /// Records that the sources have been queried, whether one answered or all were silent.
     ///
-    /// `pause_count` is the value of [`Self::pause_count`] before asking: if the process was paused since, the answer may be
+    /// `pause_count` is the value of [`Self::pause_count`] before the query: if the process was paused since, the answer may be
     /// outdated and does not count.
     pub fn note_sources_queried(&mut self, now: units::MonoTime, pause_count: u64) {
         self.pause_detector.notice(now);
@@ -172,7 +172,7 @@
         &self.list
     }
 
-    /// Whether requests may be accepted: settings and list are known, and the process has asked for newer ones since
+    /// Whether requests may be accepted: settings and list are known, and the process has queried the sources since
     /// its last pause.
     pub fn ready(&mut self, now: units::MonoTime) -> bool {
         self.pause_detector.notice(now);
--- a/crates/core/src/failure_detector/message.rs
+++ b/crates/core/src/failure_detector/message.rs
@@ -16,7 +16,7 @@
 }
 
 impl SuspectReport {
-    /// Of a start whose first unanswered probe was sent at `since`.
+    /// Creates the report on a start whose first unanswered probe was sent at `since`.
     pub(super) fn new(now: units::MonoTime, boot: u64, since: units::MonoTime) -> Self {
         let silent_ms = u32::try_from(now.since(since).as_millis()).unwrap_or(u32::MAX);
         Self { boot, silent_ms }
--- a/crates/core/src/failure_detector/probe.rs
+++ b/crates/core/src/failure_detector/probe.rs
@@ -47,7 +47,8 @@
     /// Whether the direct probe timed out and relayed ones are due.
     pub(super) fn needs_relays(&self, now: units::MonoTime) -> bool {
         let unanswered_since = self.unanswered_since.filter(|_| self.relayed.is_none());
-        unanswered_since.is_some_and(|unanswered_since| now.since(unanswered_since) >= DIRECT_TIMEOUT)
+        unanswered_since
+            .is_some_and(|unanswered_since| now.since(unanswered_since) >= DIRECT_TIMEOUT)
     }
 
     /// Whether the relayed probes timed out as well.
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -10,7 +10,7 @@
 
 /// Interval between two periodic rounds of a member.
 pub const REPEAT_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Members asked for their state by one that may have missed something.
+/// Members whose state is requested by one that may have missed something.
 const REQUESTED_MEMBERS: usize = 3;
 /// Fan-out of a round. With less, the last member of a large fleet learns of a leaving upstream after its end.
 const REPEATED_MEMBERS: usize = 3;
--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Time after the first ask within which a majority may be used.
+/// Time after a request's first query to a voter within which its majority may be used.
 ///
 /// A request whose process was paused for longer gives up, because voters may have dropped its
 /// votes.
@@ -55,7 +55,7 @@
     name: ids::InstanceId,
     started: units::MonoTime,
     retention: time::Duration,
-    /// First request for each key, and the time of its ask. Invariant: an entry is kept for at least
+    /// First request for each key, and when it asked for the key. Invariant: an entry is kept for at least
     /// `retention` and never replaced.
     first_requests: collections::HashMap<ScopedKey, (ids::RequestId, units::MonoTime)>,
     /// Instances listed at some time within the window.
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -42,7 +42,7 @@
     heartbeat: member_heartbeat::MemberHeartbeat,
     /// Hash of the name, for the order of members by key.
     hash: u64,
-    /// When there was a sign of life last.
+    /// When there was last a sign of life.
     heard: units::MonoTime,
     /// Unanswered calls since the last sign of life.
     unanswered: u32,
--- a/crates/core/src/pause_detector.rs
+++ b/crates/core/src/pause_detector.rs
@@ -12,7 +12,7 @@
     last: Option<units::MonoTime>,
     /// Number of pauses so far.
     pub(crate) pause_count: u64,
-    /// Whether the sources have not been asked again since the last pause, or since the start.
+    /// Whether the sources have not been queried since the last pause, or since the start.
     pub(crate) unrefreshed: bool,
 }
 
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -26,7 +26,7 @@
     engine_place, ids, quota_ledger, retry_schedule, route_table, send_pace, settings, units,
 };
 
-/// Longest time that a request stays queued; the member that asked for it has given up long before.
+/// Longest time that a request stays queued; its member has given up long before.
 const MAX_WAIT: time::Duration = time::Duration::from_secs(30);
 /// Fraction of all engine slots that must be in use before a short request is refused; below it, engines that seem
 /// unusable may only have been slow.
@@ -140,7 +140,7 @@
             return Some(answer);
         }
         if let Some(waiting) = self.waiting.iter_mut().find(|waiting| waiting.request.job == id) {
-            // The set may have changed: engines can ask a member to stop sending for a while.
+            // The excluded engines may have changed: an engine can request a backoff from a member.
             waiting.request.excluded = request.excluded;
             return None;
         }
@@ -169,7 +169,7 @@
     /// Drops expired requests and leases, then places waiting requests, the most urgent first.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<engine_place::PlaceAnswer> {
         self.table.expire(now);
-        // A member that still needs a placement asks again within the lease time.
+        // A member that still needs a placement repeats its request within the lease time.
         self.waiting.retain(|job| now.since(job.since) < MAX_WAIT);
         let mut answers = std::mem::take(&mut self.ready_answers);
         if self.waiting.is_empty() {
--- a/crates/core/src/planner/ways.rs
+++ b/crates/core/src/planner/ways.rs
@@ -69,7 +69,7 @@
     /// The member that the upstream informed notifies all others at once.
     #[default]
     All,
-    /// Each member hears it from the upstream itself or from the published list.
+    /// Each member learns it from the upstream itself or from the published list.
     Heard,
 }
 
@@ -80,7 +80,7 @@
     /// From each placement request of that member.
     #[default]
     Asked,
-    /// Not at all: the member holds the request back and asks again.
+    /// Not at all: the member holds the request back and requests another placement.
     KeptBack,
 }
 
@@ -141,7 +141,7 @@
     pub engine_faults: EngineFaultWay,
     /// Refusal of short requests.
     pub short_refusal: ShortRefusalWay,
-    /// How traffic returns to an upstream after a rest.
+    /// How requests to an upstream resume after a backoff.
     pub rest_return: upstream_notice::RestReturnWay,
     /// Propagation of the news that an upstream is leaving.
     pub leaving_news: LeavingNewsWay,
--- a/crates/core/src/retry_need.rs
+++ b/crates/core/src/retry_need.rs
@@ -15,7 +15,7 @@
 
 impl RetryNeed {
     /// Part of the burst allowance reserved for retries of higher priority. Beyond the burst allowance nothing is
-    /// reserved, as permits kept for them would be lost while there are no such retries.
+    /// reserved, as permits reserved for them would be lost while there are no such retries.
     pub fn reserved_part(self) -> f64 {
         match self {
             Self::Early => 0.3,
--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -92,18 +92,17 @@
     pub slots: usize,
     /// Size of the KV cache of one engine.
     pub memory: units::TokenCount,
-    /// Token steps in one pass, when at least one request generates tokens.
+    /// Decode steps in one pass, when at least one request is decoding.
     pub stride: f64,
-    /// Duration of one step without load, in milliseconds.
+    /// Duration of one decode step without load, in milliseconds.
     pub step_ms: f64,
-    /// Time that each generating request adds to a step, in milliseconds.
+    /// Time that each decoding request adds to a decode step, in milliseconds.
     pub step_per_decoding_ms: f64,
-    /// Time that each 1,000 context tokens of the generating requests add to a step, in milliseconds.
+    /// Time that each 1,000 context tokens of the decoding requests add to a decode step, in milliseconds.
     pub step_per_context_ms: f64,
-    /// Prompt tokens processed per millisecond.
+    /// Prompt tokens prefilled per millisecond, without the cost of token pairs.
     pub prefill_tokens_per_ms: f64,
-    /// Time that each million pairs of a prompt token and an earlier one add to the processing of the prompt, in
-    /// milliseconds.
+    /// Time that each million pairs of a prompt token and an earlier one add to the prefill, in milliseconds.
     pub prefill_per_million_pairs_ms: f64,
     /// Age of the state in an engine's report, in milliseconds.
     pub report_lag_ms: f64,
--- a/crates/core/src/start_wait.rs
+++ b/crates/core/src/start_wait.rs
@@ -12,7 +12,7 @@
 /// Fraction of its time limit that a request waits at most; the rest is for its answer or for an attempt elsewhere.
 const PATIENCE_FRACTION: f64 = 0.3;
 
-/// Whom a process has been in contact with since its start.
+/// The best contact that a process has had since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartContact {
     /// No contact.
--- a/crates/core/src/upstream_health.rs
+++ b/crates/core/src/upstream_health.rs
@@ -117,7 +117,8 @@
     /// Records that a member, or this process, was informed that the upstream is gone; returns whether that is news, as
     /// there was no such report within the last [`GONE_REPORT_INTERVAL`].
     pub fn receive_gone(&mut self, now: units::MonoTime) -> bool {
-        let news = self.gone_reported.is_none_or(|reported| now.since(reported) >= GONE_REPORT_INTERVAL);
+        let news =
+            self.gone_reported.is_none_or(|reported| now.since(reported) >= GONE_REPORT_INTERVAL);
         self.gone_reported = Some(now);
         self.consecutive_failures = self.consecutive_failures.max(1);
         self.paused_until = self.paused_until.max(now + GONE_PAUSE);
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -114,10 +114,10 @@
         self.entries.values().filter(|entry| entry.service == *service).count()
     }
 
-    /// Removes doubtful upstreams that are due, ends what is due of a recovery, and makes ended starts the present ones where
-    /// the list has kept naming them; returns whether the list changed.
+    /// Removes doubtful upstreams that are due, drops expired state of a recovery, and makes ended starts the present ones
+    /// where the list has kept naming them; returns whether the list changed.
     pub fn tick(&mut self, now: units::MonoTime) -> bool {
-        // First, as it also clears the ended starts that the list names of the upstreams it removes.
+        // Goes first, because removing an upstream also discards the ended start that the list names for it.
         let recovered = self.tick_recovery(now);
         let gone: Vec<_> = self
             .doubtful
@@ -163,7 +163,7 @@
         let Some(entry) = self.entry(name).filter(|entry| self.is_staying(entry)) else {
             return false;
         };
-        // Called for each request and each engine that reads a part of it, so the other upstreams of the service are only
+        // Called for each request and each engine that prefills a part of it, so the other upstreams of the service are only
         // counted for a doubtful one.
         !self.doubtful.contains_key(entry.name.identifier())
             || self.usable(&entry.service).iter().any(|usable| usable.name == entry.name)
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -18,8 +18,8 @@
 const RETURN_TIME: time::Duration = time::Duration::from_secs(10);
 /// How long after the end of a limit older readings of it may arrive.
 const ENDED_LIMIT_MEMORY: time::Duration = time::Duration::from_secs(30);
-/// Most starts that notices are kept of, some 100 bytes each: those of a fleet with 2,000 upstreams that all send one
-/// at once. Beyond that the oldest are forgotten, and learned anew from the next answer.
+/// Most starts with notices, some 100 bytes each: enough for a fleet with 2,000 upstreams that all send a notice at
+/// once. Beyond that the oldest notices are dropped, and received again with the next answer.
 const MAX_NOTICES: usize = 2_048;
 
 /// Origin of a notice.
@@ -61,10 +61,10 @@
     pub since: units::MonoTime,
 }
 
-/// A start of an upstream asked this instance for a backoff.
+/// A backoff that a start of an upstream requested from this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffNotice {
-    /// Length that the upstream asked for.
+    /// Length that the upstream requested.
     pub requested: time::Duration,
     /// When it was received.
     pub since: units::MonoTime,
@@ -108,7 +108,7 @@
 struct UpstreamNotice {
     leaving: Option<LeavingNotice>,
     backoff: Option<BackoffNotice>,
-    /// Also kept after its end while older readings may arrive.
+    /// The limit; also kept after its end while older readings may arrive.
     limit: Option<upstream_limit::LimitNotice>,
     /// When the start was last listed or sent a notice.
     known: units::MonoTime,
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -26,7 +26,7 @@
         Self { knows: vec![false; members], cut_until, messages: 0, random }
     }
 
-    /// Sends a message; reoffsets whether it arrives.
+    /// Sends a message; returns whether it arrives.
     fn send(&mut self, now: u64, from: usize, to: usize) -> bool {
         self.messages += 1;
         let half = self.knows.len() / 2;
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -145,7 +145,7 @@
     assert!(refused(ShortRefusalWay::Crowded) && !refused(ShortRefusalWay::Hopeless));
 }
 
-/// Engines that ask a member to rest look idle to its requests, which must not count the free slots there.
+/// Engines that have requested a backoff from a member look idle; the free slots there must not count for its requests.
 #[test]
 fn slots_of_excluded_engines_do_not_count_as_free() {
     let mut planner = planner(3, PlannerWays::default());
@@ -170,7 +170,7 @@
     assert_ne!(other.engine, engine(2), "a request of another member may use the other engines");
 }
 
-/// An engine may ask a member to rest while a prompt of that member waits for the engine.
+/// An engine may request a backoff from a member while a prompt of that member waits for the engine.
 #[test]
 fn a_waiting_prompt_uses_the_excluded_engines_of_its_latest_request() {
     let mut planner = planner(2, PlannerWays::default());
