--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -79,14 +79,14 @@
     /// Time since the connection was opened.
     pub opened: time::Duration,
     /// Time since data was last received; `None` if none ever was.
-    pub heard: Option<time::Duration>,
+    pub received: Option<time::Duration>,
 }
 
 impl ConnectionAges {
     /// Whether data was received late enough in a wait of `waited`, which ends now, that this
     /// connection cannot have gone silent together with the one that was waited for.
     pub fn trusted(&self, waited: time::Duration) -> bool {
-        self.heard.is_some_and(|heard| heard < waited.mul_f64(TRUST_PART))
+        self.received.is_some_and(|received| received < waited.mul_f64(TRUST_PART))
     }
 
     /// Whether one of `others` was open for as long as this connection may have been silent, and is
@@ -102,7 +102,7 @@
 
     /// Longest time for which the connection may have been silent.
     fn silent(&self) -> time::Duration {
-        self.heard.unwrap_or(self.opened)
+        self.received.unwrap_or(self.opened)
     }
 }
 
@@ -134,17 +134,17 @@
     /// upstream.
     pub fn of(
         silent: ConnectionAges,
-        moment: SilencePhase,
+        phase: SilencePhase,
         waited: time::Duration,
         others: impl Iterator<Item = ConnectionAges>,
     ) -> Self {
-        if silent.heard.is_none() {
+        if silent.received.is_none() {
             return Self::Upstream;
         }
         if silent.has_live_peer(waited, others) {
             return Self::SlowUpstream;
         }
-        match moment {
+        match phase {
             SilencePhase::Head => Self::ReusedConnection,
             SilencePhase::MidAnswer => Self::OpenConnection,
         }
--- a/crates/core/src/document_source.rs
+++ b/crates/core/src/document_source.rs
@@ -7,12 +7,12 @@
 
 use crate::units;
 
-/// How long only members are asked. It covers three attempts, so that a member that is busy, gone or silent is
+/// How long only members are queried. It covers three attempts, so that a member that is busy, gone or silent is
 /// followed by another. A change must be in force within two seconds on the smallest fleets.
 const MEMBERS_ONLY_TIME: time::Duration = time::Duration::from_millis(450);
 /// Period after [`MEMBERS_ONLY_TIME`] over which instances turn to the store, so that they don't do so all at once.
 const STORE_SPREAD_TIME: time::Duration = time::Duration::from_millis(300);
-/// How long only members are asked after a failed read of the store. Another wait for the store would take a second
+/// How long only members are queried after a failed read of the store. Another wait for the store would take a second
 /// or more of the time within which a change must be in force.
 const STORE_RETRY_DELAY: time::Duration = time::Duration::from_secs(5);
 
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -16,13 +16,13 @@
         let is_live = |member: &&membership::MemberState| {
             member.is_live(now, limit) && member.unanswered < membership::MAX_UNANSWERED
         };
-        let heard = staying().filter(is_live).count();
-        (heard + 1) as f64 / (staying().count() + 1) as f64
+        let last_alive = staying().filter(is_live).count();
+        (last_alive + 1) as f64 / (staying().count() + 1) as f64
     }
 
     /// Whether there was a sign of life of a member after `at`.
     pub fn was_heard_since(&self, name: &ids::InstanceId, at: units::MonoTime) -> bool {
-        self.members.get(name).is_some_and(|member| member.heard > at)
+        self.members.get(name).is_some_and(|member| member.last_alive > at)
     }
 
     /// The member with this boot number.
@@ -42,7 +42,7 @@
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered = 0;
             member.suspected = false;
-            member.heard = now;
+            member.last_alive = now;
         }
     }
 
@@ -77,9 +77,9 @@
         let Some(member) = name.and_then(|name| self.members.get_mut(name)) else {
             return false;
         };
-        member.suspected = silent.is_some_and(|silent| now.since(member.heard) >= silent);
+        member.suspected = silent.is_some_and(|silent| now.since(member.last_alive) >= silent);
         if silent.is_none() {
-            member.heard = now;
+            member.last_alive = now;
             member.unanswered = 0;
         }
         member.suspected
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -43,7 +43,7 @@
     /// Hash of the name, for the order of members by key.
     hash: u64,
     /// When there was last a sign of life.
-    heard: units::MonoTime,
+    last_alive: units::MonoTime,
     /// Unanswered calls since the last sign of life.
     unanswered: u32,
     /// Whether the failure detector suspects the member; reset by any sign of life.
@@ -53,7 +53,7 @@
 impl MemberState {
     /// Whether there was a sign of life within `limit` and no suspicion since.
     fn is_live(&self, now: units::MonoTime, limit: time::Duration) -> bool {
-        !self.suspected && now.since(self.heard) <= limit
+        !self.suspected && now.since(self.last_alive) <= limit
     }
 }
 
@@ -188,7 +188,8 @@
         let joined = known.is_none_or(|known| known.heartbeat.boot != heartbeat.boot);
         let name = heartbeat.name.clone();
         let hash = rendezvous::stable_hash(&[name.as_str()]);
-        let state = MemberState { heartbeat, hash, heard: now, unanswered: 0, suspected: false };
+        let state =
+            MemberState { heartbeat, hash, last_alive: now, unanswered: 0, suspected: false };
         self.insert(name, state);
         if joined {
             self.max_size = self.max_size.max(self.alive(now).count() + 1);
@@ -235,7 +236,7 @@
                 list: alive.list,
                 ..member.heartbeat.clone()
             };
-            member.heard = now;
+            member.last_alive = now;
             member.unanswered = 0;
             member.suspected = false;
         }
@@ -254,7 +255,7 @@
         let silent: Vec<_> = self
             .members
             .iter()
-            .filter(|(_, member)| now.since(member.heard) > limit)
+            .filter(|(_, member)| now.since(member.last_alive) > limit)
             .map(|(name, _)| name.clone())
             .collect();
         silent.iter().for_each(|name| self.remove(name));
@@ -317,7 +318,7 @@
     }
 
     /// Members with the newest routes beyond `version`, in this data centre or else in any. Callers should pick one at
-    /// random, as many ask at once.
+    /// random, as many processes request documents at once.
     pub fn routes_sources(
         &self,
         now: units::MonoTime,
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -362,7 +362,7 @@
         self.notices.keys()
     }
 
-    /// Drops starts that have been neither listed nor heard from for long.
+    /// Drops starts that have been neither listed nor sent a notice for long.
     pub fn retain(&mut self, now: units::MonoTime, listed: impl Fn(&ids::UpstreamId) -> bool) {
         self.notices.retain(|name, notice| {
             if listed(name) {
--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -12,8 +12,8 @@
     time::Duration::from_millis(count)
 }
 
-fn ages(opened: u64, heard: Option<u64>) -> ConnectionAges {
-    ConnectionAges { opened: millis(opened), heard: heard.map(millis) }
+fn ages(opened: u64, received: Option<u64>) -> ConnectionAges {
+    ConnectionAges { opened: millis(opened), received: received.map(millis) }
 }
 
 fn times(spans: &[u64]) -> AnswerTimes {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -91,11 +91,13 @@
         if joined && replies.is_empty() {
             replies.push(view.sample_addresses(7));
         }
-        let say = |others| MemberHeartbeat { others, ..heartbeat(to, 1, 2) };
+        let reply_with = |others| MemberHeartbeat { others, ..heartbeat(to, 1, 2) };
         let unmet = view.take_uncontacted(address(to));
-        let met =
-            unmet.iter().map(|address| (address.ip().octets()[3], say(view.sample_addresses(8))));
-        let answers = replies.into_iter().filter(|_| joined).map(|others| (from, say(others)));
+        let met = unmet
+            .iter()
+            .map(|address| (address.ip().octets()[3], reply_with(view.sample_addresses(8))));
+        let answers =
+            replies.into_iter().filter(|_| joined).map(|others| (from, reply_with(others)));
         let all: Vec<_> = met.chain(answers).collect();
         sent[usize::from(to)] += all.len();
         messages.extend(all);
@@ -169,14 +171,14 @@
 
 #[test]
 fn all_members_choose_the_same_planner() {
-    let beats: Vec<_> = (0..6).map(|number| heartbeat(number, 1, 1)).collect();
+    let heartbeats: Vec<_> = (0..6).map(|number| heartbeat(number, 1, 1)).collect();
     let planners: std::collections::BTreeSet<_> = (0..6)
         .map(|own| {
             let mut view = MemberView::new(name(own), Vec::new());
-            for heartbeat in &beats {
+            for heartbeat in &heartbeats {
                 view.receive(at(0), heartbeat.clone());
             }
-            let planner = view.planner(at(10), &service(), &beats[usize::from(own)]);
+            let planner = view.planner(at(10), &service(), &heartbeats[usize::from(own)]);
             planner.map_or_else(|| name(own), |heartbeat| heartbeat.name)
         })
         .collect();
@@ -255,11 +257,11 @@
 
 /// The members of a data centre that watch the store after 30 rounds; those in `failing` cannot reach it.
 fn watchers(count: u8, failing: &[u8]) -> Vec<u8> {
-    let mut beats: Vec<_> = (0..count)
+    let mut heartbeats: Vec<_> = (0..count)
         .map(|number| MemberHeartbeat { watches: false, ..heartbeat(number, 1, 1) })
         .collect();
     for round in 0..30_u64 {
-        let before = beats.clone();
+        let before = heartbeats.clone();
         for own in 0..count {
             let mut view = MemberView::new(name(own), Vec::new());
             for other in &before {
@@ -267,10 +269,10 @@
             }
             let missing = time::Duration::from_millis(round * 150);
             let wants = view.should_watch(at(1), &before[usize::from(own)], missing, false);
-            beats[usize::from(own)].watches = wants && !failing.contains(&own);
+            heartbeats[usize::from(own)].watches = wants && !failing.contains(&own);
         }
     }
-    (0..count).filter(|number| beats[usize::from(*number)].watches).collect()
+    (0..count).filter(|number| heartbeats[usize::from(*number)].watches).collect()
 }
 
 #[test]
@@ -290,19 +292,21 @@
 /// Number of calls to an unreachable store by 60 instances of a data centre in ten seconds. Each waits for its turn, calls,
 /// fails at once, and pauses for 0.4 s.
 fn calls_during_outage() -> usize {
-    let beats: Vec<_> = (0..60)
+    let heartbeats: Vec<_> = (0..60)
         .map(|number| MemberHeartbeat { watches: false, ..heartbeat(number, 1, 1) })
         .collect();
     let mut calls = 0;
     for own in 0..60_u8 {
         let mut view = MemberView::new(name(own), Vec::new());
-        for other in &beats {
+        for other in &heartbeats {
             view.receive(at(0), other.clone());
         }
         let (mut since, mut failed) = (0, false);
         for now in (0..10_000_u64).step_by(10) {
             let missing = time::Duration::from_millis(now.saturating_sub(since));
-            if now >= since && view.should_watch(at(1), &beats[usize::from(own)], missing, failed) {
+            if now >= since
+                && view.should_watch(at(1), &heartbeats[usize::from(own)], missing, failed)
+            {
                 calls += 1;
                 failed = true;
                 since = now + 400;
--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -27,13 +27,17 @@
     }
 }
 
-fn place(planner: &mut PlacementPlanner, now: u64, ask: PlacementRequest) -> PlaceGrant {
-    grant(planner.request(at(now), ask))
+fn place(planner: &mut PlacementPlanner, now: u64, request: PlacementRequest) -> PlaceGrant {
+    grant(planner.request(at(now), request))
 }
 
 /// Places a request and reports its first token, so that it is decoding.
-fn place_decoding(planner: &mut PlacementPlanner, now: u64, ask: PlacementRequest) -> PlaceGrant {
-    let grant = place(planner, now, ask);
+fn place_decoding(
+    planner: &mut PlacementPlanner,
+    now: u64,
+    request: PlacementRequest,
+) -> PlaceGrant {
+    let grant = place(planner, now, request);
     planner.first_token(at(now), grant.job);
     grant
 }
@@ -202,8 +206,9 @@
 #[test]
 fn a_prompt_larger_than_all_engines_is_refused_at_once() {
     let mut planner = planner(2);
-    let ask = PlacementRequest { patience_ms: 600_000, goal_left_ms: 500_000, ..long(1, 900_000) };
-    let answer = planner.request(at(0), ask);
+    let request =
+        PlacementRequest { patience_ms: 600_000, goal_left_ms: 500_000, ..long(1, 900_000) };
+    let answer = planner.request(at(0), request);
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "{answer:?}");
     assert_eq!(planner.waiting_count(), 0);
 }
@@ -301,11 +306,11 @@
 #[test]
 fn an_excluded_engine_is_never_used_and_a_failed_one_only_as_the_last() {
     let mut planner = planner(2);
-    let ask = PlacementRequest { excluded: vec![engine(0)], ..short(1) };
-    assert_eq!(place(&mut planner, 0, ask).engine, engine(1));
+    let request = PlacementRequest { excluded: vec![engine(0)], ..short(1) };
+    assert_eq!(place(&mut planner, 0, request).engine, engine(1));
     planner.eject(at(0), &engine(1));
-    let ask = PlacementRequest { excluded: vec![engine(0)], ..short(2) };
-    assert_eq!(place(&mut planner, 1, ask).engine, engine(1));
+    let request = PlacementRequest { excluded: vec![engine(0)], ..short(2) };
+    assert_eq!(place(&mut planner, 1, request).engine, engine(1));
 }
 
 #[test]
@@ -410,10 +415,10 @@
     for number in 0..8 {
         place_decoding(&mut planner, number * 100, short(number));
     }
-    let ask = PlacementRequest { excluded: vec![engine(1)], ..short(20) };
-    let beside = place(&mut planner, 1_000, ask).first_token_ms;
-    let ask = PlacementRequest { excluded: vec![engine(0)], ..short(21) };
-    let alone = place(&mut planner, 1_000, ask).first_token_ms;
+    let request = PlacementRequest { excluded: vec![engine(1)], ..short(20) };
+    let beside = place(&mut planner, 1_000, request).first_token_ms;
+    let request = PlacementRequest { excluded: vec![engine(0)], ..short(21) };
+    let alone = place(&mut planner, 1_000, request).first_token_ms;
     assert!(
         beside >= alone + 40,
         "a pass with eight decoding requests runs 51 steps: {beside}, {alone}"
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -25,8 +25,8 @@
     planner.set_engines(at(now), &ranked);
 }
 
-fn place(planner: &mut PlacementPlanner, now: u64, ask: PlacementRequest) -> PlaceGrant {
-    match planner.request(at(now), ask) {
+fn place(planner: &mut PlacementPlanner, now: u64, request: PlacementRequest) -> PlaceGrant {
+    match planner.request(at(now), request) {
         Some(PlaceAnswer::Grant(grant)) => grant,
         other => panic!("expected a placement, found {other:?}"),
     }
@@ -181,11 +181,11 @@
         ..long(number, 280_000)
     };
     let closed = |number| PlacementRequest { excluded: vec![engine(0)], ..patient(number) };
-    let mut reading = Vec::new();
+    let mut placed = Vec::new();
     let mut waiting = Vec::new();
     for number in 0..6 {
         match planner.request(at(number), patient(number)) {
-            Some(PlaceAnswer::Grant(grant)) => reading.push((number, grant)),
+            Some(PlaceAnswer::Grant(grant)) => placed.push((number, grant)),
             _ => waiting.push(number),
         }
     }
@@ -199,16 +199,16 @@
             let mut used = std::iter::once(&grant.engine).chain(&grant.helpers);
             let after = waiting.contains(&grant.job.sequence);
             assert!(!after || used.all(|used| *used != engine(0)), "{grant:?}");
-            reading.push((now, grant));
+            placed.push((now, grant));
         }
-        for (since, grant) in &reading {
+        for (since, grant) in &placed {
             planner.renew(at(now), grant.job, true);
             if now >= since + u64::from(grant.first_token_ms) {
                 planner.first_token(at(now), grant.job);
                 planner.end(at(now), grant.job, PlaceEnd::Done);
             }
         }
-        reading.retain(|(since, grant)| now < since + u64::from(grant.first_token_ms));
+        placed.retain(|(since, grant)| now < since + u64::from(grant.first_token_ms));
     }
     let settled = waiting.iter().filter(|number| answered.contains(*number)).count();
     assert_eq!(settled, waiting.len(), "each is placed elsewhere or refused");
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -24,8 +24,8 @@
 fn set_limits(planner: &mut PlacementPlanner, now: u64, limits: &[(usize, f64)]) {
     let rate = |limit| units::RequestRate::try_from(limit).expect("a rate");
     let bound = |limit| PaceBound::of_limit(rate(limit));
-    let kept = limits.iter().map(|(number, limit)| (engine(*number), bound(*limit))).collect();
-    planner.set_limits(at(now), &kept, collections::BTreeSet::new());
+    let enforced = limits.iter().map(|(number, limit)| (engine(*number), bound(*limit))).collect();
+    planner.set_limits(at(now), &enforced, collections::BTreeSet::new());
 }
 
 /// Outcome of a simulated load: requests arrive at a fixed interval and are answered within 1 s of their placement.
@@ -46,10 +46,10 @@
         planner: &mut PlacementPlanner,
         until: u64,
         every: u64,
-        ask: impl Fn(u64) -> PlacementRequest,
+        request: impl Fn(u64) -> PlacementRequest,
     ) -> Self {
         let mut load = Self::default();
-        let mut asked = collections::HashMap::new();
+        let mut requested_at = collections::HashMap::new();
         let mut ends = collections::BTreeMap::<u64, Vec<_>>::new();
         for now in (1..until).filter(|now| now % 10 == 1) {
             for (job, answering) in ends.remove(&now).unwrap_or_default() {
@@ -61,13 +61,13 @@
             }
             let mut answers = planner.tick(at(now));
             if now % every <= 1 {
-                let ask = ask(now);
-                asked.insert(ask.job, now);
-                answers.extend(planner.request(at(now), ask));
+                let request = request(now);
+                requested_at.insert(request.job, now);
+                answers.extend(planner.request(at(now), request));
             }
             for answer in answers {
                 let job = answer.job();
-                if load.note(now, asked[&job], &answer) {
+                if load.note(now, requested_at[&job], &answer) {
                     ends.entry(now + 100).or_default().push((job, false));
                     ends.entry(now + 1_000).or_default().push((job, true));
                 }
@@ -77,10 +77,10 @@
     }
 
     /// Records an answer; returns whether it is a placement.
-    fn note(&mut self, now: u64, asked: u64, answer: &PlaceAnswer) -> bool {
+    fn note(&mut self, now: u64, requested_at: u64, answer: &PlaceAnswer) -> bool {
         let (grant, paced) = match answer {
             PlaceAnswer::Refuse(refusal) => {
-                self.refused.push((now - asked, refusal.back_after_ms));
+                self.refused.push((now - requested_at, refusal.back_after_ms));
                 return false;
             }
             PlaceAnswer::Grant(grant) => (grant, &[][..]),
--- a/crates/core/tests/search_budget.rs
+++ b/crates/core/tests/search_budget.rs
@@ -11,7 +11,7 @@
 fn simulate(full: usize, budget: impl Fn(&mut SearchBudget, usize) -> bool) -> (f64, f64) {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut own = SearchBudget::default();
-    let (mut refused, mut asked) = (0_usize, 0_usize);
+    let (mut refused, mut total_tried) = (0_usize, 0_usize);
     for _ in 0..REQUESTS {
         own.note_request();
         let mut left: Vec<_> = (0..10).collect();
@@ -22,27 +22,27 @@
             }
             let cell = left.swap_remove(random.random_range(0..left.len()));
             tried += 1;
-            asked += 1;
+            total_tried += 1;
             if cell >= full {
                 break true;
             }
         };
         refused += usize::from(!placed);
     }
-    (refused as f64 / REQUESTS as f64, asked as f64 / REQUESTS as f64)
+    (refused as f64 / REQUESTS as f64, total_tried as f64 / REQUESTS as f64)
 }
 
 /// Compares the budget with the earlier limit of two cells per request.
 #[test]
 fn no_more_requests_are_refused_than_with_a_fixed_number_of_cells() {
     for full in [1, 3, 5, 8, 10] {
-        let (refused, asked) = simulate(full, SearchBudget::take);
-        let (fixed, fixed_asked) = simulate(full, |_, tried| tried < 2);
+        let (refused, mean_tried) = simulate(full, SearchBudget::take);
+        let (fixed, fixed_mean_tried) = simulate(full, |_, tried| tried < 2);
         println!(
-            "{full} of 10 full: refused {refused:.3} ({fixed:.3}), tried {asked:.2} ({fixed_asked:.2})"
+            "{full} of 10 full: refused {refused:.3} ({fixed:.3}), tried {mean_tried:.2} ({fixed_mean_tried:.2})"
         );
         assert!(refused <= fixed, "{full}: {refused}");
-        assert!(asked <= 2.3, "{full}: {asked} cells tried per request");
+        assert!(mean_tried <= 2.3, "{full}: {mean_tried} cells tried per request");
     }
     assert!(
         simulate(3, SearchBudget::take).0 <= 0.005,
--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -255,7 +255,7 @@
 
     /// Detects the loss of the store, fetches a newer list from a member, or starts to watch the store.
     fn check(&mut self, own: usize) {
-        let own_beat = self.heartbeat(own);
+        let own_heartbeat = self.heartbeat(own);
         let now = self.now;
         let is_lost = now >= at(OUTAGE_START_MS) && self.members[own].list.era == FORMER.era;
         let member = &mut self.members[own];
@@ -277,11 +277,11 @@
             let list = *list;
             return self.schedule(FETCH_TIME, own, Step::Fetched(list));
         }
-        let missing = member.view.watchers_missing(now, &own_beat);
+        let missing = member.view.watchers_missing(now, &own_heartbeat);
         member.missing_since = missing.then(|| member.missing_since.unwrap_or(now));
         let missing_for =
             member.missing_since.map_or(time::Duration::ZERO, |since| now.since(since));
-        if member.view.should_watch(now, &own_beat, missing_for, member.failed) {
+        if member.view.should_watch(now, &own_heartbeat, missing_for, member.failed) {
             if now < at(OUTAGE_START_MS) {
                 member.watches = true;
                 self.announce(own);
@@ -301,11 +301,11 @@
             member.failed = true;
             let pause = member.pause.mul_f64(self.random.random_range(0.7..1.3));
             member.pause = (member.pause * 2).min(PAUSES.1);
-            let own_beat = self.heartbeat(own);
+            let own_heartbeat = self.heartbeat(own);
             let member = &mut self.members[own];
             // The first in order keep trying; the others leave it to them.
             member.calling =
-                member.view.should_watch(self.now, &own_beat, time::Duration::ZERO, true);
+                member.view.should_watch(self.now, &own_heartbeat, time::Duration::ZERO, true);
             if member.calling {
                 self.schedule(pause, own, Step::Call);
             }
--- a/crates/core/tests/store_tracker.rs
+++ b/crates/core/tests/store_tracker.rs
@@ -43,8 +43,8 @@
         "other members take over; this one keeps trying"
     );
     assert_eq!(tracker.watched(), 7.into(), "the watch continues from there");
-    let heard = tracker.receive(at(4_000));
-    assert_eq!(heard, AnswerEffect { away: Some(millis(3_000)), resumes_watch: true });
+    let effect = tracker.receive(at(4_000));
+    assert_eq!(effect, AnswerEffect { away: Some(millis(3_000)), resumes_watch: true });
     assert_eq!(tracker.receive(at(4_100)), AnswerEffect { away: None, resumes_watch: false });
 }
 
--- a/crates/core/tests/support/virtual_fleet.rs
+++ b/crates/core/tests/support/virtual_fleet.rs
@@ -65,8 +65,8 @@
     /// Side of the partition, 0 or 1.
     side: u8,
     detector: FailureDetector,
-    /// When each other was last heard, for heartbeats.
-    heard: Vec<units::MonoTime>,
+    /// When the last heartbeat of each other member arrived.
+    last_heartbeats: Vec<units::MonoTime>,
     /// Results of random probes: silent members, and when this member learned of each.
     known: collections::BTreeMap<usize, units::MonoTime>,
     /// When it last refuted a suspicion of itself.
@@ -105,7 +105,7 @@
                 silent: false,
                 side: 0,
                 detector,
-                heard: vec![units::MonoTime::default(); count],
+                last_heartbeats: vec![units::MonoTime::default(); count],
                 known: collections::BTreeMap::new(),
                 refuted: None,
                 pending: None,
@@ -227,7 +227,7 @@
         match self.protocol {
             Protocol::Heartbeats => {
                 let limit = interval(self.protocol, self.members.len()) * MISSED_HEARTBEATS;
-                self.now.since(member.heard[other]) > limit
+                self.now.since(member.last_heartbeats[other]) > limit
             }
             Protocol::RandomProbes => member.known.contains_key(&other),
             Protocol::RingProbes => member.detector.is_suspected(other as u64),
@@ -286,8 +286,8 @@
     }
 
     fn probe_random(&mut self, own: usize) {
-        if let Some((target, asked)) = self.members[own].pending.take() {
-            let waited = self.now.since(asked);
+        if let Some((target, sent_at)) = self.members[own].pending.take() {
+            let waited = self.now.since(sent_at);
             if waited >= PROBE_TIMEOUTS.0 + PROBE_TIMEOUTS.1 {
                 // The result of probes by relays: they reach the target unless it is silent or on the other side.
                 if self.members[target].silent
@@ -296,7 +296,7 @@
                     self.members[own].known.insert(target, self.now);
                 }
             } else {
-                self.members[own].pending = Some((target, asked));
+                self.members[own].pending = Some((target, sent_at));
             }
         }
         if self.members[own].pending.is_none() {
@@ -321,7 +321,7 @@
 
     fn receive(&mut self, own: usize, from: usize, datagram: Datagram) {
         match datagram {
-            Datagram::Heartbeat => self.members[own].heard[from] = self.now,
+            Datagram::Heartbeat => self.members[own].last_heartbeats[from] = self.now,
             Datagram::Ping(results) => {
                 self.record_results(own, results);
                 let results = self.piggybacked_results(own);
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -16,7 +16,7 @@
 /// Time from the placement to the first token, milliseconds.
 const FIRST_MS: u64 = 120;
 /// Time from the first token to the end, milliseconds.
-const WRITE_MS: u64 = 1_600;
+const DECODE_MS: u64 = 1_600;
 /// Time between two requests on each side, milliseconds: about 45 requests decode concurrently on each, together half
 /// of all slots.
 const ARRIVAL_MS: u64 = 36;
@@ -40,8 +40,8 @@
         Self { boot, planner, open: collections::BTreeMap::new() }
     }
 
-    fn ask(&mut self, now: u64, ask: PlacementRequest) -> Option<PlaceGrant> {
-        let answer = self.planner.request(at(now), ask)?;
+    fn request(&mut self, now: u64, request: PlacementRequest) -> Option<PlaceGrant> {
+        let answer = self.planner.request(at(now), request)?;
         let PlaceAnswer::Grant(grant) = answer else { return None };
         self.open.insert(grant.job, (grant.engine.clone(), now));
         Some(grant)
@@ -71,8 +71,8 @@
             let other = 1 - side;
             step(&mut sides, side, now, with_counts);
             if (now + side as u64 * ARRIVAL_MS / 2).is_multiple_of(ARRIVAL_MS) {
-                let ask = short_of(sides[side].boot, now);
-                match sides[side].ask(now, ask) {
+                let request = short_of(sides[side].boot, now);
+                match sides[side].request(now, request) {
                     Some(grant) => {
                         load.placed += 1;
                         let on = sides[side].on(&grant.engine) + sides[other].on(&grant.engine);
@@ -95,7 +95,7 @@
             let requests = with_counts.then_some(requests as u16);
             sides[side].planner.note(at(now), &PlaceNote::FirstToken(job, requests));
         }
-        if now == since + FIRST_MS + WRITE_MS {
+        if now == since + FIRST_MS + DECODE_MS {
             sides[side].open.remove(&job);
             sides[side].planner.note(at(now), &PlaceNote::Ended(job, PlaceEnd::Done));
         }
@@ -131,8 +131,8 @@
     let mut side = PlannerSide::new(1, 3);
     let mut shared = Vec::new();
     for number in 0..2 {
-        let ask = PlacementRequest { excluded: shared.clone(), ..short(number) };
-        let grant = side.ask(number, ask).expect("a place");
+        let request = PlacementRequest { excluded: shared.clone(), ..short(number) };
+        let grant = side.request(number, request).expect("a place");
         let note = PlaceNote::FirstToken(grant.job, Some(8));
         side.planner.note(at(number + FIRST_MS), &note);
         shared.push(grant.engine);
@@ -141,8 +141,8 @@
         let job = JobId { boot: 1, sequence: number };
         side.planner.note(at(200), &PlaceNote::Ended(job, PlaceEnd::Done));
     }
-    let ask = long(9, 100_000);
-    let grant = side.ask(210, ask).expect("a place");
+    let request = long(9, 100_000);
+    let grant = side.request(210, request).expect("a place");
     let mut used = grant.helpers.iter().chain([&grant.engine]);
     assert!(used.all(|engine| !shared.contains(engine)), "{grant:?} beside {shared:?}");
 }
--- a/crates/core/tests/upstream_limit.rs
+++ b/crates/core/tests/upstream_limit.rs
@@ -23,9 +23,9 @@
     text.parse().expect("a name")
 }
 
-fn reading(limit: Option<f64>, asked: u64, heard: u64) -> LimitReading {
+fn reading(limit: Option<f64>, requested: u64, received: u64) -> LimitReading {
     let source = NoticeSource::Answer;
-    LimitReading { rate: limit.map(rate), requested: at(asked), received: at(heard), source }
+    LimitReading { rate: limit.map(rate), requested: at(requested), received: at(received), source }
 }
 
 #[test]
@@ -106,7 +106,7 @@
         order in any::<prop::sample::Index>(),
         last in prop::option::of(0.1..9.0_f64),
     ) {
-        let sent: Vec<_> = readings.iter().map(|(limit, asked, took)| reading(*limit, *asked, asked + took)).collect();
+        let sent: Vec<_> = readings.iter().map(|(limit, requested, took)| reading(*limit, *requested, requested + took)).collect();
         let mut rotated = sent.clone();
         rotated.rotate_left(order.index(sent.len()));
         let last = reading(last, 1_000, 1_010);
--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -197,8 +197,8 @@
 fn a_start_reported_by_the_upstream_is_present_unless_requested_earlier() {
     let mut list = UpstreamList::default();
     list.replace(at(0), vec![start(1, 50)], 10.into());
-    let report = |list: &mut UpstreamList, now, born, asked| {
-        list.update_start(at(now), &name(1), ids::UpstreamStart(born), at(asked))
+    let report = |list: &mut UpstreamList, now, born, requested| {
+        list.update_start(at(now), &name(1), ids::UpstreamStart(born), at(requested))
     };
     assert!(!report(&mut list, 100, 50, 90), "the same start");
     assert!(report(&mut list, 200, 60, 190));
@@ -286,9 +286,9 @@
 }
 
 /// Records a backoff.
-fn rest(list: &mut UpstreamList, now: u64, number: u8, millis: u64) {
-    let asked = time::Duration::from_millis(millis);
-    list.notices_mut().receive_backoff(at(now), &name(number), asked);
+fn begin_backoff(list: &mut UpstreamList, now: u64, number: u8, millis: u64) {
+    let requested = time::Duration::from_millis(millis);
+    list.notices_mut().receive_backoff(at(now), &name(number), requested);
 }
 
 fn open(list: &UpstreamList, now: u64, turn: ProbePermission) -> Vec<ids::UpstreamId> {
@@ -337,8 +337,8 @@
 #[test]
 fn a_backoff_concerns_only_this_instance_and_ends_in_time() {
     let mut list = full();
-    rest(&mut list, 0, 1, 3_000);
-    rest(&mut list, 0, 2, 5_000);
+    begin_backoff(&mut list, 0, 1, 3_000);
+    begin_backoff(&mut list, 0, 2, 5_000);
     assert_eq!(usable(&list), 4, "other instances may send to all");
     assert_eq!(open(&list, 10, ProbePermission::Yes), [name(3), name(4)]);
     assert_eq!(list.closed(at(10), &service(), ProbePermission::Yes), [&name(1), &name(2)]);
@@ -358,7 +358,7 @@
 #[test]
 fn upstreams_that_need_a_probe_are_used_if_there_are_no_others() {
     let mut list = full();
-    (1..=4).for_each(|number| rest(&mut list, 0, number, 1_000 * u64::from(number)));
+    (1..=4).for_each(|number| begin_backoff(&mut list, 0, number, 1_000 * u64::from(number)));
     assert!(open(&list, 500, ProbePermission::Yes).is_empty());
     assert_eq!(open(&list, 1_000, ProbePermission::No), [name(1)], "better than none");
     list.notices_mut().begin(at(1_000), &name(1));
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -42,14 +42,14 @@
 #[test]
 fn upstreams_that_leave_or_are_in_backoff_still_get_renewals_and_releases() {
     let mut table = NoticeTable::default();
-    let (leaving, resting, other) = (name("e1"), name("e2"), name("e3"));
+    let (leaving, in_backoff, other) = (name("e1"), name("e2"), name("e3"));
     table.receive_leaving(at(10), &leaving, NoticeSource::Answer, ms(0));
-    table.receive_backoff(at(10), &resting, ms(3_000));
+    table.receive_backoff(at(10), &in_backoff, ms(3_000));
     let ends_work = [SendKind::Renewal, SendKind::Release];
     assert_eq!(permitted(&table, 20, &leaving), [&ends_work[..], &[SendKind::Report]].concat());
-    assert_eq!(permitted(&table, 20, &resting), ends_work);
+    assert_eq!(permitted(&table, 20, &in_backoff), ends_work);
     assert_eq!(permitted(&table, 20, &other), ALL_KINDS);
-    assert_eq!(permitted(&table, 3_010, &resting), ALL_KINDS, "the backoff has ended");
+    assert_eq!(permitted(&table, 3_010, &in_backoff), ALL_KINDS, "the backoff has ended");
     assert_eq!(permitted(&table, 300_000, &leaving).len(), 3, "leaving is final");
 }
 
@@ -196,9 +196,9 @@
 enum Step {
     Leaves(NoticeSource),
     Live,
-    Rest(u64),
+    Backoff(u64),
     Begin,
-    Taken,
+    Accepted,
     EndProbe,
     Retain(bool),
     Pass(u64),
@@ -214,9 +214,9 @@
     prop_oneof![
         source.prop_map(Step::Leaves),
         Just(Step::Live),
-        (0..8_000_u64).prop_map(Step::Rest),
+        (0..8_000_u64).prop_map(Step::Backoff),
         Just(Step::Begin),
-        Just(Step::Taken),
+        Just(Step::Accepted),
         Just(Step::EndProbe),
         any::<bool>().prop_map(Step::Retain),
         (1..3_000_u64).prop_map(Step::Pass),
@@ -232,7 +232,7 @@
     ) {
         let upstream = name("e1");
         let mut table = NoticeTable::default();
-        let (mut now, mut rest_until, mut final_leaving, mut known) = (0, 0, false, 0);
+        let (mut now, mut backoff_until, mut final_leaving, mut known) = (0, 0, false, 0);
         for step in steps {
             match step {
                 Step::Leaves(source) => {
@@ -241,13 +241,13 @@
                     known = now;
                 }
                 Step::Live => table.receive_live(&upstream),
-                Step::Rest(span) => {
+                Step::Backoff(span) => {
                     table.receive_backoff(at(now), &upstream, ms(span));
-                    rest_until = rest_until.max(now + span);
+                    backoff_until = backoff_until.max(now + span);
                     known = now;
                 }
                 Step::Begin => _ = table.begin(at(now), &upstream),
-                Step::Taken => _ = table.receive_accepted(at(now), &upstream),
+                Step::Accepted => _ = table.receive_accepted(at(now), &upstream),
                 Step::EndProbe => table.end_probe(&upstream),
                 Step::Retain(listed) => {
                     table.retain(at(now), |_| listed);
@@ -257,7 +257,7 @@
                 Step::Pass(span) => now += span,
             }
             let passes = table.permits(at(now), &upstream, SendKind::Request).is_ok();
-            prop_assert!(!passes || now >= rest_until, "permitted within a backoff");
+            prop_assert!(!passes || now >= backoff_until, "permitted within a backoff");
             prop_assert!(!passes || !final_leaving, "permitted after a leaving notice");
             prop_assert!(table.permits(at(now), &upstream, SendKind::Release).is_ok());
         }
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -63,7 +63,7 @@
     fn ages(&self) -> connection_silence::ConnectionAges {
         connection_silence::ConnectionAges {
             opened: self.opened.elapsed(),
-            heard: self.heard.get().map(boot_clock::BootInstant::elapsed),
+            received: self.heard.get().map(boot_clock::BootInstant::elapsed),
         }
     }
 }
