--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -33,9 +33,8 @@
         None if origin.source == upstream_notice::NoticeSource::Answer => None,
         None => return,
     };
-    let (heard, source) = (context.now(), origin.source);
-    let reading =
-        upstream_limit::LimitReading { rate, requested: origin.at, received: heard, source };
+    let (received, source) = (context.now(), origin.source);
+    let reading = upstream_limit::LimitReading { rate, requested: origin.at, received, source };
     match apply_reading(context, upstream, reading) {
         upstream_limit::LimitChange::Known => {}
         upstream_limit::LimitChange::Changed(..) => notify_coordinator(context, upstream),
@@ -56,11 +55,11 @@
     let now = context.now();
     let ago = |micros| now.earlier_by(time::Duration::from_micros(micros));
     for report in reports {
-        let heard = ago(report.heard_us);
+        let received = ago(report.heard_us);
         let reading = upstream_limit::LimitReading {
             rate: report.rate,
-            requested: ago(report.asked_us).min(heard),
-            received: heard,
+            requested: ago(report.asked_us).min(received),
+            received,
             source: upstream_notice::NoticeSource::Member,
         };
         apply_reading(context, &report.upstream, reading);
