--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -146,8 +146,8 @@
 
     /// Records that the sources have been queried, whether one answered or all were silent.
     ///
-    /// `pause_count` is the value of [`Self::pause_count`] before the query: if the process was paused since, the answer may be
-    /// outdated and does not count.
+    /// `pause_count` is the value of [`Self::pause_count`] before the query: if the process was paused since, the
+    /// answer may be outdated and does not count.
     pub fn note_sources_queried(&mut self, now: units::MonoTime, pause_count: u64) {
         self.pause_detector.notice(now);
         if pause_count == self.pause_detector.pause_count {
--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -144,7 +144,8 @@
         true
     }
 
-    /// Number of permits granted in the last seconds, by boot id of the member; `None` when this process does not coordinate the quota.
+    /// Number of permits granted recently, by boot id of the member; `None` when this process does not coordinate the
+    /// quota.
     pub fn recent_grants(
         &self,
         now: units::MonoTime,
