--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -136,10 +136,12 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceLease {
     /// The request for this placement.
+    #[serde(rename = "ask")]
     pub request: PlacementRequest,
     /// Its placement.
     pub grant: PlaceGrant,
     /// Whether its prompt is still being prefilled.
+    #[serde(rename = "reading")]
     pub prefilling: bool,
 }
 
