--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -37,7 +37,7 @@
     let names: Vec<_> = (0..engines).map(|number| (name("e", number), number as u64)).collect();
     planner.set_engines(at_millis(0), &names);
     for sequence in 0..PLACED_REQUESTS.min(engines as u64 * 8) {
-        let placement = planner.ask(at_millis(0), ask(sequence, 5_000));
+        let placement = planner.request(at_millis(0), ask(sequence, 5_000));
         hint::black_box(placement);
         planner.first_token(at_millis(0), job(sequence));
     }
@@ -46,7 +46,7 @@
         let sequence = PLACED_REQUESTS + iteration;
         // Starts at 10 s, after the prefill of the requests placed above, in steps of 1 ms.
         let now = at_millis(10_000 + iteration);
-        hint::black_box(planner.ask(now, ask(sequence, prompt)));
+        hint::black_box(planner.request(now, ask(sequence, prompt)));
         planner.first_token(now, job(sequence));
         planner.end(now, job(sequence), engine_place::PlaceEnd::Done);
     }
@@ -71,10 +71,10 @@
     planned_size::cost_row(format!("which of {MEMBERS} members plans"), format!("{mean:?}"))
 }
 
-fn ask(sequence: u64, prompt: u64) -> engine_place::PlaceAsk {
+fn ask(sequence: u64, prompt: u64) -> engine_place::PlacementRequest {
     let long = prompt > 24_000;
     let goal_ms = if long { 3_000 } else { 300 };
-    engine_place::PlaceAsk {
+    engine_place::PlacementRequest {
         job: job(sequence),
         prompt,
         output: 1_000,
@@ -100,10 +100,10 @@
         memory: units::TokenCount(315_000),
         stride: 51.0,
         step_ms: 0.85,
-        step_per_writer_ms: 0.004_25,
+        step_per_decoding_ms: 0.004_25,
         step_per_context_ms: 0.002_85,
-        read_per_ms: 177.0,
-        read_per_pairs_ms: 0.184,
+        prefill_tokens_per_ms: 177.0,
+        prefill_per_million_pairs_ms: 0.184,
         report_lag_ms: 200.0,
     }
 }
--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -46,7 +46,7 @@
     arrival: arrivals::Arrival,
     entry: usize,
     engine: usize,
-    place: placement::PlaceRequest,
+    place: placement::CapacityRequest,
     attempts: u32,
     arrived: units::MonoTime,
     /// Network time of the exchanges with the schedulers, added to all latencies.
@@ -97,7 +97,7 @@
             let mut router = entry_router::EntryRouter::new(instance, center, hour, seed);
             router.offer_settings(start, &text);
             router.offer_list(scenario.list());
-            router.note_sources_asked(start, 0);
+            router.note_sources_queried(start, 0);
             router
         });
         let entries = entries.collect();
@@ -140,7 +140,7 @@
         attempts: u32,
         mut tried: Vec<ids::EngineId>,
     ) {
-        let question = entry_router::PlanQuestion {
+        let question = entry_router::PlanQuery {
             key: scenario::customer_key(arrival.key),
             model: "invitation".parse().expect("the name is valid"),
             prompt: units::TokenCount(arrival.prompt),
@@ -192,7 +192,7 @@
         &mut self,
         entry: usize,
         targets: &[engine_directory::EngineTarget],
-        request: &placement::PlaceRequest,
+        request: &placement::CapacityRequest,
     ) -> (Option<routing::RouteChoice>, time::Duration) {
         if !self.entries[entry].wants_offers() {
             let choice = self.entries[entry].choose(targets, &vec![None; targets.len()]);
@@ -396,7 +396,7 @@
         };
         let router = &mut self.entries[active.entry];
         router.eject(self.now, engine);
-        if router.ask_retry(self.now, question) != retry::RetryVerdict::Retry {
+        if router.decide_retry(self.now, question) != retry::RetryVerdict::Retry {
             self.fail(attempt);
             return;
         }
@@ -411,11 +411,11 @@
         entry: usize,
         arrived: units::MonoTime,
         attempts: u32,
-    ) -> placement::PlaceRequest {
+    ) -> placement::CapacityRequest {
         let instance = self.entries[entry].instance().clone();
         let request = ids::RequestId::new(&instance, ids::BootId(1), arrival.number);
         let deadline = arrived + scenario::TIME_LIMIT;
-        placement::PlaceRequest {
+        placement::CapacityRequest {
             attempt: ids::AttemptId::new(&request, attempts),
             entry: instance,
             boot: ids::BootId(1),
--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -50,7 +50,7 @@
     }
 
     /// Time within which answers usually arrive; zero until enough answers are known.
-    pub fn usual(&self) -> time::Duration {
+    pub fn usual_time(&self) -> time::Duration {
         if self.answers < MIN_ANSWERS {
             return time::Duration::ZERO;
         }
@@ -60,11 +60,15 @@
 
     /// How long to wait for a head on a reused connection before the request is sent again; at most
     /// `longest`, the wait for a slow upstream.
-    pub fn kept_wait(&self, goal: time::Duration, longest: time::Duration) -> time::Duration {
+    pub fn reused_connection_wait(
+        &self,
+        goal: time::Duration,
+        longest: time::Duration,
+    ) -> time::Duration {
         if self.answers < MIN_ANSWERS {
             return longest;
         }
-        let wait = self.usual().mul_f64(REUSED_FACTOR);
+        let wait = self.usual_time().mul_f64(REUSED_FACTOR);
         wait.max(goal.mul_f64(GOAL_PART)).min(longest)
     }
 }
@@ -75,14 +79,14 @@
     /// Time since the connection was opened.
     pub opened: time::Duration,
     /// Time since data was last received; `None` if none ever was.
-    pub heard: Option<time::Duration>,
+    pub received: Option<time::Duration>,
 }
 
 impl ConnectionAges {
     /// Whether data was received late enough in a wait of `waited`, which ends now, that this
     /// connection cannot have gone silent together with the one that was waited for.
     pub fn trusted(&self, waited: time::Duration) -> bool {
-        self.heard.is_some_and(|heard| heard < waited.mul_f64(TRUST_PART))
+        self.received.is_some_and(|received| received < waited.mul_f64(TRUST_PART))
     }
 
     /// Whether one of `others` was open for as long as this connection may have been silent, and is
@@ -98,7 +102,7 @@
 
     /// Longest time for which the connection may have been silent.
     fn silent(&self) -> time::Duration {
-        self.heard.unwrap_or(self.opened)
+        self.received.unwrap_or(self.opened)
     }
 }
 
@@ -115,7 +119,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceCause {
     /// A reused connection is dead; others that were idle during the same time may be dead as well.
-    KeptConnection,
+    ReusedConnection,
     /// A connection died in the middle of an answer; others that were open then may be dead as well.
     OpenConnection,
     /// A connection never received any data: the upstream is unresponsive.
@@ -130,31 +134,31 @@
     /// upstream.
     pub fn of(
         silent: ConnectionAges,
-        moment: SilencePhase,
+        phase: SilencePhase,
         waited: time::Duration,
         others: impl Iterator<Item = ConnectionAges>,
     ) -> Self {
-        if silent.heard.is_none() {
+        if silent.received.is_none() {
             return Self::Upstream;
         }
         if silent.has_live_peer(waited, others) {
             return Self::SlowUpstream;
         }
-        match moment {
-            SilencePhase::Head => Self::KeptConnection,
+        match phase {
+            SilencePhase::Head => Self::ReusedConnection,
             SilencePhase::MidAnswer => Self::OpenConnection,
         }
     }
 
     /// Whether other connections may be dead as well, unless they received data since.
-    pub fn doubts_others(self) -> bool {
-        matches!(self, Self::KeptConnection | Self::OpenConnection)
+    pub fn may_affect_others(self) -> bool {
+        matches!(self, Self::ReusedConnection | Self::OpenConnection)
     }
 
     /// Label in metrics and log lines.
     pub fn label(self) -> &'static str {
         match self {
-            Self::KeptConnection => "kept connection",
+            Self::ReusedConnection => "kept connection",
             Self::OpenConnection => "open connection",
             Self::Upstream => "upstream",
             Self::SlowUpstream => "slow upstream",
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -10,7 +10,7 @@
 
 /// Interval between two periodic rounds of a member.
 pub const REPEAT_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Members asked for their state by one that may have missed something.
+/// Members whose state is requested by one that may have missed something.
 const REQUESTED_MEMBERS: usize = 3;
 /// Fan-out of a round. With less, the last member of a large fleet learns of a leaving upstream after its end.
 const REPEATED_MEMBERS: usize = 3;
@@ -23,7 +23,7 @@
     /// The periodic round.
     Repeat,
     /// The end of a pause of this process.
-    Woke,
+    Resumed,
 }
 
 /// Chooses the targets of a round among the live members.
@@ -35,7 +35,7 @@
     match cause {
         GossipCause::Found => alive.collect(),
         GossipCause::Repeat => alive.sample(random, REPEATED_MEMBERS),
-        GossipCause::Woke => alive.sample(random, REQUESTED_MEMBERS),
+        GossipCause::Resumed => alive.sample(random, REQUESTED_MEMBERS),
     }
 }
 
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -12,17 +12,17 @@
     /// leaving by plan are not counted.
     pub fn reachable_share(&self, now: units::MonoTime) -> f64 {
         let limit = self.heartbeat_interval() * membership::SUSPECT_HEARTBEATS;
-        let staying = || self.members.values().filter(|member| !member.beat.leaving);
+        let staying = || self.members.values().filter(|member| !member.heartbeat.leaving);
         let is_live = |member: &&membership::MemberState| {
             member.is_live(now, limit) && member.unanswered < membership::MAX_UNANSWERED
         };
-        let heard = staying().filter(is_live).count();
-        (heard + 1) as f64 / (staying().count() + 1) as f64
+        let last_alive = staying().filter(is_live).count();
+        (last_alive + 1) as f64 / (staying().count() + 1) as f64
     }
 
     /// Whether there was a sign of life of a member after `at`.
     pub fn was_heard_since(&self, name: &ids::InstanceId, at: units::MonoTime) -> bool {
-        self.members.get(name).is_some_and(|member| member.heard > at)
+        self.members.get(name).is_some_and(|member| member.last_alive > at)
     }
 
     /// The member with this boot number.
@@ -31,18 +31,18 @@
     }
 
     /// Records an unanswered call.
-    pub fn unanswered(&mut self, name: &ids::InstanceId) {
+    pub fn note_unanswered(&mut self, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered += 1;
         }
     }
 
     /// Records an answered call.
-    pub fn answered(&mut self, now: units::MonoTime, name: &ids::InstanceId) {
+    pub fn note_answered(&mut self, now: units::MonoTime, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered = 0;
             member.suspected = false;
-            member.heard = now;
+            member.last_alive = now;
         }
     }
 
@@ -53,12 +53,12 @@
 
     /// The ring of the failure detector: all members but those that are leaving by plan.
     pub fn ring(&self) -> sync::Arc<[failure_detector::RingMember]> {
-        let staying = self.members.values().filter(|member| !member.beat.leaving);
+        let staying = self.members.values().filter(|member| !member.heartbeat.leaving);
         let mut ring: Vec<_> = staying
             .map(|member| failure_detector::RingMember {
                 hash: member.hash,
-                boot: member.beat.boot,
-                address: member.beat.address,
+                boot: member.heartbeat.boot,
+                address: member.heartbeat.address,
             })
             .collect();
         ring.sort_unstable_by_key(|member| (member.hash, member.boot));
@@ -77,9 +77,9 @@
         let Some(member) = name.and_then(|name| self.members.get_mut(name)) else {
             return false;
         };
-        member.suspected = silent.is_some_and(|silent| now.since(member.heard) >= silent);
+        member.suspected = silent.is_some_and(|silent| now.since(member.last_alive) >= silent);
         if silent.is_none() {
-            member.heard = now;
+            member.last_alive = now;
             member.unanswered = 0;
         }
         member.suspected
@@ -92,6 +92,6 @@
     pub fn silent(&self) -> Vec<net::SocketAddrV4> {
         let silent =
             self.members.values().filter(|member| member.unanswered >= membership::MAX_UNANSWERED);
-        silent.map(|member| member.beat.address).collect()
+        silent.map(|member| member.heartbeat.address).collect()
     }
 }
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -81,7 +81,7 @@
     pub(crate) cold: cold_start::ColdTable,
     /// Evacuated data centres, and when each evacuation became known.
     pub(crate) evacuated: collections::BTreeMap<ids::DataCenterId, units::MonoTime>,
-    /// Starts that ended since the last call of [`Self::take_ended`].
+    /// Starts that ended since the last call of [`Self::take_ended_starts`].
     pub(crate) ended: Vec<EndedStart>,
     /// Until when upstreams that are dropped from the list become doubtful instead of being removed at once.
     pub(crate) doubt_until: Option<units::MonoTime>,
@@ -114,10 +114,10 @@
         self.entries.values().filter(|entry| entry.service == *service).count()
     }
 
-    /// Removes doubtful upstreams that are due, ends what is due of a recovery, and makes ended starts the present ones where
-    /// the list has kept naming them; returns whether the list changed.
+    /// Removes doubtful upstreams that are due, drops expired state of a recovery, and makes ended starts the present ones
+    /// where the list has kept naming them; returns whether the list changed.
     pub fn tick(&mut self, now: units::MonoTime) -> bool {
-        // First, as it also clears the ended starts that the list names of the upstreams it removes.
+        // Goes first, because removing an upstream also discards the ended start that the list names for it.
         let recovered = self.tick_recovery(now);
         let gone: Vec<_> = self
             .doubtful
@@ -163,7 +163,7 @@
         let Some(entry) = self.entry(name).filter(|entry| self.is_staying(entry)) else {
             return false;
         };
-        // Called for each request and each engine that reads a part of it, so the other upstreams of the service are only
+        // Called for each request and each engine that prefills a part of it, so the other upstreams of the service are only
         // counted for a doubtful one.
         !self.doubtful.contains_key(entry.name.identifier())
             || self.usable(&entry.service).iter().any(|usable| usable.name == entry.name)
@@ -273,7 +273,7 @@
     }
 
     /// Takes the starts that ended since the last call.
-    pub fn take_ended(&mut self) -> Vec<EndedStart> {
+    pub fn take_ended_starts(&mut self) -> Vec<EndedStart> {
         std::mem::take(&mut self.ended)
     }
 }
--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -276,8 +276,8 @@
         let step = self.members[from].cache.step(at(now), &upstream(), time::Duration::ZERO);
         match step {
             PermitStep::Send(_) => self.sends.push(now),
-            PermitStep::Closed(_) => {}
-            PermitStep::Ask(request) => {
+            PermitStep::Backoff(_) => {}
+            PermitStep::Request(request) => {
                 let wanted = if self.way == LimitWay::GrantEach { 1 } else { request.wanted };
                 let request = PermitRequest { wanted, ..request };
                 let coordinator = self.coordinator_of(now, from);
@@ -286,7 +286,7 @@
                     return;
                 }
                 if let Some(response) =
-                    self.members[from].ledger.ask(at(now), &upstream(), from as u64, &request)
+                    self.members[from].ledger.request(at(now), &upstream(), from as u64, &request)
                 {
                     self.receive_response(now, from, response, now);
                 }
@@ -298,7 +298,7 @@
         match message {
             Message::Request(from, request, sent) => {
                 if let Some(response) =
-                    self.members[to].ledger.ask(at(now), &upstream(), from as u64, &request)
+                    self.members[to].ledger.request(at(now), &upstream(), from as u64, &request)
                 {
                     self.send_to(now, from, Message::Response(from, response, sent));
                 }
@@ -453,7 +453,7 @@
     let granted = PermitResponse::Granted { count: 3, wait_ms: 0 };
     assert!(cache.receive(at(700), &upstream(), at(100), granted).is_err());
     let step = cache.step(at(701), &upstream(), time::Duration::ZERO);
-    assert!(matches!(step, PermitStep::Ask(_)), "{step:?}");
+    assert!(matches!(step, PermitStep::Request(_)), "{step:?}");
     let term = PermitTerm::of_answer(at(100), time::Duration::ZERO);
     assert!(term.is_valid(at(599)) && !term.is_valid(at(600)));
 }
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -5,7 +5,7 @@
 use std::collections;
 
 use slipturn_core::{
-    engine_place::{PlaceAnswer, PlaceAsk, PlaceEnd},
+    engine_place::{PlaceAnswer, PlaceEnd, PlacementRequest},
     ids,
     planner::{PlacementPlanner, PlannerOptions},
     send_pace::PaceBound,
@@ -24,8 +24,8 @@
 fn set_limits(planner: &mut PlacementPlanner, now: u64, limits: &[(usize, f64)]) {
     let rate = |limit| units::RequestRate::try_from(limit).expect("a rate");
     let bound = |limit| PaceBound::of_limit(rate(limit));
-    let kept = limits.iter().map(|(number, limit)| (engine(*number), bound(*limit))).collect();
-    planner.set_limits(at(now), &kept, collections::BTreeSet::new());
+    let enforced = limits.iter().map(|(number, limit)| (engine(*number), bound(*limit))).collect();
+    planner.set_limits(at(now), &enforced, collections::BTreeSet::new());
 }
 
 /// Outcome of a simulated load: requests arrive at a fixed interval and are answered within 1 s of their placement.
@@ -46,10 +46,10 @@
         planner: &mut PlacementPlanner,
         until: u64,
         every: u64,
-        ask: impl Fn(u64) -> PlaceAsk,
+        request: impl Fn(u64) -> PlacementRequest,
     ) -> Self {
         let mut load = Self::default();
-        let mut asked = collections::HashMap::new();
+        let mut requested_at = collections::HashMap::new();
         let mut ends = collections::BTreeMap::<u64, Vec<_>>::new();
         for now in (1..until).filter(|now| now % 10 == 1) {
             for (job, answering) in ends.remove(&now).unwrap_or_default() {
@@ -61,13 +61,13 @@
             }
             let mut answers = planner.tick(at(now));
             if now % every <= 1 {
-                let ask = ask(now);
-                asked.insert(ask.job, now);
-                answers.extend(planner.ask(at(now), ask));
+                let request = request(now);
+                requested_at.insert(request.job, now);
+                answers.extend(planner.request(at(now), request));
             }
             for answer in answers {
                 let job = answer.job();
-                if load.note(now, asked[&job], &answer) {
+                if load.note(now, requested_at[&job], &answer) {
                     ends.entry(now + 100).or_default().push((job, false));
                     ends.entry(now + 1_000).or_default().push((job, true));
                 }
@@ -77,10 +77,10 @@
     }
 
     /// Records an answer; returns whether it is a placement.
-    fn note(&mut self, now: u64, asked: u64, answer: &PlaceAnswer) -> bool {
+    fn note(&mut self, now: u64, requested_at: u64, answer: &PlaceAnswer) -> bool {
         let (grant, paced) = match answer {
             PlaceAnswer::Refuse(refusal) => {
-                self.refused.push((now - asked, refusal.back_after_ms));
+                self.refused.push((now - requested_at, refusal.back_after_ms));
                 return false;
             }
             PlaceAnswer::Grant(grant) => (grant, &[][..]),
@@ -191,12 +191,14 @@
 fn a_new_limit_starts_with_one_interval_and_ends_at_once() {
     let mut planner = planner(1, &[(0, 0.5)]);
     assert!(
-        planner.ask(at(1), short(1)).is_none_or(|answer| matches!(answer, PlaceAnswer::Refuse(_)))
+        planner
+            .request(at(1), short(1))
+            .is_none_or(|answer| matches!(answer, PlaceAnswer::Refuse(_)))
     );
     set_limits(&mut planner, 500, &[]);
-    assert!(matches!(planner.ask(at(501), short(2)), Some(PlaceAnswer::Grant(_))));
+    assert!(matches!(planner.request(at(501), short(2)), Some(PlaceAnswer::Grant(_))));
     set_limits(&mut planner, 1_000, &[(0, 4.0)]);
-    assert!(planner.ask(at(1_200), short(3)).is_none(), "it waits for a permit");
+    assert!(planner.request(at(1_200), short(3)).is_none(), "it waits for a permit");
     assert!(planner.tick(at(1_260)).iter().any(|answer| matches!(answer, PlaceAnswer::Paced(..))));
 }
 
@@ -204,8 +206,8 @@
 #[test]
 fn a_new_request_does_not_take_the_permit_of_a_waiting_one() {
     let mut planner = planner(1, &[(0, 4.0)]);
-    assert!(planner.ask(at(1), short(1)).is_none(), "it waits for a permit");
-    let later = planner.ask(at(251), short(2));
+    assert!(planner.request(at(1), short(1)).is_none(), "it waits for a permit");
+    let later = planner.request(at(251), short(2));
     assert!(!matches!(later, Some(PlaceAnswer::Paced(..))), "{later:?}");
     let answers = planner.tick(at(255));
     assert!(answers.iter().any(|answer| answer.job() == short(1).job), "{answers:?}");
--- a/crates/core/tests/store_tracker.rs
+++ b/crates/core/tests/store_tracker.rs
@@ -36,22 +36,22 @@
 #[test]
 fn an_outage_lasts_from_the_first_failure_to_the_next_answer() {
     let mut tracker = watching();
-    assert!(tracker.lose(at(1_000)), "new");
-    assert!(!tracker.lose(at(2_000)), "known");
+    assert!(tracker.note_failure(at(1_000)), "new");
+    assert!(!tracker.note_failure(at(2_000)), "known");
     assert!(
         !tracker.is_reliable_watcher() && tracker.is_watching(),
         "other members take over; this one keeps trying"
     );
     assert_eq!(tracker.watched(), 7.into(), "the watch continues from there");
-    let heard = tracker.receive(at(4_000));
-    assert_eq!(heard, AnswerEffect { away: Some(millis(3_000)), resumes_watch: true });
+    let effect = tracker.receive(at(4_000));
+    assert_eq!(effect, AnswerEffect { away: Some(millis(3_000)), resumes_watch: true });
     assert_eq!(tracker.receive(at(4_100)), AnswerEffect { away: None, resumes_watch: false });
 }
 
 #[test]
 fn members_rely_on_a_watcher_while_its_store_is_only_doubted() {
     let mut tracker = watching();
-    tracker.doubt();
+    tracker.note_overdue();
     assert!(!tracker.answers() && tracker.is_reliable_watcher());
     assert_eq!(tracker.receive(at(900)), AnswerEffect { away: None, resumes_watch: false });
     assert!(tracker.answers());
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -71,7 +71,7 @@
                 reply(answer, router.spend(now, &resolved, want));
             }
             EntryEvent::SpendAlone(resolved, want, answer) => {
-                reply(answer, router.spend_alone(now, &resolved, want));
+                reply(answer, router.spend_own_share(now, &resolved, want));
             }
             EntryEvent::Portion(customer, portion) => router.add_portion(now, &customer, portion),
             EntryEvent::Candidates(question, tree, prefix, tried, answer) => {
@@ -92,7 +92,7 @@
             EntryEvent::Ended(attempt, engine) => self.end(&attempt, &engine),
             EntryEvent::Eject(engine) => router.eject(now, &engine),
             EntryEvent::Retry(question, answer) => {
-                reply(answer, router.ask_retry(now, question));
+                reply(answer, router.decide_retry(now, question));
             }
             EntryEvent::CountRequest => router.count_request(now),
             EntryEvent::Upstreams(service, answer) => reply(answer, router.upstreams(&service)),
@@ -114,7 +114,7 @@
             EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
             EntryEvent::Documents(update, pauses) => self.apply_documents(now, &update, pauses),
-            EntryEvent::SourcesUnreachable(pauses) => router.note_sources_asked(now, pauses),
+            EntryEvent::SourcesUnreachable(pauses) => router.note_sources_queried(now, pauses),
             EntryEvent::Tick => self.tick(now),
         }
     }
@@ -162,12 +162,12 @@
     }
 
     /// Applies settings and list from an update; without new settings, it confirms those in force.
-    /// `pauses` is the number of detected process pauses when the sources were asked.
+    /// `pause_count` is the number of detected process pauses when the sources were asked.
     fn apply_documents(
         &mut self,
         now: units::MonoTime,
         update: &scheduler_link::DocumentUpdate,
-        pauses: u64,
+        pause_count: u64,
     ) {
         match &update.settings {
             Some(text) => self.apply_settings(now, text),
@@ -179,7 +179,7 @@
                 Err(error) => log::error!("invalid list: {error}"),
             }
         }
-        self.router.note_sources_asked(now, pauses);
+        self.router.note_sources_queried(now, pause_count);
         self.update_summary();
     }
 
@@ -201,7 +201,7 @@
             list: list.revision,
         };
         self.summary.known.set(known);
-        self.summary.pauses.set(self.router.wakes());
+        self.summary.pause_count.set(self.router.pause_count());
         let schedulers = list.live_instances().map(|instance| instance.scheduler);
         self.summary.schedulers.replace(schedulers.collect());
     }
@@ -225,7 +225,7 @@
 
     fn tick(&mut self, now: units::MonoTime) {
         self.router.tick(now);
-        self.summary.pauses.set(self.router.wakes());
+        self.summary.pause_count.set(self.router.pause_count());
         self.sender.gauge("running", self.running.len() as u64);
         self.sender.flush();
     }
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -26,7 +26,7 @@
     let own = context.settings().member_address;
     let (joined, welcome, uncontacted) = {
         let mut members = context.members.borrow_mut();
-        let welcome = members.welcome(&heartbeat);
+        let welcome = members.addresses_for_newcomer(&heartbeat);
         let joined = members.receive(now, heartbeat);
         (joined, welcome, members.take_uncontacted(own))
     };
--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -25,7 +25,7 @@
 struct SimulatedEntry {
     name: ids::InstanceId,
     boot: u64,
-    streaming: collections::BTreeMap<ids::AttemptId, placement::PlaceRequest>,
+    streaming: collections::BTreeMap<ids::AttemptId, placement::CapacityRequest>,
 }
 
 /// State of one simulation.
@@ -37,7 +37,7 @@
     entries: Vec<SimulatedEntry>,
     /// Requests sent to the ledger and not yet granted or refused, by attempt, with the index of
     /// their entry.
-    queued: collections::BTreeMap<ids::AttemptId, (usize, placement::PlaceRequest)>,
+    queued: collections::BTreeMap<ids::AttemptId, (usize, placement::CapacityRequest)>,
     /// Duplicate releases in transit, with the time of their arrival.
     delayed_releases: Vec<(units::MonoTime, ids::AttemptId)>,
     /// Number of requests created so far.
@@ -117,7 +117,7 @@
         let limit = time::Duration::from_secs(5 + self.random.random_range(0..15));
         let SimulatedEntry { name, boot, .. } = &self.entries[entry];
         let request = ids::RequestId::new(name, ids::BootId(*boot), self.request_number);
-        let placement_request = placement::PlaceRequest {
+        let placement_request = placement::CapacityRequest {
             attempt: ids::AttemptId::new(&request, 1),
             entry: name.clone(),
             boot: ids::BootId(*boot),
