--- a/crates/core/tests/failure_detector.rs
+++ b/crates/core/tests/failure_detector.rs
@@ -16,8 +16,8 @@
 const LOSS: f64 = 0.01;
 /// Time within which all members detect that a member is silent.
 const DETECTION_TIME: time::Duration = time::Duration::from_secs(3);
-/// Most datagrams that a member sends per second, at any size of the fleet.
-const MOST_SENT: f64 = 16.0;
+/// Most datagrams that a member may send per second, in a fleet of any size.
+const MAX_SENT_PER_SECOND: f64 = 16.0;
 
 fn seconds(time: Option<time::Duration>) -> String {
     time.map_or_else(|| "never".to_owned(), |time| format!("{:.2} s", time.as_secs_f64()))
@@ -31,17 +31,21 @@
             fleet.run(time::Duration::from_secs(3));
             let sent = fleet.sent_per_member();
             fleet.silence(&[members / 2]);
-            let most = fleet.time_until_suspected(0.99, time::Duration::from_secs(100));
-            let more = fleet.time_until_suspected(1.0, time::Duration::from_secs(100));
-            let known = most.zip(more).map(|(most, more)| most + more);
+            let until_most = fleet.time_until_suspected(0.99, time::Duration::from_secs(100));
+            let remaining = fleet.time_until_suspected(1.0, time::Duration::from_secs(100));
+            let until_all =
+                until_most.zip(remaining).map(|(until_most, remaining)| until_most + remaining);
             println!(
                 "{protocol:?}, {members} members: 99 of 100 after {}, all after {}, {sent:.1} sent per second",
-                seconds(most),
-                seconds(known)
+                seconds(until_most),
+                seconds(until_all)
             );
             if protocol == Protocol::RingProbes {
-                assert!(known.is_some_and(|known| known <= DETECTION_TIME), "{members}: {known:?}");
-                assert!(sent <= MOST_SENT, "{members}: {sent:.1} sent per second");
+                assert!(
+                    until_all.is_some_and(|until_all| until_all <= DETECTION_TIME),
+                    "{members}: {until_all:?}"
+                );
+                assert!(sent <= MAX_SENT_PER_SECOND, "{members}: {sent:.1} sent per second");
             }
         }
     }
@@ -54,15 +58,15 @@
         let mut fleet = VirtualFleet::new(Protocol::RingProbes, members, LOSS, 11);
         fleet.run(time::Duration::from_secs(2));
         fleet.cut(0.3);
-        let part = fleet.suspected_share_after(DETECTION_TIME);
-        println!("{members}: {part:.4} of the divided pairs suspected after {DETECTION_TIME:?}");
-        assert!(part >= 0.99, "{members}: {part:.4}");
+        let share = fleet.suspected_share_after(DETECTION_TIME);
+        println!("{members}: {share:.4} of the divided pairs suspected after {DETECTION_TIME:?}");
+        assert!(share >= 0.99, "{members}: {share:.4}");
         fleet.heal();
-        let left = fleet.remaining_suspicions_after(DETECTION_TIME);
+        let remaining = fleet.remaining_suspicions_after(DETECTION_TIME);
         println!(
             "{members}: {left:.4} of all pairs still suspected {DETECTION_TIME:?} after its end"
         );
-        assert!(left <= 0.01, "{members}: {left:.4}");
+        assert!(remaining <= 0.01, "{members}: {remaining:.4}");
     }
 }
 
@@ -90,7 +94,7 @@
     fleet.run(time::Duration::from_secs(2));
     let half: Vec<_> = (0..members).filter(|member| member % 2 == 0).collect();
     fleet.silence(&half);
-    let known = fleet.time_until_suspected(0.99, time::Duration::from_secs(20));
-    println!("half of {members}: 99 of 100 pairs after {}", seconds(known));
-    assert!(known.is_some_and(|known| known <= DETECTION_TIME), "{known:?}");
+    let until_most = fleet.time_until_suspected(0.99, time::Duration::from_secs(20));
+    println!("half of {members}: 99 of 100 pairs after {}", seconds(until_most));
+    assert!(until_most.is_some_and(|until_most| until_most <= DETECTION_TIME), "{until_most:?}");
 }
--- a/crates/core/tests/start_of_all.rs
+++ b/crates/core/tests/start_of_all.rs
@@ -12,12 +12,12 @@
 fn the_time_until_all_have_the_documents_does_not_grow_with_the_fleet() {
     for (members, bound) in SIZES {
         let mut start = VirtualStart::new(members, 0.0, SourceChoice::Any, 3);
-        let known = start.run();
-        println!("{members}: {known}");
-        assert_eq!(known.missing, 0, "{members}");
-        assert!(known.last_ms <= bound, "{members}: {known}");
-        assert!(known.readers <= 6, "{members}: {known}");
-        assert!(known.most_served <= members / 4 + 24, "{members}: {known}");
+        let outcome = start.run();
+        println!("{members}: {outcome}");
+        assert_eq!(outcome.missing, 0, "{members}");
+        assert!(outcome.last_ms <= bound, "{members}: {outcome}");
+        assert!(outcome.readers <= 6, "{members}: {outcome}");
+        assert!(outcome.most_served <= members / 4 + 24, "{members}: {outcome}");
     }
 }
 
@@ -27,14 +27,14 @@
 fn members_that_are_cut_off_do_not_delay_the_others() {
     for members in [60, 200, 585, 1_170] {
         let mut start = VirtualStart::new(members, 0.3, SourceChoice::Any, 5);
-        let known = start.run();
-        println!("{members}, 30% cut off: {known}");
+        let outcome = start.run();
+        println!("{members}, 30% cut off: {outcome}");
         assert_eq!(
-            known.missing,
+            outcome.missing,
             (members as f64 * 0.3) as usize,
             "{members}: only those that are cut off"
         );
-        assert!(known.last_ms <= 900, "{members}: {known}");
+        assert!(outcome.last_ms <= 900, "{members}: {outcome}");
     }
 }
 
--- a/crates/core/tests/support/event_queue.rs
+++ b/crates/core/tests/support/event_queue.rs
@@ -7,13 +7,14 @@
 #[derive(Debug)]
 struct QueuedEvent<T> {
     at: units::MonoTime,
-    order: u64,
+    /// Sequence number; events at the same time are handled in the order in which they were scheduled.
+    sequence: u64,
     event: T,
 }
 
 impl<T> PartialEq for QueuedEvent<T> {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence == other.sequence
     }
 }
 impl<T> Eq for QueuedEvent<T> {}
@@ -24,29 +25,29 @@
 }
 impl<T> Ord for QueuedEvent<T> {
     fn cmp(&self, other: &Self) -> cmp::Ordering {
-        (other.at, other.order).cmp(&(self.at, self.order))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
 /// A queue of scheduled events.
 #[derive(Debug)]
 pub(crate) struct EventQueue<T> {
-    /// Number of the last scheduled event.
-    order: u64,
+    /// Sequence number of the last scheduled event.
+    sequence: u64,
     events: collections::BinaryHeap<QueuedEvent<T>>,
 }
 
 impl<T> Default for EventQueue<T> {
     fn default() -> Self {
-        Self { order: 0, events: collections::BinaryHeap::new() }
+        Self { sequence: 0, events: collections::BinaryHeap::new() }
     }
 }
 
 impl<T> EventQueue<T> {
     /// Schedules an event.
     pub(crate) fn push(&mut self, at: units::MonoTime, event: T) {
-        self.order += 1;
-        self.events.push(QueuedEvent { at, order: self.order, event });
+        self.sequence += 1;
+        self.events.push(QueuedEvent { at, sequence: self.sequence, event });
     }
 
     /// Removes and returns the next event if it is due by `end`.
--- a/crates/core/tests/support/virtual_fleet.rs
+++ b/crates/core/tests/support/virtual_fleet.rs
@@ -67,9 +67,9 @@
     detector: FailureDetector,
     /// When the last heartbeat of each other member arrived.
     last_heartbeats: Vec<units::MonoTime>,
-    /// Results of random probes: silent members, and when this member learned of each.
-    known: collections::BTreeMap<usize, units::MonoTime>,
-    /// When it last refuted a suspicion of itself.
+    /// Members that random probes found silent, and when this member learned of each.
+    known_silent: collections::BTreeMap<usize, units::MonoTime>,
+    /// When the member last refuted a suspicion of itself.
     refuted: Option<units::MonoTime>,
     /// Target and time of the pending random probe.
     pending: Option<(usize, units::MonoTime)>,
@@ -106,7 +106,7 @@
                 side: 0,
                 detector,
                 last_heartbeats: vec![units::MonoTime::default(); count],
-                known: collections::BTreeMap::new(),
+                known_silent: collections::BTreeMap::new(),
                 refuted: None,
                 pending: None,
             }
@@ -157,9 +157,9 @@
     }
 
     /// Cuts a share of the members off from the others.
-    pub(crate) fn cut(&mut self, part: f64) {
-        let cut = (self.members.len() as f64 * part) as usize;
-        self.members.iter_mut().take(cut).for_each(|member| member.side = 1);
+    pub(crate) fn cut(&mut self, share: f64) {
+        let count = (self.members.len() as f64 * share) as usize;
+        self.members.iter_mut().take(count).for_each(|member| member.side = 1);
     }
 
     /// Ends the partition.
@@ -171,14 +171,14 @@
     /// that exceeds `limit`.
     pub(crate) fn time_until_suspected(
         &mut self,
-        part: f64,
+        share: f64,
         limit: time::Duration,
     ) -> Option<time::Duration> {
-        let begun = self.now;
-        while self.now.since(begun) < limit {
+        let start = self.now;
+        while self.now.since(start) < limit {
             self.run(TICK);
-            if self.suspected_share() >= part {
-                return Some(self.now.since(begun));
+            if self.suspected_share() >= share {
+                return Some(self.now.since(start));
             }
         }
         None
@@ -188,8 +188,8 @@
     pub(crate) fn suspected_share_after(&mut self, time: time::Duration) -> f64 {
         self.run(time);
         let pairs = self.divided_pairs();
-        let known = pairs.iter().filter(|(own, other)| self.suspects(*own, *other)).count();
-        known as f64 / pairs.len() as f64
+        let suspected = pairs.iter().filter(|(own, other)| self.suspects(*own, *other)).count();
+        suspected as f64 / pairs.len() as f64
     }
 
     /// Runs for a time; returns the share of all pairs in which the first suspects the second.
@@ -216,10 +216,10 @@
     fn suspected_share(&self) -> f64 {
         let is_silent = |own: &usize| self.members[*own].silent;
         let (silent, live): (Vec<_>, Vec<_>) = (0..self.members.len()).partition(is_silent);
-        let known =
+        let suspected_by =
             |own: &usize| silent.iter().filter(|other| self.suspects(*own, **other)).count();
-        let known: usize = live.iter().map(known).sum();
-        known as f64 / (live.len() * silent.len()) as f64
+        let suspected: usize = live.iter().map(suspected_by).sum();
+        suspected as f64 / (live.len() * silent.len()) as f64
     }
 
     fn suspects(&self, own: usize, other: usize) -> bool {
@@ -229,7 +229,7 @@
                 let limit = interval(self.protocol, self.members.len()) * MISSED_HEARTBEATS;
                 self.now.since(member.last_heartbeats[other]) > limit
             }
-            Protocol::RandomProbes => member.known.contains_key(&other),
+            Protocol::RandomProbes => member.known_silent.contains_key(&other),
             Protocol::RingProbes => member.detector.is_suspected(other as u64),
         }
     }
@@ -273,8 +273,8 @@
         match self.protocol {
             Protocol::Heartbeats => {
                 self.send_all(own, &Datagram::Heartbeat);
-                let pause = interval(self.protocol, self.members.len());
-                self.schedule(pause, own, None, None);
+                let period = interval(self.protocol, self.members.len());
+                self.schedule(period, own, None, None);
             }
             Protocol::RandomProbes => self.probe_random(own),
             Protocol::RingProbes => {
@@ -293,7 +293,7 @@
                 if self.members[target].silent
                     || self.members[target].side != self.members[own].side
                 {
-                    self.members[own].known.insert(target, self.now);
+                    self.members[own].known_silent.insert(target, self.now);
                 }
             } else {
                 self.members[own].pending = Some((target, sent_at));
@@ -301,7 +301,7 @@
         }
         if self.members[own].pending.is_none() {
             let target = self.random.random_range(0..self.members.len());
-            if target != own && !self.members[own].known.contains_key(&target) {
+            if target != own && !self.members[own].known_silent.contains_key(&target) {
                 self.members[own].pending = Some((target, self.now));
                 let results = self.piggybacked_results(own);
                 self.send(own, target, Datagram::Ping(results));
@@ -313,10 +313,10 @@
     /// Recent results to send with a probe or an answer.
     fn piggybacked_results(&self, own: usize) -> Vec<usize> {
         let doublings = self.members.len().ilog2() + 1;
-        let lasts = PROBE_INTERVAL * PIGGYBACK_PERIODS * doublings;
-        let known = self.members[own].known.iter();
-        let lately = known.filter(|(_, at)| self.now.since(**at) < lasts);
-        lately.map(|(member, _)| *member).take(8).collect()
+        let max_age = PROBE_INTERVAL * PIGGYBACK_PERIODS * doublings;
+        let known = self.members[own].known_silent.iter();
+        let recent = known.filter(|(_, at)| self.now.since(**at) < max_age);
+        recent.map(|(member, _)| *member).take(8).collect()
     }
 
     fn receive(&mut self, own: usize, from: usize, datagram: Datagram) {
@@ -361,7 +361,7 @@
 
     fn record_results(&mut self, own: usize, results: Vec<usize>) {
         for silent in results.into_iter().filter(|silent| *silent != own) {
-            self.members[own].known.entry(silent).or_insert(self.now);
+            self.members[own].known_silent.entry(silent).or_insert(self.now);
         }
     }
 
--- a/crates/core/tests/support/virtual_start.rs
+++ b/crates/core/tests/support/virtual_start.rs
@@ -58,7 +58,7 @@
         let Self { missing, last_ms, readers, most_served } = self;
         write!(
             f,
-            "all have documents {last_ms} ms after the last start but for {missing}, {readers} read the store, at most \
+            "all but {missing} have documents {last_ms} ms after the last start, {readers} read the store, at most \
              {most_served} fetches served by one"
         )
     }
@@ -96,14 +96,14 @@
     sequence: u64,
     /// Revision of its list; 0 without documents.
     list: u64,
-    /// When it got the documents.
-    known: Option<units::MonoTime>,
+    /// When the member got the documents.
+    received_at: Option<units::MonoTime>,
     /// Whether a fetch of the documents is in progress.
     fetching: bool,
     watches: bool,
-    /// Fetches that it is serving.
-    sending: usize,
-    /// Fetches that it has served or is serving.
+    /// Number of fetches that the member is serving.
+    serving: usize,
+    /// Number of fetches that the member has served or is serving.
     served: usize,
 }
 
@@ -133,10 +133,10 @@
             started: units::MonoTime::default(),
             sequence: 0,
             list: 0,
-            known: None,
+            received_at: None,
             fetching: false,
             watches: false,
-            sending: 0,
+            serving: 0,
             served: 0,
         };
         let mut start = Self {
@@ -161,16 +161,16 @@
         while let Some((at, event)) = self.events.pop_until(units::MonoTime::from_span(END)) {
             self.now = at;
             self.handle(event.to, event.step);
-            if self.members.iter().all(|member| member.known.is_some() || member.cut) {
+            if self.members.iter().all(|member| member.received_at.is_some() || member.cut) {
                 break;
             }
         }
         let last_start = self.members.iter().map(|member| member.started).max();
         let last_start = last_start.unwrap_or_default();
-        let known = self.members.iter().filter_map(|member| member.known);
-        let last = known.max().unwrap_or_default();
+        let received = self.members.iter().filter_map(|member| member.received_at);
+        let last = received.max().unwrap_or_default();
         StartOutcome {
-            missing: self.members.iter().filter(|member| member.known.is_none()).count(),
+            missing: self.members.iter().filter(|member| member.received_at.is_none()).count(),
             last_ms: units::whole_millis(last.since(last_start)),
             readers: self.readers,
             most_served: self.members.iter().map(|member| member.served).max().unwrap_or_default(),
@@ -245,7 +245,7 @@
         let view = &mut self.members[own].view;
         let newcomer_addresses = view.addresses_for_newcomer(&heartbeat);
         let joined = view.receive(self.now, heartbeat);
-        let unmet = view.take_uncontacted(address(own));
+        let uncontacted = view.take_uncontacted(address(own));
         let sample_addresses = view.sample_addresses(sequence);
         if joined && newcomer_addresses.is_empty() {
             self.send(own, from, sample_addresses.clone());
@@ -253,12 +253,14 @@
         for others in newcomer_addresses.into_iter().filter(|_| joined) {
             self.send(own, from, others);
         }
-        unmet.into_iter().for_each(|to| self.send(own, number_at(to), sample_addresses.clone()));
+        uncontacted
+            .into_iter()
+            .for_each(|to| self.send(own, number_at(to), sample_addresses.clone()));
     }
 
     /// Fetches the documents if the member has none, or schedules another attempt.
     fn find_documents(&mut self, own: usize) {
-        if self.members[own].known.is_some() || self.members[own].fetching {
+        if self.members[own].received_at.is_some() || self.members[own].fetching {
             return;
         }
         let near: ids::DataCenterId = "a".parse().expect("a valid name");
@@ -289,26 +291,26 @@
         let unreachable = !self.reaches(own, source);
         let source_member = &mut self.members[source];
         let busy =
-            source_member.sending >= 8 && (source_member.sending + 1) * bytes > MAX_SENDING_BYTES;
+            source_member.serving >= 8 && (source_member.serving + 1) * bytes > MAX_SENDING_BYTES;
         if source_member.list == 0 || busy || unreachable {
             let pause = time::Duration::from_secs_f64(self.random.random_range(0.05..0.15));
             return self.schedule(pause, own, Step::Retry);
         }
-        source_member.sending += 1;
+        source_member.serving += 1;
         source_member.served += 1;
         let list = source_member.list;
-        let takes = bytes * source_member.sending / LINK_BYTES_PER_MS + 3;
+        let duration_ms = bytes * source_member.serving / LINK_BYTES_PER_MS + 3;
         self.members[own].fetching = true;
-        let takes = time::Duration::from_millis(takes as u64);
-        self.schedule(takes, own, Step::Received(Some(source), list));
+        let duration = time::Duration::from_millis(duration_ms as u64);
+        self.schedule(duration, own, Step::Received(Some(source), list));
     }
 
     fn receive_documents(&mut self, own: usize, from: Option<usize>, list: u64) {
         if let Some(from) = from {
-            self.members[from].sending -= 1;
+            self.members[from].serving -= 1;
         }
         let member = &mut self.members[own];
-        (member.list, member.known, member.fetching) = (list, Some(self.now), false);
+        (member.list, member.received_at, member.fetching) = (list, Some(self.now), false);
         member.watches = from.is_none();
         if member.watches {
             self.schedule(CHANGE_INTERVAL, own, Step::Change);
