--- a/crates/core/tests/failure_detector.rs
+++ b/crates/core/tests/failure_detector.rs
@@ -14,7 +14,7 @@
 const SIZES: [usize; 5] = [6, 60, 300, 585, 1_170];
 /// Share of the datagrams that are lost.
 const LOSS: f64 = 0.01;
-/// Time within which all members detect that a member is silent.
+/// Time within which all members must detect that a member is silent.
 const DETECTION_TIME: time::Duration = time::Duration::from_secs(3);
 /// Most datagrams that a member may send per second, in a fleet of any size.
 const MAX_SENT_PER_SECOND: f64 = 16.0;
@@ -51,7 +51,8 @@
     }
 }
 
-/// Nearly a third of the fleet is cut off. Each side must suspect the other, and stop doing so after the partition.
+/// Nearly a third of the fleet is cut off. The members of each side must suspect those of the other, and stop doing so after
+/// the partition.
 #[test]
 fn both_sides_of_a_partition_suspect_each_other_until_it_ends() {
     for members in [60, 300, 585] {
@@ -64,7 +65,7 @@
         fleet.heal();
         let remaining = fleet.remaining_suspicions_after(DETECTION_TIME);
         println!(
-            "{members}: {left:.4} of all pairs still suspected {DETECTION_TIME:?} after its end"
+            "{members}: {remaining:.4} of all pairs still suspected {DETECTION_TIME:?} after its end"
         );
         assert!(remaining <= 0.01, "{members}: {remaining:.4}");
     }
--- a/crates/core/tests/start_of_all.rs
+++ b/crates/core/tests/start_of_all.rs
@@ -1,4 +1,5 @@
-//! Simultaneous start of all members: how long until each has the routes and the list, and how many read the store.
+//! Simultaneous start of all members: the time until each has the routes and the list, and the number of members that read
+//! the store.
 
 #[path = "support/virtual_start.rs"]
 mod virtual_start;
@@ -21,8 +22,8 @@
     }
 }
 
-/// 30% of the members reach neither the others nor the store, and their callers are sent elsewhere. The others must not
-/// wait for them.
+/// 30% of the members reach neither the other members nor the store, and their callers are sent elsewhere. The remaining
+/// members must not wait for them.
 #[test]
 fn members_that_are_cut_off_do_not_delay_the_others() {
     for members in [60, 200, 585, 1_170] {
@@ -38,8 +39,8 @@
     }
 }
 
-/// Compares with the former protocol, which fetches the newest list only and reads the store only after all members were
-/// met: few members then serve all.
+/// Compares with the former protocol, which fetches only the newest list and reads the store only once no new member joins:
+/// few members then serve all others.
 #[test]
 fn fetching_any_version_is_faster_than_waiting_for_the_newest() {
     let newest = VirtualStart::new(200, 0.0, SourceChoice::Newest, 3).run();
--- a/crates/core/tests/support/event_queue.rs
+++ b/crates/core/tests/support/event_queue.rs
@@ -24,6 +24,7 @@
     }
 }
 impl<T> Ord for QueuedEvent<T> {
+    /// Compares in reverse, as the heap returns its greatest element first.
     fn cmp(&self, other: &Self) -> cmp::Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
--- a/crates/core/tests/support/list_entries.rs
+++ b/crates/core/tests/support/list_entries.rs
@@ -12,7 +12,7 @@
     format!("u{number}").parse().expect("a valid name")
 }
 
-/// A live upstream of service `s` in data centre `a`, warm.
+/// The entry of a live and warm upstream of service `s` in data centre `a`.
 pub(crate) fn entry(number: u8) -> UpstreamEntry {
     UpstreamEntry {
         name: name(number),
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -7,8 +7,10 @@
     ids, route_table, units,
 };
 
+/// Slots of an engine.
 #[allow(dead_code, reason = "not every test file uses it")]
 pub(crate) const SLOTS: usize = 16;
+/// Memory of an engine, in tokens.
 #[allow(dead_code, reason = "not every test file uses it")]
 pub(crate) const MEMORY: u64 = 315_000;
 
--- a/crates/core/tests/support/virtual_fleet.rs
+++ b/crates/core/tests/support/virtual_fleet.rs
@@ -28,14 +28,14 @@
 /// Probe periods for which a result is piggybacked on random probes, for each doubling of the members.
 const PIGGYBACK_PERIODS: u32 = 3;
 
-/// How members detect silent ones.
+/// Protocol by which members detect silent members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Protocol {
     /// Each member sends heartbeats to all others.
     Heartbeats,
-    /// Each member probes a random one per period; results are piggybacked on probes.
+    /// Each member probes a random other member per period; results are piggybacked on probes.
     RandomProbes,
-    /// Each member probes the next ones on a ring; results are broadcast.
+    /// Each member probes the next members on a ring; results are broadcast.
     RingProbes,
 }
 
@@ -53,14 +53,14 @@
 #[derive(Debug)]
 struct Event {
     to: usize,
-    /// `None` is the member's own timer.
+    /// Sender of the datagram; `None` if the event is the member's own timer.
     from: Option<usize>,
     datagram: Option<Datagram>,
 }
 
 /// A simulated member.
 struct VirtualMember {
-    /// Whether it neither sends nor receives.
+    /// Whether the member neither sends nor receives.
     silent: bool,
     /// Side of the partition, 0 or 1.
     side: u8,
@@ -167,8 +167,8 @@
         self.members.iter_mut().for_each(|member| member.side = 0);
     }
 
-    /// Runs until the live member suspects the silent one in a share of such pairs; returns the time that it took, or `None` if
-    /// that exceeds `limit`.
+    /// Runs until at least the given share of the pairs of a live and a silent member are suspicions of the latter by the
+    /// former; returns the time that this took, or `None` if it exceeds `limit`.
     pub(crate) fn time_until_suspected(
         &mut self,
         share: f64,
@@ -289,7 +289,8 @@
         if let Some((target, sent_at)) = self.members[own].pending.take() {
             let waited = self.now.since(sent_at);
             if waited >= PROBE_TIMEOUTS.0 + PROBE_TIMEOUTS.1 {
-                // The result of probes by relays: they reach the target unless it is silent or on the other side.
+                // The result of the relayed probes: they reach the target unless it is silent or on the other side of the
+                // partition.
                 if self.members[target].silent
                     || self.members[target].side != self.members[own].side
                 {
--- a/crates/core/tests/support/virtual_start.rs
+++ b/crates/core/tests/support/virtual_start.rs
@@ -1,4 +1,5 @@
-//! Simulation of members that start at once, in virtual time: they meet by heartbeats and fetch documents from each other.
+//! Simulation of members that start at the same time, in virtual time: they discover each other by heartbeats and fetch
+//! documents from each other.
 
 mod event_queue;
 
@@ -24,7 +25,7 @@
 const LINK_BYTES_PER_MS: usize = 2_500;
 /// Most bytes that a member sends concurrently.
 const MAX_SENDING_BYTES: usize = 480 * 1024;
-/// Number of seeds.
+/// Number of seed members, whose addresses every member knows when it starts.
 const SEED_COUNT: usize = 3;
 /// Interval between two changes of the list that watchers receive.
 const CHANGE_INTERVAL: time::Duration = time::Duration::from_millis(300);
@@ -36,7 +37,7 @@
 pub(crate) enum SourceChoice {
     /// From any member that has documents; seeds read the store at once.
     Any,
-    /// From members with the newest list; seeds read the store once they have met no new member for a while.
+    /// From members with the newest list; seeds read the store once no new member has joined for a while.
     Newest,
 }
 
@@ -45,7 +46,7 @@
 pub(crate) struct StartOutcome {
     /// Members without documents at the end.
     pub(crate) missing: usize,
-    /// Time from the last start until the last of the other members had the documents, in milliseconds.
+    /// Time from the last start until the last member got the documents, in milliseconds; does not count missing members.
     pub(crate) last_ms: u64,
     /// Members that read the store.
     pub(crate) readers: usize,
@@ -88,18 +89,19 @@
 /// A simulated member.
 struct StartingMember {
     view: MemberView,
-    /// Whether it is cut off from the other members and the store.
+    /// Whether the member is cut off from the other members and the store.
     cut: bool,
     /// Start time; zero before the start.
     started: units::MonoTime,
     /// Sequence number of the last heartbeat.
     sequence: u64,
-    /// Revision of its list; 0 without documents.
+    /// Revision of the member's list; 0 without documents.
     list: u64,
     /// When the member got the documents.
     received_at: Option<units::MonoTime>,
     /// Whether a fetch of the documents is in progress.
     fetching: bool,
+    /// Whether the member watches the store.
     watches: bool,
     /// Number of fetches that the member is serving.
     serving: usize,
@@ -118,6 +120,7 @@
     bytes: usize,
     /// Revision of the list in the store.
     revision: u64,
+    /// Number of members that read the store.
     readers: usize,
 }
 
