--- a/crates/core/tests/engine_ledger.rs
+++ b/crates/core/tests/engine_ledger.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn memory_is_kept_for_an_overdue_request_while_short_ones_continue() {
+fn memory_is_reserved_for_an_overdue_request_while_short_ones_continue() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000));
     // It has a deadline of 20 s, so it becomes overdue after about 8 s.
@@ -356,8 +356,8 @@
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000));
     ledger.enqueue(at(0), request("a:1:2:1", 60_000, 600_000));
-    let named = [request("a:1:1:1", 60_000, 600_000), request("a:1:2:1", 60_000, 600_000)];
-    ledger.renew(at(1_000), &name("instance-1"), ids::BootId(1), &named);
+    let renewed = [request("a:1:1:1", 60_000, 600_000), request("a:1:2:1", 60_000, 600_000)];
+    ledger.renew(at(1_000), &name("instance-1"), ids::BootId(1), &renewed);
     assert_eq!((ledger.running(), ledger.waiting()), (1, 1));
     assert_eq!(ledger.free(), units::TokenCount(CAPACITY - 60_100));
 }
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -54,9 +54,9 @@
 fn a_small_cell_polls_all_engines_in_each_round() {
     let mut planner = planner(16, ReportWay::Used);
     for round in 0..10 {
-        let requested_reports = (0..16)
+        let polled = (0..16)
             .filter(|number| planner.take_report_due(at(round * ROUND_MS), &engine(*number)));
-        assert_eq!(requested_reports.count(), 16, "round {round}");
+        assert_eq!(polled.count(), 16, "round {round}");
     }
 }
 
--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -79,8 +79,8 @@
     place(&mut planner, 0, long(1, 90_000));
     assert!(planner.request(at(1), long(2, 90_000)).is_none());
     assert!(planner.tick(at(100)).is_empty());
-    let whole = pass_model::prefill_ms(&shape(), 90_000) as u64;
-    let answers = planner.tick(at(whole + 10));
+    let prefill_time = pass_model::prefill_ms(&shape(), 90_000) as u64;
+    let answers = planner.tick(at(prefill_time + 10));
     assert_eq!(answers.len(), 1, "{answers:?}");
 }
 
@@ -171,10 +171,10 @@
     for number in 0..SLOTS as u64 {
         place_decoding(&mut planner, number * 60, short(number));
     }
-    let back = |sequence| PlacementRequest { refusable: false, ..short(sequence) };
-    place(&mut planner, 2_000, back(60));
-    place(&mut planner, 2_001, back(61));
-    let answer = planner.request(at(2_002), back(62));
+    let retry = |sequence| PlacementRequest { refusable: false, ..short(sequence) };
+    place(&mut planner, 2_000, retry(60));
+    place(&mut planner, 2_001, retry(61));
+    let answer = planner.request(at(2_002), retry(62));
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "at most two: {answer:?}");
 }
 
@@ -221,8 +221,8 @@
         planner.request(at(5), PlacementRequest { patience_ms: 6_000, ..long(2, 250_000) });
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
     assert!(refusal.back_after_ms >= 3_000, "not before the first is prefilled: {refusal:?}");
-    let back = PlacementRequest { refusable: false, patience_ms: 6_000, ..long(3, 250_000) };
-    let answer = planner.request(at(460), back);
+    let retry = PlacementRequest { refusable: false, patience_ms: 6_000, ..long(3, 250_000) };
+    let answer = planner.request(at(460), retry);
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
     assert_eq!(refusal.job.sequence, 3, "a retry is refused, too");
     assert_eq!(planner.waiting_count(), 0, "a refused request must not stay queued");
@@ -256,9 +256,9 @@
 #[test]
 fn leases_that_are_not_renewed_expire() {
     let mut planner = planner(1);
-    let kept = place(&mut planner, 0, short(1));
+    let renewed = place(&mut planner, 0, short(1));
     place(&mut planner, 0, short(2));
-    let lease = PlaceLease { request: short(1), grant: kept, prefilling: false };
+    let lease = PlaceLease { request: short(1), grant: renewed, prefilling: false };
     planner.take_over(at(2_000), vec![lease]);
     planner.tick(at(2_600));
     assert_eq!(planner.placed_count(), 1);
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn an_excluded_engine_is_never_used_and_a_failed_one_only_as_the_last() {
+fn an_excluded_engine_is_never_used_and_a_failed_one_only_as_a_last_resort() {
     let mut planner = planner(2);
     let request = PlacementRequest { excluded: vec![engine(0)], ..short(1) };
     assert_eq!(place(&mut planner, 0, request).engine, engine(1));
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -100,13 +100,13 @@
     set_engines(&mut planner, 0, &starts[..1]);
     let before = place(&mut planner, 0, short(0));
     planner.end(at(2), before.job, PlaceEnd::Failed);
-    let under_way = place(&mut planner, 10, short(1));
+    let in_progress = place(&mut planner, 10, short(1));
     set_engines(&mut planner, 20, &starts[1..]);
     let after = place(&mut planner, 30, short(2));
     assert_eq!((&after.engine, after.first_token_ms < 120), (&starts[1], true), "{after:?}");
     // Late updates about the previous start have no effect.
-    planner.first_token(at(40), under_way.job);
-    planner.end(at(50), under_way.job, PlaceEnd::Failed);
+    planner.first_token(at(40), in_progress.job);
+    planner.end(at(50), in_progress.job, PlaceEnd::Failed);
     let next =
         place(&mut planner, 60, PlacementRequest { excluded: vec![starts[0].clone()], ..short(3) });
     assert_eq!(next.engine, starts[1]);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn refusals_of_crowded_short_prompts_can_be_switched_off() {
+fn refusals_of_short_prompts_while_most_slots_are_in_use_can_be_switched_off() {
     let refused = |short_refusal| {
         let mut planner = planner(1, PlannerWays { short_refusal, ..Default::default() });
         (0..24).any(|number| {
@@ -149,19 +149,20 @@
 #[test]
 fn slots_of_excluded_engines_do_not_count_as_free() {
     let mut planner = planner(3, PlannerWays::default());
-    let closed = vec![engine(0), engine(1)];
-    let closed_to = |number| PlacementRequest { excluded: closed.clone(), ..short(number) };
+    let excluded_engines = vec![engine(0), engine(1)];
+    let excluding =
+        |number| PlacementRequest { excluded: excluded_engines.clone(), ..short(number) };
     for number in 0..SLOTS as u64 {
         let grant = place(
             &mut planner,
             number * 100,
-            PlacementRequest { refusable: false, ..closed_to(number) },
+            PlacementRequest { refusable: false, ..excluding(number) },
         );
         assert_eq!(grant.engine, engine(2));
         planner.first_token(at(number * 100 + 60), grant.job);
     }
     let now = SLOTS as u64 * 100;
-    let answer = planner.request(at(now), closed_to(100));
+    let answer = planner.request(at(now), excluding(100));
     assert!(
         matches!(answer, Some(PlaceAnswer::Refuse(_))),
         "refused at once, not queued: {answer:?}"
@@ -180,7 +181,7 @@
         patience_ms: 40_000,
         ..long(number, 280_000)
     };
-    let closed = |number| PlacementRequest { excluded: vec![engine(0)], ..patient(number) };
+    let excluding = |number| PlacementRequest { excluded: vec![engine(0)], ..patient(number) };
     let mut placed = Vec::new();
     let mut waiting = Vec::new();
     for number in 0..6 {
@@ -189,7 +190,7 @@
             _ => waiting.push(number),
         }
     }
-    waiting.retain(|number| planner.request(at(10), closed(*number)).is_none());
+    waiting.retain(|number| planner.request(at(10), excluding(*number)).is_none());
     assert!(!waiting.is_empty(), "some prompts must wait for engine time");
     let mut answered = std::collections::BTreeSet::new();
     for now in (20..60_000).step_by(10) {
@@ -197,8 +198,8 @@
             answered.insert(answer.job().sequence);
             let PlaceAnswer::Grant(grant) = answer else { continue };
             let mut used = std::iter::once(&grant.engine).chain(&grant.helpers);
-            let after = waiting.contains(&grant.job.sequence);
-            assert!(!after || used.all(|used| *used != engine(0)), "{grant:?}");
+            let had_waited = waiting.contains(&grant.job.sequence);
+            assert!(!had_waited || used.all(|used| *used != engine(0)), "{grant:?}");
             placed.push((now, grant));
         }
         for (since, grant) in &placed {
@@ -210,6 +211,6 @@
         }
         placed.retain(|(since, grant)| now < since + u64::from(grant.first_token_ms));
     }
-    let settled = waiting.iter().filter(|number| answered.contains(*number)).count();
-    assert_eq!(settled, waiting.len(), "each is placed elsewhere or refused");
+    let answered_count = waiting.iter().filter(|number| answered.contains(*number)).count();
+    assert_eq!(answered_count, waiting.len(), "each waiting prompt is placed elsewhere or refused");
 }
--- a/crates/core/tests/planner_key.rs
+++ b/crates/core/tests/planner_key.rs
@@ -43,13 +43,13 @@
     let cells = cell_count(names.len());
     assert_eq!(cells, 2);
     let size = |cell| names.iter().filter(|name| cell_of(&service(), name, cells) == cell).count();
-    let asked = |cell| {
+    let picked = |cell| {
         let keys = (0..150).filter_map(|drawn| pick(&service(), cells, &names, &[], &[], drawn));
         keys.filter(|key| key.cell == cell).count()
     };
     println!("{} and {} engines", size(0), size(1));
     assert_ne!(size(0), size(1));
-    assert_eq!((asked(0), asked(1)), (size(0), size(1)));
+    assert_eq!((picked(0), picked(1)), (size(0), size(1)));
 }
 
 #[test]
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -45,7 +45,7 @@
     fn run(
         planner: &mut PlacementPlanner,
         until: u64,
-        every: u64,
+        interval: u64,
         request: impl Fn(u64) -> PlacementRequest,
     ) -> Self {
         let mut load = Self::default();
@@ -60,7 +60,7 @@
                 }
             }
             let mut answers = planner.tick(at(now));
-            if now % every <= 1 {
+            if now % interval <= 1 {
                 let request = request(now);
                 requested_at.insert(request.job, now);
                 answers.extend(planner.request(at(now), request));
@@ -99,7 +99,7 @@
     }
 
     /// Largest number of requests that an engine got within 4 s.
-    fn most(&self, number: usize) -> usize {
+    fn most_in_window(&self, number: usize) -> usize {
         let sent = self.sent.get(&engine(number)).map_or(&[][..], Vec::as_slice);
         let within =
             |first: &u64| sent.iter().filter(|at| (*first..first + 4_000).contains(*at)).count();
@@ -114,16 +114,16 @@
     let mut roomy = planner(4, &[(0, 2.0)]);
     let load = SimulatedLoad::run(&mut roomy, 20_000, 30, short);
     assert!(load.refused.is_empty() && load.waited.iter().all(|waited| *waited == 0));
-    assert!(load.most(0) <= 9);
+    assert!(load.most_in_window(0) <= 9);
     let mut full = planner(3, &[(0, 2.0)]);
     let load = SimulatedLoad::run(&mut full, 20_000, 30, short);
     println!(
         "{} of 667, at most {} in 4 s, {} refused",
         load.count(0),
-        load.most(0),
+        load.most_in_window(0),
         load.refused.len()
     );
-    assert!(load.most(0) <= 9 && load.count(0) >= 2 * 20 * 8 / 10);
+    assert!(load.most_in_window(0) <= 9 && load.count(0) >= 2 * 20 * 8 / 10);
     assert_eq!(load.without_permit, load.count(1) + load.count(2));
 }
 
@@ -135,12 +135,12 @@
     let load = SimulatedLoad::run(&mut planner, 20_000, 20, short);
     let sent: usize = (0..3).map(|number| load.count(number)).sum();
     println!("{sent} of 1,000 sent, {} refused", load.refused.len());
-    assert!(sent >= 6 * 20 * 8 / 10 && (0..3).all(|number| load.most(number) <= 9));
+    assert!(sent >= 6 * 20 * 8 / 10 && (0..3).all(|number| load.most_in_window(number) <= 9));
     assert_eq!(load.without_permit, 0);
     assert!(load.refused.iter().all(|(waited, _)| *waited == 0), "no refused request has waited");
     assert!(load.waited.iter().all(|waited| *waited <= 300), "no request waits until it is late");
-    let backs: collections::BTreeSet<_> = load.refused.iter().map(|(_, back)| *back).collect();
-    assert!(backs.len() > 20 && backs.last() > Some(&5_000), "retry delays are spread");
+    let delays: collections::BTreeSet<_> = load.refused.iter().map(|(_, delay)| *delay).collect();
+    assert!(delays.len() > 20 && delays.last() > Some(&5_000), "retry delays are spread");
 }
 
 /// The load just matches the limits: requests that arrive slightly early wait, and all are served.
@@ -158,7 +158,7 @@
     let mut planner = planner(6, &[(0, 0.5), (1, 0.5)]);
     let load = SimulatedLoad::run(&mut planner, 20_000, 700, |number| long(number, 154_000));
     println!("{} and {} of {}", load.count(0), load.count(1), load.waited.len());
-    assert!(load.most(0) <= 3 && load.most(1) <= 3);
+    assert!(load.most_in_window(0) <= 3 && load.most_in_window(1) <= 3);
     assert!((2..6).any(|number| load.count(number) > load.count(0)), "the others prefill more");
     assert_eq!(load.without_permit, (2..6).map(|number| load.count(number)).sum::<usize>());
 }
@@ -170,7 +170,7 @@
     let load = SimulatedLoad::run(&mut planner, 40_000, 1_000, |number| long(number, 45_000));
     println!("{} served, {} refused", load.waited.len(), load.refused.len());
     assert!(load.count(0) + load.count(1) >= 12, "the limits are used up");
-    assert!(load.most(0) <= 2 && load.most(1) <= 2);
+    assert!(load.most_in_window(0) <= 2 && load.most_in_window(1) <= 2);
     let at_once = load.refused.iter().filter(|(waited, _)| *waited <= 20).count();
     assert!(at_once * 10 >= load.refused.len() * 9, "{:?}", load.refused);
 }
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -47,7 +47,8 @@
         Some(grant)
     }
 
-    fn on(&self, engine: &ids::UpstreamId) -> usize {
+    /// Number of this side's requests on an engine.
+    fn request_count(&self, engine: &ids::UpstreamId) -> usize {
         self.open.values().filter(|(used, _)| used == engine).count()
     }
 }
@@ -75,8 +76,9 @@
                 match sides[side].request(now, request) {
                     Some(grant) => {
                         load.placed += 1;
-                        let on = sides[side].on(&grant.engine) + sides[other].on(&grant.engine);
-                        load.queued += usize::from(on > SLOTS);
+                        let running = sides[side].request_count(&grant.engine)
+                            + sides[other].request_count(&grant.engine);
+                        load.queued += usize::from(running > SLOTS);
                     }
                     None => load.refused += 1,
                 }
@@ -91,7 +93,7 @@
     let due: Vec<_> = sides[side].open.iter().map(|(job, place)| (*job, place.clone())).collect();
     for (job, (engine, since)) in due {
         if now == since + FIRST_MS {
-            let requests = sides.iter().map(|side| side.on(&engine)).sum::<usize>();
+            let requests = sides.iter().map(|side| side.request_count(&engine)).sum::<usize>();
             let requests = with_counts.then_some(requests as u16);
             sides[side].planner.note(at(now), &PlaceNote::FirstToken(job, requests));
         }
@@ -102,7 +104,7 @@
     }
     if now.is_multiple_of(REPORT_MS) {
         for number in 0..ENGINES {
-            let requests = sides.iter().map(|side| side.on(&engine(number))).sum();
+            let requests = sides.iter().map(|side| side.request_count(&engine(number))).sum();
             sides[side].planner.set_report(&engine(number), 1.0, requests);
         }
     }
