--- a/crates/core/tests/engine_ledger.rs
+++ b/crates/core/tests/engine_ledger.rs
@@ -28,10 +28,12 @@
     ledger
 }
 
+/// The report of an idle engine.
 fn idle() -> placement::EngineReport {
     placement::EngineReport { memory: units::TokenCount(CAPACITY), ..Default::default() }
 }
 
+/// The report of an engine that holds these attempts, each with its tokens.
 fn holding(held: &[(&str, u64)]) -> placement::EngineReport {
     let held = held.iter().map(|(attempt, tokens)| (name(attempt), units::TokenCount(*tokens)));
     placement::EngineReport { held: held.collect(), ..idle() }
@@ -160,7 +162,7 @@
 fn memory_is_reserved_for_an_overdue_request_while_short_ones_continue() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000));
-    // It has a deadline of 20 s, so it becomes overdue after about 8 s.
+    // The second request has a deadline of 20 s, so it becomes overdue after about 8 s.
     ledger.enqueue(at(0), request("a:1:2:1", 60_000, 20_000));
     for millis in (500..9_500).step_by(500) {
         ledger.report(at(millis), &holding(&[("a:1:1:1", 60_100)]));
@@ -199,7 +201,7 @@
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 60_000, 600_000));
     assert_eq!(ledger.enqueue(at(0), request("a:1:2:1", 60_000, 30_000)), vec![]);
-    // Prefill takes 1.2 s and the answer 3 s, so it must start by 25.8 s.
+    // Prefill takes 1.2 s and the answer 3 s, so the waiting request must start by 25.8 s.
     ledger.report(at(25_700), &holding(&[("a:1:1:1", 60_100)]));
     ledger.renew(
         at(25_700),
@@ -238,7 +240,7 @@
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 40_000, 600_000));
     ledger.release(at(1_000), &name("a:1:1:1"));
-    // A report from before the release is no evidence.
+    // A report from before the release does not show that the engine still holds the attempt.
     let old = placement::EngineReport {
         age: time::Duration::from_secs(1),
         ..holding(&[("a:1:1:1", 40_100)])
@@ -374,7 +376,7 @@
     };
     ledger.report(at(500), &old);
     let request = request("a:1:2:1", 40_000, 60_000);
-    // 25,000 tokens of the first prompt and 40,000 of its own, at 50,000 tokens per second.
+    // 25,000 tokens of the first prompt and 40,000 of the second, at 50,000 tokens per second.
     let expected = ledger.offer(at(500), &request).unwrap().first_token;
     assert_eq!(expected, time::Duration::from_millis(1_300));
 }
--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -31,7 +31,7 @@
     grant(planner.request(at(now), request))
 }
 
-/// Places a request and reports its first token, so that it is decoding.
+/// Places a request and reports its first token, so that the request is decoding.
 fn place_decoding(
     planner: &mut PlacementPlanner,
     now: u64,
@@ -153,7 +153,7 @@
 #[test]
 fn slots_of_an_engine_that_prefills_for_seconds_do_not_count_as_free() {
     let mut planner = planner(3);
-    // Only one engine may prefill it, which takes 7.2 s: late, but within the caller's patience.
+    // Only one engine may prefill the long prompt, which takes 7.2 s: late, but before its caller gives up.
     let late = PlacementRequest { goal_left_ms: 0, patience_ms: 8_000, ..long(99, 250_000) };
     let long =
         place(&mut planner, 0, PlacementRequest { excluded: vec![engine(1), engine(2)], ..late });
@@ -231,7 +231,7 @@
 #[test]
 fn a_late_prompt_is_refused_at_once_under_high_load() {
     let mut planner = planner(2);
-    // Without any load it is placed, though late: its first token takes about 5 s.
+    // Without any load the prompt is placed, though late: its first token takes about 5 s.
     let alone = place(&mut planner, 0, long(1, 300_000));
     assert!(alone.first_token_ms > 3_000, "{alone:?}");
     planner.end(at(10), alone.job, PlaceEnd::Done);
@@ -362,7 +362,7 @@
     for number in 0..10 {
         place_decoding(&mut planner, number * 50, short(number));
     }
-    // It takes 2.9 s, which would pause ten decoding requests, and is due in 1.5 s.
+    // The prefill of the long prompt takes 2.9 s, which would pause ten decoding requests, and is due in 1.5 s.
     let hurried = PlacementRequest { goal_left_ms: 1_500, refusable: false, ..long(99, 150_000) };
     let answer = planner.request(at(600), hurried);
     assert!(answer.is_none(), "{answer:?}");
@@ -400,10 +400,11 @@
     let first = place_decoding(&mut planner, 1_000, short(20));
     let second = place(&mut planner, 1_000, PlacementRequest { prompt: 19_000, ..short(21) });
     assert!(second.first_token_ms > first.first_token_ms + 100, "{first:?} {second:?}");
-    // That pass still has about 50 ms to go because of its decode steps; the next one prefills this prompt.
+    // The pass that prefills the second prompt has about 50 ms left because of its decode steps; the next pass prefills
+    // the third prompt.
     let third = place(&mut planner, 1_150, short(22));
     assert!(third.first_token_ms > 120, "{third:?}");
-    // The first token shows that the pass has ended.
+    // The first token of the second prompt shows that its pass has ended.
     planner.first_token(at(1_200), second.job);
     let fourth = place(&mut planner, 1_201, PlacementRequest { prompt: 500, ..short(23) });
     assert!(fourth.first_token_ms < 180, "{fourth:?}");
@@ -431,7 +432,7 @@
     let silent = place_decoding(&mut planner, 0, short(1)).engine;
     let grant = place(&mut planner, 100, short(2));
     assert_eq!(grant.engine, silent, "short prompts are packed");
-    // Its first token is long overdue.
+    // The first token of the second prompt is long overdue.
     let now = 100 + u64::from(grant.first_token_ms) + 400;
     assert_ne!(place(&mut planner, now, short(3)).engine, silent);
     planner.first_token(at(now + 10), grant.job);
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Sends a prompt every 20 ms to two engines: the first one ends each at once with `end`, the other answers within
-/// about 250 ms. Returns the number of prompts that the first one got.
+/// Sends a prompt every 20 ms to two engines: the first engine ends each prompt at once with `end`, the other one answers
+/// within about 250 ms. Returns the number of prompts that the first engine got.
 fn prompts_to_faulty(way: EngineFaultWay, end: PlaceEnd, prompts: u64) -> usize {
     let ways = PlannerWays { engine_faults: way, ..Default::default() };
     let mut planner = planner(2, ways);
@@ -54,7 +54,7 @@
     count
 }
 
-/// When refusals were ignored, all prompts went to the engine that refused them, because it looked idle.
+/// If refusals are ignored, all prompts go to the engine that refuses them, because it looks idle.
 #[test]
 fn an_engine_that_refuses_all_prompts_gets_few() {
     assert_eq!(prompts_to_faulty(EngineFaultWay::Pause, PlaceEnd::Full, 150), 150);
@@ -73,7 +73,7 @@
     let mut planner = planner(2, PlannerWays::default());
     let failed = place(&mut planner, 0, short(0));
     planner.end(at(5), failed.job, PlaceEnd::Failed);
-    // Its ejection time is over, and packing makes it the first choice.
+    // The ejection time is over, and packing makes the failed engine the first choice.
     let probe = place(&mut planner, 700, short(1));
     assert_eq!(probe.engine, failed.engine);
     let beside = place(&mut planner, 710, short(2));
@@ -113,7 +113,7 @@
 }
 
 /// An engine gets up to two requests more than its packing target, until the loss of overpacking exceeds that of an
-/// empty engine. So with eight slots, where the share is one below, both packing variants fill all slots.
+/// empty engine. So both packing variants fill all of eight slots, although the target of the slot share is seven.
 #[test]
 fn packing_fills_an_engine_up_to_two_beyond_its_target() {
     // The largest number of prompts on one engine with 8 slots, when 8 prompts arrive slowly.
@@ -145,7 +145,8 @@
     assert!(refused(ShortRefusalWay::Crowded) && !refused(ShortRefusalWay::Hopeless));
 }
 
-/// Engines that have requested a backoff from a member look idle; the free slots there must not count for its requests.
+/// Engines that have requested a backoff from a member look idle; their free slots must not count for that member's
+/// requests.
 #[test]
 fn slots_of_excluded_engines_do_not_count_as_free() {
     let mut planner = planner(3, PlannerWays::default());
--- a/crates/core/tests/planner_key.rs
+++ b/crates/core/tests/planner_key.rs
@@ -35,7 +35,8 @@
     assert_eq!(key.to_string(), "models/4");
 }
 
-/// The two cells of 150 engines differ in size; with equal shares of the requests, the smaller one would be fuller.
+/// The two cells of 150 engines differ in size; with equal shares of the requests, the smaller one would have the
+/// higher load.
 #[test]
 fn cells_get_requests_in_proportion_to_their_engines() {
     let engines = engines(150);
@@ -74,7 +75,7 @@
     assert_eq!(pick(&service(), 1, &[], &[], &[0], 0), None);
 }
 
-/// In a cell all of whose engines are closed to a request, the request would wait in vain.
+/// A request would never be placed in a cell all of whose engines are closed to it.
 #[test]
 fn a_cell_that_is_closed_to_a_request_is_not_picked() {
     let engines = engines(150);
@@ -83,10 +84,10 @@
     let closed: Vec<_> =
         names.iter().copied().filter(|name| cell_of(&service(), name, cells) == 0).collect();
     for drawn in 0..150 {
-        let key = pick(&service(), cells, &names, &closed, &[], drawn).expect("one is open");
+        let key = pick(&service(), cells, &names, &closed, &[], drawn).expect("one cell is open");
         assert_eq!(key.cell, 1, "drawn {drawn}");
     }
-    assert_eq!(pick(&service(), cells, &names, &names, &[], 0), None, "none is open");
+    assert_eq!(pick(&service(), cells, &names, &names, &[], 0), None, "no cell is open");
 }
 
 /// A planner loses the state of an engine that moves to another cell, and a single new engine can add a cell: ten
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -163,7 +163,7 @@
     assert_eq!(load.without_permit, (2..6).map(|number| load.count(number)).sum::<usize>());
 }
 
-/// A long prompt that rate limits keep from all engines is refused at once.
+/// A long prompt that the rate limits permit on no engine is refused at once.
 #[test]
 fn long_prompts_wait_for_permits_or_are_refused_at_once() {
     let mut planner = planner(2, &[(0, 0.2), (1, 0.2)]);
@@ -175,7 +175,7 @@
     assert!(at_once * 10 >= load.refused.len() * 9, "{:?}", load.refused);
 }
 
-/// An engine whose limit another process enforces gets no requests and its slots do not count.
+/// An engine whose limit another process enforces gets no requests, and its slots do not count as free.
 #[test]
 fn an_engine_whose_limit_another_process_enforces_gets_nothing() {
     let mut planner = planner(2, &[]);
@@ -185,8 +185,8 @@
     assert!(load.refused.is_empty());
 }
 
-/// When a limit ends, requests are permitted at once. A new limit starts with one interval, because other processes may
-/// just have sent requests.
+/// When a limit ends, requests are permitted at once. A new limit permits the first request after one interval, because
+/// other processes may just have sent requests.
 #[test]
 fn a_new_limit_starts_with_one_interval_and_ends_at_once() {
     let mut planner = planner(1, &[(0, 0.5)]);
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -17,8 +17,8 @@
 const FIRST_MS: u64 = 120;
 /// Time from the first token to the end, milliseconds.
 const DECODE_MS: u64 = 1_600;
-/// Time between two requests on each side, milliseconds: about 45 requests decode concurrently on each, together half
-/// of all slots.
+/// Time between two requests on each side, milliseconds: about 45 requests decode concurrently on each side, and take up
+/// half of all slots together.
 const ARRIVAL_MS: u64 = 36;
 /// Interval of engine reports, milliseconds.
 const REPORT_MS: u64 = 2_000;
@@ -32,7 +32,7 @@
 }
 
 impl PlannerSide {
-    /// Creates a planner that fills the engines in the same order as the other one, which is the worst case.
+    /// Creates a planner that fills the engines in the same order as the other side's, which is the worst case.
     fn new(boot: u64, engines: usize) -> Self {
         let mut planner = PlacementPlanner::new(shape(), PlannerOptions::default());
         let names: Vec<_> = (0..engines).map(|number| (engine(number), number as u64)).collect();
