--- a/crates/core/tests/document_source.rs
+++ b/crates/core/tests/document_source.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn members_are_asked_first_and_the_store_within_the_bound() {
+fn members_are_queried_first_and_the_store_within_the_bound() {
     for spread in [0.0, 0.5, 1.0] {
         let source = || DocumentSource::new(spread);
         assert_eq!(choose_until(&mut source(), 1_000), DocumentOrigin::Member);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn members_are_asked_first_for_each_change() {
+fn members_are_queried_first_for_each_change() {
     let mut source = DocumentSource::new(0.0);
     assert_eq!(choose_until(&mut source, 1_800), DocumentOrigin::Store);
     source.note_complete();
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -5,7 +5,7 @@
 use slipturn_core::gossip::{self, GossipCause};
 
 /// Share of the datagrams that are lost.
-const LOST: f64 = 0.01;
+const LOSS: f64 = 0.01;
 /// Length of a simulation step in milliseconds: about the delay of a datagram within a region.
 const STEP_MS: u64 = 5;
 
@@ -31,7 +31,7 @@
         self.messages += 1;
         let half = self.knows.len() / 2;
         let partitioned = now < self.cut_until && (from < half) != (to < half);
-        !partitioned && self.random.random::<f64>() >= LOST
+        !partitioned && self.random.random::<f64>() >= LOSS
     }
 
     fn send_to(&mut self, now: u64, from: usize, cause: GossipCause) {
@@ -117,9 +117,9 @@
 fn requests_to_three_members_get_an_answer() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let missed = (0..10_000).filter(|_| {
-        let asked = gossip::targets(GossipCause::Resumed, 0..300, &mut random);
-        assert_eq!(asked.len(), 3);
-        asked.iter().all(|_| random.random::<f64>() < 2.0 * LOST)
+        let recipients = gossip::targets(GossipCause::Resumed, 0..300, &mut random);
+        assert_eq!(recipients.len(), 3);
+        recipients.iter().all(|_| random.random::<f64>() < 2.0 * LOSS)
     });
     assert!(missed.count() <= 1);
     assert!(gossip::requests_from_met(2) && !gossip::requests_from_met(3));
--- a/crates/core/tests/heartbeat_timer.rs
+++ b/crates/core/tests/heartbeat_timer.rs
@@ -16,9 +16,9 @@
 use slipturn_core::heartbeat_timer::HeartbeatTimer;
 
 /// Interval between the heartbeats of a member in a large fleet.
-const LARGE: time::Duration = time::Duration::from_millis(4_900);
+const LARGE_FLEET_INTERVAL: time::Duration = time::Duration::from_millis(4_900);
 /// Interval between the heartbeats of a member in a small fleet.
-const SMALL: time::Duration = time::Duration::from_millis(200);
+const SMALL_FLEET_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Times of the heartbeats of a member that starts at `started` and learns of more members step by step.
 fn heartbeats(
@@ -26,12 +26,13 @@
     until: time::Duration,
     random: &mut ChaCha8Rng,
 ) -> Vec<time::Duration> {
-    let mut clock = HeartbeatTimer::default();
+    let mut timer = HeartbeatTimer::default();
     let mut times = vec![started];
     while times[times.len() - 1] < until {
         let known = times.len() as u32;
-        let interval = if known < 4 { SMALL * known * known } else { LARGE };
-        let wait = clock.next(interval, random.random());
+        let interval =
+            if known < 4 { SMALL_FLEET_INTERVAL * known * known } else { LARGE_FLEET_INTERVAL };
+        let wait = timer.next(interval, random.random());
         times.push(times[times.len() - 1] + wait);
     }
     times
@@ -51,26 +52,26 @@
 }
 
 /// Time without any heartbeat from which a fleet counts as late.
-const LONGEST_GAP: time::Duration = time::Duration::from_millis(500);
+const LATE_GAP: time::Duration = time::Duration::from_millis(500);
 
 /// Number of simulated fleets.
 const FLEETS: u64 = 1_000;
 /// Most late fleets. Of fleets with 100 members and independent heartbeat times within 4.9 s, one in 400 is late.
-const LATE_FLEETS: usize = 10;
+const MAX_LATE_FLEETS: usize = 10;
 
 /// 100 members: about as many remain in other data centres after a partition in halves.
 #[test]
 fn members_that_start_together_do_not_send_heartbeats_together() {
     let gaps = (0..FLEETS).map(|seed| longest_gap(100, seed));
-    let late: Vec<_> = gaps.filter(|gap| *gap >= LONGEST_GAP).collect();
+    let late: Vec<_> = gaps.filter(|gap| *gap >= LATE_GAP).collect();
     println!("{} of {FLEETS} fleets late: {late:?}", late.len());
-    assert!(late.len() <= LATE_FLEETS, "{late:?}");
-    assert!(late.iter().all(|gap| *gap < 2 * LONGEST_GAP), "{late:?}");
+    assert!(late.len() <= MAX_LATE_FLEETS, "{late:?}");
+    assert!(late.iter().all(|gap| *gap < 2 * LATE_GAP), "{late:?}");
 }
 
 #[test]
 fn no_member_is_silent_for_longer_than_an_interval() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let times = heartbeats(time::Duration::ZERO, time::Duration::from_secs(60), &mut random);
-    assert!(times.windows(2).all(|pair| pair[1] - pair[0] <= LARGE));
+    assert!(times.windows(2).all(|pair| pair[1] - pair[0] <= LARGE_FLEET_INTERVAL));
 }
--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -55,7 +55,7 @@
     /// Creates a fleet whose instances have all been running and listed for the whole window.
     fn settled(size: u64) -> Self {
         let mut fleet = Self::new(size);
-        fleet.pass(WINDOW);
+        fleet.advance(WINDOW);
         fleet
     }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         // The list is updated at regular intervals meanwhile, as it is in a running instance.
         for _ in 0..millis / TICK {
             self.clock += TICK;
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Lets the request with number `requester` ask one instance.
-    fn ask(&mut self, number: u64, requester: u64) -> key_vote::VoteAnswer {
+    /// Requests the vote of one instance for the request with number `requester`.
+    fn request_vote(&mut self, number: u64, requester: u64) -> key_vote::VoteAnswer {
         let clock = now(self.clock);
         self.voters.get_mut(&number).unwrap().vote(clock, &key(), &request(requester))
     }
@@ -115,9 +115,10 @@
         lost: impl Fn(u64) -> bool,
     ) -> key_vote::VoteVerdict {
         let mut tally = key_vote::VoteTally::new(now(self.clock));
-        let numbers: Vec<_> = self.voters.keys().copied().filter(|one| reached(*one)).collect();
+        let numbers: Vec<_> =
+            self.voters.keys().copied().filter(|number| reached(*number)).collect();
         for number in numbers {
-            let answer = self.ask(number, requester);
+            let answer = self.request_vote(number, requester);
             if !lost(number) {
                 tally.add(&instance(number), answer);
             }
@@ -172,7 +173,7 @@
     }
     // Only instance 3 still has the vote on record, and without its answer there is no majority.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
-    fleet.pass(WINDOW);
+    fleet.advance(WINDOW);
     assert!(runs(&fleet.vote(3, |_| false)));
 }
 
@@ -183,7 +184,7 @@
     for number in 0..6 {
         fleet.leave(number);
         fleet.join();
-        fleet.pass(1_000);
+        fleet.advance(1_000);
         assert!(!runs(&fleet.vote(2 + number, |_| false)), "after {number} replacements");
     }
 }
@@ -204,10 +205,10 @@
     let mut fleet = Fleet::settled(6);
     let mut tally = key_vote::VoteTally::new(now(fleet.clock));
     for number in 0..6 {
-        let answer = fleet.ask(number, 1);
+        let answer = fleet.request_vote(number, 1);
         tally.add(&instance(number), answer);
     }
-    fleet.pass(5_000);
+    fleet.advance(5_000);
     assert!(!runs(&tally.verdict(now(fleet.clock))));
 }
 
@@ -216,7 +217,7 @@
     let mut fleet = Fleet::settled(100);
     let mut granted = 0;
     for number in 0..100 {
-        if let key_vote::VoteAnswer::Granted { group } = fleet.ask(number, 1) {
+        if let key_vote::VoteAnswer::Granted { group } = fleet.request_vote(number, 1) {
             assert_eq!(group, key_vote::GROUP_SIZE);
             granted += 1;
         }
@@ -280,7 +281,7 @@
             numbers[index % numbers.len()]
         };
         match step {
-            Step::Pass(millis) => fleet.pass(*millis),
+            Step::Pass(millis) => fleet.advance(*millis),
             Step::Leave(index) if fleet.voters.len() > 2 => fleet.leave(pick(index)),
             Step::Leave(_) => {}
             Step::Join => fleet.join(),
--- a/crates/core/tests/live_settings.rs
+++ b/crates/core/tests/live_settings.rs
@@ -17,42 +17,42 @@
 
 #[test]
 fn an_older_document_after_a_newer_one_is_dropped() {
-    let mut store = live_settings::LiveSettings::default();
-    assert_eq!(store.offer(now(0), &document(5)), live_settings::OfferOutcome::Accepted);
-    assert_eq!(store.offer(now(1), &document(4)), live_settings::OfferOutcome::Older);
-    assert_eq!(store.offer(now(2), &document(5)), live_settings::OfferOutcome::Same);
-    assert_eq!(store.version(), settings::SettingsVersion(5));
+    let mut settings = live_settings::LiveSettings::default();
+    assert_eq!(settings.offer(now(0), &document(5)), live_settings::OfferOutcome::Accepted);
+    assert_eq!(settings.offer(now(1), &document(4)), live_settings::OfferOutcome::Older);
+    assert_eq!(settings.offer(now(2), &document(5)), live_settings::OfferOutcome::Same);
+    assert_eq!(settings.version(), settings::SettingsVersion(5));
 }
 
 #[test]
 fn an_invalid_document_is_dropped_as_a_whole_and_its_error_is_kept() {
-    let mut store = live_settings::LiveSettings::default();
-    store.offer(now(0), &document(5));
+    let mut settings = live_settings::LiveSettings::default();
+    settings.offer(now(0), &document(5));
     let bad = "version: 6\ndefaults: {weight: 9.0, max_attempts: 99}\n";
-    assert!(matches!(store.offer(now(1), bad), live_settings::OfferOutcome::Invalid(_)));
-    assert_eq!(store.tree().unwrap().defaults.weight, Some(6.0));
-    assert!(store.rejected().unwrap().contains("max_attempts"));
-    assert_eq!(store.offer(now(2), &document(7)), live_settings::OfferOutcome::Accepted);
-    assert_eq!(store.rejected(), None);
+    assert!(matches!(settings.offer(now(1), bad), live_settings::OfferOutcome::Invalid(_)));
+    assert_eq!(settings.tree().unwrap().defaults.weight, Some(6.0));
+    assert!(settings.rejected().unwrap().contains("max_attempts"));
+    assert_eq!(settings.offer(now(2), &document(7)), live_settings::OfferOutcome::Accepted);
+    assert_eq!(settings.rejected(), None);
 }
 
 #[test]
 fn a_second_document_with_the_same_version_is_rejected() {
-    let mut store = live_settings::LiveSettings::default();
-    store.offer(now(0), "version: 5\n");
-    let other = store.offer(now(1), "version: 5\ndefaults: {weight: 2.0}\n");
+    let mut settings = live_settings::LiveSettings::default();
+    settings.offer(now(0), "version: 5\n");
+    let other = settings.offer(now(1), "version: 5\ndefaults: {weight: 2.0}\n");
     assert!(matches!(other, live_settings::OfferOutcome::Invalid(_)));
-    assert_eq!(store.tree().unwrap().defaults.weight, None);
+    assert_eq!(settings.tree().unwrap().defaults.weight, None);
 }
 
 #[test]
 fn a_confirmation_by_a_member_counts_from_when_that_member_was_confirmed() {
-    let mut store = live_settings::LiveSettings::default();
-    store.offer(now(0), &document(5));
-    store.confirm(now(60_000), time::Duration::from_secs(50));
-    assert_eq!(store.age(now(60_000)), time::Duration::from_secs(50));
-    store.confirm(now(61_000), time::Duration::from_secs(58));
-    assert_eq!(store.age(now(61_000)), time::Duration::from_secs(51));
+    let mut settings = live_settings::LiveSettings::default();
+    settings.offer(now(0), &document(5));
+    settings.confirm(now(60_000), time::Duration::from_secs(50));
+    assert_eq!(settings.age(now(60_000)), time::Duration::from_secs(50));
+    settings.confirm(now(61_000), time::Duration::from_secs(58));
+    assert_eq!(settings.age(now(61_000)), time::Duration::from_secs(51));
 }
 
 #[test]
@@ -63,16 +63,16 @@
     let mut runner = test_runner::TestRunner::new_with_rng(config, random);
     let arrivals = proptest::collection::vec((1_u64..20, any::<bool>()), 0..60);
     let checked = runner.run(&arrivals, |arrivals| {
-        let mut store = live_settings::LiveSettings::default();
+        let mut settings = live_settings::LiveSettings::default();
         let mut highest = 0;
         for (version, valid) in arrivals {
             let text =
                 if valid { document(version) } else { format!("version: {version}\nx: 1\n") };
-            store.offer(now(0), &text);
+            settings.offer(now(0), &text);
             if valid {
                 highest = highest.max(version);
             }
-            proptest::prop_assert_eq!(store.version().0, highest);
+            proptest::prop_assert_eq!(settings.version().0, highest);
         }
         Ok(())
     });
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -39,7 +39,8 @@
     MemberView::new(name(0), vec![address(1), address(2)])
 }
 
-fn service() -> planner_key::PlannerKey {
+/// The key of the only cell of a service.
+fn cell_key() -> planner_key::PlannerKey {
     planner_key::PlannerKey { service: "s".parse().expect("a valid name"), cell: 0 }
 }
 
@@ -92,13 +93,13 @@
             replies.push(view.sample_addresses(7));
         }
         let reply_with = |others| MemberHeartbeat { others, ..heartbeat(to, 1, 2) };
-        let unmet = view.take_uncontacted(address(to));
-        let met = unmet
+        let uncontacted = view.take_uncontacted(address(to));
+        let introductions = uncontacted
             .iter()
             .map(|address| (address.ip().octets()[3], reply_with(view.sample_addresses(8))));
         let answers =
             replies.into_iter().filter(|_| joined).map(|others| (from, reply_with(others)));
-        let all: Vec<_> = met.chain(answers).collect();
+        let all: Vec<_> = introductions.chain(answers).collect();
         sent[usize::from(to)] += all.len();
         messages.extend(all);
     }
@@ -107,19 +108,19 @@
 }
 
 #[test]
-fn all_that_start_together_know_each_other_before_the_next_heartbeat() {
+fn all_members_that_start_together_know_each_other_before_the_next_heartbeat() {
     for count in [2, 6, 60, 200] {
-        let ends = exchange(count);
+        let outcomes = exchange(count);
         let others = usize::from(count) - 1;
-        assert!(ends.iter().all(|(known, _)| *known == others), "{count}: {ends:?}");
+        assert!(outcomes.iter().all(|(known, _)| *known == others), "{count}: {outcomes:?}");
         // One message to each other member and one answer, and the chunked replies of the seed.
-        let most = ends.iter().map(|(_, sent)| *sent).max().unwrap_or_default();
+        let most = outcomes.iter().map(|(_, sent)| *sent).max().unwrap_or_default();
         assert!(most <= others * 3, "{count}: {most} messages");
     }
 }
 
 #[test]
-fn only_a_member_that_knows_few_is_sent_all_addresses() {
+fn only_a_member_that_knows_few_others_is_sent_all_addresses() {
     let mut view = view();
     for number in 1..=60 {
         view.receive(at(0), heartbeat(number, 1, 1));
@@ -178,7 +179,7 @@
             for heartbeat in &heartbeats {
                 view.receive(at(0), heartbeat.clone());
             }
-            let planner = view.planner(at(10), &service(), &heartbeats[usize::from(own)]);
+            let planner = view.planner(at(10), &cell_key(), &heartbeats[usize::from(own)]);
             planner.map_or_else(|| name(own), |heartbeat| heartbeat.name)
         })
         .collect();
@@ -193,28 +194,28 @@
     view.receive(at(0), strong);
     let own = heartbeat(0, 1, 1);
     assert_eq!(
-        view.planner(at(10), &service(), &own).map(|heartbeat| heartbeat.name),
+        view.planner(at(10), &cell_key(), &own).map(|heartbeat| heartbeat.name),
         Some(name(1))
     );
     view.note_unanswered(&name(1));
     view.note_unanswered(&name(1));
-    assert_eq!(view.planner(at(10), &service(), &own), None);
+    assert_eq!(view.planner(at(10), &cell_key(), &own), None);
     view.note_answered(at(20), &name(1));
-    assert!(view.planner(at(30), &service(), &own).is_some());
+    assert!(view.planner(at(30), &cell_key(), &own).is_some());
 }
 
 #[test]
-fn young_members_plan_only_if_all_are_young() {
+fn members_that_just_started_plan_only_if_all_just_started() {
     let mut view = view();
-    let mut young = heartbeat(1, 1, 1);
-    young.plans = false;
-    young.cpu = 900;
-    view.receive(at(0), young.clone());
+    let mut starting = heartbeat(1, 1, 1);
+    starting.plans = false;
+    starting.cpu = 900;
+    view.receive(at(0), starting.clone());
     let own = heartbeat(0, 1, 1);
-    assert_eq!(view.planner(at(10), &service(), &own), None);
+    assert_eq!(view.planner(at(10), &cell_key(), &own), None);
     let own = MemberHeartbeat { plans: false, ..heartbeat(0, 1, 1) };
     assert_eq!(
-        view.planner(at(10), &service(), &own).map(|heartbeat| heartbeat.name),
+        view.planner(at(10), &cell_key(), &own).map(|heartbeat| heartbeat.name),
         Some(name(1))
     );
 }
@@ -224,7 +225,7 @@
     let mut view = view();
     view.receive(at(0), MemberHeartbeat { leaving: true, cpu: 900, ..heartbeat(1, 1, 1) });
     view.receive(at(0), MemberHeartbeat { routes: 0, cpu: 900, ..heartbeat(2, 1, 1) });
-    assert_eq!(view.planner(at(10), &service(), &heartbeat(0, 1, 1)), None);
+    assert_eq!(view.planner(at(10), &cell_key(), &heartbeat(0, 1, 1)), None);
 }
 
 #[test]
@@ -241,7 +242,7 @@
 }
 
 #[test]
-fn the_size_outlasts_a_mass_failure() {
+fn the_size_of_the_fleet_outlasts_a_mass_failure() {
     let mut view = view();
     for number in 1..6 {
         view.receive(at(0), heartbeat(number, 1, 1));
@@ -276,7 +277,7 @@
 }
 
 #[test]
-fn all_watch_in_a_small_fleet_and_few_in_a_large_one() {
+fn all_members_watch_in_a_small_fleet_and_few_in_a_large_one() {
     assert_eq!(watchers(3, &[]).len(), 3);
     assert_eq!(watchers(20, &[]).len(), 2);
 }
--- a/crates/core/tests/start_wait.rs
+++ b/crates/core/tests/start_wait.rs
@@ -4,14 +4,15 @@
 
 use slipturn_core::start_wait::{StartContact, keeps_waiting};
 
-const PATIENCE: time::Duration = time::Duration::from_secs(10);
+/// Time limit of a request.
+const TIME_LIMIT: time::Duration = time::Duration::from_secs(10);
 
-fn at(millis: u64) -> time::Duration {
+fn millis(millis: u64) -> time::Duration {
     time::Duration::from_millis(millis)
 }
 
 fn waits(contact: StartContact, age: u64) -> bool {
-    keeps_waiting(contact, at(age), at(0), PATIENCE)
+    keeps_waiting(contact, millis(age), millis(0), TIME_LIMIT)
 }
 
 #[test]
@@ -28,6 +29,6 @@
 #[test]
 fn requests_wait_only_a_fraction_of_their_time_limit() {
     let short = time::Duration::from_millis(1_500);
-    assert!(keeps_waiting(StartContact::Source, at(500), at(400), short));
-    assert!(!keeps_waiting(StartContact::Source, at(500), at(500), short));
+    assert!(keeps_waiting(StartContact::Source, millis(500), millis(400), short));
+    assert!(!keeps_waiting(StartContact::Source, millis(500), millis(500), short));
 }
--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -90,8 +90,8 @@
     missing_since: Option<units::MonoTime>,
     /// Whether a fetch from a member is in progress.
     fetching: bool,
-    /// When it learned of the next change.
-    known: Option<units::MonoTime>,
+    /// When the member learned of the next change.
+    learned_at: Option<units::MonoTime>,
 }
 
 /// The simulation.
@@ -130,7 +130,7 @@
             pause: PAUSES.0,
             missing_since: None,
             fetching: false,
-            known: None,
+            learned_at: None,
         };
         let mut simulation = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -160,8 +160,8 @@
             self.now = now;
             self.handle(own, step);
         }
-        let known: Option<Vec<_>> = self.members.iter().map(|member| member.known).collect();
-        let last = known.and_then(|known| known.into_iter().max());
+        let learned: Option<Vec<_>> = self.members.iter().map(|member| member.learned_at).collect();
+        let last = learned.and_then(|learned| learned.into_iter().max());
         RestoreOutcome {
             last: last.map(|last| last.since(at(CHANGED_MS))),
             calls: self.calls,
@@ -215,7 +215,7 @@
         }
         member.list = list;
         if list >= NEXT {
-            member.known = Some(self.now);
+            member.learned_at = Some(self.now);
         }
         true
     }
@@ -295,9 +295,9 @@
     /// Calls the store, and reads it completely if it answers.
     fn call(&mut self, own: usize) {
         self.calls += 1;
-        let away = self.is_outage();
+        let outage = self.is_outage();
         let member = &mut self.members[own];
-        if away {
+        if outage {
             member.failed = true;
             let pause = member.pause.mul_f64(self.random.random_range(0.7..1.3));
             member.pause = (member.pause * 2).min(PAUSES.1);
