--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -48,7 +48,8 @@
         self.knows.iter().filter(|knows| !**knows).count()
     }
 
-    /// Time in milliseconds until all members know a change that the first one learns at 0; with `found` it also broadcasts it.
+    /// Time in milliseconds until all members know a change that the first member learns at time 0; with `found`, that member
+    /// also broadcasts the change.
     fn run(&mut self, found: bool) -> u64 {
         self.knows[0] = true;
         if found {
@@ -81,7 +82,7 @@
 
 #[test]
 fn all_members_know_a_change_within_seconds_even_after_a_partition() {
-    // A leaving upstream keeps serving for two seconds; the effects of a partition last for three more after its end.
+    // A leaving upstream keeps serving for two seconds; after a partition, three more seconds are allowed.
     let (within, after_cut) = (2_000, 5_000);
     for members in [6, 300] {
         let (broadcast, messages) = longest(members, 0, true);
@@ -111,8 +112,8 @@
     assert!(mean < 6.0);
 }
 
-/// A member requests the state of three others after a pause, or of the first three it meets after a start. One answer is
-/// enough.
+/// A member requests the state of three other members after a pause, or of the first three that it learns of after a start.
+/// One answer is enough.
 #[test]
 fn requests_to_three_members_get_an_answer() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
--- a/crates/core/tests/heartbeat_timer.rs
+++ b/crates/core/tests/heartbeat_timer.rs
@@ -6,7 +6,7 @@
 //! with a watcher all 111 members in contact had the list within 0.15 s.
 //!
 //! Cause: the heartbeats of 295 members are 4.9 s apart. As all processes had started within 0.3 s and their intervals had
-//! grown alike, all heartbeats were sent within the same 0.3 s, and none in between. With heartbeats out of step and nothing
+//! grown in step, all heartbeats were sent within the same 0.3 s, and none in between. With heartbeats out of step and nothing
 //! else changed, the first and last member there had the list after 0.17 s and 0.3 s.
 
 use std::time;
--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -1,9 +1,7 @@
-//! At most one run for each idempotency key, under restarts, pauses, lost answers and changes of the
-//! list.
+//! At most one run for each idempotency key, under restarts, pauses, lost answers and changes of the list.
 //!
-//! The property test changes a small fleet at random and lets requests ask for votes at any time,
-//! with any of the answers lost. A request runs if it has a majority; no key may run twice within the
-//! retention.
+//! The property test changes a small fleet at random and lets requests collect votes at any time, with any of the answers
+//! lost. A request runs if it has a majority; no key may run twice within the retention.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,7 +11,7 @@
 use slipturn_core::{ids, key_vote, rendezvous, units};
 
 const RETENTION: time::Duration = time::Duration::from_secs(60);
-/// Retention plus the lag of the list, in milliseconds.
+/// Retention plus the longest lag of the list, in milliseconds.
 const WINDOW: u64 = 90_000;
 /// Time between two updates of the list, in milliseconds.
 const TICK: u64 = 5_000;
@@ -71,7 +69,7 @@
         self.publish();
     }
 
-    /// Restarts an instance under the same name; it loses its record of requests.
+    /// Restarts an instance under the same name; it loses its record of votes.
     fn restart(&mut self, number: u64) {
         let voter = key_vote::KeyVoter::new(instance(number), now(self.clock), RETENTION);
         self.voters.insert(number, voter);
@@ -102,12 +100,12 @@
         self.voters.get_mut(&number).unwrap().vote(clock, &key(), &request(requester))
     }
 
-    /// Lets a request ask all instances; the answers of those for which `lost` is true do not arrive.
+    /// Requests the votes of all instances; the answers of those for which `lost` is true do not arrive.
     fn vote(&mut self, requester: u64, lost: impl Fn(u64) -> bool) -> key_vote::VoteVerdict {
         self.vote_among(requester, |_| true, lost)
     }
 
-    /// Like [`Self::vote`], but asks only the instances for which `reached` is true.
+    /// Like [`Self::vote`], but requests the votes only of the instances for which `reached` is true.
     fn vote_among(
         &mut self,
         requester: u64,
@@ -144,7 +142,7 @@
     let mut fleet = Fleet::settled(6);
     assert!(runs(&fleet.vote(1, |_| false)));
     assert_eq!(fleet.vote(2, |_| false), key_vote::VoteVerdict::Taken(request(1)));
-    // The first request may ask again, for example after a lost answer.
+    // The first request may collect votes again, for example after a lost answer.
     assert!(runs(&fleet.vote(1, |_| false)));
 }
 
@@ -196,7 +194,7 @@
     for number in 0..3 {
         fleet.leave(number);
     }
-    // Three are left. Two of them did not vote before and would be a majority of three.
+    // Three instances are left. Two of them did not vote before and would be a majority of three.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
 }
 
@@ -255,8 +253,8 @@
     Leave(usize),
     Join,
     Restart(usize),
-    /// A new request asks for votes. Each bit stands for instances: the first number tells which are not reached, the
-    /// second whose answers are lost.
+    /// A new request collects votes. The numbers are bit masks of instances: those that are not reached, and those whose
+    /// answers are lost.
     Vote(u32, u32),
 }
 
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -141,7 +141,10 @@
     assert_eq!(view.take_uncontacted(address(0)), vec![address(9)]);
     view.receive(at(10), naming(2));
     assert!(view.take_uncontacted(address(0)).is_empty());
-    assert!(view.targets(address(0)).contains(&address(9)), "it still receives heartbeats");
+    assert!(
+        view.targets(address(0)).contains(&address(9)),
+        "the address still receives heartbeats"
+    );
 }
 
 #[test]
@@ -317,11 +320,11 @@
     calls
 }
 
-/// 377 calls if all instances call as often as the first in order.
+/// If all instances call as often as the first one in order, there are 377 calls.
 #[test]
 fn few_instances_keep_calling_an_unreachable_store() {
     let calls = calls_during_outage();
-    assert!((60..=200).contains(&calls), "each tries once, and few repeatedly: {calls}");
+    assert!((60..=200).contains(&calls), "each instance calls once, and few repeatedly: {calls}");
 }
 
 #[test]
@@ -364,7 +367,7 @@
     (0..2).for_each(|_| view.note_unanswered(&name(1)));
     assert_eq!(view.silent(), [heartbeat(1, 1, 1).address]);
     view.receive(at(900), heartbeat(1, 1, 2));
-    assert!(view.silent().is_empty(), "it may plan again at once");
+    assert!(view.silent().is_empty(), "the member may plan again at once");
 }
 
 /// During a partition each side uses a quota by its share of the members, so that both sides together don't exceed it.
@@ -394,7 +397,8 @@
     assert_eq!(view.name_of_boot(9), None);
 }
 
-/// During a series of changes only the watchers have the newest list. A process without documents must not wait for them.
+/// During a series of changes only the watchers have the newest list. A process without documents must not wait for that
+/// list.
 #[test]
 fn a_process_without_documents_accepts_any_version() {
     let mut view = view();
@@ -440,5 +444,5 @@
     assert!(view.needs_probes());
     let leaving = MemberHeartbeat { leaving: true, ..heartbeat(1, 1, 2) };
     view.receive(at(10), leaving);
-    assert_eq!(view.ring().len(), 58, "one leaves by plan");
+    assert_eq!(view.ring().len(), 58, "the member that leaves by plan is not probed");
 }
--- a/crates/core/tests/start_wait.rs
+++ b/crates/core/tests/start_wait.rs
@@ -25,7 +25,7 @@
     assert_eq!(at_age(1_600), [false, false, false]);
 }
 
-/// A request with a short time limit needs the rest of it for its answer or for an attempt at another process.
+/// A request with a short time limit needs the remaining time for its answer or for an attempt at another process.
 #[test]
 fn requests_wait_only_a_fraction_of_their_time_limit() {
     let short = time::Duration::from_millis(1_500);
--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -1,5 +1,5 @@
 //! Simulation of a store that is restored from an older copy, in virtual time: how long until all members of a data centre
-//! know the next change, and how often they call the store. Data centres follow the store independently of each other.
+//! know the next change, and how often they call the store. Data centres watch the store independently of each other.
 
 #[path = "support/event_queue.rs"]
 mod event_queue;
@@ -20,7 +20,7 @@
 const DELAY: time::Duration = time::Duration::from_millis(1);
 /// Share of the datagrams that are lost.
 const LOSS: f64 = 0.01;
-/// Interval between two comparisons of a member with the documents of the others.
+/// Interval between two comparisons of a member's list with those of the other members.
 const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(150);
 /// Duration of a call to the store.
 const CALL_TIME: time::Duration = time::Duration::from_millis(8);
@@ -58,15 +58,15 @@
 enum Step {
     /// Sends heartbeats.
     SendHeartbeats,
-    /// Compares its list with those of the other members.
+    /// Compares the member's list with those of the other members.
     Check,
     /// Receives a heartbeat.
     Heartbeat(Box<MemberHeartbeat>),
-    /// Has fetched this revision of the list from a member.
+    /// Receives this revision of the list from another member.
     Fetched(StoreRevision),
     /// Calls the store, which may be unreachable.
     Call,
-    /// Has read the store completely.
+    /// Completes a read of the whole store.
     Read,
     /// Receives a change from the store as a watcher.
     Change,
@@ -77,16 +77,17 @@
     view: MemberView,
     /// Sequence number of the last heartbeat.
     sequence: u64,
-    /// Revision of its list.
+    /// Revision of the member's list.
     list: StoreRevision,
+    /// Whether the member watches the store.
     watches: bool,
-    /// Whether it calls the store, reachable or not.
+    /// Whether the member calls the store, reachable or not.
     calling: bool,
-    /// Whether its last call failed.
+    /// Whether the member's last call failed.
     failed: bool,
     /// Pause after the next failed call.
     pause: time::Duration,
-    /// Since when its data centre has had too few watchers.
+    /// Since when the member's data centre has had too few watchers.
     missing_since: Option<units::MonoTime>,
     /// Whether a fetch from a member is in progress.
     fetching: bool,
@@ -102,7 +103,9 @@
     members: Vec<Member>,
     /// Interval between heartbeats.
     interval: time::Duration,
+    /// Number of calls to the store.
     calls: u32,
+    /// Number of complete reads of the store.
     reads: u32,
 }
 
@@ -260,7 +263,7 @@
         let is_lost = now >= at(OUTAGE_START_MS) && self.members[own].list.era == FORMER.era;
         let member = &mut self.members[own];
         if member.watches && is_lost {
-            // Its connection to the store is reset.
+            // The outage resets the member's connection to the store.
             member.watches = false;
             member.calling = true;
             self.announce(own);
@@ -303,7 +306,7 @@
             member.pause = (member.pause * 2).min(PAUSES.1);
             let own_heartbeat = self.heartbeat(own);
             let member = &mut self.members[own];
-            // The first in order keep trying; the others leave it to them.
+            // The first members in order keep calling; the others stop.
             member.calling =
                 member.view.should_watch(self.now, &own_heartbeat, time::Duration::ZERO, true);
             if member.calling {
--- a/crates/core/tests/store_tracker.rs
+++ b/crates/core/tests/store_tracker.rs
@@ -30,19 +30,22 @@
     let mut tracker = StoreTracker::default();
     assert_eq!(tracker.contact(), StoreContact::Away);
     assert_eq!(tracker.receive(at(50)), AnswerEffect { away: None, resumes_watch: false });
-    assert!(tracker.answers() && !tracker.is_reliable_watcher(), "it answers and is not watched");
+    assert!(
+        tracker.answers() && !tracker.is_reliable_watcher(),
+        "the store answers and is not watched"
+    );
 }
 
 #[test]
 fn an_outage_lasts_from_the_first_failure_to_the_next_answer() {
     let mut tracker = watching();
-    assert!(tracker.note_failure(at(1_000)), "new");
-    assert!(!tracker.note_failure(at(2_000)), "known");
+    assert!(tracker.note_failure(at(1_000)), "the outage begins");
+    assert!(!tracker.note_failure(at(2_000)), "the outage is known");
     assert!(
         !tracker.is_reliable_watcher() && tracker.is_watching(),
         "other members take over; this one keeps trying"
     );
-    assert_eq!(tracker.watched(), 7.into(), "the watch continues from there");
+    assert_eq!(tracker.watched(), 7.into(), "the watch continues from this revision");
     let effect = tracker.receive(at(4_000));
     assert_eq!(effect, AnswerEffect { away: Some(millis(3_000)), resumes_watch: true });
     assert_eq!(tracker.receive(at(4_100)), AnswerEffect { away: None, resumes_watch: false });
@@ -64,7 +67,7 @@
     tracker.stop_watching();
     assert!(!tracker.is_watching() && !tracker.answers());
     assert_eq!(tracker.watched(), 0.into());
-    assert_eq!(tracker.receive(at(900)).away, None, "that was no outage");
+    assert_eq!(tracker.receive(at(900)).away, None, "the time without a watch is no outage");
 }
 
 #[test]
