--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -31,7 +31,7 @@
 
 /// How the members keep the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LimitWay {
+enum Strategy {
     /// Each member has an even share of the limit.
     EvenShare,
     /// Each member has a share in proportion to its demand, which it sends to all others every second.
@@ -42,8 +42,8 @@
     GrantAhead,
 }
 
-const WAYS: [LimitWay; 4] =
-    [LimitWay::EvenShare, LimitWay::DemandShare, LimitWay::GrantEach, LimitWay::GrantAhead];
+const STRATEGIES: [Strategy; 4] =
+    [Strategy::EvenShare, Strategy::DemandShare, Strategy::GrantEach, Strategy::GrantAhead];
 
 /// Members that have requests for the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,7 +85,7 @@
 }
 
 struct Run {
-    way: LimitWay,
+    strategy: Strategy,
     /// The limit, in requests per second.
     rate: f64,
     /// Requests for the upstream per second.
@@ -119,8 +119,8 @@
 }
 
 impl Run {
-    fn new(way: LimitWay, members: usize, limit: f64, busy: Busy, fault: Fault) -> Self {
-        let new = || Member {
+    fn new(strategy: Strategy, members: usize, limit: f64, busy: Busy, fault: Fault) -> Self {
+        let member = || Member {
             cache: PermitCache::default(),
             ledger: QuotaLedger::default(),
             pace: SendPace::initial(at(0), bound(limit / members as f64)),
@@ -128,12 +128,12 @@
             demands: vec![0; members],
         };
         Self {
-            way,
+            strategy,
             rate: limit,
             demand: limit * DEMAND,
             busy,
             fault,
-            members: (0..members).map(|_| new()).collect(),
+            members: (0..members).map(|_| member()).collect(),
             in_transit: collections::BTreeMap::new(),
             sends: Vec::new(),
             messages: 0,
@@ -141,11 +141,11 @@
         }
     }
 
-    fn play(mut self) -> Figures {
+    fn simulate(mut self) -> Figures {
         // If one member has all requests, it is not the coordinator.
         let first = if self.busy == Busy::All { 0 } else { self.members.len() - 1 };
-        let busy = first..self.members.len();
-        let each_ms = self.demand / 1_000.0;
+        let busy_members = first..self.members.len();
+        let requests_per_ms = self.demand / 1_000.0;
         for now in 1..RUN_MS {
             self.set_coordinators(now);
             for (to, message) in self.in_transit.remove(&now).unwrap_or_default() {
@@ -160,8 +160,8 @@
                 self.send_demands();
             }
             // The number of requests is rounded up or down at random.
-            for _ in 0..(each_ms + self.random.random::<f64>()) as usize {
-                let member = self.random.random_range(busy.clone());
+            for _ in 0..(requests_per_ms + self.random.random::<f64>()) as usize {
+                let member = self.random.random_range(busy_members.clone());
                 if !self.is_stopped(now, member) {
                     self.arrive(now, member);
                 }
@@ -233,7 +233,7 @@
         for from in 0..self.members.len() {
             let (current, _) = self.members[from].counts;
             self.members[from].counts = (0, current);
-            if self.way != LimitWay::DemandShare {
+            if self.strategy != Strategy::DemandShare {
                 continue;
             }
             for to in 0..self.members.len() {
@@ -248,9 +248,9 @@
     /// Handles a request that is sent to the upstream if the limit allows it, and to another upstream otherwise.
     fn arrive(&mut self, now: u64, from: usize) {
         self.members[from].counts.0 += 1;
-        match self.way {
-            LimitWay::EvenShare => self.send_by_share(now, from, 1.0 / self.members.len() as f64),
-            LimitWay::DemandShare => {
+        match self.strategy {
+            Strategy::EvenShare => self.send_by_share(now, from, 1.0 / self.members.len() as f64),
+            Strategy::DemandShare => {
                 let demands = &self.members[from].demands;
                 let sum: u32 = demands.iter().sum();
                 // A member that knows of no demand uses an even share.
@@ -258,7 +258,7 @@
                 let share = if sum == 0 { even } else { f64::from(demands[from]) / f64::from(sum) };
                 self.send_by_share(now, from, share);
             }
-            LimitWay::GrantEach | LimitWay::GrantAhead => self.send_by_permit(now, from),
+            Strategy::GrantEach | Strategy::GrantAhead => self.send_by_permit(now, from),
         }
     }
 
@@ -278,7 +278,7 @@
             PermitStep::Send(_) => self.sends.push(now),
             PermitStep::Backoff(_) => {}
             PermitStep::Request(request) => {
-                let wanted = if self.way == LimitWay::GrantEach { 1 } else { request.wanted };
+                let wanted = if self.strategy == Strategy::GrantEach { 1 } else { request.wanted };
                 let request = PermitRequest { wanted, ..request };
                 let coordinator = self.coordinator_of(now, from);
                 if coordinator != from {
@@ -352,33 +352,33 @@
 /// Most sends in a window that the limit allows: those of the window itself, those that a permit's validity (0.5 s) and
 /// the burst allowance (0.2 s) can move into it, and one at its beginning.
 fn most_by_rate(limit: f64) -> usize {
-    let spans = WINDOW_MS as f64 / 1_000.0 + 0.2 + 0.5;
-    (limit * spans) as usize + 1
+    let seconds = WINDOW_MS as f64 / 1_000.0 + 0.2 + 0.5;
+    (limit * seconds) as usize + 1
 }
 
 const SIZES: [usize; 3] = [6, 60, 300];
 const LIMITS: [f64; 3] = [0.3, 2.0, 20.0];
 
 #[test]
-fn the_limit_is_kept_and_used_in_fleets_of_all_sizes() {
-    for way in WAYS {
+fn the_limit_is_enforced_and_used_in_fleets_of_all_sizes() {
+    for strategy in STRATEGIES {
         for members in SIZES {
-            if way == LimitWay::DemandShare && members == 300 {
+            if strategy == Strategy::DemandShare && members == 300 {
                 // Every member would send a message to every other each second: 89,700 messages.
                 continue;
             }
             for limit in LIMITS {
                 for busy in [Busy::All, Busy::One] {
-                    let figures = Run::new(way, members, limit, busy, Fault::None).play();
+                    let figures = Run::new(strategy, members, limit, busy, Fault::None).simulate();
                     println!(
-                        "{way:?}, {members} members, limit {limit}/s, {busy:?} busy: {} in 4 s ({} allowed), \
+                        "{strategy:?}, {members} members, limit {limit}/s, {busy:?} busy: {} in 4 s ({} allowed), \
                          {:.2} used, {:.1} messages/s",
                         figures.most,
                         most_by_rate(limit),
                         figures.used,
                         figures.messages
                     );
-                    if way == LimitWay::GrantAhead {
+                    if strategy == Strategy::GrantAhead {
                         assert!(
                             figures.most <= most_by_rate(limit),
                             "{members}, {limit}: {figures:?}"
@@ -407,8 +407,8 @@
     for fault in faults {
         for members in SIZES {
             for limit in LIMITS {
-                let run = Run::new(LimitWay::GrantAhead, members, limit, Busy::All, fault);
-                let figures = run.play();
+                let run = Run::new(Strategy::GrantAhead, members, limit, Busy::All, fault);
+                let figures = run.simulate();
                 println!(
                     "{fault:?}, {members} members, limit {limit}/s: {} in 4 s ({} allowed), {:.2} used",
                     figures.most,
@@ -435,13 +435,13 @@
 /// Guards against a limit far above the demand that delays requests or costs a message for each.
 #[test]
 fn permits_granted_ahead_save_messages_under_a_high_limit() {
-    let play = |way| {
-        let mut run = Run::new(way, 6, 1_000_000.0, Busy::All, Fault::None);
+    let simulate = |strategy| {
+        let mut run = Run::new(strategy, 6, 1_000_000.0, Busy::All, Fault::None);
         run.demand = 600.0;
-        let figures = run.play();
+        let figures = run.simulate();
         (figures.used * 1_000_000.0 / 600.0, figures.messages)
     };
-    let (each, ahead) = (play(LimitWay::GrantEach), play(LimitWay::GrantAhead));
+    let (each, ahead) = (simulate(Strategy::GrantEach), simulate(Strategy::GrantAhead));
     println!("part sent and messages/s: one permit for each request {each:?}, ahead {ahead:?}");
     assert!(ahead.0 >= 0.97 && ahead.1 < each.1 / 4.0);
 }
