--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -1,5 +1,5 @@
-//! Simulates several ways in which all members together keep the rate limit of an upstream, and compares the most sends
-//! in any 4 s, the part of the limit that is used and the number of messages.
+//! Simulates several strategies by which all members together enforce the rate limit of an upstream, and compares the most
+//! sends in any 4 s, the part of the limit that is used and the number of messages.
 
 use std::{collections, time};
 
@@ -14,7 +14,7 @@
     units,
 };
 
-/// Part of the datagrams that is lost.
+/// Share of the datagrams that are lost.
 const LOSS: f64 = 0.01;
 /// Delay of a datagram within a region, in milliseconds.
 const DELAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
@@ -29,7 +29,7 @@
 /// Backoff after a late response that contained no valid permit, in milliseconds.
 const SILENCE_BACKOFF_MS: u64 = 100;
 
-/// How the members keep the limit.
+/// How the members enforce the limit together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Strategy {
     /// Each member has an even share of the limit.
@@ -76,7 +76,7 @@
 struct Member {
     cache: PermitCache<ids::UpstreamId>,
     ledger: QuotaLedger<ids::UpstreamId>,
-    /// Token bucket of the member's own share, if the way has shares.
+    /// Token bucket of the member's own share, if the strategy has shares.
     pace: SendPace,
     /// Number of requests in the current second and in the previous one.
     counts: (u32, u32),
@@ -327,8 +327,7 @@
     most: usize,
     /// Part of the limit that was used.
     used: f64,
-    /// Like `used`, with a tolerance of one more send, and one less that the limit allows because the bucket starts
-    /// empty.
+    /// Like `used`, with a tolerance: one send more is counted, and one less is allowed because the bucket starts empty.
     used_with_tolerance: f64,
     /// Messages of all members, per second.
     messages: f64,
@@ -415,8 +414,8 @@
                     most_by_rate(limit),
                     figures.used
                 );
-                // Two concurrent coordinators grant one permit more, and twice as many permits until they detect a
-                // partition.
+                // Two concurrent coordinators together grant one permit more than one coordinator, and twice as many
+                // permits until they detect a partition.
                 let undetected = match fault {
                     Fault::Partition(undetected) => undetected as f64 / 1_000.0,
                     _ => 0.0,
