--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -165,8 +165,9 @@
         table.note_crashes(at(sent), [run(&format!("s{number}"), "d", sent, sent + 50)]);
     }
     assert!(is_quarantined(&table, "x", 6_000));
-    let kept = (0..5_000).filter(|number| table.suspects(digest(&format!("s{number}")))).count();
-    assert!(kept < 512, "{kept} suspects are kept");
+    let remaining =
+        (0..5_000).filter(|number| table.suspects(digest(&format!("s{number}")))).count();
+    assert!(remaining < 512, "{remaining} suspects remain");
 }
 
 #[test]
--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -38,7 +38,7 @@
     /// Harmless requests per second.
     rate: f64,
     /// Whether all harmless requests have the same body.
-    same: bool,
+    same_body: bool,
     /// Longest duration of a harmless request, in milliseconds.
     longest: u64,
     /// Most times that a caller sends a harmless request.
@@ -86,7 +86,7 @@
     RequestDigest::of("POST", "/draft/a", None, body.as_bytes())
 }
 
-struct Play {
+struct Simulation {
     storm: Storm,
     random: rand_chacha::ChaCha8Rng,
     engines: Vec<Engine>,
@@ -98,9 +98,9 @@
     now: u64,
 }
 
-impl Play {
-    fn play(storm: Storm, way: BlameWay, seed: u64) -> Figures {
-        let mut play = Self {
+impl Simulation {
+    fn run(storm: Storm, way: BlameWay, seed: u64) -> Figures {
+        let mut simulation = Self {
             storm,
             random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             engines: vec![Engine::default(); ENGINES],
@@ -109,11 +109,11 @@
             figures: Figures::default(),
             now: 0,
         };
-        while play.now < RUN_MS {
-            play.step();
-            play.now += STEP_MS;
+        while simulation.now < RUN_MS {
+            simulation.step();
+            simulation.now += STEP_MS;
         }
-        play.figures
+        simulation.figures
     }
 
     fn step(&mut self) {
@@ -136,7 +136,7 @@
     fn arrive(&mut self) {
         if self.random.random_bool(self.storm.rate * STEP_MS as f64 / 1_000.0) {
             self.figures.harmless += 1;
-            let body = if self.storm.same { 0 } else { self.figures.harmless };
+            let body = if self.storm.same_body { 0 } else { self.figures.harmless };
             let digest = digest(format!("sound {body}"));
             self.send(Job { digest, deadly: false, attempts: 0, arrivals: 1, sent: 0, done: 0 });
         }
@@ -165,12 +165,12 @@
         };
         job.attempts += 1;
         job.sent = self.now;
-        let work = if job.deadly {
+        let duration = if job.deadly {
             CRASH_DELAY_MS
         } else {
             self.random.random_range(300..self.storm.longest)
         };
-        job.done = self.now + work;
+        job.done = self.now + duration;
         self.engines[engine].jobs.push(job);
     }
 
@@ -214,7 +214,7 @@
 
 /// Runs a storm with all seeds and adds the results up.
 fn sums(storm: Storm, way: BlameWay) -> Figures {
-    let all = (0..SEEDS).map(|seed| Play::play(storm, way, seed));
+    let all = (0..SEEDS).map(|seed| Simulation::run(storm, way, seed));
     let sum = all.reduce(|sum, next| Figures {
         harmless: sum.harmless + next.harmless,
         served: sum.served + next.served,
@@ -226,12 +226,13 @@
     sum
 }
 
-const CALM: Storm = Storm {
-    name: "calm",
+/// Load without crashes and without deadly requests.
+const BASELINE: Storm = Storm {
+    name: "baseline",
     crashes: None,
     deadly: 0,
     rate: 60.0,
-    same: false,
+    same_body: false,
     longest: 2_500,
     arrivals: 2,
 };
@@ -241,8 +242,8 @@
     for (name, crashes) in
         [("17 in 100 at once", (4_000, 3)), ("a rack", (5_000, 6)), ("one each second", (1_000, 1))]
     {
-        for same in [false, true] {
-            let storm = Storm { name, crashes: Some(crashes), same, ..CALM };
+        for same_body in [false, true] {
+            let storm = Storm { name, crashes: Some(crashes), same_body, ..BASELINE };
             let by_sequence = sums(storm, BlameWay::Sequence);
             let by_count = sums(storm, BlameWay::Count);
             assert!(
@@ -265,7 +266,7 @@
                 rate,
                 longest,
                 arrivals,
-                ..CALM
+                ..BASELINE
             };
             let by_sequence = sums(storm, BlameWay::Sequence);
             let by_count = sums(storm, BlameWay::Count);
