--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine of requests that crash upstreams, as derived from the evidence.
+//! Quarantine of requests that crash upstreams, as derived from reported crashes and answers.
 
 use std::time::Duration;
 
@@ -84,7 +84,7 @@
     assert!(!is_quarantined(&table_of(copies), "x", 600));
 }
 
-/// Guards against a missed sequence when each wave has more copies than crashes are kept for a request.
+/// Guards against a missed sequence when each wave has more copies than the table stores crashes for a request.
 #[test]
 fn three_waves_of_many_copies_quarantine_a_request() {
     let wave = |number: u64| {
@@ -105,7 +105,7 @@
 fn an_answer_clears_a_request_of_earlier_crashes() {
     let mut table = table_of([run("x", "a", 0, 100), run("x", "b", 100, 200)]);
     assert!(table.clear(digest("x"), at(250)));
-    assert!(!table.clear(digest("y"), at(250)), "there is no record of it");
+    assert!(!table.clear(digest("y"), at(250)), "there is no record of the request");
     table.note_crashes(at(400), [run("x", "c", 300, 400), run("x", "a2", 120, 240)]);
     assert!(
         !is_quarantined(&table, "x", 400),
--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -1,5 +1,5 @@
 //! Simulates unrelated engine crashes together with deadly requests, which crash the engines they run on. Measures how
-//! many harmless requests each way of counting quarantines, and how many engines the deadly requests crash.
+//! many harmless requests each way of counting crashes quarantines, and how many engines the deadly requests crash.
 
 use std::time::Duration;
 
@@ -50,9 +50,13 @@
 struct Job {
     digest: RequestDigest,
     deadly: bool,
+    /// Attempts since the caller last sent the request.
     attempts: u32,
+    /// Number of times that the caller has sent the request.
     arrivals: u32,
+    /// Start of the current attempt.
     sent: u64,
+    /// End of the current attempt; a deadly request crashes its engine then.
     done: u64,
 }
 
