--- a/crates/core/tests/list_recovery.rs
+++ b/crates/core/tests/list_recovery.rs
@@ -15,8 +15,8 @@
     StoreRevision::new(StoreEra(era), number)
 }
 
-fn start(number: u8, born: u64) -> UpstreamEntry {
-    UpstreamEntry { name: name(number).with_start(UpstreamStart(born)), ..entry(number) }
+fn start(number: u8, started: u64) -> UpstreamEntry {
+    UpstreamEntry { name: name(number).with_start(UpstreamStart(started)), ..entry(number) }
 }
 
 /// A list whose source was restored from a copy that lacks the restart of upstream 1.
--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -124,8 +124,8 @@
 }
 
 /// The entry of a start of an upstream.
-fn start(number: u8, born: u64) -> UpstreamEntry {
-    UpstreamEntry { name: name(number).with_start(ids::UpstreamStart(born)), ..entry(number) }
+fn start(number: u8, started: u64) -> UpstreamEntry {
+    UpstreamEntry { name: name(number).with_start(ids::UpstreamStart(started)), ..entry(number) }
 }
 
 /// The present start of an upstream.
@@ -163,8 +163,8 @@
         vec![ListChange::Present(start(1, 60)), ListChange::Present(start(1, 70))],
         11.into(),
     );
-    for (number, over) in [50, 60].into_iter().enumerate() {
-        let draining = UpstreamEntry { state: ListState::Leaving, ..start(1, over) };
+    for (number, ended_start) in [50, 60].into_iter().enumerate() {
+        let draining = UpstreamEntry { state: ListState::Leaving, ..start(1, ended_start) };
         let revision = 12 + number as u64;
         assert!(!list.apply(at(200), vec![ListChange::Present(draining)], revision.into()));
     }
@@ -197,8 +197,8 @@
 fn a_start_reported_by_the_upstream_is_present_unless_requested_earlier() {
     let mut list = UpstreamList::default();
     list.replace(at(0), vec![start(1, 50)], 10.into());
-    let report = |list: &mut UpstreamList, now, born, requested| {
-        list.update_start(at(now), &name(1), ids::UpstreamStart(born), at(requested))
+    let report = |list: &mut UpstreamList, now, started, requested| {
+        list.update_start(at(now), &name(1), ids::UpstreamStart(started), at(requested))
     };
     assert!(!report(&mut list, 100, 50, 90), "the same start");
     assert!(report(&mut list, 200, 60, 190));
@@ -254,34 +254,34 @@
 #[test]
 fn a_late_write_of_the_previous_start_is_ignored_unless_it_stays() {
     let mut list = UpstreamList::default();
-    let named = |list: &mut UpstreamList, now, born, revision: u64| {
-        list.apply(at(now), vec![ListChange::Present(start(1, born))], revision.into());
+    let apply_entry = |list: &mut UpstreamList, now, started, revision: u64| {
+        list.apply(at(now), vec![ListChange::Present(start(1, started))], revision.into());
     };
     list.replace(at(0), vec![start(1, 50)], 10.into());
-    named(&mut list, 100, 60, 11);
+    apply_entry(&mut list, 100, 60, 11);
     // A write of the first start is executed late, and the second start overwrites it with its next heartbeat.
-    named(&mut list, 1_000, 50, 12);
+    apply_entry(&mut list, 1_000, 50, 12);
     list.tick(at(2_000));
-    named(&mut list, 2_100, 60, 13);
+    apply_entry(&mut list, 2_100, 60, 13);
     list.tick(at(9_000));
     assert_eq!(present(&list, 1), Some(60));
     // A late write of an unknown start looks like a new start, until the list names the actual one again.
-    named(&mut list, 10_000, 40, 14);
+    apply_entry(&mut list, 10_000, 40, 14);
     assert_eq!(present(&list, 1), Some(40));
-    named(&mut list, 11_200, 60, 15);
+    apply_entry(&mut list, 11_200, 60, 15);
     list.tick(at(13_000));
     assert_eq!(present(&list, 1), Some(40), "this may be a late write as well");
     list.tick(at(14_300));
     assert_eq!(present(&list, 1), Some(60), "the list keeps naming it");
     // A report of the upstream itself takes effect sooner.
-    named(&mut list, 20_000, 40, 16);
+    apply_entry(&mut list, 20_000, 40, 16);
     assert!(!list.update_start(at(20_500), &name(1), ids::UpstreamStart(60), at(20_400)));
     list.tick(at(30_000));
     assert_eq!(present(&list, 1), Some(60));
 }
 
 /// The age of a new notice.
-fn none() -> time::Duration {
+fn no_age() -> time::Duration {
     time::Duration::ZERO
 }
 
@@ -291,8 +291,8 @@
     list.notices_mut().receive_backoff(at(now), &name(number), requested);
 }
 
-fn open(list: &UpstreamList, now: u64, turn: ProbePermission) -> Vec<ids::UpstreamId> {
-    list.open(at(now), &service(), turn).into_iter().map(|entry| entry.name.clone()).collect()
+fn open(list: &UpstreamList, now: u64, permission: ProbePermission) -> Vec<ids::UpstreamId> {
+    list.open(at(now), &service(), permission).into_iter().map(|entry| entry.name.clone()).collect()
 }
 
 /// The list keeps naming the upstream as live, drops it and names it again. Only another start takes new work.
@@ -300,7 +300,7 @@
 fn a_leaving_notice_of_an_upstream_outlasts_entries_of_the_list() {
     let mut list = full();
     let before = list.changes();
-    assert!(list.receive_leaving(at(1), &name(1), NoticeSource::Answer, none()));
+    assert!(list.receive_leaving(at(1), &name(1), NoticeSource::Answer, no_age()));
     assert!(list.changes() > before, "planners learn of the change");
     assert_eq!(usable(&list), 3);
     list.apply(at(2), vec![ListChange::Present(entry(1))], 11.into());
@@ -309,10 +309,10 @@
     list.forget_notices(at(4));
     list.apply(at(30_000), vec![ListChange::Present(entry(1))], 13.into());
     assert_eq!(usable(&list), 3, "the entry was only dropped for a while");
-    let kept_back = list.permits(at(30_001), &name(1), SendKind::Request, &[]);
-    assert!(matches!(kept_back, Err(SendDenial::Leaves(NoticeSource::Answer, _))), "{kept_back:?}");
-    let again = UpstreamEntry { name: "u1@200".parse().expect("a valid name"), ..entry(1) };
-    list.apply(at(31_000), vec![ListChange::Present(again)], 14.into());
+    let denied = list.permits(at(30_001), &name(1), SendKind::Request, &[]);
+    assert!(matches!(denied, Err(SendDenial::Leaves(NoticeSource::Answer, _))), "{denied:?}");
+    let restarted = UpstreamEntry { name: "u1@200".parse().expect("a valid name"), ..entry(1) };
+    list.apply(at(31_000), vec![ListChange::Present(restarted)], 14.into());
     assert_eq!(usable(&list), 4, "another start of the upstream");
     assert_eq!(list.permits(at(31_001), &name(1), SendKind::Request, &[]), Ok(()));
 }
@@ -327,7 +327,7 @@
     };
     list.replace(at(0), vec![start(100)], 1.into());
     list.apply(at(10), vec![ListChange::Present(start(200))], 2.into());
-    list.receive_leaving(at(20), &start(100).name, NoticeSource::Member, none());
+    list.receive_leaving(at(20), &start(100).name, NoticeSource::Member, no_age());
     assert_eq!(usable(&list), 1);
     let old = time::Duration::from_secs(500);
     assert!(!list.receive_leaving(at(30), &start(100).name, NoticeSource::Member, old));
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -68,8 +68,8 @@
         table.describe(at(7_500), &upstream).expect("the upstream has a notice"),
         "leaves, by member 4.0 s ago"
     );
-    let kept_back = table.permits(at(7_500), &upstream, SendKind::Request);
-    assert_eq!(kept_back, Err(SendDenial::Leaves(NoticeSource::Member, ms(4_000))));
+    let denied = table.permits(at(7_500), &upstream, SendKind::Request);
+    assert_eq!(denied, Err(SendDenial::Leaves(NoticeSource::Member, ms(4_000))));
 }
 
 /// Writes of an upstream to the list may be late, so the list can revoke only its own notices.
@@ -130,7 +130,8 @@
 fn one_request_probes_after_a_backoff() {
     let mut table = NoticeTable::default();
     let upstream = name("p1");
-    let avoided = |table: &NoticeTable, now, turn| table.is_avoided(at(now), &upstream, turn);
+    let avoided =
+        |table: &NoticeTable, now, permission| table.is_avoided(at(now), &upstream, permission);
     table.receive_backoff(at(0), &upstream, ms(1_000));
     assert!(!table.begin(at(500), &upstream), "a request within the backoff is no probe");
     assert!(!table.receive_accepted(at(900), &upstream), "its answer does not end the backoff");
@@ -146,8 +147,8 @@
     assert!(!avoided(&table, 1_100, ProbePermission::Yes), "the probe ended without a result");
     table.begin(at(1_200), &upstream);
     assert!(table.receive_accepted(at(1_300), &upstream));
-    for turn in [ProbePermission::Yes, ProbePermission::No] {
-        assert!(!avoided(&table, 1_300, turn), "it takes work again");
+    for permission in [ProbePermission::Yes, ProbePermission::No] {
+        assert!(!avoided(&table, 1_300, permission), "the upstream takes work again");
     }
     table.receive_backoff(at(2_000), &upstream, ms(1_000));
     assert!(!avoided(&table, 13_000, ProbePermission::No), "the time for probes is over");
--- a/crates/core/tests/upstream_starts.rs
+++ b/crates/core/tests/upstream_starts.rs
@@ -59,8 +59,8 @@
 fn apply_history(history: &[(u64, Step)]) -> (UpstreamList, u64, u64) {
     let mut list = UpstreamList::default();
     let (mut now, mut revision) = (10_000, 1);
-    for (later, step) in history {
-        now += later;
+    for (elapsed, step) in history {
+        now += elapsed;
         revision += 1;
         list.tick(at(now));
         let change = match *step {
