--- a/crates/core/tests/upstream_limit.rs
+++ b/crates/core/tests/upstream_limit.rs
@@ -98,7 +98,7 @@
 }
 
 proptest! {
-    /// Guards against members that disagree for good: they receive the same readings in different orders, some of them
+    /// Guards against members that disagree permanently: they receive the same readings in different orders, some of them
     /// twice, and must agree after a last reading that was requested after all others were received.
     #[test]
     fn members_agree_after_a_later_reading(
--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -116,7 +116,7 @@
             changed += 1;
         }
     }
-    assert_eq!(changed, 4, "leaving, dropped, back, dropped");
+    assert_eq!(changed, 4, "leaving, dropped, returned, dropped");
     let count = list.changes();
     list.apply(at(4_000), vec![ListChange::Present(entry(4))], 17.into());
     list.tick(at(5_000));
@@ -360,7 +360,7 @@
     let mut list = full();
     (1..=4).for_each(|number| begin_backoff(&mut list, 0, number, 1_000 * u64::from(number)));
     assert!(open(&list, 500, ProbePermission::Yes).is_empty());
-    assert_eq!(open(&list, 1_000, ProbePermission::No), [name(1)], "better than none");
+    assert_eq!(open(&list, 1_000, ProbePermission::No), [name(1)], "there is no other upstream");
     list.notices_mut().begin(at(1_000), &name(1));
     assert_eq!(open(&list, 1_010, ProbePermission::Yes), [name(1)]);
 }
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -1,4 +1,4 @@
-//! Notices of upstreams that leave or ask for a backoff.
+//! Notices of upstreams that leave or request a backoff.
 
 use std::time;
 
@@ -134,15 +134,18 @@
         |table: &NoticeTable, now, permission| table.is_avoided(at(now), &upstream, permission);
     table.receive_backoff(at(0), &upstream, ms(1_000));
     assert!(!table.begin(at(500), &upstream), "a request within the backoff is no probe");
-    assert!(!table.receive_accepted(at(900), &upstream), "its answer does not end the backoff");
+    assert!(
+        !table.receive_accepted(at(900), &upstream),
+        "the request's answer does not end the backoff"
+    );
     assert!(!avoided(&table, 1_000, ProbePermission::Yes));
     assert!(
         avoided(&table, 1_000, ProbePermission::No),
         "a request without another attempt does not probe"
     );
     assert!(table.begin(at(1_000), &upstream));
-    assert!(avoided(&table, 1_100, ProbePermission::Yes), "one at a time");
-    assert!(!avoided(&table, 3_000, ProbePermission::Yes), "its caller may have left");
+    assert!(avoided(&table, 1_100, ProbePermission::Yes), "one probe at a time");
+    assert!(!avoided(&table, 3_000, ProbePermission::Yes), "the caller of the probe may have left");
     table.end_probe(&upstream);
     assert!(!avoided(&table, 1_100, ProbePermission::Yes), "the probe ended without a result");
     table.begin(at(1_200), &upstream);
--- a/crates/core/tests/upstream_starts.rs
+++ b/crates/core/tests/upstream_starts.rs
@@ -13,7 +13,7 @@
 /// A step of a history.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The list names a start. It may be any, as writes may be late.
+    /// The list names a start: any start, because writes may be late.
     Listed(u64),
     /// The upstream itself reports a start, in answer to a query this many milliseconds ago.
     Reported(u64, u64),
@@ -44,7 +44,7 @@
     }
 }
 
-/// Steps, each with the milliseconds since the one before.
+/// Steps, each with the milliseconds since the previous step.
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
     let step = prop_oneof![
         6 => (1_u64..12).prop_map(Step::Listed),
