--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -124,10 +124,10 @@
 #[test]
 fn a_scheduler_that_takes_over_grants_no_second_burst() {
     let limit = limit(1_000.0, 1_000_000);
-    let mut new = budget::BudgetLedger::default();
-    new.note_membership_change(now(500_000));
+    let mut ledger = budget::BudgetLedger::default();
+    ledger.note_membership_change(now(500_000));
     let mut drawn = 0;
-    while let Ok(portion) = new.draw(now(500_000), &customer(), limit, TOKENS) {
+    while let Ok(portion) = ledger.draw(now(500_000), &customer(), limit, TOKENS) {
         drawn += portion.tokens.0;
     }
     assert!(drawn <= 1_500, "{drawn} tokens at once");
--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -89,8 +89,8 @@
 fn the_lower_of_two_limits_applies() {
     let mut list = list_with_policy();
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
-    for (announced, heard, expected) in [(30.0, 1_100, 17.0), (5.0, 1_200, 5.0)] {
-        let (rate, at) = (Some(rate(announced)), at(heard));
+    for (announced, received_ms, expected) in [(30.0, 1_100, 17.0), (5.0, 1_200, 5.0)] {
+        let (rate, at) = (Some(rate(announced)), at(received_ms));
         let reading =
             LimitReading { rate, requested: at, received: at, source: NoticeSource::Answer };
         list.notices_mut().receive_limit(&name(1), reading);
--- a/crates/core/tests/connection_share.rs
+++ b/crates/core/tests/connection_share.rs
@@ -8,14 +8,14 @@
         for members in [1, 6, 60, 300, 380] {
             for upstream in 0..20 {
                 let upstream: ids::UpstreamId = format!("u{upstream}@7").parse().expect("a name");
-                let own = |number: usize| -> ids::InstanceId {
+                let name = |number: usize| -> ids::InstanceId {
                     format!("front-{number}").parse().expect("a name")
                 };
                 let idle =
-                    |number| connection_share::max_idle(limit, members, &own(number), &upstream);
-                let all: usize = (0..members).map(idle).sum();
-                assert!(all <= limit, "{members} members keep {all} of {limit}");
-                assert!(all * 5 >= limit, "{members} members keep {all} of {limit}");
+                    |number| connection_share::max_idle(limit, members, &name(number), &upstream);
+                let total: usize = (0..members).map(idle).sum();
+                assert!(total <= limit, "{members} members hold {total} of {limit}");
+                assert!(total * 5 >= limit, "{members} members hold {total} of {limit}");
             }
         }
     }
--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -5,7 +5,9 @@
 use slipturn_core::connection_silence::{AnswerTimes, ConnectionAges, SilenceCause, SilencePhase};
 
 const GOAL: time::Duration = time::Duration::from_millis(300);
-const LONGEST: time::Duration = time::Duration::from_millis(675);
+/// Longest wait for the head of an answer, for slow upstreams.
+const LONGEST_WAIT: time::Duration = time::Duration::from_millis(675);
+/// How long the answer was waited for on the silent connection.
 const WAITED: time::Duration = time::Duration::from_millis(200);
 
 fn millis(count: u64) -> time::Duration {
@@ -25,18 +27,18 @@
 #[test]
 fn the_wait_for_a_head_follows_the_usual_answer_time() {
     let table = [
-        ("no answers", vec![], LONGEST),
-        ("too few answers", vec![10; 7], LONGEST),
+        ("no answers", vec![], LONGEST_WAIT),
+        ("too few answers", vec![10; 7], LONGEST_WAIT),
         ("fast answers: part of the goal", vec![10; 20], millis(180)),
         ("answers slower than the goal", vec![400; 60], millis(600)),
-        ("answers slower than the longest wait", vec![800; 60], LONGEST),
+        ("answers slower than the longest wait", vec![800; 60], LONGEST_WAIT),
     ];
     for (case, spans, expected) in table {
-        let wait = times(&spans).reused_connection_wait(GOAL, LONGEST);
+        let wait = times(&spans).reused_connection_wait(GOAL, LONGEST_WAIT);
         assert!(wait.abs_diff(expected) < millis(2), "{case}: {wait:?}");
     }
-    let uneven =
-        times(&[40, 120, 60, 90, 30, 110, 70, 50, 100, 80]).reused_connection_wait(GOAL, LONGEST);
+    let uneven = times(&[40, 120, 60, 90, 30, 110, 70, 50, 100, 80])
+        .reused_connection_wait(GOAL, LONGEST_WAIT);
     assert!(uneven > millis(200) && uneven < millis(500), "{uneven:?}");
 }
 
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -33,7 +33,11 @@
 fn full() -> UpstreamList {
     let mut list = UpstreamList::default();
     let entries = [(1, "a"), (2, "a"), (3, "b"), (4, "c")];
-    list.replace(at(0), entries.map(|(number, place)| entry(number, place)).into(), 10.into());
+    list.replace(
+        at(0),
+        entries.map(|(number, data_center)| entry(number, data_center)).into(),
+        10.into(),
+    );
     list
 }
 
@@ -102,7 +106,7 @@
 }
 
 #[test]
-fn a_completely_evacuated_service_reports_for_how_long() {
+fn a_completely_evacuated_service_reports_the_duration_of_its_evacuation() {
     let mut list = full();
     assert_eq!(list.evacuated_for(at(5), &service()), None);
     list.apply(at(1_000), vec![evacuated("a"), evacuated("b"), evacuated("c")], 11.into());
--- a/crates/core/tests/refusal.rs
+++ b/crates/core/tests/refusal.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn retry_delays_are_bounded_by_the_time_that_the_caller_has_left() {
-    let delay = |age, patience| refusal::outage_retry_after(millis(age), millis(patience));
+    let delay = |age, time_left| refusal::outage_retry_after(millis(age), millis(time_left));
     assert_eq!(delay(0, 10_000), millis(500), "the shortest delay");
     assert_eq!(delay(60_000, 9_000), millis(2_970));
     assert_eq!(delay(2_000, 100), millis(500));
@@ -55,17 +55,20 @@
 fn callers_refused_during_a_backoff_return_spread_over_its_length() {
     use rand::{RngExt as _, SeedableRng as _};
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(1);
-    let mut half_second = rand_chacha::ChaCha8Rng::seed_from_u64(2);
-    let spread = std::cell::RefCell::new(&mut random);
-    let whole = busiest(4_000, |left| {
-        let delay =
-            refusal::backoff_retry_after(millis(left), millis(4_000), &mut **spread.borrow_mut());
+    let mut narrow_random = rand_chacha::ChaCha8Rng::seed_from_u64(2);
+    let random_cell = std::cell::RefCell::new(&mut random);
+    let wide = busiest(4_000, |left| {
+        let delay = refusal::backoff_retry_after(
+            millis(left),
+            millis(4_000),
+            &mut **random_cell.borrow_mut(),
+        );
         assert!(delay >= millis(left), "a caller returns during the backoff");
         delay.as_millis() as u64
     });
-    let narrow = std::cell::RefCell::new(&mut half_second);
-    let narrow = busiest(4_000, |left| left + narrow.borrow_mut().random_range(0..500));
+    let narrow_cell = std::cell::RefCell::new(&mut narrow_random);
+    let narrow = busiest(4_000, |left| left + narrow_cell.borrow_mut().random_range(0..500));
     let fixed = busiest(4_000, |left| left);
-    println!("busiest tenth of a second: {fixed:.1}, {narrow:.1} over 0.5 s, {whole:.1} over 4 s");
-    assert!(whole <= 1.2 && narrow >= 5.0 && fixed >= 30.0, "{fixed}, {narrow}, {whole}");
+    println!("busiest tenth of a second: {fixed:.1}, {narrow:.1} over 0.5 s, {wide:.1} over 4 s");
+    assert!(wide <= 1.2 && narrow >= 5.0 && fixed >= 30.0, "{fixed}, {narrow}, {wide}");
 }
--- a/crates/core/tests/retry_schedule.rs
+++ b/crates/core/tests/retry_schedule.rs
@@ -12,8 +12,8 @@
 #[test]
 fn retries_are_spaced_at_half_the_permitted_rate() {
     let mut schedule = RetrySchedule::default();
-    let backs: Vec<_> = (0..4).map(|_| schedule.next(at(1_000), 4.0).as_millis()).collect();
-    assert_eq!(backs, [500, 1_000, 1_500, 2_000]);
+    let delays: Vec<_> = (0..4).map(|_| schedule.next(at(1_000), 4.0).as_millis()).collect();
+    assert_eq!(delays, [500, 1_000, 1_500, 2_000]);
     assert_eq!(schedule.next(at(9_000), 4.0).as_millis(), 500);
 }
 
@@ -21,10 +21,10 @@
 #[test]
 fn retry_after_is_at_most_ten_seconds_and_spread() {
     let mut schedule = RetrySchedule::default();
-    let backs: Vec<_> = (0..1_000).map(|_| schedule.next(at(0), 2.0)).collect();
-    assert!(backs.iter().all(|back| *back <= time::Duration::from_secs(10)));
-    let late: Vec<_> = backs.iter().skip(100).collect();
-    let first_half = late.iter().filter(|back| back.as_millis() < 7_500).count();
+    let delays: Vec<_> = (0..1_000).map(|_| schedule.next(at(0), 2.0)).collect();
+    assert!(delays.iter().all(|delay| *delay <= time::Duration::from_secs(10)));
+    let late: Vec<_> = delays.iter().skip(100).collect();
+    let first_half = late.iter().filter(|delay| delay.as_millis() < 7_500).count();
     assert!((300..600).contains(&first_half), "{first_half} of {}", late.len());
     assert!(schedule.next(at(0), 0.0) <= time::Duration::from_secs(10), "nothing is permitted");
 }
--- a/crates/core/tests/search_budget.rs
+++ b/crates/core/tests/search_budget.rs
@@ -8,16 +8,16 @@
 
 /// Simulates requests to ten cells of which `full` refuse everything. Returns the fraction of requests refused and the
 /// mean number of cells tried.
-fn simulate(full: usize, budget: impl Fn(&mut SearchBudget, usize) -> bool) -> (f64, f64) {
+fn simulate(full: usize, may_try: impl Fn(&mut SearchBudget, usize) -> bool) -> (f64, f64) {
     let mut random = ChaCha8Rng::seed_from_u64(5);
-    let mut own = SearchBudget::default();
+    let mut budget = SearchBudget::default();
     let (mut refused, mut total_tried) = (0_usize, 0_usize);
     for _ in 0..REQUESTS {
-        own.note_request();
+        budget.note_request();
         let mut left: Vec<_> = (0..10).collect();
         let mut tried = 0;
         let placed = loop {
-            if left.is_empty() || !budget(&mut own, tried) {
+            if left.is_empty() || !may_try(&mut budget, tried) {
                 break false;
             }
             let cell = left.swap_remove(random.random_range(0..left.len()));
--- a/crates/core/tests/settings_cases.rs
+++ b/crates/core/tests/settings_cases.rs
@@ -29,8 +29,8 @@
 ) -> Result<String, Box<dyn std::error::Error>> {
     let mut text = format!("version {}\n", tree.version);
     for request in requests.lines() {
-        let words: Vec<_> = request.split(' ').collect();
-        let [key, prompt] = words.as_slice() else { return Err("ask: KEY PROMPT".into()) };
+        let fields: Vec<_> = request.split(' ').collect();
+        let [key, prompt] = fields.as_slice() else { return Err("ask: KEY PROMPT".into()) };
         writeln!(text, "{request}:")?;
         let prompt: units::TokenCount = prompt.parse()?;
         let resolved = tree.identify(key).and_then(|caller| tree.resolve(&caller, prompt));
