--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -18,9 +18,10 @@
     units::MonoTime(millis * 1_000)
 }
 
+/// Tokens of one request.
 const TOKENS: units::TokenCount = units::TokenCount(500);
 
-/// Draws and spends like `entries` entries do, and returns the tokens spent in `seconds`.
+/// Simulates entries that draw portions from the scheduler and spend them; returns the tokens spent in `seconds`.
 fn spend_for(seconds: u64, entries: usize, schedulers: usize) -> u64 {
     let limit = limit(10_000.0, 10_000);
     let mut ledgers: Vec<_> = (0..schedulers).map(|_| budget::BudgetLedger::default()).collect();
--- a/crates/core/tests/class_worth.rs
+++ b/crates/core/tests/class_worth.rs
@@ -4,6 +4,7 @@
 
 use slipturn_core::class_worth::{ClassWorth, WorthQuery};
 
+/// Records a request and returns its worth; `goal` and `shortest` are in milliseconds.
 fn worth(classes: &mut ClassWorth, class: &str, prompt: u64, goal: u64, shortest: u64) -> f64 {
     classes.count(&WorthQuery {
         class: &class.parse().expect("a valid name"),
--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -1,9 +1,10 @@
-//! Waits for answers, and the classification of connections that went silent.
+//! Time to wait for an answer on a reused connection, and the assumed cause when a connection goes silent.
 
 use std::time;
 
 use slipturn_core::connection_silence::{AnswerTimes, ConnectionAges, SilenceCause, SilencePhase};
 
+/// Latency goal.
 const GOAL: time::Duration = time::Duration::from_millis(300);
 /// Longest wait for the head of an answer, for slow upstreams.
 const LONGEST_WAIT: time::Duration = time::Duration::from_millis(675);
@@ -73,7 +74,7 @@
     assert!(silent.has_live_peer(WAITED, live.into_iter()));
     assert!(
         !silent.has_live_peer(WAITED, live.into_iter().take(1)),
-        "it was opened after the silence began"
+        "the connection was opened after the silence began"
     );
     assert!(!silent.has_live_peer(WAITED, std::iter::empty()));
 }
@@ -81,7 +82,10 @@
 #[test]
 fn only_connections_with_data_late_in_the_wait_are_trusted() {
     assert!(ages(5_000, Some(20)).trusted(WAITED));
-    assert!(!ages(5_000, Some(120)).trusted(WAITED), "it may have gone silent with the other");
+    assert!(
+        !ages(5_000, Some(120)).trusted(WAITED),
+        "the connection may have gone silent with the other one"
+    );
     assert!(!ages(50, None).trusted(WAITED));
     for cause in [SilenceCause::Upstream, SilenceCause::SlowUpstream] {
         assert!(!cause.may_affect_others(), "{cause:?}");
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -41,6 +41,7 @@
     list
 }
 
+/// Names of the upstreams that may get new requests.
 fn open(list: &UpstreamList) -> Vec<String> {
     let service = service();
     let open = list.open(at(1), &service, ProbePermission::Yes);
@@ -82,7 +83,7 @@
     list.apply(at(1), vec![evacuated("a")], 11.into());
     list.apply(at(2), vec![ListChange::Present(entry(5, "a"))], 12.into());
     assert_eq!(open(&list), ["u3", "u4"]);
-    assert_eq!(list.listed_count(&service()), 5, "it is listed nevertheless");
+    assert_eq!(list.listed_count(&service()), 5, "the new upstream is listed nevertheless");
 }
 
 #[test]
--- a/crates/core/tests/fleet_budget.rs
+++ b/crates/core/tests/fleet_budget.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes a retry for a member, from its own share or by a permit of its coordinator; returns whether there was one.
+    /// Takes a retry for a member, from its own share or by a permit of its coordinator; returns whether a retry was left.
     fn take(&mut self, now: u64, member: usize) -> bool {
         self.take_for(now, member, RetryNeed::Begun)
     }
@@ -142,9 +142,9 @@
 /// Retries needed and made in a storm.
 #[derive(Debug, Default, Clone, Copy)]
 struct StormResult {
-    /// For partly delivered answers: needed, made.
+    /// Retries of partly delivered answers: needed, made.
     begun: (usize, usize),
-    /// For all other requests: needed, made.
+    /// Retries of all other requests: needed, made.
     others: (usize, usize),
 }
 
--- a/crates/core/tests/refusal.rs
+++ b/crates/core/tests/refusal.rs
@@ -50,7 +50,7 @@
 
 /// Guards against a burst of retries at the end of a backoff. After a backoff of 4 s, callers that retry at its end all
 /// return within one tenth of a second, at 40 times the load before it; spread over half a second they cause 8 times
-/// that load, and spread over the length of the backoff once.
+/// that load, and spread over the length of the backoff an equal load.
 #[test]
 fn callers_refused_during_a_backoff_return_spread_over_its_length() {
     use rand::{RngExt as _, SeedableRng as _};
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -67,8 +67,8 @@
         }
     }
     let per_request = f64::from(attempts) / 10_000.0;
-    assert!(per_request <= 1.1, "{per_request} attempts a request");
-    assert!(per_request > 1.09, "the budget is not used: {per_request} attempts a request");
+    assert!(per_request <= 1.1, "{per_request} attempts per request");
+    assert!(per_request > 1.09, "the budget is not used: {per_request} attempts per request");
 }
 
 #[test]
--- a/crates/core/tests/retry_schedule.rs
+++ b/crates/core/tests/retry_schedule.rs
@@ -1,4 +1,4 @@
-//! Retry-After times of callers that rate limits keep from all upstreams.
+//! Retry-After times of callers whose requests no upstream may get because of rate limits.
 
 use std::time;
 
@@ -29,7 +29,7 @@
     assert!(schedule.next(at(0), 0.0) <= time::Duration::from_secs(10), "nothing is permitted");
 }
 
-/// Only an answer of the upstream can tell that a limit of zero has ended.
+/// Only an answer of the upstream can show that a limit of zero has ended.
 #[test]
 fn an_upstream_with_a_limit_of_zero_is_tried_every_ten_seconds() {
     let rate = "0".parse().expect("a rate");
