--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -14,7 +14,7 @@
     "bluebonnet".parse().unwrap()
 }
 
-fn now(millis: u64) -> units::MonoTime {
+fn at(millis: u64) -> units::MonoTime {
     units::MonoTime(millis * 1_000)
 }
 
@@ -32,16 +32,16 @@
         let current = usize::try_from(millis / 10_000).unwrap() % ledgers.len();
         if ledgers.len() > 1 && millis.is_multiple_of(10_000) {
             ledgers[current] = budget::BudgetLedger::default();
-            ledgers[current].note_membership_change(now(millis));
+            ledgers[current].note_membership_change(at(millis));
         }
         for cache in &mut caches {
-            if !cache.spend(now(millis), &customer(), TOKENS) {
-                let Ok(portion) = ledgers[current].draw(now(millis), &customer(), limit, TOKENS)
+            if !cache.spend(at(millis), &customer(), TOKENS) {
+                let Ok(portion) = ledgers[current].draw(at(millis), &customer(), limit, TOKENS)
                 else {
                     continue;
                 };
-                cache.add(now(millis), &customer(), portion);
-                assert!(cache.spend(now(millis), &customer(), TOKENS));
+                cache.add(at(millis), &customer(), portion);
+                assert!(cache.spend(at(millis), &customer(), TOKENS));
             }
             spent += TOKENS.0;
         }
@@ -69,11 +69,11 @@
     let mut caches: Vec<_> = (0..200).map(|_| budget::BudgetCache::default()).collect();
     for millis in (0..20_000).step_by(10) {
         let cache = &mut caches[usize::try_from(millis / 10).unwrap() % 200];
-        if !cache.spend(now(millis), &customer(), TOKENS) {
-            let want = cache.draw_size(now(millis), &customer(), TOKENS);
-            let portion = ledger.draw(now(millis), &customer(), limit, want).unwrap();
-            cache.add(now(millis), &customer(), portion);
-            assert!(cache.spend(now(millis), &customer(), TOKENS));
+        if !cache.spend(at(millis), &customer(), TOKENS) {
+            let want = cache.draw_size(at(millis), &customer(), TOKENS);
+            let portion = ledger.draw(at(millis), &customer(), limit, want).unwrap();
+            cache.add(at(millis), &customer(), portion);
+            assert!(cache.spend(at(millis), &customer(), TOKENS));
         }
     }
 }
@@ -92,7 +92,7 @@
     let mut spent = 0;
     for millis in (0..60_000).step_by(5) {
         for cache in &mut caches {
-            if cache.spend_own_share(now(millis), &customer(), limit, 6, TOKENS).is_ok() {
+            if cache.spend_own_share(at(millis), &customer(), limit, 6, TOKENS).is_ok() {
                 spent += TOKENS.0;
             }
         }
@@ -106,29 +106,29 @@
     let mut ledger = budget::BudgetLedger::default();
     let limit = limit(10_000.0, 10_000);
     let large = units::TokenCount(100_000);
-    assert!(ledger.draw(now(0), &customer(), limit, large).is_ok());
-    let Err(budget::BudgetExhausted(wait)) = ledger.draw(now(0), &customer(), limit, TOKENS) else {
+    assert!(ledger.draw(at(0), &customer(), limit, large).is_ok());
+    let Err(budget::BudgetExhausted(wait)) = ledger.draw(at(0), &customer(), limit, TOKENS) else {
         panic!("the bucket is in debt by 97,500 tokens");
     };
     assert!((9_700..9_800).contains(&wait.as_millis()), "{wait:?}");
-    assert!(ledger.draw(now(9_800), &customer(), limit, TOKENS).is_ok());
+    assert!(ledger.draw(at(9_800), &customer(), limit, TOKENS).is_ok());
 }
 
 #[test]
 fn a_portion_expires() {
     let mut cache = budget::BudgetCache::default();
     let ttl = time::Duration::from_secs(2);
-    cache.add(now(0), &customer(), budget::BudgetPortion { tokens: TOKENS, ttl });
-    assert!(!cache.spend(now(2_000), &customer(), units::TokenCount(1)));
+    cache.add(at(0), &customer(), budget::BudgetPortion { tokens: TOKENS, ttl });
+    assert!(!cache.spend(at(2_000), &customer(), units::TokenCount(1)));
 }
 
 #[test]
 fn a_scheduler_that_takes_over_grants_no_second_burst() {
     let limit = limit(1_000.0, 1_000_000);
     let mut ledger = budget::BudgetLedger::default();
-    ledger.note_membership_change(now(500_000));
+    ledger.note_membership_change(at(500_000));
     let mut drawn = 0;
-    while let Ok(portion) = ledger.draw(now(500_000), &customer(), limit, TOKENS) {
+    while let Ok(portion) = ledger.draw(at(500_000), &customer(), limit, TOKENS) {
         drawn += portion.tokens.0;
     }
     assert!(drawn <= 1_500, "{drawn} tokens at once");
@@ -138,12 +138,12 @@
 fn a_customer_that_was_idle_under_one_scheduler_has_its_full_burst() {
     let limit = limit(1_000.0, 20_000);
     let mut ledger = budget::BudgetLedger::default();
-    ledger.note_membership_change(now(0));
-    ledger.draw(now(0), &customer(), limit, TOKENS).unwrap();
-    ledger.prune(now(70_000));
+    ledger.note_membership_change(at(0));
+    ledger.draw(at(0), &customer(), limit, TOKENS).unwrap();
+    ledger.prune(at(70_000));
     assert!(ledger.is_empty());
     let mut drawn = 0;
-    while let Ok(portion) = ledger.draw(now(70_000), &customer(), limit, TOKENS) {
+    while let Ok(portion) = ledger.draw(at(70_000), &customer(), limit, TOKENS) {
         drawn += portion.tokens.0;
     }
     assert_eq!(drawn, 20_000);
@@ -152,9 +152,9 @@
 #[test]
 fn buckets_of_idle_customers_are_dropped() {
     let mut ledger = budget::BudgetLedger::default();
-    ledger.draw(now(0), &customer(), limit(1_000.0, 1_000), TOKENS).unwrap();
-    ledger.prune(now(59_000));
+    ledger.draw(at(0), &customer(), limit(1_000.0, 1_000), TOKENS).unwrap();
+    ledger.prune(at(59_000));
     assert_eq!(ledger.len(), 1);
-    ledger.prune(now(61_000));
+    ledger.prune(at(61_000));
     assert!(ledger.is_empty());
 }
--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -16,7 +16,7 @@
 /// Time between two updates of the list, in milliseconds.
 const TICK: u64 = 5_000;
 
-fn now(millis: u64) -> units::MonoTime {
+fn at(millis: u64) -> units::MonoTime {
     units::MonoTime(millis * 1_000)
 }
 
@@ -58,7 +58,7 @@
     }
 
     fn join(&mut self) {
-        let voter = key_vote::KeyVoter::new(instance(self.next), now(self.clock), RETENTION);
+        let voter = key_vote::KeyVoter::new(instance(self.next), at(self.clock), RETENTION);
         self.voters.insert(self.next, voter);
         self.next += 1;
         self.publish();
@@ -71,7 +71,7 @@
 
     /// Restarts an instance under the same name; it loses its record of votes.
     fn restart(&mut self, number: u64) {
-        let voter = key_vote::KeyVoter::new(instance(number), now(self.clock), RETENTION);
+        let voter = key_vote::KeyVoter::new(instance(number), at(self.clock), RETENTION);
         self.voters.insert(number, voter);
         self.publish();
     }
@@ -79,7 +79,7 @@
     fn publish(&mut self) {
         let names: Vec<_> = self.voters.keys().map(|number| instance(*number)).collect();
         for voter in self.voters.values_mut() {
-            voter.update_list(now(self.clock), names.iter());
+            voter.update_list(at(self.clock), names.iter());
         }
     }
 
@@ -90,14 +90,14 @@
             self.publish();
         }
         for voter in self.voters.values_mut() {
-            voter.prune(now(self.clock));
+            voter.prune(at(self.clock));
         }
     }
 
     /// Requests the vote of one instance for the request with number `requester`.
     fn request_vote(&mut self, number: u64, requester: u64) -> key_vote::VoteAnswer {
-        let clock = now(self.clock);
-        self.voters.get_mut(&number).unwrap().vote(clock, &key(), &request(requester))
+        let now = at(self.clock);
+        self.voters.get_mut(&number).unwrap().vote(now, &key(), &request(requester))
     }
 
     /// Requests the votes of all instances; the answers of those for which `lost` is true do not arrive.
@@ -112,7 +112,7 @@
         reached: impl Fn(u64) -> bool,
         lost: impl Fn(u64) -> bool,
     ) -> key_vote::VoteVerdict {
-        let mut tally = key_vote::VoteTally::new(now(self.clock));
+        let mut tally = key_vote::VoteTally::new(at(self.clock));
         let numbers: Vec<_> =
             self.voters.keys().copied().filter(|number| reached(*number)).collect();
         for number in numbers {
@@ -121,7 +121,7 @@
                 tally.add(&instance(number), answer);
             }
         }
-        tally.verdict(now(self.clock))
+        tally.verdict(at(self.clock))
     }
 
     /// All instances, from the highest rank for the key to the lowest.
@@ -201,13 +201,13 @@
 #[test]
 fn a_request_that_was_paused_does_not_use_old_votes() {
     let mut fleet = Fleet::settled(6);
-    let mut tally = key_vote::VoteTally::new(now(fleet.clock));
+    let mut tally = key_vote::VoteTally::new(at(fleet.clock));
     for number in 0..6 {
         let answer = fleet.request_vote(number, 1);
         tally.add(&instance(number), answer);
     }
     fleet.advance(5_000);
-    assert!(!runs(&tally.verdict(now(fleet.clock))));
+    assert!(!runs(&tally.verdict(at(fleet.clock))));
 }
 
 #[test]
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -50,9 +50,9 @@
     ) -> Self {
         let mut load = Self::default();
         let mut requested_at = collections::HashMap::new();
-        let mut ends = collections::BTreeMap::<u64, Vec<_>>::new();
+        let mut due = collections::BTreeMap::<u64, Vec<_>>::new();
         for now in (1..until).filter(|now| now % 10 == 1) {
-            for (job, answering) in ends.remove(&now).unwrap_or_default() {
+            for (job, answering) in due.remove(&now).unwrap_or_default() {
                 if answering {
                     planner.end(at(now), job, PlaceEnd::Done);
                 } else {
@@ -68,8 +68,8 @@
             for answer in answers {
                 let job = answer.job();
                 if load.note(now, requested_at[&job], &answer) {
-                    ends.entry(now + 100).or_default().push((job, false));
-                    ends.entry(now + 1_000).or_default().push((job, true));
+                    due.entry(now + 100).or_default().push((job, false));
+                    due.entry(now + 1_000).or_default().push((job, true));
                 }
             }
         }
