--- a/crates/core/tests/document_lag.rs
+++ b/crates/core/tests/document_lag.rs
@@ -41,7 +41,7 @@
 fn a_version_that_the_source_does_not_have_is_no_longer_missing() {
     let mut lag = document_lag::DocumentLag::default();
     lag.observe(at(50), 5, 9);
-    // The source was queried before the claim, so its answer does not refute it.
+    // The source was queried before the claim, so its answer does not refute the claim.
     lag.refute(5, at(0));
     assert_eq!(lag.observe(at(100), 5, 9), time::Duration::from_millis(50));
     lag.refute(5, at(600));
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -63,16 +63,16 @@
 #[test]
 fn an_engine_that_is_slow_shared_or_failed_is_polled_in_each_round() {
     let mut planner = planner(ENGINES, ReportWay::Used);
-    assert!(planner.take_report_due(at(0), &engine(1)), "it has not reported yet");
+    assert!(planner.take_report_due(at(0), &engine(1)), "the engine has not reported yet");
     assert!(!planner.take_report_due(at(ROUND_MS), &engine(1)));
     planner.set_report(&engine(1), 4.0, 0);
-    assert!(planner.take_report_due(at(ROUND_MS * 2), &engine(1)), "it is slow");
+    assert!(planner.take_report_due(at(ROUND_MS * 2), &engine(1)), "the engine is slow");
     planner.set_report(&engine(1), 1.0, 9);
     assert!(
         planner.take_report_due(at(ROUND_MS * 3), &engine(1)),
-        "it has requests of other planners"
+        "the engine has requests of other planners"
     );
     planner.set_report(&engine(1), 1.0, 0);
     planner.eject(at(ROUND_MS * 3), &engine(1));
-    assert!(planner.take_report_due(at(ROUND_MS * 4), &engine(1)), "it has failed");
+    assert!(planner.take_report_due(at(ROUND_MS * 4), &engine(1)), "the engine has failed");
 }
--- a/crates/core/tests/heartbeat_timer.rs
+++ b/crates/core/tests/heartbeat_timer.rs
@@ -1,13 +1,13 @@
 //! Heartbeats of a fleet whose members all start within a moment.
 //!
-//! Failure: a partition cut off half of the fleet, and with it both watchers of the store in one of five data centres. A change
-//! 8 ms later, an upstream leaving, reached the 39 other members there only by heartbeats of other data centres: the first
-//! at 3.95 s, the last 0.13 s later. One request went to that upstream 27 ms after the bound of 4 s. In the four data centres
-//! with a watcher all 111 members in contact had the list within 0.15 s.
+//! Failure: a partition cut off half of the fleet, and with it both watchers of the store in one of five data centres. A
+//! change 8 ms later, an upstream leaving, reached the 39 other members of that data centre only by heartbeats of other data
+//! centres: the first member after 3.95 s, the last 0.13 s later. One request went to that upstream 27 ms after the bound of
+//! 4 s. In the four data centres with a watcher all 111 members in contact had the list within 0.15 s.
 //!
 //! Cause: the heartbeats of 295 members are 4.9 s apart. As all processes had started within 0.3 s and their intervals had
-//! grown in step, all heartbeats were sent within the same 0.3 s, and none in between. With heartbeats out of step and nothing
-//! else changed, the first and last member there had the list after 0.17 s and 0.3 s.
+//! grown in step, all heartbeats were sent within the same 0.3 s, and none in between. With heartbeats out of step and
+//! nothing else changed, the first member of that data centre had the list after 0.17 s, and the last after 0.3 s.
 
 use std::time;
 
--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -24,7 +24,7 @@
 const WINDOW_MS: u64 = 4_000;
 /// Requests for the upstream, as a multiple of its limit.
 const DEMAND: f64 = 10.0;
-/// Longest wait for a coordinator's response, in milliseconds; after it the request goes to another upstream.
+/// Longest wait for a coordinator's response, in milliseconds; then the request goes to another upstream.
 const RESPONSE_TIMEOUT_MS: u64 = 25;
 /// Backoff after a late response that contained no valid permit, in milliseconds.
 const SILENCE_BACKOFF_MS: u64 = 100;
@@ -307,8 +307,8 @@
         }
     }
 
-    /// Handles the response to a request that was sent at time `sent`. If it is late, the request that needed the permit has
-    /// already gone to another upstream.
+    /// Handles the response to a request that was sent at time `sent`. If the response is late, the request that needed the
+    /// permit has already gone to another upstream.
     fn receive_response(&mut self, now: u64, to: usize, response: PermitResponse, sent: u64) {
         let received = self.members[to].cache.receive(at(now), &upstream(), at(sent), response);
         if received.is_ok() && now < sent + RESPONSE_TIMEOUT_MS {
--- a/crates/core/tests/list_recovery.rs
+++ b/crates/core/tests/list_recovery.rs
@@ -34,7 +34,7 @@
     list.apply(at(6_000), vec![ListChange::Present(start(1, 200))], revision(2, 9));
     let leaving = UpstreamEntry { state: ListState::Leaving, ..start(1, 200) };
     list.apply(at(6_100), vec![ListChange::Present(leaving)], revision(2, 10));
-    assert!(!list.is_usable(&name(1)), "its leaving takes effect at once");
+    assert!(!list.is_usable(&name(1)), "the leaving state takes effect at once");
     for now in (6_000..30_000).step_by(100) {
         list.tick(at(now));
         assert!(list.is_present(&start(1, 200).name) && !list.is_usable(&name(1)), "{now}");
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -158,7 +158,7 @@
         Some((9, true))
     );
     let old = heartbeat(1, 7, 1).alive();
-    assert!(view.receive_alive(at(1_100), &old), "known, but nothing new");
+    assert!(view.receive_alive(at(1_100), &old), "the start is known, but the heartbeat is older");
     assert_eq!(view.alive(at(1_100)).map(|heartbeat| heartbeat.routes).next(), Some(9));
     assert!(
         !view.receive_alive(at(1_200), &heartbeat(1, 8, 3).alive()),
@@ -293,8 +293,8 @@
     assert!(second.iter().all(|number| !first.contains(number)), "{first:?} {second:?}");
 }
 
-/// Number of calls to an unreachable store by 60 instances of a data centre in ten seconds. Each waits for its turn, calls,
-/// fails at once, and pauses for 0.4 s.
+/// Number of calls to an unreachable store by 60 instances of a data centre in ten seconds. Each instance waits for its
+/// turn, calls, fails at once, and pauses for 0.4 s.
 fn calls_during_outage() -> usize {
     let heartbeats: Vec<_> = (0..60)
         .map(|number| MemberHeartbeat { watches: false, ..heartbeat(number, 1, 1) })
--- a/crates/core/tests/planner_limits.rs
+++ b/crates/core/tests/planner_limits.rs
@@ -107,8 +107,8 @@
     }
 }
 
-/// With three unlimited engines, all requests are served at once. With two, these are full, and the limited one is used
-/// up to its limit.
+/// With three unlimited engines, all requests are served at once. With two, both are full, and the limited engine is
+/// used up to its limit.
 #[test]
 fn a_limited_engine_is_used_up_to_its_limit_when_the_others_are_full() {
     let mut roomy = planner(4, &[(0, 2.0)]);
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -64,7 +64,7 @@
     assert!(!is_quarantined(&table_of(overlap), "x", 300));
 }
 
-/// Guards against a missed sequence at a member that was paused: it receives all messages at once, as if the runs had
+/// Guards against a missed sequence at a member that was paused: the member receives all messages at once, as if the runs had
 /// just ended, and more accurate times in later reports.
 #[test]
 fn the_earliest_reported_times_of_a_run_are_used() {
@@ -125,7 +125,7 @@
             (0..13).map(|other| run(&format!("s{other}"), upstream, start + 1, start + 501)),
         );
     }
-    // The cause crashes another engine, without the others.
+    // The cause crashes another engine, on which none of the others runs.
     runs.push(run("cause", "d", 3_000, 3_100));
     let table = table_of(runs);
     assert!(is_quarantined(&table, "cause", 3_200));
--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -95,7 +95,7 @@
     random: rand_chacha::ChaCha8Rng,
     engines: Vec<Engine>,
     table: QuarantineTable,
-    /// Crashes that are not known to the members yet, with the time at which they will be.
+    /// Crashes that are not known to the members yet, with the time at which the members learn of them.
     reports: Vec<(u64, CrashedRun)>,
     figures: Figures,
     /// Simulated time, in milliseconds.
--- a/crates/core/tests/store_tracker.rs
+++ b/crates/core/tests/store_tracker.rs
@@ -84,7 +84,8 @@
     assert_eq!(tracker.known(own), DocumentVersions { routes: 4, list: 10.into() });
 }
 
-/// A restored store lacks routes that a member has. Its answer must not stop this process from fetching them there.
+/// A restored store lacks routes that a member has. The answer of the store must not stop this process from fetching them
+/// from that member.
 #[test]
 fn routes_that_a_restored_store_lacks_are_still_fetched_from_members() {
     let mut tracker = watching();
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -134,7 +134,7 @@
     let mut shared = Vec::new();
     for number in 0..2 {
         let request = PlacementRequest { excluded: shared.clone(), ..short(number) };
-        let grant = side.request(number, request).expect("a place");
+        let grant = side.request(number, request).expect("a placement");
         let note = PlaceNote::FirstToken(grant.job, Some(8));
         side.planner.note(at(number + FIRST_MS), &note);
         shared.push(grant.engine);
@@ -144,7 +144,7 @@
         side.planner.note(at(200), &PlaceNote::Ended(job, PlaceEnd::Done));
     }
     let request = long(9, 100_000);
-    let grant = side.request(210, request).expect("a place");
+    let grant = side.request(210, request).expect("a placement");
     let mut used = grant.helpers.iter().chain([&grant.engine]);
     assert!(used.all(|engine| !shared.contains(engine)), "{grant:?} beside {shared:?}");
 }
--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -170,7 +170,7 @@
     }
     list.replace(at(300), vec![start(1, 60)], 20.into());
     assert_eq!((present(&list, 1), usable(&list)), (Some(70), 1));
-    // They are ignored after a deletion of the entry as well, unless the list keeps naming one.
+    // Entries of ended starts are ignored after a deletion as well, unless the list keeps naming one of these starts.
     list.apply(
         at(400),
         vec![ListChange::Gone(name(1)), ListChange::Present(start(1, 50))],
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -124,8 +124,8 @@
     assert_eq!(until.since(at(8_000)), MAX_ACCEPTED_BACKOFF);
 }
 
-/// After a backoff one request probes the upstream, and the others follow its result. A probe without a result must not block
-/// the others for long.
+/// After a backoff one request probes the upstream, and the other requests follow its result. A probe without a result must
+/// not block them for long.
 #[test]
 fn one_request_probes_after_a_backoff() {
     let mut table = NoticeTable::default();
