--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -58,12 +58,12 @@
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
     list.apply(at(1_500), vec![ListChange::Present(entry(1, 0))], 12.into());
     assert_eq!(limit(&list, 1), None);
-    // It may become cold again at any time.
+    // The upstream may become cold again at any time.
     list.apply(at(9_000), vec![ListChange::Present(entry(1, 2_000))], 13.into());
     assert_eq!(limit(&list, 1), Some(17.0));
 }
 
-/// An entry is not updated while the upstream warms up, so members that read the list again see the same number.
+/// An entry is not updated while the upstream warms up, so members that read the list again see the same cold phase.
 #[test]
 fn rereading_an_unchanged_entry_does_not_restart_the_cold_phase() {
     let mut list = list_with_policy();
@@ -89,8 +89,8 @@
 fn the_lower_of_two_limits_applies() {
     let mut list = list_with_policy();
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
-    for (announced, heard, expected) in [(30.0, 1_100, 17.0), (5.0, 1_200, 5.0)] {
-        let (rate, at) = (Some(rate(announced)), at(heard));
+    for (announced, received_ms, expected) in [(30.0, 1_100, 17.0), (5.0, 1_200, 5.0)] {
+        let (rate, at) = (Some(rate(announced)), at(received_ms));
         let reading =
             LimitReading { rate, requested: at, received: at, source: NoticeSource::Answer };
         list.notices_mut().receive_limit(&name(1), reading);
--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -1,11 +1,14 @@
-//! Waits for answers, and the classification of connections that went silent.
+//! Time to wait for an answer on a reused connection, and the assumed cause when a connection goes silent.
 
 use std::time;
 
 use slipturn_core::connection_silence::{AnswerTimes, ConnectionAges, SilenceCause, SilencePhase};
 
+/// Latency goal.
 const GOAL: time::Duration = time::Duration::from_millis(300);
-const LONGEST: time::Duration = time::Duration::from_millis(675);
+/// Longest wait for the head of an answer, for slow upstreams.
+const LONGEST_WAIT: time::Duration = time::Duration::from_millis(675);
+/// How long the answer was waited for on the silent connection.
 const WAITED: time::Duration = time::Duration::from_millis(200);
 
 fn millis(count: u64) -> time::Duration {
@@ -25,18 +28,18 @@
 #[test]
 fn the_wait_for_a_head_follows_the_usual_answer_time() {
     let table = [
-        ("no answers", vec![], LONGEST),
-        ("too few answers", vec![10; 7], LONGEST),
+        ("no answers", vec![], LONGEST_WAIT),
+        ("too few answers", vec![10; 7], LONGEST_WAIT),
         ("fast answers: part of the goal", vec![10; 20], millis(180)),
         ("answers slower than the goal", vec![400; 60], millis(600)),
-        ("answers slower than the longest wait", vec![800; 60], LONGEST),
+        ("answers slower than the longest wait", vec![800; 60], LONGEST_WAIT),
     ];
     for (case, spans, expected) in table {
-        let wait = times(&spans).reused_connection_wait(GOAL, LONGEST);
+        let wait = times(&spans).reused_connection_wait(GOAL, LONGEST_WAIT);
         assert!(wait.abs_diff(expected) < millis(2), "{case}: {wait:?}");
     }
-    let uneven =
-        times(&[40, 120, 60, 90, 30, 110, 70, 50, 100, 80]).reused_connection_wait(GOAL, LONGEST);
+    let uneven = times(&[40, 120, 60, 90, 30, 110, 70, 50, 100, 80])
+        .reused_connection_wait(GOAL, LONGEST_WAIT);
     assert!(uneven > millis(200) && uneven < millis(500), "{uneven:?}");
 }
 
@@ -71,7 +74,7 @@
     assert!(silent.has_live_peer(WAITED, live.into_iter()));
     assert!(
         !silent.has_live_peer(WAITED, live.into_iter().take(1)),
-        "it was opened after the silence began"
+        "the connection was opened after the silence began"
     );
     assert!(!silent.has_live_peer(WAITED, std::iter::empty()));
 }
@@ -79,7 +82,10 @@
 #[test]
 fn only_connections_with_data_late_in_the_wait_are_trusted() {
     assert!(ages(5_000, Some(20)).trusted(WAITED));
-    assert!(!ages(5_000, Some(120)).trusted(WAITED), "it may have gone silent with the other");
+    assert!(
+        !ages(5_000, Some(120)).trusted(WAITED),
+        "the connection may have gone silent with the other one"
+    );
     assert!(!ages(50, None).trusted(WAITED));
     for cause in [SilenceCause::Upstream, SilenceCause::SlowUpstream] {
         assert!(!cause.may_affect_others(), "{cause:?}");
--- a/crates/core/tests/document_source.rs
+++ b/crates/core/tests/document_source.rs
@@ -20,18 +20,18 @@
 }
 
 #[test]
-fn members_are_asked_first_and_the_store_within_the_bound() {
+fn members_are_queried_first_and_the_store_within_the_bound() {
     for spread in [0.0, 0.5, 1.0] {
         let source = || DocumentSource::new(spread);
         assert_eq!(choose_until(&mut source(), 1_000), DocumentOrigin::Member);
         assert_eq!(choose_until(&mut source(), 1_440), DocumentOrigin::Member);
-        // Two seconds are the shortest time in which a change must be in force.
+        // On the smallest fleets, a change must be in force within two seconds.
         assert_eq!(choose_until(&mut source(), 1_800), DocumentOrigin::Store);
     }
 }
 
 #[test]
-fn members_are_asked_first_for_each_change() {
+fn members_are_queried_first_for_each_change() {
     let mut source = DocumentSource::new(0.0);
     assert_eq!(choose_until(&mut source, 1_800), DocumentOrigin::Store);
     source.note_complete();
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -54,25 +54,25 @@
 fn a_small_cell_polls_all_engines_in_each_round() {
     let mut planner = planner(16, ReportWay::Used);
     for round in 0..10 {
-        let requested_reports = (0..16)
+        let polled = (0..16)
             .filter(|number| planner.take_report_due(at(round * ROUND_MS), &engine(*number)));
-        assert_eq!(requested_reports.count(), 16, "round {round}");
+        assert_eq!(polled.count(), 16, "round {round}");
     }
 }
 
 #[test]
 fn an_engine_that_is_slow_shared_or_failed_is_polled_in_each_round() {
     let mut planner = planner(ENGINES, ReportWay::Used);
-    assert!(planner.take_report_due(at(0), &engine(1)), "it has not reported yet");
+    assert!(planner.take_report_due(at(0), &engine(1)), "the engine has not reported yet");
     assert!(!planner.take_report_due(at(ROUND_MS), &engine(1)));
     planner.set_report(&engine(1), 4.0, 0);
-    assert!(planner.take_report_due(at(ROUND_MS * 2), &engine(1)), "it is slow");
+    assert!(planner.take_report_due(at(ROUND_MS * 2), &engine(1)), "the engine is slow");
     planner.set_report(&engine(1), 1.0, 9);
     assert!(
         planner.take_report_due(at(ROUND_MS * 3), &engine(1)),
-        "it has requests of other planners"
+        "the engine has requests of other planners"
     );
     planner.set_report(&engine(1), 1.0, 0);
     planner.eject(at(ROUND_MS * 3), &engine(1));
-    assert!(planner.take_report_due(at(ROUND_MS * 4), &engine(1)), "it has failed");
+    assert!(planner.take_report_due(at(ROUND_MS * 4), &engine(1)), "the engine has failed");
 }
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -33,10 +33,15 @@
 fn full() -> UpstreamList {
     let mut list = UpstreamList::default();
     let entries = [(1, "a"), (2, "a"), (3, "b"), (4, "c")];
-    list.replace(at(0), entries.map(|(number, place)| entry(number, place)).into(), 10.into());
+    list.replace(
+        at(0),
+        entries.map(|(number, data_center)| entry(number, data_center)).into(),
+        10.into(),
+    );
     list
 }
 
+/// Names of the upstreams that may get new requests.
 fn open(list: &UpstreamList) -> Vec<String> {
     let service = service();
     let open = list.open(at(1), &service, ProbePermission::Yes);
@@ -78,7 +83,7 @@
     list.apply(at(1), vec![evacuated("a")], 11.into());
     list.apply(at(2), vec![ListChange::Present(entry(5, "a"))], 12.into());
     assert_eq!(open(&list), ["u3", "u4"]);
-    assert_eq!(list.listed_count(&service()), 5, "it is listed nevertheless");
+    assert_eq!(list.listed_count(&service()), 5, "the new upstream is listed nevertheless");
 }
 
 #[test]
@@ -102,7 +107,7 @@
 }
 
 #[test]
-fn a_completely_evacuated_service_reports_for_how_long() {
+fn a_completely_evacuated_service_reports_the_duration_of_its_evacuation() {
     let mut list = full();
     assert_eq!(list.evacuated_for(at(5), &service()), None);
     list.apply(at(1_000), vec![evacuated("a"), evacuated("b"), evacuated("c")], 11.into());
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -5,7 +5,7 @@
 use slipturn_core::gossip::{self, GossipCause};
 
 /// Share of the datagrams that are lost.
-const LOST: f64 = 0.01;
+const LOSS: f64 = 0.01;
 /// Length of a simulation step in milliseconds: about the delay of a datagram within a region.
 const STEP_MS: u64 = 5;
 
@@ -31,7 +31,7 @@
         self.messages += 1;
         let half = self.knows.len() / 2;
         let partitioned = now < self.cut_until && (from < half) != (to < half);
-        !partitioned && self.random.random::<f64>() >= LOST
+        !partitioned && self.random.random::<f64>() >= LOSS
     }
 
     fn send_to(&mut self, now: u64, from: usize, cause: GossipCause) {
@@ -48,7 +48,8 @@
         self.knows.iter().filter(|knows| !**knows).count()
     }
 
-    /// Time in milliseconds until all members know a change that the first one learns at 0; with `found` it also broadcasts it.
+    /// Time in milliseconds until all members know a change that the first member learns at time 0; with `found`, that member
+    /// also broadcasts the change.
     fn run(&mut self, found: bool) -> u64 {
         self.knows[0] = true;
         if found {
@@ -81,7 +82,7 @@
 
 #[test]
 fn all_members_know_a_change_within_seconds_even_after_a_partition() {
-    // A leaving upstream keeps serving for two seconds; the effects of a partition last for three more after its end.
+    // A leaving upstream keeps serving for two seconds; after a partition, three more seconds are allowed.
     let (within, after_cut) = (2_000, 5_000);
     for members in [6, 300] {
         let (broadcast, messages) = longest(members, 0, true);
@@ -111,15 +112,15 @@
     assert!(mean < 6.0);
 }
 
-/// A member requests the state of three others after a pause, or of the first three it meets after a start. One answer is
-/// enough.
+/// A member requests the state of three other members after a pause, or of the first three that it learns of after a start.
+/// One answer is enough.
 #[test]
 fn requests_to_three_members_get_an_answer() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let missed = (0..10_000).filter(|_| {
-        let asked = gossip::targets(GossipCause::Resumed, 0..300, &mut random);
-        assert_eq!(asked.len(), 3);
-        asked.iter().all(|_| random.random::<f64>() < 2.0 * LOST)
+        let recipients = gossip::targets(GossipCause::Resumed, 0..300, &mut random);
+        assert_eq!(recipients.len(), 3);
+        recipients.iter().all(|_| random.random::<f64>() < 2.0 * LOSS)
     });
     assert!(missed.count() <= 1);
     assert!(gossip::requests_from_met(2) && !gossip::requests_from_met(3));
--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -1,9 +1,7 @@
-//! At most one run for each idempotency key, under restarts, pauses, lost answers and changes of the
-//! list.
+//! At most one run for each idempotency key, under restarts, pauses, lost answers and changes of the list.
 //!
-//! The property test changes a small fleet at random and lets requests ask for votes at any time,
-//! with any of the answers lost. A request runs if it has a majority; no key may run twice within the
-//! retention.
+//! The property test changes a small fleet at random and lets requests collect votes at any time, with any of the answers
+//! lost. A request runs if it has a majority; no key may run twice within the retention.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,12 +11,12 @@
 use slipturn_core::{ids, key_vote, rendezvous, units};
 
 const RETENTION: time::Duration = time::Duration::from_secs(60);
-/// Retention plus the lag of the list, in milliseconds.
+/// Retention plus the longest lag of the list, in milliseconds.
 const WINDOW: u64 = 90_000;
 /// Time between two updates of the list, in milliseconds.
 const TICK: u64 = 5_000;
 
-fn now(millis: u64) -> units::MonoTime {
+fn at(millis: u64) -> units::MonoTime {
     units::MonoTime(millis * 1_000)
 }
 
@@ -55,12 +53,12 @@
     /// Creates a fleet whose instances have all been running and listed for the whole window.
     fn settled(size: u64) -> Self {
         let mut fleet = Self::new(size);
-        fleet.pass(WINDOW);
+        fleet.advance(WINDOW);
         fleet
     }
 
     fn join(&mut self) {
-        let voter = key_vote::KeyVoter::new(instance(self.next), now(self.clock), RETENTION);
+        let voter = key_vote::KeyVoter::new(instance(self.next), at(self.clock), RETENTION);
         self.voters.insert(self.next, voter);
         self.next += 1;
         self.publish();
@@ -71,9 +69,9 @@
         self.publish();
     }
 
-    /// Restarts an instance under the same name; it loses its record of requests.
+    /// Restarts an instance under the same name; it loses its record of votes.
     fn restart(&mut self, number: u64) {
-        let voter = key_vote::KeyVoter::new(instance(number), now(self.clock), RETENTION);
+        let voter = key_vote::KeyVoter::new(instance(number), at(self.clock), RETENTION);
         self.voters.insert(number, voter);
         self.publish();
     }
@@ -81,48 +79,49 @@
     fn publish(&mut self) {
         let names: Vec<_> = self.voters.keys().map(|number| instance(*number)).collect();
         for voter in self.voters.values_mut() {
-            voter.update_list(now(self.clock), names.iter());
+            voter.update_list(at(self.clock), names.iter());
         }
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         // The list is updated at regular intervals meanwhile, as it is in a running instance.
         for _ in 0..millis / TICK {
             self.clock += TICK;
             self.publish();
         }
         for voter in self.voters.values_mut() {
-            voter.prune(now(self.clock));
+            voter.prune(at(self.clock));
         }
     }
 
-    /// Lets the request with number `requester` ask one instance.
-    fn ask(&mut self, number: u64, requester: u64) -> key_vote::VoteAnswer {
-        let clock = now(self.clock);
-        self.voters.get_mut(&number).unwrap().vote(clock, &key(), &request(requester))
+    /// Requests the vote of one instance for the request with number `requester`.
+    fn request_vote(&mut self, number: u64, requester: u64) -> key_vote::VoteAnswer {
+        let now = at(self.clock);
+        self.voters.get_mut(&number).unwrap().vote(now, &key(), &request(requester))
     }
 
-    /// Lets a request ask all instances; the answers of those for which `lost` is true do not arrive.
+    /// Requests the votes of all instances; the answers of those for which `lost` is true do not arrive.
     fn vote(&mut self, requester: u64, lost: impl Fn(u64) -> bool) -> key_vote::VoteVerdict {
         self.vote_among(requester, |_| true, lost)
     }
 
-    /// Like [`Self::vote`], but asks only the instances for which `reached` is true.
+    /// Like [`Self::vote`], but requests the votes only of the instances for which `reached` is true.
     fn vote_among(
         &mut self,
         requester: u64,
         reached: impl Fn(u64) -> bool,
         lost: impl Fn(u64) -> bool,
     ) -> key_vote::VoteVerdict {
-        let mut tally = key_vote::VoteTally::new(now(self.clock));
-        let numbers: Vec<_> = self.voters.keys().copied().filter(|one| reached(*one)).collect();
+        let mut tally = key_vote::VoteTally::new(at(self.clock));
+        let numbers: Vec<_> =
+            self.voters.keys().copied().filter(|number| reached(*number)).collect();
         for number in numbers {
-            let answer = self.ask(number, requester);
+            let answer = self.request_vote(number, requester);
             if !lost(number) {
                 tally.add(&instance(number), answer);
             }
         }
-        tally.verdict(now(self.clock))
+        tally.verdict(at(self.clock))
     }
 
     /// All instances, from the highest rank for the key to the lowest.
@@ -143,7 +142,7 @@
     let mut fleet = Fleet::settled(6);
     assert!(runs(&fleet.vote(1, |_| false)));
     assert_eq!(fleet.vote(2, |_| false), key_vote::VoteVerdict::Taken(request(1)));
-    // The first request may ask again, for example after a lost answer.
+    // The first request may collect votes again, for example after a lost answer.
     assert!(runs(&fleet.vote(1, |_| false)));
 }
 
@@ -172,7 +171,7 @@
     }
     // Only instance 3 still has the vote on record, and without its answer there is no majority.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
-    fleet.pass(WINDOW);
+    fleet.advance(WINDOW);
     assert!(runs(&fleet.vote(3, |_| false)));
 }
 
@@ -183,7 +182,7 @@
     for number in 0..6 {
         fleet.leave(number);
         fleet.join();
-        fleet.pass(1_000);
+        fleet.advance(1_000);
         assert!(!runs(&fleet.vote(2 + number, |_| false)), "after {number} replacements");
     }
 }
@@ -195,20 +194,20 @@
     for number in 0..3 {
         fleet.leave(number);
     }
-    // Three are left. Two of them did not vote before and would be a majority of three.
+    // Three instances are left. Two of them did not vote before and would be a majority of three.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
 }
 
 #[test]
 fn a_request_that_was_paused_does_not_use_old_votes() {
     let mut fleet = Fleet::settled(6);
-    let mut tally = key_vote::VoteTally::new(now(fleet.clock));
+    let mut tally = key_vote::VoteTally::new(at(fleet.clock));
     for number in 0..6 {
-        let answer = fleet.ask(number, 1);
+        let answer = fleet.request_vote(number, 1);
         tally.add(&instance(number), answer);
     }
-    fleet.pass(5_000);
-    assert!(!runs(&tally.verdict(now(fleet.clock))));
+    fleet.advance(5_000);
+    assert!(!runs(&tally.verdict(at(fleet.clock))));
 }
 
 #[test]
@@ -216,7 +215,7 @@
     let mut fleet = Fleet::settled(100);
     let mut granted = 0;
     for number in 0..100 {
-        if let key_vote::VoteAnswer::Granted { group } = fleet.ask(number, 1) {
+        if let key_vote::VoteAnswer::Granted { group } = fleet.request_vote(number, 1) {
             assert_eq!(group, key_vote::GROUP_SIZE);
             granted += 1;
         }
@@ -254,8 +253,8 @@
     Leave(usize),
     Join,
     Restart(usize),
-    /// A new request asks for votes. Each bit stands for instances: the first number tells which are not reached, the
-    /// second whose answers are lost.
+    /// A new request collects votes. The numbers are bit masks of instances: those that are not reached, and those whose
+    /// answers are lost.
     Vote(u32, u32),
 }
 
@@ -280,7 +279,7 @@
             numbers[index % numbers.len()]
         };
         match step {
-            Step::Pass(millis) => fleet.pass(*millis),
+            Step::Pass(millis) => fleet.advance(*millis),
             Step::Leave(index) if fleet.voters.len() > 2 => fleet.leave(pick(index)),
             Step::Leave(_) => {}
             Step::Join => fleet.join(),
--- a/crates/core/tests/limit_ways.rs
+++ b/crates/core/tests/limit_ways.rs
@@ -1,5 +1,5 @@
-//! Simulates several ways in which all members together keep the rate limit of an upstream, and compares the most sends
-//! in any 4 s, the part of the limit that is used and the number of messages.
+//! Simulates several strategies by which all members together enforce the rate limit of an upstream, and compares the most
+//! sends in any 4 s, the part of the limit that is used and the number of messages.
 
 use std::{collections, time};
 
@@ -14,7 +14,7 @@
     units,
 };
 
-/// Part of the datagrams that is lost.
+/// Share of the datagrams that are lost.
 const LOSS: f64 = 0.01;
 /// Delay of a datagram within a region, in milliseconds.
 const DELAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
@@ -24,14 +24,14 @@
 const WINDOW_MS: u64 = 4_000;
 /// Requests for the upstream, as a multiple of its limit.
 const DEMAND: f64 = 10.0;
-/// Longest wait for a coordinator's response, in milliseconds; after it the request goes to another upstream.
+/// Longest wait for a coordinator's response, in milliseconds; then the request goes to another upstream.
 const RESPONSE_TIMEOUT_MS: u64 = 25;
 /// Backoff after a late response that contained no valid permit, in milliseconds.
 const SILENCE_BACKOFF_MS: u64 = 100;
 
-/// How the members keep the limit.
+/// How the members enforce the limit together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LimitWay {
+enum Strategy {
     /// Each member has an even share of the limit.
     EvenShare,
     /// Each member has a share in proportion to its demand, which it sends to all others every second.
@@ -42,8 +42,8 @@
     GrantAhead,
 }
 
-const WAYS: [LimitWay; 4] =
-    [LimitWay::EvenShare, LimitWay::DemandShare, LimitWay::GrantEach, LimitWay::GrantAhead];
+const STRATEGIES: [Strategy; 4] =
+    [Strategy::EvenShare, Strategy::DemandShare, Strategy::GrantEach, Strategy::GrantAhead];
 
 /// Members that have requests for the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 struct Member {
     cache: PermitCache<ids::UpstreamId>,
     ledger: QuotaLedger<ids::UpstreamId>,
-    /// Token bucket of the member's own share, if the way has shares.
+    /// Token bucket of the member's own share, if the strategy has shares.
     pace: SendPace,
     /// Number of requests in the current second and in the previous one.
     counts: (u32, u32),
@@ -85,7 +85,7 @@
 }
 
 struct Run {
-    way: LimitWay,
+    strategy: Strategy,
     /// The limit, in requests per second.
     rate: f64,
     /// Requests for the upstream per second.
@@ -119,8 +119,8 @@
 }
 
 impl Run {
-    fn new(way: LimitWay, members: usize, limit: f64, busy: Busy, fault: Fault) -> Self {
-        let new = || Member {
+    fn new(strategy: Strategy, members: usize, limit: f64, busy: Busy, fault: Fault) -> Self {
+        let member = || Member {
             cache: PermitCache::default(),
             ledger: QuotaLedger::default(),
             pace: SendPace::initial(at(0), bound(limit / members as f64)),
@@ -128,12 +128,12 @@
             demands: vec![0; members],
         };
         Self {
-            way,
+            strategy,
             rate: limit,
             demand: limit * DEMAND,
             busy,
             fault,
-            members: (0..members).map(|_| new()).collect(),
+            members: (0..members).map(|_| member()).collect(),
             in_transit: collections::BTreeMap::new(),
             sends: Vec::new(),
             messages: 0,
@@ -141,11 +141,11 @@
         }
     }
 
-    fn play(mut self) -> Figures {
+    fn simulate(mut self) -> Figures {
         // If one member has all requests, it is not the coordinator.
         let first = if self.busy == Busy::All { 0 } else { self.members.len() - 1 };
-        let busy = first..self.members.len();
-        let each_ms = self.demand / 1_000.0;
+        let busy_members = first..self.members.len();
+        let requests_per_ms = self.demand / 1_000.0;
         for now in 1..RUN_MS {
             self.set_coordinators(now);
             for (to, message) in self.in_transit.remove(&now).unwrap_or_default() {
@@ -160,8 +160,8 @@
                 self.send_demands();
             }
             // The number of requests is rounded up or down at random.
-            for _ in 0..(each_ms + self.random.random::<f64>()) as usize {
-                let member = self.random.random_range(busy.clone());
+            for _ in 0..(requests_per_ms + self.random.random::<f64>()) as usize {
+                let member = self.random.random_range(busy_members.clone());
                 if !self.is_stopped(now, member) {
                     self.arrive(now, member);
                 }
@@ -233,7 +233,7 @@
         for from in 0..self.members.len() {
             let (current, _) = self.members[from].counts;
             self.members[from].counts = (0, current);
-            if self.way != LimitWay::DemandShare {
+            if self.strategy != Strategy::DemandShare {
                 continue;
             }
             for to in 0..self.members.len() {
@@ -248,9 +248,9 @@
     /// Handles a request that is sent to the upstream if the limit allows it, and to another upstream otherwise.
     fn arrive(&mut self, now: u64, from: usize) {
         self.members[from].counts.0 += 1;
-        match self.way {
-            LimitWay::EvenShare => self.send_by_share(now, from, 1.0 / self.members.len() as f64),
-            LimitWay::DemandShare => {
+        match self.strategy {
+            Strategy::EvenShare => self.send_by_share(now, from, 1.0 / self.members.len() as f64),
+            Strategy::DemandShare => {
                 let demands = &self.members[from].demands;
                 let sum: u32 = demands.iter().sum();
                 // A member that knows of no demand uses an even share.
@@ -258,7 +258,7 @@
                 let share = if sum == 0 { even } else { f64::from(demands[from]) / f64::from(sum) };
                 self.send_by_share(now, from, share);
             }
-            LimitWay::GrantEach | LimitWay::GrantAhead => self.send_by_permit(now, from),
+            Strategy::GrantEach | Strategy::GrantAhead => self.send_by_permit(now, from),
         }
     }
 
@@ -278,7 +278,7 @@
             PermitStep::Send(_) => self.sends.push(now),
             PermitStep::Backoff(_) => {}
             PermitStep::Request(request) => {
-                let wanted = if self.way == LimitWay::GrantEach { 1 } else { request.wanted };
+                let wanted = if self.strategy == Strategy::GrantEach { 1 } else { request.wanted };
                 let request = PermitRequest { wanted, ..request };
                 let coordinator = self.coordinator_of(now, from);
                 if coordinator != from {
@@ -307,8 +307,8 @@
         }
     }
 
-    /// Handles the response to a request that was sent at time `sent`. If it is late, the request that needed the permit has
-    /// already gone to another upstream.
+    /// Handles the response to a request that was sent at time `sent`. If the response is late, the request that needed the
+    /// permit has already gone to another upstream.
     fn receive_response(&mut self, now: u64, to: usize, response: PermitResponse, sent: u64) {
         let received = self.members[to].cache.receive(at(now), &upstream(), at(sent), response);
         if received.is_ok() && now < sent + RESPONSE_TIMEOUT_MS {
@@ -327,8 +327,7 @@
     most: usize,
     /// Part of the limit that was used.
     used: f64,
-    /// Like `used`, with a tolerance of one more send, and one less that the limit allows because the bucket starts
-    /// empty.
+    /// Like `used`, with a tolerance: one send more is counted, and one less is allowed because the bucket starts empty.
     used_with_tolerance: f64,
     /// Messages of all members, per second.
     messages: f64,
@@ -352,33 +351,33 @@
 /// Most sends in a window that the limit allows: those of the window itself, those that a permit's validity (0.5 s) and
 /// the burst allowance (0.2 s) can move into it, and one at its beginning.
 fn most_by_rate(limit: f64) -> usize {
-    let spans = WINDOW_MS as f64 / 1_000.0 + 0.2 + 0.5;
-    (limit * spans) as usize + 1
+    let seconds = WINDOW_MS as f64 / 1_000.0 + 0.2 + 0.5;
+    (limit * seconds) as usize + 1
 }
 
 const SIZES: [usize; 3] = [6, 60, 300];
 const LIMITS: [f64; 3] = [0.3, 2.0, 20.0];
 
 #[test]
-fn the_limit_is_kept_and_used_in_fleets_of_all_sizes() {
-    for way in WAYS {
+fn the_limit_is_enforced_and_used_in_fleets_of_all_sizes() {
+    for strategy in STRATEGIES {
         for members in SIZES {
-            if way == LimitWay::DemandShare && members == 300 {
+            if strategy == Strategy::DemandShare && members == 300 {
                 // Every member would send a message to every other each second: 89,700 messages.
                 continue;
             }
             for limit in LIMITS {
                 for busy in [Busy::All, Busy::One] {
-                    let figures = Run::new(way, members, limit, busy, Fault::None).play();
+                    let figures = Run::new(strategy, members, limit, busy, Fault::None).simulate();
                     println!(
-                        "{way:?}, {members} members, limit {limit}/s, {busy:?} busy: {} in 4 s ({} allowed), \
+                        "{strategy:?}, {members} members, limit {limit}/s, {busy:?} busy: {} in 4 s ({} allowed), \
                          {:.2} used, {:.1} messages/s",
                         figures.most,
                         most_by_rate(limit),
                         figures.used,
                         figures.messages
                     );
-                    if way == LimitWay::GrantAhead {
+                    if strategy == Strategy::GrantAhead {
                         assert!(
                             figures.most <= most_by_rate(limit),
                             "{members}, {limit}: {figures:?}"
@@ -407,16 +406,16 @@
     for fault in faults {
         for members in SIZES {
             for limit in LIMITS {
-                let run = Run::new(LimitWay::GrantAhead, members, limit, Busy::All, fault);
-                let figures = run.play();
+                let run = Run::new(Strategy::GrantAhead, members, limit, Busy::All, fault);
+                let figures = run.simulate();
                 println!(
                     "{fault:?}, {members} members, limit {limit}/s: {} in 4 s ({} allowed), {:.2} used",
                     figures.most,
                     most_by_rate(limit),
                     figures.used
                 );
-                // Two concurrent coordinators grant one permit more, and twice as many permits until they detect a
-                // partition.
+                // Two concurrent coordinators together grant one permit more than one coordinator, and twice as many
+                // permits until they detect a partition.
                 let undetected = match fault {
                     Fault::Partition(undetected) => undetected as f64 / 1_000.0,
                     _ => 0.0,
@@ -435,13 +434,13 @@
 /// Guards against a limit far above the demand that delays requests or costs a message for each.
 #[test]
 fn permits_granted_ahead_save_messages_under_a_high_limit() {
-    let play = |way| {
-        let mut run = Run::new(way, 6, 1_000_000.0, Busy::All, Fault::None);
+    let simulate = |strategy| {
+        let mut run = Run::new(strategy, 6, 1_000_000.0, Busy::All, Fault::None);
         run.demand = 600.0;
-        let figures = run.play();
+        let figures = run.simulate();
         (figures.used * 1_000_000.0 / 600.0, figures.messages)
     };
-    let (each, ahead) = (play(LimitWay::GrantEach), play(LimitWay::GrantAhead));
+    let (each, ahead) = (simulate(Strategy::GrantEach), simulate(Strategy::GrantAhead));
     println!("part sent and messages/s: one permit for each request {each:?}, ahead {ahead:?}");
     assert!(ahead.0 >= 0.97 && ahead.1 < each.1 / 4.0);
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -39,7 +39,8 @@
     MemberView::new(name(0), vec![address(1), address(2)])
 }
 
-fn service() -> planner_key::PlannerKey {
+/// The key of the only cell of a service.
+fn cell_key() -> planner_key::PlannerKey {
     planner_key::PlannerKey { service: "s".parse().expect("a valid name"), cell: 0 }
 }
 
@@ -92,13 +93,13 @@
             replies.push(view.sample_addresses(7));
         }
         let reply_with = |others| MemberHeartbeat { others, ..heartbeat(to, 1, 2) };
-        let unmet = view.take_uncontacted(address(to));
-        let met = unmet
+        let uncontacted = view.take_uncontacted(address(to));
+        let introductions = uncontacted
             .iter()
             .map(|address| (address.ip().octets()[3], reply_with(view.sample_addresses(8))));
         let answers =
             replies.into_iter().filter(|_| joined).map(|others| (from, reply_with(others)));
-        let all: Vec<_> = met.chain(answers).collect();
+        let all: Vec<_> = introductions.chain(answers).collect();
         sent[usize::from(to)] += all.len();
         messages.extend(all);
     }
@@ -107,19 +108,19 @@
 }
 
 #[test]
-fn all_that_start_together_know_each_other_before_the_next_heartbeat() {
+fn all_members_that_start_together_know_each_other_before_the_next_heartbeat() {
     for count in [2, 6, 60, 200] {
-        let ends = exchange(count);
+        let outcomes = exchange(count);
         let others = usize::from(count) - 1;
-        assert!(ends.iter().all(|(known, _)| *known == others), "{count}: {ends:?}");
+        assert!(outcomes.iter().all(|(known, _)| *known == others), "{count}: {outcomes:?}");
         // One message to each other member and one answer, and the chunked replies of the seed.
-        let most = ends.iter().map(|(_, sent)| *sent).max().unwrap_or_default();
+        let most = outcomes.iter().map(|(_, sent)| *sent).max().unwrap_or_default();
         assert!(most <= others * 3, "{count}: {most} messages");
     }
 }
 
 #[test]
-fn only_a_member_that_knows_few_is_sent_all_addresses() {
+fn only_a_member_that_knows_few_others_is_sent_all_addresses() {
     let mut view = view();
     for number in 1..=60 {
         view.receive(at(0), heartbeat(number, 1, 1));
@@ -140,7 +141,10 @@
     assert_eq!(view.take_uncontacted(address(0)), vec![address(9)]);
     view.receive(at(10), naming(2));
     assert!(view.take_uncontacted(address(0)).is_empty());
-    assert!(view.targets(address(0)).contains(&address(9)), "it still receives heartbeats");
+    assert!(
+        view.targets(address(0)).contains(&address(9)),
+        "the address still receives heartbeats"
+    );
 }
 
 #[test]
@@ -154,7 +158,7 @@
         Some((9, true))
     );
     let old = heartbeat(1, 7, 1).alive();
-    assert!(view.receive_alive(at(1_100), &old), "known, but nothing new");
+    assert!(view.receive_alive(at(1_100), &old), "the start is known, but the heartbeat is older");
     assert_eq!(view.alive(at(1_100)).map(|heartbeat| heartbeat.routes).next(), Some(9));
     assert!(
         !view.receive_alive(at(1_200), &heartbeat(1, 8, 3).alive()),
@@ -178,7 +182,7 @@
             for heartbeat in &heartbeats {
                 view.receive(at(0), heartbeat.clone());
             }
-            let planner = view.planner(at(10), &service(), &heartbeats[usize::from(own)]);
+            let planner = view.planner(at(10), &cell_key(), &heartbeats[usize::from(own)]);
             planner.map_or_else(|| name(own), |heartbeat| heartbeat.name)
         })
         .collect();
@@ -193,28 +197,28 @@
     view.receive(at(0), strong);
     let own = heartbeat(0, 1, 1);
     assert_eq!(
-        view.planner(at(10), &service(), &own).map(|heartbeat| heartbeat.name),
+        view.planner(at(10), &cell_key(), &own).map(|heartbeat| heartbeat.name),
         Some(name(1))
     );
     view.note_unanswered(&name(1));
     view.note_unanswered(&name(1));
-    assert_eq!(view.planner(at(10), &service(), &own), None);
+    assert_eq!(view.planner(at(10), &cell_key(), &own), None);
     view.note_answered(at(20), &name(1));
-    assert!(view.planner(at(30), &service(), &own).is_some());
+    assert!(view.planner(at(30), &cell_key(), &own).is_some());
 }
 
 #[test]
-fn young_members_plan_only_if_all_are_young() {
+fn members_that_just_started_plan_only_if_all_just_started() {
     let mut view = view();
-    let mut young = heartbeat(1, 1, 1);
-    young.plans = false;
-    young.cpu = 900;
-    view.receive(at(0), young.clone());
+    let mut starting = heartbeat(1, 1, 1);
+    starting.plans = false;
+    starting.cpu = 900;
+    view.receive(at(0), starting.clone());
     let own = heartbeat(0, 1, 1);
-    assert_eq!(view.planner(at(10), &service(), &own), None);
+    assert_eq!(view.planner(at(10), &cell_key(), &own), None);
     let own = MemberHeartbeat { plans: false, ..heartbeat(0, 1, 1) };
     assert_eq!(
-        view.planner(at(10), &service(), &own).map(|heartbeat| heartbeat.name),
+        view.planner(at(10), &cell_key(), &own).map(|heartbeat| heartbeat.name),
         Some(name(1))
     );
 }
@@ -224,7 +228,7 @@
     let mut view = view();
     view.receive(at(0), MemberHeartbeat { leaving: true, cpu: 900, ..heartbeat(1, 1, 1) });
     view.receive(at(0), MemberHeartbeat { routes: 0, cpu: 900, ..heartbeat(2, 1, 1) });
-    assert_eq!(view.planner(at(10), &service(), &heartbeat(0, 1, 1)), None);
+    assert_eq!(view.planner(at(10), &cell_key(), &heartbeat(0, 1, 1)), None);
 }
 
 #[test]
@@ -241,7 +245,7 @@
 }
 
 #[test]
-fn the_size_outlasts_a_mass_failure() {
+fn the_size_of_the_fleet_outlasts_a_mass_failure() {
     let mut view = view();
     for number in 1..6 {
         view.receive(at(0), heartbeat(number, 1, 1));
@@ -276,7 +280,7 @@
 }
 
 #[test]
-fn all_watch_in_a_small_fleet_and_few_in_a_large_one() {
+fn all_members_watch_in_a_small_fleet_and_few_in_a_large_one() {
     assert_eq!(watchers(3, &[]).len(), 3);
     assert_eq!(watchers(20, &[]).len(), 2);
 }
@@ -289,8 +293,8 @@
     assert!(second.iter().all(|number| !first.contains(number)), "{first:?} {second:?}");
 }
 
-/// Number of calls to an unreachable store by 60 instances of a data centre in ten seconds. Each waits for its turn, calls,
-/// fails at once, and pauses for 0.4 s.
+/// Number of calls to an unreachable store by 60 instances of a data centre in ten seconds. Each instance waits for its
+/// turn, calls, fails at once, and pauses for 0.4 s.
 fn calls_during_outage() -> usize {
     let heartbeats: Vec<_> = (0..60)
         .map(|number| MemberHeartbeat { watches: false, ..heartbeat(number, 1, 1) })
@@ -316,11 +320,11 @@
     calls
 }
 
-/// 377 calls if all instances call as often as the first in order.
+/// If all instances call as often as the first one in order, there are 377 calls.
 #[test]
 fn few_instances_keep_calling_an_unreachable_store() {
     let calls = calls_during_outage();
-    assert!((60..=200).contains(&calls), "each tries once, and few repeatedly: {calls}");
+    assert!((60..=200).contains(&calls), "each instance calls once, and few repeatedly: {calls}");
 }
 
 #[test]
@@ -363,7 +367,7 @@
     (0..2).for_each(|_| view.note_unanswered(&name(1)));
     assert_eq!(view.silent(), [heartbeat(1, 1, 1).address]);
     view.receive(at(900), heartbeat(1, 1, 2));
-    assert!(view.silent().is_empty(), "it may plan again at once");
+    assert!(view.silent().is_empty(), "the member may plan again at once");
 }
 
 /// During a partition each side uses a quota by its share of the members, so that both sides together don't exceed it.
@@ -393,7 +397,8 @@
     assert_eq!(view.name_of_boot(9), None);
 }
 
-/// During a series of changes only the watchers have the newest list. A process without documents must not wait for them.
+/// During a series of changes only the watchers have the newest list. A process without documents must not wait for that
+/// list.
 #[test]
 fn a_process_without_documents_accepts_any_version() {
     let mut view = view();
@@ -439,5 +444,5 @@
     assert!(view.needs_probes());
     let leaving = MemberHeartbeat { leaving: true, ..heartbeat(1, 1, 2) };
     view.receive(at(10), leaving);
-    assert_eq!(view.ring().len(), 58, "one leaves by plan");
+    assert_eq!(view.ring().len(), 58, "the member that leaves by plan is not probed");
 }
--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -31,7 +31,7 @@
     grant(planner.request(at(now), request))
 }
 
-/// Places a request and reports its first token, so that it is decoding.
+/// Places a request and reports its first token, so that the request is decoding.
 fn place_decoding(
     planner: &mut PlacementPlanner,
     now: u64,
@@ -79,8 +79,8 @@
     place(&mut planner, 0, long(1, 90_000));
     assert!(planner.request(at(1), long(2, 90_000)).is_none());
     assert!(planner.tick(at(100)).is_empty());
-    let whole = pass_model::prefill_ms(&shape(), 90_000) as u64;
-    let answers = planner.tick(at(whole + 10));
+    let prefill_time = pass_model::prefill_ms(&shape(), 90_000) as u64;
+    let answers = planner.tick(at(prefill_time + 10));
     assert_eq!(answers.len(), 1, "{answers:?}");
 }
 
@@ -153,7 +153,7 @@
 #[test]
 fn slots_of_an_engine_that_prefills_for_seconds_do_not_count_as_free() {
     let mut planner = planner(3);
-    // Only one engine may prefill it, which takes 7.2 s: late, but within the caller's patience.
+    // Only one engine may prefill the long prompt, which takes 7.2 s: late, but before its caller gives up.
     let late = PlacementRequest { goal_left_ms: 0, patience_ms: 8_000, ..long(99, 250_000) };
     let long =
         place(&mut planner, 0, PlacementRequest { excluded: vec![engine(1), engine(2)], ..late });
@@ -171,10 +171,10 @@
     for number in 0..SLOTS as u64 {
         place_decoding(&mut planner, number * 60, short(number));
     }
-    let back = |sequence| PlacementRequest { refusable: false, ..short(sequence) };
-    place(&mut planner, 2_000, back(60));
-    place(&mut planner, 2_001, back(61));
-    let answer = planner.request(at(2_002), back(62));
+    let retry = |sequence| PlacementRequest { refusable: false, ..short(sequence) };
+    place(&mut planner, 2_000, retry(60));
+    place(&mut planner, 2_001, retry(61));
+    let answer = planner.request(at(2_002), retry(62));
     assert!(matches!(answer, Some(PlaceAnswer::Refuse(_))), "at most two: {answer:?}");
 }
 
@@ -221,8 +221,8 @@
         planner.request(at(5), PlacementRequest { patience_ms: 6_000, ..long(2, 250_000) });
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
     assert!(refusal.back_after_ms >= 3_000, "not before the first is prefilled: {refusal:?}");
-    let back = PlacementRequest { refusable: false, patience_ms: 6_000, ..long(3, 250_000) };
-    let answer = planner.request(at(460), back);
+    let retry = PlacementRequest { refusable: false, patience_ms: 6_000, ..long(3, 250_000) };
+    let answer = planner.request(at(460), retry);
     let Some(PlaceAnswer::Refuse(refusal)) = answer else { panic!("{answer:?}") };
     assert_eq!(refusal.job.sequence, 3, "a retry is refused, too");
     assert_eq!(planner.waiting_count(), 0, "a refused request must not stay queued");
@@ -231,7 +231,7 @@
 #[test]
 fn a_late_prompt_is_refused_at_once_under_high_load() {
     let mut planner = planner(2);
-    // Without any load it is placed, though late: its first token takes about 5 s.
+    // Without any load the prompt is placed, though late: its first token takes about 5 s.
     let alone = place(&mut planner, 0, long(1, 300_000));
     assert!(alone.first_token_ms > 3_000, "{alone:?}");
     planner.end(at(10), alone.job, PlaceEnd::Done);
@@ -256,9 +256,9 @@
 #[test]
 fn leases_that_are_not_renewed_expire() {
     let mut planner = planner(1);
-    let kept = place(&mut planner, 0, short(1));
+    let renewed = place(&mut planner, 0, short(1));
     place(&mut planner, 0, short(2));
-    let lease = PlaceLease { request: short(1), grant: kept, prefilling: false };
+    let lease = PlaceLease { request: short(1), grant: renewed, prefilling: false };
     planner.take_over(at(2_000), vec![lease]);
     planner.tick(at(2_600));
     assert_eq!(planner.placed_count(), 1);
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn an_excluded_engine_is_never_used_and_a_failed_one_only_as_the_last() {
+fn an_excluded_engine_is_never_used_and_a_failed_one_only_as_a_last_resort() {
     let mut planner = planner(2);
     let request = PlacementRequest { excluded: vec![engine(0)], ..short(1) };
     assert_eq!(place(&mut planner, 0, request).engine, engine(1));
@@ -362,7 +362,7 @@
     for number in 0..10 {
         place_decoding(&mut planner, number * 50, short(number));
     }
-    // It takes 2.9 s, which would pause ten decoding requests, and is due in 1.5 s.
+    // The prefill of the long prompt takes 2.9 s, which would pause ten decoding requests, and is due in 1.5 s.
     let hurried = PlacementRequest { goal_left_ms: 1_500, refusable: false, ..long(99, 150_000) };
     let answer = planner.request(at(600), hurried);
     assert!(answer.is_none(), "{answer:?}");
@@ -400,10 +400,11 @@
     let first = place_decoding(&mut planner, 1_000, short(20));
     let second = place(&mut planner, 1_000, PlacementRequest { prompt: 19_000, ..short(21) });
     assert!(second.first_token_ms > first.first_token_ms + 100, "{first:?} {second:?}");
-    // That pass still has about 50 ms to go because of its decode steps; the next one prefills this prompt.
+    // The pass that prefills the second prompt has about 50 ms left because of its decode steps; the next pass prefills
+    // the third prompt.
     let third = place(&mut planner, 1_150, short(22));
     assert!(third.first_token_ms > 120, "{third:?}");
-    // The first token shows that the pass has ended.
+    // The first token of the second prompt shows that its pass has ended.
     planner.first_token(at(1_200), second.job);
     let fourth = place(&mut planner, 1_201, PlacementRequest { prompt: 500, ..short(23) });
     assert!(fourth.first_token_ms < 180, "{fourth:?}");
@@ -431,7 +432,7 @@
     let silent = place_decoding(&mut planner, 0, short(1)).engine;
     let grant = place(&mut planner, 100, short(2));
     assert_eq!(grant.engine, silent, "short prompts are packed");
-    // Its first token is long overdue.
+    // The first token of the second prompt is long overdue.
     let now = 100 + u64::from(grant.first_token_ms) + 400;
     assert_ne!(place(&mut planner, now, short(3)).engine, silent);
     planner.first_token(at(now + 10), grant.job);
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Sends a prompt every 20 ms to two engines: the first one ends each at once with `end`, the other answers within
-/// about 250 ms. Returns the number of prompts that the first one got.
+/// Sends a prompt every 20 ms to two engines: the first engine ends each prompt at once with `end`, the other one answers
+/// within about 250 ms. Returns the number of prompts that the first engine got.
 fn prompts_to_faulty(way: EngineFaultWay, end: PlaceEnd, prompts: u64) -> usize {
     let ways = PlannerWays { engine_faults: way, ..Default::default() };
     let mut planner = planner(2, ways);
@@ -54,7 +54,7 @@
     count
 }
 
-/// When refusals were ignored, all prompts went to the engine that refused them, because it looked idle.
+/// If refusals are ignored, all prompts go to the engine that refuses them, because it looks idle.
 #[test]
 fn an_engine_that_refuses_all_prompts_gets_few() {
     assert_eq!(prompts_to_faulty(EngineFaultWay::Pause, PlaceEnd::Full, 150), 150);
@@ -73,7 +73,7 @@
     let mut planner = planner(2, PlannerWays::default());
     let failed = place(&mut planner, 0, short(0));
     planner.end(at(5), failed.job, PlaceEnd::Failed);
-    // Its ejection time is over, and packing makes it the first choice.
+    // The ejection time is over, and packing makes the failed engine the first choice.
     let probe = place(&mut planner, 700, short(1));
     assert_eq!(probe.engine, failed.engine);
     let beside = place(&mut planner, 710, short(2));
@@ -100,20 +100,20 @@
     set_engines(&mut planner, 0, &starts[..1]);
     let before = place(&mut planner, 0, short(0));
     planner.end(at(2), before.job, PlaceEnd::Failed);
-    let under_way = place(&mut planner, 10, short(1));
+    let in_progress = place(&mut planner, 10, short(1));
     set_engines(&mut planner, 20, &starts[1..]);
     let after = place(&mut planner, 30, short(2));
     assert_eq!((&after.engine, after.first_token_ms < 120), (&starts[1], true), "{after:?}");
     // Late updates about the previous start have no effect.
-    planner.first_token(at(40), under_way.job);
-    planner.end(at(50), under_way.job, PlaceEnd::Failed);
+    planner.first_token(at(40), in_progress.job);
+    planner.end(at(50), in_progress.job, PlaceEnd::Failed);
     let next =
         place(&mut planner, 60, PlacementRequest { excluded: vec![starts[0].clone()], ..short(3) });
     assert_eq!(next.engine, starts[1]);
 }
 
 /// An engine gets up to two requests more than its packing target, until the loss of overpacking exceeds that of an
-/// empty engine. So with eight slots, where the share is one below, both packing variants fill all slots.
+/// empty engine. So both packing variants fill all of eight slots, although the target of the slot share is seven.
 #[test]
 fn packing_fills_an_engine_up_to_two_beyond_its_target() {
     // The largest number of prompts on one engine with 8 slots, when 8 prompts arrive slowly.
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn refusals_of_crowded_short_prompts_can_be_switched_off() {
+fn refusals_of_short_prompts_while_most_slots_are_in_use_can_be_switched_off() {
     let refused = |short_refusal| {
         let mut planner = planner(1, PlannerWays { short_refusal, ..Default::default() });
         (0..24).any(|number| {
@@ -145,23 +145,25 @@
     assert!(refused(ShortRefusalWay::Crowded) && !refused(ShortRefusalWay::Hopeless));
 }
 
-/// Engines that have requested a backoff from a member look idle; the free slots there must not count for its requests.
+/// Engines that have requested a backoff from a member look idle; their free slots must not count for that member's
+/// requests.
 #[test]
 fn slots_of_excluded_engines_do_not_count_as_free() {
     let mut planner = planner(3, PlannerWays::default());
-    let closed = vec![engine(0), engine(1)];
-    let closed_to = |number| PlacementRequest { excluded: closed.clone(), ..short(number) };
+    let excluded_engines = vec![engine(0), engine(1)];
+    let excluding =
+        |number| PlacementRequest { excluded: excluded_engines.clone(), ..short(number) };
     for number in 0..SLOTS as u64 {
         let grant = place(
             &mut planner,
             number * 100,
-            PlacementRequest { refusable: false, ..closed_to(number) },
+            PlacementRequest { refusable: false, ..excluding(number) },
         );
         assert_eq!(grant.engine, engine(2));
         planner.first_token(at(number * 100 + 60), grant.job);
     }
     let now = SLOTS as u64 * 100;
-    let answer = planner.request(at(now), closed_to(100));
+    let answer = planner.request(at(now), excluding(100));
     assert!(
         matches!(answer, Some(PlaceAnswer::Refuse(_))),
         "refused at once, not queued: {answer:?}"
@@ -180,7 +182,7 @@
         patience_ms: 40_000,
         ..long(number, 280_000)
     };
-    let closed = |number| PlacementRequest { excluded: vec![engine(0)], ..patient(number) };
+    let excluding = |number| PlacementRequest { excluded: vec![engine(0)], ..patient(number) };
     let mut placed = Vec::new();
     let mut waiting = Vec::new();
     for number in 0..6 {
@@ -189,7 +191,7 @@
             _ => waiting.push(number),
         }
     }
-    waiting.retain(|number| planner.request(at(10), closed(*number)).is_none());
+    waiting.retain(|number| planner.request(at(10), excluding(*number)).is_none());
     assert!(!waiting.is_empty(), "some prompts must wait for engine time");
     let mut answered = std::collections::BTreeSet::new();
     for now in (20..60_000).step_by(10) {
@@ -197,8 +199,8 @@
             answered.insert(answer.job().sequence);
             let PlaceAnswer::Grant(grant) = answer else { continue };
             let mut used = std::iter::once(&grant.engine).chain(&grant.helpers);
-            let after = waiting.contains(&grant.job.sequence);
-            assert!(!after || used.all(|used| *used != engine(0)), "{grant:?}");
+            let had_waited = waiting.contains(&grant.job.sequence);
+            assert!(!had_waited || used.all(|used| *used != engine(0)), "{grant:?}");
             placed.push((now, grant));
         }
         for (since, grant) in &placed {
@@ -210,6 +212,6 @@
         }
         placed.retain(|(since, grant)| now < since + u64::from(grant.first_token_ms));
     }
-    let settled = waiting.iter().filter(|number| answered.contains(*number)).count();
-    assert_eq!(settled, waiting.len(), "each is placed elsewhere or refused");
+    let answered_count = waiting.iter().filter(|number| answered.contains(*number)).count();
+    assert_eq!(answered_count, waiting.len(), "each waiting prompt is placed elsewhere or refused");
 }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine of requests that crash upstreams, as derived from the evidence.
+//! Quarantine of requests that crash upstreams, as derived from reported crashes and answers.
 
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
     assert!(!is_quarantined(&table_of(overlap), "x", 300));
 }
 
-/// Guards against a missed sequence at a member that was paused: it receives all messages at once, as if the runs had
+/// Guards against a missed sequence at a member that was paused: the member receives all messages at once, as if the runs had
 /// just ended, and more accurate times in later reports.
 #[test]
 fn the_earliest_reported_times_of_a_run_are_used() {
@@ -84,7 +84,7 @@
     assert!(!is_quarantined(&table_of(copies), "x", 600));
 }
 
-/// Guards against a missed sequence when each wave has more copies than crashes are kept for a request.
+/// Guards against a missed sequence when each wave has more copies than the table stores crashes for a request.
 #[test]
 fn three_waves_of_many_copies_quarantine_a_request() {
     let wave = |number: u64| {
@@ -105,7 +105,7 @@
 fn an_answer_clears_a_request_of_earlier_crashes() {
     let mut table = table_of([run("x", "a", 0, 100), run("x", "b", 100, 200)]);
     assert!(table.clear(digest("x"), at(250)));
-    assert!(!table.clear(digest("y"), at(250)), "there is no record of it");
+    assert!(!table.clear(digest("y"), at(250)), "there is no record of the request");
     table.note_crashes(at(400), [run("x", "c", 300, 400), run("x", "a2", 120, 240)]);
     assert!(
         !is_quarantined(&table, "x", 400),
@@ -125,7 +125,7 @@
             (0..13).map(|other| run(&format!("s{other}"), upstream, start + 1, start + 501)),
         );
     }
-    // The cause crashes another engine, without the others.
+    // The cause crashes another engine, on which none of the others runs.
     runs.push(run("cause", "d", 3_000, 3_100));
     let table = table_of(runs);
     assert!(is_quarantined(&table, "cause", 3_200));
@@ -165,8 +165,9 @@
         table.note_crashes(at(sent), [run(&format!("s{number}"), "d", sent, sent + 50)]);
     }
     assert!(is_quarantined(&table, "x", 6_000));
-    let kept = (0..5_000).filter(|number| table.suspects(digest(&format!("s{number}")))).count();
-    assert!(kept < 512, "{kept} suspects are kept");
+    let remaining =
+        (0..5_000).filter(|number| table.suspects(digest(&format!("s{number}")))).count();
+    assert!(remaining < 512, "{remaining} suspects remain");
 }
 
 #[test]
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -17,8 +17,8 @@
 const FIRST_MS: u64 = 120;
 /// Time from the first token to the end, milliseconds.
 const DECODE_MS: u64 = 1_600;
-/// Time between two requests on each side, milliseconds: about 45 requests decode concurrently on each, together half
-/// of all slots.
+/// Time between two requests on each side, milliseconds: about 45 requests decode concurrently on each side, and take up
+/// half of all slots together.
 const ARRIVAL_MS: u64 = 36;
 /// Interval of engine reports, milliseconds.
 const REPORT_MS: u64 = 2_000;
@@ -32,7 +32,7 @@
 }
 
 impl PlannerSide {
-    /// Creates a planner that fills the engines in the same order as the other one, which is the worst case.
+    /// Creates a planner that fills the engines in the same order as the other side's, which is the worst case.
     fn new(boot: u64, engines: usize) -> Self {
         let mut planner = PlacementPlanner::new(shape(), PlannerOptions::default());
         let names: Vec<_> = (0..engines).map(|number| (engine(number), number as u64)).collect();
@@ -47,7 +47,8 @@
         Some(grant)
     }
 
-    fn on(&self, engine: &ids::UpstreamId) -> usize {
+    /// Number of this side's requests on an engine.
+    fn request_count(&self, engine: &ids::UpstreamId) -> usize {
         self.open.values().filter(|(used, _)| used == engine).count()
     }
 }
@@ -75,8 +76,9 @@
                 match sides[side].request(now, request) {
                     Some(grant) => {
                         load.placed += 1;
-                        let on = sides[side].on(&grant.engine) + sides[other].on(&grant.engine);
-                        load.queued += usize::from(on > SLOTS);
+                        let running = sides[side].request_count(&grant.engine)
+                            + sides[other].request_count(&grant.engine);
+                        load.queued += usize::from(running > SLOTS);
                     }
                     None => load.refused += 1,
                 }
@@ -91,7 +93,7 @@
     let due: Vec<_> = sides[side].open.iter().map(|(job, place)| (*job, place.clone())).collect();
     for (job, (engine, since)) in due {
         if now == since + FIRST_MS {
-            let requests = sides.iter().map(|side| side.on(&engine)).sum::<usize>();
+            let requests = sides.iter().map(|side| side.request_count(&engine)).sum::<usize>();
             let requests = with_counts.then_some(requests as u16);
             sides[side].planner.note(at(now), &PlaceNote::FirstToken(job, requests));
         }
@@ -102,7 +104,7 @@
     }
     if now.is_multiple_of(REPORT_MS) {
         for number in 0..ENGINES {
-            let requests = sides.iter().map(|side| side.on(&engine(number))).sum();
+            let requests = sides.iter().map(|side| side.request_count(&engine(number))).sum();
             sides[side].planner.set_report(&engine(number), 1.0, requests);
         }
     }
@@ -132,7 +134,7 @@
     let mut shared = Vec::new();
     for number in 0..2 {
         let request = PlacementRequest { excluded: shared.clone(), ..short(number) };
-        let grant = side.request(number, request).expect("a place");
+        let grant = side.request(number, request).expect("a placement");
         let note = PlaceNote::FirstToken(grant.job, Some(8));
         side.planner.note(at(number + FIRST_MS), &note);
         shared.push(grant.engine);
@@ -142,7 +144,7 @@
         side.planner.note(at(200), &PlaceNote::Ended(job, PlaceEnd::Done));
     }
     let request = long(9, 100_000);
-    let grant = side.request(210, request).expect("a place");
+    let grant = side.request(210, request).expect("a placement");
     let mut used = grant.helpers.iter().chain([&grant.engine]);
     assert!(used.all(|engine| !shared.contains(engine)), "{grant:?} beside {shared:?}");
 }
