--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -91,7 +91,7 @@
 
 /// A rate limit that an upstream announced, and the period in which it applied.
 #[derive(Debug, Clone)]
-pub struct NamedLimit {
+pub struct AnnouncedLimit {
     /// Number of the upstream.
     pub upstream: u8,
     /// Requests a second from all instances together.
@@ -116,7 +116,7 @@
     /// Requests that reached upstreams, run or not, and the signals in their answers.
     pub responses: Vec<UpstreamResponse>,
     /// Rate limits that upstreams announced.
-    pub limits: Vec<NamedLimit>,
+    pub limits: Vec<AnnouncedLimit>,
     /// Restarts of upstreams, by number: signals from before a restart no longer apply.
     pub upstream_restarts: Vec<(u8, time::Instant)>,
     /// Kills and pauses of instances, which excuse cut connections and long answers.
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -232,7 +232,7 @@
                 self.ends.push((until, FaultEnd::MemberLinkGood(number)));
             }
             Fault::UpstreamLink(number, mode) => {
-                self.fleet.links[usize::from(number)].set_mode(mode);
+                self.fleet.runner_links[usize::from(number)].set_mode(mode);
                 self.record_link_fault(number, until);
                 self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::UpstreamLinkGood(number)));
@@ -255,10 +255,10 @@
                 (&[][..], select_links(&fleet.member_links, number), &[][..])
             }
             Fault::SilenceUpstream(number) => {
-                (&[][..], &[][..], select_links(&fleet.links, Some(number)))
+                (&[][..], &[][..], select_links(&fleet.runner_links, Some(number)))
             }
             Fault::SilenceAll => {
-                (&fleet.store_links[..], &fleet.member_links[..], &fleet.links[..])
+                (&fleet.store_links[..], &fleet.member_links[..], &fleet.runner_links[..])
             }
             _ => return,
         };
@@ -269,7 +269,7 @@
             .for_each(|link| link.silence_open_connections());
         let numbers = match fault {
             Fault::SilenceUpstream(number) => number..number + 1,
-            Fault::SilenceAll => 0..self.fleet.links.len() as u8,
+            Fault::SilenceAll => 0..self.fleet.runner_links.len() as u8,
             _ => return,
         };
         numbers.for_each(|number| self.record_link_fault(number, now));
@@ -338,7 +338,7 @@
                 self.fleet.runners()[usize::from(number)].set_mode(RunnerMode::Good);
             }
             FaultEnd::UpstreamLinkGood(number) => {
-                self.fleet.links[usize::from(number)].set_mode(LinkMode::Good);
+                self.fleet.runner_links[usize::from(number)].set_mode(LinkMode::Good);
                 self.record_link_fault(number, now);
             }
             FaultEnd::Return(number) => self.list(number, false),
@@ -503,8 +503,8 @@
 }
 
 /// Returns the link with a number, or all links for `None`.
-fn select_links(links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
-    number.map_or(links, |number| &links[usize::from(number)..][..1])
+fn select_links(runner_links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
+    number.map_or(runner_links, |number| &runner_links[usize::from(number)..][..1])
 }
 
 /// Returns the name of the data centre of an upstream.
--- a/crates/soak/src/limit_check.rs
+++ b/crates/soak/src/limit_check.rs
@@ -4,7 +4,7 @@
 use std::time;
 
 use crate::{
-    evidence::{self, Evidence, NamedLimit, UpstreamResponse},
+    evidence::{self, AnnouncedLimit, Evidence, UpstreamResponse},
     signal_check,
 };
 
@@ -30,7 +30,7 @@
 fn limit_violation(
     evidence: &Evidence,
     origins: &signal_check::RequestOrigins<'_>,
-    limit: &NamedLimit,
+    limit: &AnnouncedLimit,
 ) -> Option<(String, String)> {
     let within = |response: &&UpstreamResponse| {
         response.upstream == limit.upstream
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -16,7 +16,7 @@
     check,
     config_probe::ConfigProber,
     contact_plan,
-    evidence::{Evidence, NamedLimit, RequestArrival, UpstreamResponse},
+    evidence::{AnnouncedLimit, Evidence, RequestArrival, UpstreamResponse},
     fault_injector::FaultInjector,
     fault_plan::{self, PlannedFault},
     traffic::Traffic,
@@ -121,11 +121,11 @@
             upstream,
             id: arrival.id,
             at: arrival.at,
-            leaving: arrival.told,
+            leaving: arrival.leaving_announced_at,
             rest: arrival.rejection,
             limited: arrival.limited,
         }));
-        evidence.limits.extend(named_limits(upstream, &runner.limits()));
+        evidence.limits.extend(announced_limits(upstream, &runner.limits()));
         for (id, record) in runner.runs() {
             let arrival = |at: &_| {
                 let ended = record.ended.unwrap_or(*at);
@@ -146,11 +146,11 @@
 
 /// Returns the rate limits that an upstream announced, each valid until the next. Texts that are
 /// not numbers, such as the empty one that ends a limit, yield none.
-fn named_limits(upstream: u8, limits: &[runner::NamedLimit]) -> Vec<NamedLimit> {
+fn announced_limits(upstream: u8, limits: &[runner::AnnouncedLimit]) -> Vec<AnnouncedLimit> {
     let ends = limits.iter().skip(1).map(|limit| limit.since).chain([time::Instant::now()]);
-    let named = |(limit, until): (&runner::NamedLimit, _)| {
+    let named = |(limit, until): (&runner::AnnouncedLimit, _)| {
         let rate = limit.text.parse().ok()?;
-        Some(NamedLimit { upstream, rate, since: limit.since, until })
+        Some(AnnouncedLimit { upstream, rate, since: limit.since, until })
     };
     limits.iter().zip(ends).filter_map(named).collect()
 }
--- a/crates/soak/tests/violations.rs
+++ b/crates/soak/tests/violations.rs
@@ -7,7 +7,7 @@
     check,
     config_probe::{ConfigProbe, ProbeTarget, Publication},
     evidence::{
-        Disturbance, Evidence, LinkFault, NamedLimit, RequestArrival, UpstreamListing,
+        AnnouncedLimit, Disturbance, Evidence, LinkFault, RequestArrival, UpstreamListing,
         UpstreamResponse,
     },
     traffic::SentRequest,
@@ -260,7 +260,7 @@
     let mut evidence = Evidence::new();
     let started = evidence.started;
     let (since, until) = (started, started + SECOND * 30);
-    evidence.limits.push(NamedLimit { upstream: 5, rate: 2.0, since, until });
+    evidence.limits.push(AnnouncedLimit { upstream: 5, rate: 2.0, since, until });
     for number in 0..count {
         let id = format!("1-0-{number}");
         let at = started + SECOND + MILLI * 100 * number;
