--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -73,7 +73,7 @@
         if self.since.elapsed() >= MAX_IDLE_TIME {
             return Err(None);
         }
-        if self.caller.ended() { Err(Some(self.since)) } else { Ok(self.caller) }
+        if self.caller.is_closed() { Err(Some(self.since)) } else { Ok(self.caller) }
     }
 }
 
