--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -177,7 +177,7 @@
             Fault::Evacuate(number) => self.evacuate(number, until),
             Fault::Cool(number) => {
                 let engine = self.fleet.runners()[usize::from(number)].clone();
-                self.fleet.cold.insert(engine.name.clone(), planned.length.as_millis() as u64);
+                self.fleet.cold_ms.insert(engine.name.clone(), planned.length.as_millis() as u64);
                 self.list(number, false);
                 self.ends.push((until, FaultEnd::Warm(number)));
             }
@@ -350,7 +350,7 @@
             }
             FaultEnd::Warm(number) => {
                 let name = self.fleet.runners()[usize::from(number)].name.clone();
-                self.fleet.cold.remove(&name);
+                self.fleet.cold_ms.remove(&name);
                 self.list(number, false);
             }
             FaultEnd::Restart(number) => {
