--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -29,14 +29,13 @@
         format!("closed an idle connection without cause: instance {}", request.instance)
     }));
     for request in &evidence.sent {
-        found.extend(request_violation(evidence, request).map(|fault| {
-            format!("{fault}: {} ({}) at instance {}", request.id, request.route, request.instance)
+        found.extend(request_violation(evidence, request).map(|text| {
+            format!("{text}: {} ({}) at instance {}", request.id, request.route, request.instance)
         }));
     }
     let sent: collections::HashSet<_> = evidence.sent.iter().map(|sent| sent.id.as_str()).collect();
-    let unasked = evidence.runs.keys().filter(|id| !sent.contains(id.as_str()));
-    found
-        .extend(unasked.map(|id| format!("an upstream ran a request that no client sent: {id:?}")));
+    let unsent = evidence.runs.keys().filter(|id| !sent.contains(id.as_str()));
+    found.extend(unsent.map(|id| format!("an upstream ran a request that no client sent: {id:?}")));
     found.extend(config_check::violations(evidence));
     found.extend(leave_check::violations(evidence));
     found.extend(signal_check::violations(evidence));
@@ -44,13 +43,13 @@
     found
 }
 
-/// Returns how a request violated a promise. Where its client left without the answer, only the
-/// number of runs and their customer are checked.
+/// Returns how a request violated a promise. If its client left without the answer, only the number
+/// of runs and their customer are checked.
 fn request_violation(evidence: &Evidence, request: &SentRequest) -> Option<String> {
     let record = evidence.runs.get(&request.id);
     let runs = record.map_or(0, |record| record.runs);
-    let once = matches!(request.route, "unsafe" | "once");
-    if once && runs > 1 {
+    let at_most_once = matches!(request.route, "unsafe" | "once");
+    if at_most_once && runs > 1 {
         return Some(format!("ran {runs} times"));
     }
     if record.is_some_and(|record| record.customer != "t1") {
@@ -62,15 +61,15 @@
             Some(format!("denied with {status}"))
         }
         Outcome::Status(status, _)
-            if NOT_EXECUTED_STATUSES.contains(status) && once && runs > 0 =>
+            if NOT_EXECUTED_STATUSES.contains(status) && at_most_once && runs > 0 =>
         {
             Some(format!("ran although {status} says that it did not"))
         }
         Outcome::Cut(false) if runs == 0 && disturbed(&evidence.planned_stops, request) => None,
         Outcome::Cut(_) if !disturbed(&evidence.unplanned_outages, request) => {
             let external_fault = disturbed(&evidence.external_faults, request);
-            // An upstream that fails may cut an answer that has begun, or one whose request must
-            // not be repeated.
+            // An upstream that fails may cut an answer that has begun, or the answer to a request
+            // that must not be repeated.
             (!external_fault).then(|| "cut without cause".to_owned())
         }
         _ if !disturbed(&evidence.unplanned_outages, request) => {
@@ -92,6 +91,7 @@
     request.closed_idle_since.is_some_and(|since| !excused(since))
 }
 
+/// Returns whether a disturbance of the instance overlaps the time of a request.
 fn disturbed(disturbances: &[Disturbance], request: &SentRequest) -> bool {
     evidence::any_overlaps(disturbances, request.instance, request.from, request.to)
 }
--- a/crates/soak/src/config_check.rs
+++ b/crates/soak/src/config_check.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns the number of the publication that the instance had not applied when it answered a
-/// probe, or `None` where the answer shows no such publication.
+/// probe, or `None` if the answer shows no such publication.
 fn denied_publication(probe: &ConfigProbe) -> Option<usize> {
     match (probe.target, &probe.outcome) {
         (ProbeTarget::Route(number), Outcome::Status(status, _))
@@ -34,31 +34,33 @@
         {
             Some(number)
         }
-        // A key is removed by the publication that follows its own.
+        // A key is removed by the publication after the one that added it.
         (ProbeTarget::RemovedKey(number), Outcome::Good) => Some(number + 1),
         _ => None,
     }
 }
 
+/// Returns the violation where an instance in contact had not applied a publication after
+/// [`APPLY_BOUND`].
 fn late_activation(evidence: &Evidence, probe: &ConfigProbe) -> Option<(String, String)> {
     let number = denied_publication(probe)?;
     let published = evidence.publications.get(number)?.at;
-    let due = probe.from >= published + APPLY_BOUND;
-    if !due || !evidence.in_contact(probe.instance, probe.from, probe.to) {
+    let is_due = probe.from >= published + APPLY_BOUND;
+    if !is_due || !evidence.in_contact(probe.instance, probe.from, probe.to) {
         return None;
     }
     let kind = format!("not in force at instance {}", probe.instance);
     Some((kind, describe(evidence, probe, published)))
 }
 
-/// Returns the probes that an instance answered by an older configuration than an earlier probe,
-/// without a restart in between.
+/// Returns the violations where an instance answered a probe from an older configuration than an
+/// earlier probe, without a restart in between.
 fn regressions(evidence: &Evidence) -> Vec<(String, String)> {
     let mut found = Vec::new();
     let mut seen: Option<(u8, usize, time::Instant)> = None;
     for probe in &evidence.probes {
         seen = seen.filter(|(instance, _, since)| {
-            *instance == probe.instance && !started(evidence, *instance, *since, probe.to)
+            *instance == probe.instance && !restarted(evidence, *instance, *since, probe.to)
         });
         if let (Some((_, newest, _)), Some(number)) = (seen, denied_publication(probe))
             && number <= newest
@@ -75,10 +77,10 @@
     found
 }
 
-/// Returns whether an instance was started between `from` and `to`.
-fn started(evidence: &Evidence, instance: u8, from: time::Instant, to: time::Instant) -> bool {
-    let mut starts = evidence.starts.iter();
-    starts.any(|(started, at)| *started == instance && (from..=to).contains(at))
+/// Returns whether an instance was restarted between `from` and `to`.
+fn restarted(evidence: &Evidence, instance: u8, from: time::Instant, to: time::Instant) -> bool {
+    let mut restarts = evidence.instance_restarts.iter();
+    restarts.any(|(restarted, at)| *restarted == instance && (from..=to).contains(at))
 }
 
 fn describe(evidence: &Evidence, probe: &ConfigProbe, published: time::Instant) -> String {
--- a/crates/soak/src/config_probe.rs
+++ b/crates/soak/src/config_probe.rs
@@ -19,9 +19,9 @@
 use crate::traffic;
 
 /// Pause between two probes of an instance.
-const PAUSE: time::Duration = time::Duration::from_millis(60);
-/// API keys that every configuration has, in addition to its own.
-const STEADY_KEYS: [&str; 2] = [fleet::KEY, "key-2"];
+const PROBE_PAUSE: time::Duration = time::Duration::from_millis(60);
+/// API keys that every configuration has, in addition to the key that only it has.
+const PERMANENT_KEYS: [&str; 2] = [fleet::KEY, "key-2"];
 
 /// A configuration that was written to the store.
 #[derive(Debug, Clone)]
@@ -48,7 +48,7 @@
         let (route, key) = (format!("new{number}"), format!("turn-{number}"));
         routes.push(route.clone());
         let names: Vec<_> = routes.iter().map(String::as_str).collect();
-        let keys: Vec<_> = STEADY_KEYS.into_iter().chain([key.as_str()]).collect();
+        let keys: Vec<_> = PERMANENT_KEYS.into_iter().chain([key.as_str()]).collect();
         fleet.publish_routes_and_keys(&names, &keys);
         self.entries().push(Publication { route, key, at: time::Instant::now() });
     }
@@ -131,7 +131,7 @@
     let mut probes = Vec::new();
     let mut turn = 0;
     while !stop_requested.load(atomic::Ordering::SeqCst) {
-        thread::sleep(PAUSE);
+        thread::sleep(PROBE_PAUSE);
         let published = log.all();
         let Some(target) = target(turn, published.len()) else {
             continue;
@@ -146,17 +146,18 @@
 
 /// Chooses what the next probe tests: in turn the newest route, the key removed last, an older key
 /// and an older route. `None` before the first publication.
-fn target(turn: usize, published: usize) -> Option<ProbeTarget> {
-    let newest = published.checked_sub(1)?;
+fn target(turn: usize, publication_count: usize) -> Option<ProbeTarget> {
+    let newest = publication_count.checked_sub(1)?;
     let target = match turn % 4 {
         0 => ProbeTarget::Route(newest),
         1 if newest > 0 => ProbeTarget::RemovedKey(newest - 1),
         2 if newest > 0 => ProbeTarget::RemovedKey(turn / 4 % newest),
-        _ => ProbeTarget::Route(turn / 4 % published),
+        _ => ProbeTarget::Route(turn / 4 % publication_count),
     };
     Some(target)
 }
 
+/// Sends a probe and returns the time of sending and the outcome.
 fn send_probe(
     id: String,
     address: net::SocketAddr,
--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -6,10 +6,10 @@
 
 use crate::{config_probe, traffic::SentRequest};
 
-/// A period in which violations at one instance, or at all, are excused.
+/// A period in which violations at one instance, or at all instances, are excused.
 #[derive(Debug, Clone, Copy)]
 pub struct Disturbance {
-    /// Number of the instance disturbed; `None` for all.
+    /// Number of the instance disturbed; `None` for all instances.
     pub instance: Option<u8>,
     /// Start of the disturbance.
     pub from: time::Instant,
@@ -60,7 +60,7 @@
 
 /// A run of a request at an upstream.
 #[derive(Debug, Clone)]
-pub struct RequestArrival {
+pub struct UpstreamRun {
     /// Number of the upstream.
     pub upstream: u8,
     /// Id of the request.
@@ -81,12 +81,12 @@
     pub id: String,
     /// Time at which the request arrived.
     pub at: time::Instant,
-    /// Time of the answer, if it said that the upstream leaves.
-    pub leaving: Option<time::Instant>,
-    /// Time of the answer and the rest that it asked for, if the upstream refused the request.
-    pub rest: Option<(time::Instant, time::Duration)>,
+    /// Time of the answer, if it announced that the upstream is leaving.
+    pub leaving_announced_at: Option<time::Instant>,
+    /// Time of the answer and its `Retry-After` time, if the upstream rejected the request.
+    pub rejection: Option<(time::Instant, time::Duration)>,
     /// Time of the answer, if it announced a rate limit.
-    pub limited: Option<time::Instant>,
+    pub limit_announced_at: Option<time::Instant>,
 }
 
 /// A rate limit that an upstream announced, and the period in which it applied.
@@ -109,31 +109,34 @@
     pub started: time::Instant,
     /// Requests of clients, without probes.
     pub sent: Vec<SentRequest>,
-    /// Runs at all upstreams by request id, without probes.
+    /// Records of the requests that were run, by request id, without probes. The number of runs is
+    /// that at all upstreams together.
     pub runs: collections::HashMap<String, RunRecord>,
-    /// Runs at all upstreams, including those of probes, in order of time.
-    pub arrivals: Vec<RequestArrival>,
+    /// Single runs at all upstreams, including those of probes, in order of time.
+    pub upstream_runs: Vec<UpstreamRun>,
     /// Requests that reached upstreams, run or not, and the signals in their answers.
     pub responses: Vec<UpstreamResponse>,
     /// Rate limits that upstreams announced.
     pub limits: Vec<AnnouncedLimit>,
-    /// Restarts of upstreams, by number: signals from before a restart no longer apply.
+    /// Number of the upstream and time for each restart: signals from before a restart no longer
+    /// apply.
     pub upstream_restarts: Vec<(u8, time::Instant)>,
     /// Kills and pauses of instances, which excuse cut connections and long answers.
     pub unplanned_outages: Vec<Disturbance>,
-    /// Planned stops of instances. A stop closes idle connections, and a request may be sent at the
-    /// moment of the close; it must then not have been passed on.
+    /// Planned stops of instances. A stop closes idle connections, and a client may send a request
+    /// at the moment of the close; the instance must not have forwarded that request.
     pub planned_stops: Vec<Disturbance>,
     /// Faults of upstreams and links, which excuse failures and cut streams.
     pub external_faults: Vec<Disturbance>,
-    /// Periods in which instances are out of contact, which excuse that changes take effect late.
+    /// Periods in which instances are out of contact with the store or other members, which excuse
+    /// that changes take effect late.
     pub contact_losses: Vec<Disturbance>,
     /// Faults of links to upstreams, which excuse requests and cancels that arrive late.
     pub link_faults: Vec<LinkFault>,
     /// Changes of the listed state of upstreams, in order of time.
     pub listings: Vec<UpstreamListing>,
-    /// Restarts of instances, by number.
-    pub starts: Vec<(u8, time::Instant)>,
+    /// Number of the instance and time for each restart after a kill or a planned stop.
+    pub instance_restarts: Vec<(u8, time::Instant)>,
     /// Configurations published, in order of time.
     pub publications: Vec<config_probe::Publication>,
     /// Probes of the configuration, in order of time for each instance.
@@ -143,8 +146,8 @@
 }
 
 impl Evidence {
-    /// Extends the periods that were to end at `planned_end` to `actual_end`: a fault ends late
-    /// where this process has to wait before it can end it, for example for an instance to start.
+    /// Extends the periods that were to end at `planned_end` to `actual_end`. A fault ends late if
+    /// the soak has to wait before it can end the fault, for example for an instance to start.
     pub fn extend_to_actual_end(&mut self, planned_end: time::Instant, actual_end: time::Instant) {
         let disturbances =
             [&mut self.unplanned_outages, &mut self.external_faults, &mut self.contact_losses];
@@ -164,7 +167,7 @@
             started: time::Instant::now(),
             sent: Vec::new(),
             runs: collections::HashMap::new(),
-            arrivals: Vec::new(),
+            upstream_runs: Vec::new(),
             responses: Vec::new(),
             limits: Vec::new(),
             upstream_restarts: Vec::new(),
@@ -174,7 +177,7 @@
             contact_losses: Vec::new(),
             link_faults: Vec::new(),
             listings: Vec::new(),
-            starts: Vec::new(),
+            instance_restarts: Vec::new(),
             publications: Vec::new(),
             probes: Vec::new(),
             violations: Vec::new(),
@@ -199,8 +202,8 @@
     }
 }
 
-/// Summarizes pairs of a kind and a text: the first text of each kind, with the number of
-/// violations of that kind.
+/// Summarizes violations, given as pairs of a kind and a text: returns the first text of each kind,
+/// with the number of violations of that kind.
 pub fn summarize_by_kind(found: impl Iterator<Item = (String, String)>) -> Vec<String> {
     let mut kinds = collections::BTreeMap::<String, (String, usize)>::new();
     for (kind, text) in found {
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -35,7 +35,7 @@
     Start(u8),
     /// Sends SIGCONT to an instance.
     Continue(u8),
-    /// Makes the store work again.
+    /// Makes the store work again after a failure mode.
     StoreGood,
     /// Makes the link of one instance to the store work again, or all such links for `None`.
     StoreLinkGood(Option<u8>),
@@ -51,16 +51,16 @@
     Restart(u8),
     /// Lets an upstream accept requests again.
     RestOver(u8),
-    /// Lets an upstream announce no rate limit any more.
+    /// Stops an upstream from announcing a rate limit.
     LimitOver(u8),
     /// Ends the evacuation of the data centre of an upstream.
     Restore(u8),
     /// Lists an engine as no longer cold.
     Warm(u8),
-    /// Restores the store from a copy of the first duration's age; lost entries are written again
-    /// after the second.
+    /// Restores the store from a copy whose age is the first duration, and plans
+    /// [`Self::Rewrite`] for after the second duration.
     StoreReturn(Duration, Duration),
-    /// Writes the entries again that the store lost.
+    /// Writes the entries again that the store lost in the restore.
     Rewrite,
 }
 
@@ -71,15 +71,16 @@
     /// Observations and disturbed periods.
     pub(crate) evidence: Evidence,
     /// Configurations published so far.
-    pub(crate) published: config_probe::PublicationLog,
+    pub(crate) publication_log: config_probe::PublicationLog,
     /// Lines of the fault log: starts and ends of faults with their times.
     pub(crate) fault_log: Vec<String>,
     /// Pending ends of faults with the time at which each is due.
     ends: Vec<(Instant, FaultEnd)>,
-    /// Index in `contact_losses` of the entry of each stopping instance, until it is started again.
-    stopping: collections::HashMap<u8, usize>,
+    /// Index in [`Evidence::contact_losses`] of the loss that a planned stop causes, by number of
+    /// the instance, until the instance is started again.
+    stop_losses: collections::HashMap<u8, usize>,
     /// Recent copies of the store, if the plan has drills.
-    copies: Option<store_drill::CopyLog>,
+    copy_log: Option<store_drill::CopyLog>,
 }
 
 impl FaultInjector {
@@ -88,11 +89,11 @@
         Self {
             fleet,
             evidence: Evidence::new(),
-            published: config_probe::PublicationLog::default(),
+            publication_log: config_probe::PublicationLog::default(),
             fault_log: Vec::new(),
             ends: Vec::new(),
-            stopping: collections::HashMap::new(),
-            copies: None,
+            stop_losses: collections::HashMap::new(),
+            copy_log: None,
         }
     }
 
@@ -107,7 +108,7 @@
             self.isolate_data_centers();
         }
         if plan.iter().any(|planned| matches!(planned.fault, Fault::Drill { .. })) {
-            self.copies = Some(store_drill::CopyLog::default());
+            self.copy_log = Some(store_drill::CopyLog::default());
         }
         let started = Instant::now();
         let mut next = plan.iter().peekable();
@@ -116,8 +117,8 @@
                 self.inject(planned);
             }
             self.end_due(Instant::now());
-            if let Some(copies) = &mut self.copies {
-                copies.take(Instant::now(), &self.fleet.store);
+            if let Some(copy_log) = &mut self.copy_log {
+                copy_log.copy_if_due(Instant::now(), &self.fleet.store);
             }
             thread::sleep(Duration::from_millis(5));
         }
@@ -151,7 +152,7 @@
             Fault::Stop(number) => self.stop(number),
             Fault::Reload(number) => self.fleet.signal(number, "HUP"),
             Fault::Pause(number) => {
-                self.record_disturbance(Some(number), until);
+                self.record_outage(Some(number), until);
                 self.fleet.signal(number, "STOP");
                 self.ends.push((until, FaultEnd::Continue(number)));
             }
@@ -192,8 +193,8 @@
             }
             Fault::AskRest(number, millis) => {
                 let seconds = format!("{:.3}", millis as f64 / 1_000.0);
-                let how = Some(Rejection::with_retry_after(&seconds));
-                self.fleet.runners()[usize::from(number)].set_rejection(how);
+                let rejection = Some(Rejection::with_retry_after(&seconds));
+                self.fleet.runners()[usize::from(number)].set_rejection(rejection);
                 self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::RestOver(number)));
             }
@@ -208,7 +209,7 @@
                 self.ends.push((until, FaultEnd::Return(number)));
             }
             Fault::Litter(number) => self.write_invalid_entry(number),
-            link => self.inject_link_fault(link, until),
+            link_fault => self.inject_link_fault(link_fault, until),
         }
     }
 
@@ -237,12 +238,12 @@
                 self.record_external_fault(until);
                 self.ends.push((until, FaultEnd::UpstreamLinkGood(number)));
             }
-            silence => self.silence(silence),
+            silence_fault => self.silence(silence_fault),
         }
     }
 
-    /// Silences open connections, which counts as a loss of contact of all instances at this
-    /// moment.
+    /// Silences the open connections that a fault names, and records a loss of contact of all
+    /// instances at this moment.
     fn silence(&mut self, fault: Fault) {
         let now = Instant::now();
         self.record_contact_loss(None, now);
@@ -286,7 +287,7 @@
             self.end(end);
         }
         for number in 0..self.fleet.instances.len() as u8 {
-            // Restarts an instance that has exited after SIGTERM.
+            // An instance that exited after SIGTERM is started again.
             if self.fleet.wait_for_exit(number, Duration::from_millis(1)).is_some() {
                 self.end(FaultEnd::Start(number));
             }
@@ -315,8 +316,8 @@
                 self.record_contact_loss(None, now);
             }
             FaultEnd::StoreReturn(age, rewrite) => {
-                if let Some(copies) = &self.copies {
-                    copies.restore_copy(now, age, &self.fleet.store);
+                if let Some(copy_log) = &self.copy_log {
+                    copy_log.restore_copy(now, age, &self.fleet.store);
                 }
                 self.record_contact_loss(None, now + rewrite);
                 self.ends.push((now + rewrite, FaultEnd::Rewrite));
@@ -368,33 +369,37 @@
         }
     }
 
+    /// Starts an instance, unless it runs, and records the restart.
     fn start(&mut self, number: u8) {
         if self.fleet.pid(number).is_some() {
             return;
         }
-        self.evidence.starts.push((number, Instant::now()));
+        self.evidence.instance_restarts.push((number, Instant::now()));
         if let Err(error) = self.fleet.start_instance(number) {
             self.evidence.violations.push(format!("instance {number} does not start: {error}"));
         }
-        // Uses the time after the start, which may take long on a busy host.
+        // The loss of contact ends after the start, which may take long on a busy host.
         let now = Instant::now();
         self.record_contact_loss(Some(number), now);
-        if let Some(stop) = self.stopping.remove(&number) {
-            self.evidence.contact_losses[stop].to = now + RECOVERY_MARGIN;
+        if let Some(index) = self.stop_losses.remove(&number) {
+            self.evidence.contact_losses[index].to = now + RECOVERY_MARGIN;
         }
     }
 
+    /// Sends SIGTERM to an instance and records the planned stop, which is also a loss of contact.
     fn stop(&mut self, number: u8) {
         let now = Instant::now();
-        let stop = Disturbance { instance: Some(number), from: now, to: now + STOP_GRACE_PERIOD };
-        self.evidence.planned_stops.push(stop);
-        self.stopping.insert(number, self.evidence.contact_losses.len());
+        let disturbance =
+            Disturbance { instance: Some(number), from: now, to: now + STOP_GRACE_PERIOD };
+        self.evidence.planned_stops.push(disturbance);
+        self.stop_losses.insert(number, self.evidence.contact_losses.len());
         self.record_contact_loss(Some(number), now + STOP_GRACE_PERIOD);
         self.fleet.signal(number, "TERM");
     }
 
+    /// Kills an instance, which is started again at `until`.
     fn kill(&mut self, number: u8, until: Instant) {
-        self.record_disturbance(Some(number), until);
+        self.record_outage(Some(number), until);
         self.fleet.kill(number);
         self.ends.push((until, FaultEnd::Start(number)));
     }
@@ -405,11 +410,12 @@
         self.fleet.runners()[usize::from(number)].restart();
     }
 
+    /// Lists an upstream as leaving until `until`.
     fn leave(&mut self, number: u8, until: Instant) {
         self.list(number, true);
-        // With drills, the upstream must restart: a process that was listed as leaving is not ready
-        // again after the store has returned from a copy.
-        let end = match self.copies {
+        // With drills, the upstream must restart: after the store has been restored from a copy, a
+        // process that was listed as leaving does not become ready again.
+        let end = match self.copy_log {
             Some(_) => FaultEnd::Restart(number),
             None => FaultEnd::Return(number),
         };
@@ -424,8 +430,8 @@
         self.fleet.list_all();
     }
 
-    /// Evacuates the data centre of an upstream, which is recorded as leaving: it must get no more
-    /// requests within the same bound.
+    /// Evacuates the data centre of an upstream and records the upstream as leaving: the bound after
+    /// which it must get no more requests is the same.
     fn evacuate(&mut self, number: u8, until: Instant) {
         self.fleet.evacuate(&data_center_of(usize::from(number)), true);
         let listing = UpstreamListing { upstream: number, leaving: true, at: Instant::now() };
@@ -464,7 +470,7 @@
 
     /// Publishes the next configuration, which adds a route.
     pub(crate) fn publish(&mut self) {
-        self.published.publish(&mut self.fleet);
+        self.publication_log.publish(&mut self.fleet);
     }
 
     fn set_store_links(&self, numbers: ops::Range<u8>, mode: LinkMode) {
@@ -476,25 +482,27 @@
     /// Records that an instance, or all for `None`, is out of contact from now until `until` plus
     /// [`RECOVERY_MARGIN`].
     fn record_contact_loss(&mut self, instance: Option<u8>, until: Instant) {
-        let lost = Disturbance { instance, from: Instant::now(), to: until + RECOVERY_MARGIN };
-        self.evidence.contact_losses.push(lost);
+        let disturbance =
+            Disturbance { instance, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.contact_losses.push(disturbance);
     }
 
     /// Records that the link to an upstream fails from now until `until` plus [`RECOVERY_MARGIN`].
     fn record_link_fault(&mut self, upstream: u8, until: Instant) {
-        let trouble = LinkFault { upstream, from: Instant::now(), to: until + RECOVERY_MARGIN };
-        self.evidence.link_faults.push(trouble);
+        let link_fault = LinkFault { upstream, from: Instant::now(), to: until + RECOVERY_MARGIN };
+        self.evidence.link_faults.push(link_fault);
     }
 
-    /// Records an unplanned outage, which is also a loss of contact, until `until` plus the margin.
-    fn record_disturbance(&mut self, instance: Option<u8>, until: Instant) {
+    /// Records an unplanned outage of an instance, or of all for `None`, which is also a loss of
+    /// contact, from now until `until` plus [`RECOVERY_MARGIN`].
+    fn record_outage(&mut self, instance: Option<u8>, until: Instant) {
         self.record_contact_loss(instance, until);
         let disturbance =
             Disturbance { instance, from: Instant::now(), to: until + RECOVERY_MARGIN };
         self.evidence.unplanned_outages.push(disturbance);
     }
 
-    /// Records a fault of an upstream or a link until `until` plus the margin.
+    /// Records a fault of an upstream or a link from now until `until` plus [`RECOVERY_MARGIN`].
     fn record_external_fault(&mut self, until: Instant) {
         let disturbance =
             Disturbance { instance: None, from: Instant::now(), to: until + RECOVERY_MARGIN };
--- a/crates/soak/src/final_checks.rs
+++ b/crates/soak/src/final_checks.rs
@@ -44,10 +44,10 @@
     /// Ends all faults and checks that every instance is ready within [`RECOVERY_TIMEOUT`].
     fn wait_for_recovery(&mut self) {
         self.end_all();
-        let until = Instant::now() + RECOVERY_TIMEOUT;
-        let all = 0..self.fleet.instances.len() as u8;
-        while !all.clone().all(|number| self.fleet.ready(number)) {
-            if Instant::now() > until {
+        let deadline = Instant::now() + RECOVERY_TIMEOUT;
+        let numbers = 0..self.fleet.instances.len() as u8;
+        while !numbers.clone().all(|number| self.fleet.ready(number)) {
+            if Instant::now() > deadline {
                 self.evidence.violations.push(format!(
                     "not all instances were ready {RECOVERY_TIMEOUT:?} after the last fault"
                 ));
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Checks that a configuration published during a store outage takes effect soon after it.
+    /// Checks that a configuration published during a store outage takes effect within
+    /// [`STORE_RECOVERY_BOUND`] after the outage.
     fn check_store_return(&mut self, seed: u64) {
         let modes = [StoreMode::Silent, StoreMode::Reset, StoreMode::Busy];
         self.fleet.store.set_mode(modes[(seed % 3) as usize]);
@@ -66,7 +67,7 @@
         self.publish();
         self.fleet.store.set_mode(StoreMode::Good);
         thread::sleep(STORE_RECOVERY_BOUND);
-        let newest = self.published.routes().pop().into_iter().collect::<Vec<_>>();
+        let newest = self.publication_log.routes().pop().into_iter().collect::<Vec<_>>();
         self.probe_all("return", &newest);
     }
 
@@ -106,26 +107,27 @@
         self.publish();
         self.list(self.first_plain(), true);
         thread::sleep(config_check::APPLY_BOUND.max(leave_check::LEAVE_BOUND));
-        let leaving = self.fleet.plain[0].clone();
-        let before = leaving.runs().len();
-        self.probe_all("end", &self.published.routes());
-        if leaving.runs().len() > before {
-            self.evidence.violations.push(format!("{} got requests while leaving", leaving.name));
+        let runner = self.fleet.plain[0].clone();
+        let runs_before = runner.runs().len();
+        self.probe_all("end", &self.publication_log.routes());
+        if runner.runs().len() > runs_before {
+            self.evidence.violations.push(format!("{} got requests while leaving", runner.name));
         }
     }
 
-    /// Sends a probe for each route to each instance and records those that an instance rejects.
-    fn probe_all(&mut self, when: &str, routes: &[String]) {
+    /// Sends a probe for each route to each instance, and records a violation for each that the
+    /// instance rejects. `phase` names the check in probe ids and violations.
+    fn probe_all(&mut self, phase: &str, routes: &[String]) {
         for number in 0..self.fleet.instances.len() as u8 {
             for route in routes {
-                let id = format!("probe-{when}-{number}-{route}");
+                let id = format!("probe-{phase}-{number}-{route}");
                 let mut probe = traffic::request(id, "safe", (0, 0));
                 probe.path = format!("/{route}/");
                 let outcome = caller::send(self.fleet.callers(number), &probe);
                 if matches!(outcome, Outcome::Status(401 | 403 | 404, _)) {
-                    let fault =
-                        format!("{when}: instance {number} does not know {route}: {outcome:?}");
-                    self.evidence.violations.push(fault);
+                    let violation =
+                        format!("{phase}: instance {number} does not know {route}: {outcome:?}");
+                    self.evidence.violations.push(violation);
                 }
             }
         }
@@ -133,7 +135,7 @@
 
     /// Checks that all requests end and their tokens are released within [`RELEASE_TIMEOUT`].
     fn check_release(&mut self) {
-        let until = Instant::now() + RELEASE_TIMEOUT;
+        let deadline = Instant::now() + RELEASE_TIMEOUT;
         loop {
             let runners = self.fleet.runners();
             let reserved_tokens: u64 = runners.iter().map(|runner| runner.reserved_tokens()).sum();
@@ -141,11 +143,11 @@
             if reserved_tokens == 0 && running == 0 {
                 return;
             }
-            if Instant::now() > until {
-                let fault = format!(
+            if Instant::now() > deadline {
+                let violation = format!(
                     "{reserved_tokens} tokens reserved and {running} requests running at the end"
                 );
-                self.evidence.violations.push(fault);
+                self.evidence.violations.push(violation);
                 return;
             }
             thread::sleep(Duration::from_millis(50));
--- a/crates/soak/src/leave_check.rs
+++ b/crates/soak/src/leave_check.rs
@@ -3,7 +3,7 @@
 
 use std::{collections, time};
 
-use crate::evidence::{self, Evidence, RequestArrival};
+use crate::evidence::{self, Evidence, UpstreamRun};
 
 /// Time after an upstream is listed as leaving within which it may still get requests: the
 /// platform's bound of 2 s plus scheduling delays of the test host.
@@ -16,15 +16,16 @@
 struct LeaveSpan {
     upstream: u8,
     from: time::Instant,
-    /// `None` where the upstream did not return.
+    /// End of the period; `None` if the upstream did not return.
     to: Option<time::Instant>,
 }
 
-/// The instance that a request was sent to, and the time of sending.
+/// The instance that a request was sent to, and the times of its caller.
 struct RequestOrigin {
     instance: u8,
+    /// Time at which the caller sent the request.
     from: time::Instant,
-    /// Time at which the caller left without an answer.
+    /// Time at which the caller left, if it left without an answer.
     left: Option<time::Instant>,
 }
 
@@ -32,75 +33,76 @@
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let origins = origins(evidence);
     let spans = leave_spans(evidence);
-    let found = evidence.arrivals.iter().flat_map(|arrival| {
-        let origin = origins.get(arrival.id.as_str());
-        origin.into_iter().flat_map(|origin| arrival_violations(evidence, &spans, origin, arrival))
+    let found = evidence.upstream_runs.iter().flat_map(|run| {
+        let origin = origins.get(run.id.as_str());
+        origin.into_iter().flat_map(|origin| run_violations(evidence, &spans, origin, run))
     });
     evidence::summarize_by_kind(found)
 }
 
-fn arrival_violations(
+/// Returns the violations that a run shows and that no disturbance excuses.
+fn run_violations(
     evidence: &Evidence,
     spans: &[LeaveSpan],
     origin: &RequestOrigin,
-    arrival: &RequestArrival,
+    run: &UpstreamRun,
 ) -> Vec<(String, String)> {
-    let binding = |until| !is_excused(evidence, origin, arrival, until);
-    let used = spans.iter().find_map(|span| used_while_leaving(evidence, span, origin, arrival));
-    let used = used.filter(|_| binding(arrival.at));
+    let is_unexcused = |until| !is_excused(evidence, origin, run, until);
+    let used = spans.iter().find_map(|span| used_while_leaving(evidence, span, origin, run));
+    let used = used.filter(|_| is_unexcused(run.at));
     let worked =
-        worked_after_caller_left(evidence, origin, arrival).filter(|_| binding(arrival.ended));
+        worked_after_caller_left(evidence, origin, run).filter(|_| is_unexcused(run.ended));
     used.into_iter().chain(worked).collect()
 }
 
-/// Returns whether, up to `until`, the instance lost contact or the link to the upstream had a
-/// fault.
+/// Returns whether, up to `until`, the instance lost contact after the request was sent or the link
+/// to the upstream had a fault after the run began.
 fn is_excused(
     evidence: &Evidence,
     origin: &RequestOrigin,
-    arrival: &RequestArrival,
+    run: &UpstreamRun,
     until: time::Instant,
 ) -> bool {
     let link_failed = evidence.link_faults.iter().any(|fault| {
-        let overlaps = fault.from <= until && fault.to >= arrival.at;
-        fault.upstream == arrival.upstream && overlaps
+        let overlaps = fault.from <= until && fault.to >= run.at;
+        fault.upstream == run.upstream && overlaps
     });
     link_failed || !evidence.in_contact(origin.instance, origin.from, until)
 }
 
-/// Returns the violation where a request arrived later than [`LEAVE_BOUND`] into a leave period.
+/// Returns the violation if a run began later than [`LEAVE_BOUND`] into a period in which its
+/// upstream was leaving.
 fn used_while_leaving(
     evidence: &Evidence,
     span: &LeaveSpan,
     origin: &RequestOrigin,
-    arrival: &RequestArrival,
+    run: &UpstreamRun,
 ) -> Option<(String, String)> {
-    let binding = span.upstream == arrival.upstream
-        && arrival.at > span.from + LEAVE_BOUND
-        && span.to.is_none_or(|to| arrival.at < to);
-    binding.then(|| {
+    let is_violation = span.upstream == run.upstream
+        && run.at > span.from + LEAVE_BOUND
+        && span.to.is_none_or(|to| run.at < to);
+    is_violation.then(|| {
         let kind = format!(
             "upstream {} used while leaving, by instance {}",
             span.upstream, origin.instance
         );
-        let (left, at) =
-            (evidence.seconds_since_start(span.from), evidence.seconds_since_start(arrival.at));
-        (kind, format!("{} at {at:.2} s, leaving since {left:.2} s", arrival.id))
+        let (since, at) =
+            (evidence.seconds_since_start(span.from), evidence.seconds_since_start(run.at));
+        (kind, format!("{} at {at:.2} s, leaving since {since:.2} s", run.id))
     })
 }
 
-/// Returns the violation where an upstream worked on a request later than [`ABANDONED_WORK_BOUND`]
-/// after its caller had left.
+/// Returns the violation if an upstream worked on a request later than [`ABANDONED_WORK_BOUND`]
+/// after the caller had left.
 fn worked_after_caller_left(
     evidence: &Evidence,
     origin: &RequestOrigin,
-    arrival: &RequestArrival,
+    run: &UpstreamRun,
 ) -> Option<(String, String)> {
-    let left = origin.left.filter(|left| arrival.ended > *left + ABANDONED_WORK_BOUND)?;
+    let left = origin.left.filter(|left| run.ended > *left + ABANDONED_WORK_BOUND)?;
     let kind = format!("at work though its caller had left, by instance {}", origin.instance);
-    let [left, at, ended] =
-        [left, arrival.at, arrival.ended].map(|at| evidence.seconds_since_start(at));
-    let (id, upstream) = (&arrival.id, arrival.upstream);
+    let [left, at, ended] = [left, run.at, run.ended].map(|at| evidence.seconds_since_start(at));
+    let (id, upstream) = (&run.id, run.upstream);
     Some((
         kind,
         format!("{id} at upstream {upstream} {at:.2} to {ended:.2} s, left at {left:.2} s"),
@@ -124,9 +126,10 @@
 fn leave_spans(evidence: &Evidence) -> Vec<LeaveSpan> {
     let mut spans = Vec::<LeaveSpan>::new();
     for listing in &evidence.listings {
-        let mut open = spans.iter_mut();
-        let open = open.find(|span| span.upstream == listing.upstream && span.to.is_none());
-        match open {
+        let mut open_spans = spans.iter_mut();
+        let open_span =
+            open_spans.find(|span| span.upstream == listing.upstream && span.to.is_none());
+        match open_span {
             Some(span) if !listing.leaving => span.to = Some(listing.at),
             None if listing.leaving => {
                 spans.push(LeaveSpan { upstream: listing.upstream, from: listing.at, to: None });
--- a/crates/soak/src/limit_check.rs
+++ b/crates/soak/src/limit_check.rs
@@ -1,5 +1,5 @@
-//! Checks that upstreams that announce a rate limit get no more requests than it allows, counting
-//! only instances that have received the limit.
+//! Checks that upstreams that announce a rate limit get no more requests than it allows. Only
+//! requests from instances that have received the limit count.
 
 use std::time;
 
@@ -10,11 +10,11 @@
 
 /// Length of the sliding window in which requests are counted.
 const WINDOW: time::Duration = time::Duration::from_secs(4);
-/// Factor by which the requests in a window may exceed the limit: the platform's rule.
+/// Factor by which the requests in a window may exceed the limit, by the platform's rule.
 const ALLOWED_FACTOR: f64 = 1.5;
-/// Requests allowed in a window in addition to [`ALLOWED_FACTOR`]: the platform's rule.
+/// Requests allowed in a window in addition to [`ALLOWED_FACTOR`], by the platform's rule.
 const ALLOWED_EXTRA: f64 = 5.0;
-/// Time after the first answer with a limit from which requests of its instance count.
+/// Time from the first answer with a limit that an instance gets until its requests count.
 const NOTICE_TIME: time::Duration = time::Duration::from_millis(500);
 
 /// Returns the violations, summarized by upstream.
@@ -25,8 +25,7 @@
     evidence::summarize_by_kind(found)
 }
 
-/// Returns the violation where a window within the period of a limit holds more requests than
-/// allowed.
+/// Returns the violation if a window within the period of a limit holds more requests than allowed.
 fn limit_violation(
     evidence: &Evidence,
     origins: &signal_check::RequestOrigins<'_>,
@@ -42,10 +41,10 @@
         let Some((instance, from)) = origins.get(response.id.as_str()).copied() else {
             return false;
         };
-        let same = responses.iter().filter(|other| {
+        let same_instance = responses.iter().filter(|other| {
             origins.get(other.id.as_str()).is_some_and(|origin| origin.0 == instance)
         });
-        let mut announced = same.filter_map(|other| other.limited);
+        let mut announced = same_instance.filter_map(|other| other.limit_announced_at);
         announced.any(|announced| {
             // A limit sent before the instance started, resumed or lost contact may not have
             // reached it.
@@ -56,14 +55,14 @@
     let mut times: Vec<_> = responses.iter().filter(counted).map(|response| response.at).collect();
     times.sort_unstable();
     let allowed = (limit.rate * WINDOW.as_secs_f64() * ALLOWED_FACTOR + ALLOWED_EXTRA) as usize;
-    let until = |first: usize| times.partition_point(|at| *at < times[first] + WINDOW);
-    let most = (0..times.len()).max_by_key(|first| until(*first) - first)?;
-    let count = until(most) - most;
+    let window_end = |first: usize| times.partition_point(|at| *at < times[first] + WINDOW);
+    let fullest = (0..times.len()).max_by_key(|first| window_end(*first) - first)?;
+    let count = window_end(fullest) - fullest;
     if count <= allowed {
         return None;
     }
     let kind = format!("upstream {} got more than its limit allows", limit.upstream);
-    let at = evidence.seconds_since_start(times[most]);
+    let at = evidence.seconds_since_start(times[fullest]);
     let text =
         format!("{count} in 4 s from {at:.2} s at {} a second, {allowed} allowed", limit.rate);
     Some((kind, text))
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -16,7 +16,7 @@
     check,
     config_probe::ConfigProber,
     contact_plan,
-    evidence::{AnnouncedLimit, Evidence, RequestArrival, UpstreamResponse},
+    evidence::{AnnouncedLimit, Evidence, UpstreamResponse, UpstreamRun},
     fault_injector::FaultInjector,
     fault_plan::{self, PlannedFault},
     traffic::Traffic,
@@ -40,7 +40,7 @@
 /// Outcome of a run.
 #[derive(Debug)]
 pub struct RunReport {
-    /// Descriptions of the violations; empty where every promise was kept.
+    /// Descriptions of the violations; empty if there were none.
     pub violations: Vec<String>,
     /// Number of requests sent, and how many of them got a good answer.
     pub requests: (usize, usize),
@@ -58,10 +58,10 @@
 
 /// Returns the plan of a run.
 pub fn plan(options: &RunOptions) -> Vec<PlannedFault> {
-    fault_plan::plan(options.seed, size(options))
+    fault_plan::plan(options.seed, plan_size(options))
 }
 
-fn size(options: &RunOptions) -> fault_plan::PlanSize {
+fn plan_size(options: &RunOptions) -> fault_plan::PlanSize {
     fault_plan::PlanSize {
         instances: options.instances,
         upstreams: ENGINES + PLAIN,
@@ -70,25 +70,26 @@
     }
 }
 
-/// Runs a seed and checks its outcome; fails where the fleet cannot be started.
+/// Runs a seed and checks its outcome; fails if the fleet cannot be started or the fault log cannot
+/// be written.
 pub fn run(options: &RunOptions) -> io::Result<RunReport> {
-    let size =
+    let fleet_plan =
         FleetPlan { instances: options.instances, engines: ENGINES, plain: PLAIN, proxied: true };
-    let fleet = Fleet::start(&options.program, &size)?;
+    let fleet = Fleet::start(&options.program, &fleet_plan)?;
     fleet.wait_ready();
     let mut injector = FaultInjector::new(fleet);
-    let began = time_origin_line();
+    let origin_line = time_origin_line();
     inject_under_traffic(&mut injector, options);
     injector.run_final_checks(options.seed);
     record_runs(&injector.fleet, &mut injector.evidence);
-    injector.evidence.publications = injector.published.all();
+    injector.evidence.publications = injector.publication_log.all();
     let violations = check::violations(&injector.evidence);
     let sent = &injector.evidence.sent;
     let good = sent.iter().filter(|sent| sent.outcome == Some(Outcome::Good)).count();
     injector.fleet.keep_folder = !violations.is_empty();
     let logs = injector.fleet.keep_folder.then(|| injector.fleet.folder().to_owned());
     if let Some(folder) = &logs {
-        let lines = [&[began][..], &injector.fault_log, &violations].concat();
+        let lines = [&[origin_line][..], &injector.fault_log, &violations].concat();
         fs::write(folder.join(FAULT_LOG_FILE), lines.join("\n"))?;
     }
     Ok(RunReport { violations, requests: (sent.len(), good), logs })
@@ -98,9 +99,9 @@
 fn inject_under_traffic(injector: &mut FaultInjector, options: &RunOptions) {
     let addresses: Vec<_> =
         (0..options.instances).map(|number| injector.fleet.callers(number)).collect();
-    let prober = ConfigProber::start(&injector.published, &addresses);
+    let prober = ConfigProber::start(&injector.publication_log, &addresses);
     let traffic = Traffic::start(options.seed, options.clients, addresses);
-    let length = options.length + contact_plan::scenes_length(size(options));
+    let length = options.length + contact_plan::scenes_length(plan_size(options));
     injector.inject_all(&plan(options), length);
     injector.evidence.sent = traffic.finish();
     injector.evidence.probes = prober.finish();
@@ -121,36 +122,36 @@
             upstream,
             id: arrival.id,
             at: arrival.at,
-            leaving: arrival.leaving_announced_at,
-            rest: arrival.rejection,
-            limited: arrival.limited,
+            leaving_announced_at: arrival.leaving_announced_at,
+            rejection: arrival.rejection,
+            limit_announced_at: arrival.limited,
         }));
         evidence.limits.extend(announced_limits(upstream, &runner.limits()));
         for (id, record) in runner.runs() {
-            let arrival = |at: &_| {
+            let upstream_run = |at: &_| {
                 let ended = record.ended.unwrap_or(*at);
-                RequestArrival { upstream, id: id.clone(), at: *at, ended }
+                UpstreamRun { upstream, id: id.clone(), at: *at, ended }
             };
-            evidence.arrivals.extend(record.run_starts.iter().map(arrival));
+            evidence.upstream_runs.extend(record.run_starts.iter().map(upstream_run));
             if id.starts_with("probe") {
                 continue;
             }
-            let total = evidence.runs.entry(id).or_default();
-            let runs = total.runs + record.runs;
-            *total = record;
-            total.runs = runs;
+            let total_record = evidence.runs.entry(id).or_default();
+            let runs = total_record.runs + record.runs;
+            *total_record = record;
+            total_record.runs = runs;
         }
     }
-    evidence.arrivals.sort_by_key(|arrival| arrival.at);
+    evidence.upstream_runs.sort_by_key(|upstream_run| upstream_run.at);
 }
 
-/// Returns the rate limits that an upstream announced, each valid until the next. Texts that are
-/// not numbers, such as the empty one that ends a limit, yield none.
+/// Returns the rate limits that an upstream announced, each valid until the next announcement. A
+/// text that is not a number, such as the empty one that ends a limit, yields no limit.
 fn announced_limits(upstream: u8, limits: &[runner::AnnouncedLimit]) -> Vec<AnnouncedLimit> {
     let ends = limits.iter().skip(1).map(|limit| limit.since).chain([time::Instant::now()]);
-    let named = |(limit, until): (&runner::AnnouncedLimit, _)| {
+    let announced = |(limit, until): (&runner::AnnouncedLimit, _)| {
         let rate = limit.text.parse().ok()?;
         Some(AnnouncedLimit { upstream, rate, since: limit.since, until })
     };
-    limits.iter().zip(ends).filter_map(named).collect()
+    limits.iter().zip(ends).filter_map(announced).collect()
 }
--- a/crates/soak/src/signal_check.rs
+++ b/crates/soak/src/signal_check.rs
@@ -1,5 +1,5 @@
-//! Checks that instances send no requests to upstreams that have signalled to them in an answer
-//! that they leave or need rest.
+//! Checks that instances send no requests to an upstream after an answer in which it signalled that
+//! it is leaving, or before the `Retry-After` time of an answer in which it rejected a request.
 
 use std::{collections, time};
 
@@ -8,8 +8,8 @@
     leave_check,
 };
 
-/// Time after a refusal that asks for rest within which requests already in flight may arrive: the
-/// platform's bound.
+/// Time after a rejection with `Retry-After` within which requests already in flight may arrive:
+/// the platform's bound.
 const IN_FLIGHT_TIME: time::Duration = time::Duration::from_millis(500);
 
 /// The instance that each request was sent to and the time of sending, by request id.
@@ -29,43 +29,49 @@
     let found = evidence
         .responses
         .iter()
-        .flat_map(|arrival| arrival_violation(evidence, &origins, arrival));
+        .flat_map(|response| response_violation(evidence, &origins, response));
     evidence::summarize_by_kind(found)
 }
 
-/// Returns the violation where a request arrived although its instance had received a signal
-/// against it from the same process life of the upstream.
-fn arrival_violation(
+/// Returns the violation if a request reached an upstream although its instance had received a
+/// signal against further requests, and the upstream has not restarted since.
+fn response_violation(
     evidence: &Evidence,
     origins: &RequestOrigins<'_>,
-    arrival: &UpstreamResponse,
+    response: &UpstreamResponse,
 ) -> Option<(String, String)> {
-    let (instance, from) = *origins.get(arrival.id.as_str())?;
-    let heard = evidence.responses.iter().filter(|response| {
-        let same = origins.get(response.id.as_str()).is_some_and(|origin| origin.0 == instance);
-        same && response.upstream == arrival.upstream
+    let (instance, from) = *origins.get(response.id.as_str())?;
+    let received = evidence.responses.iter().filter(|other| {
+        let same_instance =
+            origins.get(other.id.as_str()).is_some_and(|origin| origin.0 == instance);
+        same_instance && other.upstream == response.upstream
     });
     // A signal sent before the instance started, resumed or lost contact may not have reached it.
-    let binding = |signalled: time::Instant| {
+    let applies = |signalled: time::Instant| {
         let restarted = evidence.upstream_restarts.iter().any(|(upstream, at)| {
-            *upstream == arrival.upstream && *at >= signalled && *at <= arrival.at
+            *upstream == response.upstream && *at >= signalled && *at <= response.at
         });
         let link_failed = evidence.link_faults.iter().any(|fault| {
-            fault.upstream == arrival.upstream && fault.from <= arrival.at && fault.to >= signalled
+            fault.upstream == response.upstream
+                && fault.from <= response.at
+                && fault.to >= signalled
         });
-        !restarted && !link_failed && evidence.in_contact(instance, signalled.min(from), arrival.at)
+        !restarted
+            && !link_failed
+            && evidence.in_contact(instance, signalled.min(from), response.at)
     };
-    let ignored = heard.filter_map(|response| {
-        let left =
-            response.leaving.filter(|signalled| arrival.at > *signalled + leave_check::LEAVE_BOUND);
-        let rested = response.rest.filter(|(signalled, rest)| {
-            arrival.at > *signalled + IN_FLIGHT_TIME && arrival.at < *signalled + *rest
+    let ignored = received.filter_map(|other| {
+        let leaving = other
+            .leaving_announced_at
+            .filter(|signalled| response.at > *signalled + leave_check::LEAVE_BOUND);
+        let rejecting = other.rejection.filter(|(signalled, retry_after)| {
+            response.at > *signalled + IN_FLIGHT_TIME && response.at < *signalled + *retry_after
         });
-        let left = left.map(|signalled| (signalled, "that had told it that it leaves"));
-        left.or(rested.map(|(signalled, _)| (signalled, "that had asked it for rest")))
+        let leaving = leaving.map(|signalled| (signalled, "that had told it that it leaves"));
+        leaving.or(rejecting.map(|(signalled, _)| (signalled, "that had asked it for rest")))
     });
-    let (signalled, what) = ignored.into_iter().find(|(signalled, _)| binding(*signalled))?;
-    let kind = format!("upstream {} used {what}, by instance {instance}", arrival.upstream);
-    let [signalled, at] = [signalled, arrival.at].map(|at| evidence.seconds_since_start(at));
-    Some((kind, format!("{} at {at:.2} s, told at {signalled:.2} s", arrival.id)))
+    let (signalled, signal) = ignored.into_iter().find(|(signalled, _)| applies(*signalled))?;
+    let kind = format!("upstream {} used {signal}, by instance {instance}", response.upstream);
+    let [signalled, at] = [signalled, response.at].map(|at| evidence.seconds_since_start(at));
+    Some((kind, format!("{} at {at:.2} s, told at {signalled:.2} s", response.id)))
 }
--- a/crates/soak/src/store_drill.rs
+++ b/crates/soak/src/store_drill.rs
@@ -9,7 +9,7 @@
 
 /// Minimum time between two copies.
 const COPY_INTERVAL: Duration = Duration::from_millis(100);
-/// Age at which copies are dropped.
+/// Age beyond which a copy is dropped.
 const MAX_AGE: Duration = Duration::from_secs(6);
 
 /// Recent copies of the store with the time of each, oldest first.
@@ -19,8 +19,9 @@
 }
 
 impl CopyLog {
-    /// Copies the store if [`COPY_INTERVAL`] has passed since the last copy.
-    pub(crate) fn take(&mut self, now: Instant, store: &Store) {
+    /// Copies the store if [`COPY_INTERVAL`] has passed since the last copy, and drops copies older
+    /// than [`MAX_AGE`].
+    pub(crate) fn copy_if_due(&mut self, now: Instant, store: &Store) {
         if self.copies.back().is_some_and(|(at, _)| now - *at < COPY_INTERVAL) {
             return;
         }
--- a/crates/soak/tests/dense_plans.rs
+++ b/crates/soak/tests/dense_plans.rs
@@ -14,16 +14,16 @@
     length: time::Duration::from_secs(8),
 };
 
-fn dense_faults_stay(input: &path::Path) -> datatest_stable::Result<()> {
+fn dense_faults_stay_the_same(input: &path::Path) -> datatest_stable::Result<()> {
     let seed = input
         .file_stem()
         .and_then(|stem| stem.to_str())
         .ok_or("the file name is not a seed")?
         .parse()?;
     let planned: Vec<_> = fault_plan::plan(seed, SIZE).iter().map(ToString::to_string).collect();
-    let mut rest = planned.iter();
+    let mut remaining = planned.iter();
     for line in fs::read_to_string(input)?.lines() {
-        if !rest.any(|planned| planned.trim() == line.trim()) {
+        if !remaining.any(|planned| planned.trim() == line.trim()) {
             return Err(format!("missing from the plan or out of order: {line}").into());
         }
     }
@@ -31,5 +31,5 @@
 }
 
 datatest_stable::harness! {
-    { test = dense_faults_stay, root = "tests/dense_plans", pattern = r"\.txt$" },
+    { test = dense_faults_stay_the_same, root = "tests/dense_plans", pattern = r"\.txt$" },
 }
--- a/crates/soak/tests/plans.rs
+++ b/crates/soak/tests/plans.rs
@@ -28,20 +28,20 @@
     let end = SIZE.length + contact_plan::scenes_length(SIZE);
     for plan in SEEDS.map(|seed| fault_plan::plan(seed, SIZE)) {
         assert!(plan.is_sorted_by_key(|planned| planned.at));
-        let last = plan.iter().filter(|planned| planned.at >= SIZE.length);
-        assert!(last.clone().all(|planned| planned.at + planned.length < end));
-        assert!(last.clone().any(|planned| planned.fault == Fault::Publish));
-        assert!(last.clone().any(|planned| matches!(planned.fault, Fault::Leave(_))));
+        let second_part = plan.iter().filter(|planned| planned.at >= SIZE.length);
+        assert!(second_part.clone().all(|planned| planned.at + planned.length < end));
+        assert!(second_part.clone().any(|planned| planned.fault == Fault::Publish));
+        assert!(second_part.clone().any(|planned| matches!(planned.fault, Fault::Leave(_))));
     }
 }
 
 #[test]
 fn restarts_and_invalid_entries_are_planned_only_from_seed_20000_on() {
-    let odd = |planned: &fault_plan::PlannedFault| {
+    let is_entry_fault = |planned: &fault_plan::PlannedFault| {
         matches!(planned.fault, Fault::Restart(_) | Fault::Overwrite(_) | Fault::Litter(_))
     };
     for seed in SEEDS {
-        assert!(!fault_plan::plan(seed, SIZE).iter().any(odd));
-        assert!(fault_plan::plan(seed + 20_000, SIZE).iter().any(odd));
+        assert!(!fault_plan::plan(seed, SIZE).iter().any(is_entry_fault));
+        assert!(fault_plan::plan(seed + 20_000, SIZE).iter().any(is_entry_fault));
     }
 }
