--- a/crates/soak/src/contact_plan.rs
+++ b/crates/soak/src/contact_plan.rs
@@ -22,28 +22,29 @@
 const SCENE_STREAM: u64 = 2;
 /// Random stream of the upstreams that are silent or late while instances are in contact.
 const SILENT_UPSTREAM_STREAM: u64 = 3;
-/// When an upstream becomes silent or late, from the start of its scene, milliseconds.
+/// Time from the start of a scene until an upstream becomes silent or late, milliseconds.
 const SILENT_UPSTREAM_START_MS: ops::Range<u64> = 3_500..5_000;
 /// How long an upstream stays silent or late, milliseconds: long enough that callers leave while
 /// their requests wait.
 const SILENT_UPSTREAM_LENGTH_MS: ops::Range<u64> = 700..1_600;
 /// Pause between the starts of two losses of contact in the first part, milliseconds.
 const FIRST_PART_GAP_MS: ops::Range<u64> = 600..2_500;
-/// How long a loss of contact lasts, milliseconds. Connections that are silenced stay so for good.
+/// How long a loss of contact or an accompanying fault lasts, milliseconds. Silenced connections
+/// stay silent for good.
 const LOSS_MS: ops::Range<u64> = 200..1_200;
-/// Length of a scene, milliseconds: its faults, the 3 s until all instances count as in contact
-/// again, and about as long a time in which promises are checked.
+/// Length of a scene, milliseconds: time for its faults, the 3 s until all instances count as in
+/// contact again, and about 3 s more in which promises are checked.
 const SCENE_MS: u64 = 7_000;
-/// When the loss of contact begins, from the start of its scene, milliseconds: after a quiet time.
+/// Quiet time from the start of a scene until its loss of contact begins, milliseconds.
 const LOSS_START_MS: ops::Range<u64> = 300..900;
-/// When the accompanying faults begin, from the start of the scene, milliseconds.
+/// Time from the start of a scene until an accompanying fault begins, milliseconds.
 const COMPANION_START_MS: ops::Range<u64> = 100..1_500;
 /// Pause between two configurations of a scene, milliseconds.
 const PUBLISH_GAP_MS: ops::Range<u64> = 80..900;
-/// Time by which the last configuration is published, from the start of the scene, milliseconds:
-/// early enough to be checked within the scene.
+/// Time from the start of a scene after which no configuration is published, milliseconds: early
+/// enough for the last one to be checked within the scene.
 const PUBLISH_UNTIL_MS: u64 = 4_300;
-/// When an upstream is listed as leaving, from the start of the scene, milliseconds.
+/// Time from the start of a scene until an upstream is listed as leaving, milliseconds.
 const LEAVE_MS: ops::Range<u64> = 200..4_000;
 /// Time before the end of a scene at which leaving upstreams return, milliseconds.
 const RETURN_BEFORE_END_MS: u64 = 200;
@@ -73,8 +74,8 @@
 pub(crate) fn scenes(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let mut random = random_stream(seed, SCENE_STREAM);
     let mut upstream_random = random_stream(seed, SILENT_UPSTREAM_STREAM);
-    let first = size.length.as_millis() as u64;
-    let starts = (0..scene_count(size)).map(|number| first + number * SCENE_MS);
+    let first_start = size.length.as_millis() as u64;
+    let starts = (0..scene_count(size)).map(|number| first_start + number * SCENE_MS);
     starts
         .flat_map(|start| {
             let mut faults = scene(&mut random, size, start);
@@ -84,8 +85,8 @@
         .collect()
 }
 
-/// Draws an upstream that does not answer for a while or works long before it does, so that callers
-/// leave while their requests wait.
+/// Draws an upstream that does not answer for a while, or that works long before it answers, so that
+/// callers leave while their requests wait.
 fn silent_upstream(random: &mut ChaCha8Rng, size: PlanSize, start: u64) -> PlannedFault {
     let at = start + random.random_range(SILENT_UPSTREAM_START_MS);
     let upstream = random.random_range(0..size.upstreams);
@@ -94,7 +95,7 @@
     planned_fault(at, random.random_range(SILENT_UPSTREAM_LENGTH_MS), fault)
 }
 
-/// Draws the faults of the scene that begins at `start` milliseconds.
+/// Draws the faults of the scene that begins `start` milliseconds after the start of the run.
 fn scene(random: &mut ChaCha8Rng, size: PlanSize, start: u64) -> Vec<PlannedFault> {
     let mut faults = Vec::new();
     let loss_start = start + random.random_range(LOSS_START_MS);
--- a/crates/soak/src/data_center_plan.rs
+++ b/crates/soak/src/data_center_plan.rs
@@ -1,4 +1,4 @@
-//! Plans evacuations of data centres, and engines that report that they are cold.
+//! Plans evacuations of data centres, and engines that are listed as cold.
 
 use std::ops;
 
@@ -13,14 +13,14 @@
 /// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
 /// change.
 const FIRST_SEED: u64 = 60_000;
-/// Random stream of the evacuations and cold phases.
+/// Random stream of the evacuations and cold engines.
 const DATA_CENTER_STREAM: u64 = 7;
 /// Pause between the starts of two faults, milliseconds.
 const GAP_MS: ops::Range<u64> = 800..3_500;
-/// How long an evacuation or a cold phase lasts, milliseconds.
+/// How long an evacuation lasts, or an engine is listed as cold, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 1_000..7_000;
 
-/// Returns the evacuations and cold phases of a seed, spread over the whole run.
+/// Returns the evacuations and cold engines of a seed, spread over the whole run.
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
--- a/crates/soak/src/drill_plan.rs
+++ b/crates/soak/src/drill_plan.rs
@@ -1,4 +1,4 @@
-//! Plans store drills: the store is unavailable and is then restored from an older copy.
+//! Plans store drills: the store becomes unavailable and is then restored from an older copy.
 
 use std::ops;
 
@@ -21,7 +21,7 @@
 const LENGTH_MS: ops::Range<u64> = 200..3_000;
 /// Age of the copy at the time of the restore, milliseconds.
 const AGE_MS: ops::Range<u64> = 100..5_000;
-/// Time from the restore until its writers write the lost entries again, milliseconds.
+/// Time from the restore until the lost entries are written again, milliseconds.
 const REWRITE_MS: ops::Range<u64> = 0..1_500;
 
 /// Returns the drills of a seed, spread over the whole run.
--- a/crates/soak/src/fault_plan.rs
+++ b/crates/soak/src/fault_plan.rs
@@ -1,8 +1,8 @@
 //! Derives the plan of a run from its seed: which faults occur, when, and what they affect.
 //!
 //! A run has two parts. In the first, faults follow each other densely and overlap. The second
-//! consists of scenes that begin with a loss of contact, after which no new one follows, so that
-//! the promises to instances in contact can be checked. Each kind of fault draws from a random
+//! consists of scenes. Each begins with a loss of contact and has no new one in its later part, so
+//! that the promises to instances in contact can be checked. Each kind of fault draws from a random
 //! stream of its own, so that new kinds leave the other faults of a seed as they are.
 
 use std::{fmt, time};
@@ -68,7 +68,7 @@
     /// An upstream signals in its answers, but not in the list, that it leaves, and restarts at the
     /// end.
     SayLeaving(u8),
-    /// An upstream refuses requests and asks for rest, with its length in milliseconds.
+    /// An upstream rejects requests with a `Retry-After` time, in milliseconds.
     AskRest(u8, u64),
     /// An upstream announces a rate limit, in thousandths of a request a second.
     NameLimit(u8, u32),
@@ -76,7 +76,7 @@
     Overwrite(u8),
     /// Another writer adds an invalid entry under a key with this number.
     Litter(u8),
-    /// The data centre of an upstream, which has no other upstream, is evacuated until the end.
+    /// The data centre of an upstream is evacuated until the end; it has no other upstream.
     Evacuate(u8),
     /// An engine is listed as cold until the end.
     Cool(u8),
--- a/crates/soak/src/fault_series.rs
+++ b/crates/soak/src/fault_series.rs
@@ -12,7 +12,8 @@
 
 /// Timing of a series: when its faults begin and how long each lasts.
 pub(crate) struct FaultSeries {
-    /// First seed with these faults: plans of lower seeds are kept as tests and must not change.
+    /// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+    /// change.
     pub(crate) first_seed: u64,
     /// Random stream that the series is drawn from.
     pub(crate) stream: u64,
--- a/crates/soak/src/limit_plan.rs
+++ b/crates/soak/src/limit_plan.rs
@@ -21,7 +21,7 @@
 /// How long an upstream announces a limit, milliseconds; `limit_check` counts requests over 4 s.
 const LENGTH_MS: ops::Range<u64> = 3_000..9_000;
 /// Announced limit, thousandths of a request a second.
-const RATE: ops::Range<u32> = 300..8_000;
+const RATE_THOUSANDTHS: ops::Range<u32> = 300..8_000;
 
 /// Returns the rate limits of a seed, spread over the whole run. Where two overlap at an upstream,
 /// the second replaces the first.
@@ -35,6 +35,6 @@
     };
     series.faults(seed, |random| {
         let upstream = random.random_range(0..size.upstreams);
-        Fault::NameLimit(upstream, random.random_range(RATE))
+        Fault::NameLimit(upstream, random.random_range(RATE_THOUSANDTHS))
     })
 }
--- a/crates/soak/src/signal_plan.rs
+++ b/crates/soak/src/signal_plan.rs
@@ -1,4 +1,5 @@
-//! Plans upstreams that signal in their answers that they leave or need rest.
+//! Plans upstreams that signal in their answers that they are leaving, or that reject requests with
+//! a `Retry-After` time.
 
 use std::ops;
 
@@ -19,8 +20,8 @@
 const GAP_MS: ops::Range<u64> = 500..2_500;
 /// How long an upstream keeps signalling, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 500..5_000;
-/// Rest that an upstream asks for, milliseconds.
-const REST_MS: ops::Range<u64> = 200..4_000;
+/// `Retry-After` time of a rejection, milliseconds.
+const RETRY_AFTER_MS: ops::Range<u64> = 200..4_000;
 
 /// Returns the signals of a seed, spread over the whole run: the scenes leave instances in contact,
 /// so that their reaction can be checked.
@@ -37,7 +38,7 @@
         if random.random_range(0..3) == 0 {
             Fault::SayLeaving(upstream)
         } else {
-            Fault::AskRest(upstream, random.random_range(REST_MS))
+            Fault::AskRest(upstream, random.random_range(RETRY_AFTER_MS))
         }
     })
 }
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -18,15 +18,16 @@
 
 /// Pause of a client between two requests, milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 2..40;
-/// One request in this many has a long answer: as a stream, it outlasts the time for which a
-/// stopping instance still accepts connections, and ends within the grace period.
+/// One request in this many has a long answer: a stream of this length outlasts the time for which
+/// a stopping instance still accepts connections, and ends within the grace period.
 const LONG_STREAMS: u32 = 24;
-/// Tokens of a long answer: 3.3 to 4.5 s of events.
+/// Number of tokens of a long answer, whose stream takes 3.3 to 4.5 s.
 pub const LONG_ANSWER_TOKENS: std::ops::Range<u64> = 11_000..15_000;
-/// One request in this many is abandoned: its client closes the connection before the answer ends.
+/// One request in this many is abandoned: its client closes the connection without reading the
+/// answer.
 const ABANDONED_REQUESTS: u32 = 8;
-/// Time from writing an abandoned request to closing its connection, milliseconds: from none to
-/// past the first limit on silence.
+/// Time from writing an abandoned request to closing its connection, milliseconds. The longest
+/// exceed the shortest time after which an instance gives up a silent connection.
 const ABANDON_WAIT_MS: std::ops::Range<u64> = 0..400;
 /// Random stream that chooses the abandoned requests.
 const ABANDON_STREAM: u64 = 1;
@@ -54,9 +55,9 @@
     /// Time at which the answer ended or the client left.
     pub to: time::Instant,
     /// Start of the idle time of the connection meant for the request, if the instance had closed
-    /// it.
+    /// that connection.
     pub closed_idle_since: Option<time::Instant>,
-    /// Outcome; `None` where the client left at `to` without waiting for it.
+    /// Outcome as the client saw it; `None` if the client left at `to` without reading the answer.
     pub outcome: Option<Outcome>,
 }
 
@@ -85,8 +86,8 @@
 }
 
 impl UnreadRequest {
-    /// Reads the answer, which must be complete. Its end is recorded as no later than the deadline,
-    /// as the time of reading does not show when it was sent.
+    /// Reads the answer, which must be complete. The recorded end is no later than the deadline, as
+    /// the time of reading does not show when the answer was sent.
     fn read(mut self) -> SentRequest {
         let outcome = self.caller.read(&self.request);
         let to = time::Instant::now().min(self.sent.from + DEADLINE);
@@ -150,7 +151,7 @@
     let mut unread_random = random.clone();
     unread_random.set_stream(UNREAD_STREAM);
     let mut unread = Vec::new();
-    let mut open: collections::HashMap<u8, IdleConnection> = collections::HashMap::new();
+    let mut idle: collections::HashMap<u8, IdleConnection> = collections::HashMap::new();
     let mut sent = Vec::new();
     for turn in 0.. {
         if stop_requested.load(atomic::Ordering::SeqCst) {
@@ -168,14 +169,14 @@
             _ => random.random_range(50..1_500),
         };
         let abandons = abandon_random.random_range(0..ABANDONED_REQUESTS) == 0;
-        // Abandoned requests have long answers, so that an upstream that works on shows.
+        // Abandoned requests have long answers, so that it shows if an upstream continues to work.
         let answer = if abandons { LONG_ANSWER_TOKENS.start } else { answer };
         let counts = (prompt, answer);
         let request = request(format!("{seed:x}-{client}-{turn}"), route, counts);
         let from = time::Instant::now();
-        let idle = open.remove(&instance).map_or(Err(None), IdleConnection::reuse);
-        let closed_idle_since = idle.as_ref().err().copied().flatten();
-        let connection = idle.ok();
+        let reused = idle.remove(&instance).map_or(Err(None), IdleConnection::reuse);
+        let closed_idle_since = reused.as_ref().err().copied().flatten();
+        let connection = reused.ok();
         let connection =
             connection.or_else(|| Caller::connect(instances[usize::from(instance)]).ok());
         let reads_nothing = unread_random.random_range(0..UNREAD_REQUESTS) == 0;
@@ -199,7 +200,7 @@
             Some(mut caller) => {
                 let outcome = caller.send(&request);
                 if !caller.closing && !matches!(outcome, Outcome::Cut(_)) {
-                    open.insert(instance, IdleConnection { caller, since: time::Instant::now() });
+                    idle.insert(instance, IdleConnection { caller, since: time::Instant::now() });
                 }
                 Some(outcome)
             }
