--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -16,7 +16,7 @@
 /// Statuses that an instance must not answer with: every configuration allows all requests that
 /// clients send.
 const DENIAL_STATUSES: [u16; 5] = [400, 401, 403, 404, 413];
-/// Time after its deadline within which a request must have ended.
+/// Time after the deadline of a request within which it must have ended.
 const END_SLACK: time::Duration = time::Duration::from_millis(1_500);
 /// Deadline that clients give with each request.
 const REQUEST_DEADLINE: time::Duration = time::Duration::from_secs(6);
--- a/crates/soak/src/config_check.rs
+++ b/crates/soak/src/config_check.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Returns the violation where an instance in contact had not applied a publication after
-/// [`APPLY_BOUND`].
+/// Returns the violation if an instance in contact answered a probe without a publication that was
+/// older than [`APPLY_BOUND`].
 fn late_activation(evidence: &Evidence, probe: &ConfigProbe) -> Option<(String, String)> {
     let number = denied_publication(probe)?;
     let published = evidence.publications.get(number)?.at;
--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -41,7 +41,7 @@
 pub struct UpstreamListing {
     /// Number of the upstream.
     pub upstream: u8,
-    /// Whether the upstream is to get no more requests; `false` where it is ready.
+    /// Whether the upstream is to get no more requests; `false` if it is ready.
     pub leaving: bool,
     /// Time at which the store had the change.
     pub at: time::Instant,
@@ -67,7 +67,7 @@
     pub id: String,
     /// Time at which the run began.
     pub at: time::Instant,
-    /// Time at which the upstream's last run of the request ended; equal to `at` where none has
+    /// Time at which the upstream's last run of the request ended; equal to `at` if no run has
     /// ended.
     pub ended: time::Instant,
 }
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -378,7 +378,7 @@
         if let Err(error) = self.fleet.start_instance(number) {
             self.evidence.violations.push(format!("instance {number} does not start: {error}"));
         }
-        // The loss of contact ends after the start, which may take long on a busy host.
+        // The loss of contact is recorded from after the start, which may take long on a busy host.
         let now = Instant::now();
         self.record_contact_loss(Some(number), now);
         if let Some(index) = self.stop_losses.remove(&number) {
