--- a/crates/core/src/cold_start.rs
+++ b/crates/core/src/cold_start.rs
@@ -11,7 +11,7 @@
 /// Whether cold upstreams are limited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ColdUpstreamWay {
+pub enum ColdUpstreamMode {
     /// Limited to the cold-start rate of their service.
     #[default]
     Limited,
@@ -40,7 +40,7 @@
 /// Cold phases of upstreams. An upstream name includes its start, so a restarted upstream has its own entry.
 #[derive(Debug, Default)]
 pub(crate) struct ColdTable {
-    way: ColdUpstreamWay,
+    mode: ColdUpstreamMode,
     policies: collections::BTreeMap<ids::ServiceId, ColdPolicy>,
     phases: collections::BTreeMap<ids::UpstreamId, (ids::ServiceId, ColdPhase)>,
     /// Number of changes of limits.
@@ -49,8 +49,8 @@
 
 impl ColdTable {
     /// Sets whether cold upstreams are limited.
-    pub(crate) fn set_way(&mut self, way: ColdUpstreamWay) {
-        self.way = way;
+    pub(crate) fn set_mode(&mut self, mode: ColdUpstreamMode) {
+        self.mode = mode;
     }
 
     /// Sets the policies of services.
@@ -98,7 +98,7 @@
     pub(crate) fn limit(&self, name: &ids::UpstreamId) -> Option<(units::RequestRate, ColdPhase)> {
         let (service, phase) = self.phases.get(name)?;
         let policy = self.policies.get(service)?;
-        (self.way == ColdUpstreamWay::Limited).then_some((policy.rate, *phase))
+        (self.mode == ColdUpstreamMode::Limited).then_some((policy.rate, *phase))
     }
 
     /// Names of the cold upstreams.
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -200,11 +200,11 @@
 
     /// Whether the engine is ejected.
     ///
-    /// With [`ways::EngineFaultWay::Probe`], an engine that failed gets a single request when its ejection time is
+    /// With [`ways::EngineFaultMode::Probe`], an engine that failed gets a single request when its ejection time is
     /// over, and stays ejected until the first token of that request.
-    pub(crate) fn is_ejected(&self, now: units::MonoTime, way: ways::EngineFaultWay) -> bool {
+    pub(crate) fn is_ejected(&self, now: units::MonoTime, mode: ways::EngineFaultMode) -> bool {
         let probed =
-            way == ways::EngineFaultWay::Probe && self.failures > 0 && !self.expected.is_empty();
+            mode == ways::EngineFaultMode::Probe && self.failures > 0 && !self.expected.is_empty();
         self.ejected_until > now || probed
     }
 
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -49,12 +49,12 @@
     /// Routing policy. All except [`settings::RoutingKind::ExpectedStart`] are baselines for comparison.
     pub routing: settings::RoutingKind,
     /// Variants of individual decisions. All except the defaults are for comparison.
-    pub ways: ways::PlannerWays,
+    pub ways: ways::PlannerModes,
 }
 
 impl Default for PlannerOptions {
     fn default() -> Self {
-        Self { routing: settings::RoutingKind::ExpectedStart, ways: ways::PlannerWays::default() }
+        Self { routing: settings::RoutingKind::ExpectedStart, ways: ways::PlannerModes::default() }
     }
 }
 
@@ -239,7 +239,7 @@
 
     /// Whether to poll an engine in this round: always if it has work, less often if it is idle.
     pub fn take_report_due(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
-        self.options.ways.reports == ways::ReportWay::All || self.table.take_report_due(now, name)
+        self.options.ways.reports == ways::ReportMode::All || self.table.take_report_due(now, name)
     }
 
     /// Applies an engine's load report.
@@ -334,7 +334,7 @@
         let (running, slots) = self.table.used_slots(&job.request.excluded);
         let full = running as f64 >= slots as f64 * CROWDED_FRACTION;
         let hopeless = f64::from(grant.first_token_ms) > job.patience_ms(now);
-        let crowded = self.options.ways.short_refusal == ways::ShortRefusalWay::Crowded
+        let crowded = self.options.ways.short_refusal == ways::ShortRefusalMode::Crowded
             && full
             && self.is_crowded(job, grant);
         if job.request.resumed || !(hopeless || crowded) {
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -43,7 +43,7 @@
 pub(crate) struct PlaceTable {
     /// Performance model of the engines.
     pub(crate) shape: route_table::EngineShape,
-    engine_faults: ways::EngineFaultWay,
+    engine_faults: ways::EngineFaultMode,
     /// Estimated state of each engine. Invariant: reflects exactly the placements in `jobs`.
     engines: collections::BTreeMap<ids::UpstreamId, engine_work::EngineWork>,
     jobs: collections::HashMap<engine_place::JobId, JobState>,
@@ -61,7 +61,7 @@
     /// Creates a table without engines.
     pub(crate) fn new(
         shape: route_table::EngineShape,
-        engine_faults: ways::EngineFaultWay,
+        engine_faults: ways::EngineFaultMode,
     ) -> Self {
         Self {
             shape,
@@ -151,7 +151,7 @@
             engine_place::PlaceEnd::Full => {
                 let engine = self.engines.get_mut(&state.lease.grant.engine);
                 if let Some(engine) =
-                    engine.filter(|_| self.engine_faults == ways::EngineFaultWay::Probe)
+                    engine.filter(|_| self.engine_faults == ways::EngineFaultMode::Probe)
                 {
                     engine.note_refusal(now);
                 }
--- a/crates/core/src/planner/ways.rs
+++ b/crates/core/src/planner/ways.rs
@@ -7,15 +7,15 @@
 
 use crate::{cold_start, retry_need, route_table, upstream_notice};
 
-/// Packing target of [`PackingWay::Fixed`]: two of 16 slots stay free for bursts.
+/// Packing target of [`PackingMode::Fixed`]: two of 16 slots stay free for bursts.
 const FIXED_PACKING_TARGET: usize = 14;
-/// Packing target of [`PackingWay::SlotShare`] as a fraction of an engine's slots.
+/// Packing target of [`PackingMode::SlotShare`] as a fraction of an engine's slots.
 const PACKING_TARGET_FRACTION: f64 = 0.875;
 
 /// How short requests are packed onto few engines, so that the others stay free for long prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PackingWay {
+pub enum PackingMode {
     /// Up to a fixed number of requests per engine.
     #[default]
     Fixed,
@@ -25,7 +25,7 @@
     Off,
 }
 
-impl PackingWay {
+impl PackingMode {
     /// Number of short requests that an engine gets before the next one is used; `None` without packing.
     pub(crate) fn packing_target(self, shape: &route_table::EngineShape) -> Option<usize> {
         match self {
@@ -41,7 +41,7 @@
 /// How an engine gets work again after a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum EngineFaultWay {
+pub enum EngineFaultMode {
     /// After an ejection time, one request until its first token. A refusal for lack of capacity also ejects the
     /// engine.
     #[default]
@@ -53,7 +53,7 @@
 /// When a short request is refused that finds no engine which meets all its limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ShortRefusalWay {
+pub enum ShortRefusalMode {
     /// If its caller would give up before the first token, or if most slots are in use and it would be queued or
     /// late.
     #[default]
@@ -65,7 +65,7 @@
 /// How other instances learn that an upstream is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LeavingNewsWay {
+pub enum LeavingNoticeMode {
     /// The member that the upstream informed notifies all others at once.
     #[default]
     All,
@@ -76,7 +76,7 @@
 /// How a planner learns that a member must not send to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ClosedEngineWay {
+pub enum ClosedEngineMode {
     /// From each placement request of that member.
     #[default]
     Asked,
@@ -87,7 +87,7 @@
 /// Which upstream of a plain service takes a call, among those of equal rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LoadChoiceWay {
+pub enum LoadChoiceMode {
     /// A random one of the least loaded.
     #[default]
     Random,
@@ -102,7 +102,7 @@
 /// Order of the retries that draw on the budget shared by all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RetryOrderWay {
+pub enum RetryOrderMode {
     /// Retries that save more come first.
     #[default]
     ByNeed,
@@ -110,7 +110,7 @@
     Arrival,
 }
 
-impl RetryOrderWay {
+impl RetryOrderMode {
     /// The need by which a retry is ordered; the same for all with [`Self::Arrival`].
     pub fn need(self, need: retry_need::RetryNeed) -> retry_need::RetryNeed {
         match self {
@@ -123,7 +123,7 @@
 /// Which engines are polled for a report in each round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ReportWay {
+pub enum ReportMode {
     /// Engines with work; idle engines less often.
     #[default]
     Used,
@@ -133,31 +133,32 @@
 
 /// The selected variant of each decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct PlannerWays {
+// Names the type in the error text for a value that is not a map.
+#[serde(deny_unknown_fields, default, expecting = "struct PlannerWays")]
+pub struct PlannerModes {
     /// Packing of short requests.
-    pub packing: PackingWay,
+    pub packing: PackingMode,
     /// Recovery of engines that failed.
-    pub engine_faults: EngineFaultWay,
+    pub engine_faults: EngineFaultMode,
     /// Refusal of short requests.
-    pub short_refusal: ShortRefusalWay,
+    pub short_refusal: ShortRefusalMode,
     /// How requests to an upstream resume after a backoff.
-    pub rest_return: upstream_notice::RestReturnWay,
+    pub rest_return: upstream_notice::BackoffReturnMode,
     /// Propagation of the news that an upstream is leaving.
-    pub leaving_news: LeavingNewsWay,
+    pub leaving_news: LeavingNoticeMode,
     /// How planners learn which engines a member must not send to.
-    pub closed_engines: ClosedEngineWay,
+    pub closed_engines: ClosedEngineMode,
     /// Choice among the upstreams of a plain service.
-    pub load_choice: LoadChoiceWay,
+    pub load_choice: LoadChoiceMode,
     /// Order of shared retries.
-    pub retry_order: RetryOrderWay,
+    pub retry_order: RetryOrderMode,
     /// Limits of upstreams that have just started.
-    pub cold_upstreams: cold_start::ColdUpstreamWay,
+    pub cold_upstreams: cold_start::ColdUpstreamMode,
     /// Polling of engines for reports.
-    pub reports: ReportWay,
+    pub reports: ReportMode,
 }
 
-impl fmt::Display for PlannerWays {
+impl fmt::Display for PlannerModes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -62,7 +62,7 @@
 
 /// How crashes are counted. The default is the one to use; the other exists for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum BlameWay {
+pub enum CrashCountMode {
     /// The rules of this module.
     #[default]
     Sequence,
@@ -119,16 +119,16 @@
 /// Evidence against all requests.
 #[derive(Debug, Default)]
 pub struct QuarantineTable {
-    way: BlameWay,
+    mode: CrashCountMode,
     suspects: collections::BTreeMap<request_digest::RequestDigest, SuspectRecord>,
     /// Number of requests with a quarantine, whether expired or not, that no other request explains.
     quarantined: usize,
 }
 
 impl QuarantineTable {
-    /// Creates an empty table that counts crashes as `way` says.
-    pub fn new(way: BlameWay) -> Self {
-        Self { way, ..Self::default() }
+    /// Creates an empty table that counts crashes as `mode` says.
+    pub fn new(mode: CrashCountMode) -> Self {
+        Self { mode, ..Self::default() }
     }
 
     /// Whether there is no evidence.
@@ -160,7 +160,8 @@
     /// Clears a request of crashes up to `at`, when it was answered or released by an operator; returns whether there
     /// is a record of it.
     pub fn clear(&mut self, digest: request_digest::RequestDigest, at: units::MonoTime) -> bool {
-        let Some(record) = self.suspects.get_mut(&digest).filter(|_| self.way != BlameWay::Count)
+        let Some(record) =
+            self.suspects.get_mut(&digest).filter(|_| self.mode != CrashCountMode::Count)
         else {
             return false;
         };
@@ -248,10 +249,10 @@
 
     /// Derives the quarantines from the evidence.
     fn update_quarantines(&mut self) {
-        let way = self.way;
-        let count_of = |record: &SuspectRecord| match way {
-            BlameWay::Sequence => record.sequence(),
-            BlameWay::Count => record.crashes.len(),
+        let mode = self.mode;
+        let count_of = |record: &SuspectRecord| match mode {
+            CrashCountMode::Sequence => record.sequence(),
+            CrashCountMode::Count => record.crashes.len(),
         };
         for record in self.suspects.values_mut() {
             record.quarantined_until = quarantined_until(record, count_of(record));
@@ -270,7 +271,7 @@
         let explained: Vec<_> =
             quarantined.iter().copied().filter(|digest| is_explained(digest)).collect();
         self.quarantined = quarantined.len() - explained.len();
-        for digest in explained.iter().filter(|_| way == BlameWay::Sequence) {
+        for digest in explained.iter().filter(|_| mode == CrashCountMode::Sequence) {
             if let Some(record) = self.suspects.get_mut(digest) {
                 record.quarantined_until = None;
             }
--- a/crates/core/src/request_limits.rs
+++ b/crates/core/src/request_limits.rs
@@ -6,8 +6,8 @@
 
 impl upstream_list::UpstreamList {
     /// Sets whether upstreams are limited after a cold start.
-    pub fn set_cold_way(&mut self, way: cold_start::ColdUpstreamWay) {
-        self.cold.set_way(way);
+    pub fn set_cold_mode(&mut self, mode: cold_start::ColdUpstreamMode) {
+        self.cold.set_mode(mode);
     }
 
     /// Sets the cold start policies of services.
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -84,7 +84,7 @@
 /// How requests resume after a backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RestReturnWay {
+pub enum BackoffReturnMode {
     /// One probe first.
     #[default]
     One,
@@ -118,15 +118,15 @@
 #[derive(Debug, Default)]
 pub struct NoticeTable {
     notices: collections::BTreeMap<ids::UpstreamId, UpstreamNotice>,
-    rest_return: RestReturnWay,
+    rest_return: BackoffReturnMode,
     /// Incremented with each change of a limit.
     limit_changes: u64,
 }
 
 impl NoticeTable {
     /// Sets how requests resume after a backoff.
-    pub fn set_return(&mut self, way: RestReturnWay) {
-        self.rest_return = way;
+    pub fn set_return_mode(&mut self, mode: BackoffReturnMode) {
+        self.rest_return = mode;
     }
 
     /// Records that a start is leaving; returns whether that is new.
@@ -207,7 +207,7 @@
         let backoff = self.notices.get(name).and_then(|notice| notice.backoff);
         let ended =
             backoff.filter(|backoff| backoff.until <= now && now < backoff.until + RETURN_TIME);
-        let Some(backoff) = ended.filter(|_| self.rest_return == RestReturnWay::One) else {
+        let Some(backoff) = ended.filter(|_| self.rest_return == BackoffReturnMode::One) else {
             return false;
         };
         let probed = backoff.probe_sent.is_some_and(|at| now.since(at) < PROBE_TIMEOUT);
--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -7,7 +7,7 @@
 
 use list_entries::{at, name};
 use slipturn_core::{
-    cold_start::{ColdPolicy, ColdUpstreamWay},
+    cold_start::{ColdPolicy, ColdUpstreamMode},
     ids, units,
     upstream_limit::LimitReading,
     upstream_list::{ListChange, UpstreamEntry, UpstreamList},
@@ -104,7 +104,7 @@
     list.replace(at(0), vec![entry(1, 3_000)], 10.into());
     assert_eq!(limit(&list, 1), None);
     let mut list = list_with_policy();
-    list.set_cold_way(ColdUpstreamWay::Full);
+    list.set_cold_mode(ColdUpstreamMode::Full);
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
     assert_eq!(limit(&list, 1), None);
 }
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::planner::{
     PlacementPlanner, PlannerOptions,
-    ways::{PlannerWays, ReportWay},
+    ways::{PlannerModes, ReportMode},
 };
 use support::{at, engine, shape, short};
 
@@ -13,8 +13,8 @@
 /// Time between two polling rounds, milliseconds.
 const ROUND_MS: u64 = 2_000;
 
-fn planner(engines: usize, reports: ReportWay) -> PlacementPlanner {
-    let ways = PlannerWays { reports, ..Default::default() };
+fn planner(engines: usize, reports: ReportMode) -> PlacementPlanner {
+    let ways = PlannerModes { reports, ..Default::default() };
     let mut planner = PlacementPlanner::new(shape(), PlannerOptions { ways, ..Default::default() });
     let ranked: Vec<_> = (0..engines).map(engine).zip(0..).collect();
     planner.set_engines(at(0), &ranked);
@@ -42,9 +42,9 @@
 
 #[test]
 fn idle_engines_are_polled_about_a_third_as_often() {
-    let (all, used) = requested_reports(&mut planner(ENGINES, ReportWay::All), 30);
+    let (all, used) = requested_reports(&mut planner(ENGINES, ReportMode::All), 30);
     assert_eq!((all, used), (30 * ENGINES, 30));
-    let (all, used) = requested_reports(&mut planner(ENGINES, ReportWay::Used), 30);
+    let (all, used) = requested_reports(&mut planner(ENGINES, ReportMode::Used), 30);
     println!("{all} reports instead of {}", 30 * ENGINES);
     assert_eq!(used, 30, "an engine with work is polled in each round");
     assert!(all <= 30 * ENGINES / 3 + ENGINES, "{all} reports");
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_small_cell_polls_all_engines_in_each_round() {
-    let mut planner = planner(16, ReportWay::Used);
+    let mut planner = planner(16, ReportMode::Used);
     for round in 0..10 {
         let requested_reports = (0..16)
             .filter(|number| planner.take_report_due(at(round * ROUND_MS), &engine(*number)));
@@ -62,7 +62,7 @@
 
 #[test]
 fn an_engine_that_is_slow_shared_or_failed_is_polled_in_each_round() {
-    let mut planner = planner(ENGINES, ReportWay::Used);
+    let mut planner = planner(ENGINES, ReportMode::Used);
     assert!(planner.take_report_due(at(0), &engine(1)), "it has not reported yet");
     assert!(!planner.take_report_due(at(ROUND_MS), &engine(1)));
     planner.set_report(&engine(1), 4.0, 0);
--- a/crates/core/tests/fleet_budget.rs
+++ b/crates/core/tests/fleet_budget.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{
     fleet_budget::{RetryBound, RetryShare},
-    planner::ways::RetryOrderWay,
+    planner::ways::RetryOrderMode,
     quota_ledger::QuotaLedger,
     quota_permit::{PermitRequest, PermitResponse},
     retry_need::RetryNeed,
@@ -150,7 +150,7 @@
 
 /// Simulates 20 s in which many attempts are slow and some fail, at all members in turn. Every two seconds an upstream
 /// crashes, which breaks `broken` partly delivered answers.
-fn storm(members: usize, order: RetryOrderWay, broken: usize) -> StormResult {
+fn storm(members: usize, order: RetryOrderMode, broken: usize) -> StormResult {
     let mut fleet = Fleet::new(members, Some(members), 1, 1.0);
     let mut result = StormResult::default();
     let mut turn = 0;
@@ -178,7 +178,7 @@
 #[test]
 fn retries_of_partly_delivered_answers_have_priority() {
     for members in [6, 60, 300] {
-        let [arrival, by_need] = [RetryOrderWay::Arrival, RetryOrderWay::ByNeed];
+        let [arrival, by_need] = [RetryOrderMode::Arrival, RetryOrderMode::ByNeed];
         let (before, after) = (storm(members, arrival, 6), storm(members, by_need, 6));
         println!("{members} members, in order of arrival {before:?}, by need {after:?}");
         assert!(after.begun.1 >= before.begun.1 * 3, "{members} members");
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -7,13 +7,13 @@
     ids,
     planner::{
         PlacementPlanner, PlannerOptions,
-        ways::{EngineFaultWay, PackingWay, PlannerWays, ShortRefusalWay},
+        ways::{EngineFaultMode, PackingMode, PlannerModes, ShortRefusalMode},
     },
     settings::RoutingKind,
 };
 use support::{SLOTS, at, engine, long, shape, short};
 
-fn planner(engines: usize, ways: PlannerWays) -> PlacementPlanner {
+fn planner(engines: usize, ways: PlannerModes) -> PlacementPlanner {
     let options = PlannerOptions { routing: RoutingKind::ExpectedStart, ways };
     let mut planner = PlacementPlanner::new(shape(), options);
     set_engines(&mut planner, 0, &(0..engines).map(engine).collect::<Vec<_>>());
@@ -34,8 +34,8 @@
 
 /// Sends a prompt every 20 ms to two engines: the first one ends each at once with `end`, the other answers within
 /// about 250 ms. Returns the number of prompts that the first one got.
-fn prompts_to_faulty(way: EngineFaultWay, end: PlaceEnd, prompts: u64) -> usize {
-    let ways = PlannerWays { engine_faults: way, ..Default::default() };
+fn prompts_to_faulty(way: EngineFaultMode, end: PlaceEnd, prompts: u64) -> usize {
+    let ways = PlannerModes { engine_faults: way, ..Default::default() };
     let mut planner = planner(2, ways);
     let mut count = 0;
     for number in 0..prompts {
@@ -57,20 +57,20 @@
 /// When refusals were ignored, all prompts went to the engine that refused them, because it looked idle.
 #[test]
 fn an_engine_that_refuses_all_prompts_gets_few() {
-    assert_eq!(prompts_to_faulty(EngineFaultWay::Pause, PlaceEnd::Full, 150), 150);
-    let count = prompts_to_faulty(EngineFaultWay::Probe, PlaceEnd::Full, 150);
+    assert_eq!(prompts_to_faulty(EngineFaultMode::Pause, PlaceEnd::Full, 150), 150);
+    let count = prompts_to_faulty(EngineFaultMode::Probe, PlaceEnd::Full, 150);
     assert!(count <= 6, "{count} of 150 in three seconds");
 }
 
 #[test]
 fn an_engine_that_fails_all_prompts_gets_few() {
-    let count = prompts_to_faulty(EngineFaultWay::Probe, PlaceEnd::Failed, 150);
+    let count = prompts_to_faulty(EngineFaultMode::Probe, PlaceEnd::Failed, 150);
     assert!(count <= 4, "{count} of 150 in three seconds");
 }
 
 #[test]
 fn after_a_failure_an_engine_gets_one_prompt_until_its_first_token() {
-    let mut planner = planner(2, PlannerWays::default());
+    let mut planner = planner(2, PlannerModes::default());
     let failed = place(&mut planner, 0, short(0));
     planner.end(at(5), failed.job, PlaceEnd::Failed);
     // Its ejection time is over, and packing makes it the first choice.
@@ -86,7 +86,7 @@
 
 #[test]
 fn the_only_engine_gets_prompts_despite_failures() {
-    let mut planner = planner(1, PlannerWays::default());
+    let mut planner = planner(1, PlannerModes::default());
     for number in 0..5 {
         let grant = place(&mut planner, number * 10, short(number));
         planner.end(at(number * 10 + 2), grant.job, PlaceEnd::Failed);
@@ -96,7 +96,7 @@
 #[test]
 fn a_restarted_engine_has_no_failures_and_no_placements() {
     let starts = [7, 8].map(|start| engine(0).with_start(ids::UpstreamStart(start)));
-    let mut planner = planner(0, PlannerWays::default());
+    let mut planner = planner(0, PlannerModes::default());
     set_engines(&mut planner, 0, &starts[..1]);
     let before = place(&mut planner, 0, short(0));
     planner.end(at(2), before.job, PlaceEnd::Failed);
@@ -118,7 +118,7 @@
 fn packing_fills_an_engine_up_to_two_beyond_its_target() {
     // The largest number of prompts on one engine with 8 slots, when 8 prompts arrive slowly.
     let fullest = |packing| {
-        let ways = PlannerWays { packing, ..Default::default() };
+        let ways = PlannerModes { packing, ..Default::default() };
         let options = PlannerOptions { routing: RoutingKind::ExpectedStart, ways };
         let small = slipturn_core::route_table::EngineShape { slots: 8, ..shape() };
         let mut planner = PlacementPlanner::new(small, options);
@@ -131,24 +131,24 @@
         }
         engines.into_values().max()
     };
-    assert_eq!((fullest(PackingWay::Fixed), fullest(PackingWay::SlotShare)), (Some(8), Some(8)));
+    assert_eq!((fullest(PackingMode::Fixed), fullest(PackingMode::SlotShare)), (Some(8), Some(8)));
 }
 
 #[test]
 fn refusals_of_crowded_short_prompts_can_be_switched_off() {
     let refused = |short_refusal| {
-        let mut planner = planner(1, PlannerWays { short_refusal, ..Default::default() });
+        let mut planner = planner(1, PlannerModes { short_refusal, ..Default::default() });
         (0..24).any(|number| {
             matches!(planner.request(at(number), short(number)), Some(PlaceAnswer::Refuse(_)))
         })
     };
-    assert!(refused(ShortRefusalWay::Crowded) && !refused(ShortRefusalWay::Hopeless));
+    assert!(refused(ShortRefusalMode::Crowded) && !refused(ShortRefusalMode::Hopeless));
 }
 
 /// Engines that have requested a backoff from a member look idle; the free slots there must not count for its requests.
 #[test]
 fn slots_of_excluded_engines_do_not_count_as_free() {
-    let mut planner = planner(3, PlannerWays::default());
+    let mut planner = planner(3, PlannerModes::default());
     let closed = vec![engine(0), engine(1)];
     let closed_to = |number| PlacementRequest { excluded: closed.clone(), ..short(number) };
     for number in 0..SLOTS as u64 {
@@ -173,7 +173,7 @@
 /// An engine may request a backoff from a member while a prompt of that member waits for the engine.
 #[test]
 fn a_waiting_prompt_uses_the_excluded_engines_of_its_latest_request() {
-    let mut planner = planner(2, PlannerWays::default());
+    let mut planner = planner(2, PlannerModes::default());
     let patient = |number| PlacementRequest {
         goal_ms: 20_000,
         goal_left_ms: 20_000,
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use slipturn_core::{
-    quarantine::{BlameWay, CrashedRun, QuarantineTable},
+    quarantine::{CrashCountMode, CrashedRun, QuarantineTable},
     request_digest::RequestDigest,
     units::MonoTime,
 };
@@ -171,7 +171,7 @@
 
 #[test]
 fn counting_every_crash_quarantines_a_request_after_a_rack_failure() {
-    let mut table = QuarantineTable::new(BlameWay::Count);
+    let mut table = QuarantineTable::new(CrashCountMode::Count);
     table.note_crashes(at(500), (0..4).map(|copy| run("x", &format!("e{copy}"), copy, 500)));
     assert!(is_quarantined(&table, "x", 600), "the sequence rule exists to prevent this");
 }
--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, SeedableRng as _, seq::IteratorRandom as _};
 use slipturn_core::{
     ids::UpstreamId,
-    quarantine::{BlameWay, CrashedRun, QuarantineTable},
+    quarantine::{CrashCountMode, CrashedRun, QuarantineTable},
     request_digest::RequestDigest,
     units::MonoTime,
 };
@@ -99,7 +99,7 @@
 }
 
 impl Play {
-    fn play(storm: Storm, way: BlameWay, seed: u64) -> Figures {
+    fn play(storm: Storm, way: CrashCountMode, seed: u64) -> Figures {
         let mut play = Self {
             storm,
             random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
@@ -213,7 +213,7 @@
 const SEEDS: u64 = 5;
 
 /// Runs a storm with all seeds and adds the results up.
-fn sums(storm: Storm, way: BlameWay) -> Figures {
+fn sums(storm: Storm, way: CrashCountMode) -> Figures {
     let all = (0..SEEDS).map(|seed| Play::play(storm, way, seed));
     let sum = all.reduce(|sum, next| Figures {
         harmless: sum.harmless + next.harmless,
@@ -243,8 +243,8 @@
     {
         for same in [false, true] {
             let storm = Storm { name, crashes: Some(crashes), same, ..CALM };
-            let by_sequence = sums(storm, BlameWay::Sequence);
-            let by_count = sums(storm, BlameWay::Count);
+            let by_sequence = sums(storm, CrashCountMode::Sequence);
+            let by_count = sums(storm, CrashCountMode::Count);
             assert!(
                 by_sequence.refused * 1_000 <= by_sequence.harmless,
                 "{storm:?}: {by_sequence:?}"
@@ -267,8 +267,8 @@
                 arrivals,
                 ..CALM
             };
-            let by_sequence = sums(storm, BlameWay::Sequence);
-            let by_count = sums(storm, BlameWay::Count);
+            let by_sequence = sums(storm, CrashCountMode::Sequence);
+            let by_count = sums(storm, CrashCountMode::Count);
             assert!(
                 by_sequence.crashed <= SEEDS as usize * deadly * 6,
                 "{storm:?}: {by_sequence:?}"
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -8,7 +8,7 @@
     send_gate::{ProbePermission, SendDenial, SendKind},
     units,
     upstream_notice::{
-        BackoffChange, MAX_ACCEPTED_BACKOFF, NoticeSource, NoticeTable, RestReturnWay,
+        BackoffChange, BackoffReturnMode, MAX_ACCEPTED_BACKOFF, NoticeSource, NoticeTable,
     },
 };
 
@@ -151,7 +151,7 @@
     }
     table.receive_backoff(at(2_000), &upstream, ms(1_000));
     assert!(!avoided(&table, 13_000, ProbePermission::No), "the time for probes is over");
-    table.set_return(RestReturnWay::All);
+    table.set_return_mode(BackoffReturnMode::All);
     assert!(!avoided(&table, 3_500, ProbePermission::No));
 }
 
--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -26,7 +26,7 @@
         let spent = context.now().since(asked);
         let mut ask =
             engine_place::PlacementRequest { job: context.next_job(), ..ask.after(spent) };
-        if context.settings().experiments.closed_engines == ways::ClosedEngineWay::Asked {
+        if context.settings().experiments.closed_engines == ways::ClosedEngineMode::Asked {
             ask.excluded.extend(context.closed_engines(&planner, probe_permission));
         }
         if !refused.is_empty() && ask.goal_left_ms == 0 {
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -155,9 +155,9 @@
         let load_choice = parts.settings.experiments.load_choice;
         let loads = upstream_load::UpstreamLoads::new(load_choice, own.as_str());
         let mut fleet = fleet_state::FleetState::new(rc::Rc::clone(&parts.adapter));
-        fleet.list.notices_mut().set_return(parts.settings.experiments.rest_return);
+        fleet.list.notices_mut().set_return_mode(parts.settings.experiments.rest_return);
         fleet.list.set_rewrite_time(parts.settings.rewrite_time());
-        fleet.list.set_cold_way(parts.settings.experiments.cold_upstreams);
+        fleet.list.set_cold_mode(parts.settings.experiments.cold_upstreams);
         Self {
             adapter: parts.adapter,
             clock: process::ProcessClock::start(),
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -33,7 +33,7 @@
 /// Load, health and answer times of upstreams as known to this process.
 #[derive(Debug, Default)]
 pub struct UpstreamLoads {
-    way: ways::LoadChoiceWay,
+    way: ways::LoadChoiceMode,
     /// Name of this instance.
     own: String,
     states: collections::HashMap<ids::UpstreamId, LoadState>,
@@ -43,7 +43,7 @@
 
 impl UpstreamLoads {
     /// Creates an empty state for the instance named `own`.
-    pub fn new(way: ways::LoadChoiceWay, own: &str) -> Self {
+    pub fn new(way: ways::LoadChoiceMode, own: &str) -> Self {
         Self { way, own: own.to_owned(), ..Self::default() }
     }
 
@@ -87,14 +87,14 @@
             return Some(limited);
         }
         match self.way {
-            ways::LoadChoiceWay::First => Some(first),
+            ways::LoadChoiceMode::First => Some(first),
             // To instances with few calls in progress all upstreams look alike, so a fixed order
             // would send the calls of all instances to the same one.
-            ways::LoadChoiceWay::Random => {
+            ways::LoadChoiceMode::Random => {
                 equal.collect::<Vec<_>>().choose(&mut rand::rng()).copied()
             }
-            ways::LoadChoiceWay::OwnOrder => equal.max_by_key(|entry| self.own_rank(entry)),
-            ways::LoadChoiceWay::TwoChoices => {
+            ways::LoadChoiceMode::OwnOrder => equal.max_by_key(|entry| self.own_rank(entry)),
+            ways::LoadChoiceMode::TwoChoices => {
                 let drawn: Vec<_> = costs.sample(&mut rand::rng(), 2).copied().collect();
                 least(&drawn).map(|(_, entry)| entry)
             }
--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -12,14 +12,14 @@
     ids,
     planner::{
         PlacementPlanner, PlannerOptions,
-        ways::{ClosedEngineWay, PlannerWays},
+        ways::{ClosedEngineMode, PlannerModes},
     },
     route_table,
     send_gate::{ProbePermission, SendKind},
     settings::RoutingKind,
     units,
     upstream_list::{UpstreamEntry, UpstreamList},
-    upstream_notice::RestReturnWay,
+    upstream_notice::BackoffReturnMode,
 };
 
 const MEMBERS: usize = 6;
@@ -51,7 +51,7 @@
     "models".parse().expect("a name")
 }
 
-fn list(way: RestReturnWay) -> UpstreamList {
+fn list(way: BackoffReturnMode) -> UpstreamList {
     let entry = |number| UpstreamEntry {
         name: engine(number),
         service: service(),
@@ -63,7 +63,7 @@
     };
     let mut list = UpstreamList::default();
     list.replace(at(0), (0..ENGINES).map(entry).collect(), 1.into());
-    list.notices_mut().set_return(way);
+    list.notices_mut().set_return_mode(way);
     list
 }
 
@@ -80,7 +80,7 @@
         report_lag_ms: 200.0,
     };
     let options =
-        PlannerOptions { routing: RoutingKind::ExpectedStart, ways: PlannerWays::default() };
+        PlannerOptions { routing: RoutingKind::ExpectedStart, ways: PlannerModes::default() };
     let mut planner = PlacementPlanner::new(shape, options);
     let ranked: Vec<_> = (0..ENGINES).map(engine).zip(0..).collect();
     planner.set_engines(at(0), &ranked);
@@ -148,7 +148,7 @@
 
     /// Serves one prompt at one member; returns false if the prompt was lost. A refusal by the planner
     /// does not count as lost.
-    fn serve(&mut self, now: u64, member: usize, closed: ClosedEngineWay) -> bool {
+    fn serve(&mut self, now: u64, member: usize, closed: ClosedEngineMode) -> bool {
         let mut excluded = Vec::new();
         let mut sent_attempts = 0;
         for _ in 0..MAX_TRIES {
@@ -157,7 +157,7 @@
             }
             let probe_permission = ProbePermission::of(excluded.len(), ATTEMPTS);
             let mut all = excluded.clone();
-            if closed == ClosedEngineWay::Asked {
+            if closed == ClosedEngineMode::Asked {
                 let service = service();
                 let names = self.lists[member].closed(at(now), &service, probe_permission);
                 all.extend(names.into_iter().cloned());
@@ -197,8 +197,8 @@
 }
 
 fn simulate(
-    way: RestReturnWay,
-    closed: ClosedEngineWay,
+    way: BackoffReturnMode,
+    closed: ClosedEngineMode,
     (failing_engines, refused_fraction): (usize, f64),
     seed: u64,
 ) -> Outcome {
@@ -222,7 +222,7 @@
     simulation.outcome
 }
 
-fn sum(way: RestReturnWay, closed: ClosedEngineWay, failures: (usize, f64)) -> Outcome {
+fn sum(way: BackoffReturnMode, closed: ClosedEngineMode, failures: (usize, f64)) -> Outcome {
     let runs = (0..10).map(|seed| simulate(way, closed, failures, seed));
     runs.fold(Outcome::default(), |sum, one| Outcome {
         sent: sum.sent + one.sent,
@@ -239,9 +239,9 @@
 #[test]
 fn single_probes_after_a_backoff_lose_fewer_prompts_and_excluded_engines_are_not_granted() {
     for failures in [(1, 0.4), (2, 0.4), (2, 1.0), (3, 0.7)] {
-        let one = sum(RestReturnWay::One, ClosedEngineWay::Asked, failures);
-        let all = sum(RestReturnWay::All, ClosedEngineWay::Asked, failures);
-        let without_exclusions = sum(RestReturnWay::All, ClosedEngineWay::KeptBack, failures);
+        let one = sum(BackoffReturnMode::One, ClosedEngineMode::Asked, failures);
+        let all = sum(BackoffReturnMode::All, ClosedEngineMode::Asked, failures);
+        let without_exclusions = sum(BackoffReturnMode::All, ClosedEngineMode::KeptBack, failures);
         println!(
             "{failures:?}: single probe {one:?}; all {all:?}; without exclusions {without_exclusions:?}"
         );
--- a/crates/instance/tests/upstream_shares.rs
+++ b/crates/instance/tests/upstream_shares.rs
@@ -8,7 +8,7 @@
 
 use rand::{RngExt as _, SeedableRng as _};
 use slipturn_core::{
-    fleet_list::ListState, planner::ways::LoadChoiceWay, units, upstream_health::CallResult,
+    fleet_list::ListState, planner::ways::LoadChoiceMode, units, upstream_health::CallResult,
     upstream_list::UpstreamEntry,
 };
 use slipturn_instance::upstream_load::UpstreamLoads;
@@ -85,7 +85,7 @@
     }
 }
 
-fn simulate(way: LoadChoiceWay, plan: SharePlan, seed: u64) -> ShareFigures {
+fn simulate(way: LoadChoiceMode, plan: SharePlan, seed: u64) -> ShareFigures {
     let entries: Vec<_> = (0..UPSTREAMS).map(entry).collect();
     let usable: Vec<_> = entries.iter().collect();
     let own = "dc".parse().expect("a valid name");
@@ -133,7 +133,7 @@
 }
 
 /// Returns the mean over three seeds.
-fn mean(way: LoadChoiceWay, plan: SharePlan) -> ShareFigures {
+fn mean(way: LoadChoiceMode, plan: SharePlan) -> ShareFigures {
     const SEEDS: u64 = 3;
     let runs: Vec<_> = (0..SEEDS).map(|seed| simulate(way, plan, seed)).collect();
     let mean =
@@ -141,11 +141,11 @@
     ShareFigures { busiest: mean(|run| run.busiest), late: mean(|run| run.late) }
 }
 
-const WAYS: [LoadChoiceWay; 4] = [
-    LoadChoiceWay::First,
-    LoadChoiceWay::Random,
-    LoadChoiceWay::TwoChoices,
-    LoadChoiceWay::OwnOrder,
+const WAYS: [LoadChoiceMode; 4] = [
+    LoadChoiceMode::First,
+    LoadChoiceMode::Random,
+    LoadChoiceMode::TwoChoices,
+    LoadChoiceMode::OwnOrder,
 ];
 
 /// Guards against one upstream receiving most calls: each instance has few calls in progress, so its
@@ -160,7 +160,7 @@
                 println!(
                     "{way:?}, {instances} instances, load reported {reports_load}: {figures:?}"
                 );
-                if way == LoadChoiceWay::default() {
+                if way == LoadChoiceMode::default() {
                     assert!(figures.busiest <= EQUAL, "{instances}, {reports_load}: {figures:?}");
                 }
             }
@@ -179,8 +179,8 @@
             println!(
                 "load {load}, slowdown {slowdown}, {instances} instances, load reported {reports_load}: late {all:.3?}"
             );
-            let default_late = late(LoadChoiceWay::default());
-            assert!(default_late <= late(LoadChoiceWay::First) + 0.01, "{plan:?}");
+            let default_late = late(LoadChoiceMode::default());
+            assert!(default_late <= late(LoadChoiceMode::First) + 0.01, "{plan:?}");
         }
     }
 }
