--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -48,7 +48,7 @@
     /// A portion must first be drawn from the instance that keeps the customer's budget.
     Draw {
         /// Address of the scheduler on that instance.
-        keeper: net::SocketAddr,
+        owner: net::SocketAddr,
         /// Budget limit to send with the draw.
         limit: budget::BudgetLimit,
         /// Size of the portion to draw.
@@ -246,9 +246,9 @@
         if self.budget_cache.spend(now, customer, want) {
             return BudgetStep::Spent;
         }
-        match rendezvous::budget_keeper(&self.list, customer) {
-            Some(keeper) => BudgetStep::Draw {
-                keeper: keeper.scheduler,
+        match rendezvous::budget_owner(&self.list, customer) {
+            Some(owner) => BudgetStep::Draw {
+                owner: owner.scheduler,
                 limit: limit_of(resolved),
                 want: self.budget_cache.draw_size(now, customer, want),
             },
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -78,7 +78,7 @@
 }
 
 /// The instance whose scheduler keeps a customer's token budget.
-pub fn budget_keeper<'a>(
+pub fn budget_owner<'a>(
     list: &'a fleet_list::FleetList,
     customer: &ids::CustomerId,
 ) -> Option<&'a fleet_list::InstanceRecord> {
--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -30,8 +30,8 @@
         let _drawing = lock.lock().await;
         // Another request may have drawn enough while this one waited for the lock.
         step = context.events.ask(spend).await;
-        if let entry_router::BudgetStep::Draw { keeper, limit, want } = step {
-            step = draw(context, settings, (keeper, limit, want), spend, record).await;
+        if let entry_router::BudgetStep::Draw { owner, limit, want } = step {
+            step = draw(context, settings, (owner, limit, want), spend, record).await;
         }
     }
     match step {
@@ -50,14 +50,14 @@
 async fn draw(
     context: &request_context::EntryContext,
     settings: &settings_resolve::ResolvedSettings,
-    (keeper, limit, want): (net::SocketAddr, budget::BudgetLimit, units::TokenCount),
+    (owner, limit, want): (net::SocketAddr, budget::BudgetLimit, units::TokenCount),
     spend: impl Fn(oneshot::Sender<entry_router::BudgetStep>) -> event::EntryEvent,
     record: &mut decision::DecisionRecord,
 ) -> entry_router::BudgetStep {
     let customer = &settings.customer;
-    match context.links.link(keeper).draw(customer, limit, want).await {
+    match context.links.link(owner).draw(customer, limit, want).await {
         Ok(Ok(portion)) => {
-            record.notes.push(format!("budget: {} drawn from {keeper}", portion.tokens));
+            record.notes.push(format!("budget: {} drawn from {owner}", portion.tokens));
             context.events.send(event::EntryEvent::Portion(customer.clone(), portion));
             context.events.ask(spend).await
         }
