--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -113,7 +113,7 @@
         memory: units::TokenCount(4_100),
         grouped: false,
         deadline: now + time::Duration::from_secs(120),
-        patience: now + time::Duration::from_secs(120),
+        queue_deadline: now + time::Duration::from_secs(120),
     };
     for number in 0..128 {
         ledger.enqueue(now, request(number));
--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -427,7 +427,7 @@
             memory: units::TokenCount(arrival.prompt + arrival.output),
             grouped: false,
             deadline,
-            patience: deadline,
+            queue_deadline: deadline,
         }
     }
 }
--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -330,7 +330,7 @@
             .iter()
             .map(|item| {
                 let request = &item.payload;
-                (request.attempt.clone(), self.latest_start(request).min(request.patience))
+                (request.attempt.clone(), self.latest_start(request).min(request.queue_deadline))
             })
             .collect();
         let draining = self.draining;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -30,7 +30,7 @@
     /// When the answer must be complete.
     pub deadline: units::MonoTime,
     /// How long the request may wait in the queue.
-    pub patience: units::MonoTime,
+    pub queue_deadline: units::MonoTime,
 }
 
 impl CapacityRequest {
--- a/crates/core/tests/engine_ledger.rs
+++ b/crates/core/tests/engine_ledger.rs
@@ -50,7 +50,7 @@
         memory: units::TokenCount(prompt + 100),
         grouped: false,
         deadline: at(deadline_ms),
-        patience: at(deadline_ms),
+        queue_deadline: at(deadline_ms),
     }
 }
 
@@ -325,10 +325,10 @@
 #[test]
 fn two_groups_never_share_an_engine_and_the_second_waits_within_its_patience() {
     let mut ledger = ledger();
-    let grouped = |attempt: &str, patience: u64| placement::CapacityRequest {
+    let grouped = |attempt: &str, queue_deadline: u64| placement::CapacityRequest {
         grouped: true,
         memory: units::TokenCount(30_000),
-        patience: at(patience),
+        queue_deadline: at(queue_deadline),
         ..request(attempt, 60_000, 600_000)
     };
     assert_eq!(ledger.enqueue(at(0), grouped("a:1:1:1", 20_000)), vec![granted("a:1:1:1")]);
--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -24,7 +24,7 @@
         return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
     }
     let started = context.clock.now();
-    let patience = started + question.grant.fleet.fleet.group_wait.0;
+    let queue_deadline = started + question.grant.fleet.fleet.group_wait.0;
     let memory_per_member = units::TokenCount(required_memory.0.div_ceil(members.len() as u64));
     let reason = format!("a group of {}, {memory_per_member} each", members.len());
     let mut held =
@@ -34,7 +34,7 @@
         let mut request = question.request(context, &member);
         request.memory = memory_per_member;
         request.grouped = true;
-        request.patience = patience.min(question.deadline);
+        request.queue_deadline = queue_deadline.min(question.deadline);
         let link = context.links.link(member.scheduler);
         // Added before the scheduler answers, so that the lease is released even if the answer is
         // lost.
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -56,7 +56,7 @@
             memory: self.required_memory(),
             grouped: false,
             deadline: self.deadline,
-            patience: self.deadline,
+            queue_deadline: self.deadline,
         }
     }
 }
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -105,7 +105,7 @@
         request: &placement::CapacityRequest,
         now: units::MonoTime,
     ) -> Result<Result<u8, refusal::RequestRefusal>, LinkError> {
-        let limit = request.patience.min(request.deadline).since(now) + WAIT_MARGIN;
+        let limit = request.queue_deadline.min(request.deadline).since(now) + WAIT_MARGIN;
         self.call(limit, async |client| {
             let mut call = client.acquire_request();
             convert::write_place(call.get().init_place(), engine, request, now);
--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -129,7 +129,7 @@
             memory: units::TokenCount(prompt + 100),
             grouped: false,
             deadline: self.now + limit,
-            patience: self.now + limit,
+            queue_deadline: self.now + limit,
         };
         if self.message_lost() {
             return;
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -75,7 +75,7 @@
     builder.set_memory_tokens(request.memory.0);
     builder.set_grouped(request.grouped);
     builder.set_deadline_ms(units::whole_millis(request.deadline.since(now)));
-    builder.set_patience_ms(units::whole_millis(request.patience.since(now)));
+    builder.set_patience_ms(units::whole_millis(request.queue_deadline.since(now)));
 }
 
 /// Reads a request for a place and the engine it is for.
@@ -95,7 +95,7 @@
         memory: units::TokenCount(reader.get_memory_tokens()),
         grouped: reader.get_grouped(),
         deadline: now + time::Duration::from_millis(reader.get_deadline_ms()),
-        patience: now + time::Duration::from_millis(reader.get_patience_ms()),
+        queue_deadline: now + time::Duration::from_millis(reader.get_patience_ms()),
     };
     Ok((read_name(reader.get_engine()?)?, request))
 }
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -46,7 +46,7 @@
         memory: units::TokenCount(500_000),
         grouped: true,
         deadline: now + time::Duration::from_secs(60),
-        patience: now + time::Duration::from_secs(2),
+        queue_deadline: now + time::Duration::from_secs(2),
     };
     let engine = "engine-1".parse().unwrap();
     let mut builder = message::Builder::new_default();
@@ -58,5 +58,5 @@
     assert_eq!(read.attempt, request.attempt);
     assert_eq!((read.prompt, read.memory, read.grouped), (request.prompt, request.memory, true));
     assert_eq!(read.deadline.since(receiver_now), time::Duration::from_secs(60));
-    assert_eq!(read.patience.since(receiver_now), time::Duration::from_secs(2));
+    assert_eq!(read.queue_deadline.since(receiver_now), time::Duration::from_secs(2));
 }
