--- a/crates/core/src/class_worth.rs
+++ b/crates/core/src/class_worth.rs
@@ -55,7 +55,7 @@
 
 impl ClassWorth {
     /// Records a prompt and returns its worth, where 1 is an average request of the service's most urgent class.
-    pub fn count(&mut self, query: &WorthQuery<'_>) -> f64 {
+    pub fn record_prompt(&mut self, query: &WorthQuery<'_>) -> f64 {
         let prompt = query.prompt as f64;
         if self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(query.class) {
             self.classes.clear();
--- a/crates/core/src/cold_start.rs
+++ b/crates/core/src/cold_start.rs
@@ -25,7 +25,7 @@
     /// Request rate that a cold upstream can handle, over all instances.
     pub rate: units::RequestRate,
     /// Usual length of a cold phase.
-    pub lasts: time::Duration,
+    pub duration: time::Duration,
 }
 
 /// The period in which an upstream is cold.
@@ -72,7 +72,7 @@
         service: &ids::ServiceId,
         left: Option<time::Duration>,
     ) {
-        let usual = self.policies.get(service).map(|policy| policy.lasts);
+        let usual = self.policies.get(service).map(|policy| policy.duration);
         let left = left.or(usual).unwrap_or_default();
         if left.is_zero() {
             self.changes += u64::from(self.phases.remove(name).is_some());
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -72,7 +72,7 @@
     instance: ids::InstanceId,
     data_center: ids::DataCenterId,
     list: fleet_list::FleetList,
-    store: live_settings::LiveSettings,
+    live_settings: live_settings::LiveSettings,
     pause_detector: pause_detector::PauseDetector,
     policy: Box<dyn routing::RoutingPolicy>,
     policy_kind: settings::RoutingKind,
@@ -102,7 +102,7 @@
             instance,
             data_center,
             list: fleet_list::FleetList::default(),
-            store: live_settings::LiveSettings::default(),
+            live_settings: live_settings::LiveSettings::default(),
             pause_detector: pause_detector::PauseDetector::new(sleep_bound),
             policy: routing::policy_for(fleet.routing),
             policy_kind: fleet.routing,
@@ -121,8 +121,8 @@
         now: units::MonoTime,
         text: &str,
     ) -> live_settings::OfferOutcome {
-        let outcome = self.store.offer(now, text);
-        if let Some(tree) = self.store.tree() {
+        let outcome = self.live_settings.offer(now, text);
+        if let Some(tree) = self.live_settings.tree() {
             self.retries.set_share(tree.fleet.retry_share);
             if tree.fleet.routing != self.policy_kind {
                 self.policy_kind = tree.fleet.routing;
@@ -134,7 +134,7 @@
 
     /// Records that a source has no newer settings; `age` is the time since that source was itself confirmed.
     pub fn confirm_settings(&mut self, now: units::MonoTime, age: time::Duration) {
-        self.store.confirm(now, age);
+        self.live_settings.confirm(now, age);
     }
 
     /// Number of pauses of this process detected so far.
@@ -163,8 +163,8 @@
     }
 
     /// The settings versions held, including the one in force.
-    pub fn store(&self) -> &live_settings::LiveSettings {
-        &self.store
+    pub fn live_settings(&self) -> &live_settings::LiveSettings {
+        &self.live_settings
     }
 
     /// The published list in force.
@@ -177,7 +177,7 @@
     pub fn ready(&mut self, now: units::MonoTime) -> bool {
         self.pause_detector.notice(now);
         !self.pause_detector.unrefreshed
-            && self.store.tree().is_some()
+            && self.live_settings.tree().is_some()
             && !self.list.instances.is_empty()
     }
 
@@ -224,7 +224,7 @@
     > {
         let refuse = refusal::RequestRefusal::not_run;
         let ready = self.ready(now);
-        let Some(tree) = self.store.tree().filter(|_| ready) else {
+        let Some(tree) = self.live_settings.tree().filter(|_| ready) else {
             let text = "the settings are not known or not confirmed yet";
             let refusal = refuse(refusal::RefusalCode::NotReady, text);
             return Err(refusal.retry_after(time::Duration::from_secs(1)));
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -76,7 +76,7 @@
 
 impl BackoffNotice {
     /// Accepted length of the backoff.
-    pub fn lasts(&self) -> time::Duration {
+    pub fn duration(&self) -> time::Duration {
         self.until.since(self.since)
     }
 }
@@ -338,12 +338,12 @@
         });
         let limit = self.limit(name).and_then(|limit| {
             let rate = limit.reading.rate?;
-            let (age, lasts) = (now.since(limit.reading.received), now.since(limit.since));
+            let (age, duration) = (now.since(limit.reading.received), now.since(limit.since));
             let source = limit.reading.source;
             Some(format!(
                 "takes {rate} of all, by {source} {} ago, limited for {}",
                 seconds(age),
-                seconds(lasts)
+                seconds(duration)
             ))
         });
         let parts: Vec<_> = leaving.into_iter().chain(backoff).chain(limit).collect();
--- a/crates/core/tests/class_worth.rs
+++ b/crates/core/tests/class_worth.rs
@@ -5,7 +5,7 @@
 use slipturn_core::class_worth::{ClassWorth, WorthQuery};
 
 fn worth(classes: &mut ClassWorth, class: &str, prompt: u64, goal: u64, shortest: u64) -> f64 {
-    classes.count(&WorthQuery {
+    classes.record_prompt(&WorthQuery {
         class: &class.parse().expect("a valid name"),
         service: &"service".parse().expect("a valid name"),
         prompt,
--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -25,7 +25,7 @@
 /// A list with upstreams 1 and 2 of a service whose cold upstreams are limited to 17 requests per second for 3 s.
 fn list_with_policy() -> UpstreamList {
     let mut list = UpstreamList::default();
-    let policy = ColdPolicy { rate: rate(17.0), lasts: time::Duration::from_secs(3) };
+    let policy = ColdPolicy { rate: rate(17.0), duration: time::Duration::from_secs(3) };
     list.set_cold_policies([("s".parse().expect("a valid name"), policy)].into());
     list.replace(at(0), vec![entry(1, 0), entry(2, 0)], 10.into());
     list
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -111,7 +111,7 @@
             EntryEvent::Models(answer) => reply(answer, models(router.list())),
             EntryEvent::List(answer) => reply(answer, router.list().clone()),
             EntryEvent::Histograms(answer) => reply(answer, self.histograms.rows()),
-            EntryEvent::Settings(answer) => reply(answer, router.store().tree()),
+            EntryEvent::Settings(answer) => reply(answer, router.live_settings().tree()),
             EntryEvent::Status(answer) => reply(answer, self.status(now)),
             EntryEvent::Documents(update, pauses) => self.apply_documents(now, &update, pauses),
             EntryEvent::SourcesUnreachable(pauses) => router.note_sources_queried(now, pauses),
@@ -186,7 +186,10 @@
     fn apply_settings(&mut self, now: units::MonoTime, text: &str) {
         match self.router.offer_settings(now, text) {
             live_settings::OfferOutcome::Accepted => {
-                log::info!("settings version {} is in force", self.router.store().version());
+                log::info!(
+                    "settings version {} is in force",
+                    self.router.live_settings().version()
+                );
             }
             live_settings::OfferOutcome::Invalid(error) => log::error!("invalid settings: {error}"),
             live_settings::OfferOutcome::Older => log::warn!("ignored older settings"),
@@ -197,7 +200,7 @@
     fn update_summary(&self) {
         let list = self.router.list();
         let known = scheduler_link::KnownDocuments {
-            settings: self.router.store().version().0,
+            settings: self.router.live_settings().version().0,
             list: list.revision,
         };
         self.summary.known.set(known);
@@ -208,14 +211,14 @@
 
     fn status(&mut self, now: units::MonoTime) -> event::EntryStatus {
         let ready = self.router.ready(now);
-        let store = self.router.store();
+        let live_settings = self.router.live_settings();
         event::EntryStatus {
             instance: self.router.instance().clone(),
             boot: self.boot.to_string(),
             ready,
-            settings_version: store.version().0,
-            settings_rejected: store.rejected().map(str::to_owned),
-            settings_age_ms: units::whole_millis(store.age(now)),
+            settings_version: live_settings.version().0,
+            settings_rejected: live_settings.rejected().map(str::to_owned),
+            settings_age_ms: units::whole_millis(live_settings.age(now)),
             list_revision: self.router.list().revision,
             running: self.running.len(),
             decisions: self.decisions.len(),
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -44,7 +44,7 @@
     pub(crate) fn back_after(&self) -> time::Duration {
         match self {
             Self::Backoff { first, now, .. } => {
-                let (left, lasted) = (first.until.since(*now), first.lasts());
+                let (left, lasted) = (first.until.since(*now), first.duration());
                 refusal::backoff_retry_after(left, lasted, &mut rand::rng())
             }
             Self::Evacuated { back_after, .. } | Self::Limited { back_after, .. } => *back_after,
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -116,7 +116,7 @@
         goal: own,
         shortest_goal: shortest,
     };
-    context.classes.borrow_mut().count(&ask) as f32
+    context.classes.borrow_mut().record_prompt(&ask) as f32
 }
 
 /// Returns whether the caller has probably been refused before: it has less time than the route
