--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -41,6 +41,6 @@
 
 /// Whether to request the state of a newly met member, after `asked` such requests within this second: after a start
 /// or a cut all members are met at once.
-pub fn requests_from_met(asked: usize) -> bool {
+pub fn may_request_state(asked: usize) -> bool {
     asked < REQUESTED_MEMBERS
 }
--- a/crates/core/src/permit_cache.rs
+++ b/crates/core/src/permit_cache.rs
@@ -112,7 +112,7 @@
     }
 
     /// Ends the backoff: the quota has changed.
-    pub fn reopen(&mut self, subject: &K) {
+    pub fn end_backoff(&mut self, subject: &K) {
         if let Some(row) = self.rows.get_mut(subject) {
             row.backoff_until = units::MonoTime::default();
         }
--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -80,7 +80,7 @@
     }
 
     /// Empties all buckets: this process was paused, and others may have coordinated the quotas meanwhile.
-    pub fn begin_anew(&mut self, now: units::MonoTime) {
+    pub fn reset_buckets(&mut self, now: units::MonoTime) {
         for row in self.rows.values_mut() {
             row.pace = send_pace::SendPace::initial(now, row.pace.bound());
         }
--- a/crates/core/src/start_wait.rs
+++ b/crates/core/src/start_wait.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartContact {
     /// No contact.
-    Nobody,
+    NoContact,
     /// Only members without routes.
     Members,
     /// A source of routes: a member that has them, or the store.
@@ -31,7 +31,7 @@
     patience: time::Duration,
 ) -> bool {
     let limit = match contact {
-        StartContact::Nobody => NO_CONTACT_AGE,
+        StartContact::NoContact => NO_CONTACT_AGE,
         StartContact::Members => MEMBER_CONTACT_AGE,
         StartContact::Source => SOURCE_CONTACT_AGE,
     };
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -122,5 +122,5 @@
         asked.iter().all(|_| random.random::<f64>() < 2.0 * LOST)
     });
     assert!(missed.count() <= 1);
-    assert!(gossip::requests_from_met(2) && !gossip::requests_from_met(3));
+    assert!(gossip::may_request_state(2) && !gossip::may_request_state(3));
 }
--- a/crates/core/tests/start_wait.rs
+++ b/crates/core/tests/start_wait.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn requests_wait_longer_the_better_the_contact_of_the_process() {
-    let contacts = [StartContact::Nobody, StartContact::Members, StartContact::Source];
+    let contacts = [StartContact::NoContact, StartContact::Members, StartContact::Source];
     let at_age = |age| contacts.map(|contact| waits(contact, age));
     assert_eq!(at_age(200), [true, true, true]);
     assert_eq!(at_age(400), [false, true, true]);
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -291,7 +291,7 @@
     } else if members.alive(now).next().is_some() {
         start_wait::StartContact::Members
     } else {
-        start_wait::StartContact::Nobody
+        start_wait::StartContact::NoContact
     }
 }
 
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -141,7 +141,7 @@
     context.stats.borrow_mut().count("upstream_limits", &format!("{change}/{source}"));
     quota_coordinator::refresh(context);
     let subject = quota_permit::QuotaSubject::Upstream(upstream.clone());
-    context.quotas.cache.borrow_mut().reopen(&subject);
+    context.quotas.cache.borrow_mut().end_backoff(&subject);
     limit_change
 }
 
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -20,7 +20,7 @@
     let second = context.now().since(units::MonoTime::default()).as_secs();
     let (last, count) = context.gossip_requests.get();
     let count = if last == second { count } else { 0 };
-    if gossip::requests_from_met(count) {
+    if gossip::may_request_state(count) {
         context.gossip_requests.set((second, count + 1));
         context.send_to(to, peer_message::PeerMessage::RequestGossip);
     }
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -164,7 +164,7 @@
 
     /// Resets the permits of all limits that this process coordinates.
     pub fn reset_limits(&mut self, now: units::MonoTime) {
-        self.planners.values_mut().for_each(|planner| planner.permits().begin_anew(now));
+        self.planners.values_mut().for_each(|planner| planner.permits().reset_buckets(now));
     }
 
     /// Excludes an engine from planning for a while, in the planner that has it.
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -149,7 +149,7 @@
 /// Empties all buckets after a pause: others may have coordinated the quotas meanwhile.
 pub(crate) fn reset_quotas(context: &context::InstanceContext) {
     let now = context.now();
-    context.quotas.ledger.borrow_mut().begin_anew(now);
+    context.quotas.ledger.borrow_mut().reset_buckets(now);
     context.planners.borrow_mut().reset_limits(now);
 }
 
