--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -9,16 +9,16 @@
 
 use crate::{ids, units};
 
-/// Validity of a portion.
+/// How long an entry may spend a portion.
 pub const PORTION_TTL: time::Duration = time::Duration::from_secs(2);
 /// Time constant of the spending average by which an entry draws ahead. Unspent tokens expire and
 /// are lost to the customer, so an entry draws no more than it is about to spend.
 const DRAW_AHEAD: time::Duration = time::Duration::from_millis(200);
 /// Least time for which a new bucket is credited with tokens.
 ///
-/// A new bucket holds what the limit allows since another scheduler may last have granted from
-/// the same budget: a scheduler that takes over must not grant a full burst a second time, and one
-/// that has been responsible throughout knows that the customer was idle.
+/// A new bucket is credited for the time since another scheduler may last have granted from the
+/// same budget: a scheduler that takes over must not grant a full burst a second time, and one that
+/// has been responsible throughout knows that the customer was idle.
 const MIN_INITIAL_FILL: time::Duration = time::Duration::from_millis(250);
 /// Time after which an unused bucket is dropped.
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
@@ -108,7 +108,7 @@
         Ok(BudgetPortion { tokens: want, ttl: PORTION_TTL })
     }
 
-    /// Returns unspent tokens, for instance when an answer was shorter than allowed.
+    /// Adds unspent tokens to the bucket, for instance when an answer was shorter than allowed.
     pub fn refund(&mut self, customer: &ids::CustomerId, tokens: units::TokenCount) {
         if let Some(bucket) = self.buckets.get_mut(customer) {
             bucket.level += tokens.0 as f64;
--- a/crates/core/src/class_worth.rs
+++ b/crates/core/src/class_worth.rs
@@ -13,7 +13,7 @@
 const WORTH_RANGE: (f64, f64) = (0.1, 1_000.0);
 /// Smallest weight of the newest prompt in a mean; turns the mean into a moving average.
 const MEAN_WEIGHT: f64 = 0.02;
-/// Largest number of classes remembered, as routes come and go.
+/// Largest number of classes with a mean. Beyond it all are dropped, as deleted routes leave their classes behind.
 const MAX_CLASSES: usize = 1_024;
 
 /// The properties of a request that determine its worth.
@@ -35,6 +35,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct PromptMean {
     tokens: f64,
+    /// Number of prompts.
     count: f64,
 }
 
@@ -48,8 +49,9 @@
 /// Mean prompt lengths that one process has observed.
 #[derive(Debug, Default)]
 pub struct ClassWorth {
+    /// Mean prompt length of each class.
     classes: collections::HashMap<ids::ClassId, PromptMean>,
-    /// Mean prompt lengths of each service's most urgent requests.
+    /// Mean prompt length of each service's most urgent requests.
     urgent: collections::HashMap<ids::ServiceId, PromptMean>,
 }
 
@@ -60,16 +62,17 @@
         if self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(query.class) {
             self.classes.clear();
         }
-        let class = self.classes.entry(query.class.clone()).or_default();
-        class.add(prompt);
-        let mean = class.tokens.max(1.0);
+        let class_mean = self.classes.entry(query.class.clone()).or_default();
+        class_mean.add(prompt);
+        let mean = class_mean.tokens.max(1.0);
         if query.goal <= query.shortest_goal {
             self.urgent.entry(query.service.clone()).or_default().add(prompt);
         }
         let urgent = self.urgent.get(query.service).map(|urgent| urgent.tokens.max(1.0));
-        let goals = query.goal.as_secs_f64() / query.shortest_goal.as_secs_f64().max(f64::EPSILON);
-        let sizes = urgent.map_or(goals, |urgent| mean / urgent);
-        let class = (goals * sizes).sqrt().clamp(WORTH_RANGE.0, WORTH_RANGE.1);
-        class * (BASE_FRACTION + (1.0 - BASE_FRACTION) * prompt / mean)
+        let goal_ratio =
+            query.goal.as_secs_f64() / query.shortest_goal.as_secs_f64().max(f64::EPSILON);
+        let length_ratio = urgent.map_or(goal_ratio, |urgent| mean / urgent);
+        let class_worth = (goal_ratio * length_ratio).sqrt().clamp(WORTH_RANGE.0, WORTH_RANGE.1);
+        class_worth * (BASE_FRACTION + (1.0 - BASE_FRACTION) * prompt / mean)
     }
 }
--- a/crates/core/src/cold_start.rs
+++ b/crates/core/src/cold_start.rs
@@ -24,14 +24,14 @@
 pub struct ColdPolicy {
     /// Request rate that a cold upstream can handle, over all instances.
     pub rate: units::RequestRate,
-    /// Usual length of a cold phase.
+    /// Usual length of a cold phase, assumed where the remaining length is unknown.
     pub duration: time::Duration,
 }
 
 /// The period in which an upstream is cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdPhase {
-    /// When this process learned of it.
+    /// When this process learned of the phase.
     pub since: units::MonoTime,
     /// When the upstream becomes warm.
     pub until: units::MonoTime,
@@ -72,8 +72,8 @@
         service: &ids::ServiceId,
         left: Option<time::Duration>,
     ) {
-        let usual = self.policies.get(service).map(|policy| policy.duration);
-        let left = left.or(usual).unwrap_or_default();
+        let usual_duration = self.policies.get(service).map(|policy| policy.duration);
+        let left = left.or(usual_duration).unwrap_or_default();
         if left.is_zero() {
             self.changes += u64::from(self.phases.remove(name).is_some());
             return;
--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -13,7 +13,7 @@
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
 /// Weight of the newest answer in the mean deviation.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
-/// Mean deviations added to the mean for the usual answer time.
+/// Number of mean deviations added to the mean for the usual answer time.
 const DEVIATIONS: f64 = 4.0;
 /// Wait for an answer on a reused connection, as a multiple of the usual answer time.
 const REUSED_FACTOR: f64 = 1.5;
@@ -27,6 +27,7 @@
 /// Estimate of how long answers of one kind take, from writing the request to receiving the head.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AnswerTimes {
+    /// Number of answers.
     answers: u32,
     /// Mean time, seconds.
     mean: f64,
--- a/crates/core/src/document_lag.rs
+++ b/crates/core/src/document_lag.rs
@@ -6,7 +6,7 @@
 
 /// Tracks, for one kind of document, the oldest version of other members that this process still lacks.
 ///
-/// Comparing the newest versions would not do: while changes follow each other, some member is
+/// Comparing the newest versions is not enough: while changes follow each other, some member is
 /// always a moment ahead, and a process that receives every change would look late at each check.
 #[derive(Debug, Default)]
 pub struct DocumentLag<V> {
@@ -33,13 +33,14 @@
         self.missing.map(|(version, _)| version)
     }
 
-    /// Records that the source, queried at `asked`, has nothing newer than the `own` version. A version that was
-    /// already missing by then is considered unavailable.
+    /// Records that a query of the source, sent at `queried_at`, found nothing newer than the `own` version. A version
+    /// that was already missing by then is considered unavailable.
     ///
-    /// Otherwise a member that claims a version nobody can provide, or that accepts a document this process
+    /// Otherwise a member that claims a version that no source can provide, or that accepts a document this process
     /// rejects, would cause ten calls a second.
-    pub fn refute(&mut self, own: V, asked: units::MonoTime) {
-        let claimed = self.missing.filter(|(missing, since)| *missing > own && *since <= asked);
+    pub fn refute(&mut self, own: V, queried_at: units::MonoTime) {
+        let claimed =
+            self.missing.filter(|(missing, since)| *missing > own && *since <= queried_at);
         if let Some((missing, _)) = claimed {
             self.refuted = self.refuted.max(missing);
             self.missing = None;
--- a/crates/core/src/document_source.rs
+++ b/crates/core/src/document_source.rs
@@ -34,7 +34,7 @@
     since: Option<units::MonoTime>,
     /// When the store last failed to provide the document.
     failed: Option<units::MonoTime>,
-    /// Whether a member's copy was damaged, or is a difference to another text than the local one.
+    /// Whether a member's copy was damaged, or was a diff against another text than the local one.
     damaged: bool,
 }
 
@@ -47,9 +47,9 @@
     /// Chooses where to fetch the missing document now.
     pub fn choose(&mut self, now: units::MonoTime) -> DocumentOrigin {
         let elapsed = now.since(*self.since.get_or_insert(now));
-        let doubted = self.failed.is_some_and(|failed| now.since(failed) < STORE_RETRY_DELAY);
-        let patience = MEMBERS_ONLY_TIME + STORE_SPREAD_TIME.mul_f64(self.spread);
-        if !doubted && (self.damaged || elapsed >= patience) {
+        let has_failed = self.failed.is_some_and(|failed| now.since(failed) < STORE_RETRY_DELAY);
+        let members_only = MEMBERS_ONLY_TIME + STORE_SPREAD_TIME.mul_f64(self.spread);
+        if !has_failed && (self.damaged || elapsed >= members_only) {
             DocumentOrigin::Store
         } else {
             DocumentOrigin::Member
--- a/crates/core/src/engine_directory.rs
+++ b/crates/core/src/engine_directory.rs
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Groups of engines, each within one data centre, that together hold `need`.
+    /// Groups of engines, each within one data centre, whose members together can hold `need`.
     ///
     /// Groups of one size are disjoint, because all entries split the list in the same order. Groups of different
     /// sizes may overlap. Members are sorted by name and acquired in this order, so that two prompts cannot deadlock.
--- a/crates/core/src/engine_estimate.rs
+++ b/crates/core/src/engine_estimate.rs
@@ -18,18 +18,18 @@
             let code = refusal::RefusalCode::NoUpstream;
             return Err(refusal::RequestRefusal::not_run(code, "the engine is out of reach"));
         }
-        if request.memory > self.largest(request) {
+        if request.memory > self.max_memory(request) {
             let text = format!("needs {}, the engine holds {}", request.memory, self.capacity);
             let code = refusal::RefusalCode::TooLarge;
             return Err(refusal::RequestRefusal::not_run(code, text));
         }
-        let first = self.first_token(now, request);
-        let whole = first + engine_ledger::answer_time(request.output);
+        let first_token = self.first_token(now, request);
+        let total = first_token + engine_ledger::answer_time(request.output);
         let left = request.deadline.since(now);
-        if whole > left {
+        if total > left {
             return Err(engine_ledger::overload_refusal(
                 "would not finish inside its time limit",
-                whole - left,
+                total - left,
             ));
         }
         self.check_backlog(now, request)
@@ -58,8 +58,8 @@
         Err(engine_ledger::overload_refusal("too much waits already", work - spare))
     }
 
-    /// Largest memory of one request. Only short requests may use the headroom.
-    fn largest(&self, request: &placement::CapacityRequest) -> units::TokenCount {
+    /// Most memory that a request may need. Only short requests may use the headroom.
+    fn max_memory(&self, request: &placement::CapacityRequest) -> units::TokenCount {
         match self.band(request) {
             service_rank::LengthBand::Short => self.capacity,
             _ => self.capacity.scale(1.0 - self.options.headroom.factor()),
