--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -16,7 +16,7 @@
 const REPORT_LIMIT: time::Duration = time::Duration::from_secs(3);
 /// How long the engine's reports may still list an attempt after its release.
 const RELEASE_LAG: time::Duration = time::Duration::from_secs(2);
-/// How far back the history of prefill work reaches. Reports older than this are compared with its oldest entry.
+/// How far back the history of prefill work reaches. Older reports are compared with its oldest entry.
 const HISTORY_SPAN: time::Duration = time::Duration::from_secs(5);
 /// Fraction of the time until its latest start after which a waiting request counts as overdue.
 pub(crate) const OVERDUE_FRACTION: f64 = 0.5;
@@ -30,7 +30,7 @@
     pub(crate) rank: service_rank::ServiceRank,
     /// Estimated number of prompt tokens that are not prefilled yet. Never increases.
     pub(crate) prefill_left: f64,
-    /// When the entry last confirmed that it is still streaming.
+    /// When the entry last confirmed that it is still streaming the answer.
     pub(crate) renewed: units::MonoTime,
 }
 
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OrphanRecord {
     tokens: units::TokenCount,
-    /// When it was first noticed.
+    /// When the engine's report first listed the attempt, or when its lease ended.
     since: units::MonoTime,
 }
 
@@ -212,17 +212,18 @@
         for request in streaming {
             self.adopt(now, request);
         }
-        let named: collections::HashSet<_> = streaming.iter().map(|one| &one.attempt).collect();
+        let streamed: collections::HashSet<_> =
+            streaming.iter().map(|request| &request.attempt).collect();
         let settled = |lease: &EngineLease| now.since(lease.renewed) >= RELEASE_LAG;
-        let over: Vec<_> = self
+        let ended: Vec<_> = self
             .leases
             .values()
             .filter(|lease| lease.request.entry == *entry)
-            .filter(|lease| !named.contains(&lease.request.attempt))
+            .filter(|lease| !streamed.contains(&lease.request.attempt))
             .filter(|lease| lease.request.boot != boot || settled(lease))
             .map(|lease| lease.request.attempt.clone())
             .collect();
-        for attempt in &over {
+        for attempt in &ended {
             self.drop_lease(now, attempt);
         }
         self.advance(now)
@@ -240,11 +241,12 @@
         if report.memory > units::TokenCount::ZERO {
             self.capacity = report.memory;
         }
-        let taken = now.earlier_by(report.age);
+        let report_time = now.earlier_by(report.age);
         let done_since = self.prefill_rate.tokens_in(report.age).0 as f64;
-        let foreign = report.prefill_backlog.0 as f64 - self.own_prefill_at(taken) - done_since;
+        let foreign =
+            report.prefill_backlog.0 as f64 - self.own_prefill_at(report_time) - done_since;
         self.foreign_prefill = foreign.max(0.0);
-        self.update_orphans(now, taken, &report.held);
+        self.update_orphans(now, report_time, &report.held);
         let mut actions = self.due_cancels(now);
         actions.extend(self.advance(now));
         actions
@@ -268,8 +270,8 @@
     }
 
     fn adopt(&mut self, now: units::MonoTime, request: &placement::CapacityRequest) {
-        let waits = self.queue.iter().any(|item| item.payload.attempt == request.attempt);
-        if waits || self.released.contains_key(&request.attempt) {
+        let is_queued = self.queue.iter().any(|item| item.payload.attempt == request.attempt);
+        if is_queued || self.released.contains_key(&request.attempt) {
             return;
         }
         self.orphans.remove(&request.attempt);
@@ -279,19 +281,19 @@
         self.leases.entry(request.attempt.clone()).or_insert_with(adopted).renewed = now;
     }
 
-    /// Updates the orphans from a report made at the time `taken`.
+    /// Updates the orphans from the attempts in a report made at `report_time`.
     fn update_orphans(
         &mut self,
         now: units::MonoTime,
-        taken: units::MonoTime,
-        report: &[(ids::AttemptId, units::TokenCount)],
+        report_time: units::MonoTime,
+        held: &[(ids::AttemptId, units::TokenCount)],
     ) {
         let mut orphans = collections::HashMap::new();
-        for (attempt, tokens) in report {
+        for (attempt, tokens) in held {
             let fresh_release = self
                 .released
                 .get(attempt)
-                .is_some_and(|released| taken.since(*released) < RELEASE_LAG);
+                .is_some_and(|released| report_time.since(*released) < RELEASE_LAG);
             if self.leases.contains_key(attempt) || fresh_release {
                 continue;
             }
@@ -299,9 +301,9 @@
             orphans.insert(attempt.clone(), OrphanRecord { tokens: *tokens, since });
         }
         self.orphans = orphans;
-        let held: collections::HashSet<_> = report.iter().map(|(attempt, _)| attempt).collect();
+        let held: collections::HashSet<_> = held.iter().map(|(attempt, _)| attempt).collect();
         self.released.retain(|attempt, released| {
-            held.contains(attempt) || taken.since(*released) < RELEASE_LAG
+            held.contains(attempt) || report_time.since(*released) < RELEASE_LAG
         });
     }
 
@@ -313,8 +315,8 @@
                 self.released.contains_key(*attempt) || now.since(orphan.since) >= grace
             })
             .map(|(attempt, _)| {
-                let known = self.released.contains_key(attempt);
-                let reason = if known {
+                let is_released = self.released.contains_key(attempt);
+                let reason = if is_released {
                     placement::CancelReason::StillHeld
                 } else {
                     placement::CancelReason::Unexplained
@@ -334,11 +336,13 @@
             })
             .collect();
         let draining = self.draining;
-        let gone = self.queue.remove_where(|request| draining || latest[&request.attempt] <= now);
+        let expired =
+            self.queue.remove_where(|request| draining || latest[&request.attempt] <= now);
         let rate = self.prefill_rate;
         let backlog = self.backlog(service_rank::ServiceRank::LAST)
             + self.queue.iter().map(|item| item.cost).sum();
-        gone.into_iter()
+        expired
+            .into_iter()
             .map(|item| {
                 let refusal = if draining {
                     leaving_refusal()
@@ -362,15 +366,16 @@
             let past = lease.request.deadline + LEASE_MARGIN <= now;
             past.then_some(placement::CancelReason::PastLimit)
         };
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .leases
             .values()
             .filter_map(|lease| Some((lease.request.attempt.clone(), reason(lease)?)))
             .collect();
-        for (attempt, _) in &over {
+        for (attempt, _) in &expired {
             self.drop_lease(now, attempt);
         }
-        over.into_iter()
+        expired
+            .into_iter()
             .map(|(attempt, reason)| placement::LedgerAction::Cancel(attempt, reason))
             .collect()
     }
@@ -390,13 +395,14 @@
         // After a pause of this process, the ledger is outdated until the engine has reported.
         while self.reachable(now) && !self.queue.is_empty() {
             let mut free_capacity = self.free_capacity();
-            let over = self.waiting_over_share(now);
+            let over_share = self.waiting_over_share(now);
             let options = &self.options;
             let rank = |request: &placement::CapacityRequest| service_rank::ServiceRank {
                 band: service_rank::LengthBand::of(request.prefill(), options),
-                over_share: over.contains(&request.customer),
+                over_share: over_share.contains(&request.customer),
             };
-            let yields = |request: &placement::CapacityRequest| over.contains(&request.customer);
+            let yields =
+                |request: &placement::CapacityRequest| over_share.contains(&request.customer);
             let fits = |item: &fair_queue::QueueItem<placement::CapacityRequest>, overdue| {
                 free_capacity.fits(&item.payload, rank(&item.payload), overdue)
             };
@@ -440,7 +446,7 @@
             headroom: self.capacity.scale(self.options.headroom.factor()),
             slots: self.options.max_running.saturating_sub(self.leases.len()),
             grouped: self.leases.values().any(|lease| lease.request.grouped),
-            prefills: self.leases.values().map(|one| (one.rank, one.prefill_left)).collect(),
+            prefills: self.leases.values().map(|lease| (lease.rank, lease.prefill_left)).collect(),
             foreign: self.foreign_prefill,
             prefill_limit: self.prefill_rate.tokens_in(PREFILL_AHEAD),
             reserved: false,
@@ -451,6 +457,7 @@
         service_rank::LengthBand::of(request.prefill(), &self.options)
     }
 
+    /// Latest time at which the prefill must start for the answer to be complete in time.
     pub(crate) fn latest_start(&self, request: &placement::CapacityRequest) -> units::MonoTime {
         let needed = self.prefill_rate.time_for(request.prefill()) + answer_time(request.output);
         request.deadline.earlier_by(needed)
--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -38,11 +38,11 @@
     /// Whether it is a short request: one engine can prefill it in time, and its pause goal is among the shortest of
     /// its service, so that long prefills on the same engine delay it too much.
     pub tight: bool,
-    /// Worth of its answer if it is in time; that of a short request is 1.
+    /// Worth of the answer if it is in time; that of a short request is 1.
     pub worth: f32,
     /// Whether it is a first attempt; `false` after a refusal or an earlier attempt.
     pub refusable: bool,
-    /// Whether an engine has already worked on it. Such a request is placed as soon as any engine has capacity, and
+    /// Whether an engine has already worked on the request. Such a request is placed as soon as any engine has capacity, and
     /// never refused.
     pub resumed: bool,
     /// Engines that must not be used.
@@ -135,17 +135,17 @@
 /// A placement in use, as its member reports it to a planner that has just taken over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceLease {
-    /// The request for this placement.
+    /// The request that was placed.
     #[serde(rename = "ask")]
     pub request: PlacementRequest,
-    /// Its placement.
+    /// The placement of the request.
     pub grant: PlaceGrant,
-    /// Whether its prompt is still being prefilled.
+    /// Whether the prompt is still being prefilled.
     #[serde(rename = "reading")]
     pub prefilling: bool,
 }
 
-/// How an attempt ended, as far as it concerns its engine.
+/// How an attempt ended, for the planner's estimate of the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlaceEnd {
     /// The answer is complete, or the caller cancelled.
@@ -154,7 +154,7 @@
     Full,
     /// The engine failed.
     Failed,
-    /// The engine sent nothing for a long time; it may be gone or just busy.
+    /// The engine sent nothing for a long time; it may have failed or be busy.
     Silent,
 }
 
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -45,16 +45,16 @@
 pub enum BudgetStep {
     /// The tokens have been drawn; the request may proceed.
     Spent,
-    /// A portion must first be drawn from the instance that keeps the customer's budget.
+    /// A portion must first be drawn from the instance that owns the customer's budget.
     Draw {
-        /// Address of the scheduler on that instance.
+        /// Address of the owner's scheduler.
         owner: net::SocketAddr,
         /// Budget limit to send with the draw.
         limit: budget::BudgetLimit,
         /// Size of the portion to draw.
         want: units::TokenCount,
     },
-    /// The budget is exhausted for this long.
+    /// The budget is exhausted; holds the time until tokens are available again.
     Empty(time::Duration),
 }
 
@@ -149,7 +149,7 @@
     /// `pause_count` is the value of [`Self::pause_count`] before the query: if the process was paused since, the
     /// answer may be outdated and does not count.
     pub fn note_sources_queried(&mut self, now: units::MonoTime, pause_count: u64) {
-        self.pause_detector.notice(now);
+        self.pause_detector.record_event(now);
         if pause_count == self.pause_detector.pause_count {
             self.pause_detector.unrefreshed = false;
         }
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The settings versions held, including the one in force.
+    /// The settings in force, and the error of the last invalid document.
     pub fn live_settings(&self) -> &live_settings::LiveSettings {
         &self.live_settings
     }
@@ -175,7 +175,7 @@
     /// Whether requests may be accepted: settings and list are known, and the process has queried the sources since
     /// its last pause.
     pub fn ready(&mut self, now: units::MonoTime) -> bool {
-        self.pause_detector.notice(now);
+        self.pause_detector.record_event(now);
         !self.pause_detector.unrefreshed
             && self.live_settings.tree().is_some()
             && !self.list.instances.is_empty()
@@ -195,14 +195,14 @@
         if !self.list.engines.iter().any(|engine| engine.model == query.model) {
             return Err(unknown_model(&query.model));
         }
-        let longest = resolved.max_prompt_tokens.value;
-        if query.prompt > longest {
+        let max_prompt = resolved.max_prompt_tokens.value;
+        if query.prompt > max_prompt {
             let text =
-                format!("the prompt has about {}, at most {longest} are allowed", query.prompt);
+                format!("the prompt has about {}, at most {max_prompt} are allowed", query.prompt);
             return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
         }
-        let most = resolved.max_output_tokens.value;
-        let output = query.output.map_or(most, |requested| requested.min(most));
+        let max_output = resolved.max_output_tokens.value;
+        let output = query.output.map_or(max_output, |requested| requested.min(max_output));
         self.retries.count_request(now);
         Ok(RequestGrant {
             settings: resolved,
@@ -235,7 +235,8 @@
         Ok((tree, resolved))
     }
 
-    /// Draws the request's tokens from the portion of the customer's budget that this entry holds.
+    /// Draws the request's tokens from the portion of the customer's budget that this entry holds; without a sufficient
+    /// portion, returns what to draw from the budget's owner, or uses this entry's share if there is no owner.
     pub fn spend(
         &mut self,
         now: units::MonoTime,
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Adds a portion drawn from the keeper of the customer's budget.
+    /// Adds a portion drawn from the owner of the customer's budget.
     pub fn add_portion(
         &mut self,
         now: units::MonoTime,
@@ -266,7 +267,7 @@
         self.budget_cache.add(now, customer, portion);
     }
 
-    /// Draws the request's tokens from this entry's own share of the budget, while the keeper is unreachable.
+    /// Draws the request's tokens from this entry's own share of the budget, while the owner is unreachable.
     pub fn spend_own_share(
         &mut self,
         now: units::MonoTime,
@@ -384,7 +385,7 @@
         self.ejected.insert(engine.clone(), now + EJECTION_TIME);
     }
 
-    /// Decides whether a request gets another attempt.
+    /// Decides whether a request gets another attempt after a failed one.
     pub fn decide_retry(
         &mut self,
         now: units::MonoTime,
@@ -417,7 +418,7 @@
 
     /// Performs periodic cleanup.
     pub fn tick(&mut self, now: units::MonoTime) {
-        self.pause_detector.notice(now);
+        self.pause_detector.record_event(now);
         self.budget_cache.prune(now);
         self.ejected.retain(|_, until| *until > now);
     }
--- a/crates/core/src/pause_detector.rs
+++ b/crates/core/src/pause_detector.rs
@@ -17,13 +17,13 @@
 }
 
 impl PauseDetector {
-    /// Considers a time longer than `bound` between two events a pause.
+    /// Creates a detector that considers a time longer than `bound` between two events a pause.
     pub(crate) fn new(bound: time::Duration) -> Self {
         Self { bound, last: None, pause_count: 0, unrefreshed: true }
     }
 
     /// Records an event.
-    pub(crate) fn notice(&mut self, now: units::MonoTime) {
+    pub(crate) fn record_event(&mut self, now: units::MonoTime) {
         if self.last.is_some_and(|last| now.since(last) > self.bound) {
             self.pause_count += 1;
             self.unrefreshed = true;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -29,7 +29,7 @@
     pub grouped: bool,
     /// When the answer must be complete.
     pub deadline: units::MonoTime,
-    /// How long the request may wait in the queue.
+    /// When the request must have left the queue.
     pub queue_deadline: units::MonoTime,
 }
 
@@ -58,15 +58,15 @@
 /// An action requested by the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerAction {
-    /// Tells the entry to start the attempt with this rank.
+    /// The entry may start the attempt, with this rank.
     Grant(ids::AttemptId, service_rank::ServiceRank),
-    /// Tells the entry that the attempt is refused.
+    /// The attempt is refused.
     Refuse(ids::AttemptId, refusal::RequestRefusal),
-    /// Tells the engine to cancel the attempt.
+    /// The engine must cancel the attempt.
     Cancel(ids::AttemptId, CancelReason),
 }
 
-/// Why an engine is told to cancel an attempt.
+/// Reason for cancelling an attempt on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelReason {
     /// The entry has not renewed the lease within the grace period.
@@ -84,7 +84,7 @@
 pub struct EngineOffer {
     /// Expected time to the first token.
     pub first_token: time::Duration,
-    /// Memory that is neither leased nor held otherwise.
+    /// Memory that is neither leased nor held by an orphan.
     pub free: units::TokenCount,
     /// Number of running requests.
     pub running: usize,
