--- a/crates/core/src/failure_detector/message.rs
+++ b/crates/core/src/failure_detector/message.rs
@@ -11,7 +11,7 @@
 pub struct SuspectReport {
     /// Boot number of the start.
     pub boot: u64,
-    /// Age of the first unanswered probe, milliseconds. Earlier signs of life do not contradict the suspicion.
+    /// Age of the first unanswered probe, milliseconds. Signs of life from before it do not contradict the suspicion.
     pub silent_ms: u32,
 }
 
--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -44,10 +44,10 @@
     pub address: net::SocketAddrV4,
 }
 
-/// A finding of this member, to be broadcast.
+/// A finding of this member about a start of another one, to be broadcast.
 #[derive(Debug, Clone, Copy)]
 enum Finding {
-    /// A start is silent since its first unanswered probe, sent at this time.
+    /// A start has been silent since its first unanswered probe, sent at this time.
     Silent(u64, units::MonoTime),
     /// A start answers again.
     Answers(u64),
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct FailureDetector {
     /// Position of this member on the ring.
-    own: u64,
+    own_hash: u64,
     /// The other members, sorted by position.
     ring: sync::Arc<[RingMember]>,
     /// Boot numbers of `ring`.
@@ -80,7 +80,7 @@
     restored: collections::BTreeMap<u64, units::MonoTime>,
     broadcasts: Vec<PendingBroadcast>,
     /// When [`Self::tick`] was last called.
-    ticked: Option<units::MonoTime>,
+    last_tick: Option<units::MonoTime>,
     /// Number of the last ping.
     number: u64,
     /// Requesters of relayed pings, by number.
@@ -88,17 +88,17 @@
 }
 
 impl FailureDetector {
-    /// The detector of a member at this position, with an empty ring.
-    pub fn new(own: u64) -> Self {
+    /// The detector of a member at the position `own_hash`, with an empty ring.
+    pub fn new(own_hash: u64) -> Self {
         Self {
-            own,
+            own_hash,
             ring: sync::Arc::new([]),
             boots: collections::HashSet::new(),
             probes: Vec::new(),
             suspected: collections::BTreeSet::new(),
             restored: collections::BTreeMap::new(),
             broadcasts: Vec::new(),
-            ticked: None,
+            last_tick: None,
             number: 0,
             relays: collections::BTreeMap::new(),
         }
@@ -131,10 +131,10 @@
         now: units::MonoTime,
         random: &mut impl rand::Rng,
     ) -> Vec<DetectorAction> {
-        let paused = self.ticked.is_some_and(|last| now.since(last) >= PAUSE_TIME);
-        self.ticked = Some(now);
+        let paused = self.last_tick.is_some_and(|last| now.since(last) >= PAUSE_TIME);
+        self.last_tick = Some(now);
         if paused {
-            // Answers may be waiting unread.
+            // Answers may have arrived during the pause and not be read yet.
             self.probes.iter_mut().for_each(probe::MemberProbe::reset);
         }
         let mut actions = self.repeat_broadcasts(now);
@@ -302,7 +302,7 @@
     /// Chooses the members to monitor: the next live ones on the ring, and one more for each suspected one among them,
     /// as neighbours may fail together. Suspected members stay monitored until they answer.
     fn choose_probes(&mut self, now: units::MonoTime) {
-        let start = self.ring.partition_point(|member| member.hash <= self.own);
+        let start = self.ring.partition_point(|member| member.hash <= self.own_hash);
         let mut before = std::mem::take(&mut self.probes);
         let (mut live, mut suspected) = (0, 0);
         for member in self.ring.iter().cycle().skip(start).take(self.ring.len()) {
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,8 +1,8 @@
 //! Targets of gossip rounds.
 //!
-//! A member that learns of a change broadcasts it, and each member repeats what it knows to a few random ones each second.
+//! A member that learns of a change broadcasts it, and each member repeats its state to a few random ones each second.
 //! A member that may have missed something requests the state of a few. The broadcast reaches nearly all; the rounds
-//! repair lost datagrams, starts, pauses and cuts.
+//! make up for lost datagrams, restarts, pauses and network partitions.
 
 use std::time;
 
@@ -12,7 +12,8 @@
 pub const REPEAT_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Members whose state is requested by one that may have missed something.
 const REQUESTED_MEMBERS: usize = 3;
-/// Fan-out of a round. With less, the last member of a large fleet learns of a leaving upstream after its end.
+/// Fan-out of a periodic round. With a smaller one, the last member of a large fleet learns that an upstream is leaving
+/// only after the upstream has exited.
 const REPEATED_MEMBERS: usize = 3;
 
 /// What triggers a round.
@@ -39,8 +40,8 @@
     }
 }
 
-/// Whether to request the state of a newly met member, after `asked` such requests within this second: after a start
-/// or a cut all members are met at once.
-pub fn may_request_state(asked: usize) -> bool {
-    asked < REQUESTED_MEMBERS
+/// Whether to request the state of a newly met member, after `requested` such requests within the current second: after
+/// a start or a network partition all members are met at once.
+pub fn may_request_state(requested: usize) -> bool {
+    requested < REQUESTED_MEMBERS
 }
--- a/crates/core/src/heartbeat_timer.rs
+++ b/crates/core/src/heartbeat_timer.rs
@@ -13,7 +13,7 @@
 }
 
 impl HeartbeatTimer {
-    /// Returns the time until the next heartbeat at the current `interval`; `drawn` is uniform in 0 to 1.
+    /// Returns the time until the next heartbeat at the current `interval`; `drawn` is a random number, uniform in 0 to 1.
     pub fn next(&mut self, interval: time::Duration, drawn: f64) -> time::Duration {
         if interval == self.interval {
             return interval;
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -16,8 +16,8 @@
         let is_live = |member: &&membership::MemberState| {
             member.is_live(now, limit) && member.unanswered < membership::MAX_UNANSWERED
         };
-        let last_alive = staying().filter(is_live).count();
-        (last_alive + 1) as f64 / (staying().count() + 1) as f64
+        let live = staying().filter(is_live).count();
+        (live + 1) as f64 / (staying().count() + 1) as f64
     }
 
     /// Whether there was a sign of life of a member after `at`.
@@ -30,14 +30,14 @@
         self.by_boot.get(&boot)
     }
 
-    /// Records an unanswered call.
+    /// Records an unanswered call to a member.
     pub fn note_unanswered(&mut self, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered += 1;
         }
     }
 
-    /// Records an answered call.
+    /// Records an answered call to a member.
     pub fn note_answered(&mut self, now: units::MonoTime, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered = 0;
@@ -85,9 +85,9 @@
         member.suspected
     }
 
-    /// Members with unanswered calls and no sign of life since, to be probed for their return.
+    /// Addresses of members with unanswered calls and no sign of life since, to be probed for their return.
     ///
-    /// Heartbeats alone would show the end of a partition to each member at another time, and two members would plan for
+    /// With heartbeats alone, members would notice the end of a partition at different times, and two members would plan for
     /// the same engines meanwhile.
     pub fn silent(&self) -> Vec<net::SocketAddrV4> {
         let silent =
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -30,19 +30,19 @@
 /// Least age of a planner: a younger member does not know the load of the engines yet.
 const PLANNER_AGE: time::Duration = time::Duration::from_millis(1_200);
 
-/// Time without a new member after which a starting process assumes to know all.
+/// Time without a new member after which a starting process assumes that it knows all.
 const SETTLE_TIME: time::Duration = time::Duration::from_millis(80);
-/// Time without any reply after which a starting process assumes to be alone.
+/// Time without any reply after which a starting process assumes that it is alone.
 const LONE_TIME: time::Duration = time::Duration::from_millis(350);
 
 /// State of another member.
 #[derive(Debug)]
 struct MemberState {
-    /// The last heartbeat, with later short ones merged in.
+    /// The last full heartbeat, with later short ones merged in.
     heartbeat: member_heartbeat::MemberHeartbeat,
     /// Hash of the name, for the order of members by key.
     hash: u64,
-    /// When there was last a sign of life.
+    /// Time of the last sign of life.
     last_alive: units::MonoTime,
     /// Unanswered calls since the last sign of life.
     unanswered: u32,
@@ -72,7 +72,7 @@
     uncontacted: Vec<net::SocketAddrV4>,
     /// Addresses that the process knows from its settings.
     seeds: Vec<net::SocketAddrV4>,
-    /// Most live members since the start, this one included.
+    /// Largest number of live members since the start of this process, including this one.
     max_size: usize,
     /// When a member was last met for the first time.
     last_joined: Option<units::MonoTime>,
@@ -104,7 +104,7 @@
         Self::heartbeat_interval_of(self.members.len() + 1)
     }
 
-    /// Interval between heartbeats in a fleet of `members`.
+    /// Interval between heartbeats in a fleet of this many members.
     pub fn heartbeat_interval_of(members: usize) -> time::Duration {
         let members = u32::try_from(members).unwrap_or(u32::MAX);
         SMALL_FLEET_INTERVAL * members.div_ceil(SMALL_FLEET_SIZE).max(1)
@@ -169,8 +169,8 @@
         }
         self.learned_addresses.remove(&heartbeat.address);
         for address in &heartbeat.others {
-            let heard_of = self.knows(*address) || self.learned_addresses.contains_key(address);
-            if !heard_of && self.learned_addresses.len() < MAX_LEARNED_ADDRESSES {
+            let is_known = self.knows(*address) || self.learned_addresses.contains_key(address);
+            if !is_known && self.learned_addresses.len() < MAX_LEARNED_ADDRESSES {
                 self.learned_addresses.insert(*address, now);
                 self.uncontacted.push(*address);
             }
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Estimated number of members, this one included and briefly silent ones as well.
+    /// Estimated number of members, including this one and those that are silent for a short time.
     pub fn size(&self) -> usize {
         (self.members.len() + 1).max(self.max_size.div_ceil(2))
     }
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -53,8 +53,8 @@
         }
         let (step, limit) =
             if failed { (FAILED_STEP, FAILED_LIMIT) } else { (TAKE_OVER_STEP, TAKE_OVER_LIMIT) };
-        let turn = step * u32::try_from(before(false)).unwrap_or(u32::MAX);
-        watching < WATCHERS && missing_for >= turn.min(limit)
+        let delay = step * u32::try_from(before(false)).unwrap_or(u32::MAX);
+        watching < WATCHERS && missing_for >= delay.min(limit)
     }
 
     /// Whether this member's data centre has too few watchers.
