--- a/crates/core/src/list_changes.rs
+++ b/crates/core/src/list_changes.rs
@@ -65,9 +65,9 @@
             entries.iter().map(|entry| entry.name.identifier()).collect();
         let known = self.entries.iter().filter(|(identifier, _)| !listed.contains(&***identifier));
         let missing: Vec<_> = known.map(|(_, entry)| entry.name.clone()).collect();
-        let unnamed =
+        let unlisted =
             self.starts.iter_mut().filter(|(identifier, _)| !listed.contains(&***identifier));
-        unnamed.for_each(|(_, record)| record.clear_relisted());
+        unlisted.for_each(|(_, record)| record.clear_relisted());
         if self.recovery.pending {
             self.recover(now, entries, missing);
             return true;
@@ -99,7 +99,7 @@
         }
         let is_other_start = known.is_some();
         if is_other_start && entry.name.start().is_none() {
-            // An upstream that names its start once always does: another writer wrote this entry.
+            // An upstream that has reported its start once always does: another writer wrote this entry.
             return self.remove(now, identifier);
         }
         let record = self.starts.get_mut(identifier);
@@ -153,8 +153,8 @@
         self.cold.set(now, &entry.name, &entry.service, Some(entry.cold));
         let before = self.entries.insert(sync::Arc::clone(&identifier), entry);
         if before.is_some() || self.starts.contains_key(&identifier) {
-            let over = before.as_ref().and_then(|before| before.name.start());
-            self.starts.entry(identifier).or_default().replace(now, over, present.start());
+            let ended = before.as_ref().and_then(|before| before.name.start());
+            self.starts.entry(identifier).or_default().replace(now, ended, present.start());
         }
         self.ended.extend(before.map(|before| upstream_list::EndedStart {
             name: before.name,
--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -7,7 +7,7 @@
 
 use crate::{fleet_list, ids, start_record, store_revision, units, upstream_list, upstream_notice};
 
-/// How long removed starts are remembered; a copy is some seconds old.
+/// How long removed starts are remembered; a restored copy is some seconds old.
 const REMOVED_MEMORY: time::Duration = time::Duration::from_secs(60);
 /// Most removed starts remembered, some 100 bytes each; beyond that the oldest are forgotten.
 const MAX_REMOVED: usize = 2_048;
@@ -23,9 +23,9 @@
     pub(crate) pending: bool,
     /// Time after the era became known by which each valid entry has been rewritten by its upstream.
     pub(crate) rewrite_time: time::Duration,
-    /// Identifiers of upstreams in use that the copy lacks.
+    /// Identifiers of upstreams that stay in use although the copy lacks them.
     pub(crate) kept: collections::BTreeSet<sync::Arc<str>>,
-    /// Starts that were removed before and that the copy lists; they are not used.
+    /// Starts that were removed before the copy was restored and that it lists again; they are not used.
     pub(crate) withheld: collections::BTreeSet<ids::UpstreamId>,
     /// Evacuated data centres that the copy does not list.
     pub(crate) evacuated: collections::BTreeSet<ids::DataCenterId>,
@@ -95,9 +95,9 @@
 pub struct RecoveryState {
     /// When the present era became known.
     pub since: units::MonoTime,
-    /// Identifiers of upstreams in use that the copy lacks.
+    /// Identifiers of upstreams that stay in use although the copy lacks them.
     pub kept: Vec<sync::Arc<str>>,
-    /// Starts that were removed before and that the copy lists; they are not used.
+    /// Starts that were removed before the copy was restored and that it lists again; they are not used.
     pub withheld: Vec<ids::UpstreamId>,
     /// Evacuated data centres that the copy does not list.
     pub evacuated: Vec<ids::DataCenterId>,
@@ -130,7 +130,7 @@
         self.recovery.since.is_some()
     }
 
-    /// How the recovery in progress treats an upstream, for operators; empty if not at all.
+    /// How the recovery in progress treats an upstream, for operators; empty if it does not concern the upstream.
     pub fn recovery_label(&self, name: &ids::UpstreamId) -> &'static str {
         if self.is_withheld(name) {
             "withheld"
@@ -155,9 +155,9 @@
     /// Upstreams that the copy lacks and that the other instance does not keep are removed.
     pub fn adopt_recovery(&mut self, now: units::MonoTime, state: RecoveryState) {
         self.recovery.since = Some(state.since);
-        let others = std::mem::take(&mut self.recovery.kept);
+        let before = std::mem::take(&mut self.recovery.kept);
         self.recovery.kept = state.kept.into_iter().collect();
-        let dropped: Vec<_> = others.difference(&self.recovery.kept).cloned().collect();
+        let dropped: Vec<_> = before.difference(&self.recovery.kept).cloned().collect();
         dropped.iter().for_each(|identifier| _ = self.remove(now, identifier));
         self.recovery.withheld.extend(state.withheld);
         self.recovery.evacuated.extend(state.evacuated);
@@ -204,9 +204,9 @@
     /// Records that the copy names a former start of an upstream. It becomes the present one unless the present one is
     /// rewritten.
     fn note_former_start(&mut self, now: units::MonoTime, entry: upstream_list::UpstreamEntry) {
-        let patience = self.recovery.rewrite_time.saturating_sub(start_record::RELISTED_TIME);
+        let delay = self.recovery.rewrite_time.saturating_sub(start_record::RELISTED_TIME);
         let record = self.starts.entry(entry.name.identifier().into()).or_default();
-        record.note_relisted(now + patience, entry);
+        record.note_relisted(now + delay, entry);
     }
 
     /// Returns the evacuations in force after a list of this revision, which names the `listed` ones. An evacuation that the
@@ -224,9 +224,9 @@
         if later_era {
             self.recovery.evacuated = self.evacuated.keys().cloned().collect();
         }
-        let is_open =
+        let is_pending =
             |name: &ids::DataCenterId| !listed.contains(name) || unconfirmed.contains(name);
-        self.recovery.evacuated.retain(is_open);
+        self.recovery.evacuated.retain(is_pending);
         if first || later_era || self.recovery.since.is_some() {
             let unknown = unconfirmed.iter().filter(|name| !self.evacuated.contains_key(*name));
             self.recovery.evacuated.extend(unknown.cloned());
@@ -242,7 +242,7 @@
         self.recovery.evacuated.remove(data_center);
     }
 
-    /// Drops state of the recovery whose time is over; returns whether that changed the list.
+    /// Drops state of the recovery that has expired; returns whether that changed the list.
     pub(crate) fn tick_recovery(&mut self, now: units::MonoTime) -> bool {
         let recovery = &mut self.recovery;
         recovery.removed.retain(|_, at| now.since(*at) < REMOVED_MEMORY);
--- a/crates/core/src/live_settings.rs
+++ b/crates/core/src/live_settings.rs
@@ -91,8 +91,8 @@
         self.confirmed = self.confirmed.max(now.earlier_by(age));
     }
 
-    fn reject(&mut self, fault: String) -> OfferOutcome {
-        self.rejected = Some(fault.clone());
-        OfferOutcome::Invalid(fault)
+    fn reject(&mut self, error: String) -> OfferOutcome {
+        self.rejected = Some(error.clone());
+        OfferOutcome::Invalid(error)
     }
 }
