--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -46,8 +46,8 @@
 impl<T> FairQueue<T> {
     /// Adds an item.
     pub fn push(&mut self, item: QueueItem<T>) {
-        let waits = self.items.iter().any(|other| other.customer == item.customer);
-        if !waits {
+        let is_waiting = self.items.iter().any(|other| other.customer == item.customer);
+        if !is_waiting {
             let start = self.start_tag(&item.customer);
             self.used.insert(item.customer.clone(), start);
         }
@@ -71,7 +71,7 @@
 
     /// Removes and returns the first item in the order of service for which `fits` is true.
     ///
-    /// The second argument of `fits` tells whether the item is overdue. Items that are not overdue and for which
+    /// The second argument of `fits` is whether the item is overdue. Items that are not overdue and for which
     /// `yields` is true come after all others.
     pub fn pop_where(
         &mut self,
@@ -86,12 +86,12 @@
         first.map(|index| self.take(index))
     }
 
-    /// Removes and returns all items for which `permits` is true.
-    pub fn remove_where(&mut self, mut permits: impl FnMut(&T) -> bool) -> Vec<QueueItem<T>> {
-        let (gone, kept) = self.items.drain(..).partition(|item| permits(&item.payload));
-        self.items = kept;
+    /// Removes and returns all items for which `matches` is true.
+    pub fn remove_where(&mut self, mut matches: impl FnMut(&T) -> bool) -> Vec<QueueItem<T>> {
+        let (removed, remaining) = self.items.drain(..).partition(|item| matches(&item.payload));
+        self.items = remaining;
         self.advance_virtual_time();
-        gone
+        removed
     }
 
     /// Total cost of the items that would be served before a new item of `customer` with `cost`.
@@ -102,8 +102,9 @@
         weight: f64,
         cost: units::TokenCount,
     ) -> units::TokenCount {
-        let mine = self.start_tag(customer) + cost.0 as f64 / weight;
-        let ahead = |item: &&QueueItem<T>| item.overdue <= now || self.finish_tag(item) <= mine;
+        let finish_tag = self.start_tag(customer) + cost.0 as f64 / weight;
+        let ahead =
+            |item: &&QueueItem<T>| item.overdue <= now || self.finish_tag(item) <= finish_tag;
         self.items.iter().filter(ahead).map(|item| item.cost).sum()
     }
 
@@ -147,9 +148,9 @@
     /// Start tag of a customer's next item: its usage if it has queued items, otherwise at least the virtual time.
     fn start_tag(&self, customer: &ids::CustomerId) -> f64 {
         let used = self.used.get(customer).copied();
-        let waits = self.items.iter().any(|item| item.customer == *customer);
+        let is_waiting = self.items.iter().any(|item| item.customer == *customer);
         match used {
-            Some(used) if waits => used,
+            Some(used) if is_waiting => used,
             used => used.unwrap_or(self.virtual_time).max(self.virtual_time),
         }
     }
--- a/crates/core/src/fleet_budget.rs
+++ b/crates/core/src/fleet_budget.rs
@@ -7,7 +7,8 @@
 
 use crate::{send_pace, units};
 
-/// Part of the budget added by this member's own requests that it uses. The remainder absorbs differing views.
+/// Part of the budget added by this member's own requests that it uses. The remainder is for members whose views of the
+/// fleet differ.
 const USED_PART: f64 = 0.6;
 /// Part of the fixed quota that is split evenly. Halves of a partitioned fleet that consider each other gone use it
 /// twice.
@@ -22,7 +23,7 @@
 pub struct RetryBound {
     /// Retries allowed for each request.
     pub ratio: f64,
-    /// Fixed quota: retries of all members together that are allowed in one window beyond that.
+    /// Fixed quota: retries of all members together that are allowed in one window beyond those for its requests.
     pub extra: f64,
     /// Length of the window; every span of that length counts.
     pub window: time::Duration,
--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -1,8 +1,8 @@
 //! Voting that lets at most one request run for each idempotency key, without a leader, a log or
 //! stored state.
 //!
-//! Every instance remembers in memory, for `retention`, which request was the first to ask it for a
-//! key. A request may run only with the votes of a majority of the key's voters: the [`GROUP_SIZE`]
+//! Every instance remembers in memory, for `retention`, from which request it received the first
+//! query for a key. A request may run only with the votes of a majority of the key's voters: the [`GROUP_SIZE`]
 //! instances that rank highest for the key among all that were listed at any time within the
 //! retention, including those that have left. Their number does not grow with the fleet, and any
 //! two majorities share a voter that remembers, whichever lists the requests were based on.
@@ -29,13 +29,13 @@
 /// A request whose process was paused for longer gives up, because voters may have dropped its
 /// votes.
 pub const MAJORITY_TTL: time::Duration = time::Duration::from_secs(5);
-/// Longest time by which one process's copy of the published list may lag behind another's.
+/// Longest time by which one process's copy of the published list may be older than that of another process.
 pub const MAX_LIST_LAG: time::Duration = time::Duration::from_secs(30);
 
 /// Number of voters of a key. In a smaller fleet all instances are voters.
 pub const GROUP_SIZE: usize = 7;
 
-/// An instance's answer to a request that asks for a key.
+/// An instance's answer to a query for a key on behalf of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VoteAnswer {
     /// The instance votes for the request.
@@ -43,7 +43,7 @@
         /// Number of the key's voters, by the lists that this instance saw within the window.
         group: usize,
     },
-    /// Another request, given here, asked this instance first.
+    /// This instance received an earlier query for the key, from the request given here.
     Taken(ids::RequestId),
     /// The instance is not one of the key's voters, or has not been up or listed long enough.
     Abstained,
@@ -55,7 +55,7 @@
     name: ids::InstanceId,
     started: units::MonoTime,
     retention: time::Duration,
-    /// First request for each key, and when it asked for the key. Invariant: an entry is kept for at least
+    /// First request for each key, and when its query arrived. Invariant: an entry is kept for at least
     /// `retention` and never replaced.
     first_requests: collections::HashMap<ScopedKey, (ids::RequestId, units::MonoTime)>,
     /// Instances listed at some time within the window.
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Answers `request`, which asks for a key.
+    /// Answers a query for a key on behalf of `request`.
     ///
     /// The first request for a key is recorded even if this instance then abstains, unless it already
     /// has [`MAX_KEYS`] keys.
@@ -144,7 +144,7 @@
     /// Drops keys whose retention has passed. Keeping one for longer is harmless.
     pub fn prune(&mut self, now: units::MonoTime) {
         let window = self.window();
-        self.first_requests.retain(|_, (_, asked)| now.since(*asked) < window);
+        self.first_requests.retain(|_, (_, queried_at)| now.since(*queried_at) < window);
     }
 
     /// Number of recorded keys.
@@ -172,8 +172,8 @@
     /// Number of instances listed within the window that rank before this one for a key.
     fn rank(&self, key: &ScopedKey) -> usize {
         let score = |name: &ids::InstanceId| rendezvous::stable_hash(&[&key.0, name.as_str()]);
-        let mine = score(&self.name);
-        self.listed.keys().filter(|name| score(name) > mine).count()
+        let own_score = score(&self.name);
+        self.listed.keys().filter(|name| score(name) > own_score).count()
     }
 
     /// The retention, extended by the lag of the list.
@@ -190,9 +190,9 @@
         /// Time by which it must have started.
         until: units::MonoTime,
     },
-    /// A voter knows of another request, given here, that asked first.
+    /// A voter received an earlier query for the key, from the request given here.
     Taken(ids::RequestId),
-    /// The request has no usable majority, and no other request is known to have asked first.
+    /// The request has no usable majority, and no earlier query of another request is known.
     InDoubt {
         /// Votes received.
         granted: usize,
@@ -204,18 +204,19 @@
 /// Count of the answers to one request.
 #[derive(Debug)]
 pub struct VoteTally {
-    asked: units::MonoTime,
+    /// When the first voter was queried.
+    queried_at: units::MonoTime,
     /// Largest number of voters that any answer stated.
     group: usize,
     granted: collections::HashSet<ids::InstanceId>,
-    /// Another request that asked first.
+    /// Another request whose query a voter received earlier.
     taken: Option<ids::RequestId>,
 }
 
 impl VoteTally {
-    /// Creates an empty count; `asked` is the time at which the first instance is asked.
-    pub fn new(asked: units::MonoTime) -> Self {
-        Self { asked, group: 0, granted: collections::HashSet::new(), taken: None }
+    /// Creates an empty count; `queried_at` is the time at which the first voter is queried.
+    pub fn new(queried_at: units::MonoTime) -> Self {
+        Self { queried_at, group: 0, granted: collections::HashSet::new(), taken: None }
     }
 
     /// Adds an answer. Repeated votes of one instance count once.
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Number of voters to ask, as far as known.
+    /// Number of voters to query, as far as known.
     pub fn group(&self) -> usize {
         self.group.max(GROUP_SIZE)
     }
@@ -242,7 +243,7 @@
         }
         let needed = self.group / 2 + 1;
         let granted = self.granted.len();
-        let until = self.asked + MAJORITY_TTL;
+        let until = self.queried_at + MAJORITY_TTL;
         if granted >= needed && now < until {
             return VoteVerdict::Run { until };
         }
--- a/crates/core/src/permit_cache.rs
+++ b/crates/core/src/permit_cache.rs
@@ -16,11 +16,11 @@
     Send(quota_permit::PermitTerm),
     /// Request permits from the coordinator.
     Request(quota_permit::PermitRequest),
-    /// Try another upstream: no permit can be requested for this long.
+    /// Try another upstream: no permits can be requested before the end of this backoff.
     Backoff(time::Duration),
 }
 
-/// Permits of one quota.
+/// Permits of one quota, and this member's demand for them.
 #[derive(Debug, Default)]
 struct CacheRow {
     /// Unused permits.
@@ -44,28 +44,28 @@
 }
 
 impl<K: Ord + Clone> PermitCache<K> {
-    /// The next step of a request that would wait for a permit as long as `patience`.
+    /// The next step of a request that waits for a permit for at most `max_wait`.
     pub fn step(
         &mut self,
         now: units::MonoTime,
         subject: &K,
-        patience: time::Duration,
+        max_wait: time::Duration,
     ) -> PermitStep {
         let row = self.rows.entry(subject.clone()).or_default();
         row.count_demand(now);
         row.cached.retain(|term| term.is_valid(now));
-        let in_time = |term: &quota_permit::PermitTerm| term.from <= now + patience;
+        let in_time = |term: &quota_permit::PermitTerm| term.from <= now + max_wait;
         if let Some(at) = row.cached.iter().position(in_time)
             && let Some(term) = row.cached.remove(at)
         {
             return PermitStep::Send(term);
         }
         let backoff = row.backoff_until.since(now);
-        if backoff > patience {
+        if backoff > max_wait {
             return PermitStep::Backoff(backoff);
         }
         let wanted = u32::try_from(row.demand.len() / PREFETCH_DIVISOR).unwrap_or(u32::MAX).max(1);
-        let patience_ms = u32::try_from(patience.as_millis()).unwrap_or(u32::MAX);
+        let patience_ms = u32::try_from(max_wait.as_millis()).unwrap_or(u32::MAX);
         PermitStep::Request(quota_permit::PermitRequest { wanted, patience_ms })
     }
 
@@ -74,19 +74,19 @@
         self.rows.get(subject).map_or(time::Duration::ZERO, |row| row.backoff_until.since(now))
     }
 
-    /// Applies the response to a request for permits sent at `asked`; returns a permit, or the backoff.
+    /// Applies the response to a request for permits sent at `requested_at`; returns a permit, or the backoff.
     pub fn receive(
         &mut self,
         now: units::MonoTime,
         subject: &K,
-        asked: units::MonoTime,
+        requested_at: units::MonoTime,
         response: quota_permit::PermitResponse,
     ) -> Result<quota_permit::PermitTerm, time::Duration> {
         let row = self.rows.entry(subject.clone()).or_default();
         match response {
             quota_permit::PermitResponse::Granted { count, wait_ms } => {
                 let wait = time::Duration::from_millis(u64::from(wait_ms));
-                let term = quota_permit::PermitTerm::of_answer(asked, wait);
+                let term = quota_permit::PermitTerm::of_answer(requested_at, wait);
                 let more = count.saturating_sub(1) as usize;
                 row.cached.extend(std::iter::repeat_n(term, more));
                 if term.is_valid(now) { Ok(term) } else { Err(time::Duration::ZERO) }
@@ -105,10 +105,10 @@
         row.cached.push_back(term);
     }
 
-    /// Backs off for `pause` after a coordinator has not responded.
-    pub fn note_silence(&mut self, now: units::MonoTime, subject: &K, pause: time::Duration) {
+    /// Starts a backoff after a coordinator has not responded.
+    pub fn note_silence(&mut self, now: units::MonoTime, subject: &K, backoff: time::Duration) {
         let row = self.rows.entry(subject.clone()).or_default();
-        row.backoff_until = row.backoff_until.max(now + pause);
+        row.backoff_until = row.backoff_until.max(now + backoff);
     }
 
     /// Ends the backoff: the quota has changed.
--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -16,8 +16,8 @@
 /// Longest backoff of a member that was refused. It bounds the capacity reserved for members that have nothing left to
 /// send, and the time for which an increased rate stays unused.
 const MAX_BACKOFF: time::Duration = time::Duration::from_secs(2);
-/// Members invited to request again for each permit. Some of them have no request left by then, and a permit that nobody
-/// requests is lost.
+/// Members invited to request again for each permit. Some of them have no request left by then, and a permit that no
+/// member requests is lost.
 const INVITATIONS_PER_PERMIT: u32 = 4;
 /// Window over which granted permits are reported to operators.
 const GRANT_REPORT_WINDOW: time::Duration = time::Duration::from_secs(4);
@@ -27,7 +27,7 @@
 struct PermitRequester {
     /// Time of its latest request.
     requested: units::MonoTime,
-    /// Time for which it is invited to request again after a refusal.
+    /// Time at which it should request again after a refusal.
     invited: units::MonoTime,
 }
 
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 struct LedgerRow {
     pace: send_pace::SendPace,
-    /// Latest time for which members are invited.
+    /// Latest time at which a refused member should request again.
     last_invited: units::MonoTime,
     /// Number of members invited for that time.
     invitations: u32,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Empties all buckets: this process was paused, and others may have coordinated the quotas meanwhile.
+    /// Empties all buckets after a pause of this process, during which others may have coordinated the quotas.
     pub fn reset_buckets(&mut self, now: units::MonoTime) {
         for row in self.rows.values_mut() {
             row.pace = send_pace::SendPace::initial(now, row.pace.bound());
--- a/crates/core/src/quota_permit.rs
+++ b/crates/core/src/quota_permit.rs
@@ -53,12 +53,12 @@
 }
 
 impl PermitTerm {
-    /// Validity of a permit requested at `asked` that starts `wait` after the request reached the coordinator.
+    /// Validity of a permit requested at `requested_at` that starts `wait` after the request reached the coordinator.
     ///
-    /// The time of arrival is not known here. Counting from `asked` instead keeps the permit from lasting too long,
+    /// The time of arrival is not known here. Counting from `requested_at` instead keeps the permit from lasting too long,
     /// even if this process was paused before it read the response.
-    pub fn of_answer(asked: units::MonoTime, wait: time::Duration) -> Self {
-        let from = asked + wait;
+    pub fn of_answer(requested_at: units::MonoTime, wait: time::Duration) -> Self {
+        let from = requested_at + wait;
         Self { from, until: from + PERMIT_TTL }
     }
 
@@ -73,7 +73,7 @@
 pub struct SendPermit {
     /// Start of the upstream that the permit is for.
     pub upstream: ids::UpstreamId,
-    /// Validity.
+    /// Validity of the permit.
     pub term: PermitTerm,
 }
 
