--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -9,37 +9,37 @@
     pub(crate) name: &'a ids::UpstreamId,
     /// Tie-breaker that is the same on every member.
     pub(crate) rank: u64,
-    /// Whether it is excluded for a while after a recent failure or refusal.
+    /// Whether the engine is excluded for a while after a recent failure or refusal.
     pub(crate) ejected: bool,
-    /// Time until its next pass begins, milliseconds.
+    /// Time until the engine's next pass begins, milliseconds.
     pub(crate) wait_ms: f64,
     /// Prefill time that is queued for that pass, milliseconds.
     pub(crate) pending_ms: f64,
-    /// Time until all prefill that is running or queued there is complete, milliseconds.
+    /// Time until all prefill that is running or queued on the engine is complete, milliseconds.
     pub(crate) prefill_left_ms: f64,
     /// Time of the decode steps of one pass, milliseconds.
     pub(crate) steps_ms: f64,
-    /// Smallest pause goal of the requests there, milliseconds; infinite without any.
+    /// Smallest pause goal of the engine's requests, milliseconds; infinite without requests.
     pub(crate) pause_goal_ms: f64,
-    /// Summed worth of the requests there.
+    /// Summed worth of the engine's requests.
     pub(crate) worth: f64,
-    /// This planner's requests there with tight pause goals.
+    /// Number of this planner's requests with tight pause goals on the engine.
     pub(crate) tight: usize,
-    /// Requests of other planners there. Their pause goals are unknown.
+    /// Number of requests of other planners on the engine. Their pause goals are unknown.
     pub(crate) foreign: usize,
-    /// Requests with tight pause goals whose prefill is not complete.
+    /// Number of requests with tight pause goals whose prefill is not complete.
     pub(crate) prefilling: usize,
-    /// Requests that it answers, including those of other planners.
+    /// Number of requests that the engine answers, including those of other planners.
     pub(crate) answering: usize,
-    /// Tokens of its memory that are neither in use nor reserved.
+    /// Memory that is neither in use nor reserved, tokens.
     pub(crate) free: u64,
-    /// Slowdown relative to its performance model; above 1 if it is slower.
+    /// Slowdown relative to the performance model; above 1 if the engine is slower.
     pub(crate) pace: f64,
-    /// When its rate limit permits requests.
+    /// When the engine's rate limit permits requests.
     pub(crate) permit: engine_limits::PermitTimes,
 }
 
-/// Fraction of a pause goal that a planned pass may take; the rest covers load that the planner cannot see.
+/// Fraction of a pause goal that a planned pass may take; the remainder is for load that the planner cannot see.
 pub(crate) const PAUSE_FRACTION: f64 = 0.85;
 /// Fraction of its worth that an answer loses by one pause beyond its goal.
 const PAUSE_LOSS_FRACTION: f64 = 0.75;
@@ -48,13 +48,13 @@
 const MAX_PAUSES: f64 = 6.0;
 
 impl EngineView<'_> {
-    /// Whether its rate limit permits a request now.
+    /// Whether the engine's rate limit permits a request now.
     pub(crate) fn has_permit(&self) -> bool {
         self.permit.wait_ms <= 0.0
     }
 
-    /// Requests there that a long prefill may delay too much: those with tight pause goals, and those of other
-    /// planners.
+    /// Number of requests that a long prefill on the engine may delay too much: those with tight pause goals, and those
+    /// of other planners.
     pub(crate) fn latency_sensitive(&self) -> usize {
         self.tight + self.foreign
     }
@@ -65,13 +65,13 @@
         (self.wait_ms + self.pending_ms + part + self.steps_ms) * self.pace
     }
 
-    /// Time of a pass that prefills a part of `part` milliseconds here, milliseconds.
-    pub(crate) fn own_ms(&self, part: f64) -> f64 {
+    /// Time of a pass that prefills a part of `part` milliseconds, milliseconds.
+    pub(crate) fn pass_ms(&self, part: f64) -> f64 {
         (part + self.steps_ms) * self.pace
     }
 
-    /// Worth that the requests here lose if one more part of `part` milliseconds is prefilled here; infinite if the
-    /// pause would be too long for a plan.
+    /// Worth that the engine's requests lose if it prefills one more part of `part` milliseconds; infinite if the pause
+    /// would be too long for a plan.
     pub(crate) fn pause_loss(&self, part: f64) -> f64 {
         let before = (self.steps_ms + self.pending_ms) * self.pace;
         let pause = before + part * self.pace;
@@ -79,7 +79,7 @@
         if pause > self.pause_goal_ms * MAX_PAUSES {
             return f64::INFINITY;
         }
-        // A pause that exceeds the limit without this part has been counted already.
+        // A pause that exceeds the limit even without this part has been counted already.
         if pause > limit && before <= limit { self.worth * PAUSE_LOSS_FRACTION } else { 0.0 }
     }
 }
@@ -92,7 +92,7 @@
     let allowed = |ejected: bool| {
         let rows = views.iter().enumerate();
         rows.filter(|(_, view)| view.ejected == ejected && !request.excluded.contains(view.name))
-            .map(|(at, _)| at)
+            .map(|(index, _)| index)
             .collect::<Vec<_>>()
     };
     let usable = allowed(false);
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -9,13 +9,13 @@
 /// Longest ejection after failures.
 const MAX_EJECTION_TIME: time::Duration = time::Duration::from_secs(5);
 /// How long an engine is ejected after it refused a request for lack of capacity; doubles with each further refusal.
-/// Without it, an engine that refuses everything looks idle and attracts all requests.
-const REFUSAL_TIME: time::Duration = time::Duration::from_millis(100);
+/// Without this ejection, an engine that refuses everything looks idle and attracts all requests.
+const REFUSAL_EJECTION_TIME: time::Duration = time::Duration::from_millis(100);
 /// Largest number of doublings of an ejection time.
 const MAX_DOUBLINGS: u32 = 4;
-/// How long an engine is ejected after it refused to prefill a part for another engine. It mostly does so because it
-/// is leaving, and this is about the delay until the published list says so. With a shorter time, a prompt may meet
-/// two such engines in a row.
+/// How long an engine is ejected after it refused to prefill a part for another engine. Most such engines are leaving,
+/// and this is about the delay until the published list says so. With a shorter time, a prompt may meet two such
+/// engines in a row.
 const HELPER_EJECTION_TIME: time::Duration = time::Duration::from_millis(2_500);
 /// Range of plausible pace reports; others are clamped to it.
 const PACE_RANGE: (f64, f64) = (0.5, 20.0);
@@ -29,7 +29,7 @@
 /// Time without new work after which an engine counts as idle.
 const IDLE_TIME: time::Duration = time::Duration::from_secs(4);
 
-/// Delay of a first token that is not yet a sign of trouble: one pass and the message to the planner.
+/// Delay after which a first token counts as overdue: one pass and the message to the planner.
 const FIRST_TOKEN_DELAY_SLACK: time::Duration = time::Duration::from_millis(120);
 
 /// Lower bound of a pass, milliseconds, in case the model of an engine gives an implausible time.
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct PendingPart {
     pub(crate) job: engine_place::JobId,
-    /// Its prefill time, milliseconds.
+    /// Prefill time of the part, milliseconds.
     pub(crate) left_ms: f64,
 }
 
@@ -47,16 +47,16 @@
 /// decoding requests. Parts that arrive during a pass wait for the next one.
 #[derive(Debug, Clone)]
 pub(crate) struct EnginePass {
-    /// Time until its end, milliseconds.
+    /// Time until the end of the pass, milliseconds.
     pub(crate) left_ms: f64,
-    /// Parts that it prefills.
+    /// Parts that the pass prefills.
     pub(crate) parts: Vec<PendingPart>,
 }
 
 /// Estimated state of one engine.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineWork {
-    /// Position in the order in which engines are filled.
+    /// Position in the order in which engines are filled; lower ranks come first.
     pub(crate) rank: u64,
     /// Tokens of memory that the planner may assign.
     pub(crate) memory: u64,
@@ -70,11 +70,11 @@
     pub(crate) pass: Option<EnginePass>,
     /// Parts queued for the next pass, oldest first.
     pub(crate) pending: collections::VecDeque<PendingPart>,
-    /// Requests prefilled here that have not sent a first token, with the time at which it is expected.
+    /// Requests prefilled on this engine that have not sent a first token, with the time at which it is expected.
     pub(crate) expected: collections::BTreeMap<engine_place::JobId, units::MonoTime>,
     /// Tokens of memory in use or reserved.
     pub(crate) used: u64,
-    /// Slowdown relative to its performance model; above 1 if it is slower.
+    /// Slowdown relative to the performance model; above 1 if the engine is slower.
     pub(crate) pace: f64,
     /// Estimated number of requests of other planners.
     pub(crate) foreign: usize,
@@ -83,9 +83,9 @@
     /// Refusals for lack of capacity since the last first token.
     pub(crate) refusals: u32,
     ejected_until: units::MonoTime,
-    /// When work was last placed here.
+    /// When work was last placed on the engine.
     last_placed: Option<units::MonoTime>,
-    /// When its report was last requested.
+    /// When the engine's report was last requested.
     report_requested: Option<units::MonoTime>,
     /// Time up to which the passes have been simulated.
     pub(crate) advanced: units::MonoTime,
@@ -186,16 +186,16 @@
 
     /// Ejects the engine for a while after a failure, longer for each failure in a row.
     pub(crate) fn eject(&mut self, now: units::MonoTime) {
-        let time = EJECTION_TIME * 2_u32.pow(self.failures.min(MAX_DOUBLINGS));
+        let ejection_time = EJECTION_TIME * 2_u32.pow(self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
-        self.ejected_until = now + time.min(MAX_EJECTION_TIME);
+        self.ejected_until = now + ejection_time.min(MAX_EJECTION_TIME);
     }
 
     /// Ejects the engine briefly after it refused a request for lack of capacity.
     pub(crate) fn note_refusal(&mut self, now: units::MonoTime) {
-        let time = REFUSAL_TIME * 2_u32.pow(self.refusals.min(MAX_DOUBLINGS));
+        let ejection_time = REFUSAL_EJECTION_TIME * 2_u32.pow(self.refusals.min(MAX_DOUBLINGS));
         self.refusals += 1;
-        self.ejected_until = self.ejected_until.max(now + time);
+        self.ejected_until = self.ejected_until.max(now + ejection_time);
     }
 
     /// Whether the engine is ejected.
@@ -208,36 +208,36 @@
         self.ejected_until > now || probed
     }
 
-    /// Ejects the engine after it refused to prefill a part for another engine. It is mostly leaving, which its own
-    /// answers do not show.
+    /// Ejects the engine after it refused to prefill a part for another engine. Most such engines are leaving, which
+    /// their own answers do not show.
     pub(crate) fn eject_helper(&mut self, now: units::MonoTime) {
         self.ejected_until = self.ejected_until.max(now + HELPER_EJECTION_TIME);
     }
 
-    /// Records that work was placed here.
+    /// Records that work was placed on the engine.
     pub(crate) fn note_placed(&mut self, now: units::MonoTime) {
         self.last_placed = Some(now);
     }
 
-    /// Whether the engine has no work, has had none recently, and shows no sign of trouble.
+    /// Whether the engine has no work, has had none recently, and is not suspect.
     pub(crate) fn is_idle(&self, now: units::MonoTime) -> bool {
         let has_work = !self.answering.is_empty() || self.used > 0 || self.pass.is_some();
-        let is_doubted = self.foreign > 0 || self.failures > 0 || self.pace > SLOW_PACE;
+        let is_suspect = self.foreign > 0 || self.failures > 0 || self.pace > SLOW_PACE;
         let is_recent =
             self.last_placed.is_some_and(|last_placed| now.since(last_placed) < IDLE_TIME);
-        !(has_work || is_doubted || is_recent)
+        !(has_work || is_suspect || is_recent)
     }
 
-    /// Whether its report is due; if so, records it as requested. An idle engine is due once per `idle_interval`.
+    /// Whether the engine's report is due; if so, records it as requested. The report of an idle engine is due once per
+    /// `idle_interval`.
     pub(crate) fn take_report_due(
         &mut self,
         now: units::MonoTime,
         idle_interval: time::Duration,
     ) -> bool {
-        let report_requested = self
-            .report_requested
-            .is_some_and(|report_requested| now.since(report_requested) < idle_interval);
-        let due = !(report_requested && self.is_idle(now));
+        let is_recent =
+            self.report_requested.is_some_and(|requested| now.since(requested) < idle_interval);
+        let due = !(is_recent && self.is_idle(now));
         self.report_requested = if due { Some(now) } else { self.report_requested };
         due
     }
@@ -266,8 +266,8 @@
         self.pass.as_ref().map_or(0.0, |pass| pass.left_ms) + self.overdue_ms(now)
     }
 
-    /// How long its oldest expected first token is overdue, milliseconds. An overdue engine does work that its planner
-    /// does not know of, for an unknown time.
+    /// How long the engine's oldest expected first token is overdue, milliseconds. An engine with an overdue token does
+    /// work that this planner does not know of, for an unknown time.
     fn overdue_ms(&self, now: units::MonoTime) -> f64 {
         let oldest = self.expected.values().min();
         let late = oldest.map_or(time::Duration::ZERO, |due| now.since(*due));
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -31,10 +31,11 @@
 #[derive(Debug, Clone)]
 struct JobState {
     lease: engine_place::PlaceLease,
+    /// When the lease was last renewed.
     renewed: units::MonoTime,
-    /// When its first token was sent; `None` before.
+    /// When the first token was sent; `None` before.
     first_token_at: Option<units::MonoTime>,
-    /// Rate-limited engines for which it holds a permit.
+    /// Rate-limited engines for which the request holds a permit.
     paced: Vec<ids::UpstreamId>,
 }
 
@@ -128,7 +129,7 @@
         self.refresh_steps(&grant.engine);
     }
 
-    /// Releases the placement of a request, if it has one, and applies what its end says about the engine.
+    /// Releases the placement of a request, if it has one, and updates the state of its engine by how it ended.
     pub(crate) fn end(
         &mut self,
         now: units::MonoTime,
@@ -140,8 +141,8 @@
         };
         self.release(&state.lease);
         if let Some(since) = state.first_token_at.filter(|_| state.lease.request.tight) {
-            let lasted = now.since(since).as_secs_f64() * 1_000.0;
-            self.answer_ms += (lasted - self.answer_ms) * ANSWER_WEIGHT;
+            let duration_ms = now.since(since).as_secs_f64() * 1_000.0;
+            self.answer_ms += (duration_ms - self.answer_ms) * ANSWER_WEIGHT;
         }
         match end {
             engine_place::PlaceEnd::Failed => self.eject(now, &state.lease.grant.engine),
@@ -246,13 +247,13 @@
 
     /// Releases placements whose members have stopped renewing them.
     pub(crate) fn expire(&mut self, now: units::MonoTime) {
-        let silent: Vec<_> = self
+        let expired: Vec<_> = self
             .jobs
             .iter()
             .filter(|(_, state)| now.since(state.renewed) > LEASE_TIME)
             .map(|(job, _)| *job)
             .collect();
-        for job in silent {
+        for job in expired {
             if let Some(state) = self.jobs.remove(&job) {
                 self.release(&state.lease);
             }
--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -25,7 +25,7 @@
         let open = self.engines.iter().filter(|(name, _)| !excluded.contains(name));
         let counts =
             open.map(|(name, engine)| (engine.answering.len(), self.usable_slots(name, engine)));
-        counts.fold((0, 0), |(running, slots), one| (running + one.0, slots + one.1))
+        counts.fold((0, 0), |(running, slots), count| (running + count.0, slots + count.1))
     }
 
     /// Number of requests that an engine can answer concurrently. With a rate limit, this is the number that the
@@ -35,8 +35,8 @@
         let Some(rate) = self.limits.rate(name) else {
             return self.shape.slots;
         };
-        let within = (rate * self.answer_ms / 1_000.0).ceil() as usize;
-        within.clamp(answering.min(self.shape.slots), self.shape.slots)
+        let admitted = (rate * self.answer_ms / 1_000.0).ceil() as usize;
+        admitted.clamp(answering.min(self.shape.slots), self.shape.slots)
     }
 
     /// Time until the rate limit of any engine permits another request, milliseconds.
@@ -75,7 +75,7 @@
             let pending = engine.prefill_left_ms();
             let ejected = if engine.is_ejected(now, self.engine_faults) { " ejected" } else { "" };
             format!(
-                "{name}: {} running, {pending:.0} ms to read, {} tokens, pace {:.1}{ejected}",
+                "{name}: {} running, {pending:.0} ms to prefill, {} tokens, pace {:.1}{ejected}",
                 engine.answering.len(),
                 engine.used,
                 engine.pace
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -1,4 +1,4 @@
-//! Opportunity cost of engine time: what short requests would earn with it while they are being turned away.
+//! Opportunity cost of engine time: the worth of the short requests that it could serve, while some are refused.
 
 use std::time;
 
@@ -15,7 +15,7 @@
 const LOAD_TIME: time::Duration = time::Duration::from_secs(3);
 /// Upper bound of a load estimate, so that some capacity always remains.
 const MAX_LOAD: f64 = 0.95;
-/// Load of other prompts below which they are ignored.
+/// Load of other prompts below which that load is ignored.
 const ALONE_LOAD: f64 = 0.1;
 /// Weight of the newest prompt in the moving average of engine time per worth.
 const MS_PER_WORTH_WEIGHT: f64 = 0.05;
@@ -27,12 +27,12 @@
     contended_until: units::MonoTime,
     /// Engine time per unit of worth (a short request's) of recent long prompts, milliseconds; a moving average.
     ms_per_worth: f64,
-    /// Engine time requested by long prompts, decaying over [`LOAD_TIME`], milliseconds; as of `demand_since`.
+    /// Engine time requested by long prompts, decaying over [`LOAD_TIME`], milliseconds; as of `demand_updated`.
     demand_ms: f64,
-    /// Number of long prompts, decaying over [`LOAD_TIME`]; as of `demand_since`.
+    /// Number of long prompts, decaying over [`LOAD_TIME`]; as of `demand_updated`.
     demand_count: f64,
     /// Time of the last update of `demand_ms` and `demand_count`.
-    demand_since: units::MonoTime,
+    demand_updated: units::MonoTime,
 }
 
 impl Default for EnginePrice {
@@ -42,7 +42,7 @@
             ms_per_worth: INITIAL_MS_PER_WORTH,
             demand_ms: 0.0,
             demand_count: 0.0,
-            demand_since: units::MonoTime::default(),
+            demand_updated: units::MonoTime::default(),
         }
     }
 }
@@ -67,7 +67,7 @@
     ) {
         self.demand_ms = self.demand_ms(now) + pass_model::prefill_ms(shape, request.prompt);
         self.demand_count = self.demand_count * self.remaining_fraction(now) + 1.0;
-        self.demand_since = now;
+        self.demand_updated = now;
     }
 
     /// Fraction of `rate`, the summed rate limits of all engines, that long prompts have requested recently.
@@ -85,13 +85,13 @@
         shape: &route_table::EngineShape,
         request: &engine_place::PlacementRequest,
     ) -> f64 {
-        let whole = LOAD_TIME.as_secs_f64() * 1_000.0 * engines.max(1) as f64;
+        let capacity_ms = LOAD_TIME.as_secs_f64() * 1_000.0 * engines.max(1) as f64;
         let demand = self.demand_ms(now);
         let others = demand - pass_model::prefill_ms(shape, request.prompt);
-        if others < whole * ALONE_LOAD {
+        if others < capacity_ms * ALONE_LOAD {
             return 0.0;
         }
-        (demand / whole).min(MAX_LOAD)
+        (demand / capacity_ms).min(MAX_LOAD)
     }
 
     fn demand_ms(&self, now: units::MonoTime) -> f64 {
@@ -100,7 +100,7 @@
 
     /// Fraction of the recorded demand that remains after its decay.
     fn remaining_fraction(&self, now: units::MonoTime) -> f64 {
-        let elapsed = now.since(self.demand_since).as_secs_f64();
+        let elapsed = now.since(self.demand_updated).as_secs_f64();
         (-elapsed / LOAD_TIME.as_secs_f64()).exp()
     }
 
@@ -127,7 +127,7 @@
         }
         let seconds = pass_model::prefill_ms(shape, job.request.prompt) / 1_000.0;
         let answer_ms = pass_model::decode_ms(shape, shape.slots, 0, SHORT_ANSWER);
-        let shorts = shape.slots as f64 * 1_000.0 / answer_ms;
-        job.value() >= seconds * shorts
+        let shorts_per_second = shape.slots as f64 * 1_000.0 / answer_ms;
+        job.value() >= seconds * shorts_per_second
     }
 }
--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -11,7 +11,7 @@
 const GOAL_FRACTION: f64 = 0.75;
 /// Fraction of the first-token goal of a short request below which an earlier first token has no benefit.
 const NO_LOSS_GOAL_FRACTION: f64 = 0.55;
-/// Loss for each request that an engine lacks to its packing target.
+/// Loss for each request by which an engine is below its packing target.
 ///
 /// All losses are fractions of a short request's worth; the engine with the smallest sum is chosen.
 const PACK_LOSS: f64 = 0.004;
@@ -75,9 +75,9 @@
         request: &engine_place::PlacementRequest,
         part: f64,
     ) -> bool {
-        let pass = (view.steps_ms + view.pending_ms + part) * view.pace;
+        let pass_ms = (view.steps_ms + view.pending_ms + part) * view.pace;
         view.answering < self.shape.slots
-            && pass <= f64::from(request.pause_ms) * engine_view::PAUSE_FRACTION
+            && pass_ms <= f64::from(request.pause_ms) * engine_view::PAUSE_FRACTION
             && view.first_ms(part) <= f64::from(request.goal_ms) * GOAL_FRACTION
             && view.pause_loss(part) <= 0.0
     }
@@ -89,29 +89,29 @@
         request: &engine_place::PlacementRequest,
         part: f64,
     ) -> f64 {
-        let wait = (view.pending_ms + view.steps_ms + part) * view.pace;
+        let pass_ms = (view.pending_ms + view.steps_ms + part) * view.pace;
         let full_loss = if view.answering >= self.shape.slots { FULL_LOSS } else { 0.0 };
         let pause_limit = f64::from(request.pause_ms) * engine_view::PAUSE_FRACTION;
-        let long_pass_loss = if wait > pause_limit { LONG_PASS_LOSS } else { 0.0 };
+        let long_pass_loss = if pass_ms > pause_limit { LONG_PASS_LOSS } else { 0.0 };
         let packing_loss = match self.packing_target {
-            Some(packed) if view.tight < packed => (packed - view.tight) as f64 * PACK_LOSS,
-            Some(packed) => (view.tight - packed) as f64 * OVERPACKED_LOSS,
+            Some(target) if view.tight < target => (target - view.tight) as f64 * PACK_LOSS,
+            Some(target) => (view.tight - target) as f64 * OVERPACKED_LOSS,
             None => 0.0,
         };
-        let foreign = view.foreign as f64 * FOREIGN_LOSS;
+        let foreign_loss = view.foreign as f64 * FOREIGN_LOSS;
         let neighbor_loss =
             (view.answering - view.tight - view.foreign) as f64 * LONG_NEIGHBOR_LOSS;
         // A first token within this time has no cost.
         let goal_without_loss = f64::from(request.goal_ms) * NO_LOSS_GOAL_FRACTION;
         let delay_loss = (view.first_ms(part) - goal_without_loss).max(0.0) / 1_000.0;
-        let pace = (view.pace - 1.0).max(0.0) * PACE_LOSS;
+        let pace_loss = (view.pace - 1.0).max(0.0) * PACE_LOSS;
         view.pause_loss(part)
             + delay_loss
             + full_loss
             + long_pass_loss
             + packing_loss
-            + foreign
+            + foreign_loss
             + neighbor_loss
-            + pace
+            + pace_loss
     }
 }
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -1,7 +1,7 @@
 //! Timetable for the prefill of long prompts. Prompts are booked one after the other, each split into equal parts on
 //! one or more engines at the lowest cost.
 //!
-//! Bookings that have not started are discarded and computed anew in each planning round.
+//! Bookings that have not started are discarded and computed again in each planning round.
 
 use crate::{
     engine_place, pass_model,
@@ -27,7 +27,7 @@
 const SINGLE_HOST_FRACTION: f64 = 0.85;
 /// Largest fraction of an engine's free memory that is reserved for a prompt answered by another engine.
 const MAX_HELD_FRACTION: f64 = 0.9;
-/// Smallest memory reservation on another engine, tokens; less is not worth a message.
+/// Smallest memory reservation on another engine, tokens; a smaller one is not worth a message.
 const MIN_HELD_TOKENS: u64 = 4_096;
 /// Cost of letting an engine without any requests answer, in units of one latency-sensitive request on it.
 const FRESH_HOST_COST: f64 = 0.5;
@@ -40,11 +40,11 @@
 /// The prefill booked for one prompt.
 #[derive(Debug, Clone)]
 pub(crate) struct PrefillBooking {
-    /// Indices of its engines in the timetable.
+    /// Indices of the booked engines in the timetable.
     pub(crate) engines: Vec<usize>,
-    /// Time until all of its engines can start, milliseconds.
+    /// Time until all booked engines can start, milliseconds.
     pub(crate) start_ms: f64,
-    /// Time until the rate limits of all its engines permit it, milliseconds.
+    /// Time until the rate limits of all booked engines permit the request, milliseconds.
     permit_ms: f64,
     /// Time until the first token, milliseconds.
     pub(crate) first_ms: f64,
@@ -53,12 +53,12 @@
 }
 
 impl PrefillBooking {
-    /// Whether it can be sent to its engines now.
+    /// Whether the request can be sent to the booked engines now.
     pub(crate) fn starts_now(&self) -> bool {
         self.start_ms <= MAX_STACKED_MS && self.has_permit()
     }
 
-    /// Whether the rate limits of all its engines permit it now.
+    /// Whether the rate limits of all booked engines permit the request now.
     pub(crate) fn has_permit(&self) -> bool {
         self.permit_ms <= 0.0
     }
@@ -68,7 +68,7 @@
 struct PartCandidate {
     /// Index of the engine in the timetable.
     index: usize,
-    /// Worth that other requests lose by the pause there.
+    /// Worth that the engine's other requests lose by the pause.
     pause_loss: f64,
     /// Time until the part may start, milliseconds.
     start_ms: f64,
@@ -166,15 +166,16 @@
         let first_ms = candidates
             .iter()
             .map(|candidate| {
-                candidate.first_ms.max(start_ms + self.views[candidate.index].own_ms(part))
+                candidate.first_ms.max(start_ms + self.views[candidate.index].pass_ms(part))
             })
             .fold(0.0, f64::max);
         let overhead_ms: f64 = candidates
             .iter()
             .map(|candidate| first_ms - candidate.start_ms - part + PART_COST_MS)
             .sum();
-        let behind = (1 + self.waiting) as f64 / self.views.len() as f64;
-        let cost_ms = first_ms + (overhead_ms + pause_loss * self.ms_per_worth) * behind;
+        let waiting_per_engine = (1 + self.waiting) as f64 / self.views.len() as f64;
+        let cost_ms =
+            first_ms + (overhead_ms + pause_loss * self.ms_per_worth) * waiting_per_engine;
         let engines = candidates.iter().map(|candidate| candidate.index).collect();
         Some(PrefillBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
     }
@@ -182,13 +183,13 @@
     /// When a part of `part` milliseconds may start on an engine, and what it costs there.
     fn part_candidate(&self, index: usize, part: f64) -> PartCandidate {
         let view = &self.views[index];
-        let own = view.own_ms(part);
+        let pass_ms = view.pass_ms(part);
         let pause_loss = view.pause_loss(part);
         let start_ms = (view.prefill_left_ms * view.pace).max(view.permit.wait_ms);
-        let first_ms = view.first_ms(part).max(start_ms + own);
+        let first_ms = view.first_ms(part).max(start_ms + pass_ms);
         let steps = if view.answering > 0 { view.steps_ms * view.pace } else { 0.0 };
-        let passes = start_ms.max(view.wait_ms * view.pace) + steps;
-        let cost_ms = passes
+        let delay_ms = start_ms.max(view.wait_ms * view.pace) + steps;
+        let cost_ms = delay_ms
             + view.latency_sensitive() as f64 * TIGHT_COST_MS
             + pause_loss * self.ms_per_worth;
         PartCandidate { index, pause_loss, start_ms, first_ms, cost_ms }
