--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -51,16 +51,17 @@
         jobs: &mut [&mut waiting_job::WaitingJob],
     ) -> Vec<engine_place::PlaceAnswer> {
         let views = self.table.views(self.now);
-        let tight: usize = views.iter().map(engine_view::EngineView::latency_sensitive).sum();
+        let latency_sensitive: usize =
+            views.iter().map(engine_view::EngineView::latency_sensitive).sum();
         let usable = views.iter().filter(|view| !view.ejected && view.has_permit()).count();
         // Engines left to long prompts once short requests are packed onto the fewest.
-        let free = usable.saturating_sub(tight.div_ceil(self.packing_target));
+        let free = usable.saturating_sub(latency_sensitive.div_ceil(self.packing_target));
         let mut answers = Vec::new();
-        // Lateness is decided anew, because engines may be free earlier than expected.
+        // Lateness is decided again in each round, because engines may be free earlier than expected.
         jobs.iter_mut().for_each(|job| job.late = job.goal_left_ms(self.now) <= 0.0);
         let worth_prefill = |index: &usize| {
-            // A prompt worth less than the short requests that it turns away is not scheduled: it is unknown how
-            // long these will occupy the engines.
+            // A prompt worth less than the short requests that it displaces is not scheduled: it is unknown how long
+            // these will occupy the engines.
             self.price.is_worth_prefill(self.now, &self.table.shape, jobs[*index])
         };
         let mut order: Vec<_> = (0..jobs.len()).filter(worth_prefill).collect();
@@ -122,7 +123,7 @@
             }
             let missed = booking.first_ms > job.due_ms(self.now) && !job.request.resumed;
             if !missed && !allowed {
-                // It waits for a start that costs others less.
+                // The prompt waits for a start that costs other requests less.
                 continue;
             }
             booked.push(DisplacedPrompt { index: *index, expected_ms: booking.first_ms });
@@ -179,8 +180,8 @@
         jobs: &[&mut waiting_job::WaitingJob],
         mut booked: Vec<DisplacedPrompt>,
     ) -> DisplacedPrompt {
-        let density = |row: &DisplacedPrompt| {
-            let job = &jobs[row.index];
+        let density = |prompt: &DisplacedPrompt| {
+            let job = &jobs[prompt.index];
             job.loss_if_missed() / pass_model::prefill_ms(&self.table.shape, job.request.prompt)
         };
         let worst = (0..booked.len())
--- a/crates/core/src/planner/baseline_choice.rs
+++ b/crates/core/src/planner/baseline_choice.rs
@@ -22,9 +22,9 @@
     let usable = engine_view::usable(views, &job.request);
     let usable = usable.into_iter().map(|at| &views[at]);
     let usable: Vec<_> = usable.filter(|view| view.has_permit()).collect();
-    let turn = job.request.job.sequence as usize % usable.len().max(1);
-    let (before, behind) = usable.split_at(turn);
-    let engine = behind.iter().chain(before).copied().min_by_key(load)?;
+    let start = job.request.job.sequence as usize % usable.len().max(1);
+    let (before, after) = usable.split_at(start);
+    let engine = after.iter().chain(before).copied().min_by_key(load)?;
     let part = pass_model::prefill_ms(shape, job.request.prompt);
     Some(engine_place::PlaceGrant {
         job: job.request.job,
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -26,7 +26,7 @@
     engine_place, ids, quota_ledger, retry_schedule, route_table, send_pace, settings, units,
 };
 
-/// Longest time that a request stays queued; its member has given up long before.
+/// Longest time for which a request stays queued; its member has given up long before.
 const MAX_WAIT: time::Duration = time::Duration::from_secs(30);
 /// Fraction of all engine slots that must be in use before a short request is refused; below it, engines that seem
 /// unusable may only have been slow.
@@ -35,8 +35,8 @@
 const MAX_QUEUED_RETRIES: usize = 2;
 /// Slots that are expected to be released for each slot that a retry gets; new requests take the others.
 const SLOTS_PER_RETRY: f64 = 2.0;
-/// Longest time that a retried short request waits for a rate-limit permit, as a multiple of its first-token goal.
-/// It is late by then.
+/// Longest time for which a retried short request waits for a rate-limit permit, as a multiple of its first-token goal.
+/// The request is late by then.
 const RETRY_WAIT_GOALS: f64 = 2.0;
 /// Shortest retry delay given to a refused short request, milliseconds. Its member adds jitter.
 const MIN_RETRY_AFTER_MS: f64 = 300.0;
@@ -140,7 +140,7 @@
             return Some(answer);
         }
         if let Some(waiting) = self.waiting.iter_mut().find(|waiting| waiting.request.job == id) {
-            // The excluded engines may have changed: an engine can request a backoff from a member.
+            // The excluded engines may have changed, for example because one requested a backoff from the member.
             waiting.request.excluded = request.excluded;
             return None;
         }
@@ -148,7 +148,7 @@
         self.table.advance(now);
         if self.is_short(&job.request) {
             if self.table.limited_rate(&[]).is_some() {
-                // Requests that already wait get the permits that are due before this one does.
+                // Requests that already wait get due permits before this one.
                 let answers = self.tick_short(now);
                 self.ready_answers.extend(answers);
             }
@@ -317,8 +317,8 @@
 
     /// Whether a short request would queue at its engine or take more than twice its first-token goal.
     fn is_crowded(&self, job: &waiting_job::WaitingJob, grant: &engine_place::PlaceGrant) -> bool {
-        let more = if job.request.refusable { 0 } else { MAX_QUEUED_RETRIES };
-        self.table.running_on(&grant.engine) >= self.table.shape.slots + more
+        let max_queued = if job.request.refusable { 0 } else { MAX_QUEUED_RETRIES };
+        self.table.running_on(&grant.engine) >= self.table.shape.slots + max_queued
             || grant.first_token_ms > job.request.goal_ms * 2
     }
 
@@ -330,7 +330,7 @@
         job: &waiting_job::WaitingJob,
         grant: &engine_place::PlaceGrant,
     ) -> Option<engine_place::PlaceRefusal> {
-        // Slots of engines that it must not use don't count.
+        // Slots of engines that the request must not use don't count.
         let (running, slots) = self.table.used_slots(&job.request.excluded);
         let full = running as f64 >= slots as f64 * CROWDED_FRACTION;
         let hopeless = f64::from(grant.first_token_ms) > job.patience_ms(now);
@@ -346,8 +346,8 @@
 
     /// Refuses a short request that rate limits keep from all engines for longer than it can wait.
     ///
-    /// A first attempt can wait until it is late, a retry for longer. The refusal comes at once, because a request
-    /// that waits in vain loses time that it needs for a retry.
+    /// A first attempt can wait until it is late, a retry for longer. The request is refused at once: a wait that does
+    /// not lead to a permit would take time that the request needs for a retry.
     fn refuse_limited(
         &mut self,
         now: units::MonoTime,
@@ -363,18 +363,18 @@
         };
         let ahead = self.waiting.iter().filter(ahead).count();
         let wait_ms = self.table.next_permit_ms(now) + ahead as f64 * 1_000.0 / rate;
-        let would_wait_ms = match (job.waited_ms(now) > 0.0, job.request.refusable) {
-            // A request that has been queued stays queued.
+        let max_wait_ms = match (job.waited_ms(now) > 0.0, job.request.refusable) {
+            // A request that is already queued stays queued.
             (true, _) => f64::INFINITY,
             (false, true) => job.goal_left_ms(now),
             (false, false) => f64::from(job.request.goal_ms) * RETRY_WAIT_GOALS,
         };
-        if wait_ms <= would_wait_ms.min(job.patience_ms(now)) {
+        if wait_ms <= max_wait_ms.min(job.patience_ms(now)) {
             return None;
         }
-        let back = self.retry_schedule.next(now, rate);
-        let back_ms = back.as_secs_f64() * 1_000.0;
-        Some(self.table.refusal(job.request.job, back_ms.max(MIN_RETRY_AFTER_MS), Some(wait_ms)))
+        let delay = self.retry_schedule.next(now, rate);
+        let delay_ms = delay.as_secs_f64() * 1_000.0;
+        Some(self.table.refusal(job.request.job, delay_ms.max(MIN_RETRY_AFTER_MS), Some(wait_ms)))
     }
 
     /// Retry delay of a refused short request, from the rate at which slots are released, milliseconds.
--- a/crates/core/src/planner/waiting_job.rs
+++ b/crates/core/src/planner/waiting_job.rs
@@ -6,8 +6,8 @@
 const GOAL_FRACTION: f64 = 0.93;
 /// Round trip to an engine plus the wait for the next planning round, milliseconds.
 const ROUND_TRIP_MS: f64 = 40.0;
-/// Fraction of a caller's remaining patience that a plan may use.
-const PATIENCE_FRACTION: f64 = 0.9;
+/// Fraction of the time left until the caller gives up that a plan may use.
+const CALLER_WAIT_FRACTION: f64 = 0.9;
 /// Fraction of its worth that a late request keeps.
 pub(crate) const LATE_FRACTION: f64 = 0.25;
 
@@ -15,11 +15,11 @@
 #[derive(Debug, Clone)]
 pub(crate) struct WaitingJob {
     pub(crate) request: engine_place::PlacementRequest,
-    /// When it arrived at this planner.
+    /// When the request arrived at this planner.
     pub(crate) since: units::MonoTime,
-    /// Whether its first token is planned to be late; decided anew in each planning round.
+    /// Whether the first token is planned to be late; decided again in each planning round.
     pub(crate) late: bool,
-    /// Whether it has become late in an earlier step and was not refused then.
+    /// Whether the request has become late in an earlier step and was not refused then.
     pub(crate) admitted_late: bool,
 }
 
@@ -29,17 +29,17 @@
         Self { request, since, late: false, admitted_late: false }
     }
 
-    /// Time it has waited, milliseconds.
+    /// Time for which the request has waited, milliseconds.
     pub(crate) fn waited_ms(&self, now: units::MonoTime) -> f64 {
         now.since(self.since).as_secs_f64() * 1_000.0
     }
 
-    /// Time left until its first token is late, milliseconds; negative when it is.
+    /// Time left until the first token is late, milliseconds; negative if it is late already.
     pub(crate) fn goal_left_ms(&self, now: units::MonoTime) -> f64 {
         f64::from(self.request.goal_left_ms) - self.waited_ms(now)
     }
 
-    /// Time within which its first token must be planned, milliseconds: to meet its goal, or if it is late, before its
+    /// Time within which the first token must be planned, milliseconds: to meet its goal, or if it is late, before the
     /// caller gives up.
     pub(crate) fn due_ms(&self, now: units::MonoTime) -> f64 {
         if self.late {
@@ -49,17 +49,18 @@
         }
     }
 
-    /// Time within which its first token must be planned before its caller gives up, milliseconds.
+    /// Time within which the first token must be planned before the caller gives up, milliseconds.
     pub(crate) fn patience_ms(&self, now: units::MonoTime) -> f64 {
-        (f64::from(self.request.patience_ms) - self.waited_ms(now)) * PATIENCE_FRACTION
+        (f64::from(self.request.patience_ms) - self.waited_ms(now)) * CALLER_WAIT_FRACTION
     }
 
-    /// Worth of its answer, reduced if it is late.
+    /// Worth of the answer, reduced if it is late.
     pub(crate) fn value(&self) -> f64 {
         f64::from(self.request.worth) * if self.late { LATE_FRACTION } else { 1.0 }
     }
 
-    /// Worth lost if it misses its due time: the difference to a late answer, or if it is late already, that answer.
+    /// Worth lost if the request misses its due time: the difference between an answer in time and a late one, or if the
+    /// request is late already, the late answer.
     pub(crate) fn loss_if_missed(&self) -> f64 {
         let part = if self.late { LATE_FRACTION } else { 1.0 - LATE_FRACTION };
         f64::from(self.request.worth) * part
--- a/crates/core/src/planner/ways.rs
+++ b/crates/core/src/planner/ways.rs
@@ -26,7 +26,7 @@
 }
 
 impl PackingMode {
-    /// Number of short requests that an engine gets before the next one is used; `None` without packing.
+    /// Number of short requests that an engine gets before the next engine is used; `None` without packing.
     pub(crate) fn packing_target(self, shape: &route_table::EngineShape) -> Option<usize> {
         match self {
             Self::Fixed => Some(FIXED_PACKING_TARGET),
@@ -84,11 +84,11 @@
     KeptBack,
 }
 
-/// Which upstream of a plain service takes a call, among those of equal rank.
+/// Which of the upstreams of equal rank takes a call to a plain service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadChoiceMode {
-    /// A random one of the least loaded.
+    /// One of the least loaded, at random.
     #[default]
     Random,
     /// The less loaded of two random ones.
@@ -133,7 +133,7 @@
 
 /// The selected variant of each decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
-// Names the type in the error text for a value that is not a map.
+// `expecting` fixes the error text for a value that is not a map.
 #[serde(deny_unknown_fields, default, expecting = "struct PlannerWays")]
 pub struct PlannerModes {
     /// Packing of short requests.
@@ -144,7 +144,7 @@
     pub short_refusal: ShortRefusalMode,
     /// How requests to an upstream resume after a backoff.
     pub rest_return: upstream_notice::BackoffReturnMode,
-    /// Propagation of the news that an upstream is leaving.
+    /// Propagation of leaving notices of upstreams.
     pub leaving_news: LeavingNoticeMode,
     /// How planners learn which engines a member must not send to.
     pub closed_engines: ClosedEngineMode,
