--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// How crashes are counted. The default is the one to use; the other exists for comparison.
+/// How crashes are counted. All except the default are for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum CrashCountMode {
     /// The rules of this module.
@@ -92,7 +92,7 @@
 struct SuspectRecord {
     /// Ordered by [`CrashedRun::ended`]; each upstream occurs once.
     crashes: Vec<CrashedRun>,
-    /// Time of the last completed answer; crashes up to then are not in `crashes`.
+    /// Time of the last completed answer or release by an operator; crashes up to then are not in `crashes`.
     answered: Option<units::MonoTime>,
     /// End of the quarantine; `None` if the request is only suspected.
     quarantined_until: Option<units::MonoTime>,
@@ -106,8 +106,9 @@
 
     /// Whether another request shares all its crashes and has more.
     fn explained_by(&self, other: &Self) -> bool {
-        let shared =
-            |run: &CrashedRun| other.crashes.iter().any(|more| more.upstream == run.upstream);
+        let shared = |run: &CrashedRun| {
+            other.crashes.iter().any(|other_run| other_run.upstream == run.upstream)
+        };
         other.crashes.len() > self.crashes.len() && self.crashes.iter().all(shared)
     }
 
@@ -126,7 +127,7 @@
 }
 
 impl QuarantineTable {
-    /// Creates an empty table that counts crashes as `mode` says.
+    /// Creates an empty table that counts crashes by `mode`.
     pub fn new(mode: CrashCountMode) -> Self {
         Self { mode, ..Self::default() }
     }
@@ -196,7 +197,7 @@
         quarantined.map(|(digest, _)| *digest).collect()
     }
 
-    /// Time since the last completed answer to a request that has a record.
+    /// Time since the last completed answer, or release by an operator, of a request that has a record.
     pub fn answered_age(
         &self,
         now: units::MonoTime,
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Drops the record with the shortest sequence of crashes; of several, the one whose last crash is the oldest.
+    /// Drops the record with the shortest sequence of crashes; among equals, the one whose last crash is the oldest.
     fn remove_least(&mut self) {
         let weight = |record: &SuspectRecord| (record.sequence(), record.last_crash());
         let least = self.suspects.iter().min_by_key(|(_, record)| weight(record));
@@ -281,11 +282,11 @@
 
 /// End of the quarantine of a request with `count` counted crashes; `None` if there are too few.
 fn quarantined_until(record: &SuspectRecord, count: usize) -> Option<units::MonoTime> {
-    let more = u32::try_from(count.checked_sub(SEQUENCE)?).unwrap_or(u32::MAX);
-    Some(record.last_crash() + QUARANTINE_TIME * 2_u32.pow(more.min(MAX_DOUBLINGS)))
+    let excess = u32::try_from(count.checked_sub(SEQUENCE)?).unwrap_or(u32::MAX);
+    Some(record.last_crash() + QUARANTINE_TIME * 2_u32.pow(excess.min(MAX_DOUBLINGS)))
 }
 
-/// Tells for each crash, in order of time, whether it counts: whether its run began after the previous counted crash.
+/// For each crash in order of time, whether it counts: whether its run began after the previous counted crash.
 fn in_sequence(crashes: &[CrashedRun]) -> Vec<bool> {
     let mut last = None;
     let counted = crashes.iter().map(|run| {
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -157,7 +157,7 @@
     pub ran: RanState,
     /// Time after which the caller may retry; `None` if a retry would not help.
     pub retry_after: Option<time::Duration>,
-    /// Description for people.
+    /// Human-readable description.
     pub message: String,
 }
 
@@ -184,15 +184,15 @@
 /// little time for the answer, and callers rarely wait longer.
 const MAX_DELAY_PART: f64 = 0.33;
 
-/// Retry delay for a caller with `patience` left, when its request could not have been served for
+/// Retry delay for a caller whose request has `time_left`, when no such request could be served for
 /// `outage`.
 ///
 /// The end of an outage cannot be predicted. Outages last from a fraction of a second to minutes, so
 /// the best estimate is that this one lasts as long again. Callers retry once or twice: with a fixed
 /// delay of 0.5 s, one in eight callers that meet an outage of four seconds returns after its end;
 /// with this delay, half of them do.
-pub fn outage_retry_after(outage: time::Duration, patience: time::Duration) -> time::Duration {
-    outage.min(patience.mul_f64(MAX_DELAY_PART)).max(MIN_RETRY_AFTER)
+pub fn outage_retry_after(outage: time::Duration, time_left: time::Duration) -> time::Duration {
+    outage.min(time_left.mul_f64(MAX_DELAY_PART)).max(MIN_RETRY_AFTER)
 }
 
 /// Shortest retry delay.
@@ -205,16 +205,16 @@
     base.mul_f64(1.0 + random.random::<f64>())
 }
 
-/// Random retry delay for a caller whose upstreams are all in backoff, the first of them for `left`
-/// more.
+/// Random retry delay for a caller whose upstreams are all in backoff; the first backoff to end has
+/// `left` remaining.
 ///
-/// The delay is never shorter than `left`, even if the caller has less time, so that it learns that
-/// waiting is useless. Callers refused during the backoff are spread over as long as it `lasted`;
+/// The delay is never shorter than `left`, even if the caller has less time, so that the caller
+/// learns that waiting is useless. Callers refused during the backoff are spread over its `length`;
 /// otherwise all of them would retry at the moment it ends.
 pub fn backoff_retry_after(
     left: time::Duration,
-    lasted: time::Duration,
+    length: time::Duration,
     random: &mut impl rand::Rng,
 ) -> time::Duration {
-    left + lasted.max(MIN_RETRY_AFTER).mul_f64(random.random::<f64>())
+    left + length.max(MIN_RETRY_AFTER).mul_f64(random.random::<f64>())
 }
--- a/crates/core/src/retry_schedule.rs
+++ b/crates/core/src/retry_schedule.rs
@@ -6,7 +6,7 @@
 
 use crate::units;
 
-/// Fraction of the permitted rate that is reserved for retries; the rest is for first attempts, which can still be in
+/// Fraction of the permitted rate that is reserved for retries; the remainder is for first attempts, which can still be in
 /// time.
 const RETRY_FRACTION: f64 = 0.5;
 /// Longest Retry-After time. Limits have mostly changed after this time.
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub struct RetrySchedule {
     /// Latest retry time assigned so far.
-    tail: units::MonoTime,
+    last_assigned: units::MonoTime,
 }
 
 impl RetrySchedule {
@@ -27,11 +27,11 @@
         let step = 1.0 / (rate * RETRY_FRACTION).max(f64::MIN_POSITIVE);
         let step =
             time::Duration::try_from_secs_f64(step).unwrap_or(MAX_RETRY_AFTER).min(MAX_RETRY_AFTER);
-        let back = self.tail.max(now) + step;
-        if back.since(now) >= MAX_RETRY_AFTER {
+        let retry_at = self.last_assigned.max(now) + step;
+        if retry_at.since(now) >= MAX_RETRY_AFTER {
             return MAX_RETRY_AFTER.mul_f64(rand::rng().random_range(0.5..1.0));
         }
-        self.tail = back;
-        back.since(now)
+        self.last_assigned = retry_at;
+        retry_at.since(now)
     }
 }
--- a/crates/core/src/search_budget.rs
+++ b/crates/core/src/search_budget.rs
@@ -14,6 +14,7 @@
 /// The search budget of an instance.
 #[derive(Debug)]
 pub struct SearchBudget {
+    /// Number of further cells that may be tried.
     available: f64,
 }
 
@@ -34,8 +35,8 @@
         if refused < FREE_CELLS {
             return true;
         }
-        let has_room = self.available >= 1.0;
-        self.available -= f64::from(u8::from(has_room));
-        has_room
+        let is_available = self.available >= 1.0;
+        self.available -= f64::from(u8::from(is_available));
+        is_available
     }
 }
--- a/crates/core/src/start_wait.rs
+++ b/crates/core/src/start_wait.rs
@@ -3,14 +3,15 @@
 use std::time;
 
 /// Process age up to which requests wait while the process has no contact. A partitioned process can only send its
-/// callers elsewhere.
+/// callers to other instances.
 const NO_CONTACT_AGE: time::Duration = time::Duration::from_millis(350);
 /// Process age up to which requests wait while the process is only in contact with members without routes.
 const MEMBER_CONTACT_AGE: time::Duration = time::Duration::from_millis(700);
 /// Process age up to which requests wait while the process is in contact with a source of routes.
 const SOURCE_CONTACT_AGE: time::Duration = time::Duration::from_millis(1_500);
-/// Fraction of its time limit that a request waits at most; the rest is for its answer or for an attempt elsewhere.
-const PATIENCE_FRACTION: f64 = 0.3;
+/// Largest fraction of its time limit for which a request waits; the remainder is for its answer or for an attempt at
+/// another instance.
+const TIME_LIMIT_FRACTION: f64 = 0.3;
 
 /// The best contact that a process has had since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,17 +24,17 @@
     Source,
 }
 
-/// Whether a request that has waited for `waited` keeps waiting at a process of this age; `patience` is its time limit.
+/// Whether a request with this time limit that has waited for `waited` keeps waiting at a process of this age.
 pub fn keeps_waiting(
     contact: StartContact,
     age: time::Duration,
     waited: time::Duration,
-    patience: time::Duration,
+    time_limit: time::Duration,
 ) -> bool {
     let limit = match contact {
         StartContact::NoContact => NO_CONTACT_AGE,
         StartContact::Members => MEMBER_CONTACT_AGE,
         StartContact::Source => SOURCE_CONTACT_AGE,
     };
-    age < limit && waited < patience.mul_f64(PATIENCE_FRACTION)
+    age < limit && waited < time_limit.mul_f64(TIME_LIMIT_FRACTION)
 }
