--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -135,7 +135,7 @@
 }
 
 impl Default for CallerLimits {
-    // In force until the first published version is known.
+    // These limits are in force until the first published version is known.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -159,10 +159,11 @@
     let mut goals = collections::BTreeMap::new();
     for route in routes.iter().filter(|route| route.streaming) {
         for share in &route.shares {
-            let own = ServiceGoals { first_token: route.first_token_goal, pause: route.pause_goal };
-            let strictest = goals.entry(share.service.clone()).or_insert(own);
-            strictest.first_token = strictest.first_token.min(own.first_token);
-            strictest.pause = strictest.pause.min(own.pause);
+            let route_goals =
+                ServiceGoals { first_token: route.first_token_goal, pause: route.pause_goal };
+            let strictest = goals.entry(share.service.clone()).or_insert(route_goals);
+            strictest.first_token = strictest.first_token.min(route_goals.first_token);
+            strictest.pause = strictest.pause.min(route_goals.pause);
         }
     }
     goals
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -63,7 +63,7 @@
             Some((offer.first_token + penalty, std::cmp::Reverse(offer.free), offer.running))
         };
         let offered = candidates.iter().enumerate();
-        let offered = offered.filter_map(|(index, one)| Some((expected(one)?, index)));
+        let offered = offered.filter_map(|(index, candidate)| Some((expected(candidate)?, index)));
         let index = offered.min()?.1;
         Some(RouteChoice { index, reason: "earliest expected first token" })
     }
--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -9,7 +9,7 @@
 pub enum ProbePermission {
     /// The request has another attempt left if the upstream refuses it.
     Yes,
-    /// The request has no other attempt left, or has already made one. With two upstreams that refuse everything, a
+    /// The request has no further attempt left, or has already made one. With two upstreams that refuse everything, a
     /// request could otherwise probe both and fail.
     No,
 }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -111,9 +111,9 @@
 pub struct FleetOptions {
     /// Rule by which the engine for a request is chosen.
     pub routing: RoutingKind,
-    /// Number of engines asked for an offer for each request.
+    /// Number of engines from which an offer is requested for each request.
     pub candidates: usize,
-    /// Number of engines asked for an offer for a long request, for which the choice matters more.
+    /// Number of engines from which an offer is requested for a long request, for which the choice matters more.
     pub long_candidates: usize,
     /// Share of an engine's memory reserved for prompts up to `short_tokens`.
     pub headroom: units::ShareRatio,
--- a/crates/core/src/start_record.rs
+++ b/crates/core/src/start_record.rs
@@ -4,7 +4,7 @@
 
 use crate::{ids, units, upstream_list};
 
-/// How long the list must keep naming an ended start until that start becomes the present one after all.
+/// How long the list must keep naming an ended start until that start becomes the present one again.
 ///
 /// A write of the previous start may be executed seconds late, and the present one overwrites it with its next
 /// heartbeat, within 1.2 s.
@@ -12,8 +12,8 @@
 
 /// Most ended starts remembered per upstream.
 ///
-/// Entries of an ended start may arrive seconds late, from a slow store or a member that lags behind. An upstream that
-/// restarts more often within that time is unusable anyway.
+/// Entries of an ended start may arrive seconds late, from a slow store or a member with an older list. An upstream
+/// that restarts more often within that time is unusable anyway.
 const MAX_ENDED: usize = 8;
 
 /// The known starts of one upstream.
--- a/crates/core/src/store_revision.rs
+++ b/crates/core/src/store_revision.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt as _, Snafu};
 
-/// Generation of the store's history: rises whenever the store is restored from an older copy.
+/// Generation of the store's history, which rises whenever the store is restored from an older copy.
 ///
-/// 0 for a store that reports no era.
+/// It is 0 for a store that reports no era.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/core/src/store_tracker.rs
+++ b/crates/core/src/store_tracker.rs
@@ -66,7 +66,7 @@
     /// Revision up to which this process itself has read both routes and list from the store; 0 before the first read, and
     /// after it has left the store to other members. The list may be newer, as members send it too.
     watched: store_revision::StoreRevision,
-    /// Since when calls have failed; `None` while the store answers.
+    /// Time of the first failed call since the last answer; `None` while the store answers.
     away_since: Option<units::MonoTime>,
     /// When the last answer arrived; before any, when the process started.
     last_answer_at: units::MonoTime,
@@ -145,10 +145,10 @@
         Some(before)
     }
 
-    /// Whether the store, queried at `asked`, may have lacked recent writes of operators, as it was restored from an older
-    /// copy shortly before.
-    fn is_incomplete(&self, asked: units::MonoTime) -> bool {
-        self.era_since.is_some_and(|since| asked.since(since) < REWRITE_TIME)
+    /// Whether the store may have lacked recent writes of operators at `queried_at`, as it was restored from an older copy
+    /// shortly before.
+    fn is_incomplete(&self, queried_at: units::MonoTime) -> bool {
+        self.era_since.is_some_and(|since| queried_at.since(since) < REWRITE_TIME)
     }
 
     /// Records an answer of the store.
@@ -200,18 +200,19 @@
         }
     }
 
-    /// Records that the store, queried at `asked`, has no routes newer than `own`. That is ignored shortly after the store
-    /// was restored from an older copy.
-    pub fn refute_routes(&mut self, own: u64, asked: units::MonoTime) {
-        if !self.is_incomplete(asked) {
-            self.routes.refute(own, asked);
+    /// Records that a query of the store, sent at `queried_at`, found no routes newer than `own`. That is ignored shortly
+    /// after the store was restored from an older copy.
+    pub fn refute_routes(&mut self, own: u64, queried_at: units::MonoTime) {
+        if !self.is_incomplete(queried_at) {
+            self.routes.refute(own, queried_at);
         }
     }
 
-    /// Records that the store, queried at `asked`, has no list newer than `own`. That refutes only revisions of the same era.
-    pub fn refute_list(&mut self, own: store_revision::StoreRevision, asked: units::MonoTime) {
+    /// Records that a query of the store, sent at `queried_at`, found no list newer than `own`. That refutes only revisions
+    /// of the same era.
+    pub fn refute_list(&mut self, own: store_revision::StoreRevision, queried_at: units::MonoTime) {
         if self.list.missing().is_none_or(|missing| missing.era == own.era) {
-            self.list.refute(own, asked);
+            self.list.refute(own, queried_at);
         }
     }
 
