--- a/crates/core/src/upstream_health.rs
+++ b/crates/core/src/upstream_health.rs
@@ -21,9 +21,10 @@
 const REFUSED_PAUSE: time::Duration = time::Duration::from_millis(50);
 /// Most doublings of a pause.
 const MAX_DOUBLINGS: u32 = 5;
-/// Timeout of a probe, as its caller may have left.
+/// Timeout of a probe: its call may end without a result, because its caller has left.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// Time after a report of a gone upstream within which another is no news: many members are informed at once.
+/// Time after a report of a gone upstream within which another report does not count as new: many members find out at
+/// once.
 const GONE_REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 /// Weight of the newest call in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
@@ -43,7 +44,7 @@
     Erred,
     /// The upstream could not be reached, or broke off the call.
     Failed,
-    /// Another upstream answers at its address.
+    /// Another upstream answers at the address.
     Gone,
 }
 
@@ -114,15 +115,15 @@
         self.consecutive_failures += 1;
     }
 
-    /// Records that a member, or this process, was informed that the upstream is gone; returns whether that is news, as
-    /// there was no such report within the last [`GONE_REPORT_INTERVAL`].
+    /// Records a report, of a member or of this process, that the upstream is gone; returns whether it is new, as there
+    /// was no such report within the last [`GONE_REPORT_INTERVAL`].
     pub fn receive_gone(&mut self, now: units::MonoTime) -> bool {
-        let news =
+        let is_new =
             self.gone_reported.is_none_or(|reported| now.since(reported) >= GONE_REPORT_INTERVAL);
         self.gone_reported = Some(now);
         self.consecutive_failures = self.consecutive_failures.max(1);
         self.paused_until = self.paused_until.max(now + GONE_PAUSE);
-        news
+        is_new
     }
 
     /// Drops the pending probe, as its call ended without a result because its caller has left.
--- a/crates/core/src/upstream_limit.rs
+++ b/crates/core/src/upstream_limit.rs
@@ -10,7 +10,7 @@
 /// The limit that an answer announced, or its absence.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitReading {
-    /// The limit; `None` when the answer has none.
+    /// The announced limit; `None` if the answer has none.
     pub rate: Option<units::RequestRate>,
     /// When the request was sent; the reading is not older than that.
     pub requested: units::MonoTime,
@@ -54,7 +54,7 @@
 /// Change of an upstream's limit that a reading caused.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitChange {
-    /// No change.
+    /// The limit did not change.
     Known,
     /// The upstream now has this limit and had none before.
     Begun(units::RequestRate),
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -12,8 +12,8 @@
 ///
 /// Leases may expire during the outage; their holders rewrite them about two seconds after its end.
 pub(crate) const RETURN_TIME: time::Duration = time::Duration::from_millis(1_900);
-/// Share of a service's upstreams beyond which doubtful ones are still used: an outage of the source is likelier than so
-/// many upstreams leaving at once.
+/// Share of a service's upstreams beyond which doubtful ones are still used: an outage of the source is more likely than
+/// the simultaneous leaving of that many upstreams.
 const OUTAGE_SHARE: f64 = 0.5;
 /// How long the starts of an unlisted upstream are remembered: writes of an ended start may arrive seconds late, even after
 /// the entry was deleted.
@@ -144,7 +144,7 @@
     }
 
     /// Upstreams of a service that may take new work of any instance: neither the list nor the upstream itself announces that
-    /// it leaves, and its data centre is not evacuated.
+    /// the upstream is leaving, and its data centre is not evacuated.
     pub fn usable<'a>(&'a self, service: &'a ids::ServiceId) -> Vec<&'a UpstreamEntry> {
         let live: Vec<_> = self
             .entries
@@ -169,7 +169,7 @@
             || self.usable(&entry.service).iter().any(|usable| usable.name == entry.name)
     }
 
-    /// Whether an upstream is not known to leave, not withheld by a recovery, and not evacuated.
+    /// Whether an upstream is not known to be leaving, not withheld by a recovery, and not evacuated.
     fn is_staying(&self, entry: &UpstreamEntry) -> bool {
         entry.state == fleet_list::ListState::Live
             && self.notices.leaving(&entry.name).is_none()
@@ -195,7 +195,7 @@
         &self.notices
     }
 
-    /// Records a leaving notice of a start, received `age` ago; returns whether it is news.
+    /// Records a leaving notice of a start, received `age` ago; returns whether it is new.
     ///
     /// A notice that has expired is ignored unless it is of a present start.
     pub fn receive_leaving(
@@ -208,9 +208,9 @@
         if age >= upstream_notice::NOTICE_MEMORY && !self.is_present(name) {
             return false;
         }
-        let news = self.notices.receive_leaving(now, name, source, age);
-        self.changes += u64::from(news);
-        news
+        let is_new = self.notices.receive_leaving(now, name, source, age);
+        self.changes += u64::from(is_new);
+        is_new
     }
 
     /// Notices of upstreams, to record those that concern only this instance. Leaving notices, which change the usable
@@ -230,9 +230,9 @@
 
     /// The upstream at an address; `None` if several are listed there, or none.
     pub fn name_at(&self, address: net::SocketAddrV4) -> Option<&ids::UpstreamId> {
-        let mut there = self.entries.values().filter(|entry| entry.address == address);
-        let name = there.next().map(|entry| &entry.name);
-        name.filter(|_| there.next().is_none())
+        let mut entries = self.entries.values().filter(|entry| entry.address == address);
+        let name = entries.next().map(|entry| &entry.name);
+        name.filter(|_| entries.next().is_none())
     }
 
     /// Entries of all upstreams.
@@ -240,11 +240,11 @@
         self.entries.values()
     }
 
-    /// Records the start that an upstream reported itself in answer to a query sent at `asked`; returns whether it replaces
-    /// the present one.
+    /// Records the start that an upstream reported itself in answer to a query sent at `queried_at`; returns whether it
+    /// replaces the present one.
     ///
-    /// Two starts can be told apart but not ordered, as clocks may be wrong. So the origin and its time decide. A report of the
-    /// upstream itself that was requested after the present start became known is true whatever the list says; one
+    /// Two starts can be distinguished but not ordered, as clocks may be wrong. So the origin and its time decide. A report
+    /// of the upstream itself that was requested after the present start became known takes precedence over the list; one
     /// requested earlier may come from the previous start. A later entry of the list replaces the present start; if it
     /// names an ended start, only after some seconds, as it may be a late write.
     pub fn update_start(
@@ -252,7 +252,7 @@
         now: units::MonoTime,
         name: &ids::UpstreamId,
         start: ids::UpstreamStart,
-        asked: units::MonoTime,
+        queried_at: units::MonoTime,
     ) -> bool {
         let Some(entry) = self.entries.get(name.identifier()) else {
             return false;
@@ -260,7 +260,7 @@
         let before = entry.name.start();
         let since = self.starts.get(name.identifier()).map(|record| record.known_since);
         // A list without starts gives nothing to compare with.
-        if before.is_none() || since.is_some_and(|since| asked < since) {
+        if before.is_none() || since.is_some_and(|since| queried_at < since) {
             return false;
         }
         if before == Some(start) {
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -12,9 +12,9 @@
 pub const MAX_ACCEPTED_BACKOFF: time::Duration = time::Duration::from_secs(300);
 /// How long notices of an unlisted start are kept: its entry may expire in an outage of the list's source and return.
 pub(crate) const NOTICE_MEMORY: time::Duration = time::Duration::from_secs(120);
-/// Timeout of a probe; its caller may have left.
+/// Timeout of a probe: its request may end without a result, because its caller has left.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// How long after a backoff the first request is a probe.
+/// Time after a backoff within which the first request is a probe.
 const RETURN_TIME: time::Duration = time::Duration::from_secs(10);
 /// How long after the end of a limit older readings of it may arrive.
 const ENDED_LIMIT_MEMORY: time::Duration = time::Duration::from_secs(30);
@@ -57,7 +57,7 @@
 pub struct LeavingNotice {
     /// Origin of the notice.
     pub source: NoticeSource,
-    /// When an instance first received it.
+    /// When an instance first received the notice.
     pub since: units::MonoTime,
 }
 
@@ -66,7 +66,7 @@
 pub struct BackoffNotice {
     /// Length that the upstream requested.
     pub requested: time::Duration,
-    /// When it was received.
+    /// When the notice was received.
     pub since: units::MonoTime,
     /// End of the backoff: at most [`MAX_ACCEPTED_BACKOFF`] after `since`.
     pub until: units::MonoTime,
@@ -129,10 +129,10 @@
         self.rest_return = mode;
     }
 
-    /// Records that a start is leaving; returns whether that is new.
+    /// Records a leaving notice of a start; returns whether it is new.
     ///
-    /// A notice of the upstream itself, also one relayed by a member, is final. One of the list can be revoked by the
-    /// list, and is replaced by the upstream's own.
+    /// A notice of the upstream itself, also one relayed by a member, is final. A notice of the list can be revoked by the
+    /// list, and is replaced by one of the upstream.
     pub fn receive_leaving(
         &mut self,
         now: units::MonoTime,
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Revokes the list's leaving notice of a start; the upstream's own stands, as its writes to the list may be late.
+    /// Revokes the list's leaving notice of a start. A notice of the upstream itself stays in force, as the writes of the
+    /// upstream to the list may be late.
     pub fn receive_live(&mut self, name: &ids::UpstreamId) {
         if let Some(notice) = self.notices.get_mut(name) {
             let by_list = |known: &LeavingNotice| known.source == NoticeSource::List;
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Makes the list's leaving notices final: the list's source has returned from an older copy.
+    /// Makes the list's leaving notices final, after the list's source was restored from an older copy.
     pub fn finalize_listed(&mut self) {
         let leaving = self.notices.values_mut().filter_map(|notice| notice.leaving.as_mut());
         leaving
@@ -202,7 +203,7 @@
         &self,
         now: units::MonoTime,
         name: &ids::UpstreamId,
-        turn: send_gate::ProbePermission,
+        permission: send_gate::ProbePermission,
     ) -> bool {
         let backoff = self.notices.get(name).and_then(|notice| notice.backoff);
         let ended =
@@ -211,7 +212,7 @@
             return false;
         };
         let probed = backoff.probe_sent.is_some_and(|at| now.since(at) < PROBE_TIMEOUT);
-        probed || turn == send_gate::ProbePermission::No
+        probed || permission == send_gate::ProbePermission::No
     }
 
     /// Records a send to a start; returns whether it is a probe.
@@ -224,7 +225,7 @@
         true
     }
 
-    /// Ends a probe; without a result another request may probe.
+    /// Ends a probe, so that another request may probe if the backoff is still recorded.
     pub fn end_probe(&mut self, name: &ids::UpstreamId) {
         if let Some(backoff) = self.notices.get_mut(name).and_then(|notice| notice.backoff.as_mut())
         {
@@ -237,12 +238,12 @@
         let Some(notice) = self.notices.get_mut(name) else {
             return false;
         };
-        // Answers to requests sent before the backoff say nothing of its end.
-        let over = notice.backoff.is_some_and(|backoff| backoff.until <= now);
-        if over {
+        // Answers to requests sent before the backoff do not show its end.
+        let has_ended = notice.backoff.is_some_and(|backoff| backoff.until <= now);
+        if has_ended {
             notice.backoff = None;
         }
-        over
+        has_ended
     }
 
     /// Records a backoff. A shorter one within a longer one changes nothing.
@@ -270,18 +271,18 @@
     ) -> upstream_limit::LimitChange {
         let known = self.notices.get(name).and_then(|notice| notice.limit);
         if known.is_none() && reading.rate.is_none() {
-            // The common case.
+            // Most answers announce no limit.
             return upstream_limit::LimitChange::Known;
         }
         let before = known.and_then(|known| known.reading.rate);
         let reading = known.map_or(reading, |known| known.reading.or(reading));
-        let news = upstream_limit::LimitChange::of(before, reading.rate);
-        let goes_on = known.filter(|_| before.is_some() == reading.rate.is_some());
-        let since = goes_on.map_or(reading.received, |known| known.since);
+        let change = upstream_limit::LimitChange::of(before, reading.rate);
+        let unchanged = known.filter(|_| before.is_some() == reading.rate.is_some());
+        let since = unchanged.map_or(reading.received, |known| known.since);
         self.notice(reading.received, name).limit =
             Some(upstream_limit::LimitNotice { reading, since });
-        self.limit_changes += u64::from(news != upstream_limit::LimitChange::Known);
-        news
+        self.limit_changes += u64::from(change != upstream_limit::LimitChange::Known);
+        change
     }
 
     /// Number of changes of limits so far.
@@ -350,7 +351,7 @@
         (!parts.is_empty()).then(|| parts.join("; "))
     }
 
-    /// Starts with a leaving notice of their own.
+    /// Starts whose leaving notice is final: any but one of the present list.
     pub fn final_leaving(&self) -> impl Iterator<Item = (&ids::UpstreamId, LeavingNotice)> {
         let leaving =
             self.notices.iter().filter_map(|(name, notice)| Some((name, notice.leaving?)));
@@ -380,7 +381,7 @@
         });
     }
 
-    /// The notices of a start, created if there are none. If the table is full the oldest ones make room.
+    /// The notices of a start, created if there are none. If the table is full, the oldest ones are dropped.
     fn notice(&mut self, known: units::MonoTime, name: &ids::UpstreamId) -> &mut UpstreamNotice {
         if self.notices.len() >= MAX_NOTICES && !self.notices.contains_key(name) {
             let oldest = self.notices.iter().min_by_key(|(_, notice)| notice.known);
--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -9,12 +9,12 @@
         &'a self,
         now: units::MonoTime,
         service: &'a ids::ServiceId,
-        turn: send_gate::ProbePermission,
+        permission: send_gate::ProbePermission,
     ) -> Vec<&'a upstream_list::UpstreamEntry> {
         let mut open = self.usable(service);
         open.retain(|entry| self.notices().backoff(now, &entry.name).is_none());
         let avoided = |entry: &&upstream_list::UpstreamEntry| {
-            self.notices().is_avoided(now, &entry.name, turn)
+            self.notices().is_avoided(now, &entry.name, permission)
         };
         if !open.iter().all(avoided) {
             open.retain(|entry| !avoided(entry));
@@ -27,7 +27,7 @@
         &'a self,
         now: units::MonoTime,
         service: &'a ids::ServiceId,
-        turn: send_gate::ProbePermission,
+        permission: send_gate::ProbePermission,
     ) -> Vec<&'a ids::UpstreamId> {
         // Few upstreams have notices, and mostly none of this service.
         let listed = |name: &&ids::UpstreamId| {
@@ -39,7 +39,7 @@
         let named = self.notices().names().chain(&self.recovery.withheld);
         let mut closed: Vec<_> = named.filter(listed).collect();
         if !closed.is_empty() {
-            let open = self.open(now, service, turn);
+            let open = self.open(now, service, permission);
             closed.retain(|name| open.iter().all(|entry| entry.name != **name));
         }
         closed
