--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -409,7 +409,7 @@
             let Some(item) = self.queue.pop_where(now, yields, fits) else { break };
             let rank = rank(&item.payload);
             let request = item.payload;
-            self.shares.count(now, &request.customer, request.weight, request.prefill());
+            self.shares.record_work(now, &request.customer, request.weight, request.prefill());
             actions.push(placement::LedgerAction::Grant(request.attempt.clone(), rank));
             let prefill_left = request.prefill().0 as f64;
             let attempt = request.attempt.clone();
--- a/crates/core/src/failure_detector/probe.rs
+++ b/crates/core/src/failure_detector/probe.rs
@@ -8,7 +8,8 @@
 const DIRECT_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 /// Timeout of the relayed probes that follow.
 const RELAYED_TIMEOUT: time::Duration = time::Duration::from_millis(400);
-/// Extra time for each nearer monitor of the same member: usually one of them announces a finding for all.
+/// Extra time for each monitor between this process and the member, so that usually only the nearest monitor announces
+/// a finding.
 const ANNOUNCE_STEP: time::Duration = time::Duration::from_millis(150);
 
 /// State of the probes of one member.
--- a/crates/core/src/heartbeat_timer.rs
+++ b/crates/core/src/heartbeat_timer.rs
@@ -4,9 +4,9 @@
 
 /// Timer of one member's heartbeats.
 ///
-/// Members that start together would otherwise keep sending at the same moments, and in a large fleet a change right
-/// after them would spread by heartbeats only a whole interval later. So each member draws a random phase, again
-/// whenever the interval changes.
+/// Members that start together would otherwise always send at the same times, and in a large fleet a change right
+/// after such a time would spread by heartbeats only a whole interval later. So each member draws a random phase, and
+/// draws another whenever the interval changes.
 #[derive(Debug, Default)]
 pub struct HeartbeatTimer {
     interval: time::Duration,
--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -176,7 +176,7 @@
         self.listed.keys().filter(|name| score(name) > own_score).count()
     }
 
-    /// The retention, extended by the lag of the list.
+    /// The retention, extended by [`MAX_LIST_LAG`] but at most doubled.
     fn window(&self) -> time::Duration {
         self.retention + MAX_LIST_LAG.min(self.retention)
     }
--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -212,7 +212,7 @@
     /// Returns the evacuations in force after a list of this revision, which names the `listed` ones. An evacuation that the
     /// first list of an era lacks also stays in force, until it is rewritten or the recovery ends.
     ///
-    /// Of the listed evacuations, another instance keeps the `unconfirmed` ones for that reason alone.
+    /// Another instance keeps the `unconfirmed` ones of the listed evacuations in force for that reason alone.
     pub fn merge_evacuations(
         &mut self,
         revision: store_revision::StoreRevision,
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -69,7 +69,7 @@
     /// Answers for other requests that became known during a call of [`PlacementPlanner::request`]; the next
     /// [`PlacementPlanner::tick`] returns them.
     ready_answers: Vec<engine_place::PlaceAnswer>,
-    /// Retry times for requests that rate limits keep from all engines.
+    /// Retry times for requests that no engine's rate limit permits.
     retry_schedule: retry_schedule::RetrySchedule,
 }
 
@@ -344,7 +344,7 @@
         Some(self.table.refusal(job.request.job, self.slot_retry_ms(), expected_ms))
     }
 
-    /// Refuses a short request that rate limits keep from all engines for longer than it can wait.
+    /// Refuses a short request that no engine's rate limit permits within the time that the request can wait.
     ///
     /// A first attempt can wait until it is late, a retry for longer. The request is refused at once: a wait that does
     /// not lead to a permit would take time that the request needs for a retry.
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -276,7 +276,7 @@
     }
 }
 
-/// Prompt tokens of a request that its engine holds and that slow down each decode step there.
+/// Prompt tokens of a request that its engine holds and that slow down each decode step of that engine.
 fn context_of(lease: &engine_place::PlaceLease) -> u64 {
     lease.request.prompt / (lease.grant.helpers.len() as u64 + 1)
 }
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -180,7 +180,7 @@
         Some(PrefillBooking { engines, start_ms, permit_ms, first_ms, cost_ms })
     }
 
-    /// When a part of `part` milliseconds may start on an engine, and what it costs there.
+    /// Start, completion and cost of a part of `part` milliseconds on an engine.
     fn part_candidate(&self, index: usize, part: f64) -> PartCandidate {
         let view = &self.views[index];
         let pass_ms = view.pass_ms(part);
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -15,8 +15,8 @@
 
 use crate::{ids, request_digest, units};
 
-/// Crashes in sequence after which a request is quarantined. In storms of unrelated crashes a harmless request may see
-/// two.
+/// Crashes in sequence after which a request is quarantined. Among many unrelated crashes, two in sequence may break
+/// a harmless request.
 const SEQUENCE: usize = 3;
 /// Divisor of a run's length for its tolerated overlap with the previous crash. Members exchange ages, which are off by
 /// the delay of a message, and a second attempt starts right after the first breaks.
--- a/crates/core/src/quota_permit.rs
+++ b/crates/core/src/quota_permit.rs
@@ -26,7 +26,7 @@
         Self::Retries(service, retry_need::RetryNeed::Begun)
     }
 
-    /// The quota that this one is part of, under which its coordinator keeps the permits.
+    /// The quota that this one is part of, by which the coordinator counts permits.
     pub fn shared_quota(&self) -> Self {
         match self {
             Self::Upstream(upstream) => Self::Upstream(upstream.clone()),
--- a/crates/core/src/retry_schedule.rs
+++ b/crates/core/src/retry_schedule.rs
@@ -1,4 +1,4 @@
-//! Retry-After times for callers that rate limits keep from all upstreams of their service.
+//! Retry-After times for callers whose requests no upstream's rate limit permits.
 
 use std::time;
 
--- a/crates/core/src/service_rank.rs
+++ b/crates/core/src/service_rank.rs
@@ -63,7 +63,7 @@
 
 impl ShareMeter {
     /// Records work assigned to a customer.
-    pub fn count(
+    pub fn record_work(
         &mut self,
         now: units::MonoTime,
         customer: &ids::CustomerId,
