--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -31,13 +31,13 @@
 pub struct AttemptRow {
     /// Attempt id, as sent to the upstream.
     pub attempt: ids::AttemptId,
-    /// Engines or upstream that it was sent to.
+    /// Engines or upstream that the attempt was sent to.
     pub target: String,
     /// Candidates at the time of the choice.
     pub candidates: Vec<CandidateRow>,
     /// Why the target was chosen.
     pub reason: String,
-    /// Time that it waited for a placement, in milliseconds.
+    /// Time for which the attempt waited for a placement, in milliseconds.
     pub waited_ms: u64,
     /// Outcome; absent while the attempt runs.
     pub end: Option<String>,
--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -35,12 +35,12 @@
     pub goal_left_ms: u32,
     /// Time left until the caller gives up, milliseconds.
     pub patience_ms: u32,
-    /// Whether it is a short request: one engine can prefill it in time, and its pause goal is among the shortest of
+    /// Whether the request is short: one engine can prefill it in time, and its pause goal is among the shortest of
     /// its service, so that long prefills on the same engine delay it too much.
     pub tight: bool,
     /// Worth of the answer if it is in time; that of a short request is 1.
     pub worth: f32,
-    /// Whether it is a first attempt; `false` after a refusal or an earlier attempt.
+    /// Whether this is a first attempt; `false` after a refusal or an earlier attempt.
     pub refusable: bool,
     /// Whether an engine has already worked on the request. Such a request is placed as soon as any engine has capacity, and
     /// never refused.
--- a/crates/core/src/fleet_list.rs
+++ b/crates/core/src/fleet_list.rs
@@ -31,7 +31,7 @@
     pub operators: net::SocketAddr,
     /// Address of its scheduler for entries and other schedulers.
     pub scheduler: net::SocketAddr,
-    /// Whether it takes new work; live if absent.
+    /// Whether the instance takes new work; live if absent.
     #[serde(default)]
     pub state: ListState,
 }
@@ -44,7 +44,7 @@
     pub name: ids::EngineId,
     /// Data centre in which it runs.
     pub data_center: ids::DataCenterId,
-    /// Model that it serves.
+    /// Model that the engine serves.
     pub model: ids::ModelId,
     /// Address for requests.
     pub address: net::SocketAddr,
@@ -52,7 +52,7 @@
     pub memory: units::TokenCount,
     /// Prompt tokens processed per second.
     pub prefill_rate: units::TokenRate,
-    /// Whether it takes new work; live if absent.
+    /// Whether the engine takes new work; live if absent.
     #[serde(default)]
     pub state: ListState,
 }
@@ -63,13 +63,13 @@
 pub struct UpstreamRecord {
     /// Name of the upstream.
     pub name: ids::UpstreamId,
-    /// Service that it belongs to.
+    /// Service that the upstream belongs to.
     pub service: ids::ServiceId,
     /// Data centre in which it runs.
     pub data_center: ids::DataCenterId,
     /// Address for requests.
     pub address: net::SocketAddr,
-    /// Whether it takes new work; live if absent.
+    /// Whether the upstream takes new work; live if absent.
     #[serde(default)]
     pub state: ListState,
 }
--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Time after a request's first query to a voter within which its majority may be used.
+/// Time after a request's first query to a voter within which the majority of the request may be used.
 ///
 /// A request whose process was paused for longer gives up, because voters may have dropped its
 /// votes.
--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -21,7 +21,7 @@
     pub(crate) since: Option<units::MonoTime>,
     /// Whether the list of the present era has not been taken over yet.
     pub(crate) pending: bool,
-    /// Time after the era became known by which each valid entry has been rewritten by its upstream.
+    /// Time after the present era became known by which each valid entry has been rewritten by its upstream.
     pub(crate) rewrite_time: time::Duration,
     /// Identifiers of upstreams that stay in use although the copy lacks them.
     pub(crate) kept: collections::BTreeSet<sync::Arc<str>>,
--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -13,7 +13,7 @@
 /// Largest loss that the prefill of a long prompt may cause to other requests, as a fraction of what the prompt
 /// itself loses by missing its due time.
 const MAX_LOSS_FRACTION: f64 = 0.5;
-/// The same fraction for a late prompt, which can afford to wait.
+/// Largest loss that the prefill of a late long prompt may cause, as the same fraction: a late prompt can afford to wait.
 const LATE_MAX_LOSS_FRACTION: f64 = 0.12;
 /// Bounds of the retry delay given to a refused prompt, milliseconds. Callers obey a delay of up to a third of their
 /// time limit.
@@ -30,7 +30,7 @@
 /// A prefill that could be booked on the timetable.
 struct PrefillCandidate {
     booking: timetable::PrefillBooking,
-    /// Whether it may start; `false` if it would cost other requests too much.
+    /// Whether the prefill may start; `false` if it would cost other requests too much.
     allowed: bool,
 }
 
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -21,9 +21,10 @@
 const PACE_RANGE: (f64, f64) = (0.5, 20.0);
 /// Pace above which an engine is polled as often as one with work.
 const SLOW_PACE: f64 = 1.2;
-/// Difference in the number of requests that may be due to requests starting and ending while a report is on its way.
+/// Difference in the number of requests that may result from requests starting and ending while a report is sent.
 const REPORT_SLACK: usize = 4;
-/// The same difference for the count sent with a first token, which is a few milliseconds old; reports are about 200.
+/// Like [`REPORT_SLACK`], for the count sent with a first token, which is a few milliseconds old; reports are about
+/// 200 ms old.
 const FIRST_TOKEN_SLACK: usize = 2;
 
 /// Time without new work after which an engine counts as idle.
--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -25,9 +25,9 @@
 /// A member that requested permits.
 #[derive(Debug, Clone, Copy, Default)]
 struct PermitRequester {
-    /// Time of its latest request.
+    /// Time of the member's latest request.
     requested: units::MonoTime,
-    /// Time at which it should request again after a refusal.
+    /// Time at which the member should request again after a refusal.
     invited: units::MonoTime,
 }
 
--- a/crates/core/src/retry_need.rs
+++ b/crates/core/src/retry_need.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What would be lost without the retry, lowest priority first.
+/// Loss without the retry, lowest priority first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RetryNeed {
-    /// Only latency: the pending attempt may still answer.
+    /// Only latency is lost: the pending attempt may still answer.
     Early,
-    /// The request: its caller has received nothing and may send it again.
+    /// The request is lost: its caller has received nothing and may send it again.
     Failed,
-    /// An answer of which the caller has already received a part.
+    /// An answer is lost of which the caller has already received a part.
     Begun,
 }
 
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -9,9 +9,9 @@
 pub struct RouteCandidate {
     /// Name of the engine.
     pub engine: ids::EngineId,
-    /// Offer of its scheduler; `None` if the scheduler did not answer.
+    /// Offer of the engine's scheduler; `None` if the scheduler did not answer.
     pub offer: Option<placement::EngineOffer>,
-    /// Number of requests that this entry has outstanding on it.
+    /// Number of requests that this entry has outstanding on the engine.
     pub own_requests: usize,
     /// Summed tokens of those requests.
     pub own_tokens: units::TokenCount,
@@ -24,7 +24,7 @@
 pub struct RouteChoice {
     /// Index into the candidates.
     pub index: usize,
-    /// Why it was chosen.
+    /// Why the candidate was chosen.
     pub reason: &'static str,
 }
 
--- a/crates/core/src/start_wait.rs
+++ b/crates/core/src/start_wait.rs
@@ -16,11 +16,11 @@
 /// The best contact that a process has had since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartContact {
-    /// No contact.
+    /// The process has had no contact.
     NoContact,
-    /// Only members without routes.
+    /// The process has had contact only with members without routes.
     Members,
-    /// A source of routes: a member that has them, or the store.
+    /// The process has had contact with a source of routes: a member that has them, or the store.
     Source,
 }
 
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -119,18 +119,18 @@
     pub fn tick(&mut self, now: units::MonoTime) -> bool {
         // Goes first, because removing an upstream also discards the ended start that the list names for it.
         let recovered = self.tick_recovery(now);
-        let gone: Vec<_> = self
+        let expired: Vec<_> = self
             .doubtful
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(identifier, _)| sync::Arc::clone(identifier))
             .collect();
-        for identifier in &gone {
+        for identifier in &expired {
             self.remove(now, identifier);
         }
         let records = self.starts.values_mut();
-        let named: Vec<_> = records.filter_map(|record| record.take_relisted(now)).collect();
-        let changed = !gone.is_empty() || !named.is_empty();
+        let relisted: Vec<_> = records.filter_map(|record| record.take_relisted(now)).collect();
+        let changed = !expired.is_empty() || !relisted.is_empty();
         let changed = recovered || changed;
         let entries = &self.entries;
         self.cold.retain(now, |name| {
@@ -139,7 +139,7 @@
         self.starts.retain(|identifier, record| {
             entries.contains_key(identifier) || now.since(record.known_since) < START_RETENTION
         });
-        named.into_iter().for_each(|entry| self.set_present_start(now, entry));
+        relisted.into_iter().for_each(|entry| self.set_present_start(now, entry));
         changed
     }
 
