--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -15,8 +15,8 @@
 
 use crate::{ids, request_digest, units};
 
-/// Crashes in sequence after which a request is quarantined. In storms of unrelated crashes a harmless request may see
-/// two.
+/// Crashes in sequence after which a request is quarantined. Among many unrelated crashes, two in sequence may break
+/// a harmless request.
 const SEQUENCE: usize = 3;
 /// Divisor of a run's length for its tolerated overlap with the previous crash. Members exchange ages, which are off by
 /// the delay of a message, and a second attempt starts right after the first breaks.
@@ -60,9 +60,9 @@
     }
 }
 
-/// How crashes are counted. The default is the one to use; the other exists for comparison.
+/// How crashes are counted. All except the default are for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum BlameWay {
+pub enum CrashCountMode {
     /// The rules of this module.
     #[default]
     Sequence,
@@ -92,7 +92,7 @@
 struct SuspectRecord {
     /// Ordered by [`CrashedRun::ended`]; each upstream occurs once.
     crashes: Vec<CrashedRun>,
-    /// Time of the last completed answer; crashes up to then are not in `crashes`.
+    /// Time of the last completed answer or release by an operator; crashes up to then are not in `crashes`.
     answered: Option<units::MonoTime>,
     /// End of the quarantine; `None` if the request is only suspected.
     quarantined_until: Option<units::MonoTime>,
@@ -106,8 +106,9 @@
 
     /// Whether another request shares all its crashes and has more.
     fn explained_by(&self, other: &Self) -> bool {
-        let shared =
-            |run: &CrashedRun| other.crashes.iter().any(|more| more.upstream == run.upstream);
+        let shared = |run: &CrashedRun| {
+            other.crashes.iter().any(|other_run| other_run.upstream == run.upstream)
+        };
         other.crashes.len() > self.crashes.len() && self.crashes.iter().all(shared)
     }
 
@@ -119,16 +120,16 @@
 /// Evidence against all requests.
 #[derive(Debug, Default)]
 pub struct QuarantineTable {
-    way: BlameWay,
+    mode: CrashCountMode,
     suspects: collections::BTreeMap<request_digest::RequestDigest, SuspectRecord>,
     /// Number of requests with a quarantine, whether expired or not, that no other request explains.
     quarantined: usize,
 }
 
 impl QuarantineTable {
-    /// Creates an empty table that counts crashes as `way` says.
-    pub fn new(way: BlameWay) -> Self {
-        Self { way, ..Self::default() }
+    /// Creates an empty table that counts crashes by `mode`.
+    pub fn new(mode: CrashCountMode) -> Self {
+        Self { mode, ..Self::default() }
     }
 
     /// Whether there is no evidence.
@@ -160,7 +161,8 @@
     /// Clears a request of crashes up to `at`, when it was answered or released by an operator; returns whether there
     /// is a record of it.
     pub fn clear(&mut self, digest: request_digest::RequestDigest, at: units::MonoTime) -> bool {
-        let Some(record) = self.suspects.get_mut(&digest).filter(|_| self.way != BlameWay::Count)
+        let Some(record) =
+            self.suspects.get_mut(&digest).filter(|_| self.mode != CrashCountMode::Count)
         else {
             return false;
         };
@@ -195,7 +197,7 @@
         quarantined.map(|(digest, _)| *digest).collect()
     }
 
-    /// Time since the last completed answer to a request that has a record.
+    /// Time since the last completed answer, or release by an operator, of a request that has a record.
     pub fn answered_age(
         &self,
         now: units::MonoTime,
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Drops the record with the shortest sequence of crashes; of several, the one whose last crash is the oldest.
+    /// Drops the record with the shortest sequence of crashes; among equals, the one whose last crash is the oldest.
     fn remove_least(&mut self) {
         let weight = |record: &SuspectRecord| (record.sequence(), record.last_crash());
         let least = self.suspects.iter().min_by_key(|(_, record)| weight(record));
@@ -248,10 +250,10 @@
 
     /// Derives the quarantines from the evidence.
     fn update_quarantines(&mut self) {
-        let way = self.way;
-        let count_of = |record: &SuspectRecord| match way {
-            BlameWay::Sequence => record.sequence(),
-            BlameWay::Count => record.crashes.len(),
+        let mode = self.mode;
+        let count_of = |record: &SuspectRecord| match mode {
+            CrashCountMode::Sequence => record.sequence(),
+            CrashCountMode::Count => record.crashes.len(),
         };
         for record in self.suspects.values_mut() {
             record.quarantined_until = quarantined_until(record, count_of(record));
@@ -270,7 +272,7 @@
         let explained: Vec<_> =
             quarantined.iter().copied().filter(|digest| is_explained(digest)).collect();
         self.quarantined = quarantined.len() - explained.len();
-        for digest in explained.iter().filter(|_| way == BlameWay::Sequence) {
+        for digest in explained.iter().filter(|_| mode == CrashCountMode::Sequence) {
             if let Some(record) = self.suspects.get_mut(digest) {
                 record.quarantined_until = None;
             }
@@ -280,11 +282,11 @@
 
 /// End of the quarantine of a request with `count` counted crashes; `None` if there are too few.
 fn quarantined_until(record: &SuspectRecord, count: usize) -> Option<units::MonoTime> {
-    let more = u32::try_from(count.checked_sub(SEQUENCE)?).unwrap_or(u32::MAX);
-    Some(record.last_crash() + QUARANTINE_TIME * 2_u32.pow(more.min(MAX_DOUBLINGS)))
+    let excess = u32::try_from(count.checked_sub(SEQUENCE)?).unwrap_or(u32::MAX);
+    Some(record.last_crash() + QUARANTINE_TIME * 2_u32.pow(excess.min(MAX_DOUBLINGS)))
 }
 
-/// Tells for each crash, in order of time, whether it counts: whether its run began after the previous counted crash.
+/// For each crash in order of time, whether it counts: whether its run began after the previous counted crash.
 fn in_sequence(crashes: &[CrashedRun]) -> Vec<bool> {
     let mut last = None;
     let counted = crashes.iter().map(|run| {
