--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -63,7 +63,7 @@
         use event::EntryEvent;
         let router = &mut self.router;
         match event {
-            EntryEvent::Plan(question, answer) => reply(answer, router.plan(now, &question)),
+            EntryEvent::Plan(query, answer) => reply(answer, router.plan(now, &query)),
             EntryEvent::Resolve(key, answer) => {
                 reply(answer, router.resolve(now, &key, units::TokenCount::ZERO));
             }
@@ -74,8 +74,8 @@
                 reply(answer, router.spend_own_share(now, &resolved, want));
             }
             EntryEvent::Portion(customer, portion) => router.add_portion(now, &customer, portion),
-            EntryEvent::Candidates(question, tree, prefix, tried, answer) => {
-                let found = router.candidates(now, &question, &tree.fleet, prefix, &tried);
+            EntryEvent::Candidates(query, tree, prefix, tried, answer) => {
+                let found = router.candidates(now, &query, &tree.fleet, prefix, &tried);
                 reply(answer, found);
             }
             EntryEvent::Group(model, need, tree, answer) => {
@@ -91,8 +91,8 @@
             EntryEvent::Started(place) => self.start(place),
             EntryEvent::Ended(attempt, engine) => self.end(&attempt, &engine),
             EntryEvent::Eject(engine) => router.eject(now, &engine),
-            EntryEvent::Retry(question, answer) => {
-                reply(answer, router.decide_retry(now, question));
+            EntryEvent::Retry(attempt, answer) => {
+                reply(answer, router.decide_retry(now, attempt));
             }
             EntryEvent::CountRequest => router.count_request(now),
             EntryEvent::Upstreams(service, answer) => reply(answer, router.upstreams(&service)),
--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -11,12 +11,17 @@
 /// If one of them is refused or fails, the leases acquired so far are released.
 pub(crate) async fn find(
     context: &rc::Rc<request_context::EntryContext>,
-    question: &place::PlaceQuestion,
+    place_request: &place::PlaceRequest,
 ) -> Result<place::HeldPlace, refusal::RequestRefusal> {
-    let required_memory = question.required_memory();
+    let required_memory = place_request.required_memory();
     let to_event = |answer| {
-        let tree = rc::Rc::clone(&question.grant.fleet);
-        event::EntryEvent::Group(question.plan.model.clone(), required_memory, tree, answer)
+        let tree = rc::Rc::clone(&place_request.grant.fleet);
+        event::EntryEvent::Group(
+            place_request.plan_query.model.clone(),
+            required_memory,
+            tree,
+            answer,
+        )
     };
     let members = context.events.ask(to_event).await;
     if members.is_empty() {
@@ -24,21 +29,21 @@
         return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
     }
     let started = context.clock.now();
-    let patience = started + question.grant.fleet.fleet.group_wait.0;
+    let patience = started + place_request.grant.fleet.fleet.group_wait.0;
     let memory_per_member = units::TokenCount(required_memory.0.div_ceil(members.len() as u64));
     let reason = format!("a group of {}, {memory_per_member} each", members.len());
     let mut held =
-        place::create_held_place(context, question, Vec::new(), true, Vec::new(), reason);
+        place::create_held_place(context, place_request, Vec::new(), true, Vec::new(), reason);
     held.member_memory = memory_per_member;
     for member in members {
-        let mut request = question.request(context, &member);
+        let mut request = place_request.capacity_request(context, &member);
         request.memory = memory_per_member;
         request.grouped = true;
-        request.patience = patience.min(question.deadline);
+        request.patience = patience.min(place_request.deadline);
         let link = context.links.link(member.scheduler);
         // Added before the scheduler answers, so that the lease is released even if the answer is
         // lost.
-        place::add_member(context, question, &mut held, member.clone(), request.clone());
+        place::add_member(context, place_request, &mut held, member.clone(), request.clone());
         match link.acquire(&member.engine, &request, context.clock.now()).await {
             Ok(Ok(priority)) => held.priority = held.priority.or(Some(priority)),
             Ok(Err(refusal)) => return Err(refusal),
--- a/crates/entry/src/model_measure.rs
+++ b/crates/entry/src/model_measure.rs
@@ -16,7 +16,7 @@
     pub(crate) fn measure_all(&self, measure: histogram::MeasureKind, spans: Vec<time::Duration>) {
         let settings = &self.admitted.grant.settings;
         let class = settings.class.as_ref().map_or("-", ids::ClassId::as_str);
-        let band = histogram::band_name(self.admitted.plan.prompt);
+        let band = histogram::band_name(self.admitted.plan_query.prompt);
         let series =
             vec![format!("customer/{}", settings.customer), format!("class/{class}/{band}")];
         self.context.events.send(event::EntryEvent::Measure(measure, series, spans));
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -103,7 +103,7 @@
 
 /// Data of a request that has passed admission.
 pub(crate) struct AdmittedRequest {
-    pub(crate) plan: entry_router::PlanQuery,
+    pub(crate) plan_query: entry_router::PlanQuery,
     pub(crate) grant: entry_router::RequestGrant,
     pub(crate) body: Bytes,
     pub(crate) prefix: u64,
@@ -121,17 +121,17 @@
 ) -> Result<AdmittedRequest, refusal::RequestRefusal> {
     let parsed = prompt::ParsedRequest::read(&body)?;
     drop(body);
-    let plan = parsed.question(call.key.clone(), call.requested_limit);
-    let question = plan.clone();
-    let grant = context.events.ask(|answer| event::EntryEvent::Plan(question, answer)).await?;
+    let plan_query = parsed.plan_query(call.key.clone(), call.requested_limit);
+    let query = plan_query.clone();
+    let grant = context.events.ask(|answer| event::EntryEvent::Plan(query, answer)).await?;
     record.set_settings(&grant.settings);
-    record.prompt_tokens = plan.prompt.0;
+    record.prompt_tokens = plan_query.prompt.0;
     record.list_revision = grant.list_revision;
-    budget_step::take(context, &grant, plan.prompt + grant.output, record).await?;
+    budget_step::take(context, &grant, plan_query.prompt + grant.output, record).await?;
     let deadline = call.arrived + grant.settings.time_limit.value.0;
     let (prefix, prefix_tokens, stream) = (parsed.prefix, parsed.prefix_tokens, parsed.stream);
     let body = parsed.into_body(grant.output);
-    Ok(AdmittedRequest { plan, grant, body, prefix, prefix_tokens, stream, deadline })
+    Ok(AdmittedRequest { plan_query, grant, body, prefix, prefix_tokens, stream, deadline })
 }
 
 impl ModelRequest {
@@ -170,8 +170,8 @@
         let mut number = 0;
         loop {
             number += 1;
-            let question = self.place_question(number);
-            let finding = place::find(&self.context, &question);
+            let place_request = self.place_request(number);
+            let finding = place::find(&self.context, &place_request);
             let limited = monoio::time::timeout(self.remaining_time(), finding);
             let Some(found) = connection.while_connected(limited).await else {
                 return Ok(RequestEnd::Close);
@@ -180,7 +180,7 @@
             // Earlier attempts may have run although this one found no place.
             let place = found.map_err(|refusal| self.add_last_failure(refusal))?;
             self.measure_wait(&place);
-            let end = self.attempt(connection, &place, &question.attempt).await;
+            let end = self.attempt(connection, &place, &place_request.attempt).await;
             self.record_attempt(&place, &end);
             match end {
                 AttemptEnd::Complete => {
@@ -219,14 +219,14 @@
             self.tried.push(member.engine.clone());
             self.context.events.send(event::EntryEvent::Eject(member.engine.clone()));
         }
-        let question = retry::FailedAttempt {
+        let failed_attempt = retry::FailedAttempt {
             failure: fault.failure,
             repeatable: true,
             attempts,
             max_attempts: self.admitted.grant.settings.max_attempts.value,
             time_left: !self.remaining_time().is_zero(),
         };
-        let to_event = |answer| event::EntryEvent::Retry(question, answer);
+        let to_event = |answer| event::EntryEvent::Retry(failed_attempt, answer);
         match self.context.events.ask(to_event).await {
             retry::RetryVerdict::Retry => {
                 self.record.notes.push(format!("retry: {}", fault.text));
@@ -333,10 +333,10 @@
         call
     }
 
-    fn place_question(&self, number: u32) -> place::PlaceQuestion {
-        place::PlaceQuestion {
+    fn place_request(&self, number: u32) -> place::PlaceRequest {
+        place::PlaceRequest {
             attempt: ids::AttemptId::new(&self.call.request_ids.request, number),
-            plan: self.admitted.plan.clone(),
+            plan_query: self.admitted.plan_query.clone(),
             grant: self.admitted.grant.clone(),
             prefix: self.admitted.prefix,
             prefix_tokens: self.admitted.prefix_tokens,
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -13,11 +13,11 @@
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(300);
 
 /// Request for a place for one attempt.
-pub struct PlaceQuestion {
+pub struct PlaceRequest {
     /// Attempt that needs the place.
     pub attempt: ids::AttemptId,
     /// Routing data of the request: its key, model, prompt length and requested limits.
-    pub plan: entry_router::PlanQuery,
+    pub plan_query: entry_router::PlanQuery,
     /// Settings that the router resolved for the request.
     pub grant: entry_router::RequestGrant,
     /// Hash of the prompt's prefix.
@@ -30,15 +30,15 @@
     pub deadline: units::MonoTime,
 }
 
-impl PlaceQuestion {
+impl PlaceRequest {
     /// Memory needed for the prompt and the output together.
     pub(crate) fn required_memory(&self) -> units::TokenCount {
-        self.plan.prompt + self.grant.output
+        self.plan_query.prompt + self.grant.output
     }
 
     /// Builds the request to the scheduler of `target`, as for an engine that serves the prompt
     /// alone.
-    pub(crate) fn request(
+    pub(crate) fn capacity_request(
         &self,
         context: &request_context::EntryContext,
         target: &engine_directory::EngineTarget,
@@ -50,8 +50,8 @@
             boot: context.boot,
             customer: self.grant.settings.customer.clone(),
             weight: self.grant.settings.weight.value,
-            prompt: self.plan.prompt,
-            cached: cached.min(self.plan.prompt),
+            prompt: self.plan_query.prompt,
+            cached: cached.min(self.plan_query.prompt),
             output: self.grant.output,
             memory: self.required_memory(),
             grouped: false,
@@ -137,19 +137,19 @@
 /// If no candidate in any round grants a place, returns the refusal with the shortest retry delay.
 pub async fn find(
     context: &rc::Rc<request_context::EntryContext>,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
-    let mut tried = question.tried.clone();
+    let mut tried = place_request.tried.clone();
     let mut refused = None;
     for _ in 0..MAX_ROUNDS {
-        let targets = candidates(context, question, &tried).await;
+        let targets = candidates(context, place_request, &tried).await;
         if targets.is_empty() {
             break;
         }
-        if needs_group(question, &targets) {
-            return group_place::find(context, question).await;
+        if needs_group(place_request, &targets) {
+            return group_place::find(context, place_request).await;
         }
-        match try_candidates(context, question, targets, &mut tried).await {
+        match try_candidates(context, place_request, targets, &mut tried).await {
             Ok(place) => return Ok(place),
             Err(refusal) => refused = Some(shorter_wait(refused, refusal)),
         }
@@ -159,44 +159,50 @@
 
 async fn candidates(
     context: &request_context::EntryContext,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
     tried: &[ids::EngineId],
 ) -> Vec<engine_directory::EngineTarget> {
     let to_event = |answer| {
-        let tree = rc::Rc::clone(&question.grant.fleet);
-        let plan = question.plan.clone();
-        event::EntryEvent::Candidates(plan, tree, question.prefix, tried.to_vec(), answer)
+        let tree = rc::Rc::clone(&place_request.grant.fleet);
+        let plan_query = place_request.plan_query.clone();
+        event::EntryEvent::Candidates(
+            plan_query,
+            tree,
+            place_request.prefix,
+            tried.to_vec(),
+            answer,
+        )
     };
     context.events.ask(to_event).await
 }
 
 /// Whether prompt and output need more memory than any of the candidates has without its headroom.
-fn needs_group(question: &PlaceQuestion, targets: &[engine_directory::EngineTarget]) -> bool {
-    let headroom = question.grant.fleet.fleet.headroom.factor();
+fn needs_group(place_request: &PlaceRequest, targets: &[engine_directory::EngineTarget]) -> bool {
+    let headroom = place_request.grant.fleet.fleet.headroom.factor();
     let largest = targets.iter().map(|target| target.memory.scale(1.0 - headroom)).max();
-    largest.is_some_and(|largest| question.required_memory() > largest)
+    largest.is_some_and(|largest| place_request.required_memory() > largest)
 }
 
 async fn try_candidates(
     context: &rc::Rc<request_context::EntryContext>,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
     targets: Vec<engine_directory::EngineTarget>,
     tried: &mut Vec<ids::EngineId>,
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
     let wants_offers = context.events.ask(event::EntryEvent::WantsOffers).await;
     if !wants_offers {
-        return choose_without_lease(context, question, targets, tried).await;
+        return choose_without_lease(context, place_request, targets, tried).await;
     }
-    let answers = ask_offers(context, question, &targets).await;
+    let answers = ask_offers(context, place_request, &targets).await;
     let rows = targets.iter().zip(&answers).map(offer_row).collect();
     let offers: Vec<_> = answers.iter().map(OfferOutcome::offer).collect();
     let to_event = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
     let Some(choice) = context.events.ask(to_event).await else {
-        return handle_no_choice(context, question, targets, answers, rows, tried).await;
+        return handle_no_choice(context, place_request, targets, answers, rows, tried).await;
     };
     let target = targets[choice.index].clone();
     tried.push(target.engine.clone());
-    acquire(context, question, target, rows, choice.reason.to_owned()).await
+    acquire(context, place_request, target, rows, choice.reason.to_owned()).await
 }
 
 /// Result of asking one scheduler for an offer.
@@ -218,12 +224,12 @@
 
 async fn ask_offers(
     context: &request_context::EntryContext,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
     targets: &[engine_directory::EngineTarget],
 ) -> Vec<OfferOutcome> {
     let now = context.clock.now();
     let queries = targets.iter().map(|target| async move {
-        let request = question.request(context, target);
+        let request = place_request.capacity_request(context, target);
         match context.links.link(target.scheduler).offer(&target.engine, &request, now).await {
             Ok(Ok(offer)) => OfferOutcome::Offered(offer),
             Ok(Err(refusal)) => OfferOutcome::Refused(refusal),
@@ -257,7 +263,7 @@
 /// otherwise the request is refused.
 async fn handle_no_choice(
     context: &rc::Rc<request_context::EntryContext>,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
     targets: Vec<engine_directory::EngineTarget>,
     answers: Vec<OfferOutcome>,
     rows: Vec<decision::CandidateRow>,
@@ -276,7 +282,7 @@
                     let reason = "its scheduler is out of reach: direct share".to_owned();
                     return Ok(create_held_place(
                         context,
-                        question,
+                        place_request,
                         vec![target],
                         false,
                         rows,
@@ -293,7 +299,7 @@
 /// then waits in the engine's own queue.
 async fn choose_without_lease(
     context: &rc::Rc<request_context::EntryContext>,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
     targets: Vec<engine_directory::EngineTarget>,
     tried: &mut Vec<ids::EngineId>,
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
@@ -304,7 +310,7 @@
     tried.push(target.engine.clone());
     Ok(create_held_place(
         context,
-        question,
+        place_request,
         vec![target],
         false,
         Vec::new(),
@@ -315,17 +321,18 @@
 /// Acquires a lease from the scheduler of the chosen engine.
 async fn acquire(
     context: &rc::Rc<request_context::EntryContext>,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
     target: engine_directory::EngineTarget,
     rows: Vec<decision::CandidateRow>,
     reason: String,
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
     let started = context.clock.now();
-    let request = question.request(context, &target);
+    let request = place_request.capacity_request(context, &target);
     let link = context.links.link(target.scheduler);
     match link.acquire(&target.engine, &request, started).await {
         Ok(Ok(priority)) => {
-            let mut place = create_held_place(context, question, vec![target], true, rows, reason);
+            let mut place =
+                create_held_place(context, place_request, vec![target], true, rows, reason);
             place.priority = Some(priority);
             place.row.waited_ms = millis_since(context, started);
             Ok(place)
@@ -333,7 +340,7 @@
         Ok(Err(refusal)) => Err(refusal),
         Err(error) => {
             // The scheduler may have granted the lease although its answer did not arrive.
-            let (attempt, context) = (question.attempt.clone(), rc::Rc::clone(context));
+            let (attempt, context) = (place_request.attempt.clone(), rc::Rc::clone(context));
             monoio::spawn(release_lease(context, target, attempt));
             let code = refusal::RefusalCode::NoUpstream;
             Err(refusal::RequestRefusal::not_run(code, error.to_string()))
@@ -344,14 +351,14 @@
 /// Creates a held place on `members` and counts the attempt as running on each of them.
 pub(crate) fn create_held_place(
     context: &rc::Rc<request_context::EntryContext>,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
     members: Vec<engine_directory::EngineTarget>,
     leased: bool,
     candidates: Vec<decision::CandidateRow>,
     reason: String,
 ) -> HeldPlace {
     let row = decision::AttemptRow {
-        attempt: question.attempt.clone(),
+        attempt: place_request.attempt.clone(),
         target: String::new(),
         candidates,
         reason,
@@ -360,7 +367,7 @@
     };
     let mut place = HeldPlace {
         context: rc::Rc::clone(context),
-        attempt: question.attempt.clone(),
+        attempt: place_request.attempt.clone(),
         members: Vec::new(),
         member_memory: units::TokenCount::ZERO,
         leased,
@@ -368,8 +375,8 @@
         row,
     };
     for member in members {
-        let request = question.request(context, &member);
-        add_member(context, question, &mut place, member, request);
+        let request = place_request.capacity_request(context, &member);
+        add_member(context, place_request, &mut place, member, request);
     }
     place
 }
@@ -377,7 +384,7 @@
 /// Adds an engine to a place and counts the attempt as running on it.
 pub(crate) fn add_member(
     context: &request_context::EntryContext,
-    question: &PlaceQuestion,
+    place_request: &PlaceRequest,
     place: &mut HeldPlace,
     member: engine_directory::EngineTarget,
     request: placement::CapacityRequest,
@@ -387,7 +394,7 @@
     }
     place.row.target.push_str(member.engine.as_str());
     let engine = member.engine.clone();
-    let running = event::RunningPlace { engine, request, prefix: question.prefix };
+    let running = event::RunningPlace { engine, request, prefix: place_request.prefix };
     context.events.send(event::EntryEvent::Started(running));
     place.members.push(member);
 }
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -60,8 +60,8 @@
         })
     }
 
-    /// Builds the question by which the router resolves the settings of the request.
-    pub fn question(
+    /// Builds the query with which the router resolves the settings of the request.
+    pub fn plan_query(
         &self,
         key: String,
         requested_limit: Option<std::time::Duration>,
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -334,14 +334,14 @@
     }
 
     async fn may_retry(&self, failure: retry::AttemptFailure, attempts: u32) -> bool {
-        let question = retry::FailedAttempt {
+        let failed_attempt = retry::FailedAttempt {
             failure,
             repeatable: self.repeatable,
             attempts,
             max_attempts: self.settings.max_attempts.value,
             time_left: !self.remaining_time().is_zero(),
         };
-        let to_event = |answer| event::EntryEvent::Retry(question, answer);
+        let to_event = |answer| event::EntryEvent::Retry(failed_attempt, answer);
         self.context.events.ask(to_event).await == retry::RetryVerdict::Retry
     }
 
