--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -8,14 +8,14 @@
 use slipturn_net::{http_server, process};
 
 /// Header with the id that slipturn gave a request, by which its decision record can be looked up.
-pub const REQUEST_HEADER: &str = "slipturn-request-id";
+pub const REQUEST_ID_HEADER: &str = "slipturn-request-id";
 /// Header with the caller's own id of a request. The answer echoes it, or carries slipturn's id if
 /// the caller sent none.
-pub const CALLER_HEADER: &str = "x-request-id";
+pub const CALLER_ID_HEADER: &str = "x-request-id";
 /// Header with a shorter time limit requested by a caller, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "slipturn-timeout-ms";
 /// Header with a caller's idempotency key, for calls that must run at most once.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 #[derive(Serialize)]
 struct ErrorBody<'text> {
@@ -45,7 +45,7 @@
     pub fn add_headers(&self, headers: &mut http::HeaderMap) {
         let own = self.request.as_str();
         let caller = self.caller.as_deref().unwrap_or(own);
-        for (name, value) in [(REQUEST_HEADER, own), (CALLER_HEADER, caller)] {
+        for (name, value) in [(REQUEST_ID_HEADER, own), (CALLER_ID_HEADER, caller)] {
             if let Ok(value) = http::HeaderValue::from_str(value) {
                 headers.insert(name, value);
             }
--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -26,8 +26,8 @@
     let spend = |answer| event::EntryEvent::Spend(settings.clone(), want, answer);
     let mut step = context.events.ask(spend).await;
     if matches!(step, entry_router::BudgetStep::Draw { .. }) {
-        let lock = context.draws.for_customer(&settings.customer);
-        let _drawing = lock.lock().await;
+        let lock = context.draw_locks.for_customer(&settings.customer);
+        let _guard = lock.lock().await;
         // Another request may have drawn enough while this one waited for the lock.
         step = context.events.ask(spend).await;
         if let entry_router::BudgetStep::Draw { keeper, limit, want } = step {
@@ -64,8 +64,9 @@
         Ok(Err(empty)) => entry_router::BudgetStep::Empty(empty.0),
         Err(error) => {
             record.notes.push(format!("budget: keeper out of reach ({error}), own part used"));
-            let alone = |answer| event::EntryEvent::SpendAlone(settings.clone(), want, answer);
-            context.events.ask(alone).await
+            let spend_own_share =
+                |answer| event::EntryEvent::SpendOwnShare(settings.clone(), want, answer);
+            context.events.ask(spend_own_share).await
         }
     }
 }
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -18,7 +18,7 @@
 /// Prefix of the paths of plain services.
 const SERVICES_PREFIX: &str = "/services/";
 /// Longest request id accepted from a caller, in bytes; a longer one is ignored.
-const MAX_CALLER_ID: usize = 128;
+const MAX_CALLER_ID_BYTES: usize = 128;
 
 /// Serves a connection until the caller closes it, a request requires it to be closed, or the
 /// process stops.
@@ -57,7 +57,7 @@
     connection: &mut http_server::ServerConnection,
     error: &http_server::ServeError,
 ) {
-    let request_ids = answer::RequestIds { request: context.next_request(), caller: None };
+    let request_ids = answer::RequestIds { request: context.next_request_id(), caller: None };
     let code = refusal::RefusalCode::BadRequest;
     let refusal = refusal::RequestRefusal::not_run(code, error.to_string());
     if let Err(error) = connection.respond(answer::refusal_answer(&request_ids, &refusal)).await {
@@ -71,9 +71,9 @@
     connection: &mut http_server::ServerConnection,
     mut incoming: http_server::IncomingHead,
 ) -> Result<RequestEnd, http_server::ServeError> {
-    let caller = incoming.header(answer::CALLER_HEADER);
-    let caller = caller.filter(|id| id.len() <= MAX_CALLER_ID).map(str::to_owned);
-    let request_ids = answer::RequestIds { request: context.next_request(), caller };
+    let caller = incoming.header(answer::CALLER_ID_HEADER);
+    let caller = caller.filter(|id| id.len() <= MAX_CALLER_ID_BYTES).map(str::to_owned);
+    let request_ids = answer::RequestIds { request: context.next_request_id(), caller };
     let (body, _hold) = match read_body(context, connection, &mut incoming).await {
         Ok(body) => body,
         Err(refusal) => {
@@ -114,7 +114,7 @@
     // The length of a chunked body is unknown, so the largest allowed is held until it has been
     // read.
     let expected = incoming.declared_length().unwrap_or(body_limit).min(body_limit);
-    let mut hold = context.bodies.hold(expected)?;
+    let mut hold = context.body_budget.hold(expected)?;
     let bounds = http_server::BodyLimits { max_bytes: body_limit, time: limits.body_time.0 };
     let body = connection.read_body(incoming, bounds).await.map_err(body_refusal)?;
     hold.shrink(body.len() as u64);
@@ -179,12 +179,13 @@
             head.uri = format!("/{rest}{query}")
                 .parse()
                 .map_err(|_| refuse(refusal::RefusalCode::BadRequest, "not a valid path"))?;
-            let idempotency = incoming.header(answer::KEY_HEADER).map(str::to_owned);
+            let idempotency_key =
+                incoming.header(answer::IDEMPOTENCY_KEY_HEADER).map(str::to_owned);
             let call = service_request::ServiceCall {
                 request_ids,
                 key,
                 requested_limit,
-                idempotency,
+                idempotency_key,
                 service,
                 head,
                 arrived,
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -70,7 +70,7 @@
             EntryEvent::Spend(resolved, want, answer) => {
                 reply(answer, router.spend(now, &resolved, want));
             }
-            EntryEvent::SpendAlone(resolved, want, answer) => {
+            EntryEvent::SpendOwnShare(resolved, want, answer) => {
                 reply(answer, router.spend_own_share(now, &resolved, want));
             }
             EntryEvent::Portion(customer, portion) => router.add_portion(now, &customer, portion),
@@ -85,7 +85,7 @@
                 reply(answer, router.choose(&targets, &offers));
             }
             EntryEvent::WantsOffers(answer) => reply(answer, router.wants_offers()),
-            EntryEvent::DirectShare(engine, answer) => {
+            EntryEvent::MaySendUnleased(engine, answer) => {
                 reply(answer, router.may_send_unleased(&engine));
             }
             EntryEvent::Started(place) => self.start(place),
@@ -101,9 +101,9 @@
                 reply(answer, router.spread_retry(expected));
             }
             EntryEvent::Renewals(answer) => reply(answer, self.renewals()),
-            EntryEvent::Measure(measure, series, spans) => {
+            EntryEvent::Measure(kind, series, spans) => {
                 for series in &series {
-                    self.histograms.record_all(measure, series, &spans);
+                    self.histograms.record_all(kind, series, &spans);
                 }
             }
             EntryEvent::Decision(record) => self.record_decision(*record),
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -53,7 +53,7 @@
     ),
     /// Takes tokens from this entry's own share of the budget, while the customer's budget keeper
     /// is unreachable.
-    SpendAlone(
+    SpendOwnShare(
         settings_resolve::ResolvedSettings,
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
@@ -84,7 +84,7 @@
     /// Returns whether the routing policy in force needs offers from schedulers.
     WantsOffers(oneshot::Sender<bool>),
     /// Returns whether an engine may be used without a lease while its scheduler is unreachable.
-    DirectShare(ids::EngineId, oneshot::Sender<bool>),
+    MaySendUnleased(ids::EngineId, oneshot::Sender<bool>),
     /// Counts an attempt as running on an engine.
     Started(RunningPlace),
     /// Counts an attempt as ended on an engine.
--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -29,7 +29,7 @@
         return Err(refusal::RequestRefusal::not_run(refusal::RefusalCode::TooLarge, text));
     }
     let started = context.clock.now();
-    let patience = started + place_request.grant.fleet.fleet.group_wait.0;
+    let wait_until = started + place_request.grant.fleet.fleet.group_wait.0;
     let memory_per_member = units::TokenCount(required_memory.0.div_ceil(members.len() as u64));
     let reason = format!("a group of {}, {memory_per_member} each", members.len());
     let mut held =
@@ -39,7 +39,7 @@
         let mut request = place_request.capacity_request(context, &member);
         request.memory = memory_per_member;
         request.grouped = true;
-        request.patience = patience.min(place_request.deadline);
+        request.patience = wait_until.min(place_request.deadline);
         let link = context.links.link(member.scheduler);
         // Added before the scheduler answers, so that the lease is released even if the answer is
         // lost.
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -25,18 +25,18 @@
     loop {
         let now = context.clock.now();
         let verdict = tally.verdict(now);
-        let all = (tally.group() - 1).min(others.len());
+        let end = (tally.group() - 1).min(others.len());
         let decided = !matches!(verdict, key_vote::VoteVerdict::InDoubt { .. });
         // The first vote alone can look like a majority, by that voter's own count of voters. Only
         // the answers of the others show how many there are.
-        if next >= all
+        if next >= end
             || matches!(verdict, key_vote::VoteVerdict::Taken(_))
             || (decided && next > 0)
         {
             return verdict;
         }
-        ask_all(context, key, request, &others[next..all], &mut tally).await;
-        next = all;
+        ask_all(context, key, request, &others[next..end], &mut tally).await;
+        next = end;
     }
 }
 
--- a/crates/entry/src/model_answer.rs
+++ b/crates/entry/src/model_answer.rs
@@ -6,7 +6,7 @@
 use crate::{answer, model_request, upstream_call};
 
 /// Largest piece of a streamed answer, in bytes.
-const MAX_PIECE: u64 = 4 << 20;
+const MAX_PIECE_BYTES: u64 = 4 << 20;
 /// Final event of a complete streamed answer.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 /// Number of bytes kept from the end of a stream to check for [`DONE_EVENT`].
@@ -23,7 +23,7 @@
         let mut last = None;
         loop {
             let limited =
-                monoio::time::timeout(self.remaining_time(), answer.next_piece(MAX_PIECE));
+                monoio::time::timeout(self.remaining_time(), answer.next_piece(MAX_PIECE_BYTES));
             let piece = match connection.while_connected(limited).await {
                 None => return model_request::AttemptEnd::CallerGone,
                 Some(Err(_)) => return model_request::AttemptEnd::TimedOut,
--- a/crates/entry/src/model_measure.rs
+++ b/crates/entry/src/model_measure.rs
@@ -8,18 +8,18 @@
 
 impl model_request::ModelRequest {
     /// Records one duration in the histograms of the request's customer and class.
-    pub(crate) fn measure(&self, measure: histogram::MeasureKind, span: time::Duration) {
-        self.measure_all(measure, vec![span]);
+    pub(crate) fn measure(&self, kind: histogram::MeasureKind, span: time::Duration) {
+        self.measure_all(kind, vec![span]);
     }
 
     /// Records several durations in the histograms of the request's customer and class.
-    pub(crate) fn measure_all(&self, measure: histogram::MeasureKind, spans: Vec<time::Duration>) {
+    pub(crate) fn measure_all(&self, kind: histogram::MeasureKind, spans: Vec<time::Duration>) {
         let settings = &self.admitted.grant.settings;
         let class = settings.class.as_ref().map_or("-", ids::ClassId::as_str);
         let band = histogram::band_name(self.admitted.plan_query.prompt);
         let series =
             vec![format!("customer/{}", settings.customer), format!("class/{class}/{band}")];
-        self.context.events.send(event::EntryEvent::Measure(measure, series, spans));
+        self.context.events.send(event::EntryEvent::Measure(kind, series, spans));
     }
 
     /// Records the time that the attempt waited for its place.
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -140,7 +140,7 @@
         mut self,
         connection: &mut http_server::ServerConnection,
     ) -> Result<RequestEnd, http_server::ServeError> {
-        let refusal = match self.attempts(connection).await {
+        let refusal = match self.run_attempts(connection).await {
             Ok(end) => {
                 let outcome = if end == RequestEnd::Answered { "answered" } else { "caller gone" };
                 self.finish(outcome.to_owned());
@@ -163,7 +163,7 @@
     }
 
     /// Makes attempts until one succeeds, the caller leaves, or no retry is allowed.
-    async fn attempts(
+    async fn run_attempts(
         &mut self,
         connection: &mut http_server::ServerConnection,
     ) -> Result<RequestEnd, refusal::RequestRefusal> {
@@ -180,7 +180,7 @@
             // Earlier attempts may have run although this one found no place.
             let place = found.map_err(|refusal| self.add_last_failure(refusal))?;
             self.measure_wait(&place);
-            let end = self.attempt(connection, &place, &place_request.attempt).await;
+            let end = self.run_attempt(connection, &place, &place_request.attempt).await;
             self.record_attempt(&place, &end);
             match end {
                 AttemptEnd::Complete => {
@@ -256,7 +256,7 @@
     }
 
     /// Sends the request to the engine of a place and forwards the answer.
-    async fn attempt(
+    async fn run_attempt(
         &mut self,
         connection: &mut http_server::ServerConnection,
         place: &place::HeldPlace,
@@ -318,8 +318,13 @@
         attempt: &ids::AttemptId,
     ) -> http::Request<Bytes> {
         let (path, body) = (&self.call.path, self.admitted.body.clone());
-        let mut call =
-            upstream_call::call(http::Method::POST, path, attempt, self.remaining_time(), body);
+        let mut call = upstream_call::build_call(
+            http::Method::POST,
+            path,
+            attempt,
+            self.remaining_time(),
+            body,
+        );
         upstream_call::set_header(&mut call, "content-type", "application/json");
         if let Some(priority) = place.priority {
             let priority = priority.to_string();
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -193,12 +193,12 @@
     if !wants_offers {
         return choose_without_lease(context, place_request, targets, tried).await;
     }
-    let answers = ask_offers(context, place_request, &targets).await;
-    let rows = targets.iter().zip(&answers).map(offer_row).collect();
-    let offers: Vec<_> = answers.iter().map(OfferOutcome::offer).collect();
+    let outcomes = ask_offers(context, place_request, &targets).await;
+    let rows = targets.iter().zip(&outcomes).map(offer_row).collect();
+    let offers: Vec<_> = outcomes.iter().map(OfferOutcome::offer).collect();
     let to_event = |answer| event::EntryEvent::Choose(targets.clone(), offers, answer);
     let Some(choice) = context.events.ask(to_event).await else {
-        return handle_no_choice(context, place_request, targets, answers, rows, tried).await;
+        return handle_no_choice(context, place_request, targets, outcomes, rows, tried).await;
     };
     let target = targets[choice.index].clone();
     tried.push(target.engine.clone());
@@ -265,19 +265,19 @@
     context: &rc::Rc<request_context::EntryContext>,
     place_request: &PlaceRequest,
     targets: Vec<engine_directory::EngineTarget>,
-    answers: Vec<OfferOutcome>,
+    outcomes: Vec<OfferOutcome>,
     rows: Vec<decision::CandidateRow>,
     tried: &mut Vec<ids::EngineId>,
 ) -> Result<HeldPlace, refusal::RequestRefusal> {
     let mut refused = None;
-    for (target, answer) in targets.into_iter().zip(answers) {
+    for (target, outcome) in targets.into_iter().zip(outcomes) {
         tried.push(target.engine.clone());
-        match answer {
+        match outcome {
             OfferOutcome::Refused(refusal) => refused = Some(shorter_wait(refused, refusal)),
             OfferOutcome::Offered(_) => {}
             OfferOutcome::Unreachable(_) => {
                 let to_event =
-                    |answer| event::EntryEvent::DirectShare(target.engine.clone(), answer);
+                    |answer| event::EntryEvent::MaySendUnleased(target.engine.clone(), answer);
                 if context.events.ask(to_event).await {
                     let reason = "its scheduler is out of reach: direct share".to_owned();
                     return Ok(create_held_place(
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -57,7 +57,7 @@
     monoio::spawn(tick(events.clone()));
 
     let context = rc::Rc::new(request_context::EntryContext {
-        bodies: body_budget::BodyBudget::new(local.limits.held_bodies),
+        body_budget: body_budget::BodyBudget::new(local.limits.held_bodies),
         local: rc::Rc::clone(&local),
         boot,
         clock,
@@ -65,7 +65,7 @@
         pool: rc::Rc::new(http_client::ConnectionPool::default()),
         links: rc::Rc::new(scheduler_link::LinkPool::default()),
         stop: stop.clone(),
-        draws: request_context::DrawLocks::default(),
+        draw_locks: request_context::DrawLocks::default(),
         active: cell::Cell::new(0),
         sequence: cell::Cell::new(0),
     });
@@ -124,7 +124,7 @@
     loop {
         monoio::time::sleep(PRUNE_INTERVAL).await;
         context.pool.prune();
-        context.draws.prune();
+        context.draw_locks.prune();
         let list = context.events.ask(event::EntryEvent::List).await;
         let local_scheduler = context.local.listen.scheduler;
         context.links.retain(|address| {
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -99,8 +99,9 @@
     let Some(value) = members.get(name) else {
         return Ok(None);
     };
-    let mut reader = serde_json::Deserializer::from_str(value.get());
-    Option::deserialize(&mut reader).map_err(|error| bad_request(&format!("'{name}': {error}")))
+    let mut deserializer = serde_json::Deserializer::from_str(value.get());
+    Option::deserialize(&mut deserializer)
+        .map_err(|error| bad_request(&format!("'{name}': {error}")))
 }
 
 fn bad_request(text: &str) -> refusal::RequestRefusal {
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -23,12 +23,12 @@
     /// Pool of connections to schedulers.
     pub links: rc::Rc<scheduler_link::LinkPool>,
     /// Budget for the request bodies held in memory.
-    pub bodies: body_budget::BodyBudget,
+    pub body_budget: body_budget::BodyBudget,
     /// Signal that the process is to stop.
     pub stop: process::StopSignal,
     /// Locks held while a portion of a customer's budget is drawn, so that concurrent requests of
     /// the customer wait for that portion instead of drawing their own.
-    pub draws: DrawLocks,
+    pub draw_locks: DrawLocks,
     /// Number of requests being served.
     pub active: cell::Cell<usize>,
     /// Number of request ids assigned so far.
@@ -37,7 +37,7 @@
 
 impl EntryContext {
     /// Assigns the id of the next request.
-    pub fn next_request(&self) -> ids::RequestId {
+    pub fn next_request_id(&self) -> ids::RequestId {
         self.sequence.set(self.sequence.get() + 1);
         ids::RequestId::new(&self.local.instance, self.boot, self.sequence.get())
     }
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -41,7 +41,7 @@
     /// Time limit requested by the caller.
     pub requested_limit: Option<time::Duration>,
     /// Idempotency key, for calls that must run at most once.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Service that is called.
     pub service: ids::ServiceId,
     /// Method, headers, and the path and query after the service's name.
@@ -162,7 +162,7 @@
         let context = rc::Rc::clone(&self.context);
         let arrived = self.call.arrived;
         let remaining_time = self.remaining_time();
-        let serving = monoio::time::timeout(remaining_time, self.attempts());
+        let serving = monoio::time::timeout(remaining_time, self.run_attempts());
         let served = connection.while_connected(serving).await;
         let end = match &served {
             None => "caller gone".to_owned(),
@@ -190,7 +190,7 @@
     }
 
     /// Tries upstreams one after the other until one answers or no retry is allowed.
-    async fn attempts(&mut self) -> Result<http::Response<Bytes>, refusal::RequestRefusal> {
+    async fn run_attempts(&mut self) -> Result<http::Response<Bytes>, refusal::RequestRefusal> {
         self.claim_key().await?;
         let service = self.call.service.clone();
         let to_event = |answer| event::EntryEvent::Upstreams(service, answer);
@@ -202,7 +202,8 @@
         while let Some(upstream) = upstreams.pop_front() {
             number += 1;
             let attempt = ids::AttemptId::new(&self.call.request_ids.request, number);
-            let result = first_success(self.attempt(&upstream, &attempt, number), &mut late).await;
+            let result =
+                first_success(self.run_attempt(&upstream, &attempt, number), &mut late).await;
             self.record_attempt(&upstream, attempt, &result);
             let fault = match result {
                 Ok(answer) => return Ok(self.add_answer_headers(answer.response)),
@@ -227,7 +228,7 @@
     /// Without a key, that holds for the attempts of this request only. With a key, at most one of
     /// all requests that carry the key runs.
     async fn claim_key(&mut self) -> Result<(), refusal::RequestRefusal> {
-        let Some(key) = self.call.idempotency.as_deref().filter(|_| !self.repeatable) else {
+        let Some(key) = self.call.idempotency_key.as_deref().filter(|_| !self.repeatable) else {
             return Ok(());
         };
         if self.node.checks_keys {
@@ -262,7 +263,7 @@
     ///
     /// A repeatable call over a connection that had been idle fails early if no answer arrives in
     /// time and another attempt is allowed; its pending answer is then kept in `late`.
-    async fn attempt(
+    async fn run_attempt(
         &mut self,
         upstream: &fleet_list::UpstreamRecord,
         attempt: &ids::AttemptId,
@@ -324,8 +325,13 @@
         let head = &self.call.head;
         let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
         let body = self.body.clone();
-        let mut call =
-            upstream_call::call(head.method.clone(), path, attempt, self.remaining_time(), body);
+        let mut call = upstream_call::build_call(
+            head.method.clone(),
+            path,
+            attempt,
+            self.remaining_time(),
+            body,
+        );
         let (own, headers) = (call.headers().clone(), call.headers_mut());
         copy_headers(&head.headers, headers);
         // Headers set by slipturn replace those of the same name from the caller.
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -74,7 +74,7 @@
 }
 
 /// Builds a call to an upstream with the headers that every attempt carries.
-pub fn call(
+pub fn build_call(
     method: http::Method,
     path: &str,
     attempt: &ids::AttemptId,
@@ -145,7 +145,7 @@
     body: serde_json::Value,
 ) -> Result<(), AttemptFault> {
     let body = Bytes::from(body.to_string());
-    let command = call(http::Method::POST, path, &attempt, COMMAND_TIMEOUT, body);
+    let command = build_call(http::Method::POST, path, &attempt, COMMAND_TIMEOUT, body);
     let pooled = http_client::ConnectionPolicy::Pooled;
     let calling = pool.call_buffered(address, pooled, command, MAX_COMMAND_ANSWER_BYTES);
     let fault = |failure, text: &str| AttemptFault { failure, text: format!("{path}: {text}") };
