--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -76,8 +76,8 @@
     *request.uri_mut() = path.parse().unwrap_or_default();
     let pool = http_client::ConnectionPool::default();
     let call = async {
-        let fresh = http_client::ConnectionPolicy::Fresh;
-        let pending = pool.call_buffered(address, fresh, request, MAX_RESPONSE_BYTES);
+        let connection_policy = http_client::ConnectionPolicy::Fresh;
+        let pending = pool.call_buffered(address, connection_policy, request, MAX_RESPONSE_BYTES);
         monoio::time::timeout(RESPONSE_TIMEOUT, pending).await
     };
     let Ok(response) = process::run(call).context(LoopSnafu)? else {
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Rounds a delay up to whole seconds, the unit of `Retry-After`, so that no caller returns too
+/// Rounds a delay up to whole seconds, the unit of `Retry-After`, so that no caller retries too
 /// early.
 fn whole_seconds(wait: time::Duration) -> u64 {
     wait.as_secs() + u64::from(wait.subsec_nanos() > 0)
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Refuses a request whose head can't be read. The caller's own id is unknown then, and the
-/// connection must be closed afterwards.
+/// Refuses a request whose head can't be read. Without the head, the caller's id of the request is
+/// unknown and the start of the next request can't be found, so the connection must be closed.
 async fn refuse_bad_head(
     context: &request_context::EntryContext,
     connection: &mut http_server::ServerConnection,
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -107,7 +107,7 @@
     Measure(histogram::MeasureKind, Vec<String>, Vec<time::Duration>),
     /// Stores the decision record of a request that has ended.
     Decision(Box<decision::DecisionRecord>),
-    /// Looks up the decision record of a request by its id.
+    /// Looks up the decision record of a request by its id, the one of slipturn or the caller's.
     Find(String, oneshot::Sender<Option<rc::Rc<decision::DecisionRecord>>>),
     /// Returns the models of all listed engines.
     Models(oneshot::Sender<Vec<ids::ModelId>>),
@@ -148,7 +148,7 @@
     pub list_revision: u64,
     /// Number of places in use; an attempt on a group of engines has one on each member.
     pub running: usize,
-    /// Number of decision records kept.
+    /// Number of stored decision records.
     pub decisions: usize,
     /// Number of requests being served, including those to plain services.
     pub requests: usize,
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -27,8 +27,8 @@
         let verdict = tally.verdict(now);
         let end = (tally.group() - 1).min(others.len());
         let decided = !matches!(verdict, key_vote::VoteVerdict::InDoubt { .. });
-        // The first vote alone can look like a majority, by that voter's own count of voters. Only
-        // the answers of the others show how many there are.
+        // The first vote alone can look like a majority, because that voter may count fewer voters
+        // than there are. Only the answers of the others can show a larger number.
         if next >= end
             || matches!(verdict, key_vote::VoteVerdict::Taken(_))
             || (decided && next > 0)
@@ -59,7 +59,8 @@
     }
 }
 
-/// Whether the verdict allows the call to be sent at `now`: it is a majority that is not too old.
+/// Whether the verdict allows the call to be sent at `now`: a majority was granted and has not
+/// expired.
 pub fn permits_run(verdict: &key_vote::VoteVerdict, now: units::MonoTime) -> bool {
     matches!(verdict, key_vote::VoteVerdict::Run { until } if now < *until)
 }
--- a/crates/entry/src/model_measure.rs
+++ b/crates/entry/src/model_measure.rs
@@ -28,8 +28,8 @@
         self.measure(histogram::MeasureKind::PlaceWait, waited);
     }
 
-    /// Notes the interval since the previous piece of the answer, whose time is `last`. The
-    /// intervals are recorded when the request ends.
+    /// Stores the interval since the previous piece of the answer, which arrived at `last`, and
+    /// updates `last`. The intervals are recorded when the request ends.
     pub(crate) fn measure_piece(&mut self, last: &mut Option<units::MonoTime>) {
         let now = self.context.clock.now();
         if let Some(last) = last.replace(now) {
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -15,7 +15,7 @@
 pub struct ModelCall {
     /// Ids of the request.
     pub request_ids: answer::RequestIds,
-    /// Key that identifies the caller.
+    /// API key of the caller.
     pub key: String,
     /// Time limit requested by the caller.
     pub requested_limit: Option<time::Duration>,
@@ -53,8 +53,9 @@
     pub(crate) call: ModelCall,
     pub(crate) admitted: AdmittedRequest,
     pub(crate) record: decision::DecisionRecord,
+    /// Engines of failed attempts, which are left out of the candidates.
     pub(crate) tried: Vec<ids::EngineId>,
-    /// Whether any attempt so far ran, as far as is known. Never returns to `No`.
+    /// Whether any attempt has run so far, as far as is known. Never returns to `No`.
     pub(crate) ran: refusal::RanState,
     /// Intervals between pieces of the answer, sent to the director when the request ends.
     pub(crate) intervals: Vec<time::Duration>,
@@ -267,8 +268,8 @@
         }
         let context = rc::Rc::clone(&self.context);
         let call = self.engine_call(place, attempt);
-        let pooled = http_client::ConnectionPolicy::Pooled;
-        let calling = context.pool.call(place.engine().address, pooled, call);
+        let connection_policy = http_client::ConnectionPolicy::Pooled;
+        let calling = context.pool.call(place.engine().address, connection_policy, call);
         let limited = monoio::time::timeout(self.remaining_time(), calling);
         let mut answer = match connection.while_connected(limited).await {
             None => return AttemptEnd::CallerGone,
@@ -399,7 +400,7 @@
     }
 }
 
-/// Refusal of a request that found no place within its time limit.
+/// Refusal of a request for which no place was found within its time limit.
 fn no_place_in_time() -> refusal::RequestRefusal {
     let code = refusal::RefusalCode::Overloaded;
     refusal::RequestRefusal::not_run(code, "no engine took it within its time limit")
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -204,8 +204,9 @@
     let mut call = http::Request::new(Bytes::new());
     *call.uri_mut() = format!("/v1/decisions/{id}").parse().ok()?;
     call.headers_mut().insert(FORWARDED_HEADER, http::HeaderValue::from_static("1"));
-    let pooled = http_client::ConnectionPolicy::Pooled;
-    let calling = context.pool.call_buffered(peer.operators, pooled, call, MAX_PEER_ANSWER);
+    let connection_policy = http_client::ConnectionPolicy::Pooled;
+    let calling =
+        context.pool.call_buffered(peer.operators, connection_policy, call, MAX_PEER_ANSWER);
     let answer = monoio::time::timeout(PEER_LIMIT, calling).await.ok()?.ok()?;
     if answer.status() != http::StatusCode::OK {
         return None;
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -9,14 +9,14 @@
 
 /// Largest number of rounds of candidates before a request is refused.
 const MAX_ROUNDS: usize = 3;
-/// Pause before the only retry of a failed release.
+/// Pause before a failed release is retried. There is only one retry.
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(300);
 
 /// Request for a place for one attempt.
 pub struct PlaceRequest {
     /// Attempt that needs the place.
     pub attempt: ids::AttemptId,
-    /// Routing data of the request: its key, model, prompt length and requested limits.
+    /// Routing data of the request: API key, model, prompt length and requested limits.
     pub plan_query: entry_router::PlanQuery,
     /// Settings that the router resolved for the request.
     pub grant: entry_router::RequestGrant,
@@ -93,8 +93,8 @@
         let freeing =
             others.map(|member| self.context.pool.cancel(member.address, self.attempt.clone()));
         for freed in future::join_all(freeing).await {
-            // A lost cancel is made up for by the engine's scheduler, which cancels the attempt
-            // when it still appears in the engine's report.
+            // If the cancel is lost, the engine's scheduler cancels the attempt when it still appears
+            // in the engine's report.
             if let Err(fault) = freed {
                 log::debug!("cannot free reserved memory: {}", fault.text);
             }
@@ -107,8 +107,8 @@
             let context = rc::Rc::clone(&self.context);
             let (address, attempt) = (member.address, self.attempt.clone());
             monoio::spawn(async move {
-                // A lost cancel is made up for by the engine's scheduler, which cancels the attempt
-                // when it still appears in the engine's report.
+                // If the cancel is lost, the engine's scheduler cancels the attempt when it still
+                // appears in the engine's report.
                 if let Err(fault) = context.pool.cancel(address, attempt).await {
                     log::debug!("cannot cancel an attempt: {}", fault.text);
                 }
@@ -257,7 +257,7 @@
     decision::CandidateRow { name: target.engine.to_string(), offer }
 }
 
-/// Handles candidates of which none was chosen from the schedulers' offers.
+/// Handles a round in which no candidate was chosen from the schedulers' offers.
 ///
 /// An engine whose scheduler is unreachable is used without a lease if this entry may still do so;
 /// otherwise the request is refused.
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -13,7 +13,7 @@
 /// an engine's prefix cache.
 const PREFIX_BYTES: usize = 4_096;
 
-/// A request body, with the values that routing needs.
+/// A parsed request body, with the values that routing needs.
 #[derive(Debug, Clone)]
 pub struct ParsedRequest {
     /// Requested model.
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -43,7 +43,7 @@
     }
 
     /// Adds jitter to the retry delay of a refusal, if it has one, so that refused callers don't
-    /// all return at the same time.
+    /// all retry at the same time.
     pub async fn spread_retry_after(
         &self,
         mut refusal: refusal::RequestRefusal,
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -36,7 +36,7 @@
 pub struct ServiceCall {
     /// Ids of the request.
     pub request_ids: answer::RequestIds,
-    /// Key that identifies the caller.
+    /// API key of the caller.
     pub key: String,
     /// Time limit requested by the caller.
     pub requested_limit: Option<time::Duration>,
@@ -72,8 +72,9 @@
     deadline: units::MonoTime,
     record: decision::DecisionRecord,
     verdict: Option<key_vote::VoteVerdict>,
-    /// Whether the call was sent again because an idle connection brought no answer. From then on
-    /// only new connections are used, so that a call meets at most one unresponsive connection.
+    /// Whether the call was sent again because no answer arrived over a connection that had been
+    /// idle. From then on only new connections are used, so that a call waits for at most one
+    /// unresponsive connection.
     new_connections_only: bool,
     /// Pending answer over the unresponsive connection. The upstream may merely be slow.
     late: Option<LateAnswer>,
@@ -225,8 +226,8 @@
 
     /// Claims the idempotency key of a call that must run at most once.
     ///
-    /// Without a key, that holds for the attempts of this request only. With a key, at most one of
-    /// all requests that carry the key runs.
+    /// With a key, at most one of all requests that carry it runs. Without a key, at most one attempt
+    /// of this request runs, and other requests are not considered.
     async fn claim_key(&mut self) -> Result<(), refusal::RequestRefusal> {
         let Some(key) = self.call.idempotency_key.as_deref().filter(|_| !self.repeatable) else {
             return Ok(());
@@ -304,8 +305,8 @@
         Err(silence_fault(wait, closed))
     }
 
-    /// Asks for a retry of a call whose connection brings no answer. If it is denied, the call
-    /// keeps waiting on that connection.
+    /// Asks the director for a retry of a call whose connection delivers no answer. If the retry is
+    /// denied, the call keeps waiting on that connection.
     async fn retry_on_new_connection(&mut self, attempts: u32) -> bool {
         // The call was sent and may have run.
         let failure = retry::AttemptFailure::BrokeBeforeAnswer;
@@ -440,7 +441,7 @@
     upstream_call::AttemptFault::before_answer(&error)
 }
 
-/// Failure of an attempt whose idle connection brought no complete answer within `wait`. `closed`
+/// Failure of an attempt whose reused connection delivered no complete answer within `wait`. `closed`
 /// is the number of other idle connections to the upstream that were closed as well.
 fn silence_fault(wait: time::Duration, closed: usize) -> upstream_call::AttemptFault {
     let text = format!(
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -10,7 +10,7 @@
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
 /// Header with the request's priority, where 0 is served first.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Header with the rest of the request's time limit, in milliseconds.
+/// Header with the remaining time of the request, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-timeout-ms";
 /// Header with the addresses of the other engines that hold parts of a prompt, separated by commas.
 pub const PEERS_HEADER: &str = "x-kv-peers";
@@ -146,8 +146,8 @@
 ) -> Result<(), AttemptFault> {
     let body = Bytes::from(body.to_string());
     let command = build_call(http::Method::POST, path, &attempt, COMMAND_TIMEOUT, body);
-    let pooled = http_client::ConnectionPolicy::Pooled;
-    let calling = pool.call_buffered(address, pooled, command, MAX_COMMAND_ANSWER_BYTES);
+    let connection_policy = http_client::ConnectionPolicy::Pooled;
+    let calling = pool.call_buffered(address, connection_policy, command, MAX_COMMAND_ANSWER_BYTES);
     let fault = |failure, text: &str| AttemptFault { failure, text: format!("{path}: {text}") };
     match monoio::time::timeout(COMMAND_TIMEOUT, calling).await {
         Ok(Ok(answer)) if answer.status().is_success() => Ok(()),
--- a/crates/net/src/document_client.rs
+++ b/crates/net/src/document_client.rs
@@ -58,10 +58,10 @@
     let mut call = http::Request::new(Bytes::new());
     *call.uri_mut() = path.try_into().expect("the path is made of valid characters");
     let limit = settings::MAX_DOCUMENT_BYTES as u64;
-    let pooled = http_client::ConnectionPolicy::Pooled;
+    let connection_policy = http_client::ConnectionPolicy::Pooled;
     let response = monoio::time::timeout(
         wait + RESPONSE_MARGIN,
-        pool.call_buffered(address, pooled, call, limit),
+        pool.call_buffered(address, connection_policy, call, limit),
     );
     let Ok(response) = response.await else {
         return TimedOutSnafu { address }.fail();
