--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -31,7 +31,8 @@
 }
 
 impl EntryDocuments {
-    /// Creates a consumer that reads from `summary` and sends updates to the director by `events`.
+    /// Creates a consumer that reads from `summary` and sends updates to the director through
+    /// `events`.
     pub fn new(
         local: rc::Rc<local_settings::LocalSettings>,
         summary: rc::Rc<DocumentSummary>,
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -12,11 +12,11 @@
 
 /// Time limit for the answer of another instance, and for reading the body of an operator's
 /// request.
-const PEER_LIMIT: time::Duration = time::Duration::from_secs(2);
+const PEER_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// Largest accepted answer of another instance, in bytes.
-const MAX_PEER_ANSWER: u64 = 4 << 20;
+const MAX_PEER_ANSWER_BYTES: u64 = 4 << 20;
 /// Largest accepted body of an operator's request, in bytes.
-const MAX_BODY: u64 = 64 * 1024;
+const MAX_BODY_BYTES: u64 = 64 * 1024;
 /// Header that marks a query forwarded by another instance; the receiver doesn't forward it again.
 const FORWARDED_HEADER: &str = "slipturn-passed-on";
 /// Number of other instances queried concurrently for the record of a request.
@@ -28,7 +28,7 @@
     mut connection: http_server::ServerConnection,
 ) {
     while let Ok(Some(mut incoming)) = connection.next_head().await {
-        let limits = http_server::BodyLimits { max_bytes: MAX_BODY, time: PEER_LIMIT };
+        let limits = http_server::BodyLimits { max_bytes: MAX_BODY_BYTES, time: PEER_TIMEOUT };
         if connection.read_body(&mut incoming, limits).await.is_err() {
             return;
         }
@@ -50,7 +50,7 @@
     incoming: &http_server::IncomingHead,
 ) -> http::Response<Bytes> {
     let path = incoming.head.uri.path();
-    let post = incoming.head.method == http::Method::POST;
+    let is_post = incoming.head.method == http::Method::POST;
     match path {
         "/healthz" => status_message(200, "alive"),
         "/readyz" => ready(context).await,
@@ -60,7 +60,7 @@
             let rows = context.events.ask(event::EntryEvent::Histograms).await;
             http_server::json_response(200, &rows)
         }
-        "/v1/drain" if post => {
+        "/v1/drain" if is_post => {
             log::info!("stop requested by an operator");
             context.stop.trigger();
             status_message(200, "stopping")
@@ -99,7 +99,7 @@
 }
 
 #[derive(Serialize)]
-struct SettingAnswer {
+struct SettingRow {
     option: &'static str,
     value: String,
     source: String,
@@ -111,7 +111,7 @@
     customer: String,
     application: String,
     class: Option<String>,
-    settings: Vec<SettingAnswer>,
+    settings: Vec<SettingRow>,
 }
 
 /// Answers `?customer=C&application=A&prompt=N` with the resolved settings and their sources.
@@ -122,11 +122,12 @@
     let Some(tree) = context.events.ask(event::EntryEvent::Settings).await else {
         return status_message(503, "settings not known yet");
     };
-    let value = |name: &str| {
+    let parameter = |name: &str| {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
     };
-    let (Some(customer), Some(application)) = (value("customer"), value("application")) else {
+    let (Some(customer), Some(application)) = (parameter("customer"), parameter("application"))
+    else {
         let tree = tree.customers.iter().map(|(customer, node)| {
             (customer.to_string(), node.applications.keys().collect::<Vec<_>>())
         });
@@ -134,7 +135,7 @@
         return http_server::json_response(200, &customers);
     };
     let prompt =
-        value("prompt").and_then(|text| text.parse().ok()).unwrap_or(units::TokenCount::ZERO);
+        parameter("prompt").and_then(|text| text.parse().ok()).unwrap_or(units::TokenCount::ZERO);
     let caller = customer.parse().ok().zip(application.parse().ok());
     let caller = caller
         .map(|(customer, application)| settings_resolve::CallerIdentity { customer, application });
@@ -149,7 +150,7 @@
         application: resolved.application.to_string(),
         class: resolved.class.map(|class| class.to_string()),
         settings: rows
-            .map(|(option, value, source)| SettingAnswer { option, value, source })
+            .map(|(option, value, source)| SettingRow { option, value, source })
             .collect(),
     };
     http_server::json_response(200, &answer)
@@ -206,8 +207,8 @@
     call.headers_mut().insert(FORWARDED_HEADER, http::HeaderValue::from_static("1"));
     let connection_policy = http_client::ConnectionPolicy::Pooled;
     let calling =
-        context.pool.call_buffered(peer.operators, connection_policy, call, MAX_PEER_ANSWER);
-    let answer = monoio::time::timeout(PEER_LIMIT, calling).await.ok()?.ok()?;
+        context.pool.call_buffered(peer.operators, connection_policy, call, MAX_PEER_ANSWER_BYTES);
+    let answer = monoio::time::timeout(PEER_TIMEOUT, calling).await.ok()?.ok()?;
     if answer.status() != http::StatusCode::OK {
         return None;
     }
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -29,7 +29,7 @@
 
 /// Fraction of the remaining time for which a repeatable call waits for an answer over a connection
 /// that had been idle, before it is sent again over a new one. Less than half, so that the new
-/// connection has at least as much time. The platform uses the same fraction.
+/// connection has at least as much time. `slipturn-instance` uses the same fraction.
 const SILENCE_FRACTION: f64 = 0.45;
 
 /// A call as sent by the caller, without its body.
@@ -71,6 +71,7 @@
     body: Bytes,
     deadline: units::MonoTime,
     record: decision::DecisionRecord,
+    /// Result of the vote on the idempotency key, if there was one.
     verdict: Option<key_vote::VoteVerdict>,
     /// Whether the call was sent again because no answer arrived over a connection that had been
     /// idle. From then on only new connections are used, so that a call waits for at most one
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -36,8 +36,9 @@
     targets: Vec<net::SocketAddr>,
     keys: Vec<String>,
     model: String,
+    /// Duration of the run, in seconds.
     seconds: u64,
-    /// Length of the baseline run with short prompts only; 0 for none.
+    /// Duration in seconds of the baseline run with short prompts only; 0 for none.
     baseline_seconds: u64,
     json: bool,
 }
@@ -116,8 +117,8 @@
 
 /// Runs the load, followed by a baseline run with short prompts only if one was requested.
 async fn run(plan: LoadPlan) -> report::RunReport {
-    let length = time::Duration::from_secs(plan.seconds);
-    let mut report = run_profile(&plan, plan.profile.clone(), length).await;
+    let duration = time::Duration::from_secs(plan.seconds);
+    let mut report = run_profile(&plan, plan.profile.clone(), duration).await;
     if plan.baseline_seconds > 0 {
         let profile = arrivals::ArrivalProfile {
             max_prompt: SHORT_PROMPT_TOKENS,
@@ -135,13 +136,14 @@
 async fn run_profile(
     plan: &LoadPlan,
     profile: arrivals::ArrivalProfile,
-    length: time::Duration,
+    duration: time::Duration,
 ) -> report::RunReport {
     let builder = rc::Rc::new(cell::RefCell::new(report::ReportBuilder::default()));
     let pool = rc::Rc::new(http_client::ConnectionPool::default());
     let started = time::Instant::now();
     let mut tasks = Vec::new();
-    for arrival in arrivals::ArrivalStream::new(profile).take_while(|arrival| arrival.at < length) {
+    for arrival in arrivals::ArrivalStream::new(profile).take_while(|arrival| arrival.at < duration)
+    {
         monoio::time::sleep(arrival.at.saturating_sub(started.elapsed())).await;
         let sequence = usize::try_from(arrival.number).unwrap_or(0);
         let target = caller::CallTarget {
--- a/crates/net/src/document_feed.rs
+++ b/crates/net/src/document_feed.rs
@@ -16,7 +16,7 @@
 /// Time that one watch of the platform waits for a newer document. The platform counts each watch as a
 /// read.
 const PLATFORM_WAIT: time::Duration = time::Duration::from_secs(5);
-/// Pause after no source responded. Jitter adds up to the same time again.
+/// Pause after a round in which no source responded. Jitter adds up to the same time again.
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(500);
 /// Pause after every response, in case the source responds without waiting.
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(20);
@@ -41,11 +41,11 @@
 
 /// The part of a process that the feed keeps up to date.
 pub trait FeedConsumer {
-    /// Returns the versions of the documents that are held.
+    /// Returns the versions of the documents in force.
     fn known_versions(&self) -> scheduler_link::KnownDocuments;
     /// Returns the sources to ask, most preferred first.
     fn sources(&self) -> Vec<FeedSource>;
-    /// Applies an update. An update without documents confirms that the held ones are current.
+    /// Applies an update. An update without documents confirms that those in force are current.
     fn apply(&self, update: scheduler_link::DocumentUpdate);
     /// Called after a round in which no source responded.
     fn sources_unreachable(&self);
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -26,7 +26,7 @@
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 /// Bytes that may be read for a response head. Also added to the limit of a body, because the reader
 /// may buffer more than the part that is being decoded.
-const HEAD_ALLOWANCE: u64 = 64 * 1024;
+const HEAD_ALLOWANCE_BYTES: u64 = 64 * 1024;
 
 type HeadDecoder = decoder::GenericHeadDecoder<
     response::ResponseHead,
@@ -92,7 +92,7 @@
     /// Returns whether the upstream has closed the idle connection or sent data that no request
     /// asked for.
     async fn is_stale(&mut self) -> bool {
-        self.allowance.set(HEAD_ALLOWANCE);
+        self.allowance.set(HEAD_ALLOWANCE_BYTES);
         // If the peek would have to wait, neither data nor the end of the stream has arrived.
         monoio::time::timeout(time::Duration::ZERO, self.reader.peek_data()).await.is_ok()
     }
@@ -182,7 +182,7 @@
         }
         let request = request::Request::from_parts(head, body::full_payload(body));
         connection.encoder.send_and_flush(request).await.map_err(interrupted)?;
-        connection.allowance.set(HEAD_ALLOWANCE);
+        connection.allowance.set(HEAD_ALLOWANCE_BYTES);
         let (head, body) = read_head(&mut connection).await?;
         Ok(StreamedResponse {
             pool: self,
@@ -223,9 +223,9 @@
 
     fn put_back(&self, address: std_net::SocketAddr, connection: ClientConnection) {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < MAX_IDLE_CONNECTIONS {
-            kept.push(IdleConnection { connection, since: time::Instant::now() });
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(IdleConnection { connection, since: time::Instant::now() });
         }
     }
 
@@ -236,19 +236,19 @@
     /// too.
     pub fn close_idle_since(&self, address: std_net::SocketAddr, instant: time::Instant) -> usize {
         let mut idle = self.idle.borrow_mut();
-        let Some(kept) = idle.get_mut(&address) else {
+        let Some(connections) = idle.get_mut(&address) else {
             return 0;
         };
-        let before = kept.len();
-        kept.retain(|idle| idle.since > instant);
-        before - kept.len()
+        let before = connections.len();
+        connections.retain(|idle| idle.since > instant);
+        before - connections.len()
     }
 
     /// Closes the connections whose idle timeout has expired.
     pub fn prune(&self) {
-        self.idle.borrow_mut().retain(|_, kept| {
-            kept.retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
-            !kept.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
+            !connections.is_empty()
         });
     }
 }
@@ -283,7 +283,7 @@
         let Some(connection) = self.connection.as_mut() else {
             return InterruptedSnafu { reason: "an earlier piece failed" }.fail();
         };
-        connection.allowance.set(limit.saturating_add(HEAD_ALLOWANCE));
+        connection.allowance.set(limit.saturating_add(HEAD_ALLOWANCE_BYTES));
         let piece = match &mut self.body {
             decoder::PayloadDecoder::None => Ok(None),
             decoder::PayloadDecoder::Fixed(fixed) => match connection.reader.next_with(fixed).await
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -61,7 +61,7 @@
     pub age: time::Duration,
 }
 
-/// Versions of the documents that the asking process has. Only newer ones are sent to it.
+/// Versions of the documents that the requesting process has. Only newer ones are sent to it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KnownDocuments {
     /// Version of the settings document.
@@ -131,7 +131,8 @@
         .await
     }
 
-    /// Reports which attempts the entry is streaming from the scheduler's engines.
+    /// Renews the leases of the attempts that the entry is streaming from the scheduler's engines. The
+    /// leases of its other attempts end.
     pub async fn renew(
         &self,
         entry: &ids::InstanceId,
@@ -154,7 +155,7 @@
         .await
     }
 
-    /// Requests a portion of a customer's budget.
+    /// Draws a portion of a customer's budget.
     pub async fn draw(
         &self,
         customer: &ids::CustomerId,
@@ -173,16 +174,16 @@
         .await
     }
 
-    /// Requests a vote on an idempotency key for the request `asker`.
+    /// Requests a vote on an idempotency key for a request.
     pub async fn vote(
         &self,
         key: &key_vote::ScopedKey,
-        asker: &ids::RequestId,
+        request: &ids::RequestId,
     ) -> Result<key_vote::VoteAnswer, LinkError> {
         self.call(VOTE_TIMEOUT, async |client| {
             let mut call = client.vote_request();
             call.get().set_key(&key.0);
-            call.get().set_asker(asker.as_str());
+            call.get().set_asker(request.as_str());
             let reply = call.send().promise.await?;
             Ok(convert::read_vote(reply.get()?.get_reply()?)?)
         })
--- a/crates/scheduler/src/document_sources.rs
+++ b/crates/scheduler/src/document_sources.rs
@@ -14,7 +14,7 @@
 
 /// Number of instances in each data centre that watch the platform.
 const PLATFORM_WATCHERS: usize = 2;
-/// Most instances that watch the same instance.
+/// Largest number of instances that watch the same instance.
 const FAN_OUT: usize = 4;
 
 /// The document feed's access to the scheduler: reads the state, and changes it through events.
@@ -25,7 +25,7 @@
 }
 
 impl SchedulerDocuments {
-    /// Creates the access to the documents in `state`; updates are sent to `events`.
+    /// Creates a consumer that reads from `state` and sends updates to `events`.
     pub fn new(
         local: rc::Rc<local_settings::LocalSettings>,
         state: rc::Rc<cell::RefCell<state::SchedulerState>>,
--- a/crates/scheduler/src/document_store.rs
+++ b/crates/scheduler/src/document_store.rs
@@ -30,13 +30,14 @@
     settings: live_settings::LiveSettings,
     /// The list in force. Invariant: its revision never decreases during the life of the process.
     list: fleet_list::FleetList,
-    /// The list in its published form, to pass on to watchers.
+    /// The published text of the list, which is forwarded to watchers.
     list_text: rc::Rc<str>,
     watchers: Vec<DocumentWatcher>,
 }
 
 impl DocumentStore {
-    /// Version and revision of the documents held, so that a source sends only newer ones.
+    /// Version of the settings and revision of the list in force. Sources return only newer
+    /// documents.
     pub fn known_versions(&self) -> scheduler_link::KnownDocuments {
         scheduler_link::KnownDocuments {
             settings: self.settings.version().0,
@@ -90,7 +91,7 @@
     }
 
     /// Answers the watchers for which there is a newer document or whose deadline has passed, and
-    /// drops those that have disconnected.
+    /// removes the watchers that have disconnected.
     pub fn answer_watchers(&mut self, now: units::MonoTime) {
         let known = self.known_versions();
         let due = |watcher: &DocumentWatcher| {
--- a/crates/scheduler/src/engine_client.rs
+++ b/crates/scheduler/src/engine_client.rs
@@ -14,7 +14,7 @@
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
 /// Time limit of a call to an engine.
 const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
-/// Largest response body, in bytes.
+/// Largest accepted response body, in bytes.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 /// Error of a call to an engine.
@@ -60,7 +60,7 @@
     held: Vec<HeldAttempt>,
 }
 
-/// Calls to an engine. A trait, because the users' own engines may need another protocol.
+/// Calls to engines. This is a trait because the users' own engines may need another protocol.
 pub trait EngineControl {
     /// Requests the engine's load and the attempts that it holds.
     fn report(
@@ -143,14 +143,14 @@
 /// Polls an engine's load and sends each report to `events`, until `stopped` is set or the receiver
 /// of `events` is closed. A failed poll is logged and repeated.
 pub async fn poll(
-    engines: rc::Rc<dyn EngineControl>,
+    engine_control: rc::Rc<dyn EngineControl>,
     name: ids::EngineId,
     address: net::SocketAddr,
     events: event::EventSender,
     stopped: rc::Rc<std::cell::Cell<bool>>,
 ) {
     while !stopped.get() {
-        match engines.report(address).await {
+        match engine_control.report(address).await {
             Ok(report) => {
                 let event = event::SchedulerEvent::Report(name.clone(), report);
                 if events.unbounded_send(event).is_err() {
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -51,9 +51,9 @@
     monoio::spawn(document_feed::follow(consumer, rc::Rc::clone(&pool), links));
     log::info!("scheduler listening on {address}");
 
-    let engines: rc::Rc<dyn engine_client::EngineControl> =
+    let engine_control: rc::Rc<dyn engine_client::EngineControl> =
         rc::Rc::new(engine_client::HttpEngineControl::new(rc::Rc::clone(&pool)));
-    monoio::spawn(run_event_loop(shared, incoming, events, engines, clock, metric_sender));
+    monoio::spawn(run_event_loop(shared, incoming, events, engine_control, clock, metric_sender));
     stop.wait().await;
     log::info!("stop requested");
     // Leases are not handed over: the next owner learns them from the reports of engines and the
@@ -67,7 +67,7 @@
     shared: SharedState,
     mut incoming: mpsc::UnboundedReceiver<event::SchedulerEvent>,
     events: event::EventSender,
-    engines: rc::Rc<dyn engine_client::EngineControl>,
+    engine_control: rc::Rc<dyn engine_client::EngineControl>,
     clock: process::ProcessClock,
     metric_sender: metrics::MetricSender,
 ) {
@@ -76,7 +76,7 @@
         let is_tick = matches!(event, event::SchedulerEvent::Tick);
         let effects = shared.borrow_mut().handle(clock.now(), event);
         for effect in effects {
-            perform(effect, &mut stop_flags, &events, &engines, &metric_sender);
+            perform(effect, &mut stop_flags, &events, &engine_control, &metric_sender);
         }
         if is_tick {
             metric_sender.flush();
@@ -88,16 +88,16 @@
     effect: event::SchedulerEffect,
     stop_flags: &mut PollStopFlags,
     events: &event::EventSender,
-    engines: &rc::Rc<dyn engine_client::EngineControl>,
+    engine_control: &rc::Rc<dyn engine_client::EngineControl>,
     metric_sender: &metrics::MetricSender,
 ) {
     match effect {
         event::SchedulerEffect::Cancel(address, attempt) => {
             metric_sender.count("cancels");
-            let engines = rc::Rc::clone(engines);
+            let engine_control = rc::Rc::clone(engine_control);
             monoio::spawn(async move {
                 // A failed cancel is repeated: the engine's next report still lists the attempt.
-                if let Err(error) = engines.cancel(address, attempt.clone()).await {
+                if let Err(error) = engine_control.cancel(address, attempt.clone()).await {
                     log::warn!("failed to cancel {attempt} on engine at {address}: {error}");
                 }
             });
@@ -107,8 +107,14 @@
             if let Some(previous) = stop_flags.insert(name.clone(), rc::Rc::clone(&stopped)) {
                 previous.set(true);
             }
-            let engines = rc::Rc::clone(engines);
-            monoio::spawn(engine_client::poll(engines, name, address, events.clone(), stopped));
+            let engine_control = rc::Rc::clone(engine_control);
+            monoio::spawn(engine_client::poll(
+                engine_control,
+                name,
+                address,
+                events.clone(),
+                stopped,
+            ));
         }
         event::SchedulerEffect::StopPoll(name) => {
             if let Some(stopped) = stop_flags.remove(&name) {
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -41,23 +41,23 @@
 
 fn run(options: &command_line::ToolOptions) -> Result<(), String> {
     let positional_arguments = options.positional();
-    if let ["publish", name, document, file] = positional_arguments.as_slice() {
+    if let ["publish", name, number, file] = positional_arguments.as_slice() {
         let text = std::fs::read(file).map_err(|error| format!("{file}: {error}"))?;
-        return publish(address(options, "to")?, name, document, text.into());
+        return publish(address(options, "to")?, name, number, text.into());
     }
     serve(options)
 }
 
-/// Publishes a document, and retries while the platform does not respond.
+/// Publishes a version of a document, and retries while the platform does not respond.
 fn publish(
     address: net::SocketAddr,
     name: &str,
-    document: &str,
+    number: &str,
     text: bytes::Bytes,
 ) -> Result<(), String> {
     /// Number of attempts, 100 ms apart.
     const PUBLISH_ATTEMPTS: usize = 100;
-    let path = format!("/documents/{name}?number={document}");
+    let path = format!("/documents/{name}?number={number}");
     let publishing = async {
         let pool = http_client::ConnectionPool::default();
         for _ in 0..PUBLISH_ATTEMPTS {
