--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -7,11 +7,12 @@
 
 use crate::{event, request_context};
 
-/// Takes the tokens from the portion of the customer's budget that this entry holds.
+/// Takes `want` tokens for a request from the portion of the customer's budget that this entry
+/// holds.
 ///
-/// If that doesn't suffice, a new portion is drawn from the customer's budget keeper, the instance
-/// that holds the customer's token bucket. While the keeper is unreachable, this entry's own share
-/// is used.
+/// If the portion doesn't suffice, a new one is drawn from the customer's budget keeper, the
+/// instance that holds the customer's token bucket. While the keeper is unreachable, this entry's
+/// own share is used.
 ///
 /// # Errors
 ///
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -22,7 +22,8 @@
     histograms: histogram::HistogramSet,
     /// Places in use by attempt and engine, because the members of a group share an attempt.
     running: collections::HashMap<(ids::AttemptId, ids::EngineId), event::RunningPlace>,
-    /// Updated whenever the documents or the number of detected pauses change.
+    /// Summary for the document feed, updated whenever the documents or the number of detected
+    /// pauses change.
     summary: rc::Rc<documents::DocumentSummary>,
     sender: metrics::MetricSender,
 }
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -69,7 +69,7 @@
     pub members: Vec<engine_directory::EngineTarget>,
     /// Memory needed on each member of a group; zero for a single engine.
     pub member_memory: units::TokenCount,
-    /// Whether schedulers granted leases, which have to be released.
+    /// Whether schedulers may have granted leases, which have to be released.
     leased: bool,
     /// Priority assigned by the first member's scheduler; `None` without a lease.
     pub priority: Option<u8>,
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -227,8 +227,8 @@
 
     /// Claims the idempotency key of a call that must run at most once.
     ///
-    /// With a key, at most one of all requests that carry it runs. Without a key, at most one attempt
-    /// of this request runs, and other requests are not considered.
+    /// With a key, at most one of all requests that carry it runs. Without a key, at most one
+    /// attempt of this request runs, and other requests are not considered.
     async fn claim_key(&mut self) -> Result<(), refusal::RequestRefusal> {
         let Some(key) = self.call.idempotency_key.as_deref().filter(|_| !self.repeatable) else {
             return Ok(());
@@ -442,8 +442,8 @@
     upstream_call::AttemptFault::before_answer(&error)
 }
 
-/// Failure of an attempt whose reused connection delivered no complete answer within `wait`. `closed`
-/// is the number of other idle connections to the upstream that were closed as well.
+/// Failure of an attempt whose reused connection delivered no complete answer within `wait`.
+/// `closed` is the number of other idle connections to the upstream that were closed as well.
 fn silence_fault(wait: time::Duration, closed: usize) -> upstream_call::AttemptFault {
     let text = format!(
         "no whole answer within {wait:?} over a connection that had rested; {closed} more closed"
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -42,7 +42,7 @@
     pub tokens: u64,
     /// Latency by band of prompt lengths, shortest first.
     pub bands: Vec<BandReport>,
-    /// Id of the complete request with the longest prompt, to look up in slipturn.
+    /// Id of the completed request with the longest prompt, to look up in slipturn.
     pub example: Option<String>,
     /// Time to first token in the shortest band as a multiple of that in the baseline run, by
     /// percentile; see [`RunReport::compare_short_prompts`].
--- a/crates/net/src/document_feed.rs
+++ b/crates/net/src/document_feed.rs
@@ -107,7 +107,7 @@
         FeedSource::Peer(address) => match links.link(address).watch(known, wait).await {
             Ok(update) => Some(update),
             Err(error) => {
-                log::debug!("documents: {error}");
+                log::debug!("cannot fetch documents: {error}");
                 None
             }
         },
@@ -141,7 +141,7 @@
             Some(update)
         }
         (Err(error), _) | (_, Err(error)) => {
-            log::debug!("documents: {error}");
+            log::debug!("cannot fetch documents: {error}");
             None
         }
     }
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -13,7 +13,8 @@
 
 /// Pause between two ticks.
 const TICK: time::Duration = time::Duration::from_millis(50);
-/// How long the scheduler still serves after a stop request, while entries find another scheduler.
+/// Time for which the scheduler serves calls after a stop request, so that entries can switch to
+/// another scheduler.
 const STOP_GRACE: time::Duration = time::Duration::from_secs(2);
 
 type SharedState = rc::Rc<cell::RefCell<state::SchedulerState>>;
@@ -35,7 +36,8 @@
         data_center: local.data_center.clone(),
         boot: process::new_boot_id(),
     };
-    let shared = rc::Rc::new(cell::RefCell::new(state::SchedulerState::new(clock.now(), identity)));
+    let shared_state =
+        rc::Rc::new(cell::RefCell::new(state::SchedulerState::new(clock.now(), identity)));
     let pool = rc::Rc::new(http_client::ConnectionPool::default());
     let links = rc::Rc::new(scheduler_link::LinkPool::default());
 
@@ -44,7 +46,7 @@
     monoio::spawn(send_ticks(events.clone()));
     let documents = document_sources::SchedulerDocuments::new(
         rc::Rc::new(local),
-        rc::Rc::clone(&shared),
+        rc::Rc::clone(&shared_state),
         events.clone(),
     );
     let consumer: rc::Rc<dyn document_feed::FeedConsumer> = rc::Rc::new(documents);
@@ -53,7 +55,14 @@
 
     let engine_control: rc::Rc<dyn engine_client::EngineControl> =
         rc::Rc::new(engine_client::HttpEngineControl::new(rc::Rc::clone(&pool)));
-    monoio::spawn(run_event_loop(shared, incoming, events, engine_control, clock, metric_sender));
+    monoio::spawn(run_event_loop(
+        shared_state,
+        incoming,
+        events,
+        engine_control,
+        clock,
+        metric_sender,
+    ));
     stop.wait().await;
     log::info!("stop requested");
     // Leases are not handed over: the next owner learns them from the reports of engines and the
@@ -64,7 +73,7 @@
 
 /// Applies events to the state and performs the resulting effects, until all senders are dropped.
 async fn run_event_loop(
-    shared: SharedState,
+    shared_state: SharedState,
     mut incoming: mpsc::UnboundedReceiver<event::SchedulerEvent>,
     events: event::EventSender,
     engine_control: rc::Rc<dyn engine_client::EngineControl>,
@@ -74,7 +83,7 @@
     let mut stop_flags = PollStopFlags::new();
     while let Some(event) = incoming.next().await {
         let is_tick = matches!(event, event::SchedulerEvent::Tick);
-        let effects = shared.borrow_mut().handle(clock.now(), event);
+        let effects = shared_state.borrow_mut().handle(clock.now(), event);
         for effect in effects {
             perform(effect, &mut stop_flags, &events, &engine_control, &metric_sender);
         }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -214,7 +214,7 @@
 fn delayed_report(state: &EngineState) -> LoadReport {
     let lag = time::Duration::from_millis(state.faults.plan().report_lag_ms);
     let reports = state.reports.borrow();
-    let is_old_enough = |entry: &&(time::Instant, LoadReport)| entry.0.elapsed() >= lag;
+    let is_old_enough = |record: &&(time::Instant, LoadReport)| record.0.elapsed() >= lag;
     let matching = reports.iter().rev().find(is_old_enough).or_else(|| reports.front());
     let Some((recorded_at, report)) = matching else {
         let memory_tokens = state.model.borrow().memory();
