--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -7,11 +7,12 @@
 
 use crate::{event, request_context};
 
-/// Takes the tokens from the portion of the customer's budget that this entry holds.
+/// Takes `want` tokens for a request from the portion of the customer's budget that this entry
+/// holds.
 ///
-/// If that doesn't suffice, a new portion is drawn from the customer's budget keeper, the instance
-/// that holds the customer's token bucket. While the keeper is unreachable, this entry's own share
-/// is used.
+/// If the portion doesn't suffice, a new one is drawn from the customer's budget keeper, the
+/// instance that holds the customer's token bucket. While the keeper is unreachable, this entry's
+/// own share is used.
 ///
 /// # Errors
 ///
@@ -26,8 +27,8 @@
     let spend = |answer| event::EntryEvent::Spend(settings.clone(), want, answer);
     let mut step = context.events.ask(spend).await;
     if matches!(step, entry_router::BudgetStep::Draw { .. }) {
-        let lock = context.draws.for_customer(&settings.customer);
-        let _drawing = lock.lock().await;
+        let lock = context.draw_locks.for_customer(&settings.customer);
+        let _guard = lock.lock().await;
         // Another request may have drawn enough while this one waited for the lock.
         step = context.events.ask(spend).await;
         if let entry_router::BudgetStep::Draw { owner, limit, want } = step {
@@ -64,8 +65,9 @@
         Ok(Err(empty)) => entry_router::BudgetStep::Empty(empty.0),
         Err(error) => {
             record.notes.push(format!("budget: keeper out of reach ({error}), own part used"));
-            let alone = |answer| event::EntryEvent::SpendAlone(settings.clone(), want, answer);
-            context.events.ask(alone).await
+            let spend_own_share =
+                |answer| event::EntryEvent::SpendOwnShare(settings.clone(), want, answer);
+            context.events.ask(spend_own_share).await
         }
     }
 }
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -22,7 +22,8 @@
     histograms: histogram::HistogramSet,
     /// Places in use by attempt and engine, because the members of a group share an attempt.
     running: collections::HashMap<(ids::AttemptId, ids::EngineId), event::RunningPlace>,
-    /// Updated whenever the documents or the number of detected pauses change.
+    /// Summary for the document feed, updated whenever the documents or the number of detected
+    /// pauses change.
     summary: rc::Rc<documents::DocumentSummary>,
     sender: metrics::MetricSender,
 }
@@ -63,19 +64,19 @@
         use event::EntryEvent;
         let router = &mut self.router;
         match event {
-            EntryEvent::Plan(question, answer) => reply(answer, router.plan(now, &question)),
+            EntryEvent::Plan(query, answer) => reply(answer, router.plan(now, &query)),
             EntryEvent::Resolve(key, answer) => {
                 reply(answer, router.resolve(now, &key, units::TokenCount::ZERO));
             }
             EntryEvent::Spend(resolved, want, answer) => {
                 reply(answer, router.spend(now, &resolved, want));
             }
-            EntryEvent::SpendAlone(resolved, want, answer) => {
+            EntryEvent::SpendOwnShare(resolved, want, answer) => {
                 reply(answer, router.spend_own_share(now, &resolved, want));
             }
             EntryEvent::Portion(customer, portion) => router.add_portion(now, &customer, portion),
-            EntryEvent::Candidates(question, tree, prefix, tried, answer) => {
-                let found = router.candidates(now, &question, &tree.fleet, prefix, &tried);
+            EntryEvent::Candidates(query, tree, prefix, tried, answer) => {
+                let found = router.candidates(now, &query, &tree.fleet, prefix, &tried);
                 reply(answer, found);
             }
             EntryEvent::Group(model, need, tree, answer) => {
@@ -85,14 +86,14 @@
                 reply(answer, router.choose(&targets, &offers));
             }
             EntryEvent::WantsOffers(answer) => reply(answer, router.wants_offers()),
-            EntryEvent::DirectShare(engine, answer) => {
+            EntryEvent::MaySendUnleased(engine, answer) => {
                 reply(answer, router.may_send_unleased(&engine));
             }
             EntryEvent::Started(place) => self.start(place),
             EntryEvent::Ended(attempt, engine) => self.end(&attempt, &engine),
             EntryEvent::Eject(engine) => router.eject(now, &engine),
-            EntryEvent::Retry(question, answer) => {
-                reply(answer, router.decide_retry(now, question));
+            EntryEvent::Retry(attempt, answer) => {
+                reply(answer, router.decide_retry(now, attempt));
             }
             EntryEvent::CountRequest => router.count_request(now),
             EntryEvent::Upstreams(service, answer) => reply(answer, router.upstreams(&service)),
@@ -101,9 +102,9 @@
                 reply(answer, router.spread_retry(expected));
             }
             EntryEvent::Renewals(answer) => reply(answer, self.renewals()),
-            EntryEvent::Measure(measure, series, spans) => {
+            EntryEvent::Measure(kind, series, spans) => {
                 for series in &series {
-                    self.histograms.record_all(measure, series, &spans);
+                    self.histograms.record_all(kind, series, &spans);
                 }
             }
             EntryEvent::Decision(record) => self.record_decision(*record),
--- a/crates/entry/src/model_measure.rs
+++ b/crates/entry/src/model_measure.rs
@@ -8,18 +8,18 @@
 
 impl model_request::ModelRequest {
     /// Records one duration in the histograms of the request's customer and class.
-    pub(crate) fn measure(&self, measure: histogram::MeasureKind, span: time::Duration) {
-        self.measure_all(measure, vec![span]);
+    pub(crate) fn measure(&self, kind: histogram::MeasureKind, span: time::Duration) {
+        self.measure_all(kind, vec![span]);
     }
 
     /// Records several durations in the histograms of the request's customer and class.
-    pub(crate) fn measure_all(&self, measure: histogram::MeasureKind, spans: Vec<time::Duration>) {
+    pub(crate) fn measure_all(&self, kind: histogram::MeasureKind, spans: Vec<time::Duration>) {
         let settings = &self.admitted.grant.settings;
         let class = settings.class.as_ref().map_or("-", ids::ClassId::as_str);
-        let band = histogram::band_name(self.admitted.plan.prompt);
+        let band = histogram::band_name(self.admitted.plan_query.prompt);
         let series =
             vec![format!("customer/{}", settings.customer), format!("class/{class}/{band}")];
-        self.context.events.send(event::EntryEvent::Measure(measure, series, spans));
+        self.context.events.send(event::EntryEvent::Measure(kind, series, spans));
     }
 
     /// Records the time that the attempt waited for its place.
@@ -28,8 +28,8 @@
         self.measure(histogram::MeasureKind::PlaceWait, waited);
     }
 
-    /// Notes the interval since the previous piece of the answer, whose time is `last`. The
-    /// intervals are recorded when the request ends.
+    /// Stores the interval since the previous piece of the answer, which arrived at `last`, and
+    /// updates `last`. The intervals are recorded when the request ends.
     pub(crate) fn measure_piece(&mut self, last: &mut Option<units::MonoTime>) {
         let now = self.context.clock.now();
         if let Some(last) = last.replace(now) {
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -15,7 +15,7 @@
 pub struct ModelCall {
     /// Ids of the request.
     pub request_ids: answer::RequestIds,
-    /// Key that identifies the caller.
+    /// API key of the caller.
     pub key: String,
     /// Time limit requested by the caller.
     pub requested_limit: Option<time::Duration>,
@@ -53,8 +53,9 @@
     pub(crate) call: ModelCall,
     pub(crate) admitted: AdmittedRequest,
     pub(crate) record: decision::DecisionRecord,
+    /// Engines of failed attempts, which are left out of the candidates.
     pub(crate) tried: Vec<ids::EngineId>,
-    /// Whether any attempt so far ran, as far as is known. Never returns to `No`.
+    /// Whether any attempt has run so far, as far as is known. Never returns to `No`.
     pub(crate) ran: refusal::RanState,
     /// Intervals between pieces of the answer, sent to the director when the request ends.
     pub(crate) intervals: Vec<time::Duration>,
@@ -103,7 +104,7 @@
 
 /// Data of a request that has passed admission.
 pub(crate) struct AdmittedRequest {
-    pub(crate) plan: entry_router::PlanQuery,
+    pub(crate) plan_query: entry_router::PlanQuery,
     pub(crate) grant: entry_router::RequestGrant,
     pub(crate) body: Bytes,
     pub(crate) prefix: u64,
@@ -121,17 +122,17 @@
 ) -> Result<AdmittedRequest, refusal::RequestRefusal> {
     let parsed = prompt::ParsedRequest::read(&body)?;
     drop(body);
-    let plan = parsed.question(call.key.clone(), call.requested_limit);
-    let question = plan.clone();
-    let grant = context.events.ask(|answer| event::EntryEvent::Plan(question, answer)).await?;
+    let plan_query = parsed.plan_query(call.key.clone(), call.requested_limit);
+    let query = plan_query.clone();
+    let grant = context.events.ask(|answer| event::EntryEvent::Plan(query, answer)).await?;
     record.set_settings(&grant.settings);
-    record.prompt_tokens = plan.prompt.0;
+    record.prompt_tokens = plan_query.prompt.0;
     record.list_revision = grant.list_revision;
-    budget_step::take(context, &grant, plan.prompt + grant.output, record).await?;
+    budget_step::take(context, &grant, plan_query.prompt + grant.output, record).await?;
     let deadline = call.arrived + grant.settings.time_limit.value.0;
     let (prefix, prefix_tokens, stream) = (parsed.prefix, parsed.prefix_tokens, parsed.stream);
     let body = parsed.into_body(grant.output);
-    Ok(AdmittedRequest { plan, grant, body, prefix, prefix_tokens, stream, deadline })
+    Ok(AdmittedRequest { plan_query, grant, body, prefix, prefix_tokens, stream, deadline })
 }
 
 impl ModelRequest {
@@ -140,7 +141,7 @@
         mut self,
         connection: &mut http_server::ServerConnection,
     ) -> Result<RequestEnd, http_server::ServeError> {
-        let refusal = match self.attempts(connection).await {
+        let refusal = match self.run_attempts(connection).await {
             Ok(end) => {
                 let outcome = if end == RequestEnd::Answered { "answered" } else { "caller gone" };
                 self.finish(outcome.to_owned());
@@ -163,15 +164,15 @@
     }
 
     /// Makes attempts until one succeeds, the caller leaves, or no retry is allowed.
-    async fn attempts(
+    async fn run_attempts(
         &mut self,
         connection: &mut http_server::ServerConnection,
     ) -> Result<RequestEnd, refusal::RequestRefusal> {
         let mut number = 0;
         loop {
             number += 1;
-            let question = self.place_question(number);
-            let finding = place::find(&self.context, &question);
+            let place_request = self.place_request(number);
+            let finding = place::find(&self.context, &place_request);
             let limited = monoio::time::timeout(self.remaining_time(), finding);
             let Some(found) = connection.while_connected(limited).await else {
                 return Ok(RequestEnd::Close);
@@ -180,7 +181,7 @@
             // Earlier attempts may have run although this one found no place.
             let place = found.map_err(|refusal| self.add_last_failure(refusal))?;
             self.measure_wait(&place);
-            let end = self.attempt(connection, &place, &question.attempt).await;
+            let end = self.run_attempt(connection, &place, &place_request.attempt).await;
             self.record_attempt(&place, &end);
             match end {
                 AttemptEnd::Complete => {
@@ -219,14 +220,14 @@
             self.tried.push(member.engine.clone());
             self.context.events.send(event::EntryEvent::Eject(member.engine.clone()));
         }
-        let question = retry::FailedAttempt {
+        let failed_attempt = retry::FailedAttempt {
             failure: fault.failure,
             repeatable: true,
             attempts,
             max_attempts: self.admitted.grant.settings.max_attempts.value,
             time_left: !self.remaining_time().is_zero(),
         };
-        let to_event = |answer| event::EntryEvent::Retry(question, answer);
+        let to_event = |answer| event::EntryEvent::Retry(failed_attempt, answer);
         match self.context.events.ask(to_event).await {
             retry::RetryVerdict::Retry => {
                 self.record.notes.push(format!("retry: {}", fault.text));
@@ -256,7 +257,7 @@
     }
 
     /// Sends the request to the engine of a place and forwards the answer.
-    async fn attempt(
+    async fn run_attempt(
         &mut self,
         connection: &mut http_server::ServerConnection,
         place: &place::HeldPlace,
@@ -267,8 +268,8 @@
         }
         let context = rc::Rc::clone(&self.context);
         let call = self.engine_call(place, attempt);
-        let pooled = http_client::ConnectionPolicy::Pooled;
-        let calling = context.pool.call(place.engine().address, pooled, call);
+        let connection_policy = http_client::ConnectionPolicy::Pooled;
+        let calling = context.pool.call(place.engine().address, connection_policy, call);
         let limited = monoio::time::timeout(self.remaining_time(), calling);
         let mut answer = match connection.while_connected(limited).await {
             None => return AttemptEnd::CallerGone,
@@ -318,8 +319,13 @@
         attempt: &ids::AttemptId,
     ) -> http::Request<Bytes> {
         let (path, body) = (&self.call.path, self.admitted.body.clone());
-        let mut call =
-            upstream_call::call(http::Method::POST, path, attempt, self.remaining_time(), body);
+        let mut call = upstream_call::build_call(
+            http::Method::POST,
+            path,
+            attempt,
+            self.remaining_time(),
+            body,
+        );
         upstream_call::set_header(&mut call, "content-type", "application/json");
         if let Some(priority) = place.priority {
             let priority = priority.to_string();
@@ -333,10 +339,10 @@
         call
     }
 
-    fn place_question(&self, number: u32) -> place::PlaceQuestion {
-        place::PlaceQuestion {
+    fn place_request(&self, number: u32) -> place::PlaceRequest {
+        place::PlaceRequest {
             attempt: ids::AttemptId::new(&self.call.request_ids.request, number),
-            plan: self.admitted.plan.clone(),
+            plan_query: self.admitted.plan_query.clone(),
             grant: self.admitted.grant.clone(),
             prefix: self.admitted.prefix,
             prefix_tokens: self.admitted.prefix_tokens,
@@ -394,7 +400,7 @@
     }
 }
 
-/// Refusal of a request that found no place within its time limit.
+/// Refusal of a request for which no place was found within its time limit.
 fn no_place_in_time() -> refusal::RequestRefusal {
     let code = refusal::RefusalCode::Overloaded;
     refusal::RequestRefusal::not_run(code, "no engine took it within its time limit")
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -13,7 +13,7 @@
 /// an engine's prefix cache.
 const PREFIX_BYTES: usize = 4_096;
 
-/// A request body, with the values that routing needs.
+/// A parsed request body, with the values that routing needs.
 #[derive(Debug, Clone)]
 pub struct ParsedRequest {
     /// Requested model.
@@ -60,8 +60,8 @@
         })
     }
 
-    /// Builds the question by which the router resolves the settings of the request.
-    pub fn question(
+    /// Builds the query with which the router resolves the settings of the request.
+    pub fn plan_query(
         &self,
         key: String,
         requested_limit: Option<std::time::Duration>,
@@ -99,8 +99,9 @@
     let Some(value) = members.get(name) else {
         return Ok(None);
     };
-    let mut reader = serde_json::Deserializer::from_str(value.get());
-    Option::deserialize(&mut reader).map_err(|error| bad_request(&format!("'{name}': {error}")))
+    let mut deserializer = serde_json::Deserializer::from_str(value.get());
+    Option::deserialize(&mut deserializer)
+        .map_err(|error| bad_request(&format!("'{name}': {error}")))
 }
 
 fn bad_request(text: &str) -> refusal::RequestRefusal {
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -29,19 +29,19 @@
 
 /// Fraction of the remaining time for which a repeatable call waits for an answer over a connection
 /// that had been idle, before it is sent again over a new one. Less than half, so that the new
-/// connection has at least as much time. The platform uses the same fraction.
+/// connection has at least as much time. `slipturn-instance` uses the same fraction.
 const SILENCE_FRACTION: f64 = 0.45;
 
 /// A call as sent by the caller, without its body.
 pub struct ServiceCall {
     /// Ids of the request.
     pub request_ids: answer::RequestIds,
-    /// Key that identifies the caller.
+    /// API key of the caller.
     pub key: String,
     /// Time limit requested by the caller.
     pub requested_limit: Option<time::Duration>,
     /// Idempotency key, for calls that must run at most once.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Service that is called.
     pub service: ids::ServiceId,
     /// Method, headers, and the path and query after the service's name.
@@ -71,9 +71,11 @@
     body: Bytes,
     deadline: units::MonoTime,
     record: decision::DecisionRecord,
+    /// Result of the vote on the idempotency key, if there was one.
     verdict: Option<key_vote::VoteVerdict>,
-    /// Whether the call was sent again because an idle connection brought no answer. From then on
-    /// only new connections are used, so that a call meets at most one unresponsive connection.
+    /// Whether the call was sent again because no answer arrived over a connection that had been
+    /// idle. From then on only new connections are used, so that a call waits for at most one
+    /// unresponsive connection.
     new_connections_only: bool,
     /// Pending answer over the unresponsive connection. The upstream may merely be slow.
     late: Option<LateAnswer>,
@@ -162,7 +164,7 @@
         let context = rc::Rc::clone(&self.context);
         let arrived = self.call.arrived;
         let remaining_time = self.remaining_time();
-        let serving = monoio::time::timeout(remaining_time, self.attempts());
+        let serving = monoio::time::timeout(remaining_time, self.run_attempts());
         let served = connection.while_connected(serving).await;
         let end = match &served {
             None => "caller gone".to_owned(),
@@ -190,7 +192,7 @@
     }
 
     /// Tries upstreams one after the other until one answers or no retry is allowed.
-    async fn attempts(&mut self) -> Result<http::Response<Bytes>, refusal::RequestRefusal> {
+    async fn run_attempts(&mut self) -> Result<http::Response<Bytes>, refusal::RequestRefusal> {
         self.claim_key().await?;
         let service = self.call.service.clone();
         let to_event = |answer| event::EntryEvent::Upstreams(service, answer);
@@ -202,7 +204,8 @@
         while let Some(upstream) = upstreams.pop_front() {
             number += 1;
             let attempt = ids::AttemptId::new(&self.call.request_ids.request, number);
-            let result = first_success(self.attempt(&upstream, &attempt, number), &mut late).await;
+            let result =
+                first_success(self.run_attempt(&upstream, &attempt, number), &mut late).await;
             self.record_attempt(&upstream, attempt, &result);
             let fault = match result {
                 Ok(answer) => return Ok(self.add_answer_headers(answer.response)),
@@ -224,10 +227,10 @@
 
     /// Claims the idempotency key of a call that must run at most once.
     ///
-    /// Without a key, that holds for the attempts of this request only. With a key, at most one of
-    /// all requests that carry the key runs.
+    /// With a key, at most one of all requests that carry it runs. Without a key, at most one
+    /// attempt of this request runs, and other requests are not considered.
     async fn claim_key(&mut self) -> Result<(), refusal::RequestRefusal> {
-        let Some(key) = self.call.idempotency.as_deref().filter(|_| !self.repeatable) else {
+        let Some(key) = self.call.idempotency_key.as_deref().filter(|_| !self.repeatable) else {
             return Ok(());
         };
         if self.node.checks_keys {
@@ -262,7 +265,7 @@
     ///
     /// A repeatable call over a connection that had been idle fails early if no answer arrives in
     /// time and another attempt is allowed; its pending answer is then kept in `late`.
-    async fn attempt(
+    async fn run_attempt(
         &mut self,
         upstream: &fleet_list::UpstreamRecord,
         attempt: &ids::AttemptId,
@@ -303,8 +306,8 @@
         Err(silence_fault(wait, closed))
     }
 
-    /// Asks for a retry of a call whose connection brings no answer. If it is denied, the call
-    /// keeps waiting on that connection.
+    /// Asks the director for a retry of a call whose connection delivers no answer. If the retry is
+    /// denied, the call keeps waiting on that connection.
     async fn retry_on_new_connection(&mut self, attempts: u32) -> bool {
         // The call was sent and may have run.
         let failure = retry::AttemptFailure::BrokeBeforeAnswer;
@@ -324,8 +327,13 @@
         let head = &self.call.head;
         let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
         let body = self.body.clone();
-        let mut call =
-            upstream_call::call(head.method.clone(), path, attempt, self.remaining_time(), body);
+        let mut call = upstream_call::build_call(
+            head.method.clone(),
+            path,
+            attempt,
+            self.remaining_time(),
+            body,
+        );
         let (own, headers) = (call.headers().clone(), call.headers_mut());
         copy_headers(&head.headers, headers);
         // Headers set by slipturn replace those of the same name from the caller.
@@ -334,14 +342,14 @@
     }
 
     async fn may_retry(&self, failure: retry::AttemptFailure, attempts: u32) -> bool {
-        let question = retry::FailedAttempt {
+        let failed_attempt = retry::FailedAttempt {
             failure,
             repeatable: self.repeatable,
             attempts,
             max_attempts: self.settings.max_attempts.value,
             time_left: !self.remaining_time().is_zero(),
         };
-        let to_event = |answer| event::EntryEvent::Retry(question, answer);
+        let to_event = |answer| event::EntryEvent::Retry(failed_attempt, answer);
         self.context.events.ask(to_event).await == retry::RetryVerdict::Retry
     }
 
@@ -434,8 +442,8 @@
     upstream_call::AttemptFault::before_answer(&error)
 }
 
-/// Failure of an attempt whose idle connection brought no complete answer within `wait`. `closed`
-/// is the number of other idle connections to the upstream that were closed as well.
+/// Failure of an attempt whose reused connection delivered no complete answer within `wait`.
+/// `closed` is the number of other idle connections to the upstream that were closed as well.
 fn silence_fault(wait: time::Duration, closed: usize) -> upstream_call::AttemptFault {
     let text = format!(
         "no whole answer within {wait:?} over a connection that had rested; {closed} more closed"
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -13,7 +13,8 @@
 
 /// Pause between two ticks.
 const TICK: time::Duration = time::Duration::from_millis(50);
-/// How long the scheduler still serves after a stop request, while entries find another scheduler.
+/// Time for which the scheduler serves calls after a stop request, so that entries can switch to
+/// another scheduler.
 const STOP_GRACE: time::Duration = time::Duration::from_secs(2);
 
 type SharedState = rc::Rc<cell::RefCell<state::SchedulerState>>;
@@ -35,7 +36,8 @@
         data_center: local.data_center.clone(),
         boot: process::new_boot_id(),
     };
-    let shared = rc::Rc::new(cell::RefCell::new(state::SchedulerState::new(clock.now(), identity)));
+    let shared_state =
+        rc::Rc::new(cell::RefCell::new(state::SchedulerState::new(clock.now(), identity)));
     let pool = rc::Rc::new(http_client::ConnectionPool::default());
     let links = rc::Rc::new(scheduler_link::LinkPool::default());
 
@@ -44,16 +46,23 @@
     monoio::spawn(send_ticks(events.clone()));
     let documents = document_sources::SchedulerDocuments::new(
         rc::Rc::new(local),
-        rc::Rc::clone(&shared),
+        rc::Rc::clone(&shared_state),
         events.clone(),
     );
     let consumer: rc::Rc<dyn document_feed::FeedConsumer> = rc::Rc::new(documents);
     monoio::spawn(document_feed::follow(consumer, rc::Rc::clone(&pool), links));
     log::info!("scheduler listening on {address}");
 
-    let engines: rc::Rc<dyn engine_client::EngineControl> =
+    let engine_control: rc::Rc<dyn engine_client::EngineControl> =
         rc::Rc::new(engine_client::HttpEngineControl::new(rc::Rc::clone(&pool)));
-    monoio::spawn(run_event_loop(shared, incoming, events, engines, clock, metric_sender));
+    monoio::spawn(run_event_loop(
+        shared_state,
+        incoming,
+        events,
+        engine_control,
+        clock,
+        metric_sender,
+    ));
     stop.wait().await;
     log::info!("stop requested");
     // Leases are not handed over: the next owner learns them from the reports of engines and the
@@ -64,19 +73,19 @@
 
 /// Applies events to the state and performs the resulting effects, until all senders are dropped.
 async fn run_event_loop(
-    shared: SharedState,
+    shared_state: SharedState,
     mut incoming: mpsc::UnboundedReceiver<event::SchedulerEvent>,
     events: event::EventSender,
-    engines: rc::Rc<dyn engine_client::EngineControl>,
+    engine_control: rc::Rc<dyn engine_client::EngineControl>,
     clock: process::ProcessClock,
     metric_sender: metrics::MetricSender,
 ) {
     let mut stop_flags = PollStopFlags::new();
     while let Some(event) = incoming.next().await {
         let is_tick = matches!(event, event::SchedulerEvent::Tick);
-        let effects = shared.borrow_mut().handle(clock.now(), event);
+        let effects = shared_state.borrow_mut().handle(clock.now(), event);
         for effect in effects {
-            perform(effect, &mut stop_flags, &events, &engines, &metric_sender);
+            perform(effect, &mut stop_flags, &events, &engine_control, &metric_sender);
         }
         if is_tick {
             metric_sender.flush();
@@ -88,16 +97,16 @@
     effect: event::SchedulerEffect,
     stop_flags: &mut PollStopFlags,
     events: &event::EventSender,
-    engines: &rc::Rc<dyn engine_client::EngineControl>,
+    engine_control: &rc::Rc<dyn engine_client::EngineControl>,
     metric_sender: &metrics::MetricSender,
 ) {
     match effect {
         event::SchedulerEffect::Cancel(address, attempt) => {
             metric_sender.count("cancels");
-            let engines = rc::Rc::clone(engines);
+            let engine_control = rc::Rc::clone(engine_control);
             monoio::spawn(async move {
                 // A failed cancel is repeated: the engine's next report still lists the attempt.
-                if let Err(error) = engines.cancel(address, attempt.clone()).await {
+                if let Err(error) = engine_control.cancel(address, attempt.clone()).await {
                     log::warn!("failed to cancel {attempt} on engine at {address}: {error}");
                 }
             });
@@ -107,8 +116,14 @@
             if let Some(previous) = stop_flags.insert(name.clone(), rc::Rc::clone(&stopped)) {
                 previous.set(true);
             }
-            let engines = rc::Rc::clone(engines);
-            monoio::spawn(engine_client::poll(engines, name, address, events.clone(), stopped));
+            let engine_control = rc::Rc::clone(engine_control);
+            monoio::spawn(engine_client::poll(
+                engine_control,
+                name,
+                address,
+                events.clone(),
+                stopped,
+            ));
         }
         event::SchedulerEffect::StopPoll(name) => {
             if let Some(stopped) = stop_flags.remove(&name) {
