--- a/crates/compare/src/fake_engines.rs
+++ b/crates/compare/src/fake_engines.rs
@@ -1,4 +1,5 @@
-//! The engines of a run: an engine model with its placement ledger and delayed load reports.
+//! The engines of a run. Each consists of an engine model, a placement ledger and delayed load
+//! reports.
 
 use std::{collections, time};
 
@@ -20,8 +21,9 @@
     /// Requests that wait for free memory. Under the baseline policies no ledger holds requests
     /// back, so the engine has to queue them.
     queue: collections::VecDeque<engine_model::EngineRequest>,
-    /// Recorded load reports, oldest first.
+    /// Load reports with the times at which they were recorded, oldest first.
     reports: collections::VecDeque<(units::MonoTime, placement::EngineReport)>,
+    /// Time at which the next load report is due.
     next_report: units::MonoTime,
     /// Whether the engine has failed; it then neither runs requests nor reports its load.
     pub dead: bool,
@@ -64,7 +66,8 @@
         self.model.cancel(attempt);
     }
 
-    /// Advances the engine by `elapsed` and returns its outputs.
+    /// Advances the engine by `elapsed`, starts queued requests that now fit, and returns the
+    /// outputs of the running ones.
     pub fn step(&mut self, elapsed: time::Duration) -> Vec<engine_model::EngineOutput> {
         if self.dead {
             return Vec::new();
@@ -74,8 +77,8 @@
         outputs
     }
 
-    /// Passes a load report to the ledger if one is due. The report is the newest that is at least
-    /// `lag` old, or the oldest if none is.
+    /// Passes a load report to the ledger if one is due, and returns the actions of the ledger. The
+    /// report is the newest that is at least `lag` old, or the oldest if none is.
     pub fn report(
         &mut self,
         now: units::MonoTime,
--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -1,5 +1,5 @@
-//! Measures the time and memory of routing decisions with settings and a fleet list of the planned
-//! size.
+//! Measures the time and memory that routing decisions take with settings and a fleet list of the
+//! planned size.
 //!
 //! Results are wall-clock times and depend on the computer, so no test bounds them.
 
@@ -54,8 +54,9 @@
         hint::black_box(owners.collect::<Vec<_>>())
     });
     cost_rows.push(cost_row("owners of all engines", format!("{elapsed:?}")));
-    let caller = tree.identify(&key(CUSTOMERS / 2)).expect("the settings contain the key");
-    cost_rows.push(mean_cost("find a caller", || tree.identify(&key(CUSTOMERS / 2)).is_some()));
+    let caller = tree.identify(&customer_key(CUSTOMERS / 2)).expect("the settings contain the key");
+    cost_rows
+        .push(mean_cost("find a caller", || tree.identify(&customer_key(CUSTOMERS / 2)).is_some()));
     let prompt = units::TokenCount(5_000);
     cost_rows.push(mean_cost("resolve its settings", || tree.resolve(&caller, prompt).is_some()));
     cost_rows.extend(measure_router(&settings_text, list));
@@ -67,28 +68,31 @@
     cost_rows
 }
 
-fn measure_router(text: &str, list: slipturn_core::fleet_list::FleetList) -> Vec<CostRow> {
+/// Measures the entry router: the check of a request against its settings, and the sampling of
+/// engines for it.
+fn measure_router(settings_text: &str, list: slipturn_core::fleet_list::FleetList) -> Vec<CostRow> {
     let name = |text: &str| text.parse().expect("the name is valid");
-    let hour = time::Duration::from_secs(3_600);
+    let sleep_bound = time::Duration::from_secs(3_600);
     let now = units::MonoTime(0);
-    let center: ids::DataCenterId = "dc-0".parse().expect("the name is valid");
-    let mut router = entry_router::EntryRouter::new(name("instance-0"), center, hour, 1);
-    router.offer_settings(now, text);
+    let data_center: ids::DataCenterId = "dc-0".parse().expect("the name is valid");
+    let mut router =
+        entry_router::EntryRouter::new(name("instance-0"), data_center, sleep_bound, 1);
+    router.offer_settings(now, settings_text);
     router.offer_list(list);
     router.note_sources_queried(now, 0);
-    let question = entry_router::PlanQuery {
-        key: key(17),
+    let query = entry_router::PlanQuery {
+        key: customer_key(17),
         model: "model-0".parse().expect("the name is valid"),
         prompt: units::TokenCount(5_000),
         output: None,
         requested_limit: None,
     };
-    let grant = router.plan(now, &question).expect("the settings contain the key");
+    let grant = router.plan(now, &query).expect("the settings contain the key");
     let fleet = grant.fleet.fleet.clone();
     vec![
-        mean_cost("plan a request", || router.plan(now, &question).is_ok()),
+        mean_cost("plan a request", || router.plan(now, &query).is_ok()),
         mean_cost("sample engines for it", || {
-            !router.candidates(now, &question, &fleet, 1, &[]).is_empty()
+            !router.candidates(now, &query, &fleet, 1, &[]).is_empty()
         }),
     ]
 }
@@ -102,7 +106,7 @@
     let report = placement::EngineReport { memory, ..Default::default() };
     ledger.report(now, &report);
     let request = |number: u64| placement::CapacityRequest {
-        attempt: format!("instance-0:1:{number:x}:1").parse().expect("the name is valid"),
+        attempt: format!("instance-0:1:{number:x}:1").parse().expect("the attempt id is valid"),
         entry: "instance-0".parse().expect("the name is valid"),
         boot: ids::BootId(1),
         customer: format!("customer-{}", number % 40).parse().expect("the name is valid"),
@@ -122,12 +126,13 @@
     mean_cost("offer of an engine with a full queue", || ledger.offer(now, &new_request).is_ok())
 }
 
-/// Returns the mean time of `workload` over [`ITERATIONS`] runs.
+/// Measures the mean time of `workload` over [`ITERATIONS`] runs.
 fn mean_cost(operation: &'static str, mut workload: impl FnMut() -> bool) -> CostRow {
     let (_, elapsed) = timed(|| (0..ITERATIONS).filter(|_| hint::black_box(workload())).count());
     cost_row(operation, format!("{:?}", elapsed / ITERATIONS))
 }
 
+/// Runs `workload` and returns its result with the elapsed time.
 fn timed<T>(workload: impl FnOnce() -> T) -> (T, time::Duration) {
     let started = time::Instant::now();
     let result = workload();
@@ -138,14 +143,16 @@
     CostRow { operation: operation.into(), value }
 }
 
-fn key(customer: usize) -> String {
+/// Returns the API key of a customer in the generated settings.
+fn customer_key(customer: usize) -> String {
     format!("key-{customer}")
 }
 
+/// Returns a settings document with [`CUSTOMERS`] customers.
 fn settings_text() -> String {
     let mut text = "version: 1\ncustomers:\n".to_owned();
     for customer in 0..CUSTOMERS {
-        let digest = settings_resolve::key_digest(&key(customer));
+        let digest = settings_resolve::key_digest(&customer_key(customer));
         text += &format!(
             "  customer-{customer}:\n    keys: [{{sha256: {digest}, application: drafts}}]\n    \
              options: {{weight: 2.0}}\n    applications: {{drafts: {{}}}}\n"
@@ -154,22 +161,23 @@
     text
 }
 
+/// Returns a fleet list with [`INSTANCES`] instances and [`ENGINES`] engines.
 fn list_text() -> String {
     let mut text = "revision: 1\ninstances:\n".to_owned();
     for instance in 0..INSTANCES {
-        let (center, host) = (instance % DATA_CENTERS, instance / 250);
-        let address = format!("10.{center}.{host}.{}", instance % 250 + 1);
+        let (data_center, host) = (instance % DATA_CENTERS, instance / 250);
+        let address = format!("10.{data_center}.{host}.{}", instance % 250 + 1);
         text += &format!(
-            "- {{name: instance-{instance}, data_center: dc-{center}, entry: \"{address}:80\", \
-             operators: \"{address}:81\", scheduler: \"{address}:82\"}}\n"
+            "- {{name: instance-{instance}, data_center: dc-{data_center}, \
+             entry: \"{address}:80\", operators: \"{address}:81\", scheduler: \"{address}:82\"}}\n"
         );
     }
     text += "engines:\n";
     for engine in 0..ENGINES {
-        let (center, model) = (engine % DATA_CENTERS, engine % MODELS);
+        let (data_center, model) = (engine % DATA_CENTERS, engine % MODELS);
         text += &format!(
-            "- {{name: engine-{engine}, data_center: dc-{center}, model: model-{model}, address: \
-             \"10.9.{}.{}:80\", memory: 400000, prefill_rate: 100000}}\n",
+            "- {{name: engine-{engine}, data_center: dc-{data_center}, model: model-{model}, \
+             address: \"10.9.{}.{}:80\", memory: 400000, prefill_rate: 100000}}\n",
             engine / 250,
             engine % 250 + 1
         );
--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -1,4 +1,4 @@
-//! Measures the time of placement in a planner and of the choice of a planner by a member.
+//! Measures the time that a planner takes to place a request, and a member to choose a planner.
 //!
 //! Results are wall-clock times and depend on the computer, so no test bounds them.
 
@@ -23,30 +23,31 @@
 pub fn measure() -> Vec<planned_size::CostRow> {
     let mut rows = Vec::new();
     for engines in ENGINE_COUNTS {
-        rows.push(place_row("a short request placed and ended", engines, 5_000));
-        rows.push(place_row("a long request placed and ended", engines, 154_000));
+        rows.push(measure_placement("a short request placed and ended", engines, 5_000));
+        rows.push(measure_placement("a long request placed and ended", engines, 154_000));
     }
-    rows.push(planner_row());
+    rows.push(measure_planner_choice());
     rows
 }
 
 /// Measures the placement and the end of a request with a prompt of `prompt` tokens.
-fn place_row(operation: &str, engines: usize, prompt: u64) -> planned_size::CostRow {
+fn measure_placement(operation: &str, engines: usize, prompt: u64) -> planned_size::CostRow {
     let mut planner =
         planner::PlacementPlanner::new(engine_shape(), planner::PlannerOptions::default());
     let names: Vec<_> = (0..engines).map(|number| (name("e", number), number as u64)).collect();
     planner.set_engines(at_millis(0), &names);
     for sequence in 0..PLACED_REQUESTS.min(engines as u64 * 8) {
-        let placement = planner.request(at_millis(0), ask(sequence, 5_000));
+        let placement = planner.request(at_millis(0), placement_request(sequence, 5_000));
         hint::black_box(placement);
         planner.first_token(at_millis(0), job(sequence));
     }
     let started = time::Instant::now();
     for iteration in 0..ITERATIONS {
         let sequence = PLACED_REQUESTS + iteration;
-        // Starts at 10 s, after the prefill of the requests placed above, in steps of 1 ms.
+        // Virtual time starts at 10 s, after the prefill of the requests placed above, and advances
+        // by 1 ms per iteration.
         let now = at_millis(10_000 + iteration);
-        hint::black_box(planner.request(now, ask(sequence, prompt)));
+        hint::black_box(planner.request(now, placement_request(sequence, prompt)));
         planner.first_token(now, job(sequence));
         planner.end(now, job(sequence), engine_place::PlaceEnd::Done);
     }
@@ -54,8 +55,8 @@
     planned_size::cost_row(format!("{operation}, {engines} engines"), format!("{mean:?}"))
 }
 
-/// Measures the choice of the planner for a service cell.
-fn planner_row() -> planned_size::CostRow {
+/// Measures how long a member takes to choose the planner of a service cell.
+fn measure_planner_choice() -> planned_size::CostRow {
     let mut view = membership::MemberView::new(name("m", 0), Vec::new());
     for number in 1..MEMBERS {
         view.receive(at_millis(0), heartbeat(number));
@@ -71,7 +72,8 @@
     planned_size::cost_row(format!("which of {MEMBERS} members plans"), format!("{mean:?}"))
 }
 
-fn ask(sequence: u64, prompt: u64) -> engine_place::PlacementRequest {
+/// Returns a placement request with the goals of a short or long prompt.
+fn placement_request(sequence: u64, prompt: u64) -> engine_place::PlacementRequest {
     let long = prompt > 24_000;
     let goal_ms = if long { 3_000 } else { 300 };
     engine_place::PlacementRequest {
@@ -126,11 +128,12 @@
     }
 }
 
-fn name<T: std::str::FromStr>(kind: &str, number: usize) -> T
+/// Returns the name or id `prefix-number`.
+fn name<T: std::str::FromStr>(prefix: &str, number: usize) -> T
 where
     T::Err: std::fmt::Debug,
 {
-    format!("{kind}-{number}").parse().expect("the name is valid")
+    format!("{prefix}-{number}").parse().expect("the name is valid")
 }
 
 fn at_millis(millis: u64) -> units::MonoTime {
