--- a/crates/compare/src/main.rs
+++ b/crates/compare/src/main.rs
@@ -38,10 +38,10 @@
         }
         return process::ExitCode::from(command_line::EXIT_SUCCESS);
     }
-    let number = |name: &str, default: u64| {
+    let parse_number = |name: &str, default: u64| {
         matches.opt_str(name).map_or(Some(default), |text| text.parse().ok())
     };
-    let (Some(seconds), Some(seed)) = (number("seconds", 60), number("seed", 1)) else {
+    let (Some(seconds), Some(seed)) = (parse_number("seconds", 60), parse_number("seed", 1)) else {
         eprintln!("{}: --seconds and --seed take whole numbers", INFO.name);
         return process::ExitCode::from(command_line::EXIT_USAGE);
     };
@@ -61,37 +61,38 @@
     process::ExitCode::from(command_line::EXIT_SUCCESS)
 }
 
-/// Options that apply to all runs.
+/// Command line options that apply to all runs.
 struct CommonOptions {
     length: time::Duration,
     seed: u64,
+    /// Additional options for `fleet:`, for the runs of slipturn's own policy only.
     options: String,
 }
 
-/// Turns the default scenario into that of a case.
+/// Changes the default scenario to that of a case.
 type ScenarioChange = fn(&mut scenario::RunScenario);
 
 const CASES: [(&str, ScenarioChange); 9] = [
-    ("50% load", |run| run.load = 0.5),
-    ("70% load", |run| run.load = 0.7),
-    ("70% load, prompts up to 2k tokens alone", |run| {
-        run.load = 0.7;
-        run.short_prompts_only = true;
+    ("50% load", |scenario| scenario.load = 0.5),
+    ("70% load", |scenario| scenario.load = 0.7),
+    ("70% load, prompts up to 2k tokens alone", |scenario| {
+        scenario.load = 0.7;
+        scenario.short_prompts_only = true;
     }),
-    ("90% load", |run| run.load = 0.9),
-    ("100% load", |run| run.load = 1.0),
-    ("200% load", |run| run.load = 2.0),
-    ("70% load, reports 2 s old", |run| {
-        run.load = 0.7;
-        run.report_lag = time::Duration::from_secs(2);
+    ("90% load", |scenario| scenario.load = 0.9),
+    ("100% load", |scenario| scenario.load = 1.0),
+    ("200% load", |scenario| scenario.load = 2.0),
+    ("70% load, reports 2 s old", |scenario| {
+        scenario.load = 0.7;
+        scenario.report_lag = time::Duration::from_secs(2);
     }),
-    ("70% load, 3 of 18 engines lost at half time", |run| {
-        run.load = 0.7;
-        run.lost_engines = 3;
+    ("70% load, 3 of 18 engines lost at half time", |scenario| {
+        scenario.load = 0.7;
+        scenario.lost_engines = 3;
     }),
-    ("70% load, one small customer sends 10 times its share", |run| {
-        run.load = 0.7;
-        run.flood_factor = 10.0;
+    ("70% load, one small customer sends 10 times its share", |scenario| {
+        scenario.load = 0.7;
+        scenario.flood_factor = 10.0;
     }),
 ];
 
@@ -103,27 +104,32 @@
 ) {
     println!("--- {title}: first token p50/p95/p99 in ms by prompt length");
     let runs = POLICIES.map(|(routing, name)| {
-        let mut run = scenario::RunScenario::new(profile, routing, 0.7);
-        run.length = common.length;
-        run.seed = common.seed;
+        let mut scenario = scenario::RunScenario::new(profile, routing, 0.7);
+        scenario.length = common.length;
+        scenario.seed = common.seed;
         if routing == settings::RoutingKind::ExpectedStart {
-            run.options.clone_from(&common.options);
+            scenario.options.clone_from(&common.options);
         }
-        apply_change(&mut run);
-        (name, thread::spawn(move || summary::summarize(&run, &policy_run::PolicyRun::run(&run))))
+        apply_change(&mut scenario);
+        (
+            name,
+            thread::spawn(move || {
+                summary::summarize(&scenario, &policy_run::PolicyRun::run(&scenario))
+            }),
+        )
     });
     for (name, run) in runs {
         match run.join() {
-            Ok(figures) => print_row(name, &figures),
+            Ok(summary) => print_row(name, &summary),
             Err(_) => println!("{name}: the run failed"),
         }
     }
 }
 
-fn print_row(name: &str, figures: &summary::RunSummary) {
+fn print_row(name: &str, summary: &summary::RunSummary) {
     let format_cell =
         |values: &[f64; 3]| format!("{:.0}/{:.0}/{:.0}", values[0], values[1], values[2]);
-    let bands: Vec<_> = figures
+    let bands: Vec<_> = summary
         .bands
         .iter()
         .map(|(band, values)| format!("{band} {}", format_cell(values)))
@@ -133,14 +139,14 @@
         "{:<15} {} requests, {} whole, {} refused (slowest after {:.0} ms), {} failed; long whole \
          {:.3}; {:.0} useful tokens/s; {:.3} attempts; other customers {}",
         "",
-        figures.requests,
-        figures.completed,
-        figures.refused,
-        figures.slowest_refusal_ms,
-        figures.failed,
-        figures.long_completion_share,
-        figures.goodput,
-        figures.attempts_per_request,
-        format_cell(&figures.other_small_customers),
+        summary.requests,
+        summary.completed,
+        summary.refused,
+        summary.slowest_refusal_ms,
+        summary.failed,
+        summary.long_completion_share,
+        summary.goodput,
+        summary.attempts_per_request,
+        format_cell(&summary.other_small_customers),
     );
 }
--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -26,7 +26,7 @@
     Completed(time::Duration, time::Duration),
     /// Refused, with the time from arrival to refusal.
     Refused(time::Duration),
-    /// Admitted, but not completed within its time limit or interrupted by the loss of its engine.
+    /// Admitted, but not completed: the request timed out or lost its engine.
     Failed,
 }
 
@@ -44,13 +44,18 @@
 /// A request that has been placed and has not ended.
 struct ActiveRequest {
     arrival: arrivals::Arrival,
+    /// Index of the entry that received the request.
     entry: usize,
+    /// Index of the engine that serves the current attempt.
     engine: usize,
-    place: placement::CapacityRequest,
+    /// The current attempt, as sent to the schedulers.
+    capacity_request: placement::CapacityRequest,
+    /// Number of attempts so far, including the current one.
     attempts: u32,
     arrived: units::MonoTime,
-    /// Network time of the exchanges with the schedulers, added to all latencies.
+    /// Network time of the exchanges with the schedulers; added to all latencies.
     network_time: time::Duration,
+    /// Time from arrival to the first token; `None` before the engine has generated it.
     first_token: Option<time::Duration>,
 }
 
@@ -91,10 +96,11 @@
         let start = units::MonoTime(0);
         let entries = (0..scenario::INSTANCES).map(|number| {
             let instance = format!("instance-{number}").parse().expect("the name is valid");
-            let center = format!("dc-{}", number % 3).parse().expect("the name is valid");
+            let data_center = format!("dc-{}", number % 3).parse().expect("the name is valid");
             let seed = scenario.seed * 1_000 + number as u64;
-            let hour = time::Duration::from_secs(3_600);
-            let mut router = entry_router::EntryRouter::new(instance, center, hour, seed);
+            let sleep_bound = time::Duration::from_secs(3_600);
+            let mut router =
+                entry_router::EntryRouter::new(instance, data_center, sleep_bound, seed);
             router.offer_settings(start, &text);
             router.offer_list(scenario.list());
             router.note_sources_queried(start, 0);
@@ -130,8 +136,8 @@
         self.place(arrival, entry, self.now, 1, Vec::new());
     }
 
-    /// Selects an engine for a request in the same way as the entry, and queues the request there.
-    /// Records a refusal if no engine accepts it.
+    /// Selects an engine for a request in the same way as a real entry, and queues the request
+    /// there. Records a refusal if no engine accepts it.
     fn place(
         &mut self,
         arrival: arrivals::Arrival,
@@ -140,24 +146,24 @@
         attempts: u32,
         mut tried: Vec<ids::EngineId>,
     ) {
-        let question = entry_router::PlanQuery {
+        let query = entry_router::PlanQuery {
             key: scenario::customer_key(arrival.key),
             model: "invitation".parse().expect("the name is valid"),
             prompt: units::TokenCount(arrival.prompt),
             output: Some(units::TokenCount(arrival.output)),
             requested_limit: None,
         };
-        let request = self.place_request(&arrival, entry, arrived, attempts);
+        let request = self.build_capacity_request(&arrival, entry, arrived, attempts);
         let mut network_time = time::Duration::ZERO;
         for _ in 0..MAX_ROUNDS {
             let router = &mut self.entries[entry];
             let targets =
-                router.candidates(self.now, &question, &self.options, arrival.number, &tried);
+                router.candidates(self.now, &query, &self.options, arrival.number, &tried);
             if targets.is_empty() {
                 break;
             }
-            let (choice, cost) = self.choose(entry, &targets, &request);
-            network_time += cost;
+            let (choice, exchange_time) = self.choose(entry, &targets, &request);
+            network_time += exchange_time;
             let Some(choice) = choice else {
                 tried.extend(targets.into_iter().map(|target| target.engine));
                 continue;
@@ -168,7 +174,7 @@
                 arrival: arrival.clone(),
                 entry,
                 engine,
-                place: request.clone(),
+                capacity_request: request.clone(),
                 attempts,
                 arrived,
                 network_time,
@@ -186,8 +192,8 @@
         });
     }
 
-    /// Collects the offers of the ledgers, as an entry does from their schedulers, and chooses one.
-    /// Also returns the network time of the exchange.
+    /// Collects the offers of the ledgers, as a real entry does from the schedulers, and chooses
+    /// one. Also returns the network time of the exchange.
     fn choose(
         &mut self,
         entry: usize,
@@ -218,9 +224,9 @@
 
     /// Queues a request at its engine. Returns `false` if the ledger refuses it immediately.
     fn enqueue(&mut self, active: ActiveRequest) -> bool {
-        let (engine, attempt) = (active.engine, active.place.attempt.clone());
+        let (engine, attempt) = (active.engine, active.capacity_request.attempt.clone());
         let name = self.engines[engine].name.clone();
-        let tokens = active.place.memory;
+        let tokens = active.capacity_request.memory;
         let router = &mut self.entries[active.entry];
         if !router.wants_offers() {
             router.count_start(&name, tokens, active.arrival.number);
@@ -229,7 +235,8 @@
             self.engines[engine].submit(request);
             return true;
         }
-        let actions = self.engines[engine].ledger.enqueue(self.now, active.place.clone());
+        let actions =
+            self.engines[engine].ledger.enqueue(self.now, active.capacity_request.clone());
         let is_refused = |action: &placement::LedgerAction| matches!(action, placement::LedgerAction::Refuse(refused, _) if *refused == attempt);
         if actions.iter().any(is_refused) {
             return false;
@@ -240,6 +247,7 @@
         true
     }
 
+    /// Applies the actions that the ledger of an engine has returned.
     fn apply_actions(&mut self, engine: usize, actions: Vec<placement::LedgerAction>) {
         for action in actions {
             match action {
@@ -309,6 +317,7 @@
         }
     }
 
+    /// Ends a queued request with a refusal.
     fn refuse(&mut self, attempt: &ids::AttemptId, _refusal: &refusal::RequestRefusal) {
         let Some(active) = self.remove_active(attempt) else { return };
         let outcome = RequestOutcome::Refused(self.now.since(active.arrived) + active.network_time);
@@ -316,14 +325,15 @@
         self.results.push(RequestResult { arrival: active.arrival, outcome, attempts });
     }
 
-    /// Removes a request from the active ones and updates the counters of its entry.
+    /// Removes a request from the active ones and counts its attempt as ended at its entry.
     fn remove_active(&mut self, attempt: &ids::AttemptId) -> Option<ActiveRequest> {
         let active = self.active.remove(attempt)?;
         let name = self.engines[active.engine].name.clone();
-        self.entries[active.entry].count_end(&name, active.place.memory);
+        self.entries[active.entry].count_end(&name, active.capacity_request.memory);
         Some(active)
     }
 
+    /// Renews the leases of all active requests, as entries do.
     fn renew_leases(&mut self) {
         for engine in 0..self.engines.len() {
             for entry in 0..self.entries.len() {
@@ -331,7 +341,7 @@
                     .active
                     .values()
                     .filter(|active| active.engine == engine && active.entry == entry)
-                    .map(|active| active.place.clone())
+                    .map(|active| active.capacity_request.clone())
                     .collect();
                 let name = self.entries[entry].instance().clone();
                 let boot = ids::BootId(1);
@@ -346,7 +356,7 @@
         let expired: Vec<_> = self
             .active
             .iter()
-            .filter(|(_, active)| active.place.deadline <= self.now)
+            .filter(|(_, active)| active.capacity_request.deadline <= self.now)
             .map(|(attempt, _)| attempt.clone())
             .collect();
         for attempt in expired {
@@ -354,6 +364,7 @@
         }
     }
 
+    /// Ends a request as failed, and releases its memory on the engine and in the ledger.
     fn fail(&mut self, attempt: &ids::AttemptId) {
         let Some(active) = self.remove_active(attempt) else { return };
         self.engines[active.engine].cancel(attempt.as_str());
@@ -381,13 +392,15 @@
         }
     }
 
+    /// Places a request on another engine after the loss of `engine`, or fails it if the retry
+    /// policy allows no further attempt.
     fn retry(&mut self, attempt: &ids::AttemptId, engine: &ids::EngineId) {
         let Some(active) = self.active.get(attempt) else { return };
         let failure = match active.first_token {
             Some(_) => retry::AttemptFailure::BrokeMidAnswer,
             None => retry::AttemptFailure::BrokeBeforeAnswer,
         };
-        let question = retry::FailedAttempt {
+        let failed_attempt = retry::FailedAttempt {
             failure,
             repeatable: true,
             attempts: active.attempts,
@@ -396,7 +409,7 @@
         };
         let router = &mut self.entries[active.entry];
         router.eject(self.now, engine);
-        if router.decide_retry(self.now, question) != retry::RetryVerdict::Retry {
+        if router.decide_retry(self.now, failed_attempt) != retry::RetryVerdict::Retry {
             self.fail(attempt);
             return;
         }
@@ -405,7 +418,7 @@
         self.place(active.arrival, active.entry, active.arrived, active.attempts + 1, tried);
     }
 
-    fn place_request(
+    fn build_capacity_request(
         &self,
         arrival: &arrivals::Arrival,
         entry: usize,
@@ -434,10 +447,10 @@
 
 fn engine_request(active: &ActiveRequest, priority: u8) -> engine_model::EngineRequest {
     engine_model::EngineRequest {
-        attempt: active.place.attempt.to_string(),
+        attempt: active.capacity_request.attempt.to_string(),
         prompt: active.arrival.prompt,
         output: active.arrival.output,
-        memory: active.place.memory.0,
+        memory: active.capacity_request.memory.0,
         priority,
         prefix: (active.arrival.number, 0),
     }
--- a/crates/compare/src/scenario.rs
+++ b/crates/compare/src/scenario.rs
@@ -22,7 +22,7 @@
 pub const KEY_WEIGHTS: [f64; 10] = [5.0, 4.0, 3.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0];
 /// Time limit of each request.
 pub const TIME_LIMIT: time::Duration = time::Duration::from_secs(60);
-/// Prompt length in tokens that separates the two ranges of [`mean_prompt`].
+/// Prompt length, in tokens, that separates the two log-uniform ranges of the mix.
 const LENGTH_THRESHOLD: f64 = arrivals::LONG_PROMPT_TOKENS as f64;
 
 /// The properties of a user's fleet that a run depends on.
@@ -62,7 +62,7 @@
     pub load: f64,
     /// Whether only prompts of up to 2,000 tokens are sent, at the same rate as in the full mix.
     pub short_prompts_only: bool,
-    /// Minimum age of load reports when the ledger gets them.
+    /// Minimum age of a load report when the ledger receives it.
     pub report_lag: time::Duration,
     /// Number of engines that fail in the middle of the run.
     pub lost_engines: usize,
@@ -99,14 +99,14 @@
         self.load * ENGINES as f64 * PREFILL_RATE / mean_prompt()
     }
 
-    /// Returns the arrivals in order of time.
+    /// Returns the arrivals of the run, in order of time.
     pub fn arrivals(&self) -> impl Iterator<Item = arrivals::Arrival> + use<> {
         let mut key_weights = KEY_WEIGHTS.to_vec();
-        let total: f64 = key_weights.iter().sum();
+        let total_weight: f64 = key_weights.iter().sum();
         key_weights[3] *= self.flood_factor;
-        let flooded: f64 = key_weights.iter().sum();
+        let flooded_weight: f64 = key_weights.iter().sum();
         let arrival_profile = arrivals::ArrivalProfile {
-            rate: self.rate() * flooded / total,
+            rate: self.rate() * flooded_weight / total_weight,
             min_prompt: 1_000,
             max_prompt: MAX_PROMPT,
             long_share: LONG_SHARE,
@@ -148,10 +148,11 @@
     /// Returns the fleet list of the run. Its addresses are placeholders that nothing connects to.
     pub fn list(&self) -> fleet_list::FleetList {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        let center = |index: usize| format!("dc-{}", index % 3).parse().expect("the name is valid");
+        let data_center =
+            |index: usize| format!("dc-{}", index % 3).parse().expect("the name is valid");
         let instances = (0..INSTANCES).map(|index| fleet_list::InstanceRecord {
             name: format!("instance-{index}").parse().expect("the name is valid"),
-            data_center: center(index),
+            data_center: data_center(index),
             entry: address,
             operators: address,
             scheduler: address,
@@ -159,7 +160,7 @@
         });
         let engines = (0..ENGINES).map(|index| fleet_list::EngineRecord {
             name: format!("engine-{index}").parse().expect("the name is valid"),
-            data_center: center(index),
+            data_center: data_center(index),
             model: "invitation".parse().expect("the name is valid"),
             address,
             memory: units::TokenCount(ENGINE_MEMORY_TOKENS),
@@ -185,7 +186,7 @@
     format!("key-{customer}")
 }
 
-/// Returns the mean prompt length of the mix. Lengths are log-uniform below and above
+/// Returns the mean prompt length of the mix, in tokens. Lengths are log-uniform below and above
 /// [`LENGTH_THRESHOLD`].
 fn mean_prompt() -> f64 {
     let mean = |low: f64, high: f64| (high - low) / (high / low).ln();
--- a/crates/compare/tests/bounds.rs
+++ b/crates/compare/tests/bounds.rs
@@ -32,8 +32,10 @@
 fn run_all(scenarios: Vec<scenario::RunScenario>) -> Vec<summary::RunSummary> {
     let runs: Vec<_> = scenarios
         .into_iter()
-        .map(|run| {
-            thread::spawn(move || summary::summarize(&run, &policy_run::PolicyRun::run(&run)))
+        .map(|scenario| {
+            thread::spawn(move || {
+                summary::summarize(&scenario, &policy_run::PolicyRun::run(&scenario))
+            })
         })
         .collect();
     runs.into_iter().map(|run| run.join().unwrap()).collect()
@@ -45,10 +47,10 @@
         let slipturn = base_scenario(profile, SLIPTURN, 0.7);
         let alone = scenario::RunScenario { short_prompts_only: true, ..slipturn.clone() };
         let baselines = BASELINES.map(|routing| base_scenario(profile, routing, 0.7));
-        let mut runs = vec![slipturn, alone];
-        runs.extend(baselines);
-        let figures = run_all(runs);
-        let (slipturn, alone, baselines) = (&figures[0], &figures[1], &figures[2..]);
+        let mut scenarios = vec![slipturn, alone];
+        scenarios.extend(baselines);
+        let summaries = run_all(scenarios);
+        let (slipturn, alone, baselines) = (&summaries[0], &summaries[1], &summaries[2..]);
         assert!(
             slipturn.short_prompts[1] <= 1.25 * alone.short_prompts[1],
             "{:?} {:?}",
@@ -74,14 +76,14 @@
     let mut double = base_scenario(profile, SLIPTURN, 2.0);
     double.length = time::Duration::from_secs(90);
     let full = scenario::RunScenario { load: 1.0, ..double.clone() };
-    let figures = run_all(vec![double, full]);
-    let (double, full) = (&figures[0], &figures[1]);
+    let summaries = run_all(vec![double, full]);
+    let (double, full) = (&summaries[0], &summaries[1]);
     assert!(double.refused > 1_000, "{}", double.refused);
     assert!(double.goodput >= 0.9 * full.goodput, "{double:?} {full:?}");
-    // The failed requests were admitted but timed out, as later arrivals can overtake a request for
-    // too long.
+    // The failed requests were admitted but timed out, because later arrivals can overtake a
+    // request until its deadline.
     assert!(double.failed * 1_000 <= double.completed, "{} of {}", double.failed, double.completed);
-    // Three rounds of offers between data centres, without queueing.
+    // The bound allows for three rounds of offers between data centres, but not for queueing.
     assert!(double.slowest_refusal_ms <= 15.0, "{} ms", double.slowest_refusal_ms);
     assert!(double.long_completion_share >= 0.99, "{}", double.long_completion_share);
 }
@@ -93,34 +95,34 @@
     let stale =
         scenario::RunScenario { report_lag: time::Duration::from_secs(2), ..slipturn.clone() };
     let lost = scenario::RunScenario { lost_engines: 3, ..slipturn.clone() };
-    let figures = run_all(vec![slipturn, stale, lost]);
-    assert!(figures[1].short_prompts[1] <= 1.25 * figures[0].short_prompts[1]);
-    assert!(figures[2].short_prompts[1] <= 1.25 * figures[0].short_prompts[1]);
-    assert!(figures[2].attempts_per_request <= 1.1, "{}", figures[2].attempts_per_request);
+    let summaries = run_all(vec![slipturn, stale, lost]);
+    assert!(summaries[1].short_prompts[1] <= 1.25 * summaries[0].short_prompts[1]);
+    assert!(summaries[2].short_prompts[1] <= 1.25 * summaries[0].short_prompts[1]);
+    assert!(summaries[2].attempts_per_request <= 1.1, "{}", summaries[2].attempts_per_request);
 }
 
 #[test]
 fn a_flooding_customer_delays_other_customers_by_a_bounded_factor() {
-    /// The ratio is averaged because that of one seed varies by a fifth with the order of the
-    /// sampled engines.
+    /// Number of seeds over which the ratio is averaged. The ratio of one seed varies by a fifth
+    /// with the order of the sampled engines.
     const SEEDS: u64 = 4;
-    let mut runs = Vec::new();
+    let mut scenarios = Vec::new();
     for seed in 1..=SEEDS {
         let mut slipturn = base_scenario(scenario::PROFILES[0], SLIPTURN, 0.7);
         slipturn.length = time::Duration::from_secs(60);
         slipturn.seed = seed;
-        runs.push(slipturn.clone());
-        runs.push(scenario::RunScenario { flood_factor: 10.0, ..slipturn });
+        scenarios.push(slipturn.clone());
+        scenarios.push(scenario::RunScenario { flood_factor: 10.0, ..slipturn });
     }
-    let figures = run_all(runs);
-    let ratios = figures
+    let summaries = run_all(scenarios);
+    let ratios = summaries
         .chunks_exact(2)
         .map(|pair| pair[1].other_small_customers[1] / pair[0].other_small_customers[1]);
     let ratios: Vec<_> = ratios.collect();
     let mean = ratios.iter().sum::<f64>() / ratios.len() as f64;
     // The users ask for 1.1; see docs/PROMISES.md.
     assert!(mean <= 1.7, "{ratios:?}");
-    for pair in figures.chunks_exact(2) {
+    for pair in summaries.chunks_exact(2) {
         assert!(pair[1].short_prompts[1] <= 1.1 * pair[0].short_prompts[1]);
     }
 }
