--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -48,7 +48,7 @@
 }
 
 fn run_standin(role: &str, address: net::SocketAddr) -> Result<(), String> {
-    let shape = engine_model::EngineParameters {
+    let parameters = engine_model::EngineParameters {
         memory: 100_000,
         prefill_rate: 200_000.0,
         token_time: time::Duration::from_millis(5),
@@ -58,7 +58,7 @@
     let run = async move {
         let listener = own_process::listen(address).map_err(|error| error.to_string())?;
         match role.as_str() {
-            "engine" => engine::run(listener, shape).await,
+            "engine" => engine::run(listener, parameters).await,
             "service" => service::run(listener, false).await,
             "service-checking" => service::run(listener, true).await,
             "platform" => platform::run(listener).await,
--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -1,6 +1,6 @@
 //! Simulation of entries, a scheduler's ledger and an engine, with lost, late and duplicate
-//! messages and with restarts of entries and the scheduler. Afterwards neither the engine nor the
-//! ledger may hold memory.
+//! messages and with restarts of entries and the scheduler. Once requests and restarts have ended,
+//! neither the engine nor the ledger may hold memory.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,15 +10,18 @@
 use slipturn_core::{engine_ledger, ids, placement, settings, units};
 use slipturn_standin::engine_model;
 
-/// Number of simulations; the seed of each is its index.
+/// Number of simulations. The seed of each is its index.
 const ROUNDS: u64 = 1_000;
+/// Virtual time between two steps.
 const STEP: time::Duration = time::Duration::from_millis(250);
-/// Steps with new requests, restarts and message faults.
+/// Number of steps with new requests, restarts and message faults.
 const FAULTY_STEPS: u64 = 60;
-/// Steps without new requests, after which no memory may be held. They cover the longest time
-/// limit, the orphan grace and some lost cancels.
+/// Number of steps without new requests, after which no memory may be held. They cover the longest
+/// time limit, the orphan grace and some lost cancels.
 const RECOVERY_STEPS: u64 = 160;
-const MEMORY: u64 = 100_000;
+/// Memory of the engine, in tokens.
+const ENGINE_MEMORY_TOKENS: u64 = 100_000;
+/// Number of simulated entries.
 const ENTRIES: usize = 2;
 
 /// An entry with its boot id and the attempts that it is streaming.
@@ -30,7 +33,7 @@
 
 /// State of one simulation.
 struct Simulation {
-    random: rand_chacha::ChaCha8Rng,
+    rng: rand_chacha::ChaCha8Rng,
     now: units::MonoTime,
     ledger: engine_ledger::EngineLedger,
     model: engine_model::EngineModel,
@@ -51,14 +54,14 @@
         orphan_grace: units::TimeSpan::from_secs(4),
         ..Default::default()
     };
-    let (memory, rate) = (units::TokenCount(MEMORY), units::TokenRate(100_000.0));
+    let (memory, rate) = (units::TokenCount(ENGINE_MEMORY_TOKENS), units::TokenRate(100_000.0));
     engine_ledger::EngineLedger::new(now, memory, rate, options)
 }
 
 impl Simulation {
     fn new(seed: u64) -> Self {
-        let shape = engine_model::EngineParameters {
-            memory: MEMORY,
+        let parameters = engine_model::EngineParameters {
+            memory: ENGINE_MEMORY_TOKENS,
             prefill_rate: 100_000.0,
             token_time: time::Duration::from_millis(10),
             doubling_batch_size: 64.0,
@@ -70,10 +73,10 @@
             streaming: collections::BTreeMap::new(),
         };
         Self {
-            random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
+            rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             now,
             ledger: new_ledger(now),
-            model: engine_model::EngineModel::new(shape),
+            model: engine_model::EngineModel::new(parameters),
             entries: (0..ENTRIES).map(entry).collect(),
             queued: collections::BTreeMap::new(),
             delayed_releases: Vec::new(),
@@ -82,16 +85,18 @@
         }
     }
 
-    /// Returns true with the probability `share`.
-    fn random_bool(&mut self, share: f64) -> bool {
-        self.random.random::<f64>() < share
+    /// Returns `true` with the given probability.
+    fn random_bool(&mut self, probability: f64) -> bool {
+        self.rng.random::<f64>() < probability
     }
 
+    /// Decides at random whether a message is lost.
     fn message_lost(&mut self) -> bool {
         self.random_bool(self.loss_rate)
     }
 
-    /// A step before which a request may be sent, and an entry or the scheduler may restart.
+    /// Performs a step, before which a request may be sent, and an entry or the scheduler may
+    /// restart.
     fn faulty_step(&mut self) {
         if self.random_bool(0.5) {
             self.enqueue_request();
@@ -102,7 +107,7 @@
             self.entries[entry].streaming.clear();
         }
         if self.random_bool(0.03) {
-            // A restarted scheduler has no leases, and its queue is lost.
+            // A restarted scheduler starts without leases and with an empty queue.
             self.ledger = new_ledger(self.now);
             self.queued.clear();
         }
@@ -113,11 +118,11 @@
     fn enqueue_request(&mut self) {
         self.request_number += 1;
         let entry = usize::from(self.random_bool(0.5));
-        let prompt = 500 + self.random.random_range(0..40_000);
-        let limit = time::Duration::from_secs(5 + self.random.random_range(0..15));
+        let prompt = 500 + self.rng.random_range(0..40_000);
+        let limit = time::Duration::from_secs(5 + self.rng.random_range(0..15));
         let SimulatedEntry { name, boot, .. } = &self.entries[entry];
         let request = ids::RequestId::new(name, ids::BootId(*boot), self.request_number);
-        let placement_request = placement::CapacityRequest {
+        let capacity_request = placement::CapacityRequest {
             attempt: ids::AttemptId::new(&request, 1),
             entry: name.clone(),
             boot: ids::BootId(*boot),
@@ -134,10 +139,10 @@
         if self.message_lost() {
             return;
         }
-        self.queued.insert(placement_request.attempt.clone(), (entry, placement_request.clone()));
-        let mut actions = self.ledger.enqueue(self.now, placement_request.clone());
+        self.queued.insert(capacity_request.attempt.clone(), (entry, capacity_request.clone()));
+        let mut actions = self.ledger.enqueue(self.now, capacity_request.clone());
         if self.random_bool(0.1) {
-            actions.extend(self.ledger.enqueue(self.now, placement_request));
+            actions.extend(self.ledger.enqueue(self.now, capacity_request));
         }
         self.apply(actions);
     }
@@ -161,20 +166,20 @@
     /// to the engine may be lost, and a grant for an earlier boot of the entry is ignored. If the
     /// engine refuses the attempt, the entry releases its lease.
     fn start(&mut self, attempt: &ids::AttemptId) {
-        let Some((entry, placement_request)) = self.queued.remove(attempt) else { return };
-        if self.message_lost() || placement_request.boot.0 != self.entries[entry].boot {
+        let Some((entry, capacity_request)) = self.queued.remove(attempt) else { return };
+        if self.message_lost() || capacity_request.boot.0 != self.entries[entry].boot {
             return;
         }
         let request = engine_model::EngineRequest {
             attempt: attempt.to_string(),
-            prompt: placement_request.prompt.0,
-            output: placement_request.output.0,
-            memory: placement_request.memory.0,
+            prompt: capacity_request.prompt.0,
+            output: capacity_request.output.0,
+            memory: capacity_request.memory.0,
             priority: 0,
             prefix: (self.request_number, 0),
         };
         if self.model.start(request) {
-            self.entries[entry].streaming.insert(attempt.clone(), placement_request);
+            self.entries[entry].streaming.insert(attempt.clone(), capacity_request);
             if self.random_bool(0.1) {
                 // A hanging engine never finishes the attempt and keeps its memory.
                 self.model.hang(attempt.as_str());
@@ -191,13 +196,14 @@
             return;
         }
         if self.random_bool(0.3) {
-            let delay = time::Duration::from_millis(self.random.random_range(0..3_000));
+            let delay = time::Duration::from_millis(self.rng.random_range(0..3_000));
             self.delayed_releases.push((self.now + delay, attempt.clone()));
         }
         let actions = self.ledger.release(self.now, attempt);
         self.apply(actions);
     }
 
+    /// Advances virtual time by [`STEP`] and delivers what is due by then.
     fn step(&mut self) {
         self.now = self.now + STEP;
         for output in self.model.step(STEP) {
@@ -206,8 +212,9 @@
             }
         }
         self.cancel_expired();
-        let (due, rest) = self.delayed_releases.drain(..).partition(|(when, _)| *when <= self.now);
-        self.delayed_releases = rest;
+        let (due, pending) =
+            self.delayed_releases.drain(..).partition(|(arrives_at, _)| *arrives_at <= self.now);
+        self.delayed_releases = pending;
         let due: Vec<(units::MonoTime, ids::AttemptId)> = due;
         for (_, attempt) in due {
             let actions = self.ledger.release(self.now, &attempt);
@@ -223,23 +230,25 @@
         self.apply(actions);
     }
 
-    /// Ends an attempt at the entry that is streaming it, and releases its lease.
+    /// Ends an attempt at the entry that is streaming it, if any, and then releases its lease.
     fn finish(&mut self, attempt: &ids::AttemptId) {
-        let known = self.entries.iter_mut().filter_map(|one| one.streaming.remove(attempt)).count();
-        if known > 0 {
+        let removed =
+            self.entries.iter_mut().filter_map(|entry| entry.streaming.remove(attempt)).count();
+        if removed > 0 {
             self.release(attempt);
         }
     }
 
-    /// Has entries cancel and release attempts past their deadline. Both messages may be lost.
+    /// Has each entry cancel and release its attempts that have passed their deadline. Both
+    /// messages may be lost.
     fn cancel_expired(&mut self) {
         let now = self.now;
         let expired: Vec<_> = self
             .entries
             .iter()
             .flat_map(|entry| entry.streaming.values())
-            .filter(|placement_request| placement_request.deadline <= now)
-            .map(|placement_request| placement_request.attempt.clone())
+            .filter(|capacity_request| capacity_request.deadline <= now)
+            .map(|capacity_request| capacity_request.attempt.clone())
             .collect();
         for attempt in expired {
             if !self.message_lost() {
@@ -267,7 +276,7 @@
     fn report(&mut self) {
         let held = self.model.memory_by_attempt().into_iter();
         let report = placement::EngineReport {
-            memory: units::TokenCount(MEMORY),
+            memory: units::TokenCount(ENGINE_MEMORY_TOKENS),
             prefill_backlog: units::TokenCount(self.model.prefill_backlog()),
             held: held
                 .map(|(attempt, tokens)| (attempt.parse().unwrap(), units::TokenCount(tokens)))
@@ -281,14 +290,14 @@
 
 #[test]
 fn lost_messages_and_restarts_leave_no_memory_held() {
-    let mut started = 0;
+    let mut request_count = 0;
     for seed in 0..ROUNDS {
         let mut simulation = Simulation::new(seed);
         for _ in 0..FAULTY_STEPS {
             simulation.faulty_step();
         }
-        started += simulation.request_number;
-        // Messages are still lost, but there are no new requests and restarts.
+        request_count += simulation.request_number;
+        // Messages are still lost, but there are no new requests or restarts.
         for _ in 0..RECOVERY_STEPS {
             simulation.step();
         }
@@ -300,12 +309,16 @@
         );
         // After one report that is certain to arrive, the ledger must agree with the engine.
         simulation.report();
-        assert_eq!(simulation.ledger.free(), units::TokenCount(MEMORY), "round {seed}");
+        assert_eq!(
+            simulation.ledger.free(),
+            units::TokenCount(ENGINE_MEMORY_TOKENS),
+            "round {seed}"
+        );
         assert_eq!(
             (simulation.ledger.running(), simulation.ledger.waiting()),
             (0, 0),
             "round {seed}"
         );
     }
-    assert!(started > 20_000, "{started}");
+    assert!(request_count > 20_000, "{request_count}");
 }
