--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Starts a fleet of real processes on loopback, and sends requests to it as callers and operators
 //! do.
 //!
-//! Each test has a fleet of its own on ports of its own, so that tests can run in parallel.
+//! Each test has its own fleet and its own ports, so that tests can run in parallel.
 
 #![allow(dead_code, missing_docs, unreachable_pub, clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
 
 /// API key of the only customer in the published settings.
 pub const API_KEY: &str = "key-1";
-/// Time limit for each condition and each read of a test.
+/// Time limit of [`wait_until`], and of each read from a connection.
 const WAIT_LIMIT: time::Duration = time::Duration::from_secs(40);
 
 /// A child process that is killed on drop.
@@ -73,7 +73,8 @@
     pub scheduler: Process,
     /// Address of the operator interface, which the entry serves.
     pub operators: net::SocketAddr,
-    file: path::PathBuf,
+    /// Settings file of the entry and the scheduler.
+    settings_file: path::PathBuf,
 }
 
 /// Size, topology and settings of a fleet.
@@ -125,6 +126,7 @@
     leaving: collections::BTreeSet<String>,
     /// The list without revision and states, and a flag `checks_keys` that is not published.
     list: Value,
+    /// Revision of the list that was last published from `list`; 0 before the first.
     revision: u64,
 }
 
@@ -183,12 +185,12 @@
         }
     }
 
-    /// Starts entry and scheduler of the instance at this index of the list.
+    /// Starts the entry and the scheduler of the instance at this index in the list.
     pub fn start_instance(&mut self, index: usize) {
         let row = self.list["instances"][index].clone();
         let name = row["name"].as_str().unwrap().to_owned();
-        let file = self.dir.join(format!("{name}.yaml"));
-        let local = json!({
+        let settings_file = self.dir.join(format!("{name}.yaml"));
+        let local_settings = json!({
             "instance": name,
             "data_center": row["data_center"],
             "listen": {
@@ -198,12 +200,12 @@
             "limits": { "max_body": "2MiB", "held_bodies": "4MiB", "body_time": "2s", "sleep_bound": "1s" },
             "log": { "level": "debug", "format": "text" },
         });
-        fs::write(&file, local.to_string()).unwrap();
+        fs::write(&settings_file, local_settings.to_string()).unwrap();
         let address = |field: &str| row[field].as_str().unwrap().parse().unwrap();
         let start = |role: &str, address| {
             Process::start(
                 role,
-                file.to_str().unwrap(),
+                settings_file.to_str().unwrap(),
                 address,
                 &self.dir.join(format!("{name}-{role}.log")),
             )
@@ -213,18 +215,19 @@
             entry: start("entry", address("entry")),
             operators: address("operators"),
             name,
-            file,
+            settings_file,
         };
         self.instances.push(instance);
     }
 
-    /// Starts the entry or scheduler of an instance again, after the former process has exited.
+    /// Starts the entry or scheduler of an instance again, after its previous process has exited.
     pub fn restart(&mut self, index: usize, role: &str) {
         let dir = self.dir.clone();
         let instance = &mut self.instances[index];
         let process = if role == "entry" { &mut instance.entry } else { &mut instance.scheduler };
         let log = dir.join(format!("{}-{role}-again.log", instance.name));
-        *process = Process::start(role, instance.file.to_str().unwrap(), process.address, &log);
+        *process =
+            Process::start(role, instance.settings_file.to_str().unwrap(), process.address, &log);
     }
 
     /// Publishes settings with one customer, `bluebonnet`, and one service, `rsvp`.
@@ -268,7 +271,7 @@
         self.publish_list();
     }
 
-    /// Publishes a document on every platform.
+    /// Publishes a document on every platform. `number` is its version or revision.
     pub fn publish(&self, name: &str, number: u64, text: &str) {
         publish_to(self.platform.address, name, number, text);
         if let Some((_, second)) = &self.second_platform {
@@ -320,8 +323,8 @@
         }
     }
 
-    /// Waits until all instances accept requests and every engine is owned and reached by a
-    /// scheduler.
+    /// Waits until all instances accept requests and every engine is owned by a scheduler that can
+    /// reach it.
     pub fn wait_ready(&self) {
         for index in 0..self.instances.len() {
             wait_until("an instance is ready", || {
@@ -331,7 +334,7 @@
         }
         let engines = self.engines.len();
         wait_until("all engines are reachable", || {
-            let owned = |instance: &Instance| {
+            let count_owned = |instance: &Instance| {
                 let status = get(instance.operators, "/v1/status").ok()?.json();
                 let rows = status["scheduler"]["engines"].as_array()?.clone();
                 Some(
@@ -340,8 +343,8 @@
                         .count(),
                 )
             };
-            let known: usize = self.instances.iter().filter_map(owned).sum();
-            (known == engines).then_some(())
+            let owned_engines: usize = self.instances.iter().filter_map(count_owned).sum();
+            (owned_engines == engines).then_some(())
         });
     }
 
@@ -386,6 +389,7 @@
     assert_eq!(answer.status, 200);
 }
 
+/// Builds the list of a fleet, with the flag `checks_keys` that is not published.
 fn build_list(instances: usize, engines: &[Process], services: &[Process]) -> Value {
     let instances = (0..instances).map(|index| {
         json!({
@@ -509,12 +513,14 @@
     read_answer(&mut io::BufReader::new(stream))
 }
 
+/// Opens a connection whose reads time out after [`WAIT_LIMIT`].
 pub fn connect(address: net::SocketAddr) -> io::Result<net::TcpStream> {
     let stream = net::TcpStream::connect_timeout(&address, time::Duration::from_secs(2))?;
     stream.set_read_timeout(Some(WAIT_LIMIT))?;
     Ok(stream)
 }
 
+/// Sends an HTTP request with a `content-length` header.
 pub fn send(
     stream: &mut net::TcpStream,
     method: &str,
@@ -532,6 +538,7 @@
     stream.write_all(body)
 }
 
+/// Reads an HTTP response with a body of known length or in chunks.
 pub fn read_answer(reader: &mut impl io::BufRead) -> io::Result<Answer> {
     let mut line = String::new();
     reader.read_line(&mut line)?;
@@ -625,9 +632,9 @@
 
 /// Whether a streamed answer is complete and belongs to the request with this body.
 pub fn is_complete_answer(answer: &Answer, body: &Value) -> bool {
-    let mark = slipturn_standin::engine::prompt_fingerprint(&body["messages"].to_string());
+    let fingerprint = slipturn_standin::engine::prompt_fingerprint(&body["messages"].to_string());
     let output = body["max_tokens"].as_u64().unwrap();
     answer.status == 200
         && answer.ended
-        && slipturn_load::caller::check_response(&answer.text(), &mark, output).is_ok()
+        && slipturn_load::caller::check_response(&answer.text(), &fingerprint, output).is_ok()
 }
