--- a/crates/trial/tests/leaving.rs
+++ b/crates/trial/tests/leaving.rs
@@ -18,9 +18,11 @@
 /// Threads that send requests one after the other until they are stopped, and collect failures.
 struct Callers {
     stop_requested: Arc<atomic::AtomicBool>,
-    /// Entry addresses, and whether each receives new connections. Stands for the platform's load
-    /// balancer, which skips instances that are not ready.
+    /// Entry addresses, and whether each receives new connections. Simulates the load balancer of
+    /// the platform, which skips instances that are not ready.
     balancer: Arc<Vec<(std::net::SocketAddr, atomic::AtomicBool)>>,
+    /// Each thread returns the number of complete answers, and the texts of all other answers and
+    /// errors.
     threads: Vec<thread::JoinHandle<(usize, Vec<String>)>>,
 }
 
@@ -43,17 +45,19 @@
     /// answers and errors.
     fn finish(self) -> (usize, Vec<String>) {
         self.stop_requested.store(true, atomic::Ordering::SeqCst);
-        let mut all = (0, Vec::new());
+        let mut totals = (0, Vec::new());
         for thread in self.threads {
             let (complete_count, failures) = thread.join().unwrap();
-            all.0 += complete_count;
-            all.1.extend(failures);
+            totals.0 += complete_count;
+            totals.1.extend(failures);
         }
-        all
+        totals
     }
 }
 
-/// Sends requests to the instances in turn, except to those that the balancer skips.
+/// Sends requests to the instances in turn, except to those that the balancer skips, until a stop
+/// is requested. Returns the number of complete answers, and the texts of all other answers and
+/// errors.
 fn send_requests(
     stop_requested: &atomic::AtomicBool,
     balancer: &[(std::net::SocketAddr, atomic::AtomicBool)],
@@ -87,7 +91,7 @@
     support::read_answer(&mut std::io::BufReader::new(stream))
 }
 
-/// Number of requests that an engine has received, including those it refused.
+/// Returns the number of requests that an engine has received, including those that it refused.
 fn count_received(fleet: &Fleet, engine: usize) -> usize {
     let counts = support::counts(fleet.engines[engine].address);
     let refused = counts["refused"].as_u64().unwrap();
@@ -147,11 +151,11 @@
         let in_pool = &callers.balancer[index].1;
         fleet.instances[index].entry.signal("TERM");
         let operators = fleet.instances[index].operators;
-        wait_ready(operators, 503);
+        wait_readiness(operators, 503);
         in_pool.store(false, atomic::Ordering::SeqCst);
         assert_eq!(fleet.instances[index].entry.wait().code(), Some(0), "entry {index}");
         fleet.restart(index, "entry");
-        wait_ready(operators, 200);
+        wait_readiness(operators, 200);
         in_pool.store(true, atomic::Ordering::SeqCst);
         fleet.instances[index].scheduler.signal("TERM");
         assert_eq!(fleet.instances[index].scheduler.wait().code(), Some(0), "scheduler {index}");
@@ -163,7 +167,8 @@
     assert!(failures.is_empty(), "{} of {complete_count}: {:?}", failures.len(), failures.first());
 }
 
-fn wait_ready(operators: std::net::SocketAddr, status: u16) {
+/// Waits until the readiness check of an instance returns this status.
+fn wait_readiness(operators: std::net::SocketAddr, status: u16) {
     support::wait_until("the readiness status changes", || {
         let ready = support::get(operators, "/readyz").ok()?;
         (ready.status == status).then_some(())
@@ -173,7 +178,8 @@
 #[test]
 fn stopping_entry_reports_unready_and_finishes_running_answers() {
     let mut fleet = Fleet::start(&FleetConfig::default());
-    // Longer than the three seconds for which a stopping entry accepts new connections.
+    // The delay is longer than the three seconds for which a stopping entry accepts new
+    // connections.
     support::set_faults(fleet.engines[0].address, &json!({ "delay_ms": 5_000 }));
     let address = fleet.instances[0].entry.address;
     let body = support::prompt_body("x", 100, 100, true);
@@ -181,7 +187,7 @@
     let caller_thread = thread::spawn(move || support::complete(address, &request_body).unwrap());
     thread::sleep(SECOND / 2);
     fleet.instances[0].entry.signal("TERM");
-    wait_ready(fleet.instances[0].operators, 503);
+    wait_readiness(fleet.instances[0].operators, 503);
     let answer = caller_thread.join().unwrap();
     assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
     assert_eq!(fleet.instances[0].entry.wait().code(), Some(0));
