--- a/crates/trial/tests/silent_upstreams.rs
+++ b/crates/trial/tests/silent_upstreams.rs
@@ -1,11 +1,11 @@
-//! Service calls whose pooled upstream connections have gone silent for good, without a reset,
-//! while new ones work.
+//! Service calls whose pooled upstream connections have gone silent permanently, without a reset,
+//! while new connections work.
 //!
 //! Guards against repeatable calls that end with 504 after their whole time limit although every
 //! upstream works. A call was sent on a silent pooled connection and waited for it until its limit;
-//! the next call took another silent connection from the pool, because the silence of one didn't
-//! discredit others that had been idle at the same time. With two upstreams, six of six calls
-//! failed, each after 2.0 s of its 2 s.
+//! the next call took another silent connection from the pool, because the silence of one
+//! connection didn't exclude the others that had been idle at the same time. With two upstreams,
+//! six of six calls failed, each after 2.0 s of its 2 s.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,11 +16,12 @@
 use slipturn_platform_standin::proxy;
 use support::{Fleet, FleetConfig};
 
-/// Far longer than a call on a working connection takes, and shorter than one that waits for a
-/// silent connection first.
-const PROMPT_LIMIT: time::Duration = time::Duration::from_millis(600);
-/// Delay of slow answers, milliseconds. Longer than the wait for a silent connection, and shorter
-/// than the service's time limit of 2 s.
+/// Limit for the duration of a call that doesn't wait for a silent connection. It is far longer
+/// than a call on a working connection takes, and shorter than a call that first waits for a silent
+/// one.
+const FAST_CALL_LIMIT: time::Duration = time::Duration::from_millis(600);
+/// Delay of slow answers, in milliseconds. It is longer than the wait for a silent connection, and
+/// shorter than the service's time limit of 2 s.
 const SLOW_ANSWER_MS: u64 = 1_400;
 
 /// A fleet that reaches its upstreams through proxies.
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Silences all open connections to the upstreams. New ones work.
+    /// Silences all open connections to the upstreams. New connections work.
     fn silence_connections(&self) {
         self.proxies.iter().for_each(|proxy| proxy.silence_open_connections());
     }
@@ -88,9 +89,9 @@
     let results: Vec<_> = (0..6).map(|_| proxied.call("GET")).collect();
     println!("{results:?}");
     assert!(results.iter().all(|(status, _)| *status == 200), "{results:?}");
-    // One call for each upstream may wait for a silent connection. Others that were idle at the
-    // same time must not be used.
-    let slow = results.iter().filter(|(_, duration)| *duration > PROMPT_LIMIT).count();
+    // One call for each upstream may wait for a silent connection. The other connections that were
+    // idle at the same time must not be used.
+    let slow = results.iter().filter(|(_, duration)| *duration > FAST_CALL_LIMIT).count();
     assert!(slow <= 2, "{results:?}");
 }
 
@@ -103,7 +104,7 @@
     let results: Vec<_> = (0..4).map(|_| proxied.call("GET")).collect();
     println!("{results:?}");
     assert!(results.iter().all(|(status, _)| *status == 200), "{results:?}");
-    let slow = results.iter().filter(|(_, duration)| *duration > PROMPT_LIMIT).count();
+    let slow = results.iter().filter(|(_, duration)| *duration > FAST_CALL_LIMIT).count();
     assert!(slow <= 1, "{results:?}");
 }
 
@@ -129,7 +130,7 @@
     let results: Vec<_> = (0..4).map(|_| proxied.call("POST")).collect();
     println!("{results:?}");
     assert!(
-        results.iter().all(|(status, duration)| *status == 200 && *duration < PROMPT_LIMIT),
+        results.iter().all(|(status, duration)| *status == 200 && *duration < FAST_CALL_LIMIT),
         "{results:?}"
     );
 }
@@ -161,7 +162,7 @@
         for _ in 0..6 {
             scope.spawn(|| {
                 let (status, duration) = proxied.call("GET");
-                assert!(status == 200 && duration < PROMPT_LIMIT, "{status} after {duration:?}");
+                assert!(status == 200 && duration < FAST_CALL_LIMIT, "{status} after {duration:?}");
             });
         }
     });
