--- a/crates/trial/tests/entry_api.rs
+++ b/crates/trial/tests/entry_api.rs
@@ -9,7 +9,8 @@
 use serde_json::json;
 use support::{Fleet, FleetConfig};
 
-fn entry(fleet: &Fleet) -> std::net::SocketAddr {
+/// Returns the caller address of the first instance.
+fn entry_address(fleet: &Fleet) -> std::net::SocketAddr {
     fleet.instances[0].entry.address
 }
 
@@ -18,19 +19,20 @@
     let fleet = Fleet::start(&FleetConfig { instances: 2, engines: 2, ..Default::default() });
     let body = support::prompt_body("hello", 500, 20, true);
     let answer =
-        support::complete_with(entry(&fleet), &body, &[("x-request-id", "mine-1")]).unwrap();
+        support::complete_with(entry_address(&fleet), &body, &[("x-request-id", "mine-1")])
+            .unwrap();
     assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
     assert_eq!(answer.headers["x-request-id"], "mine-1");
     assert!(answer.text().ends_with("data: [DONE]\n\n"));
 
     let unstreamed = support::prompt_body("hello", 500, 20, false);
-    let unstreamed = support::complete(entry(&fleet), &unstreamed).unwrap();
+    let unstreamed = support::complete(entry_address(&fleet), &unstreamed).unwrap();
     assert_eq!(unstreamed.status, 200);
     assert!(
         unstreamed.json()["choices"][0]["message"]["content"].as_str().unwrap().contains("-19 ")
     );
 
-    let models = support::get(entry(&fleet), "/v1/models").unwrap().json();
+    let models = support::get(entry_address(&fleet), "/v1/models").unwrap().json();
     assert_eq!(models["data"][0]["id"], "invitation");
 
     // Every instance returns the decision record, by slipturn's request id and by the caller's.
@@ -64,7 +66,7 @@
 #[test]
 fn connection_serves_several_requests() {
     let fleet = Fleet::start(&FleetConfig::default());
-    let stream = support::connect(entry(&fleet)).unwrap();
+    let stream = support::connect(entry_address(&fleet)).unwrap();
     let mut reader = io::BufReader::new(stream.try_clone().unwrap());
     let mut writer = stream;
     for number in 0..5 {
@@ -86,7 +88,7 @@
 #[test]
 fn refusals_have_the_expected_code_and_run_nothing() {
     let fleet = Fleet::start(&FleetConfig { services: 1, ..Default::default() });
-    let address = entry(&fleet);
+    let address = entry_address(&fleet);
     let body = support::prompt_body("x", 10, 5, true);
     let text = body.to_string();
     let bearer = ("authorization", "Bearer key-1");
@@ -133,7 +135,7 @@
 #[test]
 fn request_with_two_body_lengths_is_refused() {
     let fleet = Fleet::start(&FleetConfig::default());
-    let mut stream = support::connect(entry(&fleet)).unwrap();
+    let mut stream = support::connect(entry_address(&fleet)).unwrap();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
     let answer = support::read_answer(&mut io::BufReader::new(stream)).unwrap();
@@ -143,7 +145,7 @@
 #[test]
 fn incomplete_body_times_out() {
     let fleet = Fleet::start(&FleetConfig::default());
-    let mut stream = support::connect(entry(&fleet)).unwrap();
+    let mut stream = support::connect(entry_address(&fleet)).unwrap();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 400\r\n\r\n{";
     stream.write_all(head.as_bytes()).unwrap();
     let answer = support::read_answer(&mut io::BufReader::new(stream)).unwrap();
@@ -154,9 +156,9 @@
 fn total_size_of_held_bodies_is_bounded() {
     let fleet = Fleet::start(&FleetConfig::default());
     // Two incomplete bodies of 2 MiB fill the limit of 4 MiB for held bodies.
-    let waiting: Vec<_> = (0..2)
+    let incomplete_requests: Vec<_> = (0..2)
         .map(|_| {
-            let mut stream = support::connect(entry(&fleet)).unwrap();
+            let mut stream = support::connect(entry_address(&fleet)).unwrap();
             let head =
                 "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 2097152\r\n\r\n{";
             stream.write_all(head.as_bytes()).unwrap();
@@ -165,12 +167,12 @@
         .collect();
     thread::sleep(time::Duration::from_millis(200));
     let body = support::prompt_body("x", 10, 5, true);
-    let answer = support::complete(entry(&fleet), &body).unwrap();
+    let answer = support::complete(entry_address(&fleet), &body).unwrap();
     assert_eq!((answer.status, answer.code().as_str()), (503, "out_of_memory"));
     assert!(answer.headers.contains_key("retry-after"));
-    drop(waiting);
+    drop(incomplete_requests);
     support::wait_until("the memory of the bodies is free again", || {
-        let answer = support::complete(entry(&fleet), &body).ok()?;
+        let answer = support::complete(entry_address(&fleet), &body).ok()?;
         (answer.status == 200).then_some(())
     });
 }
@@ -181,11 +183,11 @@
         "{time_limit: 20s, max_output_tokens: 400, token_rate: 100.0, token_burst: 1000}";
     let fleet = Fleet::start(&FleetConfig { defaults, ..Default::default() });
     let body = support::prompt_body("x", 500, 100, true);
-    assert_eq!(support::complete(entry(&fleet), &body).unwrap().status, 200);
-    let answer = support::complete(entry(&fleet), &body).unwrap();
+    assert_eq!(support::complete(entry_address(&fleet), &body).unwrap().status, 200);
+    let answer = support::complete(entry_address(&fleet), &body).unwrap();
     assert_eq!((answer.status, answer.code().as_str()), (429, "over_budget"));
-    let wait = answer.json()["error"]["retry_after_ms"].as_u64().unwrap();
-    assert!((4_000..16_000).contains(&wait), "{wait}");
+    let retry_delay = answer.json()["error"]["retry_after_ms"].as_u64().unwrap();
+    assert!((4_000..16_000).contains(&retry_delay), "{retry_delay}");
 }
 
 #[test]
@@ -194,13 +196,14 @@
     let body = support::prompt_body("x", 500, 400, true);
     let started = time::Instant::now();
     let limit = [("slipturn-timeout-ms", "3000")];
-    let answer = support::complete_with(entry(&fleet), &body, &limit).unwrap();
+    let answer = support::complete_with(entry_address(&fleet), &body, &limit).unwrap();
     assert_eq!((answer.status, answer.code().as_str()), (503, "overloaded"), "{}", answer.text());
     assert_eq!(answer.ran(), "no");
-    // Shorter than the time limit of 3 s: the refusal must not wait for it.
+    // The bound is shorter than the time limit of 3 s, for which a refusal must not wait.
     assert!(started.elapsed() < time::Duration::from_secs(2));
     // Callers can shorten the configured time limit, but not extend it.
-    let answer = support::complete_with(entry(&fleet), &body, &[("slipturn-timeout-ms", "900000")]);
+    let answer =
+        support::complete_with(entry_address(&fleet), &body, &[("slipturn-timeout-ms", "900000")]);
     let id = answer.unwrap().headers["slipturn-request-id"].clone();
     let record = support::wait_until("the decision record is available", || {
         let found =
@@ -218,13 +221,13 @@
         fleet: "{orphan_grace: 3s, group_limit: 1}",
         ..Default::default()
     });
-    // With the headroom kept free on each engine of 100,000 tokens, a prompt of 220,000 needs three
-    // engines.
+    // Each engine has memory for 100,000 tokens, of which some headroom stays free, so a prompt of
+    // 220,000 tokens needs three engines.
     let body = support::prompt_body("archive", 220_000, 10, true);
-    let answer = support::complete(entry(&fleet), &body).unwrap();
+    let answer = support::complete(entry_address(&fleet), &body).unwrap();
     assert!(support::is_complete_answer(&answer, &body), "{}", answer.text());
-    // The memory of all group members must be released when the answer ends, not later by a
-    // scheduler that finds orphans.
+    // The memory of all engines of the group must be released when the answer ends, not later by a
+    // scheduler that cancels orphaned attempts.
     let ended = time::Instant::now();
     fleet.wait_no_memory_held();
     assert!(ended.elapsed() < time::Duration::from_secs(1), "{:?}", ended.elapsed());
@@ -239,7 +242,7 @@
 fn processes_use_epoll_and_start_no_children() {
     let fleet = Fleet::start(&FleetConfig::default());
     let body = support::prompt_body("x", 10, 5, true);
-    assert_eq!(support::complete(entry(&fleet), &body).unwrap().status, 200);
+    assert_eq!(support::complete(entry_address(&fleet), &body).unwrap().status, 200);
     for process in [&fleet.instances[0].entry, &fleet.instances[0].scheduler] {
         let files = std::fs::read_dir(format!("/proc/{}/fd", process.id())).unwrap();
         let targets: Vec<_> = files
@@ -265,5 +268,5 @@
         assert_eq!(process.wait().code(), Some(1));
     }
     let body = support::prompt_body("x", 10, 5, true);
-    assert_eq!(support::complete(entry(&fleet), &body).unwrap().status, 200);
+    assert_eq!(support::complete(entry_address(&fleet), &body).unwrap().status, 200);
 }
