--- a/crates/trial/tests/idempotency.rs
+++ b/crates/trial/tests/idempotency.rs
@@ -22,7 +22,8 @@
     fleet
 }
 
-/// Sums a counter with one value per name, such as `by_key`, over all services.
+/// Returns the run counts of the services below `field`, `by_key` or `by_request`, summed over all
+/// services.
 fn sum_runs_by(fleet: &Fleet, field: &str) -> collections::BTreeMap<String, u64> {
     let mut runs = collections::BTreeMap::new();
     for service in &fleet.services {
@@ -93,22 +94,22 @@
         let first =
             support::call_service(fleet.instances[0].entry.address, "POST", Some("k")).unwrap();
         assert_eq!(first.status, 200, "{}", first.text());
-        // The votes must survive the loss of any two of six schedulers.
+        // The votes on a key must survive the loss of any two of six schedulers.
         for index in [0, 3] {
             fleet.instances[index].scheduler.signal(signal);
         }
-        let calling: Vec<_> = [1, 2, 4, 5]
+        let callers: Vec<_> = [1, 2, 4, 5]
             .into_iter()
             .map(|index| {
                 let address = fleet.instances[index].entry.address;
                 thread::spawn(move || {
-                    // A new key must still run.
+                    // A call with a new key must still run.
                     let other = support::call_service(address, "POST", Some(&format!("k{index}")));
                     (support::call_service(address, "POST", Some("k")).unwrap(), other.unwrap())
                 })
             })
             .collect();
-        for caller_thread in calling {
+        for caller_thread in callers {
             let (repeat, other) = caller_thread.join().unwrap();
             assert_eq!(repeat.status, 409, "{signal}: {}", repeat.text());
             assert_eq!(other.status, 200, "{signal}: {}", other.text());
--- a/crates/trial/tests/partition.rs
+++ b/crates/trial/tests/partition.rs
@@ -14,6 +14,7 @@
 /// Index of the first instance on the smaller side: 0 to 3 are on one side, 4 and 5 on the other.
 const SMALL_SIDE_START: usize = 4;
 
+/// Starts six instances on two platforms, so that [`Fleet::partition_network`] can divide them.
 fn start_divisible_fleet(engines: usize) -> Fleet {
     let config = FleetConfig {
         instances: 6,
@@ -26,7 +27,7 @@
     Fleet::start(&config)
 }
 
-/// Number of runs of each idempotency key, over all services.
+/// Returns the number of runs for each idempotency key, summed over all services.
 fn runs_by_key(fleet: &Fleet) -> collections::BTreeMap<String, u64> {
     let mut runs = collections::BTreeMap::new();
     for service in &fleet.services {
@@ -48,8 +49,8 @@
     thread::sleep(VOTING_DELAY);
     assert_eq!(call(&fleet, 5, "before").status, 200);
     fleet.partition_network();
-    // Only the larger side has a majority of voters. The smaller one can't tell whether a key has
-    // run there.
+    // Only the larger side has a majority of voters. The smaller side can't tell whether a call
+    // with the key has run on the larger side.
     let refused = call(&fleet, 4, "during");
     assert_eq!(
         (refused.status, refused.code().as_str()),
