--- a/crates/trial/tests/answers.rs
+++ b/crates/trial/tests/answers.rs
@@ -9,6 +9,7 @@
 use serde_json::json;
 use support::{Fleet, FleetConfig};
 
+/// Sends a model request to the first instance. Returns the answer and the body of the request.
 fn send_request(fleet: &Fleet, stream: bool) -> (support::Answer, serde_json::Value) {
     let body = support::prompt_body("x", 300, 40, stream);
     (support::complete(fleet.instances[0].entry.address, &body).unwrap(), body)
--- a/crates/trial/tests/configuration.rs
+++ b/crates/trial/tests/configuration.rs
@@ -11,12 +11,15 @@
 use support::{Fleet, FleetConfig};
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
+/// Settings below `fleet:` in a published version.
 const FLEET_OPTIONS: &str = "{orphan_grace: 3s}";
+/// Settings below `defaults:` in a published version.
 const DEFAULT_OPTIONS: &str = "{time_limit: 20s}";
 /// Time within which a version must take effect on the whole fleet. Required by the users.
 const IN_EFFECT_LIMIT: time::Duration = time::Duration::from_secs(9);
 
-/// Settings versions in use: for each instance that of the entry, then that of the scheduler.
+/// Returns the settings versions in use: for each instance that of the entry, then that of the
+/// scheduler.
 fn versions(fleet: &Fleet) -> Vec<u64> {
     let version = |instance: &support::Instance| {
         let status = support::get(instance.operators, "/v1/status").unwrap().json();
@@ -56,8 +59,8 @@
     fleet.publish_settings(2, "{headrom: 1}", DEFAULT_OPTIONS);
     support::wait_until("the rejected option is shown to operators", || {
         let status = support::get(fleet.instances[0].operators, "/v1/status").unwrap().json();
-        let fault = status["scheduler"]["settings_rejected"].as_str()?.to_owned();
-        fault.contains("headrom").then_some(())
+        let rejection = status["scheduler"]["settings_rejected"].as_str()?.to_owned();
+        rejection.contains("headrom").then_some(())
     });
     assert_eq!(versions(&fleet), [1; 4]);
     let body = support::prompt_body("x", 10, 5, true);
@@ -123,12 +126,14 @@
     fleet.wait_version(2);
 }
 
+/// Returns the settings version in use by the entry of instance 0.
 fn first_entry_version(fleet: &Fleet) -> u64 {
     let status = support::get(fleet.instances[0].operators, "/v1/status").unwrap().json();
     status["entry"]["settings_version"].as_u64().unwrap()
 }
 
-/// Counts the reads of the platform in ten seconds without a change, in a new fleet of this size.
+/// Starts a fleet with this number of instances, and counts the reads of platform documents in ten
+/// seconds without a change.
 fn count_idle_reads(instances: usize) -> u64 {
     let fleet = Fleet::start(&FleetConfig { instances, ..Default::default() });
     thread::sleep(2 * SECOND);
@@ -150,7 +155,8 @@
 #[test]
 fn new_version_takes_effect_in_time_when_other_schedulers_freeze() {
     let fleet = Fleet::start(&FleetConfig { instances: 4, ..Default::default() });
-    // Freeze all schedulers but one. Processes that watched a frozen one must find another source.
+    // Freeze all schedulers but one. Processes that watched a frozen scheduler must find another
+    // source.
     thread::sleep(SECOND);
     for instance in &fleet.instances[1..] {
         instance.scheduler.signal("STOP");
@@ -169,9 +175,9 @@
     }
 }
 
-/// Open connections to the platform may go silent without being closed, while new ones work. A
-/// watch on such a connection looks like one without changes, so it must be given up early enough
-/// for a new version to take effect in time.
+/// Open connections to the platform may go silent without being closed, while new connections work.
+/// A watch on a silent connection looks like a watch without changes, so it must be abandoned early
+/// enough for a new version to take effect in time.
 #[test]
 fn new_version_takes_effect_in_time_when_platform_connections_go_silent() {
     let config = FleetConfig { instances: 4, platform_proxy: true, ..Default::default() };
--- a/crates/trial/tests/limits.rs
+++ b/crates/trial/tests/limits.rs
@@ -23,7 +23,7 @@
 }
 
 fn assert_within_limit(duration: time::Duration) {
-    // The limit of 3 s, and a second for the answer itself on a busy machine.
+    // The bound is the time limit of 3 s and a second for the answer itself on a busy machine.
     assert!(duration < 4 * SECOND, "{duration:?}");
 }
 
@@ -40,15 +40,15 @@
 #[test]
 fn engine_that_hangs_during_an_answer_times_out() {
     let fleet = Fleet::start(&FleetConfig::default());
-    for pieces in [0, 2] {
-        support::set_faults(fleet.engines[0].address, &json!({ "hang_after": pieces }));
+    for chunks in [0, 2] {
+        support::set_faults(fleet.engines[0].address, &json!({ "hang_after": chunks }));
         let (answer, duration) = complete_timed(&fleet, true);
-        let error = if pieces == 0 {
+        let error = if chunks == 0 {
             assert_eq!(answer.status, 504);
             answer.text()
         } else {
             // Part of the answer has been sent: the stream must end with an error event, not with
-            // the last event.
+            // the last event of a complete answer.
             assert_eq!(answer.status, 200);
             assert!(answer.text().contains("event: error"), "{}", answer.text());
             assert!(!answer.text().contains("[DONE]"));
@@ -124,6 +124,7 @@
             })
         })
         .collect();
+    // Numbers of complete answers and of refusals.
     let mut counts_by_outcome = (0, 0);
     let mut retry_delays = std::collections::BTreeSet::new();
     for caller in callers {
@@ -146,7 +147,7 @@
         assert!(duration < 5 * SECOND, "{duration:?}");
     }
     assert!(counts_by_outcome.0 >= 5 && counts_by_outcome.1 >= 5, "{counts_by_outcome:?}");
-    // Retry delays must differ, so that refused callers don't all return at the same time.
+    // Retry delays must differ, so that refused callers don't all retry at the same time.
     assert!(retry_delays.len() >= 3, "{retry_delays:?}");
     let started = support::counts(fleet.engines[0].address)["started"].clone();
     assert_eq!(started.as_object().unwrap().len(), counts_by_outcome.0);
--- a/crates/trial/tests/malformed_input.rs
+++ b/crates/trial/tests/malformed_input.rs
@@ -9,6 +9,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use support::{Fleet, FleetConfig};
 
+/// Number of inputs that are sent to each port.
 const ROUNDS: usize = 300;
 
 /// Fragments of valid and invalid requests, from which nearly valid requests are composed.
@@ -37,19 +38,19 @@
     b"\r\n\r\n\r\n",
 ];
 
-/// Joins random fragments and noise, and sometimes cuts the end off.
-fn malformed_bytes(random: &mut rand_chacha::ChaCha8Rng) -> Vec<u8> {
+/// Joins random fragments and random bytes, and sometimes cuts the end off.
+fn malformed_bytes(rng: &mut rand_chacha::ChaCha8Rng) -> Vec<u8> {
     let mut bytes = Vec::new();
-    for _ in 0..random.random_range(1..8) {
-        if random.random::<f64>() < 0.2 {
-            let noise = (0..random.random_range(0..64)).map(|_| random.random::<u8>());
+    for _ in 0..rng.random_range(1..8) {
+        if rng.random::<f64>() < 0.2 {
+            let noise = (0..rng.random_range(0..64)).map(|_| rng.random::<u8>());
             bytes.extend(noise.collect::<Vec<_>>());
         } else {
-            bytes.extend_from_slice(FRAGMENTS[random.random_range(0..FRAGMENTS.len())]);
+            bytes.extend_from_slice(FRAGMENTS[rng.random_range(0..FRAGMENTS.len())]);
         }
     }
-    if random.random::<f64>() < 0.3 {
-        bytes.truncate(random.random_range(0..=bytes.len()));
+    if rng.random::<f64>() < 0.3 {
+        bytes.truncate(rng.random_range(0..=bytes.len()));
     }
     bytes
 }
@@ -66,9 +67,9 @@
 #[test]
 fn malformed_input_stops_no_process() {
     let mut fleet = Fleet::start(&FleetConfig { services: 1, ..Default::default() });
-    let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(7);
+    let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(7);
     for _ in 0..ROUNDS {
-        let bytes = malformed_bytes(&mut random);
+        let bytes = malformed_bytes(&mut rng);
         let instance = &fleet.instances[0];
         for address in [instance.entry.address, instance.operators, instance.scheduler.address] {
             send_raw(address, &bytes);
--- a/crates/trial/tests/memory_release.rs
+++ b/crates/trial/tests/memory_release.rs
@@ -28,11 +28,12 @@
         let running: usize = fleet.engines.iter().map(held).sum();
         (running == count).then_some(())
     });
-    // Let each stream reach its third piece, after which the engines hang.
+    // Let each stream reach its third chunk, after which the engines hang.
     thread::sleep(SECOND / 2);
 }
 
-/// Has engines hang after three pieces and keep an attempt's memory when its connection closes.
+/// Makes all engines hang after three chunks of each answer, and keep the memory of an attempt when
+/// its connection closes.
 fn ignore_disconnects_and_hang(fleet: &Fleet) {
     for engine in &fleet.engines {
         support::set_faults(
@@ -68,7 +69,7 @@
         (engines.iter().map(known).sum::<u64>() == 6).then_some(())
     });
     assert!(started.elapsed() < 2 * SECOND, "{:?}", started.elapsed());
-    // The streams go on. Their memory must be free after their time limit.
+    // The streams stay open. Their memory must be free after their time limit.
     fleet.wait_no_memory_held();
 }
 
@@ -178,8 +179,8 @@
             })
         })
         .collect();
-    let is_complete = callers.into_iter().map(|caller| caller.join().unwrap());
-    assert!(is_complete.filter(|is_complete| *is_complete).count() >= 3);
+    let completions = callers.into_iter().map(|caller| caller.join().unwrap());
+    assert!(completions.filter(|is_complete| *is_complete).count() >= 3);
     fleet.wait_no_memory_held();
 }
 
