--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use crate::{engine_place, planner::ways, units};
+use crate::{engine_place, planner::modes, units};
 
 /// How long an engine is ejected after a failure; doubles with each further one.
 const EJECTION_TIME: time::Duration = time::Duration::from_millis(600);
@@ -201,11 +201,11 @@
 
     /// Whether the engine is ejected.
     ///
-    /// With [`ways::EngineFaultMode::Probe`], an engine that failed gets a single request when its ejection time is
+    /// With [`modes::EngineFaultMode::Probe`], an engine that failed gets a single request when its ejection time is
     /// over, and stays ejected until the first token of that request.
-    pub(crate) fn is_ejected(&self, now: units::MonoTime, mode: ways::EngineFaultMode) -> bool {
+    pub(crate) fn is_ejected(&self, now: units::MonoTime, mode: modes::EngineFaultMode) -> bool {
         let probed =
-            mode == ways::EngineFaultMode::Probe && self.failures > 0 && !self.expected.is_empty();
+            mode == modes::EngineFaultMode::Probe && self.failures > 0 && !self.expected.is_empty();
         self.ejected_until > now || probed
     }
 
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -13,12 +13,12 @@
 mod engine_limits;
 mod engine_view;
 mod engine_work;
+pub mod modes;
 mod place_table;
 mod price;
 mod short_choice;
 mod timetable;
 mod waiting_job;
-pub mod ways;
 
 use std::{collections, time};
 
@@ -49,12 +49,15 @@
     /// Routing policy. All except [`settings::RoutingKind::ExpectedStart`] are baselines for comparison.
     pub routing: settings::RoutingKind,
     /// Variants of individual decisions. All except the defaults are for comparison.
-    pub ways: ways::PlannerModes,
+    pub modes: modes::PlannerModes,
 }
 
 impl Default for PlannerOptions {
     fn default() -> Self {
-        Self { routing: settings::RoutingKind::ExpectedStart, ways: ways::PlannerModes::default() }
+        Self {
+            routing: settings::RoutingKind::ExpectedStart,
+            modes: modes::PlannerModes::default(),
+        }
     }
 }
 
@@ -78,7 +81,7 @@
     pub fn new(shape: route_table::EngineShape, options: PlannerOptions) -> Self {
         Self {
             options,
-            table: place_table::PlaceTable::new(shape, options.ways.engine_faults),
+            table: place_table::PlaceTable::new(shape, options.modes.engine_faults),
             price: price::EnginePrice::default(),
             waiting: Vec::new(),
             ready_answers: Vec::new(),
@@ -239,7 +242,8 @@
 
     /// Whether to poll an engine in this round: always if it has work, less often if it is idle.
     pub fn take_report_due(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
-        self.options.ways.reports == ways::ReportMode::All || self.table.take_report_due(now, name)
+        self.options.modes.reports == modes::ReportMode::All
+            || self.table.take_report_due(now, name)
     }
 
     /// Applies an engine's load report.
@@ -296,7 +300,7 @@
             return self.take(now, &job.request, grant);
         }
         let shape = &self.table.shape;
-        let packing_target = self.options.ways.packing.packing_target(shape);
+        let packing_target = self.options.modes.packing.packing_target(shape);
         let choice = short_choice::ShortChoice { shape, packing_target };
         if let Some(grant) = choice.choose(now, job, &views, true) {
             return self.take(now, &job.request, grant);
@@ -334,7 +338,7 @@
         let (running, slots) = self.table.used_slots(&job.request.excluded);
         let full = running as f64 >= slots as f64 * CROWDED_FRACTION;
         let hopeless = f64::from(grant.first_token_ms) > job.patience_ms(now);
-        let crowded = self.options.ways.short_refusal == ways::ShortRefusalMode::Crowded
+        let crowded = self.options.modes.short_refusal == modes::ShortRefusalMode::Crowded
             && full
             && self.is_crowded(job, grant);
         if job.request.resumed || !(hopeless || crowded) {
@@ -391,7 +395,8 @@
             return Vec::new();
         }
         let shape = &self.table.shape;
-        let packing_target = self.options.ways.packing.packing_target(shape).unwrap_or(shape.slots);
+        let packing_target =
+            self.options.modes.packing.packing_target(shape).unwrap_or(shape.slots);
         let admission = admission::PrefillAdmission {
             table: &self.table,
             price: &self.price,
--- a/crates/core/src/planner/ways.rs
+++ b/crates/core/src/planner/modes.rs
@@ -132,8 +132,8 @@
 }
 
 /// The selected variant of each decision.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 // `expecting` fixes the error text for a value that is not a map.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct PlannerWays")]
 pub struct PlannerModes {
     /// Packing of short requests.
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     engine_place, ids,
-    planner::{engine_limits, engine_work, ways},
+    planner::{engine_limits, engine_work, modes},
     route_table, units,
 };
 
@@ -44,7 +44,7 @@
 pub(crate) struct PlaceTable {
     /// Performance model of the engines.
     pub(crate) shape: route_table::EngineShape,
-    engine_faults: ways::EngineFaultMode,
+    engine_faults: modes::EngineFaultMode,
     /// Estimated state of each engine. Invariant: reflects exactly the placements in `jobs`.
     engines: collections::BTreeMap<ids::UpstreamId, engine_work::EngineWork>,
     jobs: collections::HashMap<engine_place::JobId, JobState>,
@@ -62,7 +62,7 @@
     /// Creates a table without engines.
     pub(crate) fn new(
         shape: route_table::EngineShape,
-        engine_faults: ways::EngineFaultMode,
+        engine_faults: modes::EngineFaultMode,
     ) -> Self {
         Self {
             shape,
@@ -152,7 +152,7 @@
             engine_place::PlaceEnd::Full => {
                 let engine = self.engines.get_mut(&state.lease.grant.engine);
                 if let Some(engine) =
-                    engine.filter(|_| self.engine_faults == ways::EngineFaultMode::Probe)
+                    engine.filter(|_| self.engine_faults == modes::EngineFaultMode::Probe)
                 {
                     engine.note_refusal(now);
                 }
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::planner::{
     PlacementPlanner, PlannerOptions,
-    ways::{PlannerModes, ReportMode},
+    modes::{PlannerModes, ReportMode},
 };
 use support::{at, engine, shape, short};
 
@@ -14,8 +14,9 @@
 const ROUND_MS: u64 = 2_000;
 
 fn planner(engines: usize, reports: ReportMode) -> PlacementPlanner {
-    let ways = PlannerModes { reports, ..Default::default() };
-    let mut planner = PlacementPlanner::new(shape(), PlannerOptions { ways, ..Default::default() });
+    let modes = PlannerModes { reports, ..Default::default() };
+    let mut planner =
+        PlacementPlanner::new(shape(), PlannerOptions { modes, ..Default::default() });
     let ranked: Vec<_> = (0..engines).map(engine).zip(0..).collect();
     planner.set_engines(at(0), &ranked);
     planner
--- a/crates/core/tests/fleet_budget.rs
+++ b/crates/core/tests/fleet_budget.rs
@@ -4,7 +4,7 @@
 
 use slipturn_core::{
     fleet_budget::{RetryBound, RetryShare},
-    planner::ways::RetryOrderMode,
+    planner::modes::RetryOrderMode,
     quota_ledger::QuotaLedger,
     quota_permit::{PermitRequest, PermitResponse},
     retry_need::RetryNeed,
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -7,14 +7,14 @@
     ids,
     planner::{
         PlacementPlanner, PlannerOptions,
-        ways::{EngineFaultMode, PackingMode, PlannerModes, ShortRefusalMode},
+        modes::{EngineFaultMode, PackingMode, PlannerModes, ShortRefusalMode},
     },
     settings::RoutingKind,
 };
 use support::{SLOTS, at, engine, long, shape, short};
 
-fn planner(engines: usize, ways: PlannerModes) -> PlacementPlanner {
-    let options = PlannerOptions { routing: RoutingKind::ExpectedStart, ways };
+fn planner(engines: usize, modes: PlannerModes) -> PlacementPlanner {
+    let options = PlannerOptions { routing: RoutingKind::ExpectedStart, modes };
     let mut planner = PlacementPlanner::new(shape(), options);
     set_engines(&mut planner, 0, &(0..engines).map(engine).collect::<Vec<_>>());
     planner
@@ -35,8 +35,8 @@
 /// Sends a prompt every 20 ms to two engines: the first engine ends each prompt at once with `end`, the other one answers
 /// within about 250 ms. Returns the number of prompts that the first engine got.
 fn prompts_to_faulty(way: EngineFaultMode, end: PlaceEnd, prompts: u64) -> usize {
-    let ways = PlannerModes { engine_faults: way, ..Default::default() };
-    let mut planner = planner(2, ways);
+    let modes = PlannerModes { engine_faults: way, ..Default::default() };
+    let mut planner = planner(2, modes);
     let mut count = 0;
     for number in 0..prompts {
         let now = number * 20;
@@ -118,8 +118,8 @@
 fn packing_fills_an_engine_up_to_two_beyond_its_target() {
     // The largest number of prompts on one engine with 8 slots, when 8 prompts arrive slowly.
     let fullest = |packing| {
-        let ways = PlannerModes { packing, ..Default::default() };
-        let options = PlannerOptions { routing: RoutingKind::ExpectedStart, ways };
+        let modes = PlannerModes { packing, ..Default::default() };
+        let options = PlannerOptions { routing: RoutingKind::ExpectedStart, modes };
         let small = slipturn_core::route_table::EngineShape { slots: 8, ..shape() };
         let mut planner = PlacementPlanner::new(small, options);
         set_engines(&mut planner, 0, &(0..4).map(engine).collect::<Vec<_>>());
--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -2,7 +2,7 @@
 
 use std::{rc, time};
 
-use slipturn_core::{engine_place, planner::ways, send_gate};
+use slipturn_core::{engine_place, planner::modes, send_gate};
 
 use crate::{context, incoming_call, plan_client};
 
@@ -26,7 +26,7 @@
         let spent = context.now().since(asked);
         let mut ask =
             engine_place::PlacementRequest { job: context.next_job(), ..ask.after(spent) };
-        if context.settings().experiments.closed_engines == ways::ClosedEngineMode::Asked {
+        if context.settings().experiments.closed_engines == modes::ClosedEngineMode::Asked {
             ask.excluded.extend(context.closed_engines(&planner, probe_permission));
         }
         if !refused.is_empty() && ask.goal_left_ms == 0 {
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -147,7 +147,7 @@
         let own = parts.settings.name.clone();
         let options = planner::PlannerOptions {
             routing: parts.settings.routing,
-            ways: parts.settings.experiments,
+            modes: parts.settings.experiments,
         };
         let members = membership::MemberView::new(own.clone(), seeds);
         let place = rendezvous::stable_hash(&[own.as_str()]);
--- a/crates/instance/src/instance_settings.rs
+++ b/crates/instance/src/instance_settings.rs
@@ -117,7 +117,7 @@
     pub routing: settings::RoutingKind,
     /// Variants of decision rules; values other than the defaults serve for comparisons.
     #[serde(default)]
-    pub experiments: planner::ways::PlannerModes,
+    pub experiments: planner::modes::PlannerModes,
     /// CPU share of the instance, in cores.
     pub cpu_share: f64,
     /// Limits for the whole fleet.
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -4,7 +4,7 @@
 
 use rand::seq::IndexedRandom as _;
 use slipturn_core::{
-    connection_silence, ids, planner::ways, rendezvous, route_table, units, upstream_health,
+    connection_silence, ids, planner::modes, rendezvous, route_table, units, upstream_health,
     upstream_list,
 };
 
@@ -33,7 +33,7 @@
 /// Load, health and answer times of upstreams as known to this process.
 #[derive(Debug, Default)]
 pub struct UpstreamLoads {
-    way: ways::LoadChoiceMode,
+    way: modes::LoadChoiceMode,
     /// Name of this instance.
     own: String,
     states: collections::HashMap<ids::UpstreamId, LoadState>,
@@ -43,7 +43,7 @@
 
 impl UpstreamLoads {
     /// Creates an empty state for the instance named `own`.
-    pub fn new(way: ways::LoadChoiceMode, own: &str) -> Self {
+    pub fn new(way: modes::LoadChoiceMode, own: &str) -> Self {
         Self { way, own: own.to_owned(), ..Self::default() }
     }
 
@@ -87,14 +87,14 @@
             return Some(limited);
         }
         match self.way {
-            ways::LoadChoiceMode::First => Some(first),
+            modes::LoadChoiceMode::First => Some(first),
             // To instances with few calls in progress all upstreams look alike, so a fixed order
             // would send the calls of all instances to the same one.
-            ways::LoadChoiceMode::Random => {
+            modes::LoadChoiceMode::Random => {
                 equal.collect::<Vec<_>>().choose(&mut rand::rng()).copied()
             }
-            ways::LoadChoiceMode::OwnOrder => equal.max_by_key(|entry| self.own_rank(entry)),
-            ways::LoadChoiceMode::TwoChoices => {
+            modes::LoadChoiceMode::OwnOrder => equal.max_by_key(|entry| self.own_rank(entry)),
+            modes::LoadChoiceMode::TwoChoices => {
                 let drawn: Vec<_> = costs.sample(&mut rand::rng(), 2).copied().collect();
                 least(&drawn).map(|(_, entry)| entry)
             }
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -2,7 +2,7 @@
 
 use std::{net, time};
 
-use slipturn_core::{ids, planner::ways, units, upstream_notice};
+use slipturn_core::{ids, planner::modes, units, upstream_notice};
 
 use crate::{adapter, context, limit_gossip, member_gossip, peer_message};
 
@@ -76,7 +76,7 @@
 
 /// Sends a member the leaving upstreams that the list does not name as leaving.
 pub(crate) fn send_leaving(context: &context::InstanceContext, to: net::SocketAddrV4) {
-    if context.settings().experiments.leaving_news == ways::LeavingNoticeMode::Heard {
+    if context.settings().experiments.leaving_news == modes::LeavingNoticeMode::Heard {
         return;
     }
     // Of other leaving upstreams members learn from the list.
@@ -93,7 +93,7 @@
     source: upstream_notice::NoticeSource,
 ) {
     let is_new = note_leaving(context, upstream, source, time::Duration::ZERO);
-    if !is_new || context.settings().experiments.leaving_news == ways::LeavingNoticeMode::Heard {
+    if !is_new || context.settings().experiments.leaving_news == modes::LeavingNoticeMode::Heard {
         return;
     }
     let report = peer_message::LeavingReport { upstream: upstream.clone(), age_ms: 0 };
--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -12,7 +12,7 @@
     ids,
     planner::{
         PlacementPlanner, PlannerOptions,
-        ways::{ClosedEngineMode, PlannerModes},
+        modes::{ClosedEngineMode, PlannerModes},
     },
     route_table,
     send_gate::{ProbePermission, SendKind},
@@ -80,7 +80,7 @@
         report_lag_ms: 200.0,
     };
     let options =
-        PlannerOptions { routing: RoutingKind::ExpectedStart, ways: PlannerModes::default() };
+        PlannerOptions { routing: RoutingKind::ExpectedStart, modes: PlannerModes::default() };
     let mut planner = PlacementPlanner::new(shape, options);
     let ranked: Vec<_> = (0..ENGINES).map(engine).zip(0..).collect();
     planner.set_engines(at(0), &ranked);
--- a/crates/instance/tests/upstream_shares.rs
+++ b/crates/instance/tests/upstream_shares.rs
@@ -8,7 +8,7 @@
 
 use rand::{RngExt as _, SeedableRng as _};
 use slipturn_core::{
-    fleet_list::ListState, planner::ways::LoadChoiceMode, units, upstream_health::CallResult,
+    fleet_list::ListState, planner::modes::LoadChoiceMode, units, upstream_health::CallResult,
     upstream_list::UpstreamEntry,
 };
 use slipturn_instance::upstream_load::UpstreamLoads;
