--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -155,7 +155,8 @@
     /// Parses a request's head.
     fn parse_request(&self, head: &http::request::Parts) -> Result<CallerRequest, FormatError>;
     /// Returns the headers of an answer that the instance generates itself.
-    fn answer_headers(&self, request: &str, back_after: Option<time::Duration>) -> http::HeaderMap;
+    fn answer_headers(&self, request: &str, retry_after: Option<time::Duration>)
+    -> http::HeaderMap;
     /// Returns whether a path on the health address is the readiness check.
     fn is_readiness(&self, path: &str) -> bool;
 }
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -59,12 +59,12 @@
     pub fn timeout_refusal(
         &self,
         limit: time::Duration,
-        back_after: time::Duration,
+        retry_after: time::Duration,
     ) -> refusal::RequestRefusal {
         if self.may_have_run.get() == 0 {
             let code = refusal::RefusalCode::NoUpstream;
             let text = format!("no upstream took it within {limit:?}");
-            return refusal::RequestRefusal::not_run(code, text).retry_after(back_after);
+            return refusal::RequestRefusal::not_run(code, text).retry_after(retry_after);
         }
         let text = format!("not finished within {limit:?}");
         refusal::RequestRefusal::not_run(refusal::RefusalCode::TimedOut, text)
@@ -108,8 +108,8 @@
         let refusal = refusal::RequestRefusal::not_run(refusal::RefusalCode::NotReady, text);
         let max_wait = request.ok().and_then(|request| request.max_wait);
         let away = arrived.since(units::MonoTime::default());
-        let back_after = refusal::outage_retry_after(away, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
-        return Err(refusal.retry_after(back_after));
+        let retry_after = refusal::outage_retry_after(away, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
+        return Err(refusal.retry_after(retry_after));
     }
     let host = host_of(&head);
     let Some(route) = fleet.routes.route(&host, head.uri.path()) else {
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -17,7 +17,7 @@
 /// Maximum number of places tried, including those whose engine never received the request.
 const MAX_TRIES: u32 = 5;
 /// Default retry delay of a refusal.
-const BACK_AFTER: time::Duration = time::Duration::from_millis(400);
+const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(400);
 /// Maximum time from the head to the first event for which the load in the head is passed to the
 /// planner; a short answer takes a few seconds.
 const LOAD_AGE: time::Duration = time::Duration::from_millis(100);
@@ -60,7 +60,7 @@
         Err(_) if forward_failure(reply, record, &mut state).await? => {
             return Ok(caller_connection::ConnectionNext::Keep);
         }
-        Err(_) => call.timeout_refusal(left, BACK_AFTER),
+        Err(_) => call.timeout_refusal(left, DEFAULT_RETRY_AFTER),
     };
     record.outcome = format!("{} (ran: {})", refusal.message, refusal.ran.label());
     if state.begun {
@@ -81,7 +81,7 @@
     record: &mut request_record::RequestRecord,
     state: &mut stream_state::StreamState,
 ) -> Result<Option<refusal::RequestRefusal>, h1::MessageError> {
-    let mut back_after = None;
+    let mut retry_after = None;
     let mut text = format!("service '{}' has no engine free", call.service);
     for _ in 0..MAX_TRIES {
         if state.sent >= call.route.max_attempts {
@@ -103,7 +103,7 @@
             AttemptEnd::Refused(refused) => {
                 text = refused.to_string();
                 let back = time::Duration::from_millis(u64::from(refused.back_after_ms));
-                back_after = Some(refusal::spread_retry(back, &mut rand::rng()));
+                retry_after = Some(refusal::spread_retry(back, &mut rand::rng()));
                 break;
             }
             AttemptEnd::Failure(head, body) => {
@@ -138,23 +138,23 @@
     }
     // The planner's delay is preferred to one computed from limits, as the planner knows better when
     // the limits of its engines admit the next request.
-    let planned = back_after.is_some();
+    let planned = retry_after.is_some();
     let unavailable =
         no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()));
     if let Some(unavailable) =
         unavailable.filter(|unavailable| unavailable.is_backoff() || !planned)
     {
         text = unavailable.to_string();
-        back_after = Some(unavailable.back_after());
+        retry_after = Some(unavailable.retry_after());
     }
     let ran = state.ran.unwrap_or(refusal::RanState::No);
     let code = match ran {
         refusal::RanState::No => refusal::RefusalCode::Overloaded,
         _ => refusal::RefusalCode::UpstreamFailed,
     };
-    let spread = || refusal::spread_retry(BACK_AFTER, &mut rand::rng());
-    let back_after = back_after.unwrap_or_else(spread);
-    Ok(Some(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after)))
+    let spread = || refusal::spread_retry(DEFAULT_RETRY_AFTER, &mut rand::rng());
+    let retry_after = retry_after.unwrap_or_else(spread);
+    Ok(Some(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(retry_after)))
 }
 
 /// Forwards the failure answer of an engine if there is one and nothing was sent to the caller;
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -23,14 +23,14 @@
         /// The service.
         service: ids::ServiceId,
         /// Retry delay for the caller.
-        back_after: time::Duration,
+        retry_after: time::Duration,
     },
     /// All usable upstreams have a limit.
     Limited {
         /// The service.
         service: ids::ServiceId,
         /// Retry delay for the caller.
-        back_after: time::Duration,
+        retry_after: time::Duration,
     },
 }
 
@@ -41,13 +41,13 @@
     }
 
     /// Returns the retry delay for the caller; a random part spreads the retries after a backoff.
-    pub(crate) fn back_after(&self) -> time::Duration {
+    pub(crate) fn retry_after(&self) -> time::Duration {
         match self {
             Self::Backoff { first, now, .. } => {
                 let (left, lasted) = (first.until.since(*now), first.lasts());
                 refusal::backoff_retry_after(left, lasted, &mut rand::rng())
             }
-            Self::Evacuated { back_after, .. } | Self::Limited { back_after, .. } => *back_after,
+            Self::Evacuated { retry_after, .. } | Self::Limited { retry_after, .. } => *retry_after,
         }
     }
 }
@@ -87,15 +87,15 @@
             return Some(NoUpstreamReason::Backoff { service, first, now });
         }
         let away = fleet.list.evacuated_for(now, &service)?;
-        let back_after = refusal::outage_retry_after(away, left);
-        return Some(NoUpstreamReason::Evacuated { service, back_after });
+        let retry_after = refusal::outage_retry_after(away, left);
+        return Some(NoUpstreamReason::Evacuated { service, retry_after });
     }
     let limits = open.iter().map(|entry| fleet.list.limit(&entry.name)?.reading.rate);
     let rates = limits.collect::<Option<Vec<_>>>()?;
     // Each member receives its share of the retries.
     let rate: f64 = rates.into_iter().map(units::RequestRate::per_second).sum();
     let share = rate / context.members.borrow().size() as f64;
-    let mut returns = context.quotas.returns.borrow_mut();
-    let back_after = returns.entry(service.clone()).or_default().next(now, share);
-    Some(NoUpstreamReason::Limited { service: service.clone(), back_after })
+    let mut retry_schedules = context.quotas.retry_schedules.borrow_mut();
+    let retry_after = retry_schedules.entry(service.clone()).or_default().next(now, share);
+    Some(NoUpstreamReason::Limited { service: service.clone(), retry_after })
 }
--- a/crates/instance/src/quarantine_gate.rs
+++ b/crates/instance/src/quarantine_gate.rs
@@ -99,7 +99,7 @@
         let code = refusal::RefusalCode::UpstreamFailed;
         return refusal::RequestRefusal::not_run(code, text).ran(refusal::RanState::Unknown);
     }
-    let back_after = verdict.until.since(context.now());
+    let retry_after = verdict.until.since(context.now());
     refusal::RequestRefusal::not_run(refusal::RefusalCode::Quarantined, text)
-        .retry_after(back_after)
+        .retry_after(retry_after)
 }
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -33,7 +33,7 @@
     /// Pending requests for permits.
     pub(crate) pending: permit_request::PendingRequests,
     /// Retry-After times by service.
-    pub(crate) returns:
+    pub(crate) retry_schedules:
         cell::RefCell<collections::HashMap<ids::ServiceId, retry_schedule::RetrySchedule>>,
     /// When changes of limits were last logged.
     pub(crate) limit_log: cell::RefCell<limit_gossip::LimitLog>,
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -22,7 +22,7 @@
 /// Maximum number of upstreams tried, including those that never received the call.
 const MAX_TRIES: u32 = 5;
 /// Default retry delay of a refusal.
-const BACK_AFTER: time::Duration = time::Duration::from_millis(250);
+const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(250);
 
 /// Result of a call.
 enum CallEnd<'a> {
@@ -46,7 +46,7 @@
         Ok(end) => end,
         Err(_) => match fallback {
             Some((head, body)) => CallEnd::Answer(head, body),
-            None => CallEnd::Refused(call.timeout_refusal(left, BACK_AFTER)),
+            None => CallEnd::Refused(call.timeout_refusal(left, DEFAULT_RETRY_AFTER)),
         },
     };
     record.first_ms = Some(context.now().since(call.arrived).as_millis() as u64);
@@ -188,14 +188,14 @@
         refusal::RanState::No => refusal::RefusalCode::NoUpstream,
         _ => refusal::RefusalCode::UpstreamFailed,
     };
-    let mut back_after = BACK_AFTER;
+    let mut retry_after = DEFAULT_RETRY_AFTER;
     if let Some(reason) = unavailable.or_else(|| {
         no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()))
     }) {
         text = reason.to_string();
-        back_after = reason.back_after();
+        retry_after = reason.retry_after();
     }
-    CallEnd::Refused(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after))
+    CallEnd::Refused(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(retry_after))
 }
 
 /// The answer of an upstream.
