--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -82,7 +82,7 @@
     /// Whether the upstream announces that it is shutting down.
     pub leaving: bool,
     /// For how long the upstream asks to receive no requests; an error if the value is invalid.
-    pub rest: Option<Result<time::Duration, FormatError>>,
+    pub backoff: Option<Result<time::Duration, FormatError>>,
     /// Rate of requests that the upstream accepts from all instances together; an error if the value
     /// is invalid.
     pub limit: Option<Result<units::RequestRate, FormatError>>,
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -30,8 +30,8 @@
     limit_gossip::receive(context, upstream, answer, origin);
     let refusals = [http::StatusCode::SERVICE_UNAVAILABLE, http::StatusCode::TOO_MANY_REQUESTS];
     if refusals.contains(&status) {
-        if let Some(rest) = &answer.rest {
-            receive_backoff(context, upstream, rest);
+        if let Some(backoff) = &answer.backoff {
+            receive_backoff(context, upstream, backoff);
         }
     } else if source == upstream_notice::NoticeSource::Answer {
         receive_accepted(context, upstream);
@@ -46,7 +46,8 @@
     origin: SignalOrigin,
 ) {
     let answer = adapter::UpstreamAdapter::parse_answer(&*context.adapter, head);
-    if answer.misdirected || !(answer.leaving || answer.rest.is_some() || answer.limit.is_some()) {
+    if answer.misdirected || !(answer.leaving || answer.backoff.is_some() || answer.limit.is_some())
+    {
         return;
     }
     let name = context.fleet.borrow().list.name_at(address).cloned();
@@ -133,10 +134,10 @@
 fn receive_backoff(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
-    rest: &Result<time::Duration, adapter::FormatError>,
+    backoff: &Result<time::Duration, adapter::FormatError>,
 ) {
-    let asked = match rest {
-        Ok(asked) => *asked,
+    let requested = match backoff {
+        Ok(requested) => *requested,
         Err(error) => {
             log::info!(upstream:%, error:%; "upstream.rest_unreadable");
             context.stats.borrow_mut().count("upstream_rests", "unreadable");
@@ -145,10 +146,10 @@
     };
     let change = {
         let mut fleet = context.fleet.borrow_mut();
-        fleet.list.notices_mut().receive_backoff(context.now(), upstream, asked)
+        fleet.list.notices_mut().receive_backoff(context.now(), upstream, requested)
     };
-    let asked_ms = units::whole_millis(asked);
-    let for_ms = units::whole_millis(asked.min(upstream_notice::MAX_ACCEPTED_BACKOFF));
+    let asked_ms = units::whole_millis(requested);
+    let for_ms = units::whole_millis(requested.min(upstream_notice::MAX_ACCEPTED_BACKOFF));
     match change {
         upstream_notice::BackoffChange::Known => return,
         upstream_notice::BackoffChange::Begun => {
