--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -22,8 +22,8 @@
 /// Most limits in one message; each takes some 45 bytes.
 pub const MAX_LIMITS: usize = 200;
 
-/// Most [`EndReport`]s in one message; each takes some 60 bytes.
-pub const MAX_ENDS: usize = 200;
+/// Most [`CrashReport`]s in one message; each takes some 60 bytes.
+pub const MAX_CRASH_REPORTS: usize = 200;
 
 /// A message between two instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -53,9 +53,9 @@
     /// An upstream has gone from its address: another one answered there.
     Gone(ids::UpstreamId),
     /// Runs during which their upstream ended, for a member that keeps the evidence against the requests.
-    Ends(Vec<EndReport>),
+    Ends(Vec<CrashReport>),
     /// Evidence against quarantined requests, for all members.
-    Held(Vec<EndReport>),
+    Held(Vec<CrashReport>),
     /// Clears a request of the evidence against it: it was answered completely that many microseconds ago, or an operator
     /// has released it.
     Cleared(request_digest::RequestDigest, u64),
@@ -117,7 +117,7 @@
 /// A run during which its upstream ended. Times are given as ages, as members' clocks differ; those of one message are
 /// relative to the same moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndReport {
+pub struct CrashReport {
     /// Digest of the request.
     pub digest: request_digest::RequestDigest,
     /// The start of the upstream.
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -40,7 +40,7 @@
 /// Handles evidence that this member is to keep.
 pub(crate) fn receive_crashes(
     context: &context::InstanceContext,
-    reports: Vec<peer_message::EndReport>,
+    reports: Vec<peer_message::CrashReport>,
 ) {
     record_evidence(context, ended_runs(context.now(), reports));
 }
@@ -49,7 +49,7 @@
 pub(crate) fn receive_quarantine(
     context: &context::InstanceContext,
     from: net::SocketAddrV4,
-    reports: Vec<peer_message::EndReport>,
+    reports: Vec<peer_message::CrashReport>,
 ) {
     let now = context.now();
     let crashes = ended_runs(now, reports);
@@ -189,24 +189,24 @@
 fn report_batches(
     now: units::MonoTime,
     crashes: &[quarantine::CrashedRun],
-) -> Vec<Vec<peer_message::EndReport>> {
-    let report = |crash: &quarantine::CrashedRun| peer_message::EndReport {
+) -> Vec<Vec<peer_message::CrashReport>> {
+    let report = |crash: &quarantine::CrashedRun| peer_message::CrashReport {
         digest: crash.digest,
         upstream: crash.upstream.clone(),
         sent_us: micros(now.since(crash.sent)),
         ended_us: micros(now.since(crash.ended)),
     };
     let message = |crashes: &[quarantine::CrashedRun]| crashes.iter().map(report).collect();
-    crashes.chunks(peer_message::MAX_ENDS).map(message).collect()
+    crashes.chunks(peer_message::MAX_CRASH_REPORTS).map(message).collect()
 }
 
 /// Converts reports to runs with times of this process's clock; times before its start become its start.
 fn ended_runs(
     now: units::MonoTime,
-    reports: Vec<peer_message::EndReport>,
+    reports: Vec<peer_message::CrashReport>,
 ) -> Vec<quarantine::CrashedRun> {
     let ago = |micros: u64| now.earlier_by(time::Duration::from_micros(micros));
-    let run = |report: peer_message::EndReport| quarantine::CrashedRun {
+    let run = |report: peer_message::CrashReport| quarantine::CrashedRun {
         digest: report.digest,
         upstream: report.upstream,
         sent: ago(report.sent_us.max(report.ended_us)),
