--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -96,7 +96,7 @@
     context: &context::InstanceContext,
     hold: &mut plan_client::PlaceHold,
     times: &upstream_pool::ConnectionTimes,
-    moment: connection_silence::SilencePhase,
+    phase: connection_silence::SilencePhase,
     since: units::MonoTime,
     fault: silence_watch::WaitFault,
 ) -> String {
@@ -106,6 +106,6 @@
     hold.end = engine_place::PlaceEnd::Silent;
     let waited = context.now().since(since);
     let upstream = &hold.grant.engine;
-    let wait = upstream_silence::SilentWait { upstream, times, moment, waited };
+    let wait = upstream_silence::SilentWait { upstream, times, phase, waited };
     format!("{silence}: {}", upstream_silence::note(context, &wait).label())
 }
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -289,8 +289,8 @@
         Ok(answered) => answered,
         Err(fault) => {
             state.sent += 1;
-            let moment = connection_silence::SilencePhase::Head;
-            let text = engine_fault::record_silence(context, hold, &times, moment, begun_at, fault);
+            let phase = connection_silence::SilencePhase::Head;
+            let text = engine_fault::record_silence(context, hold, &times, phase, begun_at, fault);
             return Ok(broken(state, text));
         }
     };
@@ -344,9 +344,9 @@
                 return Ok(broken(state, error));
             }
             Err(fault) => {
-                let moment = connection_silence::SilencePhase::MidAnswer;
+                let phase = connection_silence::SilencePhase::MidAnswer;
                 let text =
-                    engine_fault::record_silence(context, hold, &times, moment, asked_at, fault);
+                    engine_fault::record_silence(context, hold, &times, phase, asked_at, fault);
                 return Ok(broken(state, text));
             }
         };
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -112,7 +112,7 @@
     let wait = if stream_policy::likely_retried(call) {
         goal * RETRIED_GOAL_FACTOR
     } else {
-        goal.saturating_sub(context.loads.borrow().usual(&call.route))
+        goal.saturating_sub(context.loads.borrow().usual_time(&call.route))
     };
     wait.saturating_sub(now.since(call.arrived)).min(call.left(now).mul_f64(MAX_WAIT_FRACTION))
 }
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -264,7 +264,7 @@
         upstream_attempt::HeadWait {
             reused,
             longest: silence_limit,
-            usual: loads.usual(&call.route),
+            usual_time: loads.usual_time(&call.route),
         }
     };
     let run = upstream_ends::RunGuard::begin(context, call, &entry.name, entry.address);
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -121,10 +121,10 @@
             let piece = match monoio::time::timeout(silence, next.as_mut()).await {
                 Ok(piece) => piece,
                 Err(_) if give_up(RetryReach::OtherUpstream).await => {
-                    let moment = connection_silence::SilencePhase::MidAnswer;
+                    let phase = connection_silence::SilencePhase::MidAnswer;
                     let times = &self.connection.times;
                     let waited = silence;
-                    let wait = upstream_silence::SilentWait { upstream, times, moment, waited };
+                    let wait = upstream_silence::SilentWait { upstream, times, phase, waited };
                     let cause = upstream_silence::note(context, &wait).label();
                     return Err(AttemptFault::broke(format!("silent for {silence:?}: {cause}")));
                 }
@@ -175,7 +175,7 @@
     /// Limit on any connection.
     pub longest: time::Duration,
     /// Usual time of an answer; with less time than that left, a retry over a new connection is useless.
-    pub usual: time::Duration,
+    pub usual_time: time::Duration,
 }
 
 /// Returns a connection for a request: a pooled one only if another attempt may follow.
@@ -225,9 +225,9 @@
     if used && let Ok(answered) = monoio::time::timeout(wait.reused, work.as_mut()).await {
         return answered;
     }
-    let moment = connection_silence::SilencePhase::Head;
-    let is_doubted = used && context.pool.cause(&times, moment, wait.reused).may_affect_others();
-    let in_time = call.left(context.now()) >= wait.usual;
+    let phase = connection_silence::SilencePhase::Head;
+    let is_doubted = used && context.pool.cause(&times, phase, wait.reused).may_affect_others();
+    let in_time = call.left(context.now()) >= wait.usual_time;
     let reused_silent = is_doubted && in_time && give_up(RetryReach::AnyUpstream).await;
     if !reused_silent {
         let left = wait.longest.saturating_sub(started.elapsed());
@@ -240,7 +240,7 @@
     }
     let waited = started.elapsed();
     let upstream = &target.upstream;
-    let silent = upstream_silence::SilentWait { upstream, times: &times, moment, waited };
+    let silent = upstream_silence::SilentWait { upstream, times: &times, phase, waited };
     let cause = upstream_silence::note(context, &silent).label();
     let fault = AttemptFault::broke(format!("no answer within {waited:?}: {cause}"));
     Err(AttemptFault { reused_silent, ..fault })
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -143,7 +143,7 @@
     }
 
     /// Returns the time within which answers of a route usually arrive; zero while too few are known.
-    pub fn usual(&self, route: &route_table::RoutePolicy) -> time::Duration {
+    pub fn usual_time(&self, route: &route_table::RoutePolicy) -> time::Duration {
         self.times.get(&route.name).copied().unwrap_or_default().usual_time()
     }
 
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -216,13 +216,13 @@
     pub fn cause(
         &self,
         silent: &ConnectionTimes,
-        moment: connection_silence::SilencePhase,
+        phase: connection_silence::SilencePhase,
         waited: time::Duration,
     ) -> connection_silence::SilenceCause {
         let connection_times = self.connection_times.borrow();
         let same = connection_times.get(&silent.address).into_iter().flatten();
         let others = ages_of_others(silent, same);
-        connection_silence::SilenceCause::of(silent.ages(), moment, waited, others)
+        connection_silence::SilenceCause::of(silent.ages(), phase, waited, others)
     }
 
     /// Closes idle connections that may have died along with a silent one; returns their number.
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -17,7 +17,7 @@
     /// The connection.
     pub times: &'a upstream_pool::ConnectionTimes,
     /// The part of the answer that was awaited.
-    pub moment: connection_silence::SilencePhase,
+    pub phase: connection_silence::SilencePhase,
     /// Duration of the wait.
     pub waited: time::Duration,
 }
@@ -35,7 +35,7 @@
     context: &context::InstanceContext,
     wait: &SilentWait<'_>,
 ) -> connection_silence::SilenceCause {
-    let cause = context.pool.cause(wait.times, wait.moment, wait.waited);
+    let cause = context.pool.cause(wait.times, wait.phase, wait.waited);
     context.stats.borrow_mut().count("silent", cause.label());
     let is_doubted = cause.may_affect_others();
     let dropped =
