--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -12,7 +12,7 @@
 pub(crate) async fn place(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
-    ask: engine_place::PlacementRequest,
+    request: engine_place::PlacementRequest,
     probe_permission: send_gate::ProbePermission,
     limit: time::Duration,
 ) -> plan_client::PlaceOutcome {
@@ -24,16 +24,16 @@
         && let Some(planner) = context.pick_planner(&call.service, probe_permission, &refused)
     {
         let spent = context.now().since(asked);
-        let mut ask =
-            engine_place::PlacementRequest { job: context.next_job(), ..ask.after(spent) };
+        let mut request =
+            engine_place::PlacementRequest { job: context.next_job(), ..request.after(spent) };
         if context.settings().experiments.closed_engines == ways::ClosedEngineWay::Asked {
-            ask.excluded.extend(context.closed_engines(&planner, probe_permission));
+            request.excluded.extend(context.closed_engines(&planner, probe_permission));
         }
-        if !refused.is_empty() && ask.goal_left_ms == 0 {
+        if !refused.is_empty() && request.goal_left_ms == 0 {
             // The request used up its goal in earlier cells; another one would delay the caller further.
             break;
         }
-        match plan_client::place(context, &planner, ask, limit.saturating_sub(spent)).await {
+        match plan_client::place(context, &planner, request, limit.saturating_sub(spent)).await {
             plan_client::PlaceOutcome::Refused(refusal) => {
                 refused.push(planner.cell);
                 best = Some(match best.take() {
--- a/crates/instance/src/lease_renewal.rs
+++ b/crates/instance/src/lease_renewal.rs
@@ -27,7 +27,7 @@
     let mut unknown = Vec::new();
     for job in jobs {
         let id = engine_place::JobId { boot, sequence: job.sequence };
-        if !planner.renew(now, id, job.reading) {
+        if !planner.renew(now, id, job.prefilling) {
             unknown.push(job.sequence);
         }
     }
@@ -108,8 +108,8 @@
         let mut by_key: collections::BTreeMap<planner_key::PlannerKey, Vec<_>> =
             collections::BTreeMap::new();
         for (job, held) in context.leases.borrow().iter() {
-            let reading = held.lease.prefilling;
-            let renewed = peer_message::RenewedJob { sequence: job.sequence, reading };
+            let prefilling = held.lease.prefilling;
+            let renewed = peer_message::RenewedJob { sequence: job.sequence, prefilling };
             by_key.entry(held.key.clone()).or_default().push(renewed);
         }
         for (key, jobs) in by_key {
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -188,15 +188,16 @@
     let since = state.last_at.unwrap_or(call.arrived);
     let limit = stream_policy::max_event_wait(call).saturating_sub(context.now().since(since));
     let limit = limit.max(context::MIN_PLACE_TIME).min(call.left(context.now()));
-    let progress = stream_policy::AskProgress {
+    let progress = stream_policy::RequestProgress {
         begun: state.begun,
         sent: state.sent > 0,
         suspect: quarantine_gate::is_suspect(context, call),
         excluded: &state.excluded,
     };
-    let ask = stream_policy::ask(context, call, &progress);
+    let request = stream_policy::placement_request(context, call, &progress);
     let mut hold =
-        match cell_search::place(context, call, ask, state.probe_permission(call), limit).await {
+        match cell_search::place(context, call, request, state.probe_permission(call), limit).await
+        {
             plan_client::PlaceOutcome::Placed(hold) => hold,
             plan_client::PlaceOutcome::Refused(refusal) => return Ok(AttemptEnd::Refused(refusal)),
             plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -100,7 +100,8 @@
     /// The quota.
     pub subject: quota_permit::QuotaSubject,
     /// Number of permits, and how long the member can wait for them.
-    pub ask: quota_permit::PermitRequest,
+    #[serde(rename = "ask")]
+    pub request: quota_permit::PermitRequest,
     /// The upstream's limit as the member knows it; the coordinator may have missed it.
     pub known: Option<LimitReport>,
 }
@@ -134,7 +135,8 @@
     /// Sequence number of the attempt at its member.
     pub sequence: u64,
     /// Whether the engine is still reading the prompt.
-    pub reading: bool,
+    #[serde(rename = "reading")]
+    pub prefilling: bool,
 }
 
 /// Message to a request of this process that waits for a place.
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -85,13 +85,13 @@
             let heartbeat = context.next_heartbeat();
             context.send_to(from, PeerMessage::Beat(Box::new(heartbeat)));
         }
-        PeerMessage::Ask(key, ask) => {
-            let job = ask.job;
-            let origin = planner_set::AskOrigin::Member(from);
+        PeerMessage::Ask(key, request) => {
+            let job = request.job;
+            let origin = planner_set::PlacementOrigin::Member(from);
             let mut planners = context.planners.borrow_mut();
             planners.sync(now, &context.fleet.borrow());
             lease_renewal::begin_if_idle(context, &mut planners, now, &key);
-            let reply = match planners.ask(now, &key, *ask, origin) {
+            let reply = match planners.request(now, &key, *request, origin) {
                 Some(answer) => PeerMessage::Answer(Box::new(answer)),
                 None => PeerMessage::Queued(job),
             };
@@ -192,10 +192,10 @@
         for (origin, answer) in answers {
             let job = answer.job();
             match origin {
-                planner_set::AskOrigin::Local => {
+                planner_set::PlacementOrigin::Local => {
                     reply(&context, job, peer_message::PlanReply::Answer(Box::new(answer)));
                 }
-                planner_set::AskOrigin::Member(address) => {
+                planner_set::PlacementOrigin::Member(address) => {
                     context.send_to(address, peer_message::PeerMessage::Answer(Box::new(answer)));
                 }
             }
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -88,8 +88,8 @@
     let term = match step {
         permit_cache::PermitStep::Send(term) => term,
         permit_cache::PermitStep::Backoff(closed) => return Err(NoPermit(closed)),
-        permit_cache::PermitStep::Request(ask) => {
-            let Some(answer) = request_coordinator(context, subject, ask).await else {
+        permit_cache::PermitStep::Request(request) => {
+            let Some(answer) = request_coordinator(context, subject, request).await else {
                 let mut cache = context.quotas.cache.borrow_mut();
                 cache.note_silence(context.now(), subject, SILENCE_BACKOFF);
                 return Err(NoPermit(SILENCE_BACKOFF));
@@ -128,10 +128,10 @@
 async fn request_coordinator(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
-    ask: quota_permit::PermitRequest,
+    request: quota_permit::PermitRequest,
 ) -> Option<quota_permit::PermitResponse> {
     let Some(coordinator) = quota_coordinator::coordinator_of(context, subject) else {
-        return Some(quota_coordinator::answer(context, context.boot, subject, &ask));
+        return Some(quota_coordinator::answer(context, context.boot, subject, &request));
     };
     let known = match subject {
         quota_permit::QuotaSubject::Upstream(upstream) => limit_gossip::report(context, upstream),
@@ -139,9 +139,9 @@
     };
     let (number, reply) = context.quotas.pending.note(subject, context.now());
     let (subject, boot) = (subject.clone(), context.boot);
-    let request = peer_message::PermitRequestMessage { number, boot, subject, ask, known };
+    let message = peer_message::PermitRequestMessage { number, boot, subject, request, known };
     context
-        .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(request)));
+        .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(message)));
     match monoio::time::timeout(REPLY_TIMEOUT, reply).await {
         Ok(answer) => {
             context.members.borrow_mut().note_answered(context.now(), &coordinator.name);
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -98,14 +98,14 @@
 pub async fn place(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
-    mut ask: engine_place::PlacementRequest,
+    mut request: engine_place::PlacementRequest,
     limit: time::Duration,
 ) -> PlaceOutcome {
     let started = context.now();
     let (sender, mut replies) = mpsc::unbounded();
-    context.reply_senders.borrow_mut().insert(ask.job, sender);
-    let mut guard = WaitGuard { context, key, job: ask.job, granted: false };
-    let goal_left = ask.goal_left_ms;
+    context.reply_senders.borrow_mut().insert(request.job, sender);
+    let mut guard = WaitGuard { context, key, job: request.job, granted: false };
+    let goal_left = request.goal_left_ms;
     loop {
         let spent = context.now().since(started);
         let stopped = context.places_until.get().is_some_and(|until| context.now() >= until);
@@ -113,8 +113,8 @@
             return PlaceOutcome::TimedOut;
         }
         let spent_ms = u32::try_from(spent.as_millis()).unwrap_or(u32::MAX);
-        ask.goal_left_ms = goal_left.saturating_sub(spent_ms);
-        let step = ask_once(context, key, &ask, &mut replies);
+        request.goal_left_ms = goal_left.saturating_sub(spent_ms);
+        let step = request_once(context, key, &request, &mut replies);
         let Ok(answer) = monoio::time::timeout(limit - spent, step).await else {
             return PlaceOutcome::TimedOut;
         };
@@ -133,7 +133,7 @@
         let term = quota_permit::PermitTerm::of_answer(started, waited);
         let permit = |upstream| quota_permit::SendPermit { upstream, term };
         let permits = limited.into_iter().map(permit).collect();
-        let mut hold = record_lease(context, key, ask, grant);
+        let mut hold = record_lease(context, key, request, grant);
         hold.permits = permits;
         return PlaceOutcome::Placed(hold);
     }
@@ -162,19 +162,19 @@
 }
 
 /// Asks the current planner once; returns `None` if the request is to be repeated.
-async fn ask_once(
+async fn request_once(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
-    ask: &engine_place::PlacementRequest,
+    request: &engine_place::PlacementRequest,
     replies: &mut mpsc::UnboundedReceiver<peer_message::PlanReply>,
 ) -> Option<engine_place::PlaceAnswer> {
     let Some(member) = peers::planner_of(context, key) else {
-        return ask_local(context, key, ask, replies).await;
+        return request_local(context, key, request, replies).await;
     };
     if note_planner(context, key, &member.name) {
         lease_renewal::announce_leases(context, member.address, key);
     }
-    let message = peer_message::PeerMessage::Ask(key.clone(), Box::new(ask.clone()));
+    let message = peer_message::PeerMessage::Ask(key.clone(), Box::new(request.clone()));
     context.send_to(member.address, message);
     let mut reply_timeout = REPLY_TIMEOUT;
     loop {
@@ -212,13 +212,13 @@
 }
 
 /// Asks this process's own planner and waits up to [`LOCAL_REPEAT_INTERVAL`] if the request is queued.
-async fn ask_local(
+async fn request_local(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
-    ask: &engine_place::PlacementRequest,
+    request: &engine_place::PlacementRequest,
     replies: &mut mpsc::UnboundedReceiver<peer_message::PlanReply>,
 ) -> Option<engine_place::PlaceAnswer> {
-    let answer = ask_local_planner(context, key, ask, context.now());
+    let answer = request_local_planner(context, key, request, context.now());
     if answer.is_some() {
         return answer;
     }
@@ -232,14 +232,14 @@
     monoio::time::timeout(LOCAL_REPEAT_INTERVAL, waiting).await.ok()
 }
 
-fn ask_local_planner(
+fn request_local_planner(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
-    ask: &engine_place::PlacementRequest,
+    request: &engine_place::PlacementRequest,
     now: units::MonoTime,
 ) -> Option<engine_place::PlaceAnswer> {
     let mut planners = context.planners.borrow_mut();
     planners.sync(now, &context.fleet.borrow());
     lease_renewal::begin_if_idle(context, &mut planners, now, key);
-    planners.ask(now, key, ask.clone(), planner_set::AskOrigin::Local)
+    planners.request(now, key, request.clone(), planner_set::PlacementOrigin::Local)
 }
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -20,7 +20,7 @@
 
 /// Origin of a request for a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskOrigin {
+pub enum PlacementOrigin {
     /// A request of this process.
     Local,
     /// A request of the member with this address.
@@ -35,7 +35,7 @@
     options: planner::PlannerOptions,
     planners: collections::BTreeMap<planner_key::PlannerKey, planner::PlacementPlanner>,
     /// Origins of queued requests.
-    origins: collections::HashMap<engine_place::JobId, AskOrigin>,
+    origins: collections::HashMap<engine_place::JobId, PlacementOrigin>,
     /// Change count of the list and version of the routes at the last [`Self::sync`].
     synced: (u64, u64),
     /// When each planner was last asked for a place.
@@ -112,16 +112,16 @@
     }
 
     /// Asks for a place. If the request is queued, [`Self::tick`] returns the answer later.
-    pub fn ask(
+    pub fn request(
         &mut self,
         now: units::MonoTime,
         key: &planner_key::PlannerKey,
-        ask: engine_place::PlacementRequest,
-        origin: AskOrigin,
+        request: engine_place::PlacementRequest,
+        origin: PlacementOrigin,
     ) -> Option<engine_place::PlaceAnswer> {
         self.asked.insert(key.clone(), now);
-        let job = ask.job;
-        let answer = self.planners.get_mut(key)?.request(now, ask);
+        let job = request.job;
+        let answer = self.planners.get_mut(key)?.request(now, request);
         if answer.is_none() {
             self.origins.insert(job, origin);
         }
@@ -129,7 +129,10 @@
     }
 
     /// Returns the answers to queued requests that get a place now or will get none in time.
-    pub fn tick(&mut self, now: units::MonoTime) -> Vec<(AskOrigin, engine_place::PlaceAnswer)> {
+    pub fn tick(
+        &mut self,
+        now: units::MonoTime,
+    ) -> Vec<(PlacementOrigin, engine_place::PlaceAnswer)> {
         let mut answers = Vec::new();
         for planner in self.planners.values_mut() {
             for answer in planner.tick(now) {
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -177,7 +177,7 @@
     context: &context::InstanceContext,
     requester: u64,
     subject: &quota_permit::QuotaSubject,
-    ask: &quota_permit::PermitRequest,
+    request: &quota_permit::PermitRequest,
 ) -> quota_permit::PermitResponse {
     let now = context.now();
     if let Some(coordinator) = coordinator_of(context, subject) {
@@ -195,7 +195,7 @@
         Some((key, engine)) => {
             let mut planners = context.planners.borrow_mut();
             let planner = planners.planner(&key);
-            planner.and_then(|planner| planner.permits().request(now, &engine, requester, ask))
+            planner.and_then(|planner| planner.permits().request(now, &engine, requester, request))
         }
         None => {
             let mut ledger = context.quotas.ledger.borrow_mut();
@@ -203,7 +203,7 @@
                 now,
                 &subject.shared_quota(),
                 requester,
-                ask,
+                request,
                 subject.reserved_part(),
             )
         }
@@ -225,17 +225,17 @@
 pub(crate) fn receive_request(
     context: &context::InstanceContext,
     from: std::net::SocketAddrV4,
-    asked: peer_message::PermitRequestMessage,
+    message: peer_message::PermitRequestMessage,
 ) {
-    limit_gossip::receive_members(context, asked.known.into_iter().collect());
-    let answer = answer(context, asked.boot, &asked.subject, &asked.ask);
-    if let quota_permit::QuotaSubject::Upstream(upstream) = &asked.subject
+    limit_gossip::receive_members(context, message.known.into_iter().collect());
+    let answer = answer(context, message.boot, &message.subject, &message.request);
+    if let quota_permit::QuotaSubject::Upstream(upstream) = &message.subject
         && context.fleet.borrow().list.limit(upstream).is_none()
         && let Some(report) = limit_gossip::report(context, upstream)
     {
         context.send_to(from, peer_message::PeerMessage::Limits(vec![report]));
     }
-    context.send_to(from, peer_message::PeerMessage::Permit(asked.number, answer));
+    context.send_to(from, peer_message::PeerMessage::Permit(message.number, answer));
 }
 
 /// The coordinator of a quota and its recent grants, for operators.
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -45,7 +45,7 @@
 }
 
 /// State of a request when it asks for a place.
-pub(crate) struct AskProgress<'a> {
+pub(crate) struct RequestProgress<'a> {
     /// Whether the caller has received part of the answer.
     pub(crate) begun: bool,
     /// Whether an earlier attempt reached an engine.
@@ -57,10 +57,10 @@
 }
 
 /// Builds the request for a place.
-pub(crate) fn ask(
+pub(crate) fn placement_request(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
-    progress: &AskProgress<'_>,
+    progress: &RequestProgress<'_>,
 ) -> engine_place::PlacementRequest {
     let spent = context.now().since(call.arrived);
     let millis = |span: time::Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
@@ -109,14 +109,14 @@
     let own = call.route.first_token_goal;
     let fleet = context.fleet.borrow();
     let shortest = fleet.routes.goals(&call.service).map_or(own, |goals| goals.first_token);
-    let ask = class_worth::WorthQuery {
+    let query = class_worth::WorthQuery {
         class: &call.route.name,
         service: &call.service,
         prompt: call.request.prompt,
         goal: own,
         shortest_goal: shortest,
     };
-    context.classes.borrow_mut().count(&ask) as f32
+    context.classes.borrow_mut().count(&query) as f32
 }
 
 /// Returns whether the caller has probably been refused before: it has less time than the route
--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -87,7 +87,7 @@
     planner
 }
 
-fn ask(number: u64, excluded: Vec<ids::UpstreamId>) -> PlacementRequest {
+fn placement_request(number: u64, excluded: Vec<ids::UpstreamId>) -> PlacementRequest {
     PlacementRequest {
         job: JobId { boot: 1, sequence: number },
         prompt: 5_000,
@@ -164,7 +164,7 @@
             }
             self.jobs += 1;
             let Some(PlaceAnswer::Grant(grant)) =
-                self.planner.request(at(now), ask(self.jobs, all))
+                self.planner.request(at(now), placement_request(self.jobs, all))
             else {
                 self.outcome.refused += 1;
                 return true;
--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -56,7 +56,7 @@
     let job = JobId { boot: 1, sequence: 2 };
     let messages = [
         PeerMessage::Leases(service.clone(), vec![lease(1), lease(2)]),
-        PeerMessage::Renew(service.clone(), 7, vec![RenewedJob { sequence: 2, reading: true }]),
+        PeerMessage::Renew(service.clone(), 7, vec![RenewedJob { sequence: 2, prefilling: true }]),
         PeerMessage::Unknown(service.clone(), vec![2, 900]),
         PeerMessage::Who,
         PeerMessage::Note(service.clone(), PlaceNote::Ended(job, PlaceEnd::Silent)),
@@ -76,7 +76,7 @@
     let bytes =
         PeerMessage::Leases(service, leases).encode().expect("a message that can be encoded");
     assert!(bytes.len() <= MAX_DATAGRAM, "{} bytes", bytes.len());
-    let jobs = vec![RenewedJob { sequence: u64::MAX, reading: true }; MAX_RENEWED];
+    let jobs = vec![RenewedJob { sequence: u64::MAX, prefilling: true }; MAX_RENEWED];
     let bytes = PeerMessage::Renew(key(), 1, jobs).encode().expect("a message that can be encoded");
     assert!(bytes.len() <= MAX_DATAGRAM, "{} bytes", bytes.len());
 }
@@ -97,7 +97,7 @@
     let answer = PlaceAnswer::Grant(grant);
     let job = lease(7).request.job;
     // After a day at 13 requests a second.
-    let renewed = RenewedJob { sequence: 1_200_000, reading: false };
+    let renewed = RenewedJob { sequence: 1_200_000, prefilling: false };
     let alive = ShortHeartbeat {
         boot: u64::MAX,
         sequence: 13_000,
@@ -127,9 +127,11 @@
 #[test]
 fn messages_about_many_upstreams_fit_a_datagram() {
     let longest_name = name("i-0123456789ab@1764633600000");
-    let ask = PlacementRequest { excluded: vec![longest_name.clone(); 140], ..lease(1).request };
-    let request =
-        PeerMessage::Ask(key(), Box::new(ask)).encode().expect("a message that can be encoded");
+    let placement_request =
+        PlacementRequest { excluded: vec![longest_name.clone(); 140], ..lease(1).request };
+    let request = PeerMessage::Ask(key(), Box::new(placement_request))
+        .encode()
+        .expect("a message that can be encoded");
     let report = LeavingReport { upstream: longest_name, age_ms: 9_999_999 };
     let full_message = PeerMessage::Leaving(vec![report.clone(); MAX_LEAVING]);
     let full_message = full_message.encode().expect("a message that can be encoded");
@@ -154,17 +156,18 @@
     let report = LimitReport { upstream: upstream.clone(), rate, asked_us, heard_us };
     let full_message = PeerMessage::Limits(vec![report.clone(); MAX_LIMITS]);
     assert!(full_message.encode().expect("a message that can be encoded").len() < MAX_DATAGRAM);
-    let ask = PermitRequest { wanted: 9, patience_ms: 300 };
+    let request = PermitRequest { wanted: 9, patience_ms: 300 };
     let subject = QuotaSubject::Upstream(upstream);
     let (number, boot) = (90_000, u64::MAX);
-    let request = PermitRequestMessage { number, boot, subject, ask, known: Some(report.clone()) };
+    let limit_message =
+        PermitRequestMessage { number, boot, subject, request, known: Some(report.clone()) };
     let subject = QuotaSubject::Retries("plain".parse().expect("a name"), RetryNeed::Early);
-    let retry = PermitRequestMessage { number, boot, subject, ask, known: None };
+    let retry_message = PermitRequestMessage { number, boot, subject, request, known: None };
     let granted = PermitResponse::Granted { count: 1, wait_ms: 200 };
     let messages = [
         (PeerMessage::Limits(vec![report]), 64),
-        (PeerMessage::RequestPermit(Box::new(request)), 112),
-        (PeerMessage::RequestPermit(Box::new(retry)), 48),
+        (PeerMessage::RequestPermit(Box::new(limit_message)), 112),
+        (PeerMessage::RequestPermit(Box::new(retry_message)), 48),
         (PeerMessage::Permit(90_000, granted), 16),
     ];
     for (message, limit) in messages {
