--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -16,14 +16,14 @@
     probe_permission: send_gate::ProbePermission,
     limit: time::Duration,
 ) -> plan_client::PlaceOutcome {
-    let asked = context.now();
+    let started = context.now();
     let mut refused = Vec::new();
     let mut best: Option<engine_place::PlaceRefusal> = None;
     context.search_budget.borrow_mut().note_request();
     while context.search_budget.borrow_mut().take(refused.len())
         && let Some(planner) = context.pick_planner(&call.service, probe_permission, &refused)
     {
-        let spent = context.now().since(asked);
+        let spent = context.now().since(started);
         let mut request =
             engine_place::PlacementRequest { job: context.next_job(), ..request.after(spent) };
         if context.settings().experiments.closed_engines == ways::ClosedEngineWay::Asked {
--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -92,15 +92,15 @@
     connection.open(limit).await.map_err(failed)?;
     // The state may have changed while the connection was opened.
     let _pass = upstream_gate::pass(context, &to.engine, kind, permits).map_err(denied)?;
-    let asked_at = context.now();
-    let left = limit.saturating_sub(asked_at.since(started));
+    let sent_at = context.now();
+    let left = limit.saturating_sub(sent_at.since(started));
     let answer = connection.call_any_status(method, path, body, left).await.map_err(failed)?;
     // The head's load and backoff signals are valid in refusals, too.
     let source = match kind {
         send_gate::SendKind::Report => upstream_notice::NoticeSource::Report,
         _ => upstream_notice::NoticeSource::Order,
     };
-    let asked = upstream_signals::SignalOrigin { at: asked_at, source };
-    upstream_signals::receive_at(context, to.address, &answer.head, asked);
+    let origin = upstream_signals::SignalOrigin { requested_at: sent_at, source };
+    upstream_signals::receive_at(context, to.address, &answer.head, origin);
     answer.into_body().map_err(failed)
 }
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -71,7 +71,7 @@
 }
 
 async fn report(context: rc::Rc<context::InstanceContext>, engine: upstream_list::UpstreamEntry) {
-    let asked = context.now();
+    let requested_at = context.now();
     let to = engine_call::EngineAddress { engine: engine.name.clone(), address: engine.address };
     let body = match engine_call::report(&context, &to, REPORT_TIMEOUT).await {
         Ok(body) => body,
@@ -88,7 +88,7 @@
             if report.pace > SLOW_PACE {
                 log::info!(engine:% = engine.name, pace = report.pace; "engine.slow");
             }
-            upstream_starts::receive(&context, engine.address, report.start, asked);
+            upstream_starts::receive(&context, engine.address, report.start, requested_at);
             let fleet = context.fleet.borrow();
             let Some(present) = fleet.list.entry(&engine.name) else {
                 return;
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -202,7 +202,7 @@
         Some((before.version.0, text))
     }
 
-    /// Records which start of an upstream answered at an address a request that was sent at `asked`.
+    /// Records which start of an upstream answered at an address a request that was sent at `requested_at`.
     ///
     /// An address at which two upstreams are listed identifies neither, so the report is ignored.
     pub fn receive_start(
@@ -210,10 +210,10 @@
         now: units::MonoTime,
         address: net::SocketAddrV4,
         start: ids::UpstreamStart,
-        asked: units::MonoTime,
+        requested_at: units::MonoTime,
     ) {
         if let Some(name) = self.list.name_at(address).cloned() {
-            self.list.update_start(now, &name, start, asked);
+            self.list.update_start(now, &name, start, requested_at);
         }
     }
 }
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -34,7 +34,8 @@
         None => return,
     };
     let (received, source) = (context.now(), origin.source);
-    let reading = upstream_limit::LimitReading { rate, requested: origin.at, received, source };
+    let reading =
+        upstream_limit::LimitReading { rate, requested: origin.requested_at, received, source };
     match apply_reading(context, upstream, reading) {
         upstream_limit::LimitChange::Known => {}
         upstream_limit::LimitChange::Changed(..) => notify_coordinator(context, upstream),
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -90,18 +90,18 @@
         }
         _ => None,
     };
-    let mut asked = context.now();
+    let mut write_started = context.now();
     reply.start_body(&answer.head, length, &leading).await.context(CallerSnafu)?;
-    *waited += context.now().since(asked);
+    *waited += context.now().since(write_started);
     loop {
         let piece = answer.connection.reader.next_piece(&mut answer.framing).await;
         let Some(piece) = piece.context(UpstreamSnafu)? else {
             break;
         };
         answer.connection.times.receive();
-        asked = context.now();
+        write_started = context.now();
         reply.send_body_piece(length.is_some(), piece).await.context(CallerSnafu)?;
-        *waited += context.now().since(asked);
+        *waited += context.now().since(write_started);
     }
     match length {
         Some(_) => Ok(()),
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -67,10 +67,10 @@
     }
 }
 
-/// Records that the store, asked at `asked`, had no newer routes than this process has now.
-fn refute_routes(context: &context::InstanceContext, asked: units::MonoTime) {
+/// Records that the store, asked at `requested_at`, had no newer routes than this process has now.
+fn refute_routes(context: &context::InstanceContext, requested_at: units::MonoTime) {
     let own = context.versions().routes;
-    context.store_tracker.borrow_mut().refute_routes(own, asked);
+    context.store_tracker.borrow_mut().refute_routes(own, requested_at);
 }
 
 /// Outcome of fetching documents from a member.
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -182,9 +182,9 @@
     held: &HeldTicket,
     engine_order: &engine_call::EngineOrder<'_>,
 ) -> Result<Option<ids::UpstreamStart>, engine_call::EngineCallError> {
-    let asked = context.now();
+    let requested_at = context.now();
     let answer = engine_call::order(context, &held.to(), engine_order, ORDER_TIMEOUT).await?;
-    Ok(upstream_starts::receive_order(context, held.address, &answer, asked))
+    Ok(upstream_starts::receive_order(context, held.address, &answer, requested_at))
 }
 
 async fn renew(
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -333,7 +333,7 @@
     let limits =
         silence_watch::SilenceLimits { other: stream_policy::silence(call), any: last_silence };
     loop {
-        let asked_at = context.now();
+        let wait_started = context.now();
         let mut next = pin::pin!(answer.connection.reader.next_piece(&mut answer.framing));
         let sent = state.sent;
         let retry =
@@ -347,7 +347,7 @@
             Err(fault) => {
                 let phase = connection_silence::SilencePhase::MidAnswer;
                 let text =
-                    engine_fault::record_silence(context, hold, &times, phase, asked_at, fault);
+                    engine_fault::record_silence(context, hold, &times, phase, wait_started, fault);
                 return Ok(broken(state, text));
             }
         };
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -39,7 +39,7 @@
     /// Change count of the list and version of the routes at the last [`Self::sync`].
     synced: (u64, u64),
     /// When each planner was last asked for a place.
-    asked: collections::BTreeMap<planner_key::PlannerKey, units::MonoTime>,
+    last_requests: collections::BTreeMap<planner_key::PlannerKey, units::MonoTime>,
 }
 
 impl PlannerSet {
@@ -51,7 +51,7 @@
             planners: collections::BTreeMap::new(),
             origins: collections::HashMap::new(),
             synced: (0, 0),
-            asked: collections::BTreeMap::new(),
+            last_requests: collections::BTreeMap::new(),
         }
     }
 
@@ -100,7 +100,7 @@
 
     /// Returns whether a planner was not asked for so long that its state is outdated.
     pub fn is_idle(&self, now: units::MonoTime, key: &planner_key::PlannerKey) -> bool {
-        self.asked.get(key).is_none_or(|since| now.since(*since) >= ACTIVE_TIME)
+        self.last_requests.get(key).is_none_or(|since| now.since(*since) >= ACTIVE_TIME)
     }
 
     /// Returns the planner of a key, or `None` if there is no such cell.
@@ -119,7 +119,7 @@
         request: engine_place::PlacementRequest,
         origin: PlacementOrigin,
     ) -> Option<engine_place::PlaceAnswer> {
-        self.asked.insert(key.clone(), now);
+        self.last_requests.insert(key.clone(), now);
         let job = request.job;
         let answer = self.planners.get_mut(key)?.request(now, request);
         if answer.is_none() {
@@ -211,6 +211,10 @@
     /// Returns the planners that are not idle.
     pub fn active(&self, now: units::MonoTime) -> Vec<planner_key::PlannerKey> {
         let recent = |since: &units::MonoTime| now.since(*since) < ACTIVE_TIME;
-        self.asked.iter().filter(|(_, since)| recent(since)).map(|(key, _)| key.clone()).collect()
+        self.last_requests
+            .iter()
+            .filter(|(_, since)| recent(since))
+            .map(|(key, _)| key.clone())
+            .collect()
     }
 }
--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -152,7 +152,7 @@
         &self,
         engine: &engine_call::EngineAddress,
     ) -> Option<Option<adapter::EngineReport>> {
-        let asked = self.context.now();
+        let requested_at = self.context.now();
         let body = match engine_call::report(self.context, engine, PROBE_TIMEOUT).await {
             Ok(body) => body,
             Err(engine_call::EngineCallError::Denied { .. }) => return Some(None),
@@ -160,7 +160,7 @@
         };
         let report = self.context.adapter.parse_report(&body).ok();
         let start = report.as_ref().and_then(|report| report.start);
-        upstream_starts::receive(self.context, engine.address, start, asked);
+        upstream_starts::receive(self.context, engine.address, start, requested_at);
         Some(report)
     }
 
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -120,7 +120,7 @@
             return Ok(());
         }
         context.store_tracker.borrow_mut().set_watched(revision);
-        let asked = context.now();
+        let requested_at = context.now();
         let answer = match store_watch::watch(context, connection, revision).await {
             Ok(answer) if answer.era == revision.era => answer,
             // The store's era has changed. Changes between its copy and the watched revision are missing in the answer
@@ -149,7 +149,7 @@
         revision = revision.max(next);
         if unchanged {
             let own = context.versions().list;
-            context.store_tracker.borrow_mut().refute_list(own, asked);
+            context.store_tracker.borrow_mut().refute_list(own, requested_at);
         } else {
             monoio::time::sleep(context.settings().bounds.leave.0.mul_f64(CHANGE_PAUSE_SHARE))
                 .await;
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -271,7 +271,7 @@
 ) -> Result<AttemptAnswer, AttemptFault> {
     let request_message = request_message(context, call, target);
     let pass = upstream_gate::pass_request(context, target)?;
-    let asked_at = context.now();
+    let sent_at = context.now();
     let (head, sent) = {
         let (reader, writer) = connection.sides(&pass);
         let writing = std::pin::pin!(writer.write(request_message));
@@ -298,8 +298,8 @@
     }
     if is_from_target(&head, &head_fields) {
         let source = upstream_notice::NoticeSource::Answer;
-        let asked = upstream_signals::SignalOrigin { at: asked_at, source };
-        upstream_signals::receive(context, &target.upstream, head.status, &head_fields, asked);
+        let origin = upstream_signals::SignalOrigin { requested_at: sent_at, source };
+        upstream_signals::receive(context, &target.upstream, head.status, &head_fields, origin);
     }
     let framing = h1::BodyFraming::of_response(&head).map_err(AttemptFault::broke)?;
     let reusable =
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SignalOrigin {
     /// When the request was sent.
-    pub(crate) at: units::MonoTime,
+    pub(crate) requested_at: units::MonoTime,
     /// Kind of answer that carried the signal.
     pub(crate) source: upstream_notice::NoticeSource,
 }
--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -80,10 +80,10 @@
     context: &context::InstanceContext,
     address: std::net::SocketAddrV4,
     start: Option<ids::UpstreamStart>,
-    asked: units::MonoTime,
+    requested_at: units::MonoTime,
 ) {
     if let Some(start) = start {
-        context.fleet.borrow_mut().receive_start(context.now(), address, start, asked);
+        context.fleet.borrow_mut().receive_start(context.now(), address, start, requested_at);
     }
 }
 
@@ -92,9 +92,9 @@
     context: &context::InstanceContext,
     address: std::net::SocketAddrV4,
     body: &[u8],
-    asked: units::MonoTime,
+    requested_at: units::MonoTime,
 ) -> Option<ids::UpstreamStart> {
     let start = adapter::UpstreamAdapter::order_start(&*context.adapter, body);
-    receive(context, address, start, asked);
+    receive(context, address, start, requested_at);
     start
 }
