--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -13,18 +13,18 @@
 
 /// Input from a caller, an upstream or the store that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("{what}: {reason}"))]
+#[snafu(display("{input}: {reason}"))]
 pub struct FormatError {
     /// The kind of input that was parsed.
-    pub what: &'static str,
+    pub input: &'static str,
     /// The reason why it is invalid.
     pub reason: String,
 }
 
 impl FormatError {
-    /// Creates an error about the input `what`.
-    pub fn new(what: &'static str, reason: impl ToString) -> Self {
-        Self { what, reason: reason.to_string() }
+    /// Creates an error about `input`.
+    pub fn new(input: &'static str, reason: impl ToString) -> Self {
+        Self { input, reason: reason.to_string() }
     }
 }
 
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -168,8 +168,8 @@
     let limits = context.fleet.borrow().routes.limits;
     if !reader.has_unread_bytes() {
         reader.rest();
-        let resting = std::pin::pin!(monoio::time::timeout(limits.idle, reader.fill()));
-        match future::select(resting, context.closing.clone()).await {
+        let next_bytes = std::pin::pin!(monoio::time::timeout(limits.idle, reader.fill()));
+        match future::select(next_bytes, context.closing.clone()).await {
             future::Either::Left((Ok(filled), _)) => {
                 if filled? == 0 {
                     return Ok(ConnectionNext::Close);
@@ -396,10 +396,10 @@
 /// Reads and discards remaining input before the socket is closed. Closing a socket with unread
 /// data resets the connection, which may lose the answer that was just sent.
 async fn linger(reader: &mut h1::MessageReader) {
-    let dropping = async {
+    let discarding = async {
         let mut framing = h1::BodyFraming::UntilClose;
         while let Ok(Some(_)) = reader.next_piece(&mut framing).await {}
     };
     // A caller that is still sending has had this much time to read its answer.
-    let _ = monoio::time::timeout(LINGER_TIMEOUT, dropping).await;
+    let _ = monoio::time::timeout(LINGER_TIMEOUT, discarding).await;
 }
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -52,8 +52,8 @@
     // If no other engine is left, it is tried again: only its connection may have been silent, and
     // the next attempt uses a new one.
     let silent = hold.end == engine_place::PlaceEnd::Silent;
-    let known = state.excluded.contains(&cause);
-    if known || (silent && is_only_engine_left(context, state, hold)) {
+    let already_excluded = state.excluded.contains(&cause);
+    if already_excluded || (silent && is_only_engine_left(context, state, hold)) {
         return;
     }
     state.excluded.push(cause);
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -90,13 +90,13 @@
             }
             upstream_starts::receive(&context, engine.address, report.start, requested_at);
             let fleet = context.fleet.borrow();
-            let Some(present) = fleet.list.entry(&engine.name) else {
+            let Some(entry) = fleet.list.entry(&engine.name) else {
                 return;
             };
             let requests = (report.running + report.waiting) as usize;
             let mut planners = context.planners.borrow_mut();
             planners.sync(context.now(), &fleet);
-            planners.set_report(&present.name, report.pace, requests);
+            planners.set_report(&entry.name, report.pace, requests);
         }
         Err(error) => log::warn!(engine:% = engine.name, error:%; "engine.unreadable"),
     }
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -106,13 +106,13 @@
         let whole = !self.raw.has_changes_since(list);
         let changes = self.raw.changes.iter().filter(|(revision, _, _)| *revision > list);
         let changes = changes.map(|(_, name, text)| (name.clone(), text.clone()));
-        let crosses = !whole && list.era < self.raw.revision.era;
+        let crosses_eras = !whole && list.era < self.raw.revision.era;
         adapter::RawDocuments {
             routes,
             upstreams: whole.then(|| self.raw.upstreams.clone()),
             changes: if whole { Vec::new() } else { changes.collect() },
             revision: self.raw.revision,
-            digest: crosses.then(|| raw_state::digest(&self.raw.upstreams)),
+            digest: crosses_eras.then(|| raw_state::digest(&self.raw.upstreams)),
             evacuated: self.list.evacuated().cloned().collect(),
             skipped: !whole && self.raw.has_gap_since(list),
             returned_ms,
@@ -145,9 +145,9 @@
         documents: adapter::RawDocuments,
         source: &str,
     ) -> Result<(), compressed_bytes::CompressionError> {
-        let copied = documents.routes.as_ref().map(|copy| self.adopt_routes(copy, source));
-        let has_list = self.adopt_list(now, documents, source);
-        copied.unwrap_or(Ok(())).and(has_list)
+        let routes_result = documents.routes.as_ref().map(|copy| self.adopt_routes(copy, source));
+        let list_result = self.adopt_list(now, documents, source);
+        routes_result.unwrap_or(Ok(())).and(list_result)
     }
 
     fn adopt_routes(
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -24,20 +24,20 @@
     let from = heartbeat.address;
     failure_watch::restore(context, heartbeat.boot);
     let own = context.settings().member_address;
-    let (joined, welcome, uncontacted) = {
+    let (joined, newcomer_addresses, uncontacted) = {
         let mut members = context.members.borrow_mut();
-        let welcome = members.addresses_for_newcomer(&heartbeat);
+        let newcomer_addresses = members.addresses_for_newcomer(&heartbeat);
         let joined = members.receive(now, heartbeat);
-        (joined, welcome, members.take_uncontacted(own))
+        (joined, newcomer_addresses, members.take_uncontacted(own))
     };
     if joined {
         context.joined_members.set(context.joined_members.get() + 1);
         member_gossip::request_from_joined(context, from);
         let heartbeat = context.next_heartbeat();
-        if welcome.is_empty() {
+        if newcomer_addresses.is_empty() {
             context.send_to(from, peer_message::PeerMessage::Beat(Box::new(heartbeat.clone())));
         }
-        for others in welcome {
+        for others in newcomer_addresses {
             let heartbeat = member_heartbeat::MemberHeartbeat { others, ..heartbeat.clone() };
             context.send_to(from, peer_message::PeerMessage::Beat(Box::new(heartbeat)));
         }
@@ -62,7 +62,7 @@
 
 /// Broadcasts this process's heartbeat periodically, and forgets silent members.
 pub async fn repeat(context: rc::Rc<context::InstanceContext>) {
-    let mut clock = heartbeat_timer::HeartbeatTimer::default();
+    let mut timer = heartbeat_timer::HeartbeatTimer::default();
     loop {
         broadcast(&context);
         let forgotten = context.members.borrow_mut().tick(context.now());
@@ -75,7 +75,7 @@
             log::info!(joined, alive; "members.joined");
         }
         let interval = context.members.borrow().heartbeat_interval();
-        monoio::time::sleep(clock.next(interval, rand::random())).await;
+        monoio::time::sleep(timer.next(interval, rand::random())).await;
     }
 }
 
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -107,8 +107,8 @@
         let text = "routes and upstreams are not known yet";
         let refusal = refusal::RequestRefusal::not_run(refusal::RefusalCode::NotReady, text);
         let max_wait = request.ok().and_then(|request| request.max_wait);
-        let away = arrived.since(units::MonoTime::default());
-        let retry_after = refusal::outage_retry_after(away, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
+        let age = arrived.since(units::MonoTime::default());
+        let retry_after = refusal::outage_retry_after(age, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
         return Err(refusal.retry_after(retry_after));
     }
     let host = host_of(&head);
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -49,7 +49,7 @@
 
 impl HeldTicket {
     /// Returns where orders about the reservation are sent.
-    fn to(&self) -> engine_call::EngineAddress {
+    fn engine_address(&self) -> engine_call::EngineAddress {
         let engine = self.start.borrow().clone();
         engine_call::EngineAddress { engine, address: self.address }
     }
@@ -65,7 +65,7 @@
 pub struct MemoryHold {
     context: rc::Rc<context::InstanceContext>,
     tickets: Vec<HeldTicket>,
-    done: rc::Rc<cell::Cell<bool>>,
+    released: rc::Rc<cell::Cell<bool>>,
 }
 
 impl MemoryHold {
@@ -76,8 +76,8 @@
         parts: &[engine_place::HeldPart],
         permits: &[quota_permit::SendPermit],
     ) -> Result<Self, HoldError> {
-        let done = rc::Rc::new(cell::Cell::new(false));
-        let mut hold = Self { context: rc::Rc::clone(context), tickets: Vec::new(), done };
+        let released = rc::Rc::new(cell::Cell::new(false));
+        let mut hold = Self { context: rc::Rc::clone(context), tickets: Vec::new(), released };
         for (number, part) in parts.iter().enumerate() {
             let Some(entry) = context.fleet.borrow().list.entry(&part.engine).cloned() else {
                 let reason = "it is not listed any more".to_owned();
@@ -120,7 +120,7 @@
             monoio::spawn(renew(
                 rc::Rc::clone(context),
                 hold.tickets.clone(),
-                rc::Rc::clone(&hold.done),
+                rc::Rc::clone(&hold.released),
             ));
         }
         Ok(hold)
@@ -134,7 +134,7 @@
     /// Returns the first engine with reserved memory and its ticket. One is enough to see whether the
     /// reservations are in use, as an answer uses all or none.
     pub fn first_held(&self) -> Option<(engine_call::EngineAddress, String)> {
-        self.tickets.first().map(|held| (held.to(), held.ticket.clone()))
+        self.tickets.first().map(|held| (held.engine_address(), held.ticket.clone()))
     }
 
     /// Returns the ticket of the reservation on an engine.
@@ -145,7 +145,7 @@
 
 impl Drop for MemoryHold {
     fn drop(&mut self) {
-        self.done.set(true);
+        self.released.set(true);
         for held in self.tickets.drain(..) {
             monoio::spawn(release(rc::Rc::clone(&self.context), held));
         }
@@ -169,8 +169,8 @@
     let engine_order = engine_call::EngineOrder { order: &order, kind, permits };
     let result = send_order(context, held, &engine_order).await;
     // After an answer, refusals included, and if nothing was sent, nothing is executed later.
-    let over = result.as_ref().map_or_else(engine_call::EngineCallError::is_over, |_| true);
-    if over {
+    let is_over = result.as_ref().map_or_else(engine_call::EngineCallError::is_over, |_| true);
+    if is_over {
         held.unanswered.set(before);
     }
     result.map_err(|error| error.to_string())
@@ -183,18 +183,19 @@
     engine_order: &engine_call::EngineOrder<'_>,
 ) -> Result<Option<ids::UpstreamStart>, engine_call::EngineCallError> {
     let requested_at = context.now();
-    let answer = engine_call::order(context, &held.to(), engine_order, ORDER_TIMEOUT).await?;
+    let answer =
+        engine_call::order(context, &held.engine_address(), engine_order, ORDER_TIMEOUT).await?;
     Ok(upstream_starts::receive_order(context, held.address, &answer, requested_at))
 }
 
 async fn renew(
     context: rc::Rc<context::InstanceContext>,
     tickets: Vec<HeldTicket>,
-    done: rc::Rc<cell::Cell<bool>>,
+    released: rc::Rc<cell::Cell<bool>>,
 ) {
     loop {
         monoio::time::sleep(RENEWAL_INTERVAL).await;
-        if done.get() {
+        if released.get() {
             return;
         }
         for held in &tickets {
@@ -206,7 +207,7 @@
             if let Err(reason) = send_hold(&context, held, kind, &[]).await {
                 log::warn!(engine:% = held.engine, reason; "memory.not_renewed");
             }
-            if done.get() || held.is_lost(&context) {
+            if released.get() || held.is_lost(&context) {
                 // The renewal may have arrived after the release and reserved the memory again.
                 release(rc::Rc::clone(&context), held.clone()).await;
             }
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -20,7 +20,7 @@
 const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(400);
 /// Maximum time from the head to the first event for which the load in the head is passed to the
 /// planner; a short answer takes a few seconds.
-const LOAD_AGE: time::Duration = time::Duration::from_millis(100);
+const MAX_LOAD_AGE: time::Duration = time::Duration::from_millis(100);
 /// Largest body of an engine's failure answer that is forwarded, in bytes.
 const MAX_FAILURE_BODY: usize = 1 << 20;
 
@@ -102,8 +102,8 @@
             AttemptEnd::NoEngine => break,
             AttemptEnd::Refused(refused) => {
                 text = refused.to_string();
-                let back = time::Duration::from_millis(u64::from(refused.back_after_ms));
-                retry_after = Some(refusal::spread_retry(back, &mut rand::rng()));
+                let delay = time::Duration::from_millis(u64::from(refused.back_after_ms));
+                retry_after = Some(refusal::spread_retry(delay, &mut rand::rng()));
                 break;
             }
             AttemptEnd::Failure(head, body) => {
@@ -206,7 +206,7 @@
         // Remains in the record if the caller disconnects during the attempt.
         end: "under way".to_owned(),
         upstream: hold.grant.engine.to_string(),
-        known: upstream_signals::known(context, &hold.grant.engine),
+        known: upstream_signals::describe_notices(context, &hold.grant.engine),
         helpers: hold.grant.helpers.len(),
         waited_ms: u64::from(hold.grant.waited_ms),
         planned_ms: u64::from(hold.grant.first_token_ms),
@@ -280,11 +280,11 @@
         unused_until: memory.holds().then(|| taken_at + unused_time),
     };
     let first_wait = stream_policy::first_silence(call, &hold.grant).min(left);
-    let reached = state.sent + 1;
+    let sent_attempts = state.sent + 1;
     let last_silence = stream_policy::last_silence(call);
     let limits = silence_watch::SilenceLimits { other: first_wait, any: last_silence };
     let retry =
-        async |reach| state.give_up(context, call, &hold.grant.engine, reached, reach).await;
+        async |reach| state.give_up(context, call, &hold.grant.engine, sent_attempts, reach).await;
     let answered = match watch.wait(sending.as_mut(), upstream_ended.as_mut(), limits, retry).await
     {
         Ok(answered) => answered,
@@ -356,19 +356,21 @@
         };
         times.receive();
         events.push(&piece);
-        let whole = events.take_complete();
-        if whole.is_empty() {
+        let complete = events.take_complete();
+        if complete.is_empty() {
             continue;
         }
         if attempt_record.first_ms.is_none() {
             watch.unused_until = None;
             watch.answering = true;
-            let begun = context.now();
-            hold.first_token(reported_load.filter(|_| begun.since(head_at) <= LOAD_AGE));
-            attempt_record.first_ms = Some(begun.since(begun_at).as_millis() as u64);
+            let first_event_at = context.now();
+            hold.first_token(
+                reported_load.filter(|_| first_event_at.since(head_at) <= MAX_LOAD_AGE),
+            );
+            attempt_record.first_ms = Some(first_event_at.since(begun_at).as_millis() as u64);
         }
-        state.note_events(context, call, record, &whole);
-        state.send(reply, &answer.head, &whole).await?;
+        state.note_events(context, call, record, &complete);
+        state.send(reply, &answer.head, &complete).await?;
     }
     if !events.is_empty() {
         run.connection_broke();
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -86,8 +86,8 @@
         if let Some(first) = fleet.list.first_backoff_to_end(now, &service) {
             return Some(NoUpstreamReason::Backoff { service, first, now });
         }
-        let away = fleet.list.evacuated_for(now, &service)?;
-        let retry_after = refusal::outage_retry_after(away, left);
+        let outage = fleet.list.evacuated_for(now, &service)?;
+        let retry_after = refusal::outage_retry_after(outage, left);
         return Some(NoUpstreamReason::Evacuated { service, retry_after });
     }
     let limits = open.iter().map(|entry| fleet.list.limit(&entry.name)?.reading.rate);
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -121,7 +121,7 @@
         excluded.push(entry.name.clone());
         record.attempts.push(request_record::AttemptRecord {
             upstream: entry.name.to_string(),
-            known: upstream_signals::known(context, &entry.name),
+            known: upstream_signals::describe_notices(context, &entry.name),
             // Remains in the record if the caller disconnects during the attempt.
             end: "under way".to_owned(),
             ..Default::default()
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -98,19 +98,19 @@
     }
 
     /// Returns whether a silent `engine` is given up, which takes a retry from the budget or uses an
-    /// earlier failure answer. `reached` is the number of attempts that reached an engine, including
+    /// earlier failure answer. `sent_attempts` is the number of attempts that reached an engine, including
     /// the current one; `reach` says which engines may continue the request.
     pub(crate) async fn give_up(
         &mut self,
         context: &context::InstanceContext,
         call: &incoming_call::IncomingCall,
         engine: &ids::UpstreamId,
-        reached: u32,
+        sent_attempts: u32,
         reach: upstream_attempt::RetryReach,
     ) -> bool {
         let other_than = (reach == upstream_attempt::RetryReach::OtherUpstream).then_some(engine);
         let allowed = call.route.repeat.allows_repeat()
-            && reached < call.route.max_attempts
+            && sent_attempts < call.route.max_attempts
             && context.grants_places()
             && self.has_engine(context, call, other_than);
         let need = self.retry_need(retry_need::RetryNeed::Early);
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -57,7 +57,7 @@
 }
 
 /// Describes the notices of an upstream in force, for the record of a request.
-pub(crate) fn known(
+pub(crate) fn describe_notices(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
 ) -> Option<String> {
