--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -19,7 +19,7 @@
 struct PendingRequest {
     subject: quota_permit::QuotaSubject,
     /// When the request was sent.
-    at: units::MonoTime,
+    sent_at: units::MonoTime,
     /// Channel to the task that waits for the response.
     reply: Option<oneshot::Sender<quota_permit::PermitResponse>>,
 }
@@ -37,7 +37,7 @@
 pub(crate) struct NoPermit(pub(crate) time::Duration);
 
 /// Backoff before permits for an upstream may be requested; zero if the upstream has no limit.
-pub(crate) fn closed(
+pub(crate) fn backoff_left(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
 ) -> time::Duration {
@@ -48,17 +48,17 @@
     context.quotas.cache.borrow().backoff_left(context.now(), &subject)
 }
 
-/// Acquires a permit for one request to an upstream within `patience`; `None` if the upstream has no limit.
+/// Acquires a permit for one request to an upstream within `max_wait`; `None` if the upstream has no limit.
 pub(crate) async fn obtain(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
-    patience: time::Duration,
+    max_wait: time::Duration,
 ) -> Result<Option<quota_permit::SendPermit>, NoPermit> {
     if context.fleet.borrow().list.limit(upstream).is_none() {
         return Ok(None);
     }
     let subject = quota_permit::QuotaSubject::Upstream(upstream.clone());
-    let term = obtain_term(context, &subject, patience).await?;
+    let term = obtain_term(context, &subject, max_wait).await?;
     Ok(Some(quota_permit::SendPermit { upstream: upstream.clone(), term }))
 }
 
@@ -81,13 +81,13 @@
 async fn obtain_term(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
-    patience: time::Duration,
+    max_wait: time::Duration,
 ) -> Result<quota_permit::PermitTerm, NoPermit> {
     let now = context.now();
-    let step = context.quotas.cache.borrow_mut().step(now, subject, patience);
+    let step = context.quotas.cache.borrow_mut().step(now, subject, max_wait);
     let term = match step {
         permit_cache::PermitStep::Send(term) => term,
-        permit_cache::PermitStep::Backoff(closed) => return Err(NoPermit(closed)),
+        permit_cache::PermitStep::Backoff(backoff) => return Err(NoPermit(backoff)),
         permit_cache::PermitStep::Request(request) => {
             let Some(answer) = request_coordinator(context, subject, request).await else {
                 let mut cache = context.quotas.cache.borrow_mut();
@@ -108,18 +108,18 @@
     number: u64,
     answer: quota_permit::PermitResponse,
 ) {
-    let Some(sent) = context.quotas.pending.by_number.borrow_mut().remove(&number) else {
+    let Some(request) = context.quotas.pending.by_number.borrow_mut().remove(&number) else {
         return;
     };
-    let undelivered = match sent.reply {
+    let undelivered = match request.reply {
         Some(reply) => reply.send(answer).err(),
         None => Some(answer),
     };
     if let Some(answer) = undelivered {
         // The task that waited has ended; another one can use the permit.
         let mut cache = context.quotas.cache.borrow_mut();
-        if let Ok(term) = cache.receive(context.now(), &sent.subject, sent.at, answer) {
-            cache.put_back(&sent.subject, term);
+        if let Ok(term) = cache.receive(context.now(), &request.subject, request.sent_at, answer) {
+            cache.put_back(&request.subject, term);
         }
     }
 }
@@ -137,7 +137,7 @@
         quota_permit::QuotaSubject::Upstream(upstream) => limit_gossip::report(context, upstream),
         quota_permit::QuotaSubject::Retries(..) => None,
     };
-    let (number, reply) = context.quotas.pending.note(subject, context.now());
+    let (number, reply) = context.quotas.pending.add(subject, context.now());
     let (subject, boot) = (subject.clone(), context.boot);
     let message = peer_message::PermitRequestMessage { number, boot, subject, request, known };
     context
@@ -158,17 +158,19 @@
 
 impl PendingRequests {
     /// Adds a request; returns its number and the channel on which its response arrives.
-    fn note(
+    fn add(
         &self,
         subject: &quota_permit::QuotaSubject,
-        at: units::MonoTime,
+        sent_at: units::MonoTime,
     ) -> (u64, oneshot::Receiver<quota_permit::PermitResponse>) {
         let number = self.number.get() + 1;
         self.number.set(number);
         let (sender, receiver) = oneshot::channel();
         let mut pending = self.by_number.borrow_mut();
-        pending
-            .insert(number, PendingRequest { subject: subject.clone(), at, reply: Some(sender) });
+        pending.insert(
+            number,
+            PendingRequest { subject: subject.clone(), sent_at, reply: Some(sender) },
+        );
         while pending.len() > MAX_PENDING {
             pending.pop_first();
         }
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -11,7 +11,7 @@
 use crate::{context, peer_message, upstream_ends};
 
 /// Number of members that keep the evidence against one request: with four of them gone or unreachable, one is left.
-const EVIDENCE_KEEPERS: usize = 5;
+const EVIDENCE_REPLICAS: usize = 5;
 /// Number of members up to which all of them keep all evidence: the member that serves a request then knows by itself that
 /// the request is suspected.
 const SMALL_FLEET_MEMBERS: usize = 12;
@@ -20,19 +20,19 @@
 
 /// Handles runs of this process during which their upstream ended.
 pub(crate) fn report(context: &context::InstanceContext, runs: &[upstream_ends::BrokenRun]) {
-    let ended = |run: &upstream_ends::BrokenRun| quarantine::CrashedRun {
+    let crashed_run = |run: &upstream_ends::BrokenRun| quarantine::CrashedRun {
         digest: run.digest,
         upstream: run.upstream.clone(),
         sent: run.sent,
         ended: run.broke_at,
     };
-    record_evidence(context, runs.iter().map(ended).collect());
+    record_evidence(context, runs.iter().map(crashed_run).collect());
     let now = context.now();
-    for (keeper, digests) in keepers_of(context, runs.iter().map(|run| run.digest)) {
+    for (replica, digests) in replicas_of(context, runs.iter().map(|run| run.digest)) {
         // All evidence known here against these requests, so that their times are relative to the same moment.
         let crashes = crashes_of(context, &digests);
         for reports in report_batches(now, &crashes) {
-            context.send_to(keeper, peer_message::PeerMessage::Ends(reports));
+            context.send_to(replica, peer_message::PeerMessage::Ends(reports));
         }
     }
 }
@@ -42,7 +42,7 @@
     context: &context::InstanceContext,
     reports: Vec<peer_message::CrashReport>,
 ) {
-    record_evidence(context, ended_runs(context.now(), reports));
+    record_evidence(context, crashed_runs(context.now(), reports));
 }
 
 /// Handles evidence against requests that another member has quarantined.
@@ -52,7 +52,7 @@
     reports: Vec<peer_message::CrashReport>,
 ) {
     let now = context.now();
-    let crashes = ended_runs(now, reports);
+    let crashes = crashed_runs(now, reports);
     report_cleared(context, from, &crashes);
     let quarantined = context.quarantine.borrow_mut().note_crashes(now, crashes);
     log_quarantined(context, &quarantined, "member");
@@ -104,7 +104,7 @@
     let recipients: Vec<_> = if quarantined {
         context.members.borrow().targets(context.settings().member_address)
     } else {
-        keepers_of(context, [digest].into_iter()).into_iter().map(|(to, _)| to).collect()
+        replicas_of(context, [digest].into_iter()).into_iter().map(|(to, _)| to).collect()
     };
     for to in recipients {
         context.send_to(to, peer_message::PeerMessage::Cleared(digest, 0));
@@ -163,13 +163,13 @@
 }
 
 /// Members that keep the evidence against these requests, each with the requests that it keeps evidence against.
-fn keepers_of(
+fn replicas_of(
     context: &context::InstanceContext,
     digests: impl Iterator<Item = request_digest::RequestDigest>,
 ) -> Vec<(net::SocketAddrV4, Vec<request_digest::RequestDigest>)> {
     let members = context.members.borrow();
     let alive: Vec<_> = members.alive(context.now()).collect();
-    let mut keepers = std::collections::BTreeMap::<_, Vec<_>>::new();
+    let mut replicas = std::collections::BTreeMap::<_, Vec<_>>::new();
     let mut digests: Vec<_> = digests.collect();
     digests.sort_unstable();
     digests.dedup();
@@ -177,12 +177,13 @@
         let subject = digest.to_string();
         let ranked =
             rendezvous::ranked(&subject, alive.iter(), |heartbeat| heartbeat.name.as_str());
-        let count = if alive.len() <= SMALL_FLEET_MEMBERS { alive.len() } else { EVIDENCE_KEEPERS };
-        for keeper in ranked.into_iter().take(count) {
-            keepers.entry(keeper.address).or_default().push(digest);
+        let count =
+            if alive.len() <= SMALL_FLEET_MEMBERS { alive.len() } else { EVIDENCE_REPLICAS };
+        for replica in ranked.into_iter().take(count) {
+            replicas.entry(replica.address).or_default().push(digest);
         }
     }
-    keepers.into_iter().collect()
+    replicas.into_iter().collect()
 }
 
 /// Reports of these runs, split so that each part fits a message.
@@ -201,7 +202,7 @@
 }
 
 /// Converts reports to runs with times of this process's clock; times before its start become its start.
-fn ended_runs(
+fn crashed_runs(
     now: units::MonoTime,
     reports: Vec<peer_message::CrashReport>,
 ) -> Vec<quarantine::CrashedRun> {
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -209,7 +209,7 @@
         }
     };
     let answer = answer.unwrap_or_else(wrong_coordinator);
-    let word = match answer {
+    let outcome = match answer {
         quota_permit::PermitResponse::Granted { .. } => "given",
         quota_permit::PermitResponse::Refused { .. } => "refused",
     };
@@ -217,7 +217,7 @@
         quota_permit::QuotaSubject::Upstream(_) => "limit",
         quota_permit::QuotaSubject::Retries(..) => "retry",
     };
-    context.stats.borrow_mut().count("leaves", &format!("{word}/{kind}"));
+    context.stats.borrow_mut().count("leaves", &format!("{outcome}/{kind}"));
     answer
 }
 
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -59,7 +59,7 @@
     let probe_permission = send_gate::ProbePermission::of(excluded.len(), call.route.max_attempts);
     let mut open = fleet.list.open(context.now(), &call.service, probe_permission);
     open.retain(|entry| !excluded.contains(&entry.name) && !refused.contains(&entry.name));
-    open.retain(|entry| permit_request::closed(context, &entry.name).is_zero());
+    open.retain(|entry| permit_request::backoff_left(context, &entry.name).is_zero());
     let own = context.settings().data_center.clone();
     // A call probes an upstream that failed only while it has another attempt left.
     let first = excluded.is_empty() && call.route.max_attempts > 1;
@@ -74,7 +74,7 @@
     call: &incoming_call::IncomingCall,
     excluded: &[ids::UpstreamId],
 ) -> Option<ChosenUpstream> {
-    for entry in closed(context, call, excluded).into_iter().take(MAX_WAITS) {
+    for entry in limited_upstreams(context, call, excluded).into_iter().take(MAX_WAITS) {
         let obtained =
             permit_request::obtain(context, &entry.name, max_permit_wait(context, call)).await;
         if let Ok(permit) = obtained {
@@ -86,7 +86,7 @@
 
 /// Returns the upstreams with a limit that are open otherwise, those with the shortest wait for a
 /// permit first.
-fn closed(
+fn limited_upstreams(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     excluded: &[ids::UpstreamId],
@@ -94,12 +94,12 @@
     let fleet = context.fleet.borrow();
     let probe_permission = send_gate::ProbePermission::of(excluded.len(), call.route.max_attempts);
     let open = fleet.list.open(context.now(), &call.service, probe_permission).into_iter();
-    let is_closed = |entry: &&upstream_list::UpstreamEntry| {
+    let is_limited = |entry: &&upstream_list::UpstreamEntry| {
         !excluded.contains(&entry.name) && fleet.list.limit(&entry.name).is_some()
     };
-    let mut closed: Vec<_> = open.filter(is_closed).cloned().collect();
-    closed.sort_by_key(|entry| permit_request::closed(context, &entry.name));
-    closed
+    let mut limited: Vec<_> = open.filter(is_limited).cloned().collect();
+    limited.sort_by_key(|entry| permit_request::backoff_left(context, &entry.name));
+    limited
 }
 
 /// Returns how long a call waits for a permit.
