--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -104,10 +104,10 @@
         }
         let mut chosen = service_choice::choose(context, call, &excluded).await;
         if chosen.is_none()
-            && let Some(again) = reused_silent.take()
+            && let Some(upstream) = reused_silent.take()
         {
             // Only a pooled connection to this upstream failed; the call is sent to it over a new one.
-            excluded.retain(|name| *name != again);
+            excluded.retain(|name| *name != upstream);
             chosen = service_choice::choose(context, call, &excluded).await;
         }
         let Some(service_choice::ChosenUpstream { entry, permit }) = chosen else {
@@ -278,8 +278,8 @@
             return Err(fault);
         }
     };
-    let taken = context.now().since(started);
-    context.loads.borrow_mut().answered(&call.route.name, taken);
+    let answer_time = context.now().since(started);
+    context.loads.borrow_mut().answered(&call.route.name, answer_time);
     let body =
         answer.leading_body(context, &entry.name, MAX_BUFFERED_BODY, silence_limit, give_up).await;
     let upstream_attempt::LeadingBody { bytes: body, whole } = match body {
@@ -323,8 +323,8 @@
             retry::AttemptFailure::Misdirected => CallResult::Gone,
             _ => CallResult::Failed,
         };
-        let says_something = !fault.reused_silent && fault.failure != retry::AttemptFailure::Denied;
-        self.result.set(says_something.then_some(result));
+        let is_conclusive = !fault.reused_silent && fault.failure != retry::AttemptFailure::Denied;
+        self.result.set(is_conclusive.then_some(result));
         if result == CallResult::Gone {
             upstream_signals::broadcast_gone(self.context, &self.name);
         }
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -23,7 +23,7 @@
 const SLOW_FAILURE: time::Duration = time::Duration::from_millis(900);
 /// Ages of a process without documents between which it may rely on members that watch the store. Before that it has not
 /// heard from them; after it, they evidently do not provide the documents.
-const START_PATIENCE: ops::Range<time::Duration> =
+const START_WAIT: ops::Range<time::Duration> =
     time::Duration::from_millis(60)..time::Duration::from_millis(1_200);
 
 /// Follows the store; never returns.
@@ -31,7 +31,7 @@
     let mut pause = RETRY_PAUSE;
     let mut failed = false;
     loop {
-        wait_for_turn(&context, failed).await;
+        wait_until_needed(&context, failed).await;
         let store = context.settings().store;
         let mut connection = document_call::DocumentConnection::new(store);
         let started = context.now();
@@ -58,15 +58,15 @@
 }
 
 /// Waits until this process should watch the store itself.
-async fn wait_for_turn(context: &context::InstanceContext, failed: bool) {
+async fn wait_until_needed(context: &context::InstanceContext, failed: bool) {
     let mut missing_since = None;
-    while !is_own_turn(context, &mut missing_since, failed) {
+    while !is_needed(context, &mut missing_since, failed) {
         monoio::time::sleep(store_contact::poll_interval(context)).await;
     }
 }
 
 /// Whether this process should watch the store itself.
-fn is_own_turn(
+fn is_needed(
     context: &context::InstanceContext,
     missing_since: &mut Option<units::MonoTime>,
     failed: bool,
@@ -86,10 +86,10 @@
         // In a large fleet a new member fetches the list from other members: if all read the store at once, a simultaneous
         // start would be limited by the store's rate.
         let age = now.since(units::MonoTime::default());
-        if age < START_PATIENCE.start || (age < START_PATIENCE.end && !members.is_settled(now)) {
+        if age < START_WAIT.start || (age < START_WAIT.end && !members.is_settled(now)) {
             return false;
         }
-        if age >= START_PATIENCE.end && !missing {
+        if age >= START_WAIT.end && !missing {
             // Members that watch have the documents, but have not provided them.
             return true;
         }
@@ -172,13 +172,13 @@
         return Ok(revision);
     }
     if watched.is_none() {
-        return join_members(context).await;
+        return revision_from_members(context).await;
     }
     Ok(watched)
 }
 
 /// Starts the watch at the list that members have provided.
-async fn join_members(
+async fn revision_from_members(
     context: &context::InstanceContext,
 ) -> Result<store_revision::StoreRevision, String> {
     let listed = context.fleet.borrow().revision();
@@ -197,7 +197,7 @@
     // Recorded before the read, as entries that expired during an outage must not be removed at once.
     store_contact::mark_answered(context);
     let revision = if before == era && context.store_tracker.borrow().watched().era < era {
-        join_members(context).await?
+        revision_from_members(context).await?
     } else {
         store_read::read_all(context, connection).await?
     };
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -103,14 +103,14 @@
 ) -> Option<T> {
     let started = context.now();
     loop {
-        let open = context.now().since(started);
-        let remaining_poll = store_contact::POLL_INTERVAL.min(limit.saturating_sub(open));
+        let elapsed = context.now().since(started);
+        let remaining_poll = store_contact::POLL_INTERVAL.min(limit.saturating_sub(elapsed));
         if let Ok(done) = monoio::time::timeout(remaining_poll, waiting.as_mut()).await {
             return Some(done);
         }
-        let open = context.now().since(started);
-        let behind = open >= store_contact::MAX_WATCH_LAG && store_contact::is_behind(context);
-        if behind || open >= limit {
+        let elapsed = context.now().since(started);
+        let behind = elapsed >= store_contact::MAX_WATCH_LAG && store_contact::is_behind(context);
+        if behind || elapsed >= limit {
             return None;
         }
     }
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -8,7 +8,7 @@
 use crate::{context, incoming_call};
 
 /// Multiple of the service's shortest pause goal up to which a request's pause goal is tight.
-const TIGHT_PAUSE_FACTOR: f64 = 1.5;
+const SHORT_PAUSE_FACTOR: f64 = 1.5;
 /// Fraction of its first-token goal within which one engine must read the prompt of a short request.
 const SHORT_GOAL_FRACTION: f64 = 0.75;
 /// Minimum silence after which callers give up a stream; the multiples of goals below may be longer.
@@ -93,14 +93,14 @@
 /// are as tight.
 fn is_short(context: &context::InstanceContext, call: &incoming_call::IncomingCall) -> bool {
     let fleet = context.fleet.borrow();
-    let tightest =
+    let shortest =
         fleet.routes.goals(&call.service).map_or(call.route.pause_goal, |goals| goals.pause);
     let engine =
         fleet.routes.services.get(&call.service).and_then(|service| service.engine.as_ref());
-    let reading = engine.map_or(0.0, |shape| pass_model::prefill_ms(shape, call.request.prompt));
+    let prefill_ms = engine.map_or(0.0, |shape| pass_model::prefill_ms(shape, call.request.prompt));
     let goal = call.route.first_token_goal.as_secs_f64() * 1_000.0;
-    call.route.pause_goal <= tightest.mul_f64(TIGHT_PAUSE_FACTOR)
-        && reading <= goal * SHORT_GOAL_FRACTION
+    call.route.pause_goal <= shortest.mul_f64(SHORT_PAUSE_FACTOR)
+        && prefill_ms <= goal * SHORT_GOAL_FRACTION
 }
 
 /// Counts a request and returns its worth if answered in time, relative to a request of the
@@ -122,8 +122,8 @@
 /// Returns whether the caller has probably been refused before: it has less time than the route
 /// allows.
 pub(crate) fn likely_retried(call: &incoming_call::IncomingCall) -> bool {
-    let whole = call.route.time_limit.mul_f64(FIRST_TRY_FRACTION);
-    call.request.max_wait.is_some_and(|max_wait| max_wait < whole)
+    let first_try_wait = call.route.time_limit.mul_f64(FIRST_TRY_FRACTION);
+    call.request.max_wait.is_some_and(|max_wait| max_wait < first_try_wait)
 }
 
 /// Returns how long a caller waits without an event.
--- a/crates/instance/src/upstream_gate.rs
+++ b/crates/instance/src/upstream_gate.rs
@@ -36,12 +36,12 @@
     permits: &[quota_permit::SendPermit],
 ) -> Result<SendPass<'a>, send_gate::SendDenial> {
     check_send(context, upstream, kind, permits)?;
-    let begun = kind == send_gate::SendKind::Request;
-    if begun {
+    let is_request = kind == send_gate::SendKind::Request;
+    if is_request {
         context.sent.borrow_mut().count(context.now(), upstream);
     }
     let mut fleet = context.fleet.borrow_mut();
-    let is_probe = begun && fleet.list.notices_mut().begin(context.now(), upstream);
+    let is_probe = is_request && fleet.list.notices_mut().begin(context.now(), upstream);
     Ok(SendPass { context, upstream: upstream.clone(), is_probe })
 }
 
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -9,15 +9,15 @@
 };
 
 /// How long an upstream's report of its load is used.
-const LOAD_TIME: time::Duration = time::Duration::from_millis(500);
+const MAX_REPORT_AGE: time::Duration = time::Duration::from_millis(500);
 /// Maximum number of routes with answer times; beyond it all times are discarded.
-const MAX_TIMED: usize = 512;
+const MAX_TIMED_ROUTES: usize = 512;
 
 /// Cost of an upstream that failed all recent calls. Costs are added to its load, which is a
 /// fraction of its slots.
 const FAILING_COST: f64 = 3.0;
 /// Cost of an upstream in another data centre.
-const AWAY_COST: f64 = 0.05;
+const REMOTE_COST: f64 = 0.05;
 /// Cost of an ejected upstream, which is so high that it is picked only if all are ejected.
 const EJECTED_COST: f64 = 100.0;
 
@@ -54,7 +54,7 @@
         &self,
         now: units::MonoTime,
         candidates: &[&'a upstream_list::UpstreamEntry],
-        own: &ids::DataCenterId,
+        own_data_center: &ids::DataCenterId,
         repeatable: bool,
         has_limit: impl Fn(&upstream_list::UpstreamEntry) -> bool,
     ) -> Option<&'a upstream_list::UpstreamEntry> {
@@ -67,12 +67,12 @@
         }
         let cost = |entry: &upstream_list::UpstreamEntry| {
             let state = self.states.get(&entry.name).cloned().unwrap_or_default();
-            let reported = state.reported.filter(|(_, at)| now.since(*at) < LOAD_TIME);
+            let reported = state.reported.filter(|(_, at)| now.since(*at) < MAX_REPORT_AGE);
             let running = reported.map_or(0, |(running, _)| running).max(state.calls);
             let load = f64::from(running) / entry.slots as f64;
-            let away = if entry.data_center == *own { 0.0 } else { AWAY_COST };
+            let remote = if entry.data_center == *own_data_center { 0.0 } else { REMOTE_COST };
             let ejected = if state.health.is_healthy() { 0.0 } else { EJECTED_COST };
-            load + state.health.failure_rate(now) * FAILING_COST + away + ejected
+            load + state.health.failure_rate(now) * FAILING_COST + remote + ejected
         };
         let costs: Vec<_> = candidates.iter().map(|entry| (cost(entry), *entry)).collect();
         let least = |costs: &[(f64, &'a upstream_list::UpstreamEntry)]| {
@@ -136,7 +136,7 @@
 
     /// Records the time to the head of an answer.
     pub fn answered(&mut self, route: &ids::ClassId, span: time::Duration) {
-        if self.times.len() >= MAX_TIMED && !self.times.contains_key(route) {
+        if self.times.len() >= MAX_TIMED_ROUTES && !self.times.contains_key(route) {
             self.times.clear();
         }
         self.times.entry(route.clone()).or_default().note(span);
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -51,19 +51,19 @@
 pub struct ConnectionTimes {
     address: net::SocketAddrV4,
     opened: boot_clock::BootInstant,
-    heard: cell::Cell<Option<boot_clock::BootInstant>>,
+    received: cell::Cell<Option<boot_clock::BootInstant>>,
 }
 
 impl ConnectionTimes {
     /// Records that bytes were received.
     pub fn receive(&self) {
-        self.heard.set(Some(boot_clock::BootInstant::now()));
+        self.received.set(Some(boot_clock::BootInstant::now()));
     }
 
     fn ages(&self) -> connection_silence::ConnectionAges {
         connection_silence::ConnectionAges {
             opened: self.opened.elapsed(),
-            received: self.heard.get().map(boot_clock::BootInstant::elapsed),
+            received: self.received.get().map(boot_clock::BootInstant::elapsed),
         }
     }
 }
@@ -139,8 +139,8 @@
         };
         let stream = connected.map_err(|source| ConnectError::Refused { source })?;
         let (reader, writer) = h1::split(stream);
-        let heard = cell::Cell::new(None);
-        let times = ConnectionTimes { address, opened: boot_clock::BootInstant::now(), heard };
+        let received = cell::Cell::new(None);
+        let times = ConnectionTimes { address, opened: boot_clock::BootInstant::now(), received };
         let times = rc::Rc::new(times);
         self.connection_times
             .borrow_mut()
@@ -220,8 +220,8 @@
         waited: time::Duration,
     ) -> connection_silence::SilenceCause {
         let connection_times = self.connection_times.borrow();
-        let same = connection_times.get(&silent.address).into_iter().flatten();
-        let others = ages_of_others(silent, same);
+        let same_address = connection_times.get(&silent.address).into_iter().flatten();
+        let others = ages_of_others(silent, same_address);
         connection_silence::SilenceCause::of(silent.ages(), phase, waited, others)
     }
 
@@ -256,11 +256,11 @@
     }
 }
 
-/// Returns the ages of all open connections except `one`.
+/// Returns the ages of all open connections except `excluded`.
 fn ages_of_others<'a>(
-    one: &ConnectionTimes,
+    excluded: &ConnectionTimes,
     connection_times: impl Iterator<Item = &'a rc::Weak<ConnectionTimes>>,
 ) -> impl Iterator<Item = connection_silence::ConnectionAges> {
     let open = connection_times.filter_map(rc::Weak::upgrade);
-    open.filter(|times| !std::ptr::eq(rc::Rc::as_ptr(times), one)).map(|times| times.ages())
+    open.filter(|times| !std::ptr::eq(rc::Rc::as_ptr(times), excluded)).map(|times| times.ages())
 }
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub struct SilenceLog {
     last: cell::Cell<Option<time::Instant>>,
-    held_back: cell::Cell<u64>,
+    suppressed: cell::Cell<u64>,
 }
 
 /// Counts and logs a wait that was given up, and closes other connections if they may be dead,
@@ -42,13 +42,13 @@
         if is_doubted { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
     let log = &context.silence_log;
     if log.last.get().is_some_and(|last| last.elapsed() < LOG_INTERVAL) {
-        log.held_back.set(log.held_back.get() + 1);
+        log.suppressed.set(log.suppressed.get() + 1);
         return cause;
     }
     log.last.set(Some(time::Instant::now()));
     log::info!(
         upstream:% = wait.upstream, cause = cause.label(), waited_ms = wait.waited.as_millis() as u64,
-        dropped, held_back = log.held_back.take(); "connections.silent"
+        dropped, held_back = log.suppressed.take(); "connections.silent"
     );
     cause
 }
