--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -106,10 +106,11 @@
 
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
+    /// Prompts sent by callers.
     sent: u32,
     /// Prompts refused by the planner because no engine had room.
     refused: u32,
-    /// Prompts refused at each attempt, or out of places to request.
+    /// Prompts that an engine refused at each attempt, or for which no more places may be requested.
     lost: u32,
     /// Attempts refused by an engine.
     refused_attempts: u32,
@@ -120,14 +121,15 @@
 struct Simulation {
     lists: Vec<UpstreamList>,
     planner: PlacementPlanner,
-    /// Scheduled first tokens and ends by time: the job, and whether it is its end.
+    /// Scheduled first tokens and ends of answers, by time in milliseconds: the job, and whether it ends.
     due: collections::BTreeMap<u64, Vec<(JobId, bool)>>,
     random: ChaCha8Rng,
     /// Number of engines that refuse prompts.
     failing_engines: usize,
-    /// Fraction of prompts that these engines refuse.
+    /// Fraction of prompts that the failing engines refuse.
     refused_fraction: f64,
     outcome: Outcome,
+    /// Number of places requested.
     jobs: u64,
 }
 
@@ -156,15 +158,15 @@
                 return false;
             }
             let probe_permission = ProbePermission::of(excluded.len(), ATTEMPTS);
-            let mut all = excluded.clone();
+            let mut not_granted = excluded.clone();
             if closed == ClosedEngineWay::Asked {
                 let service = service();
                 let names = self.lists[member].closed(at(now), &service, probe_permission);
-                all.extend(names.into_iter().cloned());
+                not_granted.extend(names.into_iter().cloned());
             }
             self.jobs += 1;
             let Some(PlaceAnswer::Grant(grant)) =
-                self.planner.request(at(now), placement_request(self.jobs, all))
+                self.planner.request(at(now), placement_request(self.jobs, not_granted))
             else {
                 self.outcome.refused += 1;
                 return true;
@@ -234,7 +236,7 @@
 }
 
 /// Of 15,000 prompts, with three of six engines refusing 7 in 10, 67 were lost if a single request
-/// probes after a backoff and refused requests do not probe, and 130 if all return at once. Without
+/// probes after a backoff and refused requests do not probe, and 130 if all members return at once. Without
 /// excluded engines in the requests for places, 307 of these were wasted.
 #[test]
 fn single_probes_after_a_backoff_lose_fewer_prompts_and_excluded_engines_are_not_granted() {
--- a/crates/instance/tests/log_sink.rs
+++ b/crates/instance/tests/log_sink.rs
@@ -5,17 +5,17 @@
 use log4rs::append::Append as _;
 use slipturn_instance::log_sink;
 
-/// An output that blocks, if it is `stuck`, until a message arrives on `go`.
-struct StuckOutput {
-    go: mpsc::Receiver<()>,
+/// An output that blocks while `is_blocked` is set, until a message arrives on `unblock`.
+struct BlockingOutput {
+    unblock: mpsc::Receiver<()>,
     lines: mpsc::Sender<String>,
-    stuck: bool,
+    is_blocked: bool,
 }
 
-impl io::Write for StuckOutput {
+impl io::Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if self.stuck {
-            self.stuck = self.go.recv().is_err();
+        if self.is_blocked {
+            self.is_blocked = self.unblock.recv().is_err();
         }
         let text = String::from_utf8_lossy(bytes).into_owned();
         self.lines.send(text).map_err(io::Error::other)?;
@@ -40,9 +40,9 @@
 
 #[test]
 fn a_blocked_output_does_not_block_callers_and_dropped_lines_are_reported() {
-    let (go, waits) = mpsc::channel();
+    let (unblock, receiver) = mpsc::channel();
     let (lines, written) = mpsc::channel();
-    let output = StuckOutput { go: waits, lines, stuck: true };
+    let output = BlockingOutput { unblock: receiver, lines, is_blocked: true };
     let appender = log_sink::LineAppender::start(Box::new(output));
     let started = time::Instant::now();
     for number in 0..20_000 {
@@ -50,16 +50,16 @@
     }
     let spent = started.elapsed();
     assert!(spent < time::Duration::from_secs(5), "{spent:?}: a line waited for the output");
-    go.send(()).expect("the thread waits");
-    let patience = time::Duration::from_secs(5);
-    let first = written.recv_timeout(patience).expect("the first line");
+    unblock.send(()).expect("the thread waits");
+    let timeout = time::Duration::from_secs(5);
+    let first = written.recv_timeout(timeout).expect("the first line");
     assert!(first.contains("line.0"), "{first}");
     // The limit applies per second, so lines are accepted again in the next one.
     std::thread::sleep(time::Duration::from_millis(1_100));
     append(&appender, 20_001);
     let mut dropped = None;
     while dropped.is_none() {
-        let line = written.recv_timeout(patience).expect("a line that tells of the loss");
+        let line = written.recv_timeout(timeout).expect("a line that reports dropped lines");
         dropped = line.contains("log.dropped").then_some(line);
     }
 }
@@ -85,9 +85,9 @@
 
 #[test]
 fn a_flood_of_info_lines_does_not_displace_warnings() {
-    let (go, waits) = mpsc::channel();
+    let (unblock, receiver) = mpsc::channel();
     let (lines, written) = mpsc::channel();
-    let output = StuckOutput { go: waits, lines, stuck: true };
+    let output = BlockingOutput { unblock: receiver, lines, is_blocked: true };
     let appender = log_sink::LineAppender::start(Box::new(output));
     for number in 0..5_000 {
         append(&appender, number);
@@ -95,9 +95,9 @@
     for number in 5_000..5_050 {
         append_at(&appender, log::Level::Warn, number);
     }
-    go.send(()).expect("the thread waits");
-    let patience = time::Duration::from_millis(500);
-    let lines: Vec<_> = std::iter::from_fn(|| written.recv_timeout(patience).ok()).collect();
+    unblock.send(()).expect("the thread waits");
+    let timeout = time::Duration::from_millis(500);
+    let lines: Vec<_> = std::iter::from_fn(|| written.recv_timeout(timeout).ok()).collect();
     let warnings = lines.iter().filter(|line| line.contains("WARN")).count();
     assert_eq!(warnings, 50, "of {} lines", lines.len());
     assert!(lines.len() < 520, "{} lines in one second", lines.len());
@@ -106,8 +106,8 @@
 #[test]
 fn lines_per_second_are_bounded() {
     let (lines, written) = mpsc::channel();
-    let (_go, waits) = mpsc::channel();
-    let output = StuckOutput { go: waits, lines, stuck: false };
+    let (_unblock, receiver) = mpsc::channel();
+    let output = BlockingOutput { unblock: receiver, lines, is_blocked: false };
     let appender = log_sink::LineAppender::start(Box::new(output));
     let started = time::Instant::now();
     // Ten times the usual rate of an instance in a large fleet, for a little over two seconds.
@@ -117,7 +117,7 @@
         number += 1;
         std::thread::sleep(time::Duration::from_micros(500));
     }
-    let patience = time::Duration::from_millis(500);
-    let count = std::iter::from_fn(|| written.recv_timeout(patience).ok()).count();
+    let timeout = time::Duration::from_millis(500);
+    let count = std::iter::from_fn(|| written.recv_timeout(timeout).ok()).count();
     assert!((300..=1_210).contains(&count), "{count} of {number} lines in three seconds");
 }
--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -52,16 +52,20 @@
 
 #[test]
 fn messages_survive_encoding_and_decoding() {
-    let service = key();
+    let planner_key = key();
     let job = JobId { boot: 1, sequence: 2 };
     let messages = [
-        PeerMessage::Leases(service.clone(), vec![lease(1), lease(2)]),
-        PeerMessage::Renew(service.clone(), 7, vec![RenewedJob { sequence: 2, prefilling: true }]),
-        PeerMessage::Unknown(service.clone(), vec![2, 900]),
+        PeerMessage::Leases(planner_key.clone(), vec![lease(1), lease(2)]),
+        PeerMessage::Renew(
+            planner_key.clone(),
+            7,
+            vec![RenewedJob { sequence: 2, prefilling: true }],
+        ),
+        PeerMessage::Unknown(planner_key.clone(), vec![2, 900]),
         PeerMessage::Who,
-        PeerMessage::Note(service.clone(), PlaceNote::Ended(job, PlaceEnd::Silent)),
-        PeerMessage::Note(service.clone(), PlaceNote::Eject(name("e1"))),
-        PeerMessage::Ask(service, Box::new(lease(3).request)),
+        PeerMessage::Note(planner_key.clone(), PlaceNote::Ended(job, PlaceEnd::Silent)),
+        PeerMessage::Note(planner_key.clone(), PlaceNote::Eject(name("e1"))),
+        PeerMessage::Ask(planner_key, Box::new(lease(3).request)),
     ];
     for message in messages {
         let bytes = message.encode().expect("a message that can be encoded");
@@ -71,10 +75,10 @@
 
 #[test]
 fn the_largest_lease_and_renewal_messages_fit_a_datagram() {
-    let service = key();
+    let planner_key = key();
     let leases = (0..MAX_LEASES as u64).map(lease).collect();
     let bytes =
-        PeerMessage::Leases(service, leases).encode().expect("a message that can be encoded");
+        PeerMessage::Leases(planner_key, leases).encode().expect("a message that can be encoded");
     assert!(bytes.len() <= MAX_DATAGRAM, "{} bytes", bytes.len());
     let jobs = vec![RenewedJob { sequence: u64::MAX, prefilling: true }; MAX_RENEWED];
     let bytes = PeerMessage::Renew(key(), 1, jobs).encode().expect("a message that can be encoded");
@@ -96,7 +100,7 @@
     let grant = PlaceGrant { helpers: Vec::new(), ..lease(7).grant };
     let answer = PlaceAnswer::Grant(grant);
     let job = lease(7).request.job;
-    // After a day at 13 requests a second.
+    // The sequence number after a day at 13 requests a second.
     let renewed = RenewedJob { sequence: 1_200_000, prefilling: false };
     let alive = ShortHeartbeat {
         boot: u64::MAX,
@@ -138,7 +142,7 @@
     let single_message =
         PeerMessage::Leaving(vec![report]).encode().expect("a message that can be encoded");
     println!(
-        "{} bytes asked, {} and {} bytes of leaving",
+        "{} bytes of a request, {} and {} bytes of leaving upstreams",
         request.len(),
         single_message.len(),
         full_message.len()
--- a/crates/instance/tests/upstream_load.rs
+++ b/crates/instance/tests/upstream_load.rs
@@ -32,13 +32,13 @@
     repeatable: f64,
     /// How the first upstream fails.
     fault: CallResult,
-    /// Fraction of its calls that fail.
+    /// Fraction of the first upstream's calls that fail.
     failing_fraction: f64,
     /// Fraction of the repeatable calls that fail on any upstream.
     failing_call_fraction: f64,
     /// Start of the period in which the first upstream fails, in milliseconds.
     from_ms: u64,
-    /// End of that period, in milliseconds.
+    /// End of the period in which the first upstream fails, in milliseconds.
     until_ms: u64,
     /// Length of the simulation, in milliseconds.
     length_ms: u64,
@@ -50,10 +50,10 @@
     calls: u32,
     /// Calls that failed at the first upstream while it failed.
     lost: u32,
-    /// Those of the lost calls that must not be repeated.
+    /// Lost calls that must not be repeated.
     lost_once: u32,
     /// Calls to the first upstream while it failed.
-    asked: u32,
+    failing_calls: u32,
     /// Calls to the first upstream in the last second.
     last: u32,
     /// Calls to all upstreams in the last second.
@@ -120,14 +120,15 @@
         let fails_anywhere = repeatable && rng.random_bool(plan.failing_call_fraction);
         let picked = loads[instance]
             .pick(at(now), &usable, &own, repeatable, |_| false)
-            .expect("there are some");
-        let upstream = names.iter().position(|name| *name == picked.name).expect("it is one");
+            .expect("there are candidates");
+        let upstream =
+            names.iter().position(|name| *name == picked.name).expect("it is a candidate");
         let failing = upstream == 0 && (plan.from_ms..plan.until_ms).contains(&now);
         let fails = failing && rng.random_bool(plan.failing_fraction);
         outcome.calls += 1;
         outcome.lost += u32::from(fails);
         outcome.lost_once += u32::from(fails && !repeatable);
-        outcome.asked += u32::from(failing);
+        outcome.failing_calls += u32::from(failing);
         if now + 1_000 >= plan.length_ms {
             outcome.last_all += 1;
             outcome.last += u32::from(upstream == 0);
@@ -164,21 +165,21 @@
     let mean_of = |count: fn(&LoadOutcome) -> u32| {
         outcomes.iter().map(|outcome| f64::from(count(outcome))).sum::<f64>() / SEEDS as f64
     };
-    (mean_of(|outcome| outcome.asked), mean_of(|outcome| outcome.lost_once))
+    (mean_of(|outcome| outcome.failing_calls), mean_of(|outcome| outcome.lost_once))
 }
 
 /// Of some 380 calls in the failure period, 196 went to the upstream when a quick refusal counted as
 /// an answer, and 26 when each failure counted as three calls in progress for two seconds. With the
-/// current rule 17 do without messages between members, and 5 with them.
+/// current rule 17 go there without messages between members, and 5 with them.
 #[test]
 fn an_upstream_that_is_gone_gets_few_calls() {
-    let (asked, lost) = mean(SIX_INSTANCES);
-    println!("gone: asked {asked:.1}, lost {lost:.1}");
-    assert!(asked <= 8.0, "asked {asked} times in 9.5 s by six instances");
+    let (calls, lost) = mean(SIX_INSTANCES);
+    println!("gone: {calls:.1} calls, lost {lost:.1}");
+    assert!(calls <= 8.0, "{calls} calls in 9.5 s by six instances");
     assert!(lost <= 2.0, "{lost} calls that may not be repeated were lost");
-    let (asked, _) = mean(LoadPlan { instances: 60, ..SIX_INSTANCES });
-    println!("gone, 60 instances: asked {asked:.1}");
-    assert!(asked <= 8.0, "asked {asked} times in 9.5 s by sixty instances");
+    let (calls, _) = mean(LoadPlan { instances: 60, ..SIX_INSTANCES });
+    println!("gone, 60 instances: {calls:.1} calls");
+    assert!(calls <= 8.0, "{calls} calls in 9.5 s by sixty instances");
 }
 
 /// Each case bounds the calls to the failing upstream, of some 380, and the calls lost there that
@@ -194,14 +195,14 @@
         (Full, 0.45, 55.0, 9.0),
         (Erred, 0.45, 35.0, 9.0),
     ];
-    for (fault, failing_fraction, most_asked, most_lost) in cases {
-        let (asked, lost) = mean(LoadPlan { fault, failing_fraction, ..SIX_INSTANCES });
-        println!("{fault:?} {failing_fraction}: asked {asked:.1}, lost {lost:.1}");
+    for (fault, failing_fraction, max_calls, max_lost) in cases {
+        let (calls, lost) = mean(LoadPlan { fault, failing_fraction, ..SIX_INSTANCES });
+        println!("{fault:?} {failing_fraction}: {calls:.1} calls, lost {lost:.1}");
         assert!(
-            asked <= most_asked,
-            "{fault:?} in {failing_fraction} of its calls: asked {asked} times"
+            calls <= max_calls,
+            "{fault:?} in {failing_fraction} of its calls: received {calls}"
         );
-        assert!(lost <= most_lost, "{fault:?} in {failing_fraction} of its calls: lost {lost}");
+        assert!(lost <= max_lost, "{fault:?} in {failing_fraction} of its calls: lost {lost}");
     }
 }
 
@@ -229,13 +230,13 @@
         failing_call_fraction: 0.3,
         ..SIX_INSTANCES
     };
-    let (asked, lost) = mean(plan);
-    println!("45 in 100 beside calls that fail everywhere: asked {asked:.1}, lost {lost:.1}");
-    assert!(asked <= 85.0, "asked {asked} times of 380");
+    let (calls, lost) = mean(plan);
+    println!("45 in 100 beside calls that fail everywhere: {calls:.1} calls, lost {lost:.1}");
+    assert!(calls <= 85.0, "{calls} of 380 calls");
     let healthy = LoadPlan { failing_fraction: 0.0, failing_call_fraction: 0.3, ..SIX_INSTANCES };
-    let (asked, _) = mean(healthy);
-    println!("healthy beside calls that fail everywhere: asked {asked:.1}");
-    assert!((85.0..170.0).contains(&asked), "asked {asked} times of 380, a third is fair");
+    let (calls, _) = mean(healthy);
+    println!("healthy beside calls that fail everywhere: {calls:.1} calls");
+    assert!((85.0..170.0).contains(&calls), "{calls} of 380 calls, a third is expected");
 }
 
 #[test]
@@ -247,7 +248,8 @@
         loads.begin(at(0), &entries[0].name);
         loads.end(at(0), &entries[0].name, Some(result));
     }
-    let picked = loads.pick(at(1), &[&entries[0]], &own, false, |_| false).expect("there is one");
+    let picked =
+        loads.pick(at(1), &[&entries[0]], &own, false, |_| false).expect("there is a candidate");
     assert_eq!(picked.name, entries[0].name);
 }
 
@@ -259,7 +261,8 @@
     loads.begin(at(0), &entries[0].name);
     loads.end(at(0), &entries[0].name, Some(Gone));
     let again = UpstreamEntry { name: "u1@8".parse().expect("a valid name"), ..entries[0].clone() };
-    let picked =
-        loads.pick(at(1), &[&again, &entries[1]], &own, false, |_| false).expect("there are some");
+    let picked = loads
+        .pick(at(1), &[&again, &entries[1]], &own, false, |_| false)
+        .expect("there are candidates");
     assert_eq!(picked.name, again.name);
 }
--- a/crates/instance/tests/upstream_shares.rs
+++ b/crates/instance/tests/upstream_shares.rs
@@ -41,7 +41,7 @@
 /// Results of a simulation.
 #[derive(Debug)]
 struct ShareFigures {
-    /// Calls to the busiest upstream, relative to the mean.
+    /// Number of calls to the busiest upstream, relative to the mean.
     busiest: f64,
     /// Fraction of the calls that were late.
     late: f64,
@@ -61,7 +61,7 @@
 impl SimulatedUpstream {
     /// Accepts a call and returns the time of its answer.
     fn take(&mut self, now: u64) -> u64 {
-        let slot = self.free_at.iter_mut().min().expect("it has slots");
+        let slot = self.free_at.iter_mut().min().expect("an upstream has slots");
         *slot = (*slot).max(now) + self.work_ms;
         self.calls += 1;
         self.running += 1;
@@ -115,9 +115,9 @@
         for _ in 0..due as usize {
             let instance = random.random_range(0..plan.instances);
             let picked = loads[instance].pick(at(now), &usable, &own, false, |_| false);
-            let picked = picked.expect("there are some");
+            let picked = picked.expect("there are candidates");
             let upstream = entries.iter().position(|entry| entry.name == picked.name);
-            let upstream = upstream.expect("it is one");
+            let upstream = upstream.expect("it is a candidate");
             loads[instance].begin(at(now), &picked.name);
             let end = upstreams[upstream].take(now);
             ends.entry(end).or_default().push((instance, upstream));
@@ -132,7 +132,7 @@
     }
 }
 
-/// Returns the mean over three seeds.
+/// Returns the mean figures over three seeds.
 fn mean(way: LoadChoiceWay, plan: SharePlan) -> ShareFigures {
     const SEEDS: u64 = 3;
     let runs: Vec<_> = (0..SEEDS).map(|seed| simulate(way, plan, seed)).collect();
@@ -149,7 +149,7 @@
 ];
 
 /// Guards against one upstream receiving most calls: each instance has few calls in progress, so its
-/// own calls hardly tell the upstreams apart.
+/// own calls hardly distinguish the upstreams.
 #[test]
 fn equal_upstreams_get_equal_shares_at_all_sizes() {
     for instances in [6, 60, 300] {
