--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -33,13 +33,13 @@
 pub struct CallerRequest {
     /// Id that the caller gave to this attempt.
     pub id: String,
-    /// API key of the customer.
+    /// API key that the caller sent, if any.
     pub key: Option<String>,
     /// How long the caller waits for the answer.
     pub max_wait: Option<time::Duration>,
     /// Number of prompt tokens; 0 for a request without a prompt.
     pub prompt: u64,
-    /// Maximum number of output tokens.
+    /// Maximum number of output tokens; 0 for a request without a prompt.
     pub output: u64,
     /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<String>,
@@ -81,7 +81,8 @@
     pub at_fault: Option<net::SocketAddrV4>,
     /// Whether the upstream announces that it is shutting down.
     pub leaving: bool,
-    /// For how long the upstream asks to receive no requests; an error if the value is invalid.
+    /// Back-off that the upstream requests: the time for which it is sent no requests. An error if the
+    /// value is invalid.
     pub backoff: Option<Result<time::Duration, FormatError>>,
     /// Rate of requests that the upstream accepts from all instances together; an error if the value
     /// is invalid.
@@ -99,7 +100,7 @@
 /// An engine's report about its own load.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct EngineReport {
-    /// Slowdown against the engine's configured speed; above 1 it is slower.
+    /// Slowdown relative to the engine's configured speed: 1 at that speed, and higher if it is slower.
     pub pace: f64,
     /// Number of running requests.
     pub running: u32,
@@ -109,7 +110,7 @@
     pub used: u64,
     /// Memory reservations, if the engine reports them.
     pub tickets: Option<Vec<TicketReport>>,
-    /// The start of the engine that sent the report, if it is named.
+    /// The start of the engine that sent the report, if the report states it.
     pub start: Option<ids::UpstreamStart>,
 }
 
@@ -154,7 +155,7 @@
 pub trait CallerAdapter {
     /// Parses a request's head.
     fn parse_request(&self, head: &http::request::Parts) -> Result<CallerRequest, FormatError>;
-    /// Returns the headers of an answer that the instance generates itself.
+    /// Returns the headers of an answer that the instance itself generates for a request id.
     fn answer_headers(&self, request: &str, retry_after: Option<time::Duration>)
     -> http::HeaderMap;
     /// Returns whether a path on the health address is the readiness check.
@@ -169,7 +170,7 @@
     fn parse_answer(&self, head: &http::response::Parts) -> UpstreamAnswer;
     /// Returns the path and body of a memory order.
     fn memory_order(&self, order: &MemoryOrder) -> (String, Bytes);
-    /// Returns the start of the engine that answered an order, if the answer names it.
+    /// Returns the start of the engine that answered an order, if the answer states it.
     fn order_start(&self, body: &[u8]) -> Option<ids::UpstreamStart>;
     /// Returns the path of an engine's report.
     fn report_path(&self) -> String;
@@ -184,7 +185,7 @@
 pub struct RawDocuments {
     /// The routes, if the sender has newer ones.
     pub routes: Option<routes_history::RoutesCopy>,
-    /// All upstreams by name, if the changes alone are no longer known.
+    /// Documents of all upstreams by name, if the sender no longer has the changes that the receiver lacks.
     pub upstreams: Option<collections::BTreeMap<String, String>>,
     /// Changes to upstreams, oldest first: the name with its document, or `None` if it was deleted.
     pub changes: Vec<(String, Option<String>)>,
@@ -262,7 +263,7 @@
     ) -> Result<Option<store_revision::StoreEra>, FormatError>;
     /// Parses a page, or the answer to a read of a single key.
     fn parse_page(&self, body: &[u8]) -> Result<StorePage, FormatError>;
-    /// Parses changes and the revision after them.
+    /// Parses the answer to a watch: the changes, and the revision after them.
     fn parse_changes(&self, body: &[u8]) -> Result<(Vec<StoreChange>, u64), FormatError>;
     /// Returns the kind of document stored under a key.
     fn key(&self, key: &str) -> StoreKey;
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of bytes that a caller may pipeline before it receives its answer.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
-/// How long remaining input is read and discarded before the connection is closed.
+/// Maximum time for which remaining input is read and discarded before the connection is closed.
 const LINGER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Process age up to which requests wait. Members that started at the same time may not agree on
 /// the planner before this age, so each would plan alone and assign the same engines.
@@ -241,7 +241,7 @@
     };
     call.body = body;
     let mut record = call.record(context);
-    // Default outcome, which remains if the caller disconnects before there is another one.
+    // Remains in the record if the caller disconnects before the request is answered or refused.
     "caller left".clone_into(&mut record.outcome);
     context.count_request(&call.service);
     let next = {
@@ -258,8 +258,8 @@
 }
 
 /// Delays a request while this process has just started and does not know the routes, the
-/// upstreams or the planners yet. It usually learns them within moments, and many callers retry
-/// only once.
+/// upstreams or the planners yet. It usually learns them within a fraction of a second, and many
+/// callers retry only once.
 async fn wait_until_ready(
     context: &context::InstanceContext,
     arrived: units::MonoTime,
@@ -364,7 +364,7 @@
 }
 
 /// Completes when the caller closes its connection. Pipelined bytes stay buffered; beyond
-/// [`MAX_PIPELINED_BYTES`] the connection is no longer read, so a close goes unnoticed.
+/// [`MAX_PIPELINED_BYTES`] the connection is no longer read, so a close is not detected.
 async fn watch_caller(reader: &mut h1::MessageReader) {
     loop {
         if reader.buffered() > MAX_PIPELINED_BYTES {
--- a/crates/instance/src/compressed_bytes.rs
+++ b/crates/instance/src/compressed_bytes.rs
@@ -42,7 +42,7 @@
 }
 
 impl CompressionError {
-    /// An error for bytes that decompress but cannot be decoded, or that could not be encoded.
+    /// Creates an error for bytes that decompress but cannot be decoded, or that could not be encoded.
     pub(crate) fn codec(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
         Self::Codec { source: std::io::Error::other(error) }
     }
@@ -51,6 +51,7 @@
 /// Compressed bytes, with the length and digest of the original ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompressedBytes {
+    /// The output of the codec.
     packed: Vec<u8>,
     /// Length of the original bytes.
     length: u32,
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -62,17 +62,17 @@
     pub detector: cell::RefCell<failure_detector::FailureDetector>,
     /// When this process last refuted a suspicion of itself.
     pub last_refuted: cell::Cell<Option<units::MonoTime>>,
-    /// Worth of a request, by class.
+    /// Worth of an answer in time, by class of requests.
     pub classes: cell::RefCell<class_worth::ClassWorth>,
     /// Planners that run in this process.
     pub planners: cell::RefCell<planner_set::PlannerSet>,
     /// Leases on the places that this process's requests use.
     pub leases: cell::RefCell<collections::HashMap<engine_place::JobId, HeldLease>>,
-    /// The other member that this process last asked as planner, by key.
+    /// The other member from which this process last requested a place, by planner key.
     pub planned_by: cell::RefCell<collections::BTreeMap<planner_key::PlannerKey, ids::InstanceId>>,
     /// Budget for requesting places from further cells after a refusal.
     pub search_budget: cell::RefCell<search_budget::SearchBudget>,
-    /// Where planner replies go, by waiting request.
+    /// Channels for the planner's replies, by waiting request.
     pub reply_senders:
         cell::RefCell<collections::HashMap<engine_place::JobId, peer_message::ReplySender>>,
     /// This process's share of the retry budget, by service.
@@ -91,9 +91,9 @@
     pub quarantine: cell::RefCell<quarantine::QuarantineTable>,
     /// Notifies requests in progress that one was quarantined.
     pub verdicts: quarantine_gate::VerdictSignal,
-    /// Second of the last gossip requests, and their number in that second.
+    /// Process age, in seconds, at the last gossip request, and the number of requests in that second.
     pub gossip_requests: cell::Cell<(u64, usize)>,
-    /// Answers to members about the store's documents, and the number of large ones in progress.
+    /// Encoded answers to members that request documents, and the number of large ones in flight.
     pub answers: cell::RefCell<document_answers::DocumentAnswers>,
     /// Rate limiter for log lines about silent connections.
     pub silence_log: upstream_silence::SilenceLog,
@@ -109,8 +109,8 @@
     pub joined_members: cell::Cell<usize>,
     /// Sequence number of the last heartbeat.
     pub heartbeat_sequence: cell::Cell<u64>,
-    /// When this process last noticed that it had been paused; it does not plan for others shortly
-    /// after that. The default if it was never paused.
+    /// When this process last detected that it had been paused; it does not plan for other members
+    /// shortly after that. The default if it was never paused.
     pub resumed_at: cell::Cell<units::MonoTime>,
     /// Until when requests wait for places after a graceful stop has begun.
     pub places_until: cell::Cell<Option<units::MonoTime>>,
@@ -120,6 +120,7 @@
     pub outgoing: mpsc::UnboundedSender<OutgoingMessage>,
     /// Events about requests running at upstreams.
     runs: mpsc::UnboundedSender<upstream_ends::RunEvent>,
+    /// Sequence number of the last attempt id.
     sequence: cell::Cell<u64>,
 }
 
@@ -271,7 +272,7 @@
         store_tracker::DocumentVersions { routes, list }
     }
 
-    /// Returns for how long this process has lacked routes and lists that other members have.
+    /// Returns for how long this process has lacked the newest routes and list that other members have.
     pub fn lags(&self) -> store_tracker::DocumentLags {
         let now = self.now();
         let newest = self.members.borrow().newest(now);
@@ -287,9 +288,9 @@
         (age > MEMBER_COUNT_MIN_AGE && !alone).then(|| members.size())
     }
 
-    /// Picks the planner that a request for a service asks for a place: that of a random cell, weighted
-    /// by its engines, that has not `refused` the request. If there are several cells, those that have
-    /// only closed engines are left out.
+    /// Picks the planner from which a request for a service requests a place: that of a random cell,
+    /// weighted by its number of engines, among those that have not `refused` the request. If there are
+    /// several cells, those that have only closed engines are left out.
     pub fn pick_planner(
         &self,
         service: &ids::ServiceId,
@@ -305,7 +306,7 @@
         planner_key::pick(service, cells, &engines, &closed, refused, drawn)
     }
 
-    /// Returns the live engines of a planner to which this instance must not send requests now.
+    /// Returns the live engines in a planner's cell to which this instance must not send requests now.
     pub fn closed_engines(
         &self,
         key: &planner_key::PlannerKey,
@@ -322,7 +323,7 @@
         closed.iter().filter(in_cell).map(|name| (*name).clone()).collect()
     }
 
-    /// Returns whether a request that asks for a place now may still get one; always true unless a
+    /// Returns whether a request may still obtain a place if it requests one now; always true unless a
     /// graceful stop has begun.
     pub fn grants_places(&self) -> bool {
         self.places_until.get().is_none_or(|until| self.now() + MIN_PLACE_TIME < until)
--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -14,8 +14,8 @@
 const MAX_CACHED_ANSWERS: usize = 4;
 /// Size in bytes from which an answer counts as large: sending it takes 7 ms on a link of 20 Mbit/s.
 const MIN_LARGE_ANSWER_BYTES: usize = 16 * 1024;
-/// Most bytes of large answers in flight at once: 0.2 s on a link of 20 Mbit/s. A refused member asks another one; more
-/// members have the documents by then.
+/// Most bytes of large answers in flight at once: 0.2 s on a link of 20 Mbit/s. A refused member requests the documents
+/// from another one; more members have them by then.
 const MAX_LARGE_BYTES_IN_FLIGHT: usize = 480 * 1024;
 /// Number of large answers that may be in flight whatever their size.
 const MIN_LARGE_IN_FLIGHT: usize = 8;
@@ -27,7 +27,7 @@
     requester_has: (u64, Option<store_revision::StoreRevision>),
     /// Versions of routes and list that this process has.
     current: (u64, store_revision::StoreRevision),
-    /// Ages reported in the answer: once they have grown, it is encoded again.
+    /// Ages reported in the answer, in milliseconds: once they have grown, the answer is encoded again.
     ages: (Option<u64>, Option<u64>),
 }
 
@@ -45,6 +45,7 @@
 /// Counts a large answer as in flight until it is dropped.
 pub(crate) struct LargeAnswerGuard {
     context: rc::Rc<context::InstanceContext>,
+    /// Size of the answer.
     bytes: usize,
 }
 
@@ -119,7 +120,7 @@
     Ok(bytes)
 }
 
-/// Whether an answer counts towards the bounds on large answers.
+/// Whether an answer counts towards the limits on large answers.
 pub(crate) fn is_large(answer: &[u8]) -> bool {
     answer.len() >= MIN_LARGE_ANSWER_BYTES
 }
--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -60,6 +60,7 @@
 /// A persistent connection for consecutive document calls; reopened after a failure.
 pub struct DocumentConnection {
     address: net::SocketAddr,
+    /// Both sides of the open connection; `None` if a call must open one.
     open: Option<(h1::MessageReader, h1::MessageWriter)>,
 }
 
