--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -1,4 +1,4 @@
-//! Calls to engines other than requests: reads of their reports, and memory orders.
+//! Calls to engines other than callers' requests: reads of their reports, and memory orders.
 
 use std::{net, time};
 
@@ -20,7 +20,7 @@
     /// The call failed, or was refused.
     #[snafu(display("{source}"))]
     Call {
-        /// The cause.
+        /// The error of the call.
         source: document_call::CallError,
     },
 }
@@ -95,7 +95,7 @@
     let sent_at = context.now();
     let left = limit.saturating_sub(sent_at.since(started));
     let answer = connection.call_any_status(method, path, body, left).await.map_err(failed)?;
-    // The head's load and backoff signals are valid in refusals, too.
+    // The head's load and backoff signals are also valid in refusals.
     let source = match kind {
         send_gate::SendKind::Report => upstream_notice::NoticeSource::Report,
         _ => upstream_notice::NoticeSource::Order,
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -1,4 +1,4 @@
-//! Handles an engine's fault: what the planner is told, and which engines the request's next
+//! Handles an engine's fault: what is reported to the planner, and which engines the request's next
 //! attempts exclude.
 
 use slipturn_core::{connection_silence, engine_place, ids, retry, send_gate, units};
@@ -8,7 +8,7 @@
     upstream_pool, upstream_silence, upstream_starts,
 };
 
-/// Returns how an attempt that ended with `fault` ended for the engine that had the request.
+/// Returns the end of a place to report to the planner after an attempt that failed with `fault`.
 pub(crate) fn place_end(
     hold: &plan_client::PlaceHold,
     fault: &upstream_attempt::AttemptFault,
@@ -49,8 +49,8 @@
     if cause != hold.grant.engine {
         hold.eject(&cause);
     }
-    // If no other engine is left, it is tried again: only its connection may have been silent, and
-    // the next attempt uses a new one.
+    // If no other engine is left, a silent one is tried again: perhaps only its connection was silent,
+    // and the next attempt uses a new one.
     let silent = hold.end == engine_place::PlaceEnd::Silent;
     let already_excluded = state.excluded.contains(&cause);
     if already_excluded || (silent && is_only_engine_left(context, state, hold)) {
@@ -90,7 +90,7 @@
     open.iter().all(|entry| entry.name == hold.grant.engine || state.excluded.contains(&entry.name))
 }
 
-/// Records the end of a wait that began at `since` and was given up; returns the text for the
+/// Records that a wait for the engine, begun at `since`, was given up; returns the text for the
 /// request's record.
 pub(crate) fn record_silence(
     context: &context::InstanceContext,
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -6,16 +6,16 @@
 
 use crate::{context, engine_call, peers, upstream_starts};
 
-/// Interval between two reports of one engine.
+/// Interval between two reports requested from one engine.
 const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(2_000);
 /// Interval at which the poller checks for engines while there are none to poll.
 const IDLE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
-/// Timeout of a report, which takes a few milliseconds within a region.
+/// Timeout of a request for a report, which takes a few milliseconds within a region.
 const REPORT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Engines with a limit are polled only if their limit was last read at least this long ago: they
 /// are overloaded, and their answers carry enough information.
 const LIMITED_INTERVAL: time::Duration = time::Duration::from_secs(10);
-/// Pace above which an engine is logged as slow.
+/// Pace, relative to the configured speed, above which an engine is logged as slow.
 const SLOW_PACE: f64 = 1.5;
 
 /// Polls the engines that this process plans for, spread evenly over `REPORT_INTERVAL`.
@@ -61,7 +61,7 @@
     engines
 }
 
-/// Polls engines immediately that were silent during a request.
+/// Immediately polls engines that were silent during a request.
 fn poll_suspects(context: &rc::Rc<context::InstanceContext>) {
     let suspects = context.planners.borrow_mut().take_suspects();
     let fleet = context.fleet.borrow();
--- a/crates/instance/src/failure_watch.rs
+++ b/crates/instance/src/failure_watch.rs
@@ -1,4 +1,4 @@
-//! Runs the failure detector and broadcasts its findings.
+//! Runs the failure detector, and broadcasts the suspicions that it raises and withdraws.
 
 use std::{net, rc, time};
 
@@ -10,7 +10,7 @@
 const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// Interval between two updates of the detector's probe ring.
 const RING_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Least interval between two denials of a suspicion.
+/// Minimum interval between two refutations of suspicions of this process.
 const REFUTATION_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Most suspicion reports in one message; each takes some twelve bytes.
 const MAX_REPORTS: usize = 200;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Handles a probe or the reply to one.
+/// Handles a probe of the failure detector, or the reply to one.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     from: net::SocketAddrV4,
@@ -87,7 +87,7 @@
         context.stats.borrow_mut().count("members", "suspected");
         log::info!(boot = report.boot, silent_ms = report.silent_ms; "member.suspected");
     } else {
-        // The member is unknown, or has been heard from since the report was made.
+        // The member is unknown, or a message from it has arrived since the report was made.
         context.detector.borrow_mut().restore(now, report.boot);
     }
 }
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -89,7 +89,7 @@
         if self.diverged { store_revision::StoreRevision::default() } else { self.list.revision() }
     }
 
-    /// Documents that a member with these versions lacks; the routes alone where it gives no revision of the list.
+    /// Documents that a member with these versions lacks; the routes alone if it states no revision of the list.
     pub fn documents(
         &mut self,
         now: units::MonoTime,
@@ -137,8 +137,8 @@
 
     /// Adopts those documents of another member that are newer than the ones in force.
     ///
-    /// Fails if the copy of the routes is damaged or was made against other routes than those in force; the list is
-    /// adopted all the same.
+    /// Fails if the copy of the routes is damaged or is based on other routes than those in force; the list is adopted
+    /// nevertheless.
     pub fn adopt(
         &mut self,
         now: units::MonoTime,
@@ -202,7 +202,7 @@
         Some((before.version.0, text))
     }
 
-    /// Records which start of an upstream answered at an address a request that was sent at `requested_at`.
+    /// Records which start of an upstream answered a request that was sent to `address` at `requested_at`.
     ///
     /// An address at which two upstreams are listed identifies neither, so the report is ignored.
     pub fn receive_start(
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -14,8 +14,8 @@
 /// Handles a heartbeat.
 ///
 /// A member that has just joined is answered at once, with the addresses of all members if it knows only few. Unknown
-/// members that a heartbeat names are sent one at once. With periodic heartbeats alone, the members of a large fleet
-/// would discover each other only after many seconds.
+/// members that a heartbeat names are sent a heartbeat at once. With periodic heartbeats alone, the members of a large
+/// fleet would discover each other only after many seconds.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     now: units::MonoTime,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends this process's heartbeat to `targets`: whole when that is due and to unknown members, else in its short form.
+/// Sends this process's heartbeat to `targets`: in full when that is due and to unknown members, else in its short form.
 fn send_heartbeat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
     let heartbeat = context.next_heartbeat();
     for to in targets {
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -10,7 +10,7 @@
 /// Time reserved for sending an answer to the caller.
 const ANSWER_MARGIN: time::Duration = time::Duration::from_millis(15);
 
-/// How long a caller is assumed to wait if it names no time and the routes are not known yet.
+/// How long a caller is assumed to wait if it states no time and the routes are not known yet.
 pub(crate) const DEFAULT_MAX_WAIT: time::Duration = time::Duration::from_secs(10);
 
 /// An admitted request.
@@ -29,7 +29,7 @@
     pub service: ids::ServiceId,
     /// Shape of the service's engines, if it has engines.
     pub shape: Option<route_table::EngineShape>,
-    /// When the last byte was received.
+    /// When the last byte of the request was received.
     pub arrived: units::MonoTime,
     /// When the final answer is due.
     pub deadline: units::MonoTime,
--- a/crates/instance/src/instance_settings.rs
+++ b/crates/instance/src/instance_settings.rs
@@ -70,8 +70,8 @@
     pub memory_idle: units::TimeSpan,
 }
 
-/// Share of [`FleetBounds::memory_idle`] after which an attempt is given up whose answer has not begun; the rest is for
-/// orders in flight and for releasing the memory.
+/// Share of [`FleetBounds::memory_idle`] after which an attempt is given up if its answer has not begun; the remainder
+/// is for orders in flight and for releasing the memory.
 const UNUSED_SHARE: f64 = 0.8;
 
 fn default_memory_idle() -> units::TimeSpan {
@@ -129,7 +129,7 @@
 
 /// Missed renewals after which the store drops the entry of an upstream.
 const EXPIRY_HEARTBEATS: u32 = 3;
-/// Time within which upstreams reconnect to a store after an outage.
+/// Time within which upstreams reconnect to the store after an outage.
 const RECONNECT_TIME: time::Duration = time::Duration::from_secs(2);
 
 fn default_upstream_heartbeat() -> units::TimeSpan {
@@ -164,7 +164,7 @@
         Ok(settings)
     }
 
-    /// Time after the store's return from an older copy from which an entry still present has been renewed since.
+    /// Time after the store was restored from an older copy by which every valid entry has been rewritten.
     pub fn rewrite_time(&self) -> time::Duration {
         self.upstream_heartbeat.0 * EXPIRY_HEARTBEATS + RECONNECT_TIME
     }
--- a/crates/instance/src/instance_stats.rs
+++ b/crates/instance/src/instance_stats.rs
@@ -51,6 +51,7 @@
 pub struct InstanceStats {
     /// Counters by metric name and label.
     counters: collections::BTreeMap<(&'static str, String), u64>,
+    /// Latencies by metric name and label.
     latencies: collections::BTreeMap<(&'static str, String), LatencySeries>,
 }
 
@@ -115,7 +116,7 @@
     }
 }
 
-/// Returns the key of a series, or that of `other` if the series would be one too many.
+/// Returns the key of a series, or that of `other` if a new series would exceed [`MAX_SERIES`].
 ///
 /// Characters that would need escaping in a label are dropped.
 fn bounded_key<T>(
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -11,7 +11,7 @@
 /// Path of the quarantined requests.
 const QUARANTINE_PATH: &str = "/v1/quarantine";
 
-/// Path of the upstreams' page.
+/// Path of the rows on upstreams.
 const UPSTREAMS_PATH: &str = "/v1/upstreams";
 
 /// Largest request head, in bytes.
@@ -78,7 +78,7 @@
     }
 }
 
-/// Response of this server.
+/// A response of this server.
 struct ServerAnswer {
     status: u16,
     body: Bytes,
@@ -260,8 +260,8 @@
     serde_json::json!({ "version": fleet.routes.version, "routes": rows })
 }
 
-/// Gauges of how old the documents of this process may be. They alone distinguish a watch that has fallen silent from one
-/// without changes.
+/// Gauges of how old the documents of this process may be. No other metric distinguishes a watch that has fallen silent
+/// from one without changes.
 fn source_gauges(context: &context::InstanceContext) -> String {
     let lags = context.lags();
     let store_tracker = context.store_tracker.borrow();
--- a/crates/instance/src/lease_renewal.rs
+++ b/crates/instance/src/lease_renewal.rs
@@ -36,9 +36,9 @@
     }
 }
 
-/// Initialises the planner of a key if it has not been in use lately: takes over this process's
-/// leases and requests those of all members. Renewals arrive up to half a second later, and until
-/// then the planner would assign engines that are full.
+/// Initialises the planner of a key if it has been idle: takes over this process's leases and
+/// requests those of all members. Renewals arrive up to half a second later, and until then the
+/// planner would assign engines that are full.
 pub(crate) fn begin_if_idle(
     context: &context::InstanceContext,
     planners: &mut planner_set::PlannerSet,
