--- a/crates/instance/src/event_stream.rs
+++ b/crates/instance/src/event_stream.rs
@@ -38,7 +38,7 @@
         .collect()
 }
 
-/// Returns the position after each event, which a blank line ends.
+/// Returns the position after each blank line, which ends an event.
 fn event_ends(bytes: &[u8]) -> impl Iterator<Item = usize> {
     let mut line_start = 0;
     bytes.iter().enumerate().filter(|(_, byte)| **byte == b'\n').filter_map(move |(at, _)| {
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends this process's heartbeat to `targets`: in full when that is due and to unknown members, else in its short form.
+/// Sends this process's heartbeat to `targets`: in full when due and to unknown members, else in its short form.
 fn send_heartbeat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
     let heartbeat = context.next_heartbeat();
     for to in targets {
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -15,8 +15,8 @@
 /// Time of the last logged change of each upstream's limit.
 pub(crate) type LimitLog = collections::BTreeMap<ids::UpstreamId, units::MonoTime>;
 
-/// Handles the limit that an answer states. A missing limit ends the known one only in answers to requests, as other
-/// answers need not state it.
+/// Handles the limit that an answer states. The absence of a limit ends the known one only in answers to requests, as
+/// other answers need not state it.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Sends a member all limits known here, and those that ended recently.
+/// Sends a member all limits known to this process, and those that ended recently.
 pub(crate) fn send_to(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
     let reports: Vec<_> = {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Sends the limit of an upstream, as known here, to its coordinator.
+/// Sends the limit of an upstream, as known to this process, to the limit's coordinator.
 pub(crate) fn notify_coordinator(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
     let subject = quota_permit::QuotaSubject::Upstream(upstream.clone());
     let coordinator = quota_coordinator::coordinator_of(context, &subject);
@@ -146,7 +146,7 @@
     limit_change
 }
 
-/// Whether a change may be logged: limits may change with each answer.
+/// Whether a change of an upstream's limit may be logged now: limits may change with each answer.
 fn may_log_change(context: &context::InstanceContext, upstream: &ids::UpstreamId) -> bool {
     let now = context.now();
     let mut log = context.quotas.limit_log.borrow_mut();
--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -15,9 +15,9 @@
 pub struct RecoveryReport {
     /// Time in milliseconds since the era became known.
     pub age_ms: u64,
-    /// Names and documents of upstreams in use that the copy lacks.
+    /// Names and documents of upstreams that stay in use although the copy lacks them.
     pub kept: Vec<(String, String)>,
-    /// Starts that the copy lists and that are not used, as they had been removed.
+    /// Starts that the copy lists but that are not used, as they had been removed before.
     pub withheld: Vec<ids::UpstreamId>,
     /// Evacuated data centres that the copy does not list.
     pub evacuated: Vec<ids::DataCenterId>,
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -22,7 +22,7 @@
 }
 
 impl fleet_state::FleetState {
-    /// Adopts the list, or the changes of it, in the documents of another member, if they are newer.
+    /// Adopts the list, or its changes, from the documents of another member if they are newer.
     pub(crate) fn adopt_list(
         &mut self,
         now: units::MonoTime,
@@ -55,7 +55,7 @@
             self.diverged = false;
             let evacuated = documents.evacuated;
             let list = StoreList { upstreams, evacuated, unconfirmed, revision };
-            // Within an era this process knows by itself what it keeps in force.
+            // Within an era this process itself knows which state of the previous era is in force.
             let recovery = recovery.filter(|_| later_era || !self.has_list);
             self.replace_all(now, list, recovery, source);
         } else if self.has_list {
@@ -87,7 +87,7 @@
         self.replace_all(now, list, None, source);
     }
 
-    /// Replaces the list, and adopts the state of the previous era that another member keeps in force besides it.
+    /// Replaces the list, and adopts the state of the previous era that another member still has in force.
     fn replace_all(
         &mut self,
         now: units::MonoTime,
@@ -226,7 +226,7 @@
         source: &str,
     ) {
         if revision < self.list.revision() {
-            // A late answer, whose content must not be passed on to other members as a change.
+            // This is a late answer. Its content must not be passed on to other members as a change.
             self.reject_older(revision, source);
             return;
         }
--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -18,7 +18,7 @@
 use log::kv;
 use log4rs::{append, config};
 
-/// Maximum number of lines in the queue; a line has about 500 bytes.
+/// Maximum number of lines in the queue; a line takes about 500 bytes.
 const QUEUE_CAPACITY: usize = 512;
 /// Maximum number of lines per second: ten times the peak of an instance in a large fleet, which
 /// is taken as three times 13 requests a second.
@@ -37,11 +37,12 @@
     Ok(())
 }
 
-/// Lines accepted in the current second.
+/// Rate limiter for lines, per second.
 #[derive(Debug, Default)]
 struct LineRate {
     /// Seconds since the appender's start.
     second: u64,
+    /// Number of lines accepted in that second.
     taken: usize,
 }
 
@@ -53,6 +54,7 @@
     rate: sync::Mutex<LineRate>,
     /// Number of lines in the queue.
     waiting: sync::Arc<AtomicUsize>,
+    /// Number of lines dropped since the last one written.
     dropped: sync::Arc<AtomicU64>,
 }
 
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -10,8 +10,8 @@
 
 use crate::{caller_connection, context, service_request, upstream_attempt, upstream_ends};
 
-/// Total time spent waiting for the caller from which a broken answer is not blamed on the
-/// upstream, as it may have given up on the slow reader.
+/// Total time spent waiting for the caller from which a broken answer no longer counts as a failure
+/// of the upstream, as the upstream may have given up the slow connection.
 const SLOW_CALLER_THRESHOLD: time::Duration = time::Duration::from_secs(1);
 
 /// Why an answer was not forwarded completely.
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -11,7 +11,7 @@
 };
 
 /// Timeout for fetching routes from a member: 100 KB, compressed, take 0.04 s on a link of 20 Mbit/s, and eight such
-/// answers at once 0.3 s. A silent member must leave time to ask other members and the store.
+/// answers at once 0.3 s. After a silent member there must be time to fetch them from other members or the store.
 const ROUTES_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 /// Timeout for fetching the list from a member.
 const LIST_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
@@ -19,8 +19,8 @@
 const START_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Range, in seconds, of the random pause after a member has refused because it is sending documents to others.
 const BUSY_PAUSE_S: std::ops::Range<f64> = 0.05..0.15;
-/// Number of members informed by one that has received a large document: enough that the number of members known to have
-/// it grows as fast as it can be sent.
+/// Number of members that a member informs after it has received a large document: enough that the number of members
+/// known to have the document grows as fast as it can be sent.
 const INFORMED_MEMBERS: usize = 3;
 /// Path at which a member serves its documents.
 pub const DOCUMENTS_PATH: &str = "/documents";
@@ -28,7 +28,7 @@
 /// Fetches the routes whenever a member has newer ones: from such a member, or from the store.
 pub async fn follow_routes(context: rc::Rc<context::InstanceContext>) {
     let mut source = document_source::DocumentSource::new(rand::random());
-    // The member that was asked last, if it did not provide the routes.
+    // The member of the last fetch, if it did not provide the routes.
     let mut last_failed = None;
     loop {
         monoio::time::sleep(store_contact::poll_interval(&context)).await;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Records that the store, asked at `requested_at`, had no newer routes than this process has now.
+/// Records that the store, read at `requested_at`, had no newer routes than this process has now.
 fn refute_routes(context: &context::InstanceContext, requested_at: units::MonoTime) {
     let own = context.versions().routes;
     context.store_tracker.borrow_mut().refute_routes(own, requested_at);
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -8,14 +8,14 @@
 
 use crate::{context, limit_gossip, peer_message, quarantine_gossip, upstream_signals};
 
-/// Sends a member all state known here that is exchanged by gossip.
+/// Sends a member all state of this process that is exchanged by gossip.
 pub(crate) fn send_to(context: &context::InstanceContext, to: net::SocketAddrV4) {
     quarantine_gossip::send_quarantine(context, to);
     upstream_signals::send_leaving(context, to);
     limit_gossip::send_to(context, to);
 }
 
-/// Requests the state of a member that has just joined, up to a number of requests per second.
+/// Requests gossip state from a member that has just joined, up to a number of requests per second.
 pub(crate) fn request_from_joined(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let second = context.now().since(units::MonoTime::default()).as_secs();
     let (last, count) = context.gossip_requests.get();
@@ -26,14 +26,14 @@
     }
 }
 
-/// Requests the state of a few random members, after this process may have missed messages.
+/// Requests gossip state from a few random members, after this process may have missed messages.
 pub(crate) fn request(context: &context::InstanceContext) {
     for to in targets_for(context, gossip::GossipCause::Resumed) {
         context.send_to(to, peer_message::PeerMessage::RequestGossip);
     }
 }
 
-/// Broadcasts a change that this process has found to all live members.
+/// Broadcasts a change that this process has detected to all live members.
 pub(crate) fn broadcast(context: &context::InstanceContext, message: &peer_message::PeerMessage) {
     for to in targets_for(context, gossip::GossipCause::Found) {
         context.send_to(to, message.clone());
@@ -62,7 +62,7 @@
     }
 }
 
-/// Live members that a message for `cause` is sent to.
+/// Live members to which gossip for `cause` is sent.
 fn targets_for(
     context: &context::InstanceContext,
     cause: gossip::GossipCause,
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -16,7 +16,7 @@
 const ORDER_TIMEOUT: time::Duration = time::Duration::from_millis(350);
 /// Maximum number of attempts to release a reservation; after these it is left to expire.
 const RELEASE_TRIES: u32 = 6;
-/// How long after it was sent an unanswered order may still be executed.
+/// Time after sending within which an unanswered order may still be executed.
 const LATE_ORDER_TIME: time::Duration = time::Duration::from_secs(13);
 /// Pause between two releases while an unanswered order may still be executed. It is shorter than
 /// the time within which memory must be free again.
@@ -37,7 +37,8 @@
 /// A reservation on one engine.
 #[derive(Debug, Clone)]
 struct HeldTicket {
-    /// When the last hold order without an answer was sent; it may still be executed much later.
+    /// When the last hold order without an answer was sent; it may be executed up to
+    /// [`LATE_ORDER_TIME`] later.
     unanswered: rc::Rc<cell::Cell<Option<units::MonoTime>>>,
     engine: ids::UpstreamId,
     /// The start of the engine that holds the memory; a reservation does not survive a restart.
@@ -48,13 +49,13 @@
 }
 
 impl HeldTicket {
-    /// Returns where orders about the reservation are sent.
+    /// Returns the engine and address to which orders about the reservation are sent.
     fn engine_address(&self) -> engine_call::EngineAddress {
         let engine = self.start.borrow().clone();
         engine_call::EngineAddress { engine, address: self.address }
     }
 
-    /// Returns whether the engine was restarted since, so that the reservation is lost.
+    /// Returns whether the engine was restarted after the reservation, so that it is lost.
     fn is_lost(&self, context: &context::InstanceContext) -> bool {
         let fleet = context.fleet.borrow();
         fleet.list.entry(&self.engine).is_some_and(|entry| entry.name != *self.start.borrow())
@@ -65,6 +66,7 @@
 pub struct MemoryHold {
     context: rc::Rc<context::InstanceContext>,
     tickets: Vec<HeldTicket>,
+    /// Whether the reservations have been released, which ends their renewal.
     released: rc::Rc<cell::Cell<bool>>,
 }
 
@@ -168,7 +170,7 @@
     let before = held.unanswered.replace(Some(context.now()));
     let engine_order = engine_call::EngineOrder { order: &order, kind, permits };
     let result = send_order(context, held, &engine_order).await;
-    // After an answer, refusals included, and if nothing was sent, nothing is executed later.
+    // After an answer, including a refusal, or if nothing was sent, the order is not executed later.
     let is_over = result.as_ref().map_or_else(engine_call::EngineCallError::is_over, |_| true);
     if is_over {
         held.unanswered.set(before);
@@ -199,7 +201,7 @@
             return;
         }
         for held in &tickets {
-            // Another start would create a new reservation that no request uses.
+            // A renewal at another start of the engine would create a reservation that no request uses.
             if held.is_lost(&context) {
                 continue;
             }
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -120,7 +120,7 @@
                 }
                 if fault.failure.reached_no_upstream() {
                     // No engine received anything, so the retry permit stays valid. Otherwise a stream
-                    // whose retry goes to a vanished engine would be cut off for lack of another permit.
+                    // whose retry goes to an engine that is gone would be cut off for lack of another permit.
                     state.retry_taken = state.sent > 0;
                 }
                 text = fault.text;
@@ -255,8 +255,8 @@
         return Ok(AttemptEnd::Fault(fault));
     };
     let begun_at = context.now();
-    // After an attempt that broke, possibly on a dead connection, no pooled one is used: it could be
-    // as old.
+    // After an attempt that broke, possibly on a dead connection, no pooled connection is used: it
+    // could be dead as well.
     let new_connection = state.ran == Some(refusal::RanState::Unknown);
     let connection = match upstream_attempt::connect(context, call, &target, new_connection).await {
         Ok(connection) => connection,
@@ -388,7 +388,7 @@
     Ok(AttemptEnd::Complete)
 }
 
-/// Returns the fault of an answer that broke off.
+/// Returns the end of an attempt whose answer broke off.
 fn broken(state: &stream_state::StreamState, reason: impl ToString) -> AttemptEnd {
     let failure = if state.begun {
         retry::AttemptFailure::BrokeMidAnswer
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Returns why no upstream of a service may get a request now, or `None` if there is one without a
-/// limit or no reason is known that passes by itself.
+/// Returns why no upstream of a service may get a request now. Returns `None` if there is an upstream
+/// without a limit, or if no temporary reason is known.
 ///
 /// `left` is the time that the caller has left.
 pub(crate) fn no_upstream_reason(
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -32,7 +32,7 @@
     pub(crate) cache: cell::RefCell<permit_cache::PermitCache<quota_permit::QuotaSubject>>,
     /// Pending requests for permits.
     pub(crate) pending: permit_request::PendingRequests,
-    /// Retry-After times by service.
+    /// Schedules of the retry delays sent to callers, by service.
     pub(crate) retry_schedules:
         cell::RefCell<collections::HashMap<ids::ServiceId, retry_schedule::RetrySchedule>>,
     /// When changes of limits were last logged.
