--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -9,7 +9,7 @@
     request_digest, units,
 };
 
-/// Size of the largest datagram, in bytes. Senders keep to the limits below, so that each message fits.
+/// Size of the largest datagram, in bytes. Senders observe the limits below, so that each message fits.
 pub const MAX_DATAGRAM: usize = 16 * 1024;
 /// Most leases in one message.
 pub const MAX_LEASES: usize = 24;
@@ -50,16 +50,16 @@
     Leases(planner_key::PlannerKey, Vec<engine_place::PlaceLease>),
     /// Requests all leases of a key, for a planner that has just taken it over.
     Census(planner_key::PlannerKey),
-    /// An upstream has gone from its address: another one answered there.
+    /// An upstream is gone: another one answered at its address.
     Gone(ids::UpstreamId),
-    /// Runs during which their upstream ended, for a member that keeps the evidence against the requests.
+    /// Runs during which their upstream crashed, for a member that stores the evidence against the requests.
     Ends(Vec<CrashReport>),
     /// Evidence against quarantined requests, for all members.
     Held(Vec<CrashReport>),
-    /// Clears a request of the evidence against it: it was answered completely that many microseconds ago, or an operator
-    /// has released it.
+    /// Deletes the evidence against a request that was answered completely, or released by an operator, this many
+    /// microseconds ago.
     Cleared(request_digest::RequestDigest, u64),
-    /// Requests quarantined requests, leaving upstreams and limits from a member that may know more.
+    /// Requests the evidence against quarantined requests, the leaving upstreams and the limits that a member knows.
     RequestGossip,
     /// Upstreams that have announced that they are leaving.
     Leaving(Vec<LeavingReport>),
@@ -84,9 +84,9 @@
     pub upstream: ids::UpstreamId,
     /// The limit; `None` if the upstream has ended it.
     pub rate: Option<units::RequestRate>,
-    /// Age in microseconds of the request that the upstream answered.
+    /// Time in microseconds since the request that the upstream answered was sent.
     pub asked_us: u64,
-    /// Age in microseconds of the arrival of its answer.
+    /// Time in microseconds since the answer arrived.
     pub heard_us: u64,
 }
 
@@ -99,7 +99,7 @@
     pub boot: u64,
     /// The quota.
     pub subject: quota_permit::QuotaSubject,
-    /// Number of permits, and how long the member can wait for them.
+    /// The requested number of permits, and how long the member can wait for them.
     #[serde(rename = "ask")]
     pub request: quota_permit::PermitRequest,
     /// The upstream's limit as the member knows it; the coordinator may have missed it.
@@ -111,30 +111,30 @@
 pub struct LeavingReport {
     /// The start of the upstream.
     pub upstream: ids::UpstreamId,
-    /// Age of its first announcement, in milliseconds.
+    /// Time in milliseconds since its first announcement.
     pub age_ms: u64,
 }
 
-/// A run during which its upstream ended. Times are given as ages, as members' clocks differ; those of one message are
-/// relative to the same moment.
+/// A run during which its upstream crashed. Times are given as ages, as members' clocks differ; those of one message
+/// are relative to the same moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// Digest of the request.
     pub digest: request_digest::RequestDigest,
     /// The start of the upstream.
     pub upstream: ids::UpstreamId,
-    /// Age in microseconds of the sending of the request.
+    /// Time in microseconds since the request was sent.
     pub sent_us: u64,
-    /// Age in microseconds of the end of the run.
+    /// Time in microseconds since the run ended.
     pub ended_us: u64,
 }
 
-/// A place that is still in use.
+/// Renewal of a place that is still in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewedJob {
     /// Sequence number of the attempt at its member.
     pub sequence: u64,
-    /// Whether the engine is still reading the prompt.
+    /// Whether the engine is still processing the prompt.
     #[serde(rename = "reading")]
     pub prefilling: bool,
 }
--- a/crates/instance/src/quarantine_gate.rs
+++ b/crates/instance/src/quarantine_gate.rs
@@ -3,7 +3,7 @@
 //! Everything that is sent for a request is sent by the one future that serves it: first attempts,
 //! retries, resumed streams, prompts that wait for a place and parts processed by helpers. The gate
 //! wraps that future and checks the quarantine before each poll, so the steps need no checks of
-//! their own. If the request is quarantined meanwhile the future is dropped, as when the caller
+//! their own. If the request is quarantined meanwhile, the future is dropped, as when the caller
 //! disconnects.
 
 use std::{cell, future::Future, pin, task};
@@ -71,14 +71,14 @@
     call: &incoming_call::IncomingCall,
 ) -> Option<quarantine::QuarantineVerdict> {
     let table = context.quarantine.borrow();
-    // Computing the digest is avoided while no request is quarantined.
+    // While no request is quarantined, the digest need not be computed.
     if !table.has_quarantined() {
         return None;
     }
     table.verdict(context.now(), call.digest())
 }
 
-/// Returns whether this member knows of upstreams that ended while they ran the request.
+/// Returns whether this process knows of upstreams that crashed while they ran the request.
 pub(crate) fn is_suspect(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -1,8 +1,8 @@
-//! Exchange of evidence against requests during whose runs upstreams ended.
+//! Exchange of evidence against requests during whose runs upstreams crashed.
 //!
-//! The evidence against a request is kept by a few live members, which rendezvous hashing of the request's digest selects:
-//! a series of crashes costs each member some datagrams, however large the fleet is. A keeper that finds that a request is
-//! quarantined informs all members.
+//! The evidence against a request is stored by a few live members, which rendezvous hashing of the request's digest
+//! selects: a series of crashes costs each member some datagrams, however large the fleet is. A member whose evidence
+//! suffices to quarantine a request informs all members.
 
 use std::{net, time};
 
@@ -10,15 +10,15 @@
 
 use crate::{context, peer_message, upstream_ends};
 
-/// Number of members that keep the evidence against one request: with four of them gone or unreachable, one is left.
+/// Number of members that store the evidence against one request: with four of them gone or unreachable, one is left.
 const EVIDENCE_REPLICAS: usize = 5;
-/// Number of members up to which all of them keep all evidence: the member that serves a request then knows by itself that
-/// the request is suspected.
+/// Number of members up to which all of them store all evidence: the member that serves a request then knows without a
+/// message that the request is suspected.
 const SMALL_FLEET_MEMBERS: usize = 12;
 /// Most quarantined requests that are logged one by one; all are counted.
 const MAX_LOGGED_DIGESTS: usize = 16;
 
-/// Handles runs of this process during which their upstream ended.
+/// Handles runs of this process during which their upstream crashed.
 pub(crate) fn report(context: &context::InstanceContext, runs: &[upstream_ends::BrokenRun]) {
     let crashed_run = |run: &upstream_ends::BrokenRun| quarantine::CrashedRun {
         digest: run.digest,
@@ -29,7 +29,7 @@
     record_evidence(context, runs.iter().map(crashed_run).collect());
     let now = context.now();
     for (replica, digests) in replicas_of(context, runs.iter().map(|run| run.digest)) {
-        // All evidence known here against these requests, so that their times are relative to the same moment.
+        // All evidence against these requests is sent, so that its times are relative to the same moment.
         let crashes = crashes_of(context, &digests);
         for reports in report_batches(now, &crashes) {
             context.send_to(replica, peer_message::PeerMessage::Ends(reports));
@@ -37,7 +37,7 @@
     }
 }
 
-/// Handles evidence that this member is to keep.
+/// Handles evidence that this member is to store.
 pub(crate) fn receive_crashes(
     context: &context::InstanceContext,
     reports: Vec<peer_message::CrashReport>,
@@ -58,7 +58,7 @@
     log_quarantined(context, &quarantined, "member");
 }
 
-/// Clears a request of the evidence that is older than `micros_ago`, in microseconds.
+/// Deletes the evidence against a request that is older than `micros_ago`, in microseconds.
 pub(crate) fn receive_cleared(
     context: &context::InstanceContext,
     digest: request_digest::RequestDigest,
@@ -68,7 +68,7 @@
     context.quarantine.borrow_mut().clear(digest, context.now().earlier_by(age));
 }
 
-/// Sends a member the evidence against all requests that are quarantined here.
+/// Sends a member the evidence against all requests that this process has quarantined.
 pub(crate) fn send_quarantine(context: &context::InstanceContext, to: net::SocketAddrV4) {
     let now = context.now();
     let quarantined = context.quarantine.borrow().quarantined_at(now);
@@ -77,8 +77,8 @@
     }
 }
 
-/// Clears a suspected request, as an upstream has answered it completely. `digest` is computed only if there is evidence
-/// against any request.
+/// Deletes the evidence against a request that an upstream has answered completely. `digest` is called only if there is
+/// evidence against any request.
 pub(crate) fn answered(
     context: &context::InstanceContext,
     digest: impl FnOnce() -> request_digest::RequestDigest,
@@ -92,8 +92,8 @@
     }
 }
 
-/// Clears a request of the evidence against it, here and at the members that keep such evidence, or at all members if it
-/// is quarantined. Returns whether there was any evidence.
+/// Deletes the evidence against a request, in this process and at the members that store it, or at all members if the
+/// request is quarantined. Returns whether this process had any evidence.
 pub(crate) fn clear(
     context: &context::InstanceContext,
     digest: request_digest::RequestDigest,
@@ -115,7 +115,7 @@
     known
 }
 
-/// Records evidence, and informs all members of requests that are quarantined by it.
+/// Records evidence, and informs all members of requests that it quarantines.
 fn record_evidence(context: &context::InstanceContext, crashes: Vec<quarantine::CrashedRun>) {
     let now = context.now();
     let quarantined = context.quarantine.borrow_mut().note_crashes(now, crashes);
@@ -131,7 +131,7 @@
     }
 }
 
-/// Tells a member which of its quarantined requests have been answered here since the ends of upstreams that it reports.
+/// Informs a member which of its quarantined requests this process has had answered after the crashes that it reports.
 fn report_cleared(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
@@ -153,7 +153,7 @@
     }
 }
 
-/// Evidence known here against these requests.
+/// Evidence of this process against these requests.
 fn crashes_of(
     context: &context::InstanceContext,
     digests: &[request_digest::RequestDigest],
@@ -162,7 +162,7 @@
     digests.iter().flat_map(|digest| table.crashes_of(*digest).to_vec()).collect()
 }
 
-/// Members that keep the evidence against these requests, each with the requests that it keeps evidence against.
+/// Members that store the evidence against these requests, each with the requests whose evidence it stores.
 fn replicas_of(
     context: &context::InstanceContext,
     digests: impl Iterator<Item = request_digest::RequestDigest>,
@@ -186,7 +186,7 @@
     replicas.into_iter().collect()
 }
 
-/// Reports of these runs, split so that each part fits a message.
+/// Reports of these runs, split so that each batch fits into a message.
 fn report_batches(
     now: units::MonoTime,
     crashes: &[quarantine::CrashedRun],
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -20,13 +20,13 @@
 const SETTLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Backoff of a member that requested permits from the wrong coordinator.
 const WRONG_COORDINATOR_BACKOFF: time::Duration = time::Duration::from_millis(100);
-/// Timeout of a probe of a coordinator that others report as silent.
+/// Timeout of a probe of a coordinator that other members report as silent.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 
 /// Quotas that this process coordinates, and permits that it holds.
 #[derive(Debug, Default)]
 pub struct QuotaState {
-    /// Quotas coordinated here, except those of engines that this process plans for.
+    /// Quotas that this process coordinates, except those of engines that this process plans for.
     ledger: cell::RefCell<quota_ledger::QuotaLedger<quota_permit::QuotaSubject>>,
     /// Permits for this process's own requests.
     pub(crate) cache: cell::RefCell<permit_cache::PermitCache<quota_permit::QuotaSubject>>,
@@ -37,13 +37,13 @@
         cell::RefCell<collections::HashMap<ids::ServiceId, retry_schedule::RetrySchedule>>,
     /// When changes of limits were last logged.
     pub(crate) limit_log: cell::RefCell<limit_gossip::LimitLog>,
-    /// Inputs and time of the last check of which quotas are coordinated here.
+    /// Inputs and time of the last check of which quotas this process coordinates.
     last_check: cell::Cell<(CheckedState, units::MonoTime)>,
-    /// A coordinator reported as silent, and when it was probed.
+    /// The coordinator last reported as silent, and when it was probed.
     probe: cell::RefCell<Option<(ids::InstanceId, units::MonoTime)>>,
 }
 
-/// Inputs of a check of which quotas are coordinated here; the check is repeated at once when they change.
+/// Inputs of a check of which quotas this process coordinates; it is repeated at once when they change.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 struct CheckedState {
     limit_changes: u64,
@@ -146,7 +146,7 @@
     own.map(|service| (quota_permit::QuotaSubject::all_retries(service.clone()), bound)).collect()
 }
 
-/// Empties all buckets after a pause: others may have coordinated the quotas meanwhile.
+/// Empties all buckets after a pause: other members may have coordinated the quotas meanwhile.
 pub(crate) fn reset_quotas(context: &context::InstanceContext) {
     let now = context.now();
     context.quotas.ledger.borrow_mut().begin_anew(now);
@@ -238,7 +238,7 @@
     context.send_to(from, peer_message::PeerMessage::Permit(message.number, answer));
 }
 
-/// The coordinator of a quota and its recent grants, for operators.
+/// The coordinator of a quota and, if it is this process, its recent grants, for operators.
 pub(crate) fn summary(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
