--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -53,7 +53,7 @@
             Ok((_, net::SocketAddr::V4(from))) => from,
             Ok(_) => continue,
             Err(error) => {
-                // The refusal of an earlier datagram by a dead peer is reported here.
+                // The refusal of an earlier datagram to a peer that is down is reported here.
                 log::debug!(error:%; "peer.receive_failed");
                 continue;
             }
@@ -165,7 +165,7 @@
             heartbeats::broadcast_state(&context, state, announced);
             announced = state;
         }
-        // A process that has just started announces at once when it has routes.
+        // A process that has just started announces at once that it has routes.
         let busy = context.planners.borrow().waiting() > 0 || !announced.has_routes;
         monoio::time::sleep(if busy { PLAN_INTERVAL } else { IDLE_INTERVAL }).await;
         let now = context.now();
@@ -218,7 +218,7 @@
     key: &planner_key::PlannerKey,
     note: engine_place::PlaceNote,
 ) {
-    // The planner of this process may hold the job as well, from a time when no other one was reachable.
+    // The planner of this process may have the job as well, from a time when no other planner was reachable.
     if let Some(planner) = context.planners.borrow_mut().planner(key) {
         planner.note(context.now(), &note);
     }
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -11,7 +11,7 @@
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 /// Backoff after a coordinator has failed to respond.
 const SILENCE_BACKOFF: time::Duration = time::Duration::from_millis(100);
-/// Most pending requests; beyond that the oldest are forgotten, and their responses ignored.
+/// Most pending requests; beyond that the oldest are dropped, and their responses ignored.
 const MAX_PENDING: usize = 1_024;
 
 /// A request for permits that was sent to a coordinator.
@@ -116,7 +116,7 @@
         None => Some(answer),
     };
     if let Some(answer) = undelivered {
-        // The task that waited has ended; another one can use the permit.
+        // The task that waited for the permit has ended; another task can use it.
         let mut cache = context.quotas.cache.borrow_mut();
         if let Ok(term) = cache.receive(context.now(), &request.subject, request.sent_at, answer) {
             cache.put_back(&request.subject, term);
@@ -178,7 +178,7 @@
     }
 }
 
-/// A permit that is not valid yet; returned to the cache if its request ends before.
+/// A permit that is not valid yet; returned to the cache if its request ends first.
 struct UnusedPermit<'a> {
     context: &'a context::InstanceContext,
     subject: &'a quota_permit::QuotaSubject,
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -9,9 +9,9 @@
 
 /// Timeout of a planner's first reply, which takes one or two milliseconds within a region.
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
-/// Time after which a queued request asks again, in case the planner has lost it.
+/// Time after which a queued request is sent again, in case the planner has lost it.
 const REPEAT_INTERVAL: time::Duration = time::Duration::from_millis(300);
-/// Time after which a request queued in this process's planner checks again which member plans.
+/// Time after which a request that is queued in this process's planner checks again which member plans.
 const LOCAL_REPEAT_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// A place on an engine; the planner is notified of its end when it is dropped.
@@ -147,7 +147,7 @@
     grant: engine_place::PlaceGrant,
 ) -> PlaceHold {
     let job = request.job;
-    // Only the choice of an engine needs the excluded ones, and many leases must fit into a datagram.
+    // Excluded engines are needed only to choose one, and many leases must fit into a datagram.
     let request = engine_place::PlacementRequest { excluded: Vec::new(), ..request };
     let lease = engine_place::PlaceLease { request, grant: grant.clone(), prefilling: true };
     let held = context::HeldLease { key: key.clone(), lease };
@@ -161,7 +161,7 @@
     }
 }
 
-/// Asks the current planner once; returns `None` if the request is to be repeated.
+/// Sends the request to the current planner once; returns `None` if it is to be repeated.
 async fn request_once(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
@@ -199,7 +199,7 @@
     }
 }
 
-/// Records which member plans for a key; returns whether it replaced another one, and so may not
+/// Records which member plans for a key; returns whether it replaced another member, and so may not
 /// know this process's leases.
 fn note_planner(
     context: &context::InstanceContext,
@@ -211,7 +211,8 @@
     before.is_some_and(|before| before != *member)
 }
 
-/// Asks this process's own planner and waits up to [`LOCAL_REPEAT_INTERVAL`] if the request is queued.
+/// Requests a place from this process's planner; if the request is queued, waits for the answer up to
+/// [`LOCAL_REPEAT_INTERVAL`].
 async fn request_local(
     context: &rc::Rc<context::InstanceContext>,
     key: &planner_key::PlannerKey,
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -38,7 +38,7 @@
     origins: collections::HashMap<engine_place::JobId, PlacementOrigin>,
     /// Change count of the list and version of the routes at the last [`Self::sync`].
     synced: (u64, u64),
-    /// When each planner was last asked for a place.
+    /// Time of the last request to each planner.
     last_requests: collections::BTreeMap<planner_key::PlannerKey, units::MonoTime>,
 }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns whether a planner was not asked for so long that its state is outdated.
+    /// Returns whether the last request to a planner was so long ago that its state is outdated.
     pub fn is_idle(&self, now: units::MonoTime, key: &planner_key::PlannerKey) -> bool {
         self.last_requests.get(key).is_none_or(|since| now.since(*since) >= ACTIVE_TIME)
     }
@@ -111,7 +111,7 @@
         self.planners.get_mut(key)
     }
 
-    /// Asks for a place. If the request is queued, [`Self::tick`] returns the answer later.
+    /// Requests a place. If the request is queued, [`Self::tick`] returns the answer later.
     pub fn request(
         &mut self,
         now: units::MonoTime,
@@ -170,7 +170,7 @@
         self.planners.values_mut().for_each(|planner| planner.permits().begin_anew(now));
     }
 
-    /// Excludes an engine from planning for a while, in the planner that has it.
+    /// Excludes an engine temporarily from planning, in the planner that it belongs to.
     pub fn eject(&mut self, now: units::MonoTime, engine: &ids::UpstreamId) {
         self.planners.values_mut().for_each(|planner| planner.eject(now, engine));
     }
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Runs an instance until it is asked to stop and its requests have ended.
+/// Runs an instance until a stop is requested and its requests have ended.
 pub async fn run(
     settings: instance_settings::InstanceSettings,
     path: path::PathBuf,
@@ -164,7 +164,7 @@
     }
 }
 
-/// Periodically closes idle connections, and forgets state about upstreams that are gone.
+/// Periodically closes expired idle connections, and drops state about upstreams that are gone.
 async fn prune(context: rc::Rc<context::InstanceContext>) {
     loop {
         monoio::time::sleep(PRUNE_INTERVAL).await;
@@ -223,13 +223,13 @@
     context.places_until.set(Some(begun + stop_time.saturating_sub(PLACE_MARGIN)));
     log::info!(busy = context.busy.get(); "process.stopping");
     monoio::time::sleep(NOT_READY_TIME.min(grace / 2)).await;
-    // Fails only if the receiver has been dropped; nothing is left to be closed then.
+    // Fails only if the receiver has been dropped; then there is nothing left to close.
     let _ = closing.send(());
     while context.busy.get() > 0 && context.now().since(begun) < stop_time {
         monoio::time::sleep(time::Duration::from_millis(20)).await;
     }
     log::info!(busy = context.busy.get(); "process.stopped");
-    // Lets the last answers, closed connections and log lines go out before the process exits.
+    // Allows the last answers, closed connections and log lines to be written before the process exits.
     monoio::time::sleep(time::Duration::from_millis(50)).await;
 }
 
