--- a/crates/instance/src/raw_state.rs
+++ b/crates/instance/src/raw_state.rs
@@ -12,7 +12,7 @@
 /// to send.
 const REMEMBERED_CHANGES_SHARE: f64 = 0.5;
 
-/// Most remembered gaps; beyond that the oldest is dropped, and changes before the next one with it.
+/// Most remembered gaps; beyond that the oldest gap is dropped, together with the changes before the next gap.
 const MAX_GAPS: usize = 8;
 
 /// Documents as they were written to the store, and their recent changes.
@@ -31,17 +31,18 @@
     pub(crate) history_start: store_revision::StoreRevision,
     /// Latest revision of the store that was read or received from a member.
     pub(crate) revision: store_revision::StoreRevision,
-    /// Spans of revisions whose single changes are unknown, oldest first: only the difference between the two ends is known.
+    /// Ranges of revisions whose single changes are unknown, oldest first: only the difference between the two ends of a
+    /// range is known.
     gaps: collections::VecDeque<(store_revision::StoreRevision, store_revision::StoreRevision)>,
-    /// Documents of upstreams in use that the first list of the present era lacked.
+    /// Documents of upstreams that stay in use although the first list of the present era lacked them.
     pub(crate) kept: collections::BTreeMap<String, String>,
 }
 
 impl RawState {
-    /// Replaces the upstreams, and returns the former ones.
+    /// Replaces the upstreams, and returns the previous ones.
     ///
-    /// If the former list was `known`, the differences are remembered as changes, so that members that are slightly behind
-    /// need not all fetch the whole list at once.
+    /// If the previous list was `known`, the differences are remembered as changes, so that members that are slightly
+    /// behind need not all fetch the whole list at once.
     pub(crate) fn replace(
         &mut self,
         upstreams: collections::BTreeMap<String, String>,
--- a/crates/instance/src/request_record.rs
+++ b/crates/instance/src/request_record.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-/// Maximum number of records kept; a record has about 400 bytes.
+/// Maximum number of records in the log; a record takes about 400 bytes.
 const MAX_RECORDS: usize = 256;
 
 /// Record of one attempt at an upstream.
@@ -12,8 +12,8 @@
 pub struct AttemptRecord {
     /// Name of the upstream.
     pub upstream: String,
-    /// State of the upstream known when it was chosen, such as a shutdown or a backoff, with its age
-    /// and source.
+    /// Notices of the upstream in force when it was chosen, such as a shutdown or a backoff, with their
+    /// ages and sources.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub known: Option<String>,
     /// Number of further engines that processed parts of the prompt.
@@ -47,9 +47,9 @@
     pub routes: u64,
     /// Revision of the list of upstreams in force when the request was admitted.
     pub list: String,
-    /// Origin of that list: the store, or the member that sent it.
+    /// Origin of the list of upstreams: the store, or the member that sent it.
     pub list_source: String,
-    /// Time since that list came into force, in milliseconds.
+    /// Time since the last change of the list of upstreams, in milliseconds.
     pub list_age_ms: u64,
     /// Whether, and how, the route allows the request to be repeated.
     pub repeat: &'static str,
--- a/crates/instance/src/routes_history.rs
+++ b/crates/instance/src/routes_history.rs
@@ -25,7 +25,7 @@
     text: compressed_bytes::CompressedBytes,
 }
 
-/// Routes as one member sends them to another.
+/// Routes in the form in which one member sends them to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RoutesCopy {
     /// The whole text.
@@ -45,8 +45,8 @@
             Self::Whole(compressed) => return Ok((decompress_text(compressed, "")?, Vec::new())),
             Self::Changes(changes) => changes,
         };
-        // The receiver's own watch may have brought some of the changes in the meantime. If one is missing, the digest of
-        // the next one does not match.
+        // The receiver's own watch may have brought some of the changes in the meantime. If a change is missing, the
+        // digest of the next one does not match.
         let missing: Vec<_> =
             changes.iter().skip_while(|change| change.to <= version).cloned().collect();
         let mut text = text.to_owned();
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store: reads its documents and watches them for changes, or leaves that to other members.
+//! Follows the platform's store: reads its documents and watches them for changes, or relies on members that do.
 
 use std::{ops, rc, time};
 
@@ -17,12 +17,12 @@
 const CHANGE_PAUSE_SHARE: f64 = 0.075;
 /// First pause after a failure; doubles up to [`MAX_RETRY_PAUSE`].
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// Longest pause after a failure, and so the longest time after which the store's return is noticed.
+/// Longest pause after a failure, and so the longest time after which the end of an outage is detected.
 const MAX_RETRY_PAUSE: time::Duration = time::Duration::from_millis(800);
 /// Duration of a failed attempt that makes up for the pause: the next one starts again at [`RETRY_PAUSE`].
 const SLOW_FAILURE: time::Duration = time::Duration::from_millis(900);
-/// Ages of a process without documents between which it may rely on members that watch the store. Before that it has not
-/// heard from them; after it, they evidently do not provide the documents.
+/// Range of process ages in which a process without documents may wait for members that watch the store. Before it the
+/// process has received no heartbeats; after it the members evidently do not provide the documents.
 const START_WAIT: ops::Range<time::Duration> =
     time::Duration::from_millis(60)..time::Duration::from_millis(1_200);
 
@@ -80,7 +80,7 @@
     let missing = members.watchers_missing(now, &own);
     if !context.fleet.borrow().is_known() {
         if context.settings().is_seed() {
-            // All members contact the seeds first, and receive the documents that these have read.
+            // All members contact the seeds first, and receive the documents that the seeds have read.
             return true;
         }
         // In a large fleet a new member fetches the list from other members: if all read the store at once, a simultaneous
@@ -90,7 +90,7 @@
             return false;
         }
         if age >= START_WAIT.end && !missing {
-            // Members that watch have the documents, but have not provided them.
+            // Members that watch the store have the documents, but have not provided them.
             return true;
         }
     }
@@ -123,8 +123,8 @@
         let requested_at = context.now();
         let answer = match store_watch::watch(context, connection, revision).await {
             Ok(answer) if answer.era == revision.era => answer,
-            // The store's era has changed. Changes between its copy and the watched revision are missing in the answer
-            // without an error.
+            // The store's era has changed. The answer lacks the changes between the restored copy and the watched
+            // revision without reporting an error.
             Ok(answer) => {
                 revision = read_again(context, connection, answer.era).await?;
                 continue;
@@ -177,7 +177,7 @@
     Ok(watched)
 }
 
-/// Starts the watch at the list that members have provided.
+/// Returns the revision of the list that members have provided, from which to watch, after reading the routes.
 async fn revision_from_members(
     context: &context::InstanceContext,
 ) -> Result<store_revision::StoreRevision, String> {
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! A single watch of the store. Its silence is not taken as a sign that nothing has changed.
+//! A single watch of the store. A watch without an answer does not show that nothing has changed.
 
 use std::{pin, time};
 
@@ -33,7 +33,7 @@
     revision: store_revision::StoreRevision,
 ) -> Result<store_call::StoreAnswer, store_call::StoreError> {
     if !context.store_tracker.borrow().answers() {
-        // After an outage the store's return must be noticed soon.
+        // The end of an outage must be detected soon.
         return probe(context, connection, revision).await;
     }
     let wait = context.settings().bounds.leave.0.mul_f64(WAIT_SHARE).max(MIN_WAIT);
@@ -83,7 +83,7 @@
         let Ok(Some((new_connection, answered))) =
             monoio::time::timeout(PROBE_TIMEOUT, probes.next()).await
         else {
-            // Entries may expire from now on, so the store's return counts as the end of an outage.
+            // Entries may expire from now on, so the next answer of the store ends an outage.
             store_contact::mark_lost(context, "no answer on a new connection");
             continue;
         };
