--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -8,10 +8,11 @@
 
 /// Maximum number of upstreams for whose permits a call waits.
 const MAX_WAITS: usize = 3;
-/// Fraction of the remaining time that a call waits for a permit at most; the rest is for its answer.
+/// Maximum fraction of the remaining time for which a call waits for a permit; the remainder is for
+/// its answer.
 const MAX_WAIT_FRACTION: f64 = 0.45;
-/// Multiple of its goal until which a retried call waits for a permit: it has missed its goal
-/// anyway.
+/// Multiple of the first-token goal up to which a retried call waits for a permit: it has already
+/// missed the goal.
 const RETRIED_GOAL_FACTOR: u32 = 2;
 
 /// An upstream that accepts a call now.
@@ -22,8 +23,8 @@
     pub(crate) permit: Option<quota_permit::SendPermit>,
 }
 
-/// Chooses an upstream that is not `excluded`. If limits close all of them, the call waits for a
-/// permit, but not so long that a refusal would be better than the late answer.
+/// Chooses an upstream that is not `excluded`. If all of them have a limit and no permit is available,
+/// the call waits for one, but not so long that a refusal would be better than the late answer.
 pub(crate) async fn choose(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -39,7 +40,7 @@
     wait(context, call, excluded).await
 }
 
-/// Picks the upstream that is best at this moment, without obtaining a permit.
+/// Picks the preferred upstream without obtaining a permit.
 pub(crate) fn pick(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -68,7 +69,7 @@
     context.loads.borrow().pick(context.now(), &open, &own, repeatable, has_limit).cloned()
 }
 
-/// Waits for a permit for one of the upstreams with the shortest wait, one after the other.
+/// Waits for a permit for one of the upstreams with the shortest waits, tried one after the other.
 async fn wait(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -84,8 +85,8 @@
     None
 }
 
-/// Returns the upstreams with a limit that are open otherwise, those with the shortest wait for a
-/// permit first.
+/// Returns the upstreams with a limit that may receive the call once it has a permit, ordered by the
+/// wait for the permit.
 fn limited_upstreams(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -17,7 +17,7 @@
 /// forwarded as the caller reads them.
 const MAX_BUFFERED_BODY: usize = 16 * 1024;
 /// Fraction of the remaining time after which a silent upstream of a repeatable call is given up,
-/// if another one may answer.
+/// if another upstream may answer.
 const SILENCE_FRACTION: f64 = 0.45;
 /// Maximum number of upstreams tried, including those that never received the call.
 const MAX_TRIES: u32 = 5;
@@ -198,7 +198,7 @@
     CallEnd::Refused(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(retry_after))
 }
 
-/// The answer of an upstream.
+/// An answer of an upstream, read completely or in part.
 enum UpstreamReply<'a> {
     Whole(http::response::Parts, bytes::Bytes),
     Long(Box<long_answer::LongAnswer<'a>>),
@@ -222,7 +222,7 @@
     new_connection: bool,
 }
 
-/// Makes one attempt, which fails if the upstream restarts meanwhile.
+/// Makes one attempt, which fails if the upstream restarts before it has answered.
 async fn attempt<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
@@ -316,7 +316,7 @@
 
 impl LoadGuard<'_> {
     /// Sets the result of a failed attempt. A silent pooled connection does not count as a failure, as
-    /// the upstream may be healthy: ejected for that, an upstream got no call for 30 s.
+    /// the upstream may be healthy: when it counted, the upstream was ejected and got no call for 30 s.
     fn note(&self, fault: &upstream_attempt::AttemptFault) {
         let result = match fault.failure {
             retry::AttemptFailure::SaidNotRun => CallResult::Full,
--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -12,7 +12,7 @@
 /// Timeout of a probe.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Number of consecutive unanswered probes after which the engine counts as gone. Memory must be
-/// free within seconds of the end of the request that used it, even if that end is not announced.
+/// free within seconds of the end of the request that used it, even if the end is not announced.
 const PROBE_MISSES: u32 = 2;
 /// Number of consecutive reports, after the answer has begun, that show the reserved memory as
 /// unused before the attempt is given up: the answer has ended and its connection fell silent. One
@@ -28,14 +28,14 @@
     Restarted,
 }
 
-/// Times of silence after which an engine is given up.
+/// Durations of silence after which an engine is given up.
 #[derive(Debug, Clone, Copy)]
 pub struct SilenceLimits {
     /// Limit if another engine can continue the request.
     pub other: time::Duration,
-    /// Limit if the same engine can continue it, over a new connection. A dead connection cannot be
-    /// told from a slow engine, so this is the last moment at which a retry still reaches the caller
-    /// in time.
+    /// Limit if the same engine can continue the request over a new connection. A dead connection
+    /// cannot be distinguished from a slow engine, so this is the last moment at which the answer to a
+    /// retry still reaches the caller in time.
     pub any: time::Duration,
 }
 
@@ -146,7 +146,7 @@
         (answers, self.answering && answers && self.is_unused(holder, ticket).await)
     }
 
-    /// Requests a report over a new connection, as the answer's own may be dead. Returns `None` if the
+    /// Requests a report over a new connection, as that of the answer may be dead. Returns `None` if the
     /// engine does not answer and `Some(None)` if it has no readable report.
     async fn report(
         &self,
