--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -81,7 +81,7 @@
     pub at_fault: Option<net::SocketAddrV4>,
     /// Whether the upstream announces that it is shutting down.
     pub leaving: bool,
-    /// Back-off that the upstream requests: the time for which it is sent no requests. An error if the
+    /// Backoff that the upstream requests: the time for which it is sent no requests. An error if the
     /// value is invalid.
     pub backoff: Option<Result<time::Duration, FormatError>>,
     /// Rate of requests that the upstream accepts from all instances together; an error if the value
--- a/crates/instance/src/raw_state.rs
+++ b/crates/instance/src/raw_state.rs
@@ -31,8 +31,8 @@
     pub(crate) history_start: store_revision::StoreRevision,
     /// Latest revision of the store that was read or received from a member.
     pub(crate) revision: store_revision::StoreRevision,
-    /// Ranges of revisions whose single changes are unknown, oldest first: only the difference between the two ends of a
-    /// range is known.
+    /// Ranges of revisions whose single changes are unknown, oldest first: only the difference between the two ends of
+    /// each range is known.
     gaps: collections::VecDeque<(store_revision::StoreRevision, store_revision::StoreRevision)>,
     /// Documents of upstreams that stay in use although the first list of the present era lacked them.
     pub(crate) kept: collections::BTreeMap<String, String>,
--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -10,8 +10,8 @@
 pub(crate) const POLL_INTERVAL: time::Duration = time::Duration::from_millis(150);
 /// Interval between two checks of whether a member has newer documents, while this process has none.
 const START_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
-/// Time that this process may lag behind a member before it stops relying on its own watch and fetches the documents from
-/// the member. A change does not reach all watches at the same time, and arrives later if another change preceded it.
+/// Time that this process may lag behind a member before it stops relying on its own watch and fetches documents from the
+/// member. A change does not reach all watches at the same time, and arrives later if another change preceded it.
 pub(crate) const MAX_WATCH_LAG: time::Duration = time::Duration::from_millis(500);
 
 /// Interval between two checks of what members have; short while this process has no documents.
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -7,28 +7,31 @@
 
 use crate::{context, incoming_call};
 
-/// Multiple of the service's shortest pause goal up to which a request's pause goal is tight.
+/// Multiple of the service's shortest pause goal up to which a request's pause goal counts as short.
 const SHORT_PAUSE_FACTOR: f64 = 1.5;
-/// Fraction of its first-token goal within which one engine must read the prompt of a short request.
+/// Fraction of its first-token goal within which one engine must process the prompt of a short request.
 const SHORT_GOAL_FRACTION: f64 = 0.75;
-/// Minimum silence after which callers give up a stream; the multiples of goals below may be longer.
+/// Minimum time without an event after which callers give up a stream; the multiples of goals below may
+/// be longer.
 const MIN_EVENT_WAIT: time::Duration = time::Duration::from_secs(2);
 /// Multiple of the first-token goal that callers wait without an event.
 const CALLER_GOAL_FACTOR: u32 = 4;
 /// Multiple of the pause goal that callers wait without an event.
 const CALLER_PAUSE_FACTOR: u32 = 8;
-/// Fraction of the callers' wait after which a silent engine is given up at the latest.
+/// Fraction of the time that callers wait without an event after which a silent engine is given up at
+/// the latest.
 const SILENCE_FRACTION: f64 = 0.72;
 /// Multiple of the pause goal after which an engine that is silent mid-answer is given up.
 const SILENCE_PAUSE_FACTOR: f64 = 3.5;
 /// Multiple of the planned time to the first token after which an engine that has not begun its
 /// answer is given up.
 const SILENCE_PLAN_FACTOR: f64 = 3.0;
-/// Minimum multiple of the planned time to the first token that an engine is given.
+/// Minimum multiple of the planned time to the first token for which an engine may be silent.
 const MIN_PLAN_FACTOR: f64 = 1.1;
 /// Time added to both multiples of the planned time, for delays that the plan does not cover.
 const SILENCE_MARGIN: time::Duration = time::Duration::from_millis(600);
-/// Fraction of the route's time limit below which a caller's time shows an earlier attempt.
+/// Fraction of the route's time limit below which the time that a caller waits indicates that it has
+/// sent the request before.
 const FIRST_TRY_FRACTION: f64 = 0.97;
 
 /// Returns the priority of a request on its engine, where lower is more urgent: short goals come
@@ -44,13 +47,13 @@
     }
 }
 
-/// State of a request when it asks for a place.
+/// State of a request when it requests a place.
 pub(crate) struct RequestProgress<'a> {
     /// Whether the caller has received part of the answer.
     pub(crate) begun: bool,
     /// Whether an earlier attempt reached an engine.
     pub(crate) sent: bool,
-    /// Whether upstreams ended while they ran the request, now or when it was sent earlier.
+    /// Whether upstreams crashed while they ran the request, now or when it was sent earlier.
     pub(crate) suspect: bool,
     /// Engines that must not be used.
     pub(crate) excluded: &'a [ids::UpstreamId],
@@ -80,7 +83,7 @@
         patience_ms: millis(
             max_event_wait(call).saturating_sub(spent).min(call.left(context.now())),
         ),
-        // A request that may crash its engine is placed where few others run.
+        // A request that may crash its engine is placed where few other requests run.
         tight: is_short(context, call) && !progress.suspect,
         worth: worth(context, call),
         refusable: !progress.sent && !likely_retried(call),
@@ -89,8 +92,8 @@
     }
 }
 
-/// Returns whether one engine can read the prompt in time, along with others whose pause goals
-/// are as tight.
+/// Returns whether a request is short: one engine can process its prompt in time, and its pause goal is
+/// among the shortest of the service.
 fn is_short(context: &context::InstanceContext, call: &incoming_call::IncomingCall) -> bool {
     let fleet = context.fleet.borrow();
     let shortest =
@@ -139,7 +142,7 @@
     pauses.min(last_silence(call))
 }
 
-/// Returns how long the only engine left may be silent, which leaves time for another attempt
+/// Returns how long the only engine left may be silent, so that there is time for another attempt
 /// before the caller gives up.
 pub(crate) fn last_silence(call: &incoming_call::IncomingCall) -> time::Duration {
     max_event_wait(call).mul_f64(SILENCE_FRACTION)
@@ -152,7 +155,7 @@
 ) -> time::Duration {
     let planned = time::Duration::from_millis(u64::from(grant.first_token_ms));
     let expected = planned.mul_f64(SILENCE_PLAN_FACTOR) + SILENCE_MARGIN;
-    // Never shorter than planned, as giving up discards the part of the prompt that was read.
+    // Never shorter than planned, as giving up discards the processed part of the prompt.
     let least = planned.mul_f64(MIN_PLAN_FACTOR) + SILENCE_MARGIN;
     expected.min(last_silence(call)).max(least)
 }
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -20,7 +20,7 @@
     pub(crate) excluded: Vec<ids::UpstreamId>,
     /// Number of attempts that reached an engine.
     pub(crate) sent: u32,
-    /// Whether the next attempt already has a retry from the budget.
+    /// Whether a retry has already been taken from the budget for the next attempt.
     pub(crate) retry_taken: bool,
     /// Whether an attempt ran, as far as known; `None` if no engine can have run one.
     pub(crate) ran: Option<refusal::RanState>,
@@ -78,8 +78,8 @@
         send_gate::ProbePermission::of(attempts, call.route.max_attempts)
     }
 
-    /// Returns whether an engine other than `used` is left for the request; without one, waiting for a
-    /// place is useless.
+    /// Returns whether an engine other than `used` is left for the request; otherwise waiting for a place
+    /// is useless.
     pub(crate) fn has_engine(
         &self,
         context: &context::InstanceContext,
@@ -92,14 +92,14 @@
         open.any(|name| Some(name) != used && !self.excluded.contains(name))
     }
 
-    /// Returns the need for a retry: `otherwise`, unless part of the answer has reached the caller.
+    /// Returns the need for a retry: `otherwise`, unless part of the answer was sent to the caller.
     pub(crate) fn retry_need(&self, otherwise: retry_need::RetryNeed) -> retry_need::RetryNeed {
         if self.begun { retry_need::RetryNeed::Begun } else { otherwise }
     }
 
     /// Returns whether a silent `engine` is given up, which takes a retry from the budget or uses an
-    /// earlier failure answer. `sent_attempts` is the number of attempts that reached an engine, including
-    /// the current one; `reach` says which engines may continue the request.
+    /// earlier failure answer. `sent_attempts` is the number of attempts that reached an engine,
+    /// including the current one; `reach` selects the engines that may continue the request.
     pub(crate) async fn give_up(
         &mut self,
         context: &context::InstanceContext,
