--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -19,7 +19,7 @@
 /// A failed attempt without an answer that can be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptFault {
-    /// Kind of the failure, which tells whether the request may have run.
+    /// Kind of the failure, which shows whether the request may have run.
     pub failure: retry::AttemptFailure,
     /// Address of the upstream that caused a refusal, if it is another one.
     pub at_fault: Option<net::SocketAddrV4>,
@@ -34,7 +34,7 @@
         Self { failure, at_fault: None, reused_silent: false, text: text.to_string() }
     }
 
-    /// Creates the fault of a request to an upstream that was restarted meanwhile; the request may
+    /// Creates the fault of a request whose upstream was restarted before it answered; the request may
     /// have run before the restart.
     pub(crate) fn restarted() -> Self {
         Self::broke(upstream_starts::RESTARTED)
@@ -89,7 +89,7 @@
 }
 
 impl AttemptAnswer {
-    /// Reads the complete body, which must not exceed `max_bytes`. After nothing was received for
+    /// Reads the complete body, which must not exceed `max_bytes`. If nothing is received for
     /// `silence`, the attempt is given up if `give_up` returns true.
     pub async fn whole_body(
         &mut self,
@@ -174,7 +174,7 @@
     pub reused: time::Duration,
     /// Limit on any connection.
     pub longest: time::Duration,
-    /// Usual time of an answer; with less time than that left, a retry over a new connection is useless.
+    /// Usual time of an answer; with less time left, a retry over a new connection is useless.
     pub usual_time: time::Duration,
 }
 
@@ -286,7 +286,7 @@
                     _ => return Err(AttemptFault::broke(error)),
                 }
             }
-            // The upstream answered early; the rest of the request is not sent.
+            // The upstream answered early; the remainder of the request is not sent.
             future::Either::Right((head, _)) => (head, false),
         }
     };
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -12,14 +12,14 @@
 use crate::{context, incoming_call, quarantine_gossip, upstream_attempt, upstream_gate};
 
 /// Delay between a broken run and a test connection to its upstream. A process that has ended refuses at once, but its
-/// connections may be reset a moment before its listener is closed. Only one test connection at a time is opened for the
+/// connections may be reset shortly before its listener is closed. Only one test connection at a time is opened for the
 /// broken runs of an upstream, as it takes up one of the upstream's connections.
 const BREAK_CHECK_DELAY: time::Duration = time::Duration::from_millis(15);
-/// Delay between a run abandoned by its caller and a test connection to its upstream: the engine may begin such a run a
-/// moment later, or drop it.
+/// Delay between a run abandoned by its caller and a test connection to its upstream: the engine may begin such a run
+/// some time later, or drop it.
 const ABANDONED_CHECK_DELAY: time::Duration = time::Duration::from_millis(250);
 /// Time after which a broken run without proof is forgotten. The list drops a crashed upstream after three missed
-/// heartbeats of 1.2 s, and may be late by some seconds itself.
+/// heartbeats of 1.2 s, and may itself be late by some seconds.
 const PROOF_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 /// Interval between two checks of the list while broken runs wait for proof.
 const LIST_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
@@ -35,7 +35,7 @@
     Broke(BrokenRun),
     /// No process listens at an upstream's address.
     Refused(ids::UpstreamId),
-    /// A test connection to an upstream has had this result.
+    /// Result of a test connection to an upstream.
     Checked(ids::UpstreamId, ProbeResult),
 }
 
@@ -70,7 +70,9 @@
 /// Proof that an upstream has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndProof {
+    /// No process listens at its address.
     Refused,
+    /// The list names another start, or none.
     List,
 }
 
@@ -161,8 +163,8 @@
 #[derive(Default)]
 struct UnprovenRuns {
     runs: collections::VecDeque<BrokenRun>,
-    /// Upstreams at whose address connections are accepted, perhaps by a proxy. Their runs keep waiting for another start
-    /// in the list; that the list names none any more is no proof for them.
+    /// Upstreams at whose address connections are accepted, perhaps by a proxy. For their runs only another start in the
+    /// list is proof; the absence of any start is not.
     accepting: collections::BTreeSet<ids::UpstreamId>,
     /// Upstreams with a test connection in progress after a broken run.
     being_checked: collections::BTreeSet<ids::UpstreamId>,
--- a/crates/instance/src/upstream_gate.rs
+++ b/crates/instance/src/upstream_gate.rs
@@ -1,8 +1,8 @@
 //! The gate that every send to an upstream passes right before its first byte.
 //!
 //! Between the choice of an upstream and the send a request waits for its planner, for memory, for a connection or for an
-//! earlier attempt. Notices of the upstream that arrive meanwhile count, so the gate checks them for all sends, and a
-//! connection to an upstream only gives its writing side to the holder of a [`SendPass`].
+//! earlier attempt. Notices of the upstream that arrive meanwhile count, so the gate checks them for all sends, and the
+//! writing side of a connection to an upstream is available only with a [`SendPass`].
 //!
 //! Work for an upstream with a limit needs a permit of its coordinator.
 
@@ -10,7 +10,7 @@
 
 use crate::{context, upstream_attempt};
 
-/// Permission to send to an upstream now; it must be renewed after a wait.
+/// Permission to send to an upstream now; after a wait a new one is needed.
 pub struct SendPass<'a> {
     context: &'a context::InstanceContext,
     upstream: ids::UpstreamId,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Passes a send, or returns why it is denied.
+/// Returns the pass for a send, or the reason why the send is denied.
 pub(crate) fn pass<'a>(
     context: &'a context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -60,7 +60,7 @@
     })
 }
 
-/// Passes a request with all its helpers, or returns why it is denied.
+/// Returns the pass for a request with all its helpers, or the reason why the request is denied.
 pub(crate) fn pass_request<'a>(
     context: &'a context::InstanceContext,
     target: &upstream_attempt::AttemptTarget,
@@ -92,7 +92,7 @@
     engines.try_for_each(|engine| check_send(context, engine, kind, permits)).map_err(fault)
 }
 
-/// Checks the helpers that read parts of the prompt.
+/// Checks whether sends to the helpers that process parts of the prompt would pass now.
 fn check_helpers(
     context: &context::InstanceContext,
     target: &upstream_attempt::AttemptTarget,
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -8,7 +8,7 @@
     upstream_list,
 };
 
-/// How long an upstream's report of its load is used.
+/// Age up to which an upstream's report of its load is used.
 const MAX_REPORT_AGE: time::Duration = time::Duration::from_millis(500);
 /// Maximum number of routes with answer times; beyond it all times are discarded.
 const MAX_TIMED_ROUTES: usize = 512;
@@ -88,7 +88,7 @@
         }
         match self.way {
             ways::LoadChoiceWay::First => Some(first),
-            // To instances with few calls in progress all upstreams look alike, so a fixed order
+            // Instances with few calls in progress see equal costs for all upstreams, so a fixed order
             // would send the calls of all instances to the same one.
             ways::LoadChoiceWay::Random => {
                 equal.collect::<Vec<_>>().choose(&mut rand::rng()).copied()
@@ -134,7 +134,7 @@
         self.states.entry(name.clone()).or_default().health.receive_gone(now)
     }
 
-    /// Records the time to the head of an answer.
+    /// Records the time from sending a call to the head of its answer.
     pub fn answered(&mut self, route: &ids::ClassId, span: time::Duration) {
         if self.times.len() >= MAX_TIMED_ROUTES && !self.times.contains_key(route) {
             self.times.clear();
@@ -142,7 +142,7 @@
         self.times.entry(route.clone()).or_default().note(span);
     }
 
-    /// Returns the time within which answers of a route usually arrive; zero while too few are known.
+    /// Returns the time within which answers of a route usually arrive; zero while too few times are known.
     pub fn usual_time(&self, route: &route_table::RoutePolicy) -> time::Duration {
         self.times.get(&route.name).copied().unwrap_or_default().usual_time()
     }
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -51,6 +51,7 @@
 pub struct ConnectionTimes {
     address: net::SocketAddrV4,
     opened: boot_clock::BootInstant,
+    /// When bytes were last received.
     received: cell::Cell<Option<boot_clock::BootInstant>>,
 }
 
@@ -211,8 +212,7 @@
         self.idle.borrow_mut().remove(&address).map_or(0, |pooled| pooled.len())
     }
 
-    /// Returns the probable cause of a connection's silence, judged by the other connections to its
-    /// upstream.
+    /// Returns the probable cause of a connection's silence, given the other connections to its address.
     pub fn cause(
         &self,
         silent: &ConnectionTimes,
@@ -228,7 +228,7 @@
     /// Closes idle connections that may have died along with a silent one; returns their number.
     pub fn close_untrusted(&self, silent: &ConnectionTimes, waited: time::Duration) -> usize {
         // A network fault of this process breaks its connections to all upstreams at once. If another
-        // connection that was open since then still receives, only those to the same upstream are doubted.
+        // connection that was open since then still receives, only those to the same address are closed.
         let connection_times = self.connection_times.borrow();
         let others = ages_of_others(silent, connection_times.values().flatten());
         let all = !silent.ages().has_live_peer(waited, others);
--- a/crates/instance/src/upstream_rows.rs
+++ b/crates/instance/src/upstream_rows.rs
@@ -79,7 +79,7 @@
     format!("{count} in {span} s, {share:.2} of its service's")
 }
 
-/// Open and idle connections to an upstream, and the most that may stay idle.
+/// Numbers of open and idle connections to an upstream, and the maximum number that may stay idle.
 fn connections(context: &context::InstanceContext, entry: &upstream_list::UpstreamEntry) -> String {
     let counts = context.pool.connection_counts(entry.address);
     let max_idle = context.idle_connection_limit(&entry.name);
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -15,7 +15,7 @@
     pub(crate) source: upstream_notice::NoticeSource,
 }
 
-/// Handles the signals in the head of an answer, also when the answer breaks afterwards.
+/// Handles the signals in the head of an answer, even if the answer breaks off afterwards.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Like [`receive`], for an engine known by its address; ignored where two upstreams are listed at the address.
+/// Like [`receive`], for an engine known by its address; does nothing if two upstreams are listed at the address.
 pub(crate) fn receive_at(
     context: &context::InstanceContext,
     address: net::SocketAddrV4,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Describes the notices of an upstream in force, for the record of a request.
+/// Describes the notices of an upstream that are in force, for the record of a request.
 pub(crate) fn describe_notices(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -80,14 +80,14 @@
     if context.settings().experiments.leaving_news == ways::LeavingNewsWay::Heard {
         return;
     }
-    // Of other leaving upstreams members learn from the list.
+    // Members learn of all other leaving upstreams from the list.
     let reports = context.fleet.borrow().leaving_reports(context.now());
     for part in reports.chunks(peer_message::MAX_LEAVING) {
         context.send_to(to, peer_message::PeerMessage::Leaving(part.to_vec()));
     }
 }
 
-/// Handles an upstream's leaving notice and broadcasts it: the list may be late while its source is away.
+/// Handles an upstream's leaving notice and broadcasts it: during an outage of the store the list is late.
 fn receive_leaving(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Handles a Retry-After. In answers other than refusals the header has another meaning.
+/// Handles the Retry-After of a refusal, which requests a backoff. In other answers the header has another meaning.
 fn receive_backoff(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -162,8 +162,8 @@
     context.stats.borrow_mut().count("upstream_rests", "asked");
 }
 
-/// Broadcasts that an upstream has gone from its address, if another one answered there: a failed connection may be
-/// the fault of this instance.
+/// Broadcasts that an upstream is gone, as another one answered at its address. Failed connections are not broadcast,
+/// as they may be the fault of this instance.
 pub(crate) fn broadcast_gone(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
     let is_new = context.loads.borrow_mut().receive_gone(context.now(), upstream);
     if !is_new {
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -1,5 +1,5 @@
-//! Handles silent connections to upstreams: determines the cause and closes connections that may be
-//! affected, too.
+//! Handles silent connections to upstreams: determines the cause, and closes other connections that
+//! may be affected.
 
 use std::{cell, time};
 
@@ -7,14 +7,14 @@
 
 use crate::{context, upstream_pool};
 
-/// Minimum time between two log lines, as one fault affects many requests.
+/// Minimum time between two log lines about silent connections, as one fault affects many requests.
 const LOG_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
 /// A wait for bytes on a connection that was given up.
 pub struct SilentWait<'a> {
     /// The upstream.
     pub upstream: &'a ids::UpstreamId,
-    /// The connection.
+    /// Times of the connection.
     pub times: &'a upstream_pool::ConnectionTimes,
     /// The part of the answer that was awaited.
     pub phase: connection_silence::SilencePhase,
@@ -26,11 +26,12 @@
 #[derive(Debug, Default)]
 pub struct SilenceLog {
     last: cell::Cell<Option<time::Instant>>,
+    /// Number of lines suppressed since the last one.
     suppressed: cell::Cell<u64>,
 }
 
-/// Counts and logs a wait that was given up, and closes other connections if they may be dead,
-/// too; returns the probable cause.
+/// Counts and logs a wait that was given up, and closes other connections that may be dead as well;
+/// returns the probable cause.
 pub fn note(
     context: &context::InstanceContext,
     wait: &SilentWait<'_>,
--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -1,4 +1,4 @@
-//! End of a start of an upstream, with which attempts in progress there and idle connections end.
+//! Handles ended starts of upstreams: fails the attempts in progress there and closes the idle connections.
 
 use std::{cell, collections};
 
@@ -19,8 +19,8 @@
 impl StartWaiters {
     /// Completes once a start of an upstream is known to have ended; never if the upstream does not report its starts.
     ///
-    /// Everything that ran there is lost then, and its connections stay silent: the attempt can fail at once, without
-    /// waiting for the silence limit.
+    /// Everything that ran at that start is lost then, and its connections stay silent: the attempt can fail at once,
+    /// without waiting for the silence limit.
     pub fn until_ended(&self, name: &ids::UpstreamId) -> impl Future<Output = ()> + use<> {
         let receiver = name.start().map(|_| {
             let (sender, receiver) = oneshot::channel();
@@ -75,7 +75,7 @@
     context.starts.retain(|name| fleet.list.is_present(name));
 }
 
-/// Records the start of an upstream that an answer reports, if it does.
+/// Records the start of an upstream, if an answer reports it.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     address: std::net::SocketAddrV4,
