--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -94,13 +94,13 @@
     let _pass = upstream_gate::pass(context, &to.engine, kind, permits).map_err(denied)?;
     let sent_at = context.now();
     let left = limit.saturating_sub(sent_at.since(started));
-    let answer = connection.call_any_status(method, path, body, left).await.map_err(failed)?;
+    let response = connection.call_any_status(method, path, body, left).await.map_err(failed)?;
     // The head's load and backoff signals are also valid in refusals.
     let source = match kind {
         send_gate::SendKind::Report => upstream_notice::NoticeSource::Report,
         _ => upstream_notice::NoticeSource::Order,
     };
     let origin = upstream_signals::SignalOrigin { requested_at: sent_at, source };
-    upstream_signals::receive_at(context, to.address, &answer.head, origin);
-    answer.into_body().map_err(failed)
+    upstream_signals::receive_at(context, to.address, &response.head, origin);
+    response.into_body().map_err(failed)
 }
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -42,11 +42,11 @@
 
 /// Runs periodic gossip rounds, and requests state after the process has been paused.
 pub(crate) async fn repeat(context: rc::Rc<context::InstanceContext>) {
-    let mut last_wake = context.resumed_at.get();
+    let mut last_resumed = context.resumed_at.get();
     loop {
         monoio::time::sleep(gossip::REPEAT_INTERVAL).await;
-        if context.resumed_at.get() != last_wake {
-            last_wake = context.resumed_at.get();
+        if context.resumed_at.get() != last_resumed {
+            last_resumed = context.resumed_at.get();
             request(&context);
         }
         let targets = targets_for(&context, gossip::GossipCause::Repeat);
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -99,9 +99,9 @@
         }
         PeerMessage::Answer(answer) => {
             let job = answer.job();
-            reply(context, job, peer_message::PlanReply::Answer(answer));
+            deliver(context, job, peer_message::PlanReply::Answer(answer));
         }
-        PeerMessage::Queued(job) => reply(context, job, peer_message::PlanReply::Queued),
+        PeerMessage::Queued(job) => deliver(context, job, peer_message::PlanReply::Queued),
         PeerMessage::Note(key, note) => {
             if let Some(planner) = context.planners.borrow_mut().planner(&key) {
                 planner.note(now, &note);
@@ -124,7 +124,7 @@
         PeerMessage::RequestPermit(request) => {
             quota_coordinator::receive_request(context, from, *request);
         }
-        PeerMessage::Permit(number, answer) => permit_request::receive(context, number, answer),
+        PeerMessage::Permit(number, response) => permit_request::receive(context, number, response),
         PeerMessage::Probe(message) => failure_watch::receive(context, from, message),
         PeerMessage::Suspects(reports) => failure_watch::receive_suspects(context, reports),
         PeerMessage::Restored(boots) => failure_watch::receive_restored(context, &boots),
@@ -143,7 +143,7 @@
 }
 
 /// Passes a planner's reply to the request that waits for it.
-fn reply(
+fn deliver(
     context: &context::InstanceContext,
     job: engine_place::JobId,
     reply: peer_message::PlanReply,
@@ -193,7 +193,7 @@
             let job = answer.job();
             match origin {
                 planner_set::PlacementOrigin::Local => {
-                    reply(&context, job, peer_message::PlanReply::Answer(Box::new(answer)));
+                    deliver(&context, job, peer_message::PlanReply::Answer(Box::new(answer)));
                 }
                 planner_set::PlacementOrigin::Member(address) => {
                     context.send_to(address, peer_message::PeerMessage::Answer(Box::new(answer)));
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -89,13 +89,13 @@
         permit_cache::PermitStep::Send(term) => term,
         permit_cache::PermitStep::Backoff(backoff) => return Err(NoPermit(backoff)),
         permit_cache::PermitStep::Request(request) => {
-            let Some(answer) = request_coordinator(context, subject, request).await else {
+            let Some(response) = request_coordinator(context, subject, request).await else {
                 let mut cache = context.quotas.cache.borrow_mut();
                 cache.note_silence(context.now(), subject, SILENCE_BACKOFF);
                 return Err(NoPermit(SILENCE_BACKOFF));
             };
             let mut cache = context.quotas.cache.borrow_mut();
-            cache.receive(context.now(), subject, now, answer).map_err(NoPermit)?
+            cache.receive(context.now(), subject, now, response).map_err(NoPermit)?
         }
     };
     let unused = UnusedPermit { context, subject, term: Some(term) };
@@ -106,19 +106,20 @@
 pub(crate) fn receive(
     context: &context::InstanceContext,
     number: u64,
-    answer: quota_permit::PermitResponse,
+    response: quota_permit::PermitResponse,
 ) {
     let Some(request) = context.quotas.pending.by_number.borrow_mut().remove(&number) else {
         return;
     };
     let undelivered = match request.reply {
-        Some(reply) => reply.send(answer).err(),
-        None => Some(answer),
+        Some(reply) => reply.send(response).err(),
+        None => Some(response),
     };
-    if let Some(answer) = undelivered {
+    if let Some(response) = undelivered {
         // The task that waited for the permit has ended; another task can use it.
         let mut cache = context.quotas.cache.borrow_mut();
-        if let Ok(term) = cache.receive(context.now(), &request.subject, request.sent_at, answer) {
+        if let Ok(term) = cache.receive(context.now(), &request.subject, request.sent_at, response)
+        {
             cache.put_back(&request.subject, term);
         }
     }
@@ -131,7 +132,7 @@
     request: quota_permit::PermitRequest,
 ) -> Option<quota_permit::PermitResponse> {
     let Some(coordinator) = quota_coordinator::coordinator_of(context, subject) else {
-        return Some(quota_coordinator::answer(context, context.boot, subject, &request));
+        return Some(quota_coordinator::respond(context, context.boot, subject, &request));
     };
     let known = match subject {
         quota_permit::QuotaSubject::Upstream(upstream) => limit_gossip::report(context, upstream),
@@ -143,9 +144,9 @@
     context
         .send_to(coordinator.address, peer_message::PeerMessage::RequestPermit(Box::new(message)));
     match monoio::time::timeout(REPLY_TIMEOUT, reply).await {
-        Ok(answer) => {
+        Ok(response) => {
             context.members.borrow_mut().note_answered(context.now(), &coordinator.name);
-            answer.ok()
+            response.ok()
         }
         Err(_) => {
             context.members.borrow_mut().note_unanswered(&coordinator.name);
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -173,7 +173,7 @@
 }
 
 /// Responds to a request for permits of a member or of this process.
-pub(crate) fn answer(
+pub(crate) fn respond(
     context: &context::InstanceContext,
     requester: u64,
     subject: &quota_permit::QuotaSubject,
@@ -191,7 +191,7 @@
         // The member has not learned yet that the limit has ended.
         return quota_permit::PermitResponse::Granted { count: 1, wait_ms: 0 };
     }
-    let answer = match planned_engine(context, subject) {
+    let response = match planned_engine(context, subject) {
         Some((key, engine)) => {
             let mut planners = context.planners.borrow_mut();
             let planner = planners.planner(&key);
@@ -208,8 +208,8 @@
             )
         }
     };
-    let answer = answer.unwrap_or_else(wrong_coordinator);
-    let outcome = match answer {
+    let response = response.unwrap_or_else(wrong_coordinator);
+    let outcome = match response {
         quota_permit::PermitResponse::Granted { .. } => "given",
         quota_permit::PermitResponse::Refused { .. } => "refused",
     };
@@ -218,7 +218,7 @@
         quota_permit::QuotaSubject::Retries(..) => "retry",
     };
     context.stats.borrow_mut().count("leaves", &format!("{outcome}/{kind}"));
-    answer
+    response
 }
 
 /// Handles a member's request for permits, and the upstream's limit that the request states.
@@ -228,14 +228,14 @@
     message: peer_message::PermitRequestMessage,
 ) {
     limit_gossip::receive_members(context, message.known.into_iter().collect());
-    let answer = answer(context, message.boot, &message.subject, &message.request);
+    let response = respond(context, message.boot, &message.subject, &message.request);
     if let quota_permit::QuotaSubject::Upstream(upstream) = &message.subject
         && context.fleet.borrow().list.limit(upstream).is_none()
         && let Some(report) = limit_gossip::report(context, upstream)
     {
         context.send_to(from, peer_message::PeerMessage::Limits(vec![report]));
     }
-    context.send_to(from, peer_message::PeerMessage::Permit(message.number, answer));
+    context.send_to(from, peer_message::PeerMessage::Permit(message.number, response));
 }
 
 /// The coordinator of a quota and, if it is this process, its recent grants, for operators.
--- a/crates/instance/src/store_call.rs
+++ b/crates/instance/src/store_call.rs
@@ -66,19 +66,19 @@
     path: &str,
     limit: time::Duration,
 ) -> Result<StoreAnswer, StoreError> {
-    let answer = connection.call_any_status("GET", path, Bytes::new(), limit).await;
-    let answer = answer.context(CallSnafu)?;
-    let era = context.adapter.store_era(&answer.head).context(EraSnafu)?;
+    let response = connection.call_any_status("GET", path, Bytes::new(), limit).await;
+    let response = response.context(CallSnafu)?;
+    let era = context.adapter.store_era(&response.head).context(EraSnafu)?;
     let known = known_era(context);
     let era = era.unwrap_or(known);
     if era < known {
         return FormerEraSnafu { era, known }.fail();
     }
     note_era(context, era);
-    if answer.head.status == http::StatusCode::GONE {
+    if response.head.status == http::StatusCode::GONE {
         return HistoryGoneSnafu { era }.fail();
     }
-    let body = answer.into_body().context(CallSnafu)?;
+    let body = response.into_body().context(CallSnafu)?;
     Ok(StoreAnswer { era, body })
 }
 
