--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -160,6 +160,7 @@
     }
 }
 
+/// Waits for the next request on a connection, and serves it.
 async fn serve_next(
     context: &rc::Rc<context::InstanceContext>,
     reader: &mut h1::MessageReader,
@@ -198,6 +199,7 @@
     serve_head(context, reader, &mut reply, head, limits).await
 }
 
+/// Reads the body of a request whose head has been read, admits the request and serves it.
 async fn serve_head(
     context: &rc::Rc<context::InstanceContext>,
     reader: &mut h1::MessageReader,
@@ -280,6 +282,7 @@
     }
 }
 
+/// Returns the best contact that this process has with the store and with other members.
 fn start_contact(
     context: &context::InstanceContext,
     now: units::MonoTime,
@@ -295,6 +298,7 @@
     }
 }
 
+/// Serves an admitted request, unless it is quarantined.
 async fn serve_call(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -337,6 +341,7 @@
     Ok(ConnectionNext::Keep)
 }
 
+/// Counts and logs a request that has ended, and stores its record.
 fn finish(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -376,6 +381,7 @@
     }
 }
 
+/// Refuses a request that is malformed or too large; returns any other error.
 async fn refuse_malformed(
     reply: &mut CallerReply<'_>,
     id: &str,
--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -49,6 +49,7 @@
 /// Log appender that passes lines to a writer thread.
 #[derive(Debug)]
 pub struct LineAppender {
+    /// Queue of the writer thread.
     lines: mpsc::SyncSender<String>,
     started: time::Instant,
     rate: sync::Mutex<LineRate>,
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -39,11 +39,15 @@
 
 /// An answer whose body has been read in part.
 pub(crate) struct LongAnswer<'a> {
+    /// The upstream that answers.
     pub(crate) upstream: ids::UpstreamId,
+    /// The answer's head, and the connection on which its body arrives.
     pub(crate) answer: upstream_attempt::AttemptAnswer,
     /// The part of the body that has been read.
     pub(crate) leading: Bytes,
+    /// Guard of the run, which ends with the answer.
     pub(crate) run: upstream_ends::RunGuard<'a>,
+    /// Guard that records the end of the call in the load state.
     pub(crate) guard: service_request::LoadGuard<'a>,
 }
 
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -44,7 +44,9 @@
     /// The start of the engine that holds the memory; a reservation does not survive a restart.
     start: rc::Rc<cell::RefCell<ids::UpstreamId>>,
     address: net::SocketAddrV4,
+    /// Identifies the reservation at the engine.
     ticket: String,
+    /// Reserved memory, in tokens.
     tokens: u64,
 }
 
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -78,6 +78,8 @@
     Ok(caller_connection::ConnectionNext::Keep)
 }
 
+/// Makes attempts until one succeeds or no further one is possible. `fallback` receives the last failure
+/// answer of an upstream, which is better than a refusal at the end of the time limit.
 async fn attempts<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
@@ -237,6 +239,7 @@
     }
 }
 
+/// Sends a call to an upstream and reads its answer, up to [`MAX_BUFFERED_BODY`] bytes of the body.
 async fn call_upstream<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -92,8 +92,11 @@
     call: &'a incoming_call::IncomingCall,
     upstream: ids::UpstreamId,
     address: net::SocketAddrV4,
+    /// When the request was sent.
     sent: units::MonoTime,
+    /// Whether the run ended without a sign of a crash.
     ended: bool,
+    /// Whether the run broke, rather than being abandoned.
     broken: bool,
 }
 
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -33,9 +33,11 @@
 /// Load, health and answer times of upstreams as known to this process.
 #[derive(Debug, Default)]
 pub struct UpstreamLoads {
+    /// Rule that chooses among the candidates.
     way: ways::LoadChoiceWay,
     /// Name of this instance.
     own: String,
+    /// Load and health by upstream.
     states: collections::HashMap<ids::UpstreamId, LoadState>,
     /// Answer times by route.
     times: collections::HashMap<ids::ClassId, connection_silence::AnswerTimes>,
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -113,6 +113,7 @@
     /// Times by address; a reference expires when its connection is closed.
     connection_times:
         cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionTimes>>>>,
+    /// Idle connections by address.
     idle: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<PooledConnection>>>,
 }
 
