--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -30,7 +30,7 @@
             request.excluded.extend(context.closed_engines(&planner, probe_permission));
         }
         if !refused.is_empty() && request.goal_left_ms == 0 {
-            // The first-token goal was missed in earlier cells; another one would delay the caller further.
+            // The first-token goal was missed in earlier cells; another cell would delay the caller further.
             break;
         }
         match plan_client::place(context, &planner, request, limit.saturating_sub(spent)).await {
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -283,20 +283,20 @@
     format!("slipturn_requests_held {quarantined}\n")
 }
 
-/// Gauges of evacuated data centres, and of upstreams that are leaving, resting, limited, or affected by a recovery.
+/// Gauges of evacuated data centres, and of upstreams that are leaving, in backoff, limited, or affected by a recovery.
 fn notice_gauges(context: &context::InstanceContext) -> String {
     let now = context.now();
     let fleet = context.fleet.borrow();
     let notices = fleet.list.notices();
     let leaving = notices.names().filter(|name| notices.leaving(name).is_some()).count();
-    let resting = notices.names().filter(|name| notices.backoff(now, name).is_some()).count();
+    let in_backoff = notices.names().filter(|name| notices.backoff(now, name).is_some()).count();
     let limited = fleet.list.limits().len();
     let evacuated = fleet.list.evacuated().count();
     let recovery = fleet.list.recovery().unwrap_or_default();
     let (kept, withheld) = (recovery.kept.len(), recovery.withheld.len());
     format!(
         "slipturn_upstreams_kept {kept}\nslipturn_upstreams_withheld {withheld}\n\
-         slipturn_data_centers_evacuated {evacuated}\nslipturn_upstreams_leaving {leaving}\nslipturn_upstreams_resting {resting}\n\
+         slipturn_data_centers_evacuated {evacuated}\nslipturn_upstreams_leaving {leaving}\nslipturn_upstreams_resting {in_backoff}\n\
          slipturn_upstreams_limited {limited}\n"
     )
 }
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Broadcasts a change that this process has detected to all live members.
+/// Broadcasts to all live members a change that this process has detected.
 pub(crate) fn broadcast(context: &context::InstanceContext, message: &peer_message::PeerMessage) {
     for to in targets_for(context, gossip::GossipCause::Found) {
         context.send_to(to, message.clone());
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -8,7 +8,7 @@
 use crate::{adapter, context, engine_call, upstream_starts};
 
 /// Lifetime of a reservation without renewal. It is shorter than the time within which memory must
-/// be free again after the instance that reserved it has died.
+/// be free again after the instance that reserved it has crashed.
 const HOLD_TTL: time::Duration = time::Duration::from_millis(3_400);
 /// Interval between two renewals.
 const RENEWAL_INTERVAL: time::Duration = time::Duration::from_millis(900);
--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -22,7 +22,7 @@
 /// Whether this process's own watch can be expected to bring the changes that members already have.
 ///
 /// An open watch is not sufficient, as its connection may have fallen silent: once a member has had a change for
-/// [`MAX_WATCH_LAG`], the member is trusted instead.
+/// [`MAX_WATCH_LAG`], its documents are fetched instead.
 pub(crate) fn trusts_own_watch(context: &context::InstanceContext) -> bool {
     let answers = context.store_tracker.borrow().answers();
     answers && !is_behind(context)
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -14,7 +14,7 @@
 const WAIT_SHARE: f64 = 0.75;
 /// Wait of a probe, a watch that only checks whether the store answers: it returns at once.
 const PROBE_WAIT: time::Duration = time::Duration::from_millis(1);
-/// Time after the end of a watch's wait from which its connection is doubted. A store that is fifty times slower than
+/// Time after the end of a watch's wait from which its connection may be dead. A store that is fifty times slower than
 /// usual answers in 200 ms.
 const MAX_DELAY: time::Duration = time::Duration::from_millis(500);
 /// Time for the answer to a probe before another probe is sent concurrently.
@@ -42,7 +42,7 @@
     let answered = {
         let limit = wait + MAX_DELAY + PROBE_TIMEOUT * MAX_PROBES;
         let mut waiting = std::pin::pin!(store_call::get(context, connection, &path, limit));
-        if let Some(answered) = until_doubted(context, waiting.as_mut(), wait + MAX_DELAY).await {
+        if let Some(answered) = until_overdue(context, waiting.as_mut(), wait + MAX_DELAY).await {
             return answered;
         }
         context.store_tracker.borrow_mut().note_overdue();
@@ -96,7 +96,7 @@
 
 /// Waits for the answer to a watch; `None` once it is overdue, or once members have had changes for some time that it
 /// should have brought.
-async fn until_doubted<T>(
+async fn until_overdue<T>(
     context: &context::InstanceContext,
     mut waiting: pin::Pin<&mut impl Future<Output = T>>,
     limit: time::Duration,
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -226,9 +226,9 @@
         return answered;
     }
     let phase = connection_silence::SilencePhase::Head;
-    let is_doubted = used && context.pool.cause(&times, phase, wait.reused).may_affect_others();
+    let may_be_dead = used && context.pool.cause(&times, phase, wait.reused).may_affect_others();
     let in_time = call.left(context.now()) >= wait.usual_time;
-    let reused_silent = is_doubted && in_time && give_up(RetryReach::AnyUpstream).await;
+    let reused_silent = may_be_dead && in_time && give_up(RetryReach::AnyUpstream).await;
     if !reused_silent {
         let left = wait.longest.saturating_sub(started.elapsed());
         if let Ok(answered) = monoio::time::timeout(left, work.as_mut()).await {
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -237,8 +237,8 @@
         let count =
             |idle: &collections::HashMap<_, Vec<_>>| -> usize { idle.values().map(Vec::len).sum() };
         let before = count(&idle);
-        let doubted = idle.iter_mut().filter(|(address, _)| all || **address == silent.address);
-        for (_, pooled) in doubted {
+        let affected = idle.iter_mut().filter(|(address, _)| all || **address == silent.address);
+        for (_, pooled) in affected {
             pooled.retain(|idle| idle.connection.times.ages().trusted(waited));
         }
         before - count(&idle)
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Handles an upstream's leaving notice and broadcasts it: during an outage of the store the list is late.
+/// Handles an upstream's leaving notice and broadcasts it: the list may be late during an outage of the store.
 fn receive_leaving(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -38,9 +38,9 @@
 ) -> connection_silence::SilenceCause {
     let cause = context.pool.cause(wait.times, wait.phase, wait.waited);
     context.stats.borrow_mut().count("silent", cause.label());
-    let is_doubted = cause.may_affect_others();
+    let may_affect_others = cause.may_affect_others();
     let dropped =
-        if is_doubted { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
+        if may_affect_others { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
     let log = &context.silence_log;
     if log.last.get().is_some_and(|last| last.elapsed() < LOG_INTERVAL) {
         log.suppressed.set(log.suppressed.get() + 1);
--- a/crates/instance/tests/upstream_load.rs
+++ b/crates/instance/tests/upstream_load.rs
@@ -260,9 +260,10 @@
     let mut loads = UpstreamLoads::default();
     loads.begin(at(0), &entries[0].name);
     loads.end(at(0), &entries[0].name, Some(Gone));
-    let again = UpstreamEntry { name: "u1@8".parse().expect("a valid name"), ..entries[0].clone() };
+    let restarted =
+        UpstreamEntry { name: "u1@8".parse().expect("a valid name"), ..entries[0].clone() };
     let picked = loads
-        .pick(at(1), &[&again, &entries[1]], &own, false, |_| false)
+        .pick(at(1), &[&restarted, &entries[1]], &own, false, |_| false)
         .expect("there are candidates");
-    assert_eq!(picked.name, again.name);
+    assert_eq!(picked.name, restarted.name);
 }
