--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -69,7 +69,7 @@
         let work = move || write_all(output, &queue, &counts.0, &counts.1);
         let spawned = thread::Builder::new().name("log".to_owned()).stack_size(64 * 1024);
         if let Err(error) = spawned.spawn(work) {
-            eprintln!("no thread for log lines: {error}");
+            eprintln!("cannot start the log thread: {error}");
         }
         let (started, rate) = (time::Instant::now(), sync::Mutex::default());
         Self { lines, started, rate, waiting, dropped }
--- a/crates/instance/src/store_read.rs
+++ b/crates/instance/src/store_read.rs
@@ -28,7 +28,7 @@
         read_range(context, connection, |after| adapter.operator_path(after)).await?;
     if upstreams.revision.era != operator_documents.revision.era {
         return Err(format!(
-            "the store returned from a copy during a read, {}",
+            "the store was restored from a copy during a read, at {}",
             operator_documents.revision
         ));
     }
@@ -72,7 +72,7 @@
         let revision = store_revision::StoreRevision::new(answer.era, page.revision);
         let first = *first_revision.get_or_insert(revision);
         if first.era != revision.era {
-            return Err(format!("the store returned from a copy during a read, {revision}"));
+            return Err(format!("the store was restored from a copy during a read, at {revision}"));
         }
         items.extend(page.items);
         after = page.next;
