--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of bytes that a caller may pipeline before it receives its answer.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
-/// How long remaining input is read and discarded before the connection is closed.
+/// Maximum time for which remaining input is read and discarded before the connection is closed.
 const LINGER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Process age up to which requests wait. Members that started at the same time may not agree on
 /// the planner before this age, so each would plan alone and assign the same engines.
@@ -160,6 +160,7 @@
     }
 }
 
+/// Waits for the next request on a connection, and serves it.
 async fn serve_next(
     context: &rc::Rc<context::InstanceContext>,
     reader: &mut h1::MessageReader,
@@ -168,8 +169,8 @@
     let limits = context.fleet.borrow().routes.limits;
     if !reader.has_unread_bytes() {
         reader.rest();
-        let resting = std::pin::pin!(monoio::time::timeout(limits.idle, reader.fill()));
-        match future::select(resting, context.closing.clone()).await {
+        let next_bytes = std::pin::pin!(monoio::time::timeout(limits.idle, reader.fill()));
+        match future::select(next_bytes, context.closing.clone()).await {
             future::Either::Left((Ok(filled), _)) => {
                 if filled? == 0 {
                     return Ok(ConnectionNext::Close);
@@ -198,6 +199,7 @@
     serve_head(context, reader, &mut reply, head, limits).await
 }
 
+/// Reads the body of a request whose head has been read, admits the request and serves it.
 async fn serve_head(
     context: &rc::Rc<context::InstanceContext>,
     reader: &mut h1::MessageReader,
@@ -241,7 +243,7 @@
     };
     call.body = body;
     let mut record = call.record(context);
-    // Default outcome, which remains if the caller disconnects before there is another one.
+    // Remains in the record if the caller disconnects before the request is answered or refused.
     "caller left".clone_into(&mut record.outcome);
     context.count_request(&call.service);
     let next = {
@@ -258,8 +260,8 @@
 }
 
 /// Delays a request while this process has just started and does not know the routes, the
-/// upstreams or the planners yet. It usually learns them within moments, and many callers retry
-/// only once.
+/// upstreams or the planners yet. It usually learns them within a fraction of a second, and many
+/// callers retry only once.
 async fn wait_until_ready(
     context: &context::InstanceContext,
     arrived: units::MonoTime,
@@ -280,6 +282,7 @@
     }
 }
 
+/// Returns the best contact that this process has with the store and with other members.
 fn start_contact(
     context: &context::InstanceContext,
     now: units::MonoTime,
@@ -295,6 +298,7 @@
     }
 }
 
+/// Serves an admitted request, unless it is quarantined.
 async fn serve_call(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
@@ -337,6 +341,7 @@
     Ok(ConnectionNext::Keep)
 }
 
+/// Counts and logs a request that has ended, and stores its record.
 fn finish(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -364,7 +369,7 @@
 }
 
 /// Completes when the caller closes its connection. Pipelined bytes stay buffered; beyond
-/// [`MAX_PIPELINED_BYTES`] the connection is no longer read, so a close goes unnoticed.
+/// [`MAX_PIPELINED_BYTES`] the connection is no longer read, so a close is not detected.
 async fn watch_caller(reader: &mut h1::MessageReader) {
     loop {
         if reader.buffered() > MAX_PIPELINED_BYTES {
@@ -376,6 +381,7 @@
     }
 }
 
+/// Refuses a request that is malformed or too large; returns any other error.
 async fn refuse_malformed(
     reply: &mut CallerReply<'_>,
     id: &str,
@@ -396,10 +402,10 @@
 /// Reads and discards remaining input before the socket is closed. Closing a socket with unread
 /// data resets the connection, which may lose the answer that was just sent.
 async fn linger(reader: &mut h1::MessageReader) {
-    let dropping = async {
+    let discarding = async {
         let mut framing = h1::BodyFraming::UntilClose;
         while let Ok(Some(_)) = reader.next_piece(&mut framing).await {}
     };
     // A caller that is still sending has had this much time to read its answer.
-    let _ = monoio::time::timeout(LINGER_TIMEOUT, dropping).await;
+    let _ = monoio::time::timeout(LINGER_TIMEOUT, discarding).await;
 }
--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -1,4 +1,4 @@
-//! Calls to engines other than requests: reads of their reports, and memory orders.
+//! Calls to engines other than callers' requests: reads of their reports, and memory orders.
 
 use std::{net, time};
 
@@ -20,7 +20,7 @@
     /// The call failed, or was refused.
     #[snafu(display("{source}"))]
     Call {
-        /// The cause.
+        /// The error of the call.
         source: document_call::CallError,
     },
 }
@@ -92,15 +92,15 @@
     connection.open(limit).await.map_err(failed)?;
     // The state may have changed while the connection was opened.
     let _pass = upstream_gate::pass(context, &to.engine, kind, permits).map_err(denied)?;
-    let asked_at = context.now();
-    let left = limit.saturating_sub(asked_at.since(started));
-    let answer = connection.call_any_status(method, path, body, left).await.map_err(failed)?;
-    // The head's load and backoff signals are valid in refusals, too.
+    let sent_at = context.now();
+    let left = limit.saturating_sub(sent_at.since(started));
+    let response = connection.call_any_status(method, path, body, left).await.map_err(failed)?;
+    // The head's load and backoff signals are also valid in refusals.
     let source = match kind {
         send_gate::SendKind::Report => upstream_notice::NoticeSource::Report,
         _ => upstream_notice::NoticeSource::Order,
     };
-    let asked = upstream_signals::SignalOrigin { at: asked_at, source };
-    upstream_signals::receive_at(context, to.address, &answer.head, asked);
-    answer.into_body().map_err(failed)
+    let origin = upstream_signals::SignalOrigin { requested_at: sent_at, source };
+    upstream_signals::receive_at(context, to.address, &response.head, origin);
+    response.into_body().map_err(failed)
 }
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -1,4 +1,4 @@
-//! Handles an engine's fault: what the planner is told, and which engines the request's next
+//! Handles an engine's fault: what is reported to the planner, and which engines the request's next
 //! attempts exclude.
 
 use slipturn_core::{connection_silence, engine_place, ids, retry, send_gate, units};
@@ -8,7 +8,7 @@
     upstream_pool, upstream_silence, upstream_starts,
 };
 
-/// Returns how an attempt that ended with `fault` ended for the engine that had the request.
+/// Returns the end of a place to report to the planner after an attempt that failed with `fault`.
 pub(crate) fn place_end(
     hold: &plan_client::PlaceHold,
     fault: &upstream_attempt::AttemptFault,
@@ -49,11 +49,11 @@
     if cause != hold.grant.engine {
         hold.eject(&cause);
     }
-    // If no other engine is left, it is tried again: only its connection may have been silent, and
-    // the next attempt uses a new one.
+    // If no other engine is left, a silent one is tried again: perhaps only its connection was silent,
+    // and the next attempt uses a new one.
     let silent = hold.end == engine_place::PlaceEnd::Silent;
-    let known = state.excluded.contains(&cause);
-    if known || (silent && is_only_engine_left(context, state, hold)) {
+    let already_excluded = state.excluded.contains(&cause);
+    if already_excluded || (silent && is_only_engine_left(context, state, hold)) {
         return;
     }
     state.excluded.push(cause);
@@ -90,13 +90,13 @@
     open.iter().all(|entry| entry.name == hold.grant.engine || state.excluded.contains(&entry.name))
 }
 
-/// Records the end of a wait that began at `since` and was given up; returns the text for the
+/// Records that a wait for the engine, begun at `since`, was given up; returns the text for the
 /// request's record.
 pub(crate) fn record_silence(
     context: &context::InstanceContext,
     hold: &mut plan_client::PlaceHold,
     times: &upstream_pool::ConnectionTimes,
-    moment: connection_silence::SilencePhase,
+    phase: connection_silence::SilencePhase,
     since: units::MonoTime,
     fault: silence_watch::WaitFault,
 ) -> String {
@@ -106,6 +106,6 @@
     hold.end = engine_place::PlaceEnd::Silent;
     let waited = context.now().since(since);
     let upstream = &hold.grant.engine;
-    let wait = upstream_silence::SilentWait { upstream, times, moment, waited };
+    let wait = upstream_silence::SilentWait { upstream, times, phase, waited };
     format!("{silence}: {}", upstream_silence::note(context, &wait).label())
 }
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -89,7 +89,7 @@
         if self.diverged { store_revision::StoreRevision::default() } else { self.list.revision() }
     }
 
-    /// Documents that a member with these versions lacks; the routes alone where it gives no revision of the list.
+    /// Documents that a member with these versions lacks; the routes alone if it states no revision of the list.
     pub fn documents(
         &mut self,
         now: units::MonoTime,
@@ -106,13 +106,13 @@
         let whole = !self.raw.has_changes_since(list);
         let changes = self.raw.changes.iter().filter(|(revision, _, _)| *revision > list);
         let changes = changes.map(|(_, name, text)| (name.clone(), text.clone()));
-        let crosses = !whole && list.era < self.raw.revision.era;
+        let crosses_eras = !whole && list.era < self.raw.revision.era;
         adapter::RawDocuments {
             routes,
             upstreams: whole.then(|| self.raw.upstreams.clone()),
             changes: if whole { Vec::new() } else { changes.collect() },
             revision: self.raw.revision,
-            digest: crosses.then(|| raw_state::digest(&self.raw.upstreams)),
+            digest: crosses_eras.then(|| raw_state::digest(&self.raw.upstreams)),
             evacuated: self.list.evacuated().cloned().collect(),
             skipped: !whole && self.raw.has_gap_since(list),
             returned_ms,
@@ -137,17 +137,17 @@
 
     /// Adopts those documents of another member that are newer than the ones in force.
     ///
-    /// Fails if the copy of the routes is damaged or was made against other routes than those in force; the list is
-    /// adopted all the same.
+    /// Fails if the copy of the routes is damaged or is based on other routes than those in force; the list is adopted
+    /// nevertheless.
     pub fn adopt(
         &mut self,
         now: units::MonoTime,
         documents: adapter::RawDocuments,
         source: &str,
     ) -> Result<(), compressed_bytes::CompressionError> {
-        let copied = documents.routes.as_ref().map(|copy| self.adopt_routes(copy, source));
-        let has_list = self.adopt_list(now, documents, source);
-        copied.unwrap_or(Ok(())).and(has_list)
+        let routes_result = documents.routes.as_ref().map(|copy| self.adopt_routes(copy, source));
+        let list_result = self.adopt_list(now, documents, source);
+        routes_result.unwrap_or(Ok(())).and(list_result)
     }
 
     fn adopt_routes(
@@ -202,7 +202,7 @@
         Some((before.version.0, text))
     }
 
-    /// Records which start of an upstream answered at an address a request that was sent at `asked`.
+    /// Records which start of an upstream answered a request that was sent to `address` at `requested_at`.
     ///
     /// An address at which two upstreams are listed identifies neither, so the report is ignored.
     pub fn receive_start(
@@ -210,10 +210,10 @@
         now: units::MonoTime,
         address: net::SocketAddrV4,
         start: ids::UpstreamStart,
-        asked: units::MonoTime,
+        requested_at: units::MonoTime,
     ) {
         if let Some(name) = self.list.name_at(address).cloned() {
-            self.list.update_start(now, &name, start, asked);
+            self.list.update_start(now, &name, start, requested_at);
         }
     }
 }
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -14,8 +14,8 @@
 /// Handles a heartbeat.
 ///
 /// A member that has just joined is answered at once, with the addresses of all members if it knows only few. Unknown
-/// members that a heartbeat names are sent one at once. With periodic heartbeats alone, the members of a large fleet
-/// would discover each other only after many seconds.
+/// members that a heartbeat names are sent a heartbeat at once. With periodic heartbeats alone, the members of a large
+/// fleet would discover each other only after many seconds.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     now: units::MonoTime,
@@ -24,20 +24,20 @@
     let from = heartbeat.address;
     failure_watch::restore(context, heartbeat.boot);
     let own = context.settings().member_address;
-    let (joined, welcome, uncontacted) = {
+    let (joined, newcomer_addresses, uncontacted) = {
         let mut members = context.members.borrow_mut();
-        let welcome = members.addresses_for_newcomer(&heartbeat);
+        let newcomer_addresses = members.addresses_for_newcomer(&heartbeat);
         let joined = members.receive(now, heartbeat);
-        (joined, welcome, members.take_uncontacted(own))
+        (joined, newcomer_addresses, members.take_uncontacted(own))
     };
     if joined {
         context.joined_members.set(context.joined_members.get() + 1);
         member_gossip::request_from_joined(context, from);
         let heartbeat = context.next_heartbeat();
-        if welcome.is_empty() {
+        if newcomer_addresses.is_empty() {
             context.send_to(from, peer_message::PeerMessage::Beat(Box::new(heartbeat.clone())));
         }
-        for others in welcome {
+        for others in newcomer_addresses {
             let heartbeat = member_heartbeat::MemberHeartbeat { others, ..heartbeat.clone() };
             context.send_to(from, peer_message::PeerMessage::Beat(Box::new(heartbeat)));
         }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends this process's heartbeat to `targets`: whole when that is due and to unknown members, else in its short form.
+/// Sends this process's heartbeat to `targets`: in full when due and to unknown members, else in its short form.
 fn send_heartbeat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
     let heartbeat = context.next_heartbeat();
     for to in targets {
@@ -62,7 +62,7 @@
 
 /// Broadcasts this process's heartbeat periodically, and forgets silent members.
 pub async fn repeat(context: rc::Rc<context::InstanceContext>) {
-    let mut clock = heartbeat_timer::HeartbeatTimer::default();
+    let mut timer = heartbeat_timer::HeartbeatTimer::default();
     loop {
         broadcast(&context);
         let forgotten = context.members.borrow_mut().tick(context.now());
@@ -75,7 +75,7 @@
             log::info!(joined, alive; "members.joined");
         }
         let interval = context.members.borrow().heartbeat_interval();
-        monoio::time::sleep(clock.next(interval, rand::random())).await;
+        monoio::time::sleep(timer.next(interval, rand::random())).await;
     }
 }
 
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -10,7 +10,7 @@
 /// Time reserved for sending an answer to the caller.
 const ANSWER_MARGIN: time::Duration = time::Duration::from_millis(15);
 
-/// How long a caller is assumed to wait if it names no time and the routes are not known yet.
+/// How long a caller is assumed to wait if it states no time and the routes are not known yet.
 pub(crate) const DEFAULT_MAX_WAIT: time::Duration = time::Duration::from_secs(10);
 
 /// An admitted request.
@@ -29,7 +29,7 @@
     pub service: ids::ServiceId,
     /// Shape of the service's engines, if it has engines.
     pub shape: Option<route_table::EngineShape>,
-    /// When the last byte was received.
+    /// When the last byte of the request was received.
     pub arrived: units::MonoTime,
     /// When the final answer is due.
     pub deadline: units::MonoTime,
@@ -59,12 +59,12 @@
     pub fn timeout_refusal(
         &self,
         limit: time::Duration,
-        back_after: time::Duration,
+        retry_after: time::Duration,
     ) -> refusal::RequestRefusal {
         if self.may_have_run.get() == 0 {
             let code = refusal::RefusalCode::NoUpstream;
             let text = format!("no upstream took it within {limit:?}");
-            return refusal::RequestRefusal::not_run(code, text).retry_after(back_after);
+            return refusal::RequestRefusal::not_run(code, text).retry_after(retry_after);
         }
         let text = format!("not finished within {limit:?}");
         refusal::RequestRefusal::not_run(refusal::RefusalCode::TimedOut, text)
@@ -107,9 +107,9 @@
         let text = "routes and upstreams are not known yet";
         let refusal = refusal::RequestRefusal::not_run(refusal::RefusalCode::NotReady, text);
         let max_wait = request.ok().and_then(|request| request.max_wait);
-        let away = arrived.since(units::MonoTime::default());
-        let back_after = refusal::outage_retry_after(away, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
-        return Err(refusal.retry_after(back_after));
+        let age = arrived.since(units::MonoTime::default());
+        let retry_after = refusal::outage_retry_after(age, max_wait.unwrap_or(DEFAULT_MAX_WAIT));
+        return Err(refusal.retry_after(retry_after));
     }
     let host = host_of(&head);
     let Some(route) = fleet.routes.route(&host, head.uri.path()) else {
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -11,7 +11,7 @@
 /// Path of the quarantined requests.
 const QUARANTINE_PATH: &str = "/v1/quarantine";
 
-/// Path of the upstreams' page.
+/// Path of the rows on upstreams.
 const UPSTREAMS_PATH: &str = "/v1/upstreams";
 
 /// Largest request head, in bytes.
@@ -78,7 +78,7 @@
     }
 }
 
-/// Response of this server.
+/// A response of this server.
 struct ServerAnswer {
     status: u16,
     body: Bytes,
@@ -260,8 +260,8 @@
     serde_json::json!({ "version": fleet.routes.version, "routes": rows })
 }
 
-/// Gauges of how old the documents of this process may be. They alone distinguish a watch that has fallen silent from one
-/// without changes.
+/// Gauges of how old the documents of this process may be. No other metric distinguishes a watch that has fallen silent
+/// from one without changes.
 fn source_gauges(context: &context::InstanceContext) -> String {
     let lags = context.lags();
     let store_tracker = context.store_tracker.borrow();
@@ -283,20 +283,20 @@
     format!("slipturn_requests_held {quarantined}\n")
 }
 
-/// Gauges of evacuated data centres, and of upstreams that are leaving, resting, limited, or affected by a recovery.
+/// Gauges of evacuated data centres, and of upstreams that are leaving, in backoff, limited, or affected by a recovery.
 fn notice_gauges(context: &context::InstanceContext) -> String {
     let now = context.now();
     let fleet = context.fleet.borrow();
     let notices = fleet.list.notices();
     let leaving = notices.names().filter(|name| notices.leaving(name).is_some()).count();
-    let resting = notices.names().filter(|name| notices.backoff(now, name).is_some()).count();
+    let in_backoff = notices.names().filter(|name| notices.backoff(now, name).is_some()).count();
     let limited = fleet.list.limits().len();
     let evacuated = fleet.list.evacuated().count();
     let recovery = fleet.list.recovery().unwrap_or_default();
     let (kept, withheld) = (recovery.kept.len(), recovery.withheld.len());
     format!(
         "slipturn_upstreams_kept {kept}\nslipturn_upstreams_withheld {withheld}\n\
-         slipturn_data_centers_evacuated {evacuated}\nslipturn_upstreams_leaving {leaving}\nslipturn_upstreams_resting {resting}\n\
+         slipturn_data_centers_evacuated {evacuated}\nslipturn_upstreams_leaving {leaving}\nslipturn_upstreams_resting {in_backoff}\n\
          slipturn_upstreams_limited {limited}\n"
     )
 }
--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -18,7 +18,7 @@
 use log::kv;
 use log4rs::{append, config};
 
-/// Maximum number of lines in the queue; a line has about 500 bytes.
+/// Maximum number of lines in the queue; a line takes about 500 bytes.
 const QUEUE_CAPACITY: usize = 512;
 /// Maximum number of lines per second: ten times the peak of an instance in a large fleet, which
 /// is taken as three times 13 requests a second.
@@ -37,22 +37,25 @@
     Ok(())
 }
 
-/// Lines accepted in the current second.
+/// Rate limiter for lines, per second.
 #[derive(Debug, Default)]
 struct LineRate {
     /// Seconds since the appender's start.
     second: u64,
+    /// Number of lines accepted in that second.
     taken: usize,
 }
 
 /// Log appender that passes lines to a writer thread.
 #[derive(Debug)]
 pub struct LineAppender {
+    /// Queue of the writer thread.
     lines: mpsc::SyncSender<String>,
     started: time::Instant,
     rate: sync::Mutex<LineRate>,
     /// Number of lines in the queue.
     waiting: sync::Arc<AtomicUsize>,
+    /// Number of lines dropped since the last one written.
     dropped: sync::Arc<AtomicU64>,
 }
 
@@ -66,7 +69,7 @@
         let work = move || write_all(output, &queue, &counts.0, &counts.1);
         let spawned = thread::Builder::new().name("log".to_owned()).stack_size(64 * 1024);
         if let Err(error) = spawned.spawn(work) {
-            eprintln!("no thread for log lines: {error}");
+            eprintln!("cannot start the log thread: {error}");
         }
         let (started, rate) = (time::Instant::now(), sync::Mutex::default());
         Self { lines, started, rate, waiting, dropped }
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -10,8 +10,8 @@
 
 use crate::{caller_connection, context, service_request, upstream_attempt, upstream_ends};
 
-/// Total time spent waiting for the caller from which a broken answer is not blamed on the
-/// upstream, as it may have given up on the slow reader.
+/// Total time spent waiting for the caller from which a broken answer no longer counts as a failure
+/// of the upstream, as the upstream may have given up the slow connection.
 const SLOW_CALLER_THRESHOLD: time::Duration = time::Duration::from_secs(1);
 
 /// Why an answer was not forwarded completely.
@@ -39,11 +39,15 @@
 
 /// An answer whose body has been read in part.
 pub(crate) struct LongAnswer<'a> {
+    /// The upstream that answers.
     pub(crate) upstream: ids::UpstreamId,
+    /// The answer's head, and the connection on which its body arrives.
     pub(crate) answer: upstream_attempt::AttemptAnswer,
     /// The part of the body that has been read.
     pub(crate) leading: Bytes,
+    /// Guard of the run, which ends with the answer.
     pub(crate) run: upstream_ends::RunGuard<'a>,
+    /// Guard that records the end of the call in the load state.
     pub(crate) guard: service_request::LoadGuard<'a>,
 }
 
@@ -90,18 +94,18 @@
         }
         _ => None,
     };
-    let mut asked = context.now();
+    let mut write_started = context.now();
     reply.start_body(&answer.head, length, &leading).await.context(CallerSnafu)?;
-    *waited += context.now().since(asked);
+    *waited += context.now().since(write_started);
     loop {
         let piece = answer.connection.reader.next_piece(&mut answer.framing).await;
         let Some(piece) = piece.context(UpstreamSnafu)? else {
             break;
         };
         answer.connection.times.receive();
-        asked = context.now();
+        write_started = context.now();
         reply.send_body_piece(length.is_some(), piece).await.context(CallerSnafu)?;
-        *waited += context.now().since(asked);
+        *waited += context.now().since(write_started);
     }
     match length {
         Some(_) => Ok(()),
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -8,7 +8,7 @@
 use crate::{adapter, context, engine_call, upstream_starts};
 
 /// Lifetime of a reservation without renewal. It is shorter than the time within which memory must
-/// be free again after the instance that reserved it has died.
+/// be free again after the instance that reserved it has crashed.
 const HOLD_TTL: time::Duration = time::Duration::from_millis(3_400);
 /// Interval between two renewals.
 const RENEWAL_INTERVAL: time::Duration = time::Duration::from_millis(900);
@@ -16,7 +16,7 @@
 const ORDER_TIMEOUT: time::Duration = time::Duration::from_millis(350);
 /// Maximum number of attempts to release a reservation; after these it is left to expire.
 const RELEASE_TRIES: u32 = 6;
-/// How long after it was sent an unanswered order may still be executed.
+/// Time after sending within which an unanswered order may still be executed.
 const LATE_ORDER_TIME: time::Duration = time::Duration::from_secs(13);
 /// Pause between two releases while an unanswered order may still be executed. It is shorter than
 /// the time within which memory must be free again.
@@ -37,24 +37,27 @@
 /// A reservation on one engine.
 #[derive(Debug, Clone)]
 struct HeldTicket {
-    /// When the last hold order without an answer was sent; it may still be executed much later.
+    /// When the last hold order without an answer was sent; it may be executed up to
+    /// [`LATE_ORDER_TIME`] later.
     unanswered: rc::Rc<cell::Cell<Option<units::MonoTime>>>,
     engine: ids::UpstreamId,
     /// The start of the engine that holds the memory; a reservation does not survive a restart.
     start: rc::Rc<cell::RefCell<ids::UpstreamId>>,
     address: net::SocketAddrV4,
+    /// Identifies the reservation at the engine.
     ticket: String,
+    /// Reserved memory, in tokens.
     tokens: u64,
 }
 
 impl HeldTicket {
-    /// Returns where orders about the reservation are sent.
-    fn to(&self) -> engine_call::EngineAddress {
+    /// Returns the engine and address to which orders about the reservation are sent.
+    fn engine_address(&self) -> engine_call::EngineAddress {
         let engine = self.start.borrow().clone();
         engine_call::EngineAddress { engine, address: self.address }
     }
 
-    /// Returns whether the engine was restarted since, so that the reservation is lost.
+    /// Returns whether the engine was restarted after the reservation, so that it is lost.
     fn is_lost(&self, context: &context::InstanceContext) -> bool {
         let fleet = context.fleet.borrow();
         fleet.list.entry(&self.engine).is_some_and(|entry| entry.name != *self.start.borrow())
@@ -65,7 +68,8 @@
 pub struct MemoryHold {
     context: rc::Rc<context::InstanceContext>,
     tickets: Vec<HeldTicket>,
-    done: rc::Rc<cell::Cell<bool>>,
+    /// Whether the reservations have been released, which ends their renewal.
+    released: rc::Rc<cell::Cell<bool>>,
 }
 
 impl MemoryHold {
@@ -76,8 +80,8 @@
         parts: &[engine_place::HeldPart],
         permits: &[quota_permit::SendPermit],
     ) -> Result<Self, HoldError> {
-        let done = rc::Rc::new(cell::Cell::new(false));
-        let mut hold = Self { context: rc::Rc::clone(context), tickets: Vec::new(), done };
+        let released = rc::Rc::new(cell::Cell::new(false));
+        let mut hold = Self { context: rc::Rc::clone(context), tickets: Vec::new(), released };
         for (number, part) in parts.iter().enumerate() {
             let Some(entry) = context.fleet.borrow().list.entry(&part.engine).cloned() else {
                 let reason = "it is not listed any more".to_owned();
@@ -120,7 +124,7 @@
             monoio::spawn(renew(
                 rc::Rc::clone(context),
                 hold.tickets.clone(),
-                rc::Rc::clone(&hold.done),
+                rc::Rc::clone(&hold.released),
             ));
         }
         Ok(hold)
@@ -134,7 +138,7 @@
     /// Returns the first engine with reserved memory and its ticket. One is enough to see whether the
     /// reservations are in use, as an answer uses all or none.
     pub fn first_held(&self) -> Option<(engine_call::EngineAddress, String)> {
-        self.tickets.first().map(|held| (held.to(), held.ticket.clone()))
+        self.tickets.first().map(|held| (held.engine_address(), held.ticket.clone()))
     }
 
     /// Returns the ticket of the reservation on an engine.
@@ -145,7 +149,7 @@
 
 impl Drop for MemoryHold {
     fn drop(&mut self) {
-        self.done.set(true);
+        self.released.set(true);
         for held in self.tickets.drain(..) {
             monoio::spawn(release(rc::Rc::clone(&self.context), held));
         }
@@ -168,9 +172,9 @@
     let before = held.unanswered.replace(Some(context.now()));
     let engine_order = engine_call::EngineOrder { order: &order, kind, permits };
     let result = send_order(context, held, &engine_order).await;
-    // After an answer, refusals included, and if nothing was sent, nothing is executed later.
-    let over = result.as_ref().map_or_else(engine_call::EngineCallError::is_over, |_| true);
-    if over {
+    // After an answer, including a refusal, or if nothing was sent, the order is not executed later.
+    let is_over = result.as_ref().map_or_else(engine_call::EngineCallError::is_over, |_| true);
+    if is_over {
         held.unanswered.set(before);
     }
     result.map_err(|error| error.to_string())
@@ -182,23 +186,24 @@
     held: &HeldTicket,
     engine_order: &engine_call::EngineOrder<'_>,
 ) -> Result<Option<ids::UpstreamStart>, engine_call::EngineCallError> {
-    let asked = context.now();
-    let answer = engine_call::order(context, &held.to(), engine_order, ORDER_TIMEOUT).await?;
-    Ok(upstream_starts::receive_order(context, held.address, &answer, asked))
+    let requested_at = context.now();
+    let answer =
+        engine_call::order(context, &held.engine_address(), engine_order, ORDER_TIMEOUT).await?;
+    Ok(upstream_starts::receive_order(context, held.address, &answer, requested_at))
 }
 
 async fn renew(
     context: rc::Rc<context::InstanceContext>,
     tickets: Vec<HeldTicket>,
-    done: rc::Rc<cell::Cell<bool>>,
+    released: rc::Rc<cell::Cell<bool>>,
 ) {
     loop {
         monoio::time::sleep(RENEWAL_INTERVAL).await;
-        if done.get() {
+        if released.get() {
             return;
         }
         for held in &tickets {
-            // Another start would create a new reservation that no request uses.
+            // A renewal at another start of the engine would create a reservation that no request uses.
             if held.is_lost(&context) {
                 continue;
             }
@@ -206,7 +211,7 @@
             if let Err(reason) = send_hold(&context, held, kind, &[]).await {
                 log::warn!(engine:% = held.engine, reason; "memory.not_renewed");
             }
-            if done.get() || held.is_lost(&context) {
+            if released.get() || held.is_lost(&context) {
                 // The renewal may have arrived after the release and reserved the memory again.
                 release(rc::Rc::clone(&context), held.clone()).await;
             }
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -17,10 +17,10 @@
 /// Maximum number of places tried, including those whose engine never received the request.
 const MAX_TRIES: u32 = 5;
 /// Default retry delay of a refusal.
-const BACK_AFTER: time::Duration = time::Duration::from_millis(400);
+const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(400);
 /// Maximum time from the head to the first event for which the load in the head is passed to the
 /// planner; a short answer takes a few seconds.
-const LOAD_AGE: time::Duration = time::Duration::from_millis(100);
+const MAX_LOAD_AGE: time::Duration = time::Duration::from_millis(100);
 /// Largest body of an engine's failure answer that is forwarded, in bytes.
 const MAX_FAILURE_BODY: usize = 1 << 20;
 
@@ -60,7 +60,7 @@
         Err(_) if forward_failure(reply, record, &mut state).await? => {
             return Ok(caller_connection::ConnectionNext::Keep);
         }
-        Err(_) => call.timeout_refusal(left, BACK_AFTER),
+        Err(_) => call.timeout_refusal(left, DEFAULT_RETRY_AFTER),
     };
     record.outcome = format!("{} (ran: {})", refusal.message, refusal.ran.label());
     if state.begun {
@@ -81,7 +81,7 @@
     record: &mut request_record::RequestRecord,
     state: &mut stream_state::StreamState,
 ) -> Result<Option<refusal::RequestRefusal>, h1::MessageError> {
-    let mut back_after = None;
+    let mut retry_after = None;
     let mut text = format!("service '{}' has no engine free", call.service);
     for _ in 0..MAX_TRIES {
         if state.sent >= call.route.max_attempts {
@@ -102,8 +102,8 @@
             AttemptEnd::NoEngine => break,
             AttemptEnd::Refused(refused) => {
                 text = refused.to_string();
-                let back = time::Duration::from_millis(u64::from(refused.back_after_ms));
-                back_after = Some(refusal::spread_retry(back, &mut rand::rng()));
+                let delay = time::Duration::from_millis(u64::from(refused.back_after_ms));
+                retry_after = Some(refusal::spread_retry(delay, &mut rand::rng()));
                 break;
             }
             AttemptEnd::Failure(head, body) => {
@@ -120,7 +120,7 @@
                 }
                 if fault.failure.reached_no_upstream() {
                     // No engine received anything, so the retry permit stays valid. Otherwise a stream
-                    // whose retry goes to a vanished engine would be cut off for lack of another permit.
+                    // whose retry goes to an engine that is gone would be cut off for lack of another permit.
                     state.retry_taken = state.sent > 0;
                 }
                 text = fault.text;
@@ -138,23 +138,23 @@
     }
     // The planner's delay is preferred to one computed from limits, as the planner knows better when
     // the limits of its engines admit the next request.
-    let planned = back_after.is_some();
+    let planned = retry_after.is_some();
     let unavailable =
         no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()));
     if let Some(unavailable) =
         unavailable.filter(|unavailable| unavailable.is_backoff() || !planned)
     {
         text = unavailable.to_string();
-        back_after = Some(unavailable.back_after());
+        retry_after = Some(unavailable.retry_after());
     }
     let ran = state.ran.unwrap_or(refusal::RanState::No);
     let code = match ran {
         refusal::RanState::No => refusal::RefusalCode::Overloaded,
         _ => refusal::RefusalCode::UpstreamFailed,
     };
-    let spread = || refusal::spread_retry(BACK_AFTER, &mut rand::rng());
-    let back_after = back_after.unwrap_or_else(spread);
-    Ok(Some(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after)))
+    let spread = || refusal::spread_retry(DEFAULT_RETRY_AFTER, &mut rand::rng());
+    let retry_after = retry_after.unwrap_or_else(spread);
+    Ok(Some(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(retry_after)))
 }
 
 /// Forwards the failure answer of an engine if there is one and nothing was sent to the caller;
@@ -188,15 +188,16 @@
     let since = state.last_at.unwrap_or(call.arrived);
     let limit = stream_policy::max_event_wait(call).saturating_sub(context.now().since(since));
     let limit = limit.max(context::MIN_PLACE_TIME).min(call.left(context.now()));
-    let progress = stream_policy::AskProgress {
+    let progress = stream_policy::RequestProgress {
         begun: state.begun,
         sent: state.sent > 0,
         suspect: quarantine_gate::is_suspect(context, call),
         excluded: &state.excluded,
     };
-    let ask = stream_policy::ask(context, call, &progress);
+    let request = stream_policy::placement_request(context, call, &progress);
     let mut hold =
-        match cell_search::place(context, call, ask, state.probe_permission(call), limit).await {
+        match cell_search::place(context, call, request, state.probe_permission(call), limit).await
+        {
             plan_client::PlaceOutcome::Placed(hold) => hold,
             plan_client::PlaceOutcome::Refused(refusal) => return Ok(AttemptEnd::Refused(refusal)),
             plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
@@ -205,7 +206,7 @@
         // Remains in the record if the caller disconnects during the attempt.
         end: "under way".to_owned(),
         upstream: hold.grant.engine.to_string(),
-        known: upstream_signals::known(context, &hold.grant.engine),
+        known: upstream_signals::describe_notices(context, &hold.grant.engine),
         helpers: hold.grant.helpers.len(),
         waited_ms: u64::from(hold.grant.waited_ms),
         planned_ms: u64::from(hold.grant.first_token_ms),
@@ -254,8 +255,8 @@
         return Ok(AttemptEnd::Fault(fault));
     };
     let begun_at = context.now();
-    // After an attempt that broke, possibly on a dead connection, no pooled one is used: it could be
-    // as old.
+    // After an attempt that broke, possibly on a dead connection, no pooled connection is used: it
+    // could be dead as well.
     let new_connection = state.ran == Some(refusal::RanState::Unknown);
     let connection = match upstream_attempt::connect(context, call, &target, new_connection).await {
         Ok(connection) => connection,
@@ -279,18 +280,18 @@
         unused_until: memory.holds().then(|| taken_at + unused_time),
     };
     let first_wait = stream_policy::first_silence(call, &hold.grant).min(left);
-    let reached = state.sent + 1;
+    let sent_attempts = state.sent + 1;
     let last_silence = stream_policy::last_silence(call);
     let limits = silence_watch::SilenceLimits { other: first_wait, any: last_silence };
     let retry =
-        async |reach| state.give_up(context, call, &hold.grant.engine, reached, reach).await;
+        async |reach| state.give_up(context, call, &hold.grant.engine, sent_attempts, reach).await;
     let answered = match watch.wait(sending.as_mut(), upstream_ended.as_mut(), limits, retry).await
     {
         Ok(answered) => answered,
         Err(fault) => {
             state.sent += 1;
-            let moment = connection_silence::SilencePhase::Head;
-            let text = engine_fault::record_silence(context, hold, &times, moment, begun_at, fault);
+            let phase = connection_silence::SilencePhase::Head;
+            let text = engine_fault::record_silence(context, hold, &times, phase, begun_at, fault);
             return Ok(broken(state, text));
         }
     };
@@ -332,7 +333,7 @@
     let limits =
         silence_watch::SilenceLimits { other: stream_policy::silence(call), any: last_silence };
     loop {
-        let asked_at = context.now();
+        let wait_started = context.now();
         let mut next = pin::pin!(answer.connection.reader.next_piece(&mut answer.framing));
         let sent = state.sent;
         let retry =
@@ -344,9 +345,9 @@
                 return Ok(broken(state, error));
             }
             Err(fault) => {
-                let moment = connection_silence::SilencePhase::MidAnswer;
+                let phase = connection_silence::SilencePhase::MidAnswer;
                 let text =
-                    engine_fault::record_silence(context, hold, &times, moment, asked_at, fault);
+                    engine_fault::record_silence(context, hold, &times, phase, wait_started, fault);
                 return Ok(broken(state, text));
             }
         };
@@ -355,19 +356,21 @@
         };
         times.receive();
         events.push(&piece);
-        let whole = events.take_complete();
-        if whole.is_empty() {
+        let complete = events.take_complete();
+        if complete.is_empty() {
             continue;
         }
         if attempt_record.first_ms.is_none() {
             watch.unused_until = None;
             watch.answering = true;
-            let begun = context.now();
-            hold.first_token(reported_load.filter(|_| begun.since(head_at) <= LOAD_AGE));
-            attempt_record.first_ms = Some(begun.since(begun_at).as_millis() as u64);
+            let first_event_at = context.now();
+            hold.first_token(
+                reported_load.filter(|_| first_event_at.since(head_at) <= MAX_LOAD_AGE),
+            );
+            attempt_record.first_ms = Some(first_event_at.since(begun_at).as_millis() as u64);
         }
-        state.note_events(context, call, record, &whole);
-        state.send(reply, &answer.head, &whole).await?;
+        state.note_events(context, call, record, &complete);
+        state.send(reply, &answer.head, &complete).await?;
     }
     if !events.is_empty() {
         run.connection_broke();
@@ -385,7 +388,7 @@
     Ok(AttemptEnd::Complete)
 }
 
-/// Returns the fault of an answer that broke off.
+/// Returns the end of an attempt whose answer broke off.
 fn broken(state: &stream_state::StreamState, reason: impl ToString) -> AttemptEnd {
     let failure = if state.begun {
         retry::AttemptFailure::BrokeMidAnswer
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -53,7 +53,7 @@
             Ok((_, net::SocketAddr::V4(from))) => from,
             Ok(_) => continue,
             Err(error) => {
-                // The refusal of an earlier datagram by a dead peer is reported here.
+                // The refusal of an earlier datagram to a peer that is down is reported here.
                 log::debug!(error:%; "peer.receive_failed");
                 continue;
             }
@@ -85,13 +85,13 @@
             let heartbeat = context.next_heartbeat();
             context.send_to(from, PeerMessage::Beat(Box::new(heartbeat)));
         }
-        PeerMessage::Ask(key, ask) => {
-            let job = ask.job;
-            let origin = planner_set::AskOrigin::Member(from);
+        PeerMessage::Ask(key, request) => {
+            let job = request.job;
+            let origin = planner_set::PlacementOrigin::Member(from);
             let mut planners = context.planners.borrow_mut();
             planners.sync(now, &context.fleet.borrow());
             lease_renewal::begin_if_idle(context, &mut planners, now, &key);
-            let reply = match planners.ask(now, &key, *ask, origin) {
+            let reply = match planners.request(now, &key, *request, origin) {
                 Some(answer) => PeerMessage::Answer(Box::new(answer)),
                 None => PeerMessage::Queued(job),
             };
@@ -99,9 +99,9 @@
         }
         PeerMessage::Answer(answer) => {
             let job = answer.job();
-            reply(context, job, peer_message::PlanReply::Answer(answer));
+            deliver(context, job, peer_message::PlanReply::Answer(answer));
         }
-        PeerMessage::Queued(job) => reply(context, job, peer_message::PlanReply::Queued),
+        PeerMessage::Queued(job) => deliver(context, job, peer_message::PlanReply::Queued),
         PeerMessage::Note(key, note) => {
             if let Some(planner) = context.planners.borrow_mut().planner(&key) {
                 planner.note(now, &note);
@@ -124,7 +124,7 @@
         PeerMessage::RequestPermit(request) => {
             quota_coordinator::receive_request(context, from, *request);
         }
-        PeerMessage::Permit(number, answer) => permit_request::receive(context, number, answer),
+        PeerMessage::Permit(number, response) => permit_request::receive(context, number, response),
         PeerMessage::Probe(message) => failure_watch::receive(context, from, message),
         PeerMessage::Suspects(reports) => failure_watch::receive_suspects(context, reports),
         PeerMessage::Restored(boots) => failure_watch::receive_restored(context, &boots),
@@ -143,7 +143,7 @@
 }
 
 /// Passes a planner's reply to the request that waits for it.
-fn reply(
+fn deliver(
     context: &context::InstanceContext,
     job: engine_place::JobId,
     reply: peer_message::PlanReply,
@@ -165,7 +165,7 @@
             heartbeats::broadcast_state(&context, state, announced);
             announced = state;
         }
-        // A process that has just started announces at once when it has routes.
+        // A process that has just started announces at once that it has routes.
         let busy = context.planners.borrow().waiting() > 0 || !announced.has_routes;
         monoio::time::sleep(if busy { PLAN_INTERVAL } else { IDLE_INTERVAL }).await;
         let now = context.now();
@@ -192,10 +192,10 @@
         for (origin, answer) in answers {
             let job = answer.job();
             match origin {
-                planner_set::AskOrigin::Local => {
-                    reply(&context, job, peer_message::PlanReply::Answer(Box::new(answer)));
+                planner_set::PlacementOrigin::Local => {
+                    deliver(&context, job, peer_message::PlanReply::Answer(Box::new(answer)));
                 }
-                planner_set::AskOrigin::Member(address) => {
+                planner_set::PlacementOrigin::Member(address) => {
                     context.send_to(address, peer_message::PeerMessage::Answer(Box::new(answer)));
                 }
             }
@@ -218,7 +218,7 @@
     key: &planner_key::PlannerKey,
     note: engine_place::PlaceNote,
 ) {
-    // The planner of this process may hold the job as well, from a time when no other one was reachable.
+    // The planner of this process may have the job as well, from a time when no other planner was reachable.
     if let Some(planner) = context.planners.borrow_mut().planner(key) {
         planner.note(context.now(), &note);
     }
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -20,7 +20,7 @@
 
 /// Origin of a request for a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskOrigin {
+pub enum PlacementOrigin {
     /// A request of this process.
     Local,
     /// A request of the member with this address.
@@ -35,11 +35,11 @@
     options: planner::PlannerOptions,
     planners: collections::BTreeMap<planner_key::PlannerKey, planner::PlacementPlanner>,
     /// Origins of queued requests.
-    origins: collections::HashMap<engine_place::JobId, AskOrigin>,
+    origins: collections::HashMap<engine_place::JobId, PlacementOrigin>,
     /// Change count of the list and version of the routes at the last [`Self::sync`].
     synced: (u64, u64),
-    /// When each planner was last asked for a place.
-    asked: collections::BTreeMap<planner_key::PlannerKey, units::MonoTime>,
+    /// Time of the last request to each planner.
+    last_requests: collections::BTreeMap<planner_key::PlannerKey, units::MonoTime>,
 }
 
 impl PlannerSet {
@@ -51,7 +51,7 @@
             planners: collections::BTreeMap::new(),
             origins: collections::HashMap::new(),
             synced: (0, 0),
-            asked: collections::BTreeMap::new(),
+            last_requests: collections::BTreeMap::new(),
         }
     }
 
@@ -98,9 +98,9 @@
         }
     }
 
-    /// Returns whether a planner was not asked for so long that its state is outdated.
+    /// Returns whether the last request to a planner was so long ago that its state is outdated.
     pub fn is_idle(&self, now: units::MonoTime, key: &planner_key::PlannerKey) -> bool {
-        self.asked.get(key).is_none_or(|since| now.since(*since) >= ACTIVE_TIME)
+        self.last_requests.get(key).is_none_or(|since| now.since(*since) >= ACTIVE_TIME)
     }
 
     /// Returns the planner of a key, or `None` if there is no such cell.
@@ -111,17 +111,17 @@
         self.planners.get_mut(key)
     }
 
-    /// Asks for a place. If the request is queued, [`Self::tick`] returns the answer later.
-    pub fn ask(
+    /// Requests a place. If the request is queued, [`Self::tick`] returns the answer later.
+    pub fn request(
         &mut self,
         now: units::MonoTime,
         key: &planner_key::PlannerKey,
-        ask: engine_place::PlacementRequest,
-        origin: AskOrigin,
+        request: engine_place::PlacementRequest,
+        origin: PlacementOrigin,
     ) -> Option<engine_place::PlaceAnswer> {
-        self.asked.insert(key.clone(), now);
-        let job = ask.job;
-        let answer = self.planners.get_mut(key)?.request(now, ask);
+        self.last_requests.insert(key.clone(), now);
+        let job = request.job;
+        let answer = self.planners.get_mut(key)?.request(now, request);
         if answer.is_none() {
             self.origins.insert(job, origin);
         }
@@ -129,7 +129,10 @@
     }
 
     /// Returns the answers to queued requests that get a place now or will get none in time.
-    pub fn tick(&mut self, now: units::MonoTime) -> Vec<(AskOrigin, engine_place::PlaceAnswer)> {
+    pub fn tick(
+        &mut self,
+        now: units::MonoTime,
+    ) -> Vec<(PlacementOrigin, engine_place::PlaceAnswer)> {
         let mut answers = Vec::new();
         for planner in self.planners.values_mut() {
             for answer in planner.tick(now) {
@@ -167,7 +170,7 @@
         self.planners.values_mut().for_each(|planner| planner.permits().reset_buckets(now));
     }
 
-    /// Excludes an engine from planning for a while, in the planner that has it.
+    /// Excludes an engine temporarily from planning, in the planner that it belongs to.
     pub fn eject(&mut self, now: units::MonoTime, engine: &ids::UpstreamId) {
         self.planners.values_mut().for_each(|planner| planner.eject(now, engine));
     }
@@ -208,6 +211,10 @@
     /// Returns the planners that are not idle.
     pub fn active(&self, now: units::MonoTime) -> Vec<planner_key::PlannerKey> {
         let recent = |since: &units::MonoTime| now.since(*since) < ACTIVE_TIME;
-        self.asked.iter().filter(|(_, since)| recent(since)).map(|(key, _)| key.clone()).collect()
+        self.last_requests
+            .iter()
+            .filter(|(_, since)| recent(since))
+            .map(|(key, _)| key.clone())
+            .collect()
     }
 }
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -20,30 +20,30 @@
 const SETTLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Backoff of a member that requested permits from the wrong coordinator.
 const WRONG_COORDINATOR_BACKOFF: time::Duration = time::Duration::from_millis(100);
-/// Timeout of a probe of a coordinator that others report as silent.
+/// Timeout of a probe of a coordinator that other members report as silent.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 
 /// Quotas that this process coordinates, and permits that it holds.
 #[derive(Debug, Default)]
 pub struct QuotaState {
-    /// Quotas coordinated here, except those of engines that this process plans for.
+    /// Quotas that this process coordinates, except those of engines that this process plans for.
     ledger: cell::RefCell<quota_ledger::QuotaLedger<quota_permit::QuotaSubject>>,
     /// Permits for this process's own requests.
     pub(crate) cache: cell::RefCell<permit_cache::PermitCache<quota_permit::QuotaSubject>>,
     /// Pending requests for permits.
     pub(crate) pending: permit_request::PendingRequests,
-    /// Retry-After times by service.
-    pub(crate) returns:
+    /// Schedules of the retry delays sent to callers, by service.
+    pub(crate) retry_schedules:
         cell::RefCell<collections::HashMap<ids::ServiceId, retry_schedule::RetrySchedule>>,
     /// When changes of limits were last logged.
     pub(crate) limit_log: cell::RefCell<limit_gossip::LimitLog>,
-    /// Inputs and time of the last check of which quotas are coordinated here.
+    /// Inputs and time of the last check of which quotas this process coordinates.
     last_check: cell::Cell<(CheckedState, units::MonoTime)>,
-    /// A coordinator reported as silent, and when it was probed.
+    /// The coordinator last reported as silent, and when it was probed.
     probe: cell::RefCell<Option<(ids::InstanceId, units::MonoTime)>>,
 }
 
-/// Inputs of a check of which quotas are coordinated here; the check is repeated at once when they change.
+/// Inputs of a check of which quotas this process coordinates; it is repeated at once when they change.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 struct CheckedState {
     limit_changes: u64,
@@ -146,7 +146,7 @@
     own.map(|service| (quota_permit::QuotaSubject::all_retries(service.clone()), bound)).collect()
 }
 
-/// Empties all buckets after a pause: others may have coordinated the quotas meanwhile.
+/// Empties all buckets after a pause: other members may have coordinated the quotas meanwhile.
 pub(crate) fn reset_quotas(context: &context::InstanceContext) {
     let now = context.now();
     context.quotas.ledger.borrow_mut().reset_buckets(now);
@@ -173,11 +173,11 @@
 }
 
 /// Responds to a request for permits of a member or of this process.
-pub(crate) fn answer(
+pub(crate) fn respond(
     context: &context::InstanceContext,
     requester: u64,
     subject: &quota_permit::QuotaSubject,
-    ask: &quota_permit::PermitRequest,
+    request: &quota_permit::PermitRequest,
 ) -> quota_permit::PermitResponse {
     let now = context.now();
     if let Some(coordinator) = coordinator_of(context, subject) {
@@ -191,11 +191,11 @@
         // The member has not learned yet that the limit has ended.
         return quota_permit::PermitResponse::Granted { count: 1, wait_ms: 0 };
     }
-    let answer = match planned_engine(context, subject) {
+    let response = match planned_engine(context, subject) {
         Some((key, engine)) => {
             let mut planners = context.planners.borrow_mut();
             let planner = planners.planner(&key);
-            planner.and_then(|planner| planner.permits().request(now, &engine, requester, ask))
+            planner.and_then(|planner| planner.permits().request(now, &engine, requester, request))
         }
         None => {
             let mut ledger = context.quotas.ledger.borrow_mut();
@@ -203,13 +203,13 @@
                 now,
                 &subject.shared_quota(),
                 requester,
-                ask,
+                request,
                 subject.reserved_part(),
             )
         }
     };
-    let answer = answer.unwrap_or_else(wrong_coordinator);
-    let word = match answer {
+    let response = response.unwrap_or_else(wrong_coordinator);
+    let outcome = match response {
         quota_permit::PermitResponse::Granted { .. } => "given",
         quota_permit::PermitResponse::Refused { .. } => "refused",
     };
@@ -217,28 +217,28 @@
         quota_permit::QuotaSubject::Upstream(_) => "limit",
         quota_permit::QuotaSubject::Retries(..) => "retry",
     };
-    context.stats.borrow_mut().count("leaves", &format!("{word}/{kind}"));
-    answer
+    context.stats.borrow_mut().count("leaves", &format!("{outcome}/{kind}"));
+    response
 }
 
 /// Handles a member's request for permits, and the upstream's limit that the request states.
 pub(crate) fn receive_request(
     context: &context::InstanceContext,
     from: std::net::SocketAddrV4,
-    asked: peer_message::PermitRequestMessage,
+    message: peer_message::PermitRequestMessage,
 ) {
-    limit_gossip::receive_members(context, asked.known.into_iter().collect());
-    let answer = answer(context, asked.boot, &asked.subject, &asked.ask);
-    if let quota_permit::QuotaSubject::Upstream(upstream) = &asked.subject
+    limit_gossip::receive_members(context, message.known.into_iter().collect());
+    let response = respond(context, message.boot, &message.subject, &message.request);
+    if let quota_permit::QuotaSubject::Upstream(upstream) = &message.subject
         && context.fleet.borrow().list.limit(upstream).is_none()
         && let Some(report) = limit_gossip::report(context, upstream)
     {
         context.send_to(from, peer_message::PeerMessage::Limits(vec![report]));
     }
-    context.send_to(from, peer_message::PeerMessage::Permit(asked.number, answer));
+    context.send_to(from, peer_message::PeerMessage::Permit(message.number, response));
 }
 
-/// The coordinator of a quota and its recent grants, for operators.
+/// The coordinator of a quota and, if it is this process, its recent grants, for operators.
 pub(crate) fn summary(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -8,10 +8,11 @@
 
 /// Maximum number of upstreams for whose permits a call waits.
 const MAX_WAITS: usize = 3;
-/// Fraction of the remaining time that a call waits for a permit at most; the rest is for its answer.
+/// Maximum fraction of the remaining time for which a call waits for a permit; the remainder is for
+/// its answer.
 const MAX_WAIT_FRACTION: f64 = 0.45;
-/// Multiple of its goal until which a retried call waits for a permit: it has missed its goal
-/// anyway.
+/// Multiple of the first-token goal up to which a retried call waits for a permit: it has already
+/// missed the goal.
 const RETRIED_GOAL_FACTOR: u32 = 2;
 
 /// An upstream that accepts a call now.
@@ -22,8 +23,8 @@
     pub(crate) permit: Option<quota_permit::SendPermit>,
 }
 
-/// Chooses an upstream that is not `excluded`. If limits close all of them, the call waits for a
-/// permit, but not so long that a refusal would be better than the late answer.
+/// Chooses an upstream that is not `excluded`. If all of them have a limit and no permit is available,
+/// the call waits for one, but not so long that a refusal would be better than the late answer.
 pub(crate) async fn choose(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -39,7 +40,7 @@
     wait(context, call, excluded).await
 }
 
-/// Picks the upstream that is best at this moment, without obtaining a permit.
+/// Picks the preferred upstream without obtaining a permit.
 pub(crate) fn pick(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -59,7 +60,7 @@
     let probe_permission = send_gate::ProbePermission::of(excluded.len(), call.route.max_attempts);
     let mut open = fleet.list.open(context.now(), &call.service, probe_permission);
     open.retain(|entry| !excluded.contains(&entry.name) && !refused.contains(&entry.name));
-    open.retain(|entry| permit_request::closed(context, &entry.name).is_zero());
+    open.retain(|entry| permit_request::backoff_left(context, &entry.name).is_zero());
     let own = context.settings().data_center.clone();
     // A call probes an upstream that failed only while it has another attempt left.
     let first = excluded.is_empty() && call.route.max_attempts > 1;
@@ -68,13 +69,13 @@
     context.loads.borrow().pick(context.now(), &open, &own, repeatable, has_limit).cloned()
 }
 
-/// Waits for a permit for one of the upstreams with the shortest wait, one after the other.
+/// Waits for a permit for one of the upstreams with the shortest waits, tried one after the other.
 async fn wait(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     excluded: &[ids::UpstreamId],
 ) -> Option<ChosenUpstream> {
-    for entry in closed(context, call, excluded).into_iter().take(MAX_WAITS) {
+    for entry in limited_upstreams(context, call, excluded).into_iter().take(MAX_WAITS) {
         let obtained =
             permit_request::obtain(context, &entry.name, max_permit_wait(context, call)).await;
         if let Ok(permit) = obtained {
@@ -84,9 +85,9 @@
     None
 }
 
-/// Returns the upstreams with a limit that are open otherwise, those with the shortest wait for a
-/// permit first.
-fn closed(
+/// Returns the upstreams with a limit that may receive the call once it has a permit, ordered by the
+/// wait for the permit.
+fn limited_upstreams(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
     excluded: &[ids::UpstreamId],
@@ -94,12 +95,12 @@
     let fleet = context.fleet.borrow();
     let probe_permission = send_gate::ProbePermission::of(excluded.len(), call.route.max_attempts);
     let open = fleet.list.open(context.now(), &call.service, probe_permission).into_iter();
-    let is_closed = |entry: &&upstream_list::UpstreamEntry| {
+    let is_limited = |entry: &&upstream_list::UpstreamEntry| {
         !excluded.contains(&entry.name) && fleet.list.limit(&entry.name).is_some()
     };
-    let mut closed: Vec<_> = open.filter(is_closed).cloned().collect();
-    closed.sort_by_key(|entry| permit_request::closed(context, &entry.name));
-    closed
+    let mut limited: Vec<_> = open.filter(is_limited).cloned().collect();
+    limited.sort_by_key(|entry| permit_request::backoff_left(context, &entry.name));
+    limited
 }
 
 /// Returns how long a call waits for a permit.
@@ -112,7 +113,7 @@
     let wait = if stream_policy::likely_retried(call) {
         goal * RETRIED_GOAL_FACTOR
     } else {
-        goal.saturating_sub(context.loads.borrow().usual(&call.route))
+        goal.saturating_sub(context.loads.borrow().usual_time(&call.route))
     };
     wait.saturating_sub(now.since(call.arrived)).min(call.left(now).mul_f64(MAX_WAIT_FRACTION))
 }
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -17,12 +17,12 @@
 /// forwarded as the caller reads them.
 const MAX_BUFFERED_BODY: usize = 16 * 1024;
 /// Fraction of the remaining time after which a silent upstream of a repeatable call is given up,
-/// if another one may answer.
+/// if another upstream may answer.
 const SILENCE_FRACTION: f64 = 0.45;
 /// Maximum number of upstreams tried, including those that never received the call.
 const MAX_TRIES: u32 = 5;
 /// Default retry delay of a refusal.
-const BACK_AFTER: time::Duration = time::Duration::from_millis(250);
+const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(250);
 
 /// Result of a call.
 enum CallEnd<'a> {
@@ -46,7 +46,7 @@
         Ok(end) => end,
         Err(_) => match fallback {
             Some((head, body)) => CallEnd::Answer(head, body),
-            None => CallEnd::Refused(call.timeout_refusal(left, BACK_AFTER)),
+            None => CallEnd::Refused(call.timeout_refusal(left, DEFAULT_RETRY_AFTER)),
         },
     };
     record.first_ms = Some(context.now().since(call.arrived).as_millis() as u64);
@@ -78,6 +78,8 @@
     Ok(caller_connection::ConnectionNext::Keep)
 }
 
+/// Makes attempts until one succeeds or no further one is possible. `fallback` receives the last failure
+/// answer of an upstream, which is better than a refusal at the end of the time limit.
 async fn attempts<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
@@ -104,10 +106,10 @@
         }
         let mut chosen = service_choice::choose(context, call, &excluded).await;
         if chosen.is_none()
-            && let Some(again) = reused_silent.take()
+            && let Some(upstream) = reused_silent.take()
         {
             // Only a pooled connection to this upstream failed; the call is sent to it over a new one.
-            excluded.retain(|name| *name != again);
+            excluded.retain(|name| *name != upstream);
             chosen = service_choice::choose(context, call, &excluded).await;
         }
         let Some(service_choice::ChosenUpstream { entry, permit }) = chosen else {
@@ -121,7 +123,7 @@
         excluded.push(entry.name.clone());
         record.attempts.push(request_record::AttemptRecord {
             upstream: entry.name.to_string(),
-            known: upstream_signals::known(context, &entry.name),
+            known: upstream_signals::describe_notices(context, &entry.name),
             // Remains in the record if the caller disconnects during the attempt.
             end: "under way".to_owned(),
             ..Default::default()
@@ -188,17 +190,17 @@
         refusal::RanState::No => refusal::RefusalCode::NoUpstream,
         _ => refusal::RefusalCode::UpstreamFailed,
     };
-    let mut back_after = BACK_AFTER;
+    let mut retry_after = DEFAULT_RETRY_AFTER;
     if let Some(reason) = unavailable.or_else(|| {
         no_open_upstream::no_upstream_reason(context, &call.service, call.left(context.now()))
     }) {
         text = reason.to_string();
-        back_after = reason.back_after();
+        retry_after = reason.retry_after();
     }
-    CallEnd::Refused(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(back_after))
+    CallEnd::Refused(refusal::RequestRefusal::not_run(code, text).ran(ran).retry_after(retry_after))
 }
 
-/// The answer of an upstream.
+/// An answer of an upstream, read completely or in part.
 enum UpstreamReply<'a> {
     Whole(http::response::Parts, bytes::Bytes),
     Long(Box<long_answer::LongAnswer<'a>>),
@@ -222,7 +224,7 @@
     new_connection: bool,
 }
 
-/// Makes one attempt, which fails if the upstream restarts meanwhile.
+/// Makes one attempt, which fails if the upstream restarts before it has answered.
 async fn attempt<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
@@ -237,6 +239,7 @@
     }
 }
 
+/// Sends a call to an upstream and reads its answer, up to [`MAX_BUFFERED_BODY`] bytes of the body.
 async fn call_upstream<'a>(
     context: &'a rc::Rc<context::InstanceContext>,
     call: &'a incoming_call::IncomingCall,
@@ -264,7 +267,7 @@
         upstream_attempt::HeadWait {
             reused,
             longest: silence_limit,
-            usual: loads.usual(&call.route),
+            usual_time: loads.usual_time(&call.route),
         }
     };
     let run = upstream_ends::RunGuard::begin(context, call, &entry.name, entry.address);
@@ -278,8 +281,8 @@
             return Err(fault);
         }
     };
-    let taken = context.now().since(started);
-    context.loads.borrow_mut().answered(&call.route.name, taken);
+    let answer_time = context.now().since(started);
+    context.loads.borrow_mut().answered(&call.route.name, answer_time);
     let body =
         answer.leading_body(context, &entry.name, MAX_BUFFERED_BODY, silence_limit, give_up).await;
     let upstream_attempt::LeadingBody { bytes: body, whole } = match body {
@@ -316,15 +319,15 @@
 
 impl LoadGuard<'_> {
     /// Sets the result of a failed attempt. A silent pooled connection does not count as a failure, as
-    /// the upstream may be healthy: ejected for that, an upstream got no call for 30 s.
+    /// the upstream may be healthy: when it counted, the upstream was ejected and got no call for 30 s.
     fn note(&self, fault: &upstream_attempt::AttemptFault) {
         let result = match fault.failure {
             retry::AttemptFailure::SaidNotRun => CallResult::Full,
             retry::AttemptFailure::Misdirected => CallResult::Gone,
             _ => CallResult::Failed,
         };
-        let says_something = !fault.reused_silent && fault.failure != retry::AttemptFailure::Denied;
-        self.result.set(says_something.then_some(result));
+        let is_conclusive = !fault.reused_silent && fault.failure != retry::AttemptFailure::Denied;
+        self.result.set(is_conclusive.then_some(result));
         if result == CallResult::Gone {
             upstream_signals::broadcast_gone(self.context, &self.name);
         }
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store: reads its documents and watches them for changes, or leaves that to other members.
+//! Follows the platform's store: reads its documents and watches them for changes, or relies on members that do.
 
 use std::{ops, rc, time};
 
@@ -17,13 +17,13 @@
 const CHANGE_PAUSE_SHARE: f64 = 0.075;
 /// First pause after a failure; doubles up to [`MAX_RETRY_PAUSE`].
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// Longest pause after a failure, and so the longest time after which the store's return is noticed.
+/// Longest pause after a failure, and so the longest time after which the end of an outage is detected.
 const MAX_RETRY_PAUSE: time::Duration = time::Duration::from_millis(800);
 /// Duration of a failed attempt that makes up for the pause: the next one starts again at [`RETRY_PAUSE`].
 const SLOW_FAILURE: time::Duration = time::Duration::from_millis(900);
-/// Ages of a process without documents between which it may rely on members that watch the store. Before that it has not
-/// heard from them; after it, they evidently do not provide the documents.
-const START_PATIENCE: ops::Range<time::Duration> =
+/// Range of process ages in which a process without documents may wait for members that watch the store. Before it the
+/// process has received no heartbeats; after it the members evidently do not provide the documents.
+const START_WAIT: ops::Range<time::Duration> =
     time::Duration::from_millis(60)..time::Duration::from_millis(1_200);
 
 /// Follows the store; never returns.
@@ -31,7 +31,7 @@
     let mut pause = RETRY_PAUSE;
     let mut failed = false;
     loop {
-        wait_for_turn(&context, failed).await;
+        wait_until_needed(&context, failed).await;
         let store = context.settings().store;
         let mut connection = document_call::DocumentConnection::new(store);
         let started = context.now();
@@ -58,15 +58,15 @@
 }
 
 /// Waits until this process should watch the store itself.
-async fn wait_for_turn(context: &context::InstanceContext, failed: bool) {
+async fn wait_until_needed(context: &context::InstanceContext, failed: bool) {
     let mut missing_since = None;
-    while !is_own_turn(context, &mut missing_since, failed) {
+    while !is_needed(context, &mut missing_since, failed) {
         monoio::time::sleep(store_contact::poll_interval(context)).await;
     }
 }
 
 /// Whether this process should watch the store itself.
-fn is_own_turn(
+fn is_needed(
     context: &context::InstanceContext,
     missing_since: &mut Option<units::MonoTime>,
     failed: bool,
@@ -80,17 +80,17 @@
     let missing = members.watchers_missing(now, &own);
     if !context.fleet.borrow().is_known() {
         if context.settings().is_seed() {
-            // All members contact the seeds first, and receive the documents that these have read.
+            // All members contact the seeds first, and receive the documents that the seeds have read.
             return true;
         }
         // In a large fleet a new member fetches the list from other members: if all read the store at once, a simultaneous
         // start would be limited by the store's rate.
         let age = now.since(units::MonoTime::default());
-        if age < START_PATIENCE.start || (age < START_PATIENCE.end && !members.is_settled(now)) {
+        if age < START_WAIT.start || (age < START_WAIT.end && !members.is_settled(now)) {
             return false;
         }
-        if age >= START_PATIENCE.end && !missing {
-            // Members that watch have the documents, but have not provided them.
+        if age >= START_WAIT.end && !missing {
+            // Members that watch the store have the documents, but have not provided them.
             return true;
         }
     }
@@ -120,11 +120,11 @@
             return Ok(());
         }
         context.store_tracker.borrow_mut().set_watched(revision);
-        let asked = context.now();
+        let requested_at = context.now();
         let answer = match store_watch::watch(context, connection, revision).await {
             Ok(answer) if answer.era == revision.era => answer,
-            // The store's era has changed. Changes between its copy and the watched revision are missing in the answer
-            // without an error.
+            // The store's era has changed. The answer lacks the changes between the restored copy and the watched
+            // revision without reporting an error.
             Ok(answer) => {
                 revision = read_again(context, connection, answer.era).await?;
                 continue;
@@ -149,7 +149,7 @@
         revision = revision.max(next);
         if unchanged {
             let own = context.versions().list;
-            context.store_tracker.borrow_mut().refute_list(own, asked);
+            context.store_tracker.borrow_mut().refute_list(own, requested_at);
         } else {
             monoio::time::sleep(context.settings().bounds.leave.0.mul_f64(CHANGE_PAUSE_SHARE))
                 .await;
@@ -172,13 +172,13 @@
         return Ok(revision);
     }
     if watched.is_none() {
-        return join_members(context).await;
+        return revision_from_members(context).await;
     }
     Ok(watched)
 }
 
-/// Starts the watch at the list that members have provided.
-async fn join_members(
+/// Returns the revision of the list that members have provided, from which to watch, after reading the routes.
+async fn revision_from_members(
     context: &context::InstanceContext,
 ) -> Result<store_revision::StoreRevision, String> {
     let listed = context.fleet.borrow().revision();
@@ -197,7 +197,7 @@
     // Recorded before the read, as entries that expired during an outage must not be removed at once.
     store_contact::mark_answered(context);
     let revision = if before == era && context.store_tracker.borrow().watched().era < era {
-        join_members(context).await?
+        revision_from_members(context).await?
     } else {
         store_read::read_all(context, connection).await?
     };
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! A single watch of the store. Its silence is not taken as a sign that nothing has changed.
+//! A single watch of the store. A watch without an answer does not show that nothing has changed.
 
 use std::{pin, time};
 
@@ -14,7 +14,7 @@
 const WAIT_SHARE: f64 = 0.75;
 /// Wait of a probe, a watch that only checks whether the store answers: it returns at once.
 const PROBE_WAIT: time::Duration = time::Duration::from_millis(1);
-/// Time after the end of a watch's wait from which its connection is doubted. A store that is fifty times slower than
+/// Time after the end of a watch's wait from which its connection may be dead. A store that is fifty times slower than
 /// usual answers in 200 ms.
 const MAX_DELAY: time::Duration = time::Duration::from_millis(500);
 /// Time for the answer to a probe before another probe is sent concurrently.
@@ -33,7 +33,7 @@
     revision: store_revision::StoreRevision,
 ) -> Result<store_call::StoreAnswer, store_call::StoreError> {
     if !context.store_tracker.borrow().answers() {
-        // After an outage the store's return must be noticed soon.
+        // The end of an outage must be detected soon.
         return probe(context, connection, revision).await;
     }
     let wait = context.settings().bounds.leave.0.mul_f64(WAIT_SHARE).max(MIN_WAIT);
@@ -42,7 +42,7 @@
     let answered = {
         let limit = wait + MAX_DELAY + PROBE_TIMEOUT * MAX_PROBES;
         let mut waiting = std::pin::pin!(store_call::get(context, connection, &path, limit));
-        if let Some(answered) = until_doubted(context, waiting.as_mut(), wait + MAX_DELAY).await {
+        if let Some(answered) = until_overdue(context, waiting.as_mut(), wait + MAX_DELAY).await {
             return answered;
         }
         context.store_tracker.borrow_mut().note_overdue();
@@ -83,7 +83,7 @@
         let Ok(Some((new_connection, answered))) =
             monoio::time::timeout(PROBE_TIMEOUT, probes.next()).await
         else {
-            // Entries may expire from now on, so the store's return counts as the end of an outage.
+            // Entries may expire from now on, so the next answer of the store ends an outage.
             store_contact::mark_lost(context, "no answer on a new connection");
             continue;
         };
@@ -96,21 +96,21 @@
 
 /// Waits for the answer to a watch; `None` once it is overdue, or once members have had changes for some time that it
 /// should have brought.
-async fn until_doubted<T>(
+async fn until_overdue<T>(
     context: &context::InstanceContext,
     mut waiting: pin::Pin<&mut impl Future<Output = T>>,
     limit: time::Duration,
 ) -> Option<T> {
     let started = context.now();
     loop {
-        let open = context.now().since(started);
-        let remaining_poll = store_contact::POLL_INTERVAL.min(limit.saturating_sub(open));
+        let elapsed = context.now().since(started);
+        let remaining_poll = store_contact::POLL_INTERVAL.min(limit.saturating_sub(elapsed));
         if let Ok(done) = monoio::time::timeout(remaining_poll, waiting.as_mut()).await {
             return Some(done);
         }
-        let open = context.now().since(started);
-        let behind = open >= store_contact::MAX_WATCH_LAG && store_contact::is_behind(context);
-        if behind || open >= limit {
+        let elapsed = context.now().since(started);
+        let behind = elapsed >= store_contact::MAX_WATCH_LAG && store_contact::is_behind(context);
+        if behind || elapsed >= limit {
             return None;
         }
     }
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -19,7 +19,7 @@
 /// A failed attempt without an answer that can be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptFault {
-    /// Kind of the failure, which tells whether the request may have run.
+    /// Kind of the failure, which shows whether the request may have run.
     pub failure: retry::AttemptFailure,
     /// Address of the upstream that caused a refusal, if it is another one.
     pub at_fault: Option<net::SocketAddrV4>,
@@ -34,7 +34,7 @@
         Self { failure, at_fault: None, reused_silent: false, text: text.to_string() }
     }
 
-    /// Creates the fault of a request to an upstream that was restarted meanwhile; the request may
+    /// Creates the fault of a request whose upstream was restarted before it answered; the request may
     /// have run before the restart.
     pub(crate) fn restarted() -> Self {
         Self::broke(upstream_starts::RESTARTED)
@@ -89,7 +89,7 @@
 }
 
 impl AttemptAnswer {
-    /// Reads the complete body, which must not exceed `max_bytes`. After nothing was received for
+    /// Reads the complete body, which must not exceed `max_bytes`. If nothing is received for
     /// `silence`, the attempt is given up if `give_up` returns true.
     pub async fn whole_body(
         &mut self,
@@ -121,10 +121,10 @@
             let piece = match monoio::time::timeout(silence, next.as_mut()).await {
                 Ok(piece) => piece,
                 Err(_) if give_up(RetryReach::OtherUpstream).await => {
-                    let moment = connection_silence::SilencePhase::MidAnswer;
+                    let phase = connection_silence::SilencePhase::MidAnswer;
                     let times = &self.connection.times;
                     let waited = silence;
-                    let wait = upstream_silence::SilentWait { upstream, times, moment, waited };
+                    let wait = upstream_silence::SilentWait { upstream, times, phase, waited };
                     let cause = upstream_silence::note(context, &wait).label();
                     return Err(AttemptFault::broke(format!("silent for {silence:?}: {cause}")));
                 }
@@ -174,8 +174,8 @@
     pub reused: time::Duration,
     /// Limit on any connection.
     pub longest: time::Duration,
-    /// Usual time of an answer; with less time than that left, a retry over a new connection is useless.
-    pub usual: time::Duration,
+    /// Usual time of an answer; with less time left, a retry over a new connection is useless.
+    pub usual_time: time::Duration,
 }
 
 /// Returns a connection for a request: a pooled one only if another attempt may follow.
@@ -225,10 +225,10 @@
     if used && let Ok(answered) = monoio::time::timeout(wait.reused, work.as_mut()).await {
         return answered;
     }
-    let moment = connection_silence::SilencePhase::Head;
-    let is_doubted = used && context.pool.cause(&times, moment, wait.reused).may_affect_others();
-    let in_time = call.left(context.now()) >= wait.usual;
-    let reused_silent = is_doubted && in_time && give_up(RetryReach::AnyUpstream).await;
+    let phase = connection_silence::SilencePhase::Head;
+    let may_be_dead = used && context.pool.cause(&times, phase, wait.reused).may_affect_others();
+    let in_time = call.left(context.now()) >= wait.usual_time;
+    let reused_silent = may_be_dead && in_time && give_up(RetryReach::AnyUpstream).await;
     if !reused_silent {
         let left = wait.longest.saturating_sub(started.elapsed());
         if let Ok(answered) = monoio::time::timeout(left, work.as_mut()).await {
@@ -240,7 +240,7 @@
     }
     let waited = started.elapsed();
     let upstream = &target.upstream;
-    let silent = upstream_silence::SilentWait { upstream, times: &times, moment, waited };
+    let silent = upstream_silence::SilentWait { upstream, times: &times, phase, waited };
     let cause = upstream_silence::note(context, &silent).label();
     let fault = AttemptFault::broke(format!("no answer within {waited:?}: {cause}"));
     Err(AttemptFault { reused_silent, ..fault })
@@ -271,7 +271,7 @@
 ) -> Result<AttemptAnswer, AttemptFault> {
     let request_message = request_message(context, call, target);
     let pass = upstream_gate::pass_request(context, target)?;
-    let asked_at = context.now();
+    let sent_at = context.now();
     let (head, sent) = {
         let (reader, writer) = connection.sides(&pass);
         let writing = std::pin::pin!(writer.write(request_message));
@@ -286,7 +286,7 @@
                     _ => return Err(AttemptFault::broke(error)),
                 }
             }
-            // The upstream answered early; the rest of the request is not sent.
+            // The upstream answered early; the remainder of the request is not sent.
             future::Either::Right((head, _)) => (head, false),
         }
     };
@@ -298,8 +298,8 @@
     }
     if is_from_target(&head, &head_fields) {
         let source = upstream_notice::NoticeSource::Answer;
-        let asked = upstream_signals::SignalOrigin { at: asked_at, source };
-        upstream_signals::receive(context, &target.upstream, head.status, &head_fields, asked);
+        let origin = upstream_signals::SignalOrigin { requested_at: sent_at, source };
+        upstream_signals::receive(context, &target.upstream, head.status, &head_fields, origin);
     }
     let framing = h1::BodyFraming::of_response(&head).map_err(AttemptFault::broke)?;
     let reusable =
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -8,16 +8,16 @@
     upstream_list,
 };
 
-/// How long an upstream's report of its load is used.
-const LOAD_TIME: time::Duration = time::Duration::from_millis(500);
+/// Age up to which an upstream's report of its load is used.
+const MAX_REPORT_AGE: time::Duration = time::Duration::from_millis(500);
 /// Maximum number of routes with answer times; beyond it all times are discarded.
-const MAX_TIMED: usize = 512;
+const MAX_TIMED_ROUTES: usize = 512;
 
 /// Cost of an upstream that failed all recent calls. Costs are added to its load, which is a
 /// fraction of its slots.
 const FAILING_COST: f64 = 3.0;
 /// Cost of an upstream in another data centre.
-const AWAY_COST: f64 = 0.05;
+const REMOTE_COST: f64 = 0.05;
 /// Cost of an ejected upstream, which is so high that it is picked only if all are ejected.
 const EJECTED_COST: f64 = 100.0;
 
@@ -33,9 +33,11 @@
 /// Load, health and answer times of upstreams as known to this process.
 #[derive(Debug, Default)]
 pub struct UpstreamLoads {
+    /// Rule that chooses among the candidates.
     way: modes::LoadChoiceMode,
     /// Name of this instance.
     own: String,
+    /// Load and health by upstream.
     states: collections::HashMap<ids::UpstreamId, LoadState>,
     /// Answer times by route.
     times: collections::HashMap<ids::ClassId, connection_silence::AnswerTimes>,
@@ -54,7 +56,7 @@
         &self,
         now: units::MonoTime,
         candidates: &[&'a upstream_list::UpstreamEntry],
-        own: &ids::DataCenterId,
+        own_data_center: &ids::DataCenterId,
         repeatable: bool,
         has_limit: impl Fn(&upstream_list::UpstreamEntry) -> bool,
     ) -> Option<&'a upstream_list::UpstreamEntry> {
@@ -67,12 +69,12 @@
         }
         let cost = |entry: &upstream_list::UpstreamEntry| {
             let state = self.states.get(&entry.name).cloned().unwrap_or_default();
-            let reported = state.reported.filter(|(_, at)| now.since(*at) < LOAD_TIME);
+            let reported = state.reported.filter(|(_, at)| now.since(*at) < MAX_REPORT_AGE);
             let running = reported.map_or(0, |(running, _)| running).max(state.calls);
             let load = f64::from(running) / entry.slots as f64;
-            let away = if entry.data_center == *own { 0.0 } else { AWAY_COST };
+            let remote = if entry.data_center == *own_data_center { 0.0 } else { REMOTE_COST };
             let ejected = if state.health.is_healthy() { 0.0 } else { EJECTED_COST };
-            load + state.health.failure_rate(now) * FAILING_COST + away + ejected
+            load + state.health.failure_rate(now) * FAILING_COST + remote + ejected
         };
         let costs: Vec<_> = candidates.iter().map(|entry| (cost(entry), *entry)).collect();
         let least = |costs: &[(f64, &'a upstream_list::UpstreamEntry)]| {
@@ -88,7 +90,7 @@
         }
         match self.way {
             modes::LoadChoiceMode::First => Some(first),
-            // To instances with few calls in progress all upstreams look alike, so a fixed order
+            // Instances with few calls in progress see equal costs for all upstreams, so a fixed order
             // would send the calls of all instances to the same one.
             modes::LoadChoiceMode::Random => {
                 equal.collect::<Vec<_>>().choose(&mut rand::rng()).copied()
@@ -134,16 +136,16 @@
         self.states.entry(name.clone()).or_default().health.receive_gone(now)
     }
 
-    /// Records the time to the head of an answer.
+    /// Records the time from sending a call to the head of its answer.
     pub fn answered(&mut self, route: &ids::ClassId, span: time::Duration) {
-        if self.times.len() >= MAX_TIMED && !self.times.contains_key(route) {
+        if self.times.len() >= MAX_TIMED_ROUTES && !self.times.contains_key(route) {
             self.times.clear();
         }
         self.times.entry(route.clone()).or_default().note(span);
     }
 
-    /// Returns the time within which answers of a route usually arrive; zero while too few are known.
-    pub fn usual(&self, route: &route_table::RoutePolicy) -> time::Duration {
+    /// Returns the time within which answers of a route usually arrive; zero while too few times are known.
+    pub fn usual_time(&self, route: &route_table::RoutePolicy) -> time::Duration {
         self.times.get(&route.name).copied().unwrap_or_default().usual_time()
     }
 
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -51,19 +51,20 @@
 pub struct ConnectionTimes {
     address: net::SocketAddrV4,
     opened: boot_clock::BootInstant,
-    heard: cell::Cell<Option<boot_clock::BootInstant>>,
+    /// When bytes were last received.
+    received: cell::Cell<Option<boot_clock::BootInstant>>,
 }
 
 impl ConnectionTimes {
     /// Records that bytes were received.
     pub fn receive(&self) {
-        self.heard.set(Some(boot_clock::BootInstant::now()));
+        self.received.set(Some(boot_clock::BootInstant::now()));
     }
 
     fn ages(&self) -> connection_silence::ConnectionAges {
         connection_silence::ConnectionAges {
             opened: self.opened.elapsed(),
-            received: self.heard.get().map(boot_clock::BootInstant::elapsed),
+            received: self.received.get().map(boot_clock::BootInstant::elapsed),
         }
     }
 }
@@ -112,6 +113,7 @@
     /// Times by address; a reference expires when its connection is closed.
     connection_times:
         cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionTimes>>>>,
+    /// Idle connections by address.
     idle: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<PooledConnection>>>,
 }
 
@@ -139,8 +141,8 @@
         };
         let stream = connected.map_err(|source| ConnectError::Refused { source })?;
         let (reader, writer) = h1::split(stream);
-        let heard = cell::Cell::new(None);
-        let times = ConnectionTimes { address, opened: boot_clock::BootInstant::now(), heard };
+        let received = cell::Cell::new(None);
+        let times = ConnectionTimes { address, opened: boot_clock::BootInstant::now(), received };
         let times = rc::Rc::new(times);
         self.connection_times
             .borrow_mut()
@@ -211,24 +213,23 @@
         self.idle.borrow_mut().remove(&address).map_or(0, |pooled| pooled.len())
     }
 
-    /// Returns the probable cause of a connection's silence, judged by the other connections to its
-    /// upstream.
+    /// Returns the probable cause of a connection's silence, given the other connections to its address.
     pub fn cause(
         &self,
         silent: &ConnectionTimes,
-        moment: connection_silence::SilencePhase,
+        phase: connection_silence::SilencePhase,
         waited: time::Duration,
     ) -> connection_silence::SilenceCause {
         let connection_times = self.connection_times.borrow();
-        let same = connection_times.get(&silent.address).into_iter().flatten();
-        let others = ages_of_others(silent, same);
-        connection_silence::SilenceCause::of(silent.ages(), moment, waited, others)
+        let same_address = connection_times.get(&silent.address).into_iter().flatten();
+        let others = ages_of_others(silent, same_address);
+        connection_silence::SilenceCause::of(silent.ages(), phase, waited, others)
     }
 
     /// Closes idle connections that may have died along with a silent one; returns their number.
     pub fn close_untrusted(&self, silent: &ConnectionTimes, waited: time::Duration) -> usize {
         // A network fault of this process breaks its connections to all upstreams at once. If another
-        // connection that was open since then still receives, only those to the same upstream are doubted.
+        // connection that was open since then still receives, only those to the same address are closed.
         let connection_times = self.connection_times.borrow();
         let others = ages_of_others(silent, connection_times.values().flatten());
         let all = !silent.ages().has_live_peer(waited, others);
@@ -236,8 +237,8 @@
         let count =
             |idle: &collections::HashMap<_, Vec<_>>| -> usize { idle.values().map(Vec::len).sum() };
         let before = count(&idle);
-        let doubted = idle.iter_mut().filter(|(address, _)| all || **address == silent.address);
-        for (_, pooled) in doubted {
+        let affected = idle.iter_mut().filter(|(address, _)| all || **address == silent.address);
+        for (_, pooled) in affected {
             pooled.retain(|idle| idle.connection.times.ages().trusted(waited));
         }
         before - count(&idle)
@@ -256,11 +257,11 @@
     }
 }
 
-/// Returns the ages of all open connections except `one`.
+/// Returns the ages of all open connections except `excluded`.
 fn ages_of_others<'a>(
-    one: &ConnectionTimes,
+    excluded: &ConnectionTimes,
     connection_times: impl Iterator<Item = &'a rc::Weak<ConnectionTimes>>,
 ) -> impl Iterator<Item = connection_silence::ConnectionAges> {
     let open = connection_times.filter_map(rc::Weak::upgrade);
-    open.filter(|times| !std::ptr::eq(rc::Rc::as_ptr(times), one)).map(|times| times.ages())
+    open.filter(|times| !std::ptr::eq(rc::Rc::as_ptr(times), excluded)).map(|times| times.ages())
 }
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -10,12 +10,12 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SignalOrigin {
     /// When the request was sent.
-    pub(crate) at: units::MonoTime,
+    pub(crate) requested_at: units::MonoTime,
     /// Kind of answer that carried the signal.
     pub(crate) source: upstream_notice::NoticeSource,
 }
 
-/// Handles the signals in the head of an answer, also when the answer breaks afterwards.
+/// Handles the signals in the head of an answer, even if the answer breaks off afterwards.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -30,15 +30,15 @@
     limit_gossip::receive(context, upstream, answer, origin);
     let refusals = [http::StatusCode::SERVICE_UNAVAILABLE, http::StatusCode::TOO_MANY_REQUESTS];
     if refusals.contains(&status) {
-        if let Some(rest) = &answer.rest {
-            receive_backoff(context, upstream, rest);
+        if let Some(backoff) = &answer.backoff {
+            receive_backoff(context, upstream, backoff);
         }
     } else if source == upstream_notice::NoticeSource::Answer {
         receive_accepted(context, upstream);
     }
 }
 
-/// Like [`receive`], for an engine known by its address; ignored where two upstreams are listed at the address.
+/// Like [`receive`], for an engine known by its address; does nothing if two upstreams are listed at the address.
 pub(crate) fn receive_at(
     context: &context::InstanceContext,
     address: net::SocketAddrV4,
@@ -46,7 +46,8 @@
     origin: SignalOrigin,
 ) {
     let answer = adapter::UpstreamAdapter::parse_answer(&*context.adapter, head);
-    if answer.misdirected || !(answer.leaving || answer.rest.is_some() || answer.limit.is_some()) {
+    if answer.misdirected || !(answer.leaving || answer.backoff.is_some() || answer.limit.is_some())
+    {
         return;
     }
     let name = context.fleet.borrow().list.name_at(address).cloned();
@@ -55,8 +56,8 @@
     }
 }
 
-/// Describes the notices of an upstream in force, for the record of a request.
-pub(crate) fn known(
+/// Describes the notices of an upstream that are in force, for the record of a request.
+pub(crate) fn describe_notices(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
 ) -> Option<String> {
@@ -79,14 +80,14 @@
     if context.settings().experiments.leaving_news == modes::LeavingNoticeMode::Heard {
         return;
     }
-    // Of other leaving upstreams members learn from the list.
+    // Members learn of all other leaving upstreams from the list.
     let reports = context.fleet.borrow().leaving_reports(context.now());
     for part in reports.chunks(peer_message::MAX_LEAVING) {
         context.send_to(to, peer_message::PeerMessage::Leaving(part.to_vec()));
     }
 }
 
-/// Handles an upstream's leaving notice and broadcasts it: the list may be late while its source is away.
+/// Handles an upstream's leaving notice and broadcasts it: the list may be late during an outage of the store.
 fn receive_leaving(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
@@ -129,14 +130,14 @@
     }
 }
 
-/// Handles a Retry-After. In answers other than refusals the header has another meaning.
+/// Handles the Retry-After of a refusal, which requests a backoff. In other answers the header has another meaning.
 fn receive_backoff(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
-    rest: &Result<time::Duration, adapter::FormatError>,
+    backoff: &Result<time::Duration, adapter::FormatError>,
 ) {
-    let asked = match rest {
-        Ok(asked) => *asked,
+    let requested = match backoff {
+        Ok(requested) => *requested,
         Err(error) => {
             log::info!(upstream:%, error:%; "upstream.rest_unreadable");
             context.stats.borrow_mut().count("upstream_rests", "unreadable");
@@ -145,10 +146,10 @@
     };
     let change = {
         let mut fleet = context.fleet.borrow_mut();
-        fleet.list.notices_mut().receive_backoff(context.now(), upstream, asked)
+        fleet.list.notices_mut().receive_backoff(context.now(), upstream, requested)
     };
-    let asked_ms = units::whole_millis(asked);
-    let for_ms = units::whole_millis(asked.min(upstream_notice::MAX_ACCEPTED_BACKOFF));
+    let asked_ms = units::whole_millis(requested);
+    let for_ms = units::whole_millis(requested.min(upstream_notice::MAX_ACCEPTED_BACKOFF));
     match change {
         upstream_notice::BackoffChange::Known => return,
         upstream_notice::BackoffChange::Begun => {
@@ -161,8 +162,8 @@
     context.stats.borrow_mut().count("upstream_rests", "asked");
 }
 
-/// Broadcasts that an upstream has gone from its address, if another one answered there: a failed connection may be
-/// the fault of this instance.
+/// Broadcasts that an upstream is gone, as another one answered at its address. Failed connections are not broadcast,
+/// as they may be the fault of this instance.
 pub(crate) fn broadcast_gone(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
     let is_new = context.loads.borrow_mut().receive_gone(context.now(), upstream);
     if !is_new {
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -1,5 +1,5 @@
-//! Handles silent connections to upstreams: determines the cause and closes connections that may be
-//! affected, too.
+//! Handles silent connections to upstreams: determines the cause, and closes other connections that
+//! may be affected.
 
 use std::{cell, time};
 
@@ -7,17 +7,17 @@
 
 use crate::{context, upstream_pool};
 
-/// Minimum time between two log lines, as one fault affects many requests.
+/// Minimum time between two log lines about silent connections, as one fault affects many requests.
 const LOG_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
 /// A wait for bytes on a connection that was given up.
 pub struct SilentWait<'a> {
     /// The upstream.
     pub upstream: &'a ids::UpstreamId,
-    /// The connection.
+    /// Times of the connection.
     pub times: &'a upstream_pool::ConnectionTimes,
     /// The part of the answer that was awaited.
-    pub moment: connection_silence::SilencePhase,
+    pub phase: connection_silence::SilencePhase,
     /// Duration of the wait.
     pub waited: time::Duration,
 }
@@ -26,29 +26,30 @@
 #[derive(Debug, Default)]
 pub struct SilenceLog {
     last: cell::Cell<Option<time::Instant>>,
-    held_back: cell::Cell<u64>,
+    /// Number of lines suppressed since the last one.
+    suppressed: cell::Cell<u64>,
 }
 
-/// Counts and logs a wait that was given up, and closes other connections if they may be dead,
-/// too; returns the probable cause.
+/// Counts and logs a wait that was given up, and closes other connections that may be dead as well;
+/// returns the probable cause.
 pub fn note(
     context: &context::InstanceContext,
     wait: &SilentWait<'_>,
 ) -> connection_silence::SilenceCause {
-    let cause = context.pool.cause(wait.times, wait.moment, wait.waited);
+    let cause = context.pool.cause(wait.times, wait.phase, wait.waited);
     context.stats.borrow_mut().count("silent", cause.label());
-    let is_doubted = cause.may_affect_others();
+    let may_affect_others = cause.may_affect_others();
     let dropped =
-        if is_doubted { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
+        if may_affect_others { context.pool.close_untrusted(wait.times, wait.waited) } else { 0 };
     let log = &context.silence_log;
     if log.last.get().is_some_and(|last| last.elapsed() < LOG_INTERVAL) {
-        log.held_back.set(log.held_back.get() + 1);
+        log.suppressed.set(log.suppressed.get() + 1);
         return cause;
     }
     log.last.set(Some(time::Instant::now()));
     log::info!(
         upstream:% = wait.upstream, cause = cause.label(), waited_ms = wait.waited.as_millis() as u64,
-        dropped, held_back = log.held_back.take(); "connections.silent"
+        dropped, held_back = log.suppressed.take(); "connections.silent"
     );
     cause
 }
