--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -116,7 +116,7 @@
     let context = rc::Rc::new(context::InstanceContext::new(context_parts));
     log::info!(instance:% = context.settings().name, boot = context.boot,
         seed = context.settings().is_seed(),
-        version = env!("CARGO_PKG_VERSION"), modes:% = context.settings().experiments;
+        version = env!("CARGO_PKG_VERSION"), ways:% = context.settings().experiments;
         "process.started");
 
     let share = || rc::Rc::clone(&context);
