--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -75,7 +75,7 @@
             let pending = engine.prefill_left_ms();
             let ejected = if engine.is_ejected(now, self.engine_faults) { " ejected" } else { "" };
             format!(
-                "{name}: {} running, {pending:.0} ms to prefill, {} tokens, pace {:.1}{ejected}",
+                "{name}: {} running, {pending:.0} ms to read, {} tokens, pace {:.1}{ejected}",
                 engine.answering.len(),
                 engine.used,
                 engine.pace
