--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -17,7 +17,7 @@
 pub struct FormatError {
     /// The kind of input that was parsed.
     pub input: &'static str,
-    /// The reason why it is invalid.
+    /// The reason why the input is invalid, for logs and refusals.
     pub reason: String,
 }
 
@@ -35,7 +35,8 @@
     pub id: String,
     /// API key that the caller sent, if any.
     pub key: Option<String>,
-    /// How long the caller waits for the answer.
+    /// How long the caller waits for the answer, if the caller states that; the route's time limit is the maximum and
+    /// the default.
     pub max_wait: Option<time::Duration>,
     /// Number of prompt tokens; 0 for a request without a prompt.
     pub prompt: u64,
@@ -54,13 +55,13 @@
     pub upstream: &'a ids::UpstreamId,
     /// The customer that sent the request, if known.
     pub customer: Option<&'a ids::CustomerId>,
-    /// Time left until the deadline.
+    /// Time left until the answer is due; the upstream receives it as its own deadline.
     pub left: time::Duration,
     /// Priority, where 0 is the most urgent; `None` leaves it to the upstream.
     pub priority: Option<u8>,
     /// Id of the event after which a stream resumes.
     pub last_event: Option<&'a str>,
-    /// Engines that process parts of the prompt, each with the ticket of the memory reserved there.
+    /// Engines that each process a part (share) of the prompt, with the ticket of the memory reserved there, if any.
     pub helpers: Vec<(net::SocketAddrV4, Option<String>)>,
 }
 
@@ -106,11 +107,11 @@
     pub running: u32,
     /// Number of waiting requests.
     pub waiting: u32,
-    /// Memory in use, in tokens.
+    /// KV cache memory in use, in tokens.
     pub used: u64,
     /// Memory reservations, if the engine reports them.
     pub tickets: Option<Vec<TicketReport>>,
-    /// The start of the engine that sent the report, if the report states it.
+    /// Start (one life of the process) of the engine that sent the report, if the report states it.
     pub start: Option<ids::UpstreamStart>,
 }
 
@@ -126,7 +127,7 @@
 /// A memory reservation reported by an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TicketReport {
-    /// Identifies the reservation.
+    /// Id of the reservation, as in the [`MemoryOrder::Hold`] that made it.
     pub ticket: String,
     /// Whether a request uses the reserved memory.
     pub used: bool,
@@ -137,25 +138,26 @@
 pub enum MemoryOrder {
     /// Reserves memory or extends a reservation.
     Hold {
-        /// Identifies the reservation.
+        /// Id of the reservation, chosen by the instance; an order with the same id extends it.
         ticket: String,
-        /// Amount of memory, in tokens.
+        /// Amount of KV cache memory, in tokens.
         tokens: u64,
         /// Duration of the reservation, counted from now.
         time: time::Duration,
     },
     /// Releases a reservation.
     Release {
-        /// Identifies the reservation.
+        /// Id of the reservation, as in the [`Self::Hold`] that made it.
         ticket: String,
     },
 }
 
 /// Translates between callers and the instance.
 pub trait CallerAdapter {
-    /// Parses a request's head.
+    /// Parses the head of a caller's request; a request whose head is invalid is refused.
     fn parse_request(&self, head: &http::request::Parts) -> Result<CallerRequest, FormatError>;
-    /// Returns the headers of an answer that the instance itself generates for a request id.
+    /// Returns the headers of an answer that the instance itself generates, such as a refusal of the request with the
+    /// id `request`.
     fn answer_headers(&self, request: &str, retry_after: Option<time::Duration>)
     -> http::HeaderMap;
     /// Returns whether a path on the health address is the readiness check.
@@ -166,17 +168,17 @@
 pub trait UpstreamAdapter {
     /// Returns the head of a request to an upstream, without the body length.
     fn call_head(&self, call: &UpstreamCall<'_>) -> http::request::Parts;
-    /// Parses an answer's head.
+    /// Parses the head of an upstream's answer, in which all fields are optional.
     fn parse_answer(&self, head: &http::response::Parts) -> UpstreamAnswer;
-    /// Returns the path and body of a memory order.
+    /// Returns the path and body of the POST request that sends a memory order to an engine.
     fn memory_order(&self, order: &MemoryOrder) -> (String, Bytes);
-    /// Returns the start of the engine that answered an order, if the answer states it.
+    /// Returns the start of the engine that answered a memory order, if the answer states it.
     fn order_start(&self, body: &[u8]) -> Option<ids::UpstreamStart>;
-    /// Returns the path of an engine's report.
+    /// Returns the path at which an engine serves the report about its load.
     fn report_path(&self) -> String;
-    /// Parses an engine's report.
+    /// Parses an engine's report; an invalid one still shows that the engine answers.
     fn parse_report(&self, body: &[u8]) -> Result<EngineReport, FormatError>;
-    /// Returns the id of an event, if it has one.
+    /// Returns the id of an event of a stream, after which the stream can resume; `None` if it has no id.
     fn event_id(&self, event: &[u8]) -> Option<String>;
 }
 
@@ -195,9 +197,10 @@
     pub evacuated: collections::BTreeSet<ids::DataCenterId>,
     /// Store revision of the upstreams and evacuations; the default if only routes were requested.
     pub revision: store_revision::StoreRevision,
-    /// Digest of all upstreams, if the changes lead into another era.
+    /// Digest of all upstreams, if the changes lead into another era; one begins when the store is restored from an
+    /// older copy.
     pub digest: Option<u64>,
-    /// State of the previous era that is still in force.
+    /// State of the previous era that is still in force while the list recovers.
     pub recovery: Option<list_recovery::RecoveryReport>,
     /// Milliseconds since the store recovered from an outage, if that was recent: entries that
     /// vanished with the outage may return.
@@ -220,7 +223,7 @@
     pub items: Vec<StoreItem>,
     /// Key after which the next page starts, if there is a next page.
     pub next: Option<String>,
-    /// Revision of the store within its era.
+    /// Revision of the store when the page was read, within the store's present era.
     pub revision: u64,
 }
 
@@ -236,7 +239,7 @@
 /// The kind of document stored under a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreKey {
-    /// The routes.
+    /// The configuration document, which contains the routes.
     Routes,
     /// The entry of the upstream with this name.
     Upstream(String),
@@ -267,9 +270,9 @@
     fn parse_changes(&self, body: &[u8]) -> Result<(Vec<StoreChange>, u64), FormatError>;
     /// Returns the kind of document stored under a key.
     fn key(&self, key: &str) -> StoreKey;
-    /// Parses the routes.
+    /// Parses the routes; if they are invalid, those in force stay.
     fn parse_routes(&self, text: &str) -> Result<route_table::RouteTable, FormatError>;
-    /// Parses the entry of the upstream `name`.
+    /// Parses the entry of the upstream `name`; an upstream whose entry is invalid is not used.
     fn parse_upstream(
         &self,
         name: &str,
