--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -107,7 +107,7 @@
         self.writer.write(h1::encode_chunk(events)).await
     }
 
-    /// Ends a chunked body.
+    /// Ends a body sent in chunks; without this the caller sees that the answer is incomplete.
     pub async fn end_chunked(&mut self) -> Result<(), h1::MessageError> {
         self.writer.write(h1::LAST_CHUNK).await
     }
--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -1,4 +1,5 @@
-//! Searches the cells of a service's engines for a place for a request.
+//! Searches the cells of a service's engines, each with a planner of its own, for a place: the assignment of a
+//! request to engines.
 
 use std::{rc, time};
 
--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -20,7 +20,7 @@
     /// The call failed, or was refused.
     #[snafu(display("{source}"))]
     Call {
-        /// The error of the call.
+        /// Why the call failed, such as a timeout or a status other than 200.
         source: document_call::CallError,
     },
 }
@@ -39,7 +39,7 @@
 /// An engine and its network address.
 #[derive(Debug, Clone)]
 pub struct EngineAddress {
-    /// The engine.
+    /// Name of the engine, by which the gate decides whether it may be called now.
     pub engine: ids::UpstreamId,
     /// Address on which the engine accepts calls.
     pub address: net::SocketAddrV4,
@@ -47,9 +47,9 @@
 
 /// A memory order and the conditions under which it may be sent.
 pub(crate) struct EngineOrder<'a> {
-    /// The order.
+    /// The order to reserve or release memory.
     pub(crate) order: &'a adapter::MemoryOrder,
-    /// Kind of send that the gate checks.
+    /// Kind of send, by which the gate decides whether the order may be sent now.
     pub(crate) kind: send_gate::SendKind,
     /// Permits for engines with a limit, if the order begins work there.
     pub(crate) permits: &'a [quota_permit::SendPermit],
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -8,7 +8,8 @@
     upstream_pool, upstream_silence, upstream_starts,
 };
 
-/// Returns the end of a place to report to the planner after an attempt that failed with `fault`.
+/// Returns how the place (the assignment of the attempt to engines) ended, for the report to its
+/// planner, after an attempt that failed with `fault`.
 pub(crate) fn place_end(
     hold: &plan_client::PlaceHold,
     fault: &upstream_attempt::AttemptFault,
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -15,7 +15,7 @@
 /// Engines with a limit are polled only if their limit was last read at least this long ago: they
 /// are overloaded, and their answers carry enough information.
 const LIMITED_INTERVAL: time::Duration = time::Duration::from_secs(10);
-/// Pace, relative to the configured speed, above which an engine is logged as slow.
+/// Pace (slowdown relative to the configured speed) above which an engine is logged as slow.
 const SLOW_PACE: f64 = 1.5;
 
 /// Polls the engines that this process plans for, spread evenly over `REPORT_INTERVAL`.
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -13,7 +13,7 @@
 /// How long a caller is assumed to wait if it states no time and the routes are not known yet.
 pub(crate) const DEFAULT_MAX_WAIT: time::Duration = time::Duration::from_secs(10);
 
-/// An admitted request.
+/// A caller's request with the customer, route, service and deadline determined on its admission.
 pub struct IncomingCall {
     /// Head of the caller's request.
     pub head: http::request::Parts,
@@ -27,7 +27,8 @@
     pub customer: Option<ids::CustomerId>,
     /// The service picked by the route.
     pub service: ids::ServiceId,
-    /// Shape of the service's engines, if it has engines.
+    /// Capacity and speed of the service's engines; `None` for a plain service, whose upstreams run
+    /// no model.
     pub shape: Option<route_table::EngineShape>,
     /// When the last byte of the request was received.
     pub arrived: units::MonoTime,
@@ -95,7 +96,8 @@
     }
 }
 
-/// Admits a request, given its `head` and the result of parsing it.
+/// Admits a request, given its `head` and the result of parsing it; the caller of this function
+/// adds the body.
 pub fn admit(
     context: &context::InstanceContext,
     head: http::request::Parts,
--- a/crates/instance/src/lease_renewal.rs
+++ b/crates/instance/src/lease_renewal.rs
@@ -1,5 +1,5 @@
-//! Renews the leases on places in use. Renewals carry only job numbers; the planner requests the
-//! full leases of jobs that it does not know.
+//! Renews the leases on places (assignments of requests to engines) in use. Renewals carry only the
+//! numbers of jobs (attempts); the planner requests the full leases of jobs that it does not know.
 
 use std::{collections, net, rc, time};
 
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -1,5 +1,5 @@
-//! Forwards long answers of plain services while they arrive, so that an instance buffers little
-//! for callers that read slowly.
+//! Forwards long answers of plain services (whose upstreams run no model) while they arrive, so
+//! that an instance buffers little for callers that read slowly.
 
 use std::time;
 
@@ -20,13 +20,13 @@
     /// The caller's connection failed.
     #[snafu(display("{source}"))]
     Caller {
-        /// The cause.
+        /// The error that occurred while writing to the caller.
         source: h1::MessageError,
     },
     /// The upstream's answer failed midway.
     #[snafu(display("the answer broke: {source}"))]
     Upstream {
-        /// The cause.
+        /// The error that occurred while reading the answer.
         source: h1::MessageError,
     },
     /// The caller did not read the answer in time.
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -10,7 +10,7 @@
 /// Lifetime of a reservation without renewal. It is shorter than the time within which memory must
 /// be free again after the instance that reserved it has crashed.
 const HOLD_TTL: time::Duration = time::Duration::from_millis(3_400);
-/// Interval between two renewals.
+/// Interval between two renewals of a reservation.
 const RENEWAL_INTERVAL: time::Duration = time::Duration::from_millis(900);
 /// Timeout of a memory order.
 const ORDER_TIMEOUT: time::Duration = time::Duration::from_millis(350);
@@ -24,13 +24,13 @@
 /// Pause between two attempts to release a reservation.
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(250);
 
-/// A failed reservation.
+/// Why the memory for an attempt could not be reserved.
 #[derive(Debug, Snafu)]
 #[snafu(display("{engine} sets no memory aside: {reason}"))]
 pub struct HoldError {
-    /// The engine.
+    /// An engine that did not reserve its memory.
     pub engine: ids::UpstreamId,
-    /// Reason of the failure.
+    /// Reason why the engine did not reserve the memory.
     pub reason: String,
 }
 
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -1,5 +1,5 @@
-//! Serves a streamed request: obtains a place on an engine, sends the request there and forwards
-//! the events; a failed attempt is retried on another engine.
+//! Serves a streamed request: obtains a place (the assignment of the request to engines), sends the request there and
+//! forwards the events; a failed attempt is retried on another engine.
 
 use std::{pin, rc, time};
 
@@ -16,7 +16,7 @@
 
 /// Maximum number of places tried, including those whose engine never received the request.
 const MAX_TRIES: u32 = 5;
-/// Default retry delay of a refusal.
+/// Retry delay of a refusal if neither the planner nor the state of the upstreams determines one.
 const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(400);
 /// Maximum time from the head to the first event for which the load in the head is passed to the
 /// planner; a short answer takes a few seconds.
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -11,23 +11,23 @@
 pub(crate) enum NoUpstreamReason {
     /// All otherwise usable upstreams requested a backoff.
     Backoff {
-        /// The service.
+        /// The service that the request is for.
         service: ids::ServiceId,
         /// The backoff that ends first.
         first: upstream_notice::BackoffNotice,
-        /// The time at which this was determined.
+        /// Time of the check, from which the remaining backoff is counted.
         now: units::MonoTime,
     },
     /// All otherwise usable upstreams are in data centres under evacuation.
     Evacuated {
-        /// The service.
+        /// The service that the request is for.
         service: ids::ServiceId,
         /// Retry delay for the caller.
         retry_after: time::Duration,
     },
     /// All usable upstreams have a limit.
     Limited {
-        /// The service.
+        /// The service that the request is for.
         service: ids::ServiceId,
         /// Retry delay for the caller.
         retry_after: time::Duration,
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -1,4 +1,5 @@
-//! Requests a place from the planner of a cell, which runs in another member or in this process.
+//! Requests a place (the assignment of a request to engines) from the planner of a cell (a group of
+//! a service's engines); the planner runs in another member or in this process.
 
 use std::{net, rc, time};
 
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -27,10 +27,10 @@
     Member(std::net::SocketAddrV4),
 }
 
-/// One planner for each cell of each service's engines.
+/// One planner for each cell, a group of one service's engines.
 #[derive(Debug)]
 pub struct PlannerSet {
-    /// Name of this instance.
+    /// Name of this instance, which determines the order in which its planners fill engines.
     own: ids::InstanceId,
     options: planner::PlannerOptions,
     planners: collections::BTreeMap<planner_key::PlannerKey, planner::PlacementPlanner>,
@@ -43,7 +43,7 @@
 }
 
 impl PlannerSet {
-    /// Creates a set without planners.
+    /// Creates a set without planners; [`Self::sync`] adds them.
     pub fn new(own: ids::InstanceId, options: planner::PlannerOptions) -> Self {
         Self {
             own,
--- a/crates/instance/src/quarantine_gate.rs
+++ b/crates/instance/src/quarantine_gate.rs
@@ -1,10 +1,10 @@
 //! Stops the work on requests that are quarantined.
 //!
 //! Everything that is sent for a request is sent by the one future that serves it: first attempts,
-//! retries, resumed streams, prompts that wait for a place and parts processed by helpers. The gate
-//! wraps that future and checks the quarantine before each poll, so the steps need no checks of
-//! their own. If the request is quarantined meanwhile, the future is dropped, as when the caller
-//! disconnects.
+//! retries, resumed streams, prompts that wait for a place (an assignment to engines) and parts of
+//! prompts that helper engines process. The gate wraps that future and checks the quarantine before
+//! each poll, so the steps need no checks of their own. If the request is quarantined meanwhile,
+//! the future is dropped, as when the caller disconnects.
 
 use std::{cell, future::Future, pin, task};
 
--- a/crates/instance/src/request_record.rs
+++ b/crates/instance/src/request_record.rs
@@ -32,7 +32,7 @@
     pub end: String,
 }
 
-/// Record of one request.
+/// Record of one admitted request, from its arrival to its end.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RequestRecord {
     /// The caller's id of the request.
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -1,4 +1,5 @@
-//! Chooses the upstream for a call of a plain service and obtains the permit that it may need.
+//! Chooses the upstream for a call of a plain service (whose upstreams run no model) and obtains
+//! the permit that the call may need.
 
 use std::time;
 
@@ -17,7 +18,7 @@
 
 /// An upstream that accepts a call now.
 pub(crate) struct ChosenUpstream {
-    /// The upstream.
+    /// The upstream's entry in the list.
     pub(crate) entry: upstream_list::UpstreamEntry,
     /// The permit for the call, if the upstream has a limit.
     pub(crate) permit: Option<quota_permit::SendPermit>,
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -1,4 +1,5 @@
-//! Serves a call of a plain service: attempts at upstreams, and the answer to the caller.
+//! Serves a call of a plain service (whose upstreams run no model): attempts at upstreams, and the answer to the
+//! caller.
 
 use std::{pin, rc, time};
 
@@ -21,10 +22,10 @@
 const SILENCE_FRACTION: f64 = 0.45;
 /// Maximum number of upstreams tried, including those that never received the call.
 const MAX_TRIES: u32 = 5;
-/// Default retry delay of a refusal.
+/// Retry delay of a refusal if the state of the upstreams determines none.
 const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(250);
 
-/// Result of a call.
+/// Result of a call: what is sent to the caller.
 enum CallEnd<'a> {
     Answer(http::response::Parts, bytes::Bytes),
     /// An answer that has been read in part.
--- a/crates/instance/src/stream_target.rs
+++ b/crates/instance/src/stream_target.rs
@@ -1,4 +1,5 @@
-//! Resolves a granted place to the addresses that a streamed request is sent with.
+//! Resolves a granted place (the assignment of a request to engines) to the addresses that a
+//! streamed request is sent with.
 
 use crate::{
     context, incoming_call, memory_hold, plan_client, stream_policy, stream_state, upstream_attempt,
