--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -1,7 +1,8 @@
 //! Encoded answers to members that request the store's documents.
 //!
-//! At a start and after each change many members request the same documents at the same time. Each answer is encoded once
-//! and shared: otherwise the first member to have a long list would hold one copy of it in memory for each requester.
+//! At a start of the fleet and after each change many members request the same documents at the same time. Each
+//! answer is encoded once and shared: otherwise the first member to have a long list would hold one copy of it in
+//! memory for each requester.
 
 use std::rc;
 
@@ -20,7 +21,7 @@
 /// Number of large answers that may be in flight whatever their size.
 const MIN_LARGE_IN_FLIGHT: usize = 8;
 
-/// Key of a cached answer.
+/// Key of a cached answer, which is reused only for a request with an equal key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct AnswerKey {
     /// Versions of routes and list that the requester has.
@@ -38,14 +39,14 @@
     cached: Vec<(AnswerKey, Bytes)>,
     /// Number of large answers in flight.
     large_in_flight: usize,
-    /// Total size of large answers in flight.
+    /// Total size of large answers in flight, in bytes.
     large_bytes_in_flight: usize,
 }
 
 /// Counts a large answer as in flight until it is dropped.
 pub(crate) struct LargeAnswerGuard {
     context: rc::Rc<context::InstanceContext>,
-    /// Size of the answer.
+    /// Size of the large answer, in bytes.
     bytes: usize,
 }
 
@@ -61,7 +62,7 @@
 pub(crate) enum DocumentAnswer {
     /// The encoded documents; the guard of a large answer is held until the answer is sent.
     Ready(Bytes, Option<LargeAnswerGuard>),
-    /// Too many large answers are in flight.
+    /// Too many large answers are in flight; the member requests the documents from another one.
     Busy,
     /// The documents could not be encoded.
     Failed(compressed_bytes::CompressionError),
--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -8,7 +8,7 @@
 
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
-/// Largest body of a response, in bytes.
+/// Largest body of a response, in bytes; the call fails if the body is larger.
 const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
 /// Why a document call failed.
@@ -23,7 +23,7 @@
     /// The call timed out.
     #[snafu(display("no answer within {limit:?}"))]
     Silent {
-        /// The timeout.
+        /// Time limit that was exceeded: that of the call or of opening its connection.
         limit: time::Duration,
     },
     /// The connection failed, or the response is malformed.
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Ages in milliseconds reported to members: of the end of the last outage, if that is recent, and of the era, if
-    /// a recovery is in progress.
+    /// Ages in milliseconds reported to members: of the end of the last outage, if that is recent, and of the era
+    /// (begun when the store returned from an older copy), if the list is still recovering from that.
     pub(crate) fn reported_ages(&self, now: units::MonoTime) -> (Option<u64>, Option<u64>) {
         let return_age = self.returned_at.map(|returned_at| rounded_age(now.since(returned_at)));
         let return_age = return_age.filter(|millis| *millis < RECENT_RETURN_MS);
@@ -202,7 +202,8 @@
         Some((before.version.0, text))
     }
 
-    /// Records which start of an upstream answered a request that was sent to `address` at `requested_at`.
+    /// Records which start (life of its process) of an upstream answered a request that was sent to `address` at
+    /// `requested_at`.
     ///
     /// An address at which two upstreams are listed identifies neither, so the report is ignored.
     pub fn receive_start(
--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -1,7 +1,8 @@
 //! Recovery of the list after the store has returned from an older copy, which begins a new era.
 //!
-//! The first list of an era lacks the last changes of the era before. Until their writers have repeated them, upstreams
-//! and evacuations that the copy lacks stay in force, and starts that had been removed stay out of use.
+//! The first list of an era lacks the last changes of the era before. Until their writers have repeated them,
+//! upstreams and evacuations that the copy lacks stay in force, and starts (lives of an upstream's process) that had
+//! been removed stay out of use.
 
 use std::{collections, time};
 
@@ -15,13 +16,13 @@
 pub struct RecoveryReport {
     /// Time in milliseconds since the era became known.
     pub age_ms: u64,
-    /// Names and documents of upstreams that stay in use although the copy lacks them.
+    /// Names and documents of upstreams that stay in use although the store's older copy lacks them.
     pub kept: Vec<(String, String)>,
-    /// Starts that the copy lists but that are not used, as they had been removed before.
+    /// Starts of upstreams that the store's older copy lists but that are not used, as they had been removed before.
     pub withheld: Vec<ids::UpstreamId>,
-    /// Evacuated data centres that the copy does not list.
+    /// Evacuated data centres that the store's older copy does not list.
     pub evacuated: Vec<ids::DataCenterId>,
-    /// Leaving upstreams that the copy does not list as leaving.
+    /// Leaving upstreams that the store's older copy does not list as leaving.
     pub leaving: Vec<peer_message::LeavingReport>,
 }
 
@@ -99,7 +100,7 @@
         self.raw.kept = report.kept.into_iter().collect();
     }
 
-    /// Stores the documents of upstreams that stay in use although the copy lacks them.
+    /// Stores the documents of upstreams that stay in use although the store's older copy lacks them.
     pub(crate) fn keep_documents(&mut self, before: &collections::BTreeMap<String, String>) {
         let kept = self.list.recovery().map(|state| state.kept).unwrap_or_default();
         let document = |name: &std::sync::Arc<str>| {
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -15,7 +15,8 @@
     upstreams: collections::BTreeMap<String, String>,
     /// Evacuated data centres.
     evacuated: collections::BTreeSet<ids::DataCenterId>,
-    /// Those of `evacuated` that another member keeps in force although the first list of the era lacks them.
+    /// Those of `evacuated` that another member keeps in force although the first list of the era, after the store's
+    /// return from an older copy, lacks them.
     unconfirmed: Vec<ids::DataCenterId>,
     /// Revision of the store that the list belongs to.
     revision: store_revision::StoreRevision,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Applies changes read from the store.
+    /// Applies changes read from the store, up to `revision`, to the routes, evacuations and upstreams.
     pub fn apply(
         &mut self,
         now: units::MonoTime,
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -78,7 +78,7 @@
 enum CopyOutcome {
     /// The documents were adopted where they are newer.
     Adopted,
-    /// The member did not provide them.
+    /// The member did not provide the documents.
     Missing,
     /// The documents are damaged, or do not apply to those in force.
     Damaged,
--- a/crates/instance/src/routes_history.rs
+++ b/crates/instance/src/routes_history.rs
@@ -28,7 +28,7 @@
 /// Routes in the form in which one member sends them to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RoutesCopy {
-    /// The whole text.
+    /// The whole text, compressed without a base, whatever version the receiver has.
     Whole(compressed_bytes::CompressedBytes),
     /// The changes from the receiver's version on, oldest first, each based on the one before.
     Changes(Vec<RoutesChange>),
--- a/crates/instance/src/store_call.rs
+++ b/crates/instance/src/store_call.rs
@@ -1,4 +1,5 @@
-//! Calls to the platform's store, whose answers state the store's era.
+//! Calls to the platform's store, whose answers state the store's era: it rises when the store is restored from an
+//! older copy.
 
 use std::time;
 
--- a/crates/instance/src/store_read.rs
+++ b/crates/instance/src/store_read.rs
@@ -6,9 +6,9 @@
 
 use crate::{adapter, context, document_call, list_update, store_call};
 
-/// Timeout of a read.
+/// Timeout of a call that reads one page, or the routes alone.
 const READ_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
-/// Most pages read of one range.
+/// Most pages read of one range of keys; items on further pages are left out.
 const MAX_PAGES: usize = 64;
 
 /// Items of a range of keys, and the revision of the store when the first page was read.
