--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -62,10 +62,10 @@
     pub permits: Vec<quota_permit::SendPermit>,
 }
 
-/// An engine that processes a part of a prompt.
+/// An engine that processes a part (share) of a prompt for the engine that answers.
 #[derive(Debug, Clone)]
 pub struct PartReader {
-    /// The engine.
+    /// Name of the engine, by which the gate decides whether the request may be sent.
     pub engine: ids::UpstreamId,
     /// Address of the engine.
     pub address: net::SocketAddrV4,
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -1,8 +1,8 @@
 //! Detection of upstreams that ended while they ran a request.
 //!
-//! A broken connection alone is no proof, as it may have been reset while the upstream keeps running. An upstream has ended
-//! if no process listens at its address any more, or if the list names another start of it, or none, although it was not
-//! leaving.
+//! A broken connection alone is no proof, as it may have been reset while the upstream keeps running. An upstream has
+//! ended if no process listens at its address any more, or if the list names another start of it (life of its
+//! process), or none, although it was not leaving.
 
 use std::{collections, net, rc, time};
 
@@ -70,9 +70,9 @@
 /// Proof that an upstream has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndProof {
-    /// No process listens at its address.
+    /// No process listens at the upstream's address.
     Refused,
-    /// The list names another start, or none.
+    /// The list names another start of the upstream, or none.
     List,
 }
 
--- a/crates/instance/src/upstream_gate.rs
+++ b/crates/instance/src/upstream_gate.rs
@@ -1,8 +1,9 @@
 //! The gate that every send to an upstream passes right before its first byte.
 //!
-//! Between the choice of an upstream and the send a request waits for its planner, for memory, for a connection or for an
-//! earlier attempt. Notices of the upstream that arrive meanwhile count, so the gate checks them for all sends, and the
-//! writing side of a connection to an upstream is available only with a [`SendPass`].
+//! Between the choice of an upstream and the send a request waits for its planner, for memory, for a connection or
+//! for an earlier attempt. Notices of the upstream (leaving, backoff, limit) that arrive meanwhile count, so the gate
+//! checks them for all sends, and the writing side of a connection to an upstream is available only with a
+//! [`SendPass`].
 //!
 //! Work for an upstream with a limit needs a permit of its coordinator.
 
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -1,4 +1,4 @@
-//! Load balancing over the upstreams of a plain service.
+//! Load balancing over the upstreams of a plain service, which run no model.
 
 use std::{collections, time};
 
@@ -23,7 +23,7 @@
 
 #[derive(Debug, Default, Clone)]
 struct LoadState {
-    /// Number of this process's calls in progress.
+    /// Number of this process's calls in progress at the upstream.
     calls: u32,
     /// Number of requests running and waiting at the upstream, and when it was reported.
     reported: Option<(u32, units::MonoTime)>,
@@ -33,9 +33,9 @@
 /// Load, health and answer times of upstreams as known to this process.
 #[derive(Debug, Default)]
 pub struct UpstreamLoads {
-    /// Rule that chooses among the candidates.
+    /// Rule that chooses among upstreams by their costs; other rules than the default serve for comparisons.
     way: modes::LoadChoiceMode,
-    /// Name of this instance.
+    /// Name of this instance, which determines its own order of upstreams with equal costs.
     own: String,
     /// Load and health by upstream.
     states: collections::HashMap<ids::UpstreamId, LoadState>,
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -24,7 +24,7 @@
     /// The operating system returned an error.
     #[snafu(display("cannot connect: {source}"))]
     Refused {
-        /// The error.
+        /// The error that the operating system returned.
         source: io::Error,
     },
     /// The attempt timed out.
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -12,9 +12,9 @@
 
 /// A wait for bytes on a connection that was given up.
 pub struct SilentWait<'a> {
-    /// The upstream.
+    /// The upstream that was to send the bytes.
     pub upstream: &'a ids::UpstreamId,
-    /// Times of the connection.
+    /// When the connection was opened, and when bytes were last received on it.
     pub times: &'a upstream_pool::ConnectionTimes,
     /// The part of the answer that was awaited.
     pub phase: connection_silence::SilencePhase,
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub struct SilenceLog {
     last: cell::Cell<Option<time::Instant>>,
-    /// Number of lines suppressed since the last one.
+    /// Number of lines suppressed since the last one that was logged.
     suppressed: cell::Cell<u64>,
 }
 
--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -1,4 +1,5 @@
-//! Handles ended starts of upstreams: fails the attempts in progress there and closes the idle connections.
+//! Handles ended starts (lives of the process) of upstreams: fails the attempts in progress there and closes the idle
+//! connections.
 
 use std::{cell, collections};
 
