--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -19,7 +19,8 @@
 /// Process age from which the member count is reliable; heartbeats are at most a second apart.
 const MEMBER_COUNT_MIN_AGE: time::Duration = time::Duration::from_secs(3);
 
-/// Minimum time to wait for a place, also after a long first attempt.
+/// Minimum time for which an attempt waits for a place (the assignment of its request to engines),
+/// also after a long first attempt.
 pub(crate) const MIN_PLACE_TIME: time::Duration = time::Duration::from_millis(200);
 
 /// A message to another member.
@@ -27,7 +28,7 @@
 pub struct OutgoingMessage {
     /// Address of the recipient.
     pub to: std::net::SocketAddrV4,
-    /// The message.
+    /// The message, sent as one datagram.
     pub message: peer_message::PeerMessage,
 }
 
@@ -44,7 +45,7 @@
 pub struct InstanceContext {
     /// Current settings; a reload replaces them.
     pub settings: cell::RefCell<rc::Rc<instance_settings::InstanceSettings>>,
-    /// Adapter of the platform.
+    /// Adapter that translates the headers, paths and documents of the platform.
     pub adapter: rc::Rc<dyn adapter::InstanceAdapter>,
     /// Clock that counts from the start of the process.
     pub clock: process::ProcessClock,
@@ -54,7 +55,7 @@
     pub stop: process::StopSignal,
     /// Completes when idle connections are to be closed.
     pub closing: future::Shared<oneshot::Receiver<()>>,
-    /// Routes and the list of upstreams.
+    /// Routes and the list of upstreams that are in force in this process.
     pub fleet: cell::RefCell<fleet_state::FleetState>,
     /// The other instances of the fleet.
     pub members: cell::RefCell<membership::MemberView>,
@@ -91,13 +92,14 @@
     pub quarantine: cell::RefCell<quarantine::QuarantineTable>,
     /// Notifies requests in progress that one was quarantined.
     pub verdicts: quarantine_gate::VerdictSignal,
-    /// Process age, in seconds, at the last gossip request, and the number of requests in that second.
+    /// Process age, in seconds, when gossip state was last requested from a member that had joined,
+    /// and the number of such requests in that second.
     pub gossip_requests: cell::Cell<(u64, usize)>,
     /// Encoded answers to members that request documents, and the number of large ones in flight.
     pub answers: cell::RefCell<document_answers::DocumentAnswers>,
     /// Rate limiter for log lines about silent connections.
     pub silence_log: upstream_silence::SilenceLog,
-    /// Counters and histograms.
+    /// Counters and latency histograms of this process, for operators.
     pub stats: cell::RefCell<instance_stats::InstanceStats>,
     /// Records of the last completed requests.
     pub records: cell::RefCell<crate::request_record::RecordLog>,
@@ -116,9 +118,10 @@
     pub places_until: cell::Cell<Option<units::MonoTime>>,
     /// When accepting a connection last failed; reset by the next accepted one.
     pub accept_failed_at: cell::Cell<Option<units::MonoTime>>,
-    /// Messages to other members.
+    /// Queue of messages to other members, read by `peers::send_all`.
     pub outgoing: mpsc::UnboundedSender<OutgoingMessage>,
-    /// Events about requests running at upstreams.
+    /// Queue of events about requests running at upstreams, read by
+    /// `upstream_ends::find_ended_upstreams`.
     runs: mpsc::UnboundedSender<upstream_ends::RunEvent>,
     /// Sequence number of the last attempt id.
     sequence: cell::Cell<u64>,
@@ -134,9 +137,10 @@
     pub stop: process::StopSignal,
     /// Completes when idle connections are to be closed.
     pub closing: oneshot::Receiver<()>,
-    /// Messages to other members.
+    /// Queue of messages to other members; its receiver must live as long as the process.
     pub outgoing: mpsc::UnboundedSender<OutgoingMessage>,
-    /// Events about requests running at upstreams.
+    /// Queue of events about requests running at upstreams; its receiver must live as long as the
+    /// process.
     pub runs: mpsc::UnboundedSender<upstream_ends::RunEvent>,
 }
 
@@ -207,7 +211,7 @@
         self.clock.now()
     }
 
-    /// Returns the current settings.
+    /// Returns the settings in force; a caller that keeps them does not see later reloads.
     pub fn settings(&self) -> rc::Rc<instance_settings::InstanceSettings> {
         rc::Rc::clone(&self.settings.borrow())
     }
@@ -368,7 +372,7 @@
 pub struct BusyGuard(rc::Rc<InstanceContext>);
 
 impl BusyGuard {
-    /// Adds one to the count.
+    /// Counts a task as in progress; a graceful stop waits for it as long as the grace time allows.
     pub fn new(context: &rc::Rc<InstanceContext>) -> Self {
         context.busy.set(context.busy.get() + 1);
         Self(rc::Rc::clone(context))
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -11,7 +11,7 @@
 /// plan for the same engines. A probe and its reply take some 60 bytes, and go to one or two members.
 const SILENT_PROBE_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
-/// Handles a heartbeat.
+/// Handles a heartbeat of another member.
 ///
 /// A member that has just joined is answered at once, with the addresses of all members if it knows only few. Unknown
 /// members that a heartbeat names are sent a heartbeat at once. With periodic heartbeats alone, the members of a large
@@ -143,7 +143,7 @@
 }
 
 impl AnnouncedState {
-    /// State that a heartbeat announces.
+    /// Extracts from a heartbeat the state whose changes are broadcast at once.
     pub(crate) fn of(heartbeat: &member_heartbeat::MemberHeartbeat) -> Self {
         Self {
             plans: heartbeat.plans,
--- a/crates/instance/src/instance_settings.rs
+++ b/crates/instance/src/instance_settings.rs
@@ -43,11 +43,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenAddresses {
-    /// For requests of callers.
+    /// Address for requests of callers.
     pub callers: net::SocketAddr,
-    /// For readiness checks of the load balancer.
+    /// Address for readiness checks of the load balancer.
     pub health: net::SocketAddr,
-    /// For document calls of other instances.
+    /// Address at which other instances fetch documents.
     pub members: net::SocketAddr,
 }
 
@@ -59,11 +59,11 @@
     pub leave: units::TimeSpan,
     /// Time from SIGTERM to SIGKILL.
     pub grace: units::TimeSpan,
-    /// Retries per request, over all instances.
+    /// Number of retries allowed per request to a service, counted over all instances.
     pub retry_ratio: f64,
-    /// Retries that all instances may send in each window in addition to `retry_ratio`.
+    /// Retries that all instances together may send to a service in each window, in addition to `retry_ratio`.
     pub retry_extra: f64,
-    /// Length of the window for `retry_extra`.
+    /// Length of the window in which `retry_extra` retries are allowed.
     pub retry_window: units::TimeSpan,
     /// Time for which memory reserved on engines may stay unused.
     #[serde(default = "default_memory_idle")]
@@ -84,7 +84,7 @@
         self.memory_idle.0.mul_f64(UNUSED_SHARE)
     }
 
-    /// Bound on the retries of all instances.
+    /// Bound on the retries of all instances together to one service.
     pub fn retry_bound(&self) -> fleet_budget::RetryBound {
         fleet_budget::RetryBound {
             ratio: self.retry_ratio,
@@ -118,7 +118,7 @@
     /// Variants of decision rules; values other than the defaults serve for comparisons.
     #[serde(default)]
     pub experiments: planner::modes::PlannerModes,
-    /// CPU share of the instance, in cores.
+    /// CPU share of the instance, in cores; members with the largest share are preferred as planners.
     pub cpu_share: f64,
     /// Limits for the whole fleet.
     pub bounds: FleetBounds,
--- a/crates/instance/src/instance_stats.rs
+++ b/crates/instance/src/instance_stats.rs
@@ -56,13 +56,13 @@
 }
 
 impl InstanceStats {
-    /// Increments a counter.
+    /// Adds one to the series `label` of the counter `metric`.
     pub fn count(&mut self, metric: &'static str, label: &str) {
         let key = bounded_key(&self.counters, metric, label);
         *self.counters.entry(key).or_default() += 1;
     }
 
-    /// Records a latency.
+    /// Adds a measurement to the series `label` of the histogram `metric`.
     pub fn time(&mut self, metric: &'static str, label: &str, span: time::Duration) {
         let key = bounded_key(&self.latencies, metric, label);
         let series = self.latencies.entry(key).or_default();
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -8,10 +8,10 @@
 
 use crate::{context, document_answers, member_feed, quarantine_gossip, upstream_rows};
 
-/// Path of the quarantined requests.
+/// Path at which operators list quarantined requests, and prefix of the path that releases one.
 const QUARANTINE_PATH: &str = "/v1/quarantine";
 
-/// Path of the rows on upstreams.
+/// Path at which operators read a row on each listed upstream.
 const UPSTREAMS_PATH: &str = "/v1/upstreams";
 
 /// Largest request head, in bytes.
@@ -78,7 +78,7 @@
     }
 }
 
-/// A response of this server.
+/// A response of this server, before it is written to the connection.
 struct ServerAnswer {
     status: u16,
     body: Bytes,
--- a/crates/instance/src/limit_gossip.rs
+++ b/crates/instance/src/limit_gossip.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Applies a reading of an upstream's limit.
+/// Applies a reading of an upstream's limit; a change of the limit is logged and updates the quotas.
 fn apply_reading(
     context: &context::InstanceContext,
     upstream: &ids::UpstreamId,
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -25,7 +25,8 @@
 /// Most [`CrashReport`]s in one message; each takes some 60 bytes.
 pub const MAX_CRASH_REPORTS: usize = 200;
 
-/// A message between two instances.
+/// A message from one instance to another, sent as one datagram. Datagrams may be lost; senders that need an answer
+/// retry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A complete heartbeat.
@@ -73,14 +74,14 @@
     Probe(failure_detector::ProbeMessage),
     /// Members suspected to have failed.
     Suspects(Vec<failure_detector::SuspectReport>),
-    /// Starts of members that are no longer suspected.
+    /// Boot ids of members that are no longer suspected.
     Restored(Vec<u64>),
 }
 
 /// A request limit that an upstream announced. Times are given as ages, as members' clocks differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The start of the upstream.
+    /// Start (one life of the process) of the upstream that announced the limit.
     pub upstream: ids::UpstreamId,
     /// The limit; `None` if the upstream has ended it.
     pub rate: Option<units::RequestRate>,
@@ -95,9 +96,9 @@
 pub struct PermitRequestMessage {
     /// Number of the request, unique within a start of its member.
     pub number: u64,
-    /// Start of the requesting member.
+    /// Boot id of the requesting member, which changes with each start of its process.
     pub boot: u64,
-    /// The quota.
+    /// The quota that the permits are taken from.
     pub subject: quota_permit::QuotaSubject,
     /// The requested number of permits, and how long the member can wait for them.
     #[serde(rename = "ask")]
@@ -109,9 +110,9 @@
 /// An upstream's announcement that it is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingReport {
-    /// The start of the upstream.
+    /// Start of the upstream that is leaving.
     pub upstream: ids::UpstreamId,
-    /// Time in milliseconds since its first announcement.
+    /// Time in milliseconds since the upstream's first announcement that it is leaving.
     pub age_ms: u64,
 }
 
@@ -119,9 +120,9 @@
 /// are relative to the same moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Digest of the request.
+    /// Digest of the request that the upstream was running.
     pub digest: request_digest::RequestDigest,
-    /// The start of the upstream.
+    /// Start of the upstream that crashed.
     pub upstream: ids::UpstreamId,
     /// Time in microseconds since the request was sent.
     pub sent_us: u64,
@@ -157,7 +158,7 @@
         postcard::to_stdvec(self)
     }
 
-    /// Decodes a datagram.
+    /// Decodes a datagram; one that cannot be decoded is logged and dropped.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -1,9 +1,9 @@
 //! Coordination of shared quotas: requests to each upstream with a limit, and retries to each service.
 //!
-//! The planner of an engine coordinates its limit, and a place is a permit. Any other quota is coordinated by the member
-//! that rendezvous hashing selects. Each coordinator grants the part of a quota that belongs to the members in contact, so
-//! both sides of a partition together stay within it. A member that does not consider itself the coordinator grants
-//! nothing.
+//! The planner of an engine coordinates the engine's limit, and a place (an assignment of a request to engines) that
+//! it grants is also a permit. Any other quota is coordinated by the member that rendezvous hashing selects. Each
+//! coordinator grants the part of a quota that belongs to the members in contact, so both sides of a partition
+//! together stay within it. A member that does not consider itself the coordinator grants nothing.
 
 use std::{cell, collections, time};
 
