--- a/crates/instance/src/compressed_bytes.rs
+++ b/crates/instance/src/compressed_bytes.rs
@@ -51,7 +51,7 @@
 /// Compressed bytes, with the length and digest of the original ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompressedBytes {
-    /// The output of the codec.
+    /// The output of the codec, zstd.
     packed: Vec<u8>,
     /// Length of the original bytes.
     length: u32,
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -35,7 +35,7 @@
     Alive(member_heartbeat::ShortHeartbeat),
     /// Requests a complete heartbeat, from an unknown member or to probe a silent one.
     Who,
-    /// Requests a place on an engine from a planner.
+    /// Requests a place (the assignment of a request to engines) from a planner.
     Ask(planner_key::PlannerKey, Box<engine_place::PlacementRequest>),
     /// Grants or refuses a place.
     Answer(Box<engine_place::PlaceAnswer>),
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -18,7 +18,7 @@
     collections::BTreeSet<ids::UpstreamId>,
 );
 
-/// Origin of a request for a place.
+/// Origin of a request for a place (the assignment of a request to engines).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementOrigin {
     /// A request of this process.
--- a/crates/instance/src/request_record.rs
+++ b/crates/instance/src/request_record.rs
@@ -19,7 +19,8 @@
     /// Number of further engines that processed parts of the prompt.
     #[serde(skip_serializing_if = "is_zero")]
     pub helpers: usize,
-    /// Time spent waiting for the place, in milliseconds.
+    /// Time that the attempt waited for its place (its assignment to engines), in milliseconds; 0 for
+    /// a plain service, whose upstreams run no model.
     #[serde(skip_serializing_if = "is_zero")]
     pub waited_ms: u64,
     /// Planned time to the first token, in milliseconds.
