--- a/crates/compare/src/fake_engines.rs
+++ b/crates/compare/src/fake_engines.rs
@@ -1,5 +1,5 @@
-//! The engines of a run. Each consists of an engine model, a placement ledger and delayed load
-//! reports.
+//! The simulated engines of a comparison run. Each consists of an engine model, the ledger by which
+//! a scheduler would place requests on it, and load reports that reach the ledger late.
 
 use std::{collections, time};
 
@@ -15,7 +15,8 @@
 pub struct FakeEngine {
     /// Name of the engine in the fleet list.
     pub name: ids::EngineId,
-    /// The scheduler's ledger of this engine.
+    /// Leases and waiting requests of the engine, as its scheduler tracks them. The baseline
+    /// policies place no requests through it.
     pub ledger: engine_ledger::EngineLedger,
     model: engine_model::EngineModel,
     /// Requests that wait for free memory. Under the baseline policies no ledger holds requests
@@ -30,7 +31,8 @@
 }
 
 impl FakeEngine {
-    /// Creates an idle engine.
+    /// Creates an engine without requests, and records its first load report at time 0. `options`
+    /// are those of the ledger.
     pub fn new(name: ids::EngineId, options: settings::FleetOptions) -> Self {
         let parameters = engine_model::EngineParameters {
             memory: scenario::ENGINE_MEMORY_TOKENS,
@@ -60,7 +62,8 @@
         self.start_queued();
     }
 
-    /// Aborts a queued or running attempt.
+    /// Aborts a queued or running attempt and frees its memory; does nothing if the engine has no
+    /// such attempt.
     pub fn cancel(&mut self, attempt: &str) {
         self.queue.retain(|request| request.attempt != attempt);
         self.model.cancel(attempt);
--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -24,13 +24,14 @@
 
 /// The cost of an operation, formatted for output.
 pub struct CostRow {
-    /// Description of the operation.
+    /// Name of the operation that was measured, as it is printed.
     pub operation: String,
     /// Mean time or memory, with its unit.
     pub value: String,
 }
 
-/// Runs all measurements in this module.
+/// Measures the reading of the settings and the list, and the decisions of an entry and a ledger,
+/// each with one row of the result.
 pub fn measure() -> Vec<CostRow> {
     let (settings_text, list_text) = (settings_text(), list_text());
     let mut cost_rows = vec![
--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -1,4 +1,5 @@
-//! Measures the time that a planner takes to place a request, and a member to choose a planner.
+//! Measures how long a planner (the member that assigns requests to a group of engines) takes to
+//! place a request, and how long a member takes to choose the planner.
 //!
 //! Results are wall-clock times and depend on the computer, so no test bounds them.
 
@@ -16,10 +17,10 @@
 const PLACED_REQUESTS: u64 = 200;
 /// Numbers of engines for which placement is measured.
 const ENGINE_COUNTS: [usize; 4] = [18, 60, 96, 600];
-/// Number of members, including the local one.
+/// Number of members among which the planner is chosen, including the local one.
 const MEMBERS: u16 = 380;
 
-/// Runs all measurements in this module.
+/// Measures placement with each of [`ENGINE_COUNTS`], and the choice of the planner.
 pub fn measure() -> Vec<planned_size::CostRow> {
     let mut rows = Vec::new();
     for engines in ENGINE_COUNTS {
@@ -55,7 +56,8 @@
     planned_size::cost_row(format!("{operation}, {engines} engines"), format!("{mean:?}"))
 }
 
-/// Measures how long a member takes to choose the planner of a service cell.
+/// Measures how long a member takes to choose the planner of a cell, which is a group of engines of
+/// one service.
 fn measure_planner_choice() -> planned_size::CostRow {
     let mut view = membership::MemberView::new(name("m", 0), Vec::new());
     for number in 1..MEMBERS {
@@ -72,7 +74,8 @@
     planned_size::cost_row(format!("which of {MEMBERS} members plans"), format!("{mean:?}"))
 }
 
-/// Returns a placement request with the goals of a short or long prompt.
+/// Returns a placement request with the latency goals of a short prompt or, above 24,000 tokens, of
+/// a long one.
 fn placement_request(sequence: u64, prompt: u64) -> engine_place::PlacementRequest {
     let long = prompt > 24_000;
     let goal_ms = if long { 3_000 } else { 300 };
--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -12,14 +12,15 @@
 
 /// Virtual time between two steps.
 const STEP: time::Duration = time::Duration::from_millis(5);
-/// Virtual time between two advances of the ledgers.
+/// Virtual time between two advances of the ledgers, which refuse requests that have waited too
+/// long, end expired leases and grant new ones.
 const ADVANCE_INTERVAL: time::Duration = time::Duration::from_millis(50);
-/// Virtual time between two renewals of the leases.
+/// Virtual time between two renewals of the leases that entries hold at the engines.
 const RENEW_INTERVAL: time::Duration = time::Duration::from_secs(4);
-/// Maximum number of candidate sets that are tried per placement, as in the entry.
+/// Maximum number of candidate sets that are tried per placement, as in a real entry.
 const MAX_ROUNDS: usize = 3;
 
-/// The outcome of a request.
+/// How a request ended. The times include the simulated network time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// Completed, with the time to the first token and to the end.
@@ -30,14 +31,14 @@
     Failed,
 }
 
-/// A request and its outcome.
+/// A request that has ended, as the summary of the run counts it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestResult {
     /// The request as it arrived.
     pub arrival: arrivals::Arrival,
-    /// The outcome, with its times.
+    /// How the request ended.
     pub outcome: RequestOutcome,
-    /// Number of attempts that reached an engine.
+    /// Number of attempts that reached an engine; 0 if the request was refused without one.
     pub attempts: u32,
 }
 
@@ -59,7 +60,7 @@
     first_token: Option<time::Duration>,
 }
 
-/// The state of a run.
+/// A run in progress: its virtual clock, routers, engines and requests, and the results so far.
 pub struct PolicyRun {
     scenario: scenario::RunScenario,
     options: settings::FleetOptions,
@@ -222,7 +223,8 @@
         (choice, offer_time + placement_time)
     }
 
-    /// Queues a request at its engine. Returns `false` if the ledger refuses it immediately.
+    /// Queues a request at its engine: under a baseline policy in the engine model, otherwise in
+    /// the ledger. Returns `false` if the ledger refuses it immediately.
     fn enqueue(&mut self, active: ActiveRequest) -> bool {
         let (engine, attempt) = (active.engine, active.capacity_request.attempt.clone());
         let name = self.engines[engine].name.clone();
@@ -325,7 +327,8 @@
         self.results.push(RequestResult { arrival: active.arrival, outcome, attempts });
     }
 
-    /// Removes a request from the active ones and counts its attempt as ended at its entry.
+    /// Removes a request from the active ones, and from the outstanding attempts that its entry
+    /// counts.
     fn remove_active(&mut self, attempt: &ids::AttemptId) -> Option<ActiveRequest> {
         let active = self.active.remove(attempt)?;
         let name = self.engines[active.engine].name.clone();
--- a/crates/compare/src/scenario.rs
+++ b/crates/compare/src/scenario.rs
@@ -5,9 +5,9 @@
 use slipturn_core::{fleet_list, settings, settings_resolve, units};
 use slipturn_load::arrivals;
 
-/// Number of entry instances.
+/// Number of instances. Each acts as an entry, which routes the requests that it receives.
 pub const INSTANCES: usize = 6;
-/// Number of engines.
+/// Number of engines, spread evenly over three data centres. All serve the same model.
 pub const ENGINES: usize = 18;
 /// Memory of an engine, in tokens. No prompt exceeds it, because groups of engines are tested only
 /// with real processes.
@@ -20,7 +20,7 @@
 pub const OUTPUT_TOKENS: u64 = 64;
 /// Relative request rate of each customer; the first three are the large customers.
 pub const KEY_WEIGHTS: [f64; 10] = [5.0, 4.0, 3.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0];
-/// Time limit of each request.
+/// Time limit of each request, counted from its arrival.
 pub const TIME_LIMIT: time::Duration = time::Duration::from_secs(60);
 /// Prompt length, in tokens, that separates the two log-uniform ranges of the mix.
 const LENGTH_THRESHOLD: f64 = arrivals::LONG_PROMPT_TOKENS as f64;
@@ -51,12 +51,12 @@
     },
 ];
 
-/// The parameters of a run.
+/// The fleet, load, policy and faults of a run.
 #[derive(Debug, Clone)]
 pub struct RunScenario {
-    /// The simulated fleet.
+    /// User whose fleet is simulated, with its network times.
     pub profile: FleetProfile,
-    /// The routing policy.
+    /// Policy by which the entries choose an engine.
     pub routing: settings::RoutingKind,
     /// Offered load as a share of the prefill capacity of all engines.
     pub load: f64,
@@ -70,7 +70,7 @@
     pub flood_factor: f64,
     /// Additional options for `fleet:` in YAML flow style, each followed by a comma.
     pub options: String,
-    /// Time during which requests arrive.
+    /// Virtual time during which requests arrive; the run lasts until the last of them has ended.
     pub length: time::Duration,
     /// Seed of the arrivals and of the routers' random choices.
     pub seed: u64,
@@ -121,7 +121,8 @@
             .filter(move |arrival| !short_prompts_only || arrival.prompt <= SHORT_PROMPT_TOKENS)
     }
 
-    /// Returns the settings document of the run.
+    /// Returns the settings document of the run, with one application and one API key for each
+    /// customer.
     pub fn settings(&self) -> String {
         let routing = match self.routing {
             settings::RoutingKind::ExpectedStart => "expected_start",
@@ -181,7 +182,7 @@
 /// Share of prompts over [`arrivals::LONG_PROMPT_TOKENS`].
 const LONG_SHARE: f64 = 0.02;
 
-/// Returns the API key of a customer.
+/// Returns the API key of the customer at an index of [`KEY_WEIGHTS`].
 pub fn customer_key(customer: usize) -> String {
     format!("key-{customer}")
 }
--- a/crates/compare/src/summary.rs
+++ b/crates/compare/src/summary.rs
@@ -1,4 +1,4 @@
-//! Summarises the results of a run.
+//! Condenses the results of a run into latency percentiles, counts and rates.
 
 use std::time;
 
@@ -7,10 +7,11 @@
 
 use crate::{policy_run, scenario};
 
-/// Latency and throughput of a run.
+/// Latency and throughput of a run. Only completed requests count in the times to first token.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunSummary {
-    /// Time to first token by prompt length band: percentiles 50, 95 and 99 in milliseconds.
+    /// Time to first token by band (range of prompt lengths): percentiles 50, 95 and 99 in
+    /// milliseconds.
     pub bands: Vec<(&'static str, [f64; 3])>,
     /// Time to first token of prompts of up to 2,000 tokens, percentiles as in `bands`.
     pub short_prompts: [f64; 3],
@@ -35,7 +36,7 @@
     pub attempts_per_request: f64,
 }
 
-/// Computes the summary of a run from its results.
+/// Computes the summary of a run from `results`, which must hold every request of the run.
 pub fn summarize(
     scenario: &scenario::RunScenario,
     results: &[policy_run::RequestResult],
