--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -17,11 +17,11 @@
 
 /// Time between two steps of the model.
 const STEP: time::Duration = time::Duration::from_millis(5);
-/// Largest accepted request body.
+/// Largest accepted request body, in bytes.
 const MAX_BODY_BYTES: u64 = 64 << 20;
 /// Bytes of a prompt that count as one token.
 const PROMPT_BYTES_PER_TOKEN: u64 = 4;
-/// Length of the start of a prompt that identifies its prefix in the cache.
+/// Number of bytes at the start of a prompt that identify its prefix in the cache.
 const PREFIX_BYTES: usize = 4_096;
 /// Number of load reports kept for `report_lag_ms`: about 10 s, at one for each step.
 const MAX_REPORTS: usize = 2_000;
@@ -31,7 +31,7 @@
 /// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RunCounts {
-    /// Number of starts by attempt id.
+    /// Number of times that each attempt was started, by attempt id.
     pub started: collections::BTreeMap<String, u64>,
     /// Requests refused before they ran.
     pub refused: u64,
@@ -331,7 +331,7 @@
     format!("{:016x}", rendezvous::stable_hash(&[text]))
 }
 
-/// The parameters of one response.
+/// The attempt, faults and format of one response.
 struct CompletionResponse<'state> {
     state: &'state EngineState,
     plan: faults::FaultPlan,
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -5,7 +5,7 @@
 
 /// Prompt tokens prefilled for one request before the next one is selected by priority.
 const PREFILL_CHUNK_TOKENS: f64 = 2_048.0;
-/// Capacity of the prefix cache.
+/// Maximum number of prefixes in the cache; beyond it, the least recently used one is evicted.
 const MAX_CACHED_PREFIXES: usize = 64;
 
 /// Speed and memory of an engine.
@@ -21,10 +21,10 @@
     pub doubling_batch_size: f64,
 }
 
-/// A request to an engine.
+/// An attempt at a request, as an engine receives it.
 #[derive(Debug, Clone)]
 pub struct EngineRequest {
-    /// Id of the attempt.
+    /// Id of the attempt, by which outputs name it and by which it is cancelled.
     pub attempt: String,
     /// Prompt length, in tokens.
     pub prompt: u64,
@@ -60,7 +60,7 @@
     hung: bool,
 }
 
-/// The state of an engine.
+/// A simulated engine: its running requests, reservations and prefix cache.
 #[derive(Debug)]
 pub struct EngineModel {
     parameters: EngineParameters,
@@ -73,7 +73,7 @@
 }
 
 impl EngineModel {
-    /// Creates an idle engine.
+    /// Creates an engine without requests or reservations, and with an empty prefix cache.
     pub fn new(parameters: EngineParameters) -> Self {
         Self {
             parameters,
@@ -104,7 +104,8 @@
         true
     }
 
-    /// Reserves memory for a part of a prompt. Returns `false` if there is not enough free memory.
+    /// Reserves memory for an attempt that another engine generates. Returns `false` if there is
+    /// not enough free memory.
     pub fn reserve(&mut self, attempt: &str, tokens: u64) -> bool {
         if self.held() + tokens > self.parameters.memory {
             return false;
@@ -143,17 +144,18 @@
         running + self.reserved.values().sum::<u64>()
     }
 
-    /// Returns the number of running requests.
+    /// Returns the number of requests that have been started and have not ended, including hung
+    /// ones.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the number of prompt tokens left to prefill.
+    /// Returns the number of prompt tokens left to prefill, over all running requests.
     pub fn prefill_backlog(&self) -> u64 {
         self.running.iter().map(|active| active.prefill_left).sum::<f64>() as u64
     }
 
-    /// Returns the memory capacity, in tokens.
+    /// Returns the KV cache capacity in tokens, whether in use or free.
     pub fn memory(&self) -> u64 {
         self.parameters.memory
     }
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -40,17 +40,17 @@
     pub stale_by: u64,
 }
 
-/// The current plan, shared by the tasks of a stand-in.
+/// The current fault plan, shared by the tasks of a stand-in.
 #[derive(Debug, Clone, Default)]
 pub struct SharedFaults(rc::Rc<cell::RefCell<FaultPlan>>);
 
 impl SharedFaults {
-    /// Returns a copy of the current plan.
+    /// Returns a copy of the current fault plan, which later changes do not affect.
     pub fn plan(&self) -> FaultPlan {
         self.0.borrow().clone()
     }
 
-    /// Replaces the current plan.
+    /// Replaces the whole fault plan: a fault that `plan` does not set is turned off.
     pub fn set(&self, plan: FaultPlan) {
         self.0.replace(plan);
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -12,7 +12,7 @@
 
 use crate::{engine, faults};
 
-/// Largest accepted request body, and so the largest document.
+/// Largest accepted request body in bytes, and so the largest document.
 const MAX_DOCUMENT_BYTES: u64 = 1 << 20;
 /// Interval at which a long poll checks for a new version.
 const WATCH_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
@@ -88,7 +88,8 @@
         reads <= MAX_READS_PER_SECOND
     }
 
-    /// Returns the number and body of the newest version, or of an older one if `stale_by` is set.
+    /// Returns the number and body of a document's newest version, or of an older one if the fault
+    /// `stale_by` is set; `None` if the document has not been published.
     fn newest_version(&self, name: &str) -> Option<(u64, Bytes)> {
         let stale_by = usize::try_from(self.faults.plan().stale_by).unwrap_or(usize::MAX);
         let documents = self.documents.borrow();
@@ -107,7 +108,8 @@
     http_server::json_response(200, &number)
 }
 
-/// Waits for a version newer than `after`; returns status 304 when `wait_ms` has passed.
+/// Waits for a version of a document newer than the query parameter `after`; returns status 304 if
+/// there is none when the time `wait_ms` has passed.
 async fn read_document(state: &PlatformState, name: &str, query: &str) -> http::Response<Bytes> {
     let after = query_number(query, "after").unwrap_or(0);
     let wait = time::Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,5 @@
-//! A plain HTTP service that counts its calls by idempotency key and by request.
+//! A plain HTTP service (one that runs no model) that counts its calls by idempotency key and by
+//! request.
 
 use std::{cell, collections, rc, time};
 
@@ -7,17 +8,17 @@
 
 use crate::{engine, faults};
 
-/// Largest accepted request body.
+/// Largest accepted request body, in bytes.
 const MAX_BODY_BYTES: u64 = 16 << 20;
 
 /// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ServiceCounts {
-    /// Number of calls run.
+    /// Number of calls run, with or without an idempotency key.
     pub runs: u64,
-    /// Number of calls run by idempotency key; calls without a key are left out.
+    /// Number of calls run for each idempotency key; calls without a key are left out.
     pub by_key: collections::BTreeMap<String, u64>,
-    /// Number of calls run by request id.
+    /// Number of calls run for each request id, over all attempts of the request.
     pub by_request: collections::BTreeMap<String, u64>,
     /// Calls refused because a call with the same idempotency key had run before.
     pub key_refusals: u64,
