--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -18,13 +18,13 @@
         /// Error of the `capnp` crate.
         source: capnp::Error,
     },
-    /// A text is not UTF-8.
+    /// A text in the message is not UTF-8.
     #[snafu(display("text: {source}"))]
     Text {
         /// Error of the UTF-8 decoder.
         source: str::Utf8Error,
     },
-    /// A name is not valid.
+    /// A name or id in the message does not have the required form.
     #[snafu(display("name: {source}"))]
     Name {
         /// Error of the name's parser.
@@ -39,7 +39,7 @@
     /// The message contains a refusal code that this version does not know.
     #[snafu(display("unknown refusal code '{label}'"))]
     UnknownCode {
-        /// Label of the code.
+        /// Label of the code, as it was received.
         label: String,
     },
 }
@@ -56,7 +56,8 @@
     }
 }
 
-/// Writes a request for a place on `engine`.
+/// Writes a request for a place (assignment of a request to an engine) on `engine`. Its deadlines
+/// are sent as the time left at `now`.
 pub fn write_place(
     mut builder: scheduler_capnp::place::Builder<'_>,
     engine: &ids::EngineId,
@@ -78,7 +79,8 @@
     builder.set_patience_ms(units::whole_millis(request.queue_deadline.since(now)));
 }
 
-/// Reads a request for a place and the engine it is for.
+/// Reads a request for a place, and the engine that is to run it. Its deadlines are counted from
+/// `now`, the time of receipt.
 pub fn read_place(
     reader: scheduler_capnp::place::Reader<'_>,
     now: units::MonoTime,
@@ -113,7 +115,7 @@
         .set_retry_after_ms(refusal.retry_after.map_or(0, |wait| units::whole_millis(wait).max(1)));
 }
 
-/// Reads a refusal.
+/// Reads a refusal, whose request always counts as not run. Fails if the refusal code is unknown.
 pub fn read_refusal(
     reader: scheduler_capnp::refusal::Reader<'_>,
 ) -> Result<refusal::RequestRefusal, WireError> {
@@ -127,7 +129,8 @@
     Ok(refusal)
 }
 
-/// Writes the offer of an engine or the refusal.
+/// Writes an engine's offer (an estimate of how it could serve a request), or the refusal of the
+/// request.
 pub fn write_offer(
     builder: scheduler_capnp::offer_reply::Builder<'_>,
     answer: &Result<placement::EngineOffer, refusal::RequestRefusal>,
@@ -146,7 +149,8 @@
     }
 }
 
-/// Reads the offer of an engine or the refusal.
+/// Reads an engine's offer (an estimate of how it could serve a request), or the refusal of the
+/// request.
 pub fn read_offer(
     reader: scheduler_capnp::offer_reply::Reader<'_>,
 ) -> Result<Result<placement::EngineOffer, refusal::RequestRefusal>, WireError> {
@@ -184,7 +188,8 @@
     }
 }
 
-/// Writes a portion of a budget or, if the budget is exhausted, the time until one is available.
+/// Writes a portion of a token budget or, if the budget is exhausted, the time until tokens are
+/// available again.
 pub fn write_portion(
     mut builder: scheduler_capnp::portion_reply::Builder<'_>,
     answer: Result<budget::BudgetPortion, budget::BudgetExhausted>,
@@ -199,7 +204,8 @@
     }
 }
 
-/// Reads a portion of a budget or, if the budget is exhausted, the time until one is available.
+/// Reads a portion of a token budget or, if the budget is exhausted, the time until tokens are
+/// available again.
 pub fn read_portion(
     reader: scheduler_capnp::portion_reply::Reader<'_>,
 ) -> Result<Result<budget::BudgetPortion, budget::BudgetExhausted>, WireError> {
@@ -213,7 +219,7 @@
     }
 }
 
-/// Writes a vote on an idempotency key.
+/// Writes an instance's answer to a query whether a request may use an idempotency key.
 pub fn write_vote(
     mut builder: scheduler_capnp::vote_reply::Builder<'_>,
     answer: &key_vote::VoteAnswer,
@@ -226,7 +232,7 @@
     }
 }
 
-/// Reads a vote on an idempotency key.
+/// Reads an instance's answer to a query whether a request may use an idempotency key.
 pub fn read_vote(
     reader: scheduler_capnp::vote_reply::Reader<'_>,
 ) -> Result<key_vote::VoteAnswer, WireError> {
@@ -243,7 +249,8 @@
     reader.to_str().context(TextSnafu)
 }
 
-/// Reads and validates a name.
+/// Reads a text and parses it as a name or id of type `T`; fails if it does not have the form of
+/// `T`.
 pub fn read_name<T>(reader: capnp::text::Reader<'_>) -> Result<T, WireError>
 where
     T: str::FromStr<Err = ids::NameError>,
