--- a/crates/soak/src/config_check.rs
+++ b/crates/soak/src/config_check.rs
@@ -13,10 +13,11 @@
 /// Time within which a new configuration must take effect at instances in contact: the platform's
 /// bound of 2 s plus scheduling delays of the test host.
 pub const APPLY_BOUND: time::Duration = time::Duration::from_millis(2_300);
-/// Statuses that reject a route or a key.
+/// Statuses with which an instance rejects the route or the API key of a probe.
 const DENIAL_STATUSES: [u16; 3] = [401, 403, 404];
 
-/// Returns the violations, summarized by kind and instance.
+/// Returns the configurations that took effect late or were undone, summarized by kind and
+/// instance.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let late_activation =
         evidence.probes.iter().filter_map(|probe| late_activation(evidence, probe));
--- a/crates/soak/src/config_probe.rs
+++ b/crates/soak/src/config_probe.rs
@@ -80,7 +80,7 @@
 /// A probe request to an instance and its outcome.
 #[derive(Debug, Clone)]
 pub struct ConfigProbe {
-    /// Id of the probe request.
+    /// Id of the probe request, unique within the run.
     pub id: String,
     /// Number of the instance probed.
     pub instance: u8,
@@ -90,7 +90,7 @@
     pub from: time::Instant,
     /// Time at which the answer ended.
     pub to: time::Instant,
-    /// Outcome as the client saw it.
+    /// Outcome of the probe as its client saw it.
     pub outcome: Outcome,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl ConfigProber {
-    /// Starts one client for each instance.
+    /// Starts one client for each instance, which probes the publications in `log` in turn.
     pub fn start(log: &PublicationLog, instances: &[net::SocketAddr]) -> Self {
         let stop_requested = sync::Arc::new(AtomicBool::new(false));
         let start = |(instance, address): (u8, &net::SocketAddr)| {
--- a/crates/soak/src/contact_plan.rs
+++ b/crates/soak/src/contact_plan.rs
@@ -16,11 +16,13 @@
     fault_series,
 };
 
-/// Random stream of the losses of contact in the first part.
+/// Number of the random stream that draws the losses of contact in the first part.
 const FIRST_PART_STREAM: u64 = 1;
-/// Random stream of the scenes.
+/// Number of the random stream that draws the faults of the scenes, except their silent or late
+/// upstreams.
 const SCENE_STREAM: u64 = 2;
-/// Random stream of the upstreams that are silent or late while instances are in contact.
+/// Number of the random stream that draws the upstreams that are silent or late while instances are
+/// in contact.
 const SILENT_UPSTREAM_STREAM: u64 = 3;
 /// Time from the start of a scene until an upstream becomes silent or late, milliseconds.
 const SILENT_UPSTREAM_START_MS: ops::Range<u64> = 3_500..5_000;
@@ -127,7 +129,8 @@
     faults
 }
 
-/// Draws a loss of contact.
+/// Draws a loss of contact: connections that fall silent, a faulty link of one instance, or lost
+/// answers of the store.
 fn draw_loss(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
@@ -166,7 +169,8 @@
     PlannedFault { at, length, fault }
 }
 
-/// Returns one of the independent random streams of a seed.
+/// Returns one of the independent random streams of a seed. The dense faults of the first part use
+/// stream 0.
 pub(crate) fn random_stream(seed: u64, number: u64) -> ChaCha8Rng {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(number);
--- a/crates/soak/src/data_center_plan.rs
+++ b/crates/soak/src/data_center_plan.rs
@@ -1,4 +1,5 @@
-//! Plans evacuations of data centres, and engines that are listed as cold.
+//! Plans evacuations of data centres, and engines that are listed as cold (limited to a low request
+//! rate for a while).
 
 use std::ops;
 
@@ -10,12 +11,12 @@
     fault_series,
 };
 
-/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
-/// change.
+/// First seed whose plan has evacuations and cold engines: plans of lower seeds are kept as tests
+/// and must not change.
 const FIRST_SEED: u64 = 60_000;
-/// Random stream of the evacuations and cold engines.
+/// Number of the random stream that draws the evacuations and cold engines.
 const DATA_CENTER_STREAM: u64 = 7;
-/// Pause between the starts of two faults, milliseconds.
+/// Time between the starts of two evacuations or cold engines, milliseconds.
 const GAP_MS: ops::Range<u64> = 800..3_500;
 /// How long an evacuation lasts, or an engine is listed as cold, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 1_000..7_000;
--- a/crates/soak/src/drill_plan.rs
+++ b/crates/soak/src/drill_plan.rs
@@ -10,18 +10,18 @@
     fault_series,
 };
 
-/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+/// First seed whose plan has store drills: plans of lower seeds are kept as tests and must not
 /// change.
 const FIRST_SEED: u64 = 70_000;
-/// Random stream of the drills.
+/// Number of the random stream that draws the store drills.
 const DRILL_STREAM: u64 = 8;
-/// Pause between the starts of two drills, milliseconds.
+/// Time between the starts of two drills, milliseconds.
 const GAP_MS: ops::Range<u64> = 2_000..7_000;
-/// How long the store is unavailable, milliseconds.
+/// How long the store is unavailable before the restore, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 200..3_000;
-/// Age of the copy at the time of the restore, milliseconds.
+/// Age, at the time of the restore, of the copy that the store is restored from, milliseconds.
 const AGE_MS: ops::Range<u64> = 100..5_000;
-/// Time from the restore until the lost entries are written again, milliseconds.
+/// Time from the restore until the entries that it lost are written again, milliseconds.
 const REWRITE_MS: ops::Range<u64> = 0..1_500;
 
 /// Returns the drills of a seed, spread over the whole run.
--- a/crates/soak/src/entry_plan.rs
+++ b/crates/soak/src/entry_plan.rs
@@ -10,12 +10,12 @@
     fault_series,
 };
 
-/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
-/// change.
+/// First seed whose plan has restarts and invalid entries: plans of lower seeds are kept as tests
+/// and must not change.
 const FIRST_SEED: u64 = 20_000;
-/// Random stream of the restarts and invalid entries.
+/// Number of the random stream that draws the restarts and invalid entries.
 const ENTRY_STREAM: u64 = 4;
-/// Pause between the starts of two faults, milliseconds.
+/// Time between the starts of two restarts or invalid entries, milliseconds.
 const GAP_MS: ops::Range<u64> = 400..2_000;
 /// How long an upstream lacks a valid entry after a restart or an overwrite, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 20..1_500;
--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -11,7 +11,7 @@
 pub struct Disturbance {
     /// Number of the instance disturbed; `None` for all instances.
     pub instance: Option<u8>,
-    /// Start of the disturbance.
+    /// Time at which the disturbance began.
     pub from: time::Instant,
     /// End of the period excused: the end of the disturbance plus a margin for recovery.
     pub to: time::Instant,
@@ -39,7 +39,7 @@
 /// A change of the listed state of an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamListing {
-    /// Number of the upstream.
+    /// Number of the upstream whose listed state changed.
     pub upstream: u8,
     /// Whether the upstream is to get no more requests; `false` if it is ready.
     pub leaving: bool,
@@ -50,9 +50,9 @@
 /// A period in which requests and cancels may reach an upstream late.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkFault {
-    /// Number of the upstream.
+    /// Number of the upstream whose link has the fault.
     pub upstream: u8,
-    /// Start of the fault.
+    /// Time at which the fault of the link began.
     pub from: time::Instant,
     /// End of the period excused: the end of the fault plus a margin for recovery.
     pub to: time::Instant,
@@ -61,9 +61,9 @@
 /// A run of a request at an upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamRun {
-    /// Number of the upstream.
+    /// Number of the upstream that ran the request.
     pub upstream: u8,
-    /// Id of the request.
+    /// Id of the request that was run.
     pub id: String,
     /// Time at which the run began.
     pub at: time::Instant,
@@ -75,9 +75,9 @@
 /// A request that reached an upstream, run or not, and the signals in its answer.
 #[derive(Debug, Clone)]
 pub struct UpstreamResponse {
-    /// Number of the upstream.
+    /// Number of the upstream that the request reached.
     pub upstream: u8,
-    /// Id of the request.
+    /// Id of the request that reached the upstream.
     pub id: String,
     /// Time at which the request arrived.
     pub at: time::Instant,
@@ -92,7 +92,7 @@
 /// A rate limit that an upstream announced, and the period in which it applied.
 #[derive(Debug, Clone)]
 pub struct AnnouncedLimit {
-    /// Number of the upstream.
+    /// Number of the upstream that announced the limit.
     pub upstream: u8,
     /// Requests a second from all instances together.
     pub rate: f64,
@@ -116,7 +116,7 @@
     pub upstream_runs: Vec<UpstreamRun>,
     /// Requests that reached upstreams, run or not, and the signals in their answers.
     pub responses: Vec<UpstreamResponse>,
-    /// Rate limits that upstreams announced.
+    /// Rate limits that upstreams announced, each with the period in which it applied.
     pub limits: Vec<AnnouncedLimit>,
     /// Number of the upstream and time for each restart: signals from before a restart no longer
     /// apply.
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -31,13 +31,14 @@
 /// Action that ends a fault. The names are written to the fault log.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum FaultEnd {
-    /// Starts an instance.
+    /// Starts an instance again after a kill or a planned stop.
     Start(u8),
-    /// Sends SIGCONT to an instance.
+    /// Sends SIGCONT to an instance that SIGSTOP has paused.
     Continue(u8),
     /// Makes the store work again after a failure mode.
     StoreGood,
-    /// Makes the link of one instance to the store work again, or all such links for `None`.
+    /// Makes the link from one instance to the store work again, or those of all instances for
+    /// `None`.
     StoreLinkGood(Option<u8>),
     /// Makes the link on which members read documents of an instance work again.
     MemberLinkGood(u8),
@@ -45,7 +46,7 @@
     UpstreamGood(u8),
     /// Makes the link to an upstream work again.
     UpstreamLinkGood(u8),
-    /// Lists an upstream as ready.
+    /// Lists an upstream as ready, after it was listed as leaving or its entry was not valid.
     Return(u8),
     /// Restarts an upstream and lists it as ready.
     Restart(u8),
@@ -68,7 +69,7 @@
 pub(crate) struct FaultInjector {
     /// Fleet that faults are injected into.
     pub(crate) fleet: Fleet,
-    /// Observations and disturbed periods.
+    /// Observations of the run so far, and the periods that faults disturbed.
     pub(crate) evidence: Evidence,
     /// Configurations published so far.
     pub(crate) publication_log: config_probe::PublicationLog,
@@ -510,12 +511,12 @@
     }
 }
 
-/// Returns the link with a number, or all links for `None`.
+/// Returns the link of the instance or upstream with a number, or all links for `None`.
 fn select_links(runner_links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
     number.map_or(runner_links, |number| &runner_links[usize::from(number)..][..1])
 }
 
-/// Returns the name of the data centre of an upstream.
+/// Returns the name of the data centre that only this upstream is in, if the plan has evacuations.
 fn data_center_of(number: usize) -> String {
     format!("zone-{number}")
 }
--- a/crates/soak/src/fault_plan.rs
+++ b/crates/soak/src/fault_plan.rs
@@ -30,13 +30,14 @@
     Stop(u8),
     /// An instance gets SIGSTOP, and SIGCONT at the end.
     Pause(u8),
-    /// An instance gets SIGHUP.
+    /// An instance gets SIGHUP, on which it reads its settings again.
     Reload(u8),
     /// All instances get SIGKILL and are started again at the end.
     KillAll,
-    /// The store fails in the given mode.
+    /// The store fails in the given mode until the end.
     Store(StoreMode),
-    /// The store discards its history of changes.
+    /// The store discards its history of changes, so that watches from an older revision get status
+    /// 410.
     Forget,
     /// A new configuration with one more route is published.
     Publish,
@@ -90,7 +91,7 @@
     },
 }
 
-/// A fault with its start and length.
+/// A fault of a plan, with its start and length.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
     /// Time from the start of traffic to the start of the fault.
@@ -116,7 +117,7 @@
 /// Size of the fleet and length of the run that a plan is made for.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanSize {
-    /// Number of instances.
+    /// Number of instances; faults refer to them by numbers from 0.
     pub instances: u8,
     /// Number of upstreams of both services together; engines have the lowest numbers.
     pub upstreams: u8,
--- a/crates/soak/src/fault_series.rs
+++ b/crates/soak/src/fault_series.rs
@@ -12,16 +12,16 @@
 
 /// Timing of a series: when its faults begin and how long each lasts.
 pub(crate) struct FaultSeries {
-    /// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
-    /// change.
+    /// First seed whose plan has the faults of the series: plans of lower seeds are kept as tests
+    /// and must not change.
     pub(crate) first_seed: u64,
-    /// Random stream that the series is drawn from.
+    /// Number of the random stream that the series is drawn from; no other series uses it.
     pub(crate) stream: u64,
     /// Time after which no fault begins, from the start of the run.
     pub(crate) end: time::Duration,
-    /// Pause between the starts of two faults, milliseconds.
+    /// Time between the starts of two faults of the series, milliseconds.
     pub(crate) gap_ms: ops::Range<u64>,
-    /// How long a fault lasts, milliseconds.
+    /// How long a fault of the series lasts, milliseconds.
     pub(crate) length_ms: ops::Range<u64>,
 }
 
--- a/crates/soak/src/leave_check.rs
+++ b/crates/soak/src/leave_check.rs
@@ -29,7 +29,8 @@
     left: Option<time::Instant>,
 }
 
-/// Returns the violations, summarized by kind.
+/// Returns the runs that began at a leaving upstream or went on after their caller had left,
+/// summarized by kind.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let origins = origins(evidence);
     let spans = leave_spans(evidence);
--- a/crates/soak/src/limit_check.rs
+++ b/crates/soak/src/limit_check.rs
@@ -17,7 +17,7 @@
 /// Time from the first answer with a limit that an instance gets until its requests count.
 const NOTICE_TIME: time::Duration = time::Duration::from_millis(500);
 
-/// Returns the violations, summarized by upstream.
+/// Returns the rate limits that instances exceeded, summarized by upstream.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let origins = signal_check::origins(evidence);
     let found =
--- a/crates/soak/src/limit_plan.rs
+++ b/crates/soak/src/limit_plan.rs
@@ -11,12 +11,12 @@
     fault_series,
 };
 
-/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+/// First seed whose plan has rate limits: plans of lower seeds are kept as tests and must not
 /// change.
 const FIRST_SEED: u64 = 50_000;
-/// Random stream of the rate limits.
+/// Number of the random stream that draws the rate limits.
 const LIMIT_STREAM: u64 = 6;
-/// Pause between the starts of two limits, milliseconds.
+/// Time between the starts of two rate limits, milliseconds.
 const GAP_MS: ops::Range<u64> = 500..3_000;
 /// How long an upstream announces a limit, milliseconds; `limit_check` counts requests over 4 s.
 const LENGTH_MS: ops::Range<u64> = 3_000..9_000;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -22,22 +22,22 @@
     traffic::Traffic,
 };
 
-/// Options of a run.
+/// Program, seed and sizes of a run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// Path of the instance program.
+    /// Path of the program that each instance runs.
     pub program: path::PathBuf,
     /// Seed that determines the plan.
     pub seed: u64,
     /// Length of the first part of the run; see [`fault_plan`].
     pub length: Duration,
-    /// Number of instances.
+    /// Number of instances in the fleet, each a process of its own.
     pub instances: u8,
-    /// Number of clients.
+    /// Number of clients that send requests at the same time.
     pub clients: u64,
 }
 
-/// Outcome of a run.
+/// The violations found in a run, and what is needed to analyse them.
 #[derive(Debug)]
 pub struct RunReport {
     /// Descriptions of the violations; empty if there were none.
@@ -56,7 +56,7 @@
 /// File in the log folder that lists the injected faults with their times, and the violations.
 const FAULT_LOG_FILE: &str = "strikes.txt";
 
-/// Returns the plan of a run.
+/// Returns the faults that a run injects, in order of time; equal options give equal plans.
 pub fn plan(options: &RunOptions) -> Vec<PlannedFault> {
     fault_plan::plan(options.seed, plan_size(options))
 }
--- a/crates/soak/src/signal_check.rs
+++ b/crates/soak/src/signal_check.rs
@@ -15,7 +15,7 @@
 /// The instance that each request was sent to and the time of sending, by request id.
 pub(crate) type RequestOrigins<'a> = collections::HashMap<&'a str, (u8, time::Instant)>;
 
-/// Returns the origins of all requests and probes.
+/// Returns the instance and the time of sending of each request and probe, by request id.
 pub(crate) fn origins(evidence: &Evidence) -> RequestOrigins<'_> {
     let sent = evidence.sent.iter().map(|sent| (sent.id.as_str(), (sent.instance, sent.from)));
     let probes = evidence.probes.iter();
@@ -23,7 +23,7 @@
     sent.chain(probes).collect()
 }
 
-/// Returns the violations, summarized by kind.
+/// Returns the requests that reached an upstream in spite of its signals, summarized by kind.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let origins = origins(evidence);
     let found = evidence
--- a/crates/soak/src/signal_plan.rs
+++ b/crates/soak/src/signal_plan.rs
@@ -11,12 +11,12 @@
     fault_series,
 };
 
-/// First seed whose plan has these faults: plans of lower seeds are kept as tests and must not
+/// First seed whose plan has such signals: plans of lower seeds are kept as tests and must not
 /// change.
 const FIRST_SEED: u64 = 40_000;
-/// Random stream of the signals.
+/// Number of the random stream that draws the signals.
 const SIGNAL_STREAM: u64 = 5;
-/// Pause between the starts of two signals, milliseconds.
+/// Time between the starts of two signals, milliseconds.
 const GAP_MS: ops::Range<u64> = 500..2_500;
 /// How long an upstream keeps signalling, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 500..5_000;
--- a/crates/soak/src/store_drill.rs
+++ b/crates/soak/src/store_drill.rs
@@ -1,4 +1,5 @@
-//! Keeps recent copies of the store, to restore an older state in a drill.
+//! Keeps recent copies of the store, to restore an older state in a drill: an outage of the store
+//! that ends with the restore of a copy.
 
 use std::{
     collections,
@@ -7,9 +8,9 @@
 
 use slipturn_platform_standin::store::{Store, StoreCopy, StoreMode};
 
-/// Minimum time between two copies.
+/// Minimum time between two copies of the store.
 const COPY_INTERVAL: Duration = Duration::from_millis(100);
-/// Age beyond which a copy is dropped.
+/// Age beyond which a copy of the store is dropped; drills restore copies up to about 5 s old.
 const MAX_AGE: Duration = Duration::from_secs(6);
 
 /// Recent copies of the store with the time of each, oldest first.
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -18,8 +18,8 @@
 
 /// Pause of a client between two requests, milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 2..40;
-/// One request in this many has a long answer: a stream of this length outlasts the time for which
-/// a stopping instance still accepts connections, and ends within the grace period.
+/// One request in this many has a long answer of [`LONG_ANSWER_TOKENS`]: its stream outlasts the
+/// time for which a stopping instance still accepts connections, and ends within the grace period.
 const LONG_STREAMS: u32 = 24;
 /// Number of tokens of a long answer, whose stream takes 3.3 to 4.5 s.
 pub const LONG_ANSWER_TOKENS: std::ops::Range<u64> = 11_000..15_000;
@@ -29,11 +29,11 @@
 /// Time from writing an abandoned request to closing its connection, milliseconds. The longest
 /// exceed the shortest time after which an instance gives up a silent connection.
 const ABANDON_WAIT_MS: std::ops::Range<u64> = 0..400;
-/// Random stream that chooses the abandoned requests.
+/// Number of a client's random stream that chooses the abandoned requests.
 const ABANDON_STREAM: u64 = 1;
 /// One request in this many is unread: its client reads nothing of the answer until the run ends.
 const UNREAD_REQUESTS: u32 = 40;
-/// Random stream that chooses the unread requests.
+/// Number of a client's random stream that chooses the unread requests.
 const UNREAD_STREAM: u64 = 2;
 /// Idle time after which a connection is not reused: well under the instances' idle timeout of 10
 /// s, so that no request is sent while the instance closes the connection.
@@ -41,12 +41,12 @@
 /// Deadline that clients give with each request.
 const DEADLINE: time::Duration = time::Duration::from_secs(6);
 
-/// A request and its outcome as the client saw it.
+/// A request that a client sent, and its outcome as the client saw it.
 #[derive(Debug, Clone)]
 pub struct SentRequest {
-    /// Id of the request.
+    /// Id of the request, unique within the run.
     pub id: String,
-    /// Route of the request.
+    /// Name of the request's route, which is also the first segment of its path.
     pub route: &'static str,
     /// Number of the instance that the request was sent to.
     pub instance: u8,
