--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -20,7 +20,7 @@
 /// Number of members among which the planner is chosen, including the local one.
 const MEMBERS: u16 = 380;
 
-/// Measures placement with each of [`ENGINE_COUNTS`], and the choice of the planner.
+/// Measures placement with 18 to 600 engines, and the choice of the planner.
 pub fn measure() -> Vec<planned_size::CostRow> {
     let mut rows = Vec::new();
     for engines in ENGINE_COUNTS {
--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -10,7 +10,7 @@
 
 use crate::{fake_engines, scenario};
 
-/// Virtual time between two steps.
+/// Virtual time by which each step advances the run.
 const STEP: time::Duration = time::Duration::from_millis(5);
 /// Virtual time between two advances of the ledgers, which refuse requests that have waited too
 /// long, end expired leases and grant new ones.
@@ -23,7 +23,7 @@
 /// How a request ended. The times include the simulated network time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Completed, with the time to the first token and to the end.
+    /// Completed, with the times from arrival to the first token and to the end.
     Completed(time::Duration, time::Duration),
     /// Refused, with the time from arrival to refusal.
     Refused(time::Duration),
--- a/crates/compare/src/scenario.rs
+++ b/crates/compare/src/scenario.rs
@@ -28,7 +28,7 @@
 /// The properties of a user's fleet that a run depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetProfile {
-    /// Name of the user.
+    /// Name of the user, printed as the heading of the results.
     pub name: &'static str,
     /// Network round-trip time within a data centre.
     pub local_round_trip: time::Duration,
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -18,7 +18,8 @@
 const DENIAL_STATUSES: [u16; 5] = [400, 401, 403, 404, 413];
 /// Time after the deadline of a request within which it must have ended.
 const END_SLACK: time::Duration = time::Duration::from_millis(1_500);
-/// Deadline that clients give with each request.
+/// Time limit that clients state in each request, counted from sending; the same as in
+/// [`crate::traffic`].
 const REQUEST_DEADLINE: time::Duration = time::Duration::from_secs(6);
 
 /// Returns a description of each violation in a run, those found during the run first.
--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -79,7 +79,7 @@
     pub upstream: u8,
     /// Id of the request that reached the upstream.
     pub id: String,
-    /// Time at which the request arrived.
+    /// Time at which the request arrived at the upstream.
     pub at: time::Instant,
     /// Time of the answer, if it announced that the upstream is leaving.
     pub leaving_announced_at: Option<time::Instant>,
@@ -94,11 +94,11 @@
 pub struct AnnouncedLimit {
     /// Number of the upstream that announced the limit.
     pub upstream: u8,
-    /// Requests a second from all instances together.
+    /// The announced limit: requests a second from all instances together.
     pub rate: f64,
-    /// Time from which answers announced the limit.
+    /// Time from which answers of the upstream announced the limit.
     pub since: time::Instant,
-    /// Time at which the next limit replaced it or the run ended.
+    /// Time at which the upstream's next announcement replaced the limit, or the run ended.
     pub until: time::Instant,
 }
 
@@ -141,7 +141,7 @@
     pub publications: Vec<config_probe::Publication>,
     /// Probes of the configuration, in order of time for each instance.
     pub probes: Vec<config_probe::ConfigProbe>,
-    /// Violations found during the run.
+    /// Violations found before the evidence is checked, such as an instance that does not start.
     pub violations: Vec<String>,
 }
 
--- a/crates/soak/src/fault_plan.rs
+++ b/crates/soak/src/fault_plan.rs
@@ -21,7 +21,8 @@
 /// Time without faults at the start and the end of the first part, milliseconds.
 const QUIET_MS: u64 = 600;
 
-/// A fault to inject. Numbers of instances and upstreams count from 0.
+/// A fault to inject. Numbers of instances and upstreams count from 0. "The end" is the end of the
+/// fault's planned length.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// An instance gets SIGKILL and is started again at the end.
@@ -41,11 +42,11 @@
     Forget,
     /// A new configuration with one more route is published.
     Publish,
-    /// The links from all instances to the store fail in the given mode.
+    /// The links from all instances to the store fail in the given mode until the end.
     StoreLink(LinkMode),
-    /// An upstream fails in the given mode.
+    /// An upstream fails in the given mode until the end.
     Upstream(u8, RunnerMode),
-    /// The link to an upstream fails in the given mode.
+    /// The link to an upstream fails in the given mode until the end.
     UpstreamLink(u8, LinkMode),
     /// An upstream is listed as leaving, and as ready again at the end.
     Leave(u8),
@@ -60,18 +61,19 @@
     /// Open connections to the store, to members and to upstreams fall silent for good at the same
     /// moment.
     SilenceAll,
-    /// The link from one instance to the store fails in the given mode.
+    /// The link from one instance to the store fails in the given mode until the end.
     StoreLinkOf(u8, LinkMode),
-    /// The link on which members read documents of one instance fails in the given mode.
+    /// The link on which members read documents of one instance fails in the given mode until the
+    /// end.
     MemberLink(u8, LinkMode),
     /// An upstream restarts under the same name; its new entry is written at the end.
     Restart(u8),
     /// An upstream signals in its answers, but not in the list, that it leaves, and restarts at the
     /// end.
     SayLeaving(u8),
-    /// An upstream rejects requests with a `Retry-After` time, in milliseconds.
+    /// An upstream rejects requests until the end, with a `Retry-After` time in milliseconds.
     AskRest(u8, u64),
-    /// An upstream announces a rate limit, in thousandths of a request a second.
+    /// An upstream announces a rate limit until the end, in thousandths of a request a second.
     NameLimit(u8, u32),
     /// Another writer replaces the entry of an upstream by an invalid one until the end.
     Overwrite(u8),
@@ -167,7 +169,7 @@
     faults
 }
 
-/// Draws a fault of the first part.
+/// Draws one of the dense faults of the first part.
 fn draw_fault(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -27,7 +27,7 @@
 pub struct RunOptions {
     /// Path of the program that each instance runs.
     pub program: path::PathBuf,
-    /// Seed that determines the plan.
+    /// Seed of the plan of faults and of the clients' random choices.
     pub seed: u64,
     /// Length of the first part of the run; see [`fault_plan`].
     pub length: Duration,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -176,7 +176,8 @@
     }
 }
 
-/// Replaces the fault plan by the JSON in `body`.
+/// Replaces the fault plan by the JSON in `body`. Responds with status 400 and changes nothing if
+/// it is invalid.
 pub fn set_faults(faults: &faults::SharedFaults, body: &[u8]) -> http::Response<Bytes> {
     match serde_json::from_slice(body) {
         Ok(plan) => {
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -55,7 +55,7 @@
     number: &str,
     text: bytes::Bytes,
 ) -> Result<(), String> {
-    /// Number of attempts, 100 ms apart.
+    /// Number of attempts to publish the document, 100 ms apart.
     const PUBLISH_ATTEMPTS: usize = 100;
     let path = format!("/documents/{name}?number={number}");
     let publishing = async {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -22,9 +22,9 @@
 /// Counters that tests read from `GET /counts`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ReadCounts {
-    /// Reads, including refused ones; a long poll counts once.
+    /// Number of document reads, including refused ones; a long poll counts once.
     pub reads: u64,
-    /// Reads refused by the rate limit.
+    /// Number of document reads refused by the rate limit.
     pub refused: u64,
 }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -26,7 +26,7 @@
 
 struct ServiceState {
     counts: cell::RefCell<ServiceCounts>,
-    /// Whether a call with a known idempotency key is refused.
+    /// Whether a call is refused if a call with the same idempotency key has run before.
     checks_keys: bool,
     faults: faults::SharedFaults,
 }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -33,7 +33,7 @@
     /// The message contains a union variant that this version does not know.
     #[snafu(display("unknown variant {number}"))]
     UnknownVariant {
-        /// Number of the variant in the schema.
+        /// Number of the unknown variant, as it was received.
         number: u16,
     },
     /// The message contains a refusal code that this version does not know.
