--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -9,7 +9,7 @@
 
 use crate::{ids, units};
 
-/// How long an entry may spend a portion.
+/// How long an entry may spend a portion, counted from when it receives the portion.
 pub const PORTION_TTL: time::Duration = time::Duration::from_secs(2);
 /// Time constant of the spending average by which an entry draws ahead. Unspent tokens expire and
 /// are lost to the customer, so an entry draws no more than it is about to spend.
@@ -20,28 +20,28 @@
 /// same budget: a scheduler that takes over must not grant a full burst a second time, and one that
 /// has been responsible throughout knows that the customer was idle.
 const MIN_INITIAL_FILL: time::Duration = time::Duration::from_millis(250);
-/// Time after which an unused bucket is dropped.
+/// Time without draws after which a customer's bucket is dropped.
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// A customer's limit, as resolved from the settings.
+/// Limit on the tokens of a customer's requests, as resolved from the settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimit {
-    /// Sustained rate.
+    /// Rate at which the customer's bucket fills.
     pub rate: units::TokenRate,
-    /// Most tokens available at once, after an idle period.
+    /// Most tokens that the bucket holds after an idle period.
     pub burst: units::TokenCount,
 }
 
-/// Tokens that an entry may spend until the portion expires.
+/// Tokens of a customer's budget that a scheduler grants to an entry until they expire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetPortion {
-    /// Size of the portion.
+    /// Number of tokens granted.
     pub tokens: units::TokenCount,
-    /// Validity, counted from when the entry receives the portion.
+    /// Time for which the portion is valid, counted from when the entry receives it.
     pub ttl: time::Duration,
 }
 
-/// The budget is used up; holds the time until tokens are available again.
+/// Error of a draw on a budget that is used up; holds the time until tokens are available again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetExhausted(pub time::Duration);
 
@@ -49,12 +49,13 @@
 struct TokenBucket {
     /// Tokens available, negative while in debt; each refill caps it at the burst.
     level: f64,
-    /// Time of the last refill.
+    /// Time up to which the tokens gained are included in `level`.
     refilled: units::MonoTime,
 }
 
 impl TokenBucket {
-    /// A new bucket of a customer that has drawn from no other scheduler for `exclusive`.
+    /// Creates the bucket of a customer that has drawn from no other scheduler for `exclusive`, credited
+    /// with the tokens gained in that time.
     fn new(now: units::MonoTime, exclusive: time::Duration, limit: BudgetLimit) -> Self {
         let span = exclusive.max(MIN_INITIAL_FILL).as_secs_f64();
         let level = (limit.rate.0 * span).min(limit.burst.0 as f64);
@@ -93,7 +94,7 @@
         self.exclusive_since = now;
     }
 
-    /// Grants a portion of `want` tokens.
+    /// Grants a portion of `want` tokens if the bucket's level is above zero, even if it is below `want`.
     pub fn draw(
         &mut self,
         now: units::MonoTime,
@@ -108,14 +109,16 @@
         Ok(BudgetPortion { tokens: want, ttl: PORTION_TTL })
     }
 
-    /// Adds unspent tokens to the bucket, for instance when an answer was shorter than allowed.
+    /// Returns unspent tokens to the customer's bucket, for instance when an answer was shorter than
+    /// allowed. Without a bucket, they are lost.
     pub fn refund(&mut self, customer: &ids::CustomerId, tokens: units::TokenCount) {
         if let Some(bucket) = self.buckets.get_mut(customer) {
             bucket.level += tokens.0 as f64;
         }
     }
 
-    /// Drops idle buckets, once a new bucket would be credited with at least [`IDLE_TIMEOUT`].
+    /// Drops buckets without draws for [`IDLE_TIMEOUT`], once a new bucket would be credited with the
+    /// tokens of at least that time.
     pub fn prune(&mut self, now: units::MonoTime) {
         let settled = now.since(self.exclusive_since) >= IDLE_TIMEOUT;
         self.buckets.retain(|_, bucket| !settled || now.since(bucket.refilled) < IDLE_TIMEOUT);
@@ -135,16 +138,17 @@
 /// An entry's unexpired portions, and its buckets for when the scheduler is unreachable.
 #[derive(Debug, Default)]
 pub struct BudgetCache {
-    /// Tokens left and expiry, by customer.
+    /// Tokens left of the portions drawn for each customer, and when they expire.
     portions: collections::HashMap<ids::CustomerId, (f64, units::MonoTime)>,
-    /// Recently spent tokens, decaying over [`DRAW_AHEAD`], and the time of the last update.
+    /// Tokens that each customer spent recently, decaying over [`DRAW_AHEAD`], and the time of the last
+    /// update.
     spending: collections::HashMap<ids::CustomerId, (f64, units::MonoTime)>,
-    /// This entry's share of each limit.
+    /// Buckets for this entry's share of each limit, used while the scheduler is unreachable.
     fallback: BudgetLedger,
 }
 
 impl BudgetCache {
-    /// Spends from a cached portion; `false` means that a new one must be drawn first.
+    /// Spends `want` tokens of a cached portion; `false` means that a new portion must be drawn first.
     pub fn spend(
         &mut self,
         now: units::MonoTime,
