--- a/crates/core/src/class_worth.rs
+++ b/crates/core/src/class_worth.rs
@@ -1,4 +1,5 @@
-//! Relative worth of streamed requests, from the published goals and the observed prompt lengths.
+//! Relative worth of streamed requests, from the published goals and the observed prompt lengths. Planners weigh
+//! requests that compete for engine time by their worth.
 //!
 //! The worth of a class is the geometric mean of two ratios to the service's most urgent class: that of the
 //! first-token goals and that of the mean prompt lengths. Within a class, worth grows with the prompt length.
@@ -19,7 +20,7 @@
 /// The properties of a request that determine its worth.
 #[derive(Debug, Clone, Copy)]
 pub struct WorthQuery<'a> {
-    /// Request class.
+    /// Class of the request; the prompts of a class share one mean length.
     pub class: &'a ids::ClassId,
     /// Service that the request is for.
     pub service: &'a ids::ServiceId,
@@ -31,11 +32,11 @@
     pub shortest_goal: time::Duration,
 }
 
-/// Mean prompt length.
+/// Mean of the prompt lengths added so far, which becomes a moving average, see [`MEAN_WEIGHT`].
 #[derive(Debug, Clone, Copy, Default)]
 struct PromptMean {
     tokens: f64,
-    /// Number of prompts.
+    /// Number of prompts added so far.
     count: f64,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// Mean prompt lengths that one process has observed.
+/// Mean prompt lengths that one process has observed, from which it computes the worth of requests.
 #[derive(Debug, Default)]
 pub struct ClassWorth {
     /// Mean prompt length of each class.
