--- a/crates/core/src/cold_start.rs
+++ b/crates/core/src/cold_start.rs
@@ -8,18 +8,18 @@
 
 use crate::{ids, units};
 
-/// Whether cold upstreams are limited.
+/// Whether the request rate of cold upstreams, which have just started, is limited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ColdUpstreamMode {
     /// Limited to the cold-start rate of their service.
     #[default]
     Limited,
-    /// No limit.
+    /// Cold upstreams are treated like warm ones.
     Full,
 }
 
-/// The cold start policy of a service.
+/// How the upstreams of a service are limited while they are cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdPolicy {
     /// Request rate that a cold upstream can handle, over all instances.
@@ -37,13 +37,14 @@
     pub until: units::MonoTime,
 }
 
-/// Cold phases of upstreams. An upstream name includes its start, so a restarted upstream has its own entry.
+/// Cold phases of upstreams. An upstream name includes its start (one life of its process), so a restarted upstream
+/// has its own entry.
 #[derive(Debug, Default)]
 pub(crate) struct ColdTable {
     mode: ColdUpstreamMode,
     policies: collections::BTreeMap<ids::ServiceId, ColdPolicy>,
     phases: collections::BTreeMap<ids::UpstreamId, (ids::ServiceId, ColdPhase)>,
-    /// Number of changes of limits.
+    /// Number of changes so far to the policies and phases, from which limits are derived.
     changes: u64,
 }
 
@@ -53,7 +54,7 @@
         self.mode = mode;
     }
 
-    /// Sets the policies of services.
+    /// Replaces the policies of all services; the upstreams of a service without a policy are not limited.
     pub(crate) fn set_policies(
         &mut self,
         policies: collections::BTreeMap<ids::ServiceId, ColdPolicy>,
@@ -94,19 +95,20 @@
         self.changes += u64::from(self.phases.len() != before);
     }
 
-    /// The limit of an upstream; `None` if it is warm, its service has no policy or cold upstreams aren't limited.
+    /// The cold-start limit of an upstream; `None` if it is warm, its service has no policy or cold upstreams aren't
+    /// limited.
     pub(crate) fn limit(&self, name: &ids::UpstreamId) -> Option<(units::RequestRate, ColdPhase)> {
         let (service, phase) = self.phases.get(name)?;
         let policy = self.policies.get(service)?;
         (self.mode == ColdUpstreamMode::Limited).then_some((policy.rate, *phase))
     }
 
-    /// Names of the cold upstreams.
+    /// Names of the upstreams with a cold phase, whether it limits them or not.
     pub(crate) fn names(&self) -> impl Iterator<Item = &ids::UpstreamId> {
         self.phases.keys()
     }
 
-    /// Number of changes of limits so far.
+    /// Number of changes so far by which a limit may have changed.
     pub(crate) fn changes(&self) -> u64 {
         self.changes
     }
