--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -11,13 +11,13 @@
 pub struct SettingRow {
     /// Name of the option.
     pub option: &'static str,
-    /// Value in force.
+    /// Value that applied to the request.
     pub value: String,
-    /// Node of the settings tree that set it.
+    /// Node of the settings tree that set the value.
     pub source: String,
 }
 
-/// A candidate for an attempt, as known at that time.
+/// An engine or upstream that an attempt could have used, as known when its target was chosen.
 #[derive(Debug, Clone, Serialize)]
 pub struct CandidateRow {
     /// Name of the engine or upstream.
@@ -39,7 +39,7 @@
     pub reason: String,
     /// Time for which the attempt waited for a placement, in milliseconds.
     pub waited_ms: u64,
-    /// Outcome; absent while the attempt runs.
+    /// Outcome of the attempt; absent while it runs.
     pub end: Option<String>,
 }
 
@@ -60,7 +60,7 @@
     pub class: Option<ids::ClassId>,
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Settings version in force.
+    /// Version of the settings that applied to the request.
     pub settings_version: u64,
     /// Revision of the published list in force.
     pub list_revision: u64,
@@ -68,11 +68,11 @@
     pub settings: Vec<SettingRow>,
     /// Decisions on budgets, votes and the like, in order.
     pub notes: Vec<String>,
-    /// Attempts in order.
+    /// Attempts to serve the request, oldest first.
     pub attempts: Vec<AttemptRow>,
-    /// Time to the first token, in milliseconds.
+    /// Time from the arrival of the request to its first token, in milliseconds.
     pub first_token_ms: Option<u64>,
-    /// Time to the end, in milliseconds.
+    /// Time from the arrival of the request to its end, in milliseconds.
     pub total_ms: Option<u64>,
     /// Outcome of the request; absent while it runs.
     pub end: Option<String>,
