--- a/crates/core/src/engine_directory.rs
+++ b/crates/core/src/engine_directory.rs
@@ -17,7 +17,7 @@
     pub scheduler: net::SocketAddr,
     /// Whether the engine is in this entry's data centre.
     pub near: bool,
-    /// KV cache capacity.
+    /// KV cache capacity of the engine.
     pub memory: units::TokenCount,
     /// Whether the engine probably has the prompt's prefix cached.
     pub warm: bool,
@@ -36,7 +36,8 @@
         Self { list, data_center }
     }
 
-    /// A fraction of the live engines of a model; every entry with the same list gets the same engines.
+    /// The fraction `share` of the live engines of a model, but at least one; every entry with the same list gets the
+    /// same engines.
     pub fn share_of(
         &self,
         model: &ids::ModelId,
