--- a/crates/core/src/engine_estimate.rs
+++ b/crates/core/src/engine_estimate.rs
@@ -58,7 +58,7 @@
         Err(engine_ledger::overload_refusal("too much waits already", work - spare))
     }
 
-    /// Most memory that a request may need. Only short requests may use the headroom.
+    /// Most memory that a request may need. Only short requests may use the headroom, which is reserved for them.
     fn max_memory(&self, request: &placement::CapacityRequest) -> units::TokenCount {
         match self.band(request) {
             service_rank::LengthBand::Short => self.capacity,
