--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -42,7 +42,8 @@
     since: units::MonoTime,
 }
 
-/// The scheduler's record of one engine.
+/// The scheduler's record of one engine: its capacity, the leases on it, its orphans (attempts that it holds without a
+/// lease) and the requests that wait for it.
 #[derive(Debug)]
 pub struct EngineLedger {
     pub(crate) capacity: units::TokenCount,
@@ -63,12 +64,12 @@
     pub(crate) history: collections::VecDeque<(units::MonoTime, f64)>,
     /// Time up to which the engine's prefill has been simulated.
     pub(crate) advanced: units::MonoTime,
-    /// Time of the last report.
+    /// Time of the engine's last load report; `None` before the first.
     pub(crate) reported: Option<units::MonoTime>,
 }
 
 impl EngineLedger {
-    /// Creates a ledger without leases.
+    /// Creates a ledger without leases. The engine counts as unreachable until its first report.
     pub fn new(
         now: units::MonoTime,
         capacity: units::TokenCount,
@@ -102,17 +103,17 @@
         self.draining = leaving;
     }
 
-    /// Memory neither leased nor held by an orphan.
+    /// Memory neither leased nor held by an orphan (an attempt that the engine holds without a lease).
     pub fn free(&self) -> units::TokenCount {
         self.capacity.saturating_sub(self.leased() + self.orphaned())
     }
 
-    /// Number of leases.
+    /// Number of attempts with a lease.
     pub fn running(&self) -> usize {
         self.leases.len()
     }
 
-    /// Number of waiting requests.
+    /// Number of requests that wait for a lease.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
@@ -127,7 +128,7 @@
         self.draining
     }
 
-    /// Whether the engine has reported recently.
+    /// Whether the engine's last report is recent enough for new leases.
     pub fn reachable(&self, now: units::MonoTime) -> bool {
         self.reported.is_some_and(|reported| now.since(reported) <= REPORT_LIMIT)
     }
