--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -1,4 +1,5 @@
-//! Messages between members and planners about placements of requests on engines.
+//! Messages between members and planners about placements. A placement assigns a request to the engine that answers
+//! it, and to helpers, which are engines that prefill parts of its prompt.
 
 use std::{fmt, time};
 
@@ -18,7 +19,7 @@
     pub sequence: u64,
 }
 
-/// A request for a placement.
+/// A member's request to place an attempt on the engines of a planner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacementRequest {
     /// The attempt to place.
@@ -45,7 +46,7 @@
     /// Whether an engine has already worked on the request. Such a request is placed as soon as any engine has capacity, and
     /// never refused.
     pub resumed: bool,
-    /// Engines that must not be used.
+    /// Engines that must not be used for this attempt, for example because one requested a backoff from the member.
     pub excluded: Vec<ids::UpstreamId>,
 }
 
@@ -70,7 +71,7 @@
     pub tokens: u64,
 }
 
-/// The placement of a request.
+/// The placement of an attempt, as granted by its planner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceGrant {
     /// The placed attempt.
@@ -166,6 +167,6 @@
     FirstToken(JobId, Option<u16>),
     /// The attempt has ended, or no longer waits for a placement.
     Ended(JobId, PlaceEnd),
-    /// An engine refused to prefill a part for another engine, or failed to.
+    /// An engine refused to prefill a part for another engine, or failed to; the planner excludes it for a while.
     Eject(ids::UpstreamId),
 }
