--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -21,9 +21,9 @@
     pub model: ids::ModelId,
     /// Estimated prompt length.
     pub prompt: units::TokenCount,
-    /// Requested limit on the output.
+    /// Limit on the output length that the caller requested; `None` if it requested none.
     pub output: Option<units::TokenCount>,
-    /// Time limit requested by the caller.
+    /// Time limit requested by the caller; it can only shorten the one in the settings.
     pub requested_limit: Option<time::Duration>,
 }
 
@@ -34,9 +34,9 @@
     pub settings: settings_resolve::ResolvedSettings,
     /// Settings tree in force, with the fleet-wide options.
     pub fleet: rc::Rc<settings::SettingsTree>,
-    /// Largest output length.
+    /// Largest output length: the requested one, but at most that in the settings.
     pub output: units::TokenCount,
-    /// Revision of the published list in force.
+    /// Revision of the published list in force when the request was admitted.
     pub list_revision: u64,
 }
 
@@ -61,9 +61,9 @@
 /// Load that this entry has outstanding on one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutstandingLoad {
-    /// Number of requests.
+    /// Number of requests that this entry has outstanding on the engine.
     pub requests: usize,
-    /// Summed tokens of these requests.
+    /// Summed memory that the outstanding requests need on the engine.
     pub tokens: units::TokenCount,
 }
 
@@ -90,7 +90,7 @@
 const EJECTION_TIME: time::Duration = time::Duration::from_secs(3);
 
 impl EntryRouter {
-    /// Creates a router without settings and without a list.
+    /// Creates a router without settings and without a list; it is not ready before it has both.
     pub fn new(
         instance: ids::InstanceId,
         data_center: ids::DataCenterId,
@@ -282,7 +282,7 @@
         }
     }
 
-    /// Engines to consider for a request, without those in `tried`.
+    /// Engines to consider for a request, without those in `tried`. `prefix` is the hash of its prompt's prefix.
     pub fn candidates(
         &mut self,
         now: units::MonoTime,
@@ -357,7 +357,7 @@
         self.outstanding.get(engine).is_none_or(|outstanding| outstanding.requests == 0)
     }
 
-    /// Counts an attempt as outstanding on an engine.
+    /// Counts an attempt as outstanding on an engine, and remembers the engine for the prompt prefix of the attempt.
     pub fn count_start(&mut self, engine: &ids::EngineId, tokens: units::TokenCount, prefix: u64) {
         let outstanding = self.outstanding.entry(engine.clone()).or_default();
         outstanding.requests += 1;
@@ -368,7 +368,7 @@
         self.affinity.insert(prefix, engine.clone());
     }
 
-    /// Counts an attempt as ended.
+    /// Removes an ended attempt from the load outstanding on an engine; `tokens` must be as in [`Self::count_start`].
     pub fn count_end(&mut self, engine: &ids::EngineId, tokens: units::TokenCount) {
         let Some(outstanding) = self.outstanding.get_mut(engine) else {
             return;
@@ -394,12 +394,13 @@
         self.retries.decide(now, failed)
     }
 
-    /// Counts a request towards the retry budget.
+    /// Counts a request that [`Self::plan`] does not see, which adds to the retry budget.
     pub fn count_request(&mut self, now: units::MonoTime) {
         self.retries.count_request(now);
     }
 
-    /// Live upstreams of a plain service in random order, those in this data centre first.
+    /// Live upstreams of a plain service (one whose upstreams run no model) in random order, those in this data centre
+    /// first.
     pub fn upstreams(&mut self, service: &ids::ServiceId) -> Vec<fleet_list::UpstreamRecord> {
         use rand::seq::SliceRandom as _;
         let live = |upstream: &&fleet_list::UpstreamRecord| {
@@ -411,12 +412,12 @@
         upstreams
     }
 
-    /// Adds jitter to a retry delay.
+    /// Adds jitter to a retry delay, so that callers do not retry at the same time.
     pub fn spread_retry(&mut self, expected: time::Duration) -> time::Duration {
         refusal::spread_retry(expected, &mut self.random)
     }
 
-    /// Performs periodic cleanup.
+    /// Drops expired budget portions and ejections. Called periodically, so that a pause of the process is detected.
     pub fn tick(&mut self, now: units::MonoTime) {
         self.pause_detector.record_event(now);
         self.budget_cache.prune(now);
