--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -16,7 +16,7 @@
     pub customer: ids::CustomerId,
     /// Weight of the customer; above zero.
     pub weight: f64,
-    /// Cost of serving the item.
+    /// Cost of serving the item, by which its customer's usage increases.
     pub cost: units::TokenCount,
     /// Time from which the item goes before items that are not overdue.
     pub overdue: units::MonoTime,
@@ -24,7 +24,7 @@
     pub payload: T,
 }
 
-/// A queue shared by several customers.
+/// A queue of items of several customers, in the order of service that the module describes.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     items: Vec<QueueItem<T>>,
@@ -44,7 +44,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Adds an item.
+    /// Adds an item. The usage of a customer that had no queued items is raised to the virtual time if it is lower.
     pub fn push(&mut self, item: QueueItem<T>) {
         let is_waiting = self.items.iter().any(|other| other.customer == item.customer);
         if !is_waiting {
