--- a/crates/core/src/fleet_budget.rs
+++ b/crates/core/src/fleet_budget.rs
@@ -1,7 +1,8 @@
 //! The retry budget of the fleet and this member's share of it.
 //!
 //! The budget grows with the requests of all members, so each may use what its own requests add. The fixed part is a
-//! shared quota: one part is split evenly, for partitioned members, and the rest is granted by its coordinator.
+//! shared quota: one part of it is split evenly, for partitioned members, and another is granted by its coordinator.
+//! Both may be used twice after a partition, so together they are half of the quota.
 
 use std::{collections, time};
 
@@ -13,9 +14,10 @@
 /// Part of the fixed quota that is split evenly. Halves of a partitioned fleet that consider each other gone use it
 /// twice.
 const SPLIT_PART: f64 = 0.3;
-/// Part of the fixed quota that its coordinator grants; also used twice after a partition.
+/// Part of the fixed quota that its coordinator grants. Like the split part, it may be used twice after a partition.
 const GRANTED_PART: f64 = 0.2;
-/// Part that the coordinator grants in fleets so large that an evenly split share is less than one retry.
+/// Part of the fixed quota that its coordinator grants in fleets so large that an evenly split share is less than one
+/// retry.
 const GRANTED_ALONE_PART: f64 = SPLIT_PART + GRANTED_PART;
 
 /// The fleet's retry budget for one service.
@@ -23,9 +25,9 @@
 pub struct RetryBound {
     /// Retries allowed for each request.
     pub ratio: f64,
-    /// Fixed quota: retries of all members together that are allowed in one window beyond those for its requests.
+    /// Fixed quota: retries of all members together that are allowed in one window beyond those that its requests add.
     pub extra: f64,
-    /// Length of the window; every span of that length counts.
+    /// Length of the window in which requests and retries are counted. The bound holds for every span of that length.
     pub window: time::Duration,
 }
 
@@ -42,7 +44,7 @@
         send_pace::PaceBound { rate, catch_up: self.window, credit: self.window / 2 }
     }
 
-    /// Each member's share of the evenly split part.
+    /// Each member's share of the evenly split part, in retries per window.
     fn split(&self, members: usize) -> f64 {
         self.extra * SPLIT_PART / members.max(1) as f64
     }
@@ -59,7 +61,7 @@
 }
 
 impl RetryShare {
-    /// Creates a share without requests or retries.
+    /// Creates a share of `bound` in which no requests and retries have been counted.
     pub fn new(bound: RetryBound) -> Self {
         Self {
             bound,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request of this member, which adds to its share of the budget.
     pub fn count_request(&mut self, now: units::MonoTime) {
         self.prune(now);
         self.requests.push_back(now);
