--- a/crates/core/src/free_capacity.rs
+++ b/crates/core/src/free_capacity.rs
@@ -2,16 +2,16 @@
 
 use crate::{placement, service_rank, units};
 
-/// Free capacity of an engine during one pass over its queue.
+/// Free capacity of an engine while its queue is searched for the next request to start.
 #[derive(Debug)]
 pub(crate) struct FreeCapacity {
     /// Memory neither leased nor held by an orphan.
     pub(crate) free: units::TokenCount,
     /// Part of the memory that only short requests may use.
     pub(crate) headroom: units::TokenCount,
-    /// Number of requests that may still start.
+    /// Number of requests that may still start on the engine.
     pub(crate) slots: usize,
-    /// Whether a request that shares its prompt with other engines runs here.
+    /// Whether the engine runs a request of a group of engines that serve a prompt together; a second one must wait.
     pub(crate) grouped: bool,
     /// Remaining prefill of each lease in tokens, with its rank.
     pub(crate) prefills: Vec<(service_rank::ServiceRank, f64)>,
