--- a/crates/core/src/permit_cache.rs
+++ b/crates/core/src/permit_cache.rs
@@ -23,7 +23,7 @@
 /// Permits of one quota, and this member's demand for them.
 #[derive(Debug, Default)]
 struct CacheRow {
-    /// Unused permits.
+    /// Permits that were granted and not used yet, some of them perhaps expired.
     cached: collections::VecDeque<quota_permit::PermitTerm>,
     /// End of the backoff before the next request for permits.
     backoff_until: units::MonoTime,
@@ -31,7 +31,7 @@
     demand: collections::VecDeque<units::MonoTime>,
 }
 
-/// Permits of this member by quota.
+/// Permits of this member and its demand for more, by the quota that they are for.
 #[derive(Debug)]
 pub struct PermitCache<K> {
     rows: collections::BTreeMap<K, CacheRow>,
@@ -69,7 +69,7 @@
         PermitStep::Request(quota_permit::PermitRequest { wanted, patience_ms })
     }
 
-    /// Time until permits may be requested again.
+    /// Time until permits of a quota may be requested again; zero without a backoff.
     pub fn backoff_left(&self, now: units::MonoTime, subject: &K) -> time::Duration {
         self.rows.get(subject).map_or(time::Duration::ZERO, |row| row.backoff_until.since(now))
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns a permit that was not used.
+    /// Stores a permit that was not used, so that another request can use it.
     pub fn put_back(&mut self, subject: &K, term: quota_permit::PermitTerm) {
         let row = self.rows.entry(subject.clone()).or_default();
         row.cached.push_back(term);
@@ -111,14 +111,14 @@
         row.backoff_until = row.backoff_until.max(now + backoff);
     }
 
-    /// Ends the backoff: the quota has changed.
+    /// Ends the backoff of a quota that has changed, so that permits can be requested at once.
     pub fn end_backoff(&mut self, subject: &K) {
         if let Some(row) = self.rows.get_mut(subject) {
             row.backoff_until = units::MonoTime::default();
         }
     }
 
-    /// Keeps only the quotas for which `needed` returns true.
+    /// Drops the permits, backoff and demand of the quotas for which `needed` returns false.
     pub fn retain(&mut self, needed: impl Fn(&K) -> bool) {
         self.rows.retain(|subject, _| needed(subject));
     }
