--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -19,7 +19,7 @@
     pub weight: f64,
     /// Prompt length.
     pub prompt: units::TokenCount,
-    /// Prefix of the prompt that the engine has probably cached.
+    /// Length of the prompt's prefix that the engine has probably cached.
     pub cached: units::TokenCount,
     /// Largest output length.
     pub output: units::TokenCount,
@@ -29,7 +29,7 @@
     pub grouped: bool,
     /// When the answer must be complete.
     pub deadline: units::MonoTime,
-    /// When the request must have left the queue.
+    /// Time from which the request is refused if it still waits in the queue.
     pub queue_deadline: units::MonoTime,
 }
 
@@ -47,11 +47,11 @@
     pub draining: bool,
     /// Total memory of the engine; zero if unknown.
     pub memory: units::TokenCount,
-    /// Prefill work still to be done.
+    /// Prefill work that the engine still has to do, including that of attempts without a lease.
     pub prefill_backlog: units::TokenCount,
-    /// Age of the report.
+    /// Age of the reported state when the ledger receives it.
     pub age: time::Duration,
-    /// Attempts that the engine holds memory for.
+    /// Attempts that the engine holds memory for, with the size of that memory.
     pub held: Vec<(ids::AttemptId, units::TokenCount)>,
 }
 
@@ -84,10 +84,10 @@
 pub struct EngineOffer {
     /// Expected time to the first token.
     pub first_token: time::Duration,
-    /// Memory that is neither leased nor held by an orphan.
+    /// Memory that is neither leased nor held by an orphan (an attempt that the engine holds without a lease).
     pub free: units::TokenCount,
-    /// Number of running requests.
+    /// Number of requests with a lease on the engine.
     pub running: usize,
-    /// Number of waiting requests.
+    /// Number of requests that wait for a lease on the engine.
     pub waiting: usize,
 }
