--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -21,9 +21,9 @@
 
 /// A prompt that could be displaced in favor of others.
 struct DisplacedPrompt {
-    /// Index into the waiting prompts.
+    /// Index of the prompt among the waiting ones.
     index: usize,
-    /// Expected time until its first token, milliseconds.
+    /// Expected time until the prompt's first token, milliseconds.
     expected_ms: f64,
 }
 
