--- a/crates/core/src/planner/engine_limits.rs
+++ b/crates/core/src/planner/engine_limits.rs
@@ -23,7 +23,7 @@
 }
 
 impl EngineLimits {
-    /// Replaces the limits.
+    /// Replaces all limits; an engine in neither collection has none.
     pub(crate) fn set(
         &mut self,
         now: units::MonoTime,
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Takes a permit for each of these engines that has a limit, and returns those engines.
+    /// Takes a permit for each of `engines` whose limit this process enforces, and returns those engines. `requester`
+    /// is the boot id of the member that sends the request.
     pub(crate) fn take<'a>(
         &mut self,
         now: units::MonoTime,
