--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -7,13 +7,13 @@
 #[derive(Debug, Clone)]
 pub(crate) struct EngineView<'a> {
     pub(crate) name: &'a ids::UpstreamId,
-    /// Tie-breaker that is the same on every member.
+    /// Tie-breaker between engines of equal loss or cost; the same on every member.
     pub(crate) rank: u64,
     /// Whether the engine is excluded for a while after a recent failure or refusal.
     pub(crate) ejected: bool,
     /// Time until the engine's next pass begins, milliseconds.
     pub(crate) wait_ms: f64,
-    /// Prefill time that is queued for that pass, milliseconds.
+    /// Prefill time that is queued for the engine's next pass, milliseconds.
     pub(crate) pending_ms: f64,
     /// Time until all prefill that is running or queued on the engine is complete, milliseconds.
     pub(crate) prefill_left_ms: f64,
