--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -4,7 +4,7 @@
 
 use crate::{engine_place, planner::modes, units};
 
-/// How long an engine is ejected after a failure; doubles with each further one.
+/// How long an engine is ejected (excluded from new placements) after a failure; doubles with each further one.
 const EJECTION_TIME: time::Duration = time::Duration::from_millis(600);
 /// Longest ejection after failures.
 const MAX_EJECTION_TIME: time::Duration = time::Duration::from_secs(5);
@@ -17,7 +17,8 @@
 /// and this is about the delay until the published list says so. With a shorter time, a prompt may meet two such
 /// engines in a row.
 const HELPER_EJECTION_TIME: time::Duration = time::Duration::from_millis(2_500);
-/// Range of plausible pace reports; others are clamped to it.
+/// Range of plausible reports of an engine's pace, its slowdown relative to the performance model; others are clamped
+/// to it.
 const PACE_RANGE: (f64, f64) = (0.5, 20.0);
 /// Pace above which an engine is polled as often as one with work.
 const SLOW_PACE: f64 = 1.2;
@@ -243,7 +244,7 @@
         due
     }
 
-    /// Applies the engine's load report.
+    /// Applies the pace and the number of requests in the engine's load report.
     pub(crate) fn report(&mut self, pace: f64, requests: usize) {
         self.pace = pace.clamp(PACE_RANGE.0, PACE_RANGE.1);
         self.foreign = requests.saturating_sub(self.answering.len() + REPORT_SLACK);
@@ -262,7 +263,7 @@
         self.pending.iter().map(|part| part.left_ms).sum()
     }
 
-    /// Time until the next pass begins, milliseconds.
+    /// Time until the next pass is expected to begin, milliseconds; longer while a first token is overdue.
     pub(crate) fn wait_ms(&self, now: units::MonoTime) -> f64 {
         self.pass.as_ref().map_or(0.0, |pass| pass.left_ms) + self.overdue_ms(now)
     }
