--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -1,7 +1,7 @@
 //! Placement of requests on engines: which engine answers a request, and which engines prefill parts of its prompt.
 //!
-//! One planner tracks the work of every engine of a service, or of one cell of a large service. A request passes
-//! through these steps:
+//! One planner tracks the work of every engine of a service, or of one cell (a subset of the engines) of a large
+//! service. A request passes through these steps:
 //!
 //! 1. [`PlacementPlanner::request`] receives it, and the place table provides the current state of the engines.
 //! 2. A short prompt gets one engine. Long prompts are scheduled together on a timetable, and admission decides
@@ -31,7 +31,7 @@
 /// Fraction of all engine slots that must be in use before a short request is refused; below it, engines that seem
 /// unusable may only have been slow.
 const CROWDED_FRACTION: f64 = 0.6;
-/// Retried requests that an engine may hold in its own queue beyond its slots.
+/// Number of retried requests that an engine may hold in its own queue beyond its slots.
 const MAX_QUEUED_RETRIES: usize = 2;
 /// Slots that are expected to be released for each slot that a retry gets; new requests take the others.
 const SLOTS_PER_RETRY: f64 = 2.0;
@@ -43,7 +43,7 @@
 /// Longest retry delay given to a refused short request, milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 2_500.0;
 
-/// Configuration of a planner.
+/// Routing policy and decision variants of a planner.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannerOptions {
     /// Routing policy. All except [`settings::RoutingKind::ExpectedStart`] are baselines for comparison.
@@ -235,7 +235,7 @@
         self.table.eject(now, name);
     }
 
-    /// Returns the engines reported as silent since the last call.
+    /// Returns the engines reported as silent since the last call, which should be polled.
     pub fn take_suspects(&mut self) -> Vec<ids::UpstreamId> {
         self.table.take_suspects()
     }
