--- a/crates/core/src/planner/modes.rs
+++ b/crates/core/src/planner/modes.rs
@@ -16,12 +16,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PackingMode {
-    /// Up to a fixed number of requests per engine.
+    /// Each engine gets up to a fixed number of short requests before the next one is used.
     #[default]
     Fixed,
-    /// Up to a share of the engine's slots.
+    /// Each engine gets short requests up to a share of its slots before the next one is used.
     SlotShare,
-    /// No packing.
+    /// Short requests are not packed.
     Off,
 }
 
@@ -42,11 +42,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineFaultMode {
-    /// After an ejection time, one request until its first token. A refusal for lack of capacity also ejects the
-    /// engine.
+    /// After its ejection time, the engine gets a single request until the first token of that request. A refusal for
+    /// lack of capacity also ejects the engine.
     #[default]
     Probe,
-    /// After an ejection time, without restrictions. Refusals for lack of capacity are ignored.
+    /// After its ejection time, the engine gets work without restrictions. Refusals for lack of capacity are ignored.
     Pause,
 }
 
@@ -54,11 +54,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShortRefusalMode {
-    /// If its caller would give up before the first token, or if most slots are in use and it would be queued or
-    /// late.
+    /// The request is refused if its caller would give up before the first token, or if most slots are in use and the
+    /// request would be queued or late.
     #[default]
     Crowded,
-    /// Only if its caller would give up before the first token.
+    /// The request is refused only if its caller would give up before the first token.
     Hopeless,
 }
 
@@ -77,10 +77,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClosedEngineMode {
-    /// From each placement request of that member.
+    /// The planner learns it from each placement request of that member.
     #[default]
     Asked,
-    /// Not at all: the member holds the request back and requests another placement.
+    /// The planner does not learn it: the member holds the request back and requests another placement.
     KeptBack,
 }
 
@@ -88,14 +88,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadChoiceMode {
-    /// One of the least loaded, at random.
+    /// One of the least loaded upstreams, at random.
     #[default]
     Random,
-    /// The less loaded of two random ones.
+    /// The less loaded of two random upstreams.
     TwoChoices,
-    /// The least loaded; ties go by an order that differs between instances.
+    /// The least loaded upstream; ties go by an order that differs between instances.
     OwnOrder,
-    /// The least loaded; ties go by list order.
+    /// The least loaded upstream; ties go by list order.
     First,
 }
 
@@ -106,7 +106,7 @@
     /// Retries that save more come first.
     #[default]
     ByNeed,
-    /// Order of arrival.
+    /// Retries come in the order of their arrival.
     Arrival,
 }
 
@@ -124,10 +124,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportMode {
-    /// Engines with work; idle engines less often.
+    /// Engines with work are polled in each round, idle engines less often.
     #[default]
     Used,
-    /// All engines.
+    /// All engines are polled in each round.
     All,
 }
 
@@ -150,9 +150,9 @@
     pub closed_engines: ClosedEngineMode,
     /// Choice among the upstreams of a plain service.
     pub load_choice: LoadChoiceMode,
-    /// Order of shared retries.
+    /// Order of the retries that draw on the budget shared by all members.
     pub retry_order: RetryOrderMode,
-    /// Limits of upstreams that have just started.
+    /// Whether the request rate of upstreams that have just started is limited.
     pub cold_upstreams: cold_start::ColdUpstreamMode,
     /// Polling of engines for reports.
     pub reports: ReportMode,
