--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -12,7 +12,7 @@
     route_table, units,
 };
 
-/// Time without renewal after which a lease expires.
+/// Time without renewal by its member after which the lease of a placement expires.
 const LEASE_TIME: time::Duration = time::Duration::from_millis(2_500);
 /// Fraction of an engine's memory that the planner assigns to requests.
 pub(crate) const MEMORY_FRACTION: f64 = 0.96;
@@ -175,12 +175,12 @@
         }
     }
 
-    /// Returns the engines reported as silent since the last call.
+    /// Returns the engines reported as silent since the last call, which should be polled.
     pub(crate) fn take_suspects(&mut self) -> Vec<ids::UpstreamId> {
         std::mem::take(&mut self.suspects).into_iter().collect()
     }
 
-    /// Applies an engine's load report.
+    /// Applies the pace and the number of requests in an engine's load report.
     pub(crate) fn set_report(&mut self, name: &ids::UpstreamId, pace: f64, requests: usize) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.report(pace, requests);
