--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -11,7 +11,7 @@
 /// the earlier prompt by its whole length.
 const MIN_PREFILL_LEFT_MS: f64 = 50.0;
 /// How long a first token may be overdue before the engine no longer counts as working on it, milliseconds. Another
-/// engine of the same prompt has then failed.
+/// engine that prefills a part of the same prompt has then failed.
 const MAX_OVERDUE_MS: f64 = 500.0;
 
 impl place_table::PlaceTable {
