--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -15,7 +15,7 @@
 const LOAD_TIME: time::Duration = time::Duration::from_secs(3);
 /// Upper bound of a load estimate, so that some capacity always remains.
 const MAX_LOAD: f64 = 0.95;
-/// Load of other prompts below which that load is ignored.
+/// Load of the other long prompts below which the load estimate for a prompt is zero.
 const ALONE_LOAD: f64 = 0.1;
 /// Weight of the newest prompt in the moving average of engine time per worth.
 const MS_PER_WORTH_WEIGHT: f64 = 0.05;
