--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -1,5 +1,7 @@
 //! Choice of the engine for a short prompt. Short requests are packed onto few engines, so that the others have no
 //! decoding requests with tight pause goals and stay free for long prompts.
+//!
+//! All losses are fractions of a short request's worth; the engine with the smallest sum is chosen.
 
 use crate::{
     engine_place, pass_model,
@@ -12,12 +14,10 @@
 /// Fraction of the first-token goal of a short request below which an earlier first token has no benefit.
 const NO_LOSS_GOAL_FRACTION: f64 = 0.55;
 /// Loss for each request by which an engine is below its packing target.
-///
-/// All losses are fractions of a short request's worth; the engine with the smallest sum is chosen.
 const PACK_LOSS: f64 = 0.004;
-/// Loss for each request beyond the packing target.
+/// Loss for each request by which an engine is above its packing target.
 const OVERPACKED_LOSS: f64 = 0.02;
-/// Loss for each long request on the same engine.
+/// Loss for each long request that the engine answers.
 const LONG_NEIGHBOR_LOSS: f64 = 0.03;
 /// Loss for each request of another planner. Two planners see each other's requests only once these are decoding, so
 /// each prefers engines that the other does not use.
@@ -101,7 +101,7 @@
         let foreign_loss = view.foreign as f64 * FOREIGN_LOSS;
         let neighbor_loss =
             (view.answering - view.tight - view.foreign) as f64 * LONG_NEIGHBOR_LOSS;
-        // A first token within this time has no cost.
+        // A first token within this fraction of the goal costs nothing.
         let goal_without_loss = f64::from(request.goal_ms) * NO_LOSS_GOAL_FRACTION;
         let delay_loss = (view.first_ms(part) - goal_without_loss).max(0.0) / 1_000.0;
         let pace_loss = (view.pace - 1.0).max(0.0) * PACE_LOSS;
