--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -9,7 +9,7 @@
     route_table,
 };
 
-/// Numbers of parts that are tried.
+/// Numbers of parts into which a prompt may be split; the cheapest is chosen.
 const PART_COUNTS: [usize; 11] = [1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 17];
 /// Shortest part that is sent to a helper, milliseconds.
 const MIN_PART_MS: f64 = 20.0;
@@ -42,13 +42,13 @@
 pub(crate) struct PrefillBooking {
     /// Indices of the booked engines in the timetable.
     pub(crate) engines: Vec<usize>,
-    /// Time until all booked engines can start, milliseconds.
+    /// Time until all booked engines can start on the prompt, milliseconds.
     pub(crate) start_ms: f64,
     /// Time until the rate limits of all booked engines permit the request, milliseconds.
     permit_ms: f64,
-    /// Time until the first token, milliseconds.
+    /// Time until the first token of the prompt's answer, milliseconds.
     pub(crate) first_ms: f64,
-    /// Cost: the time to the first token plus the delay of later prompts, milliseconds.
+    /// Cost of the booking: the time to the first token plus the delay of later prompts, milliseconds.
     pub(crate) cost_ms: f64,
 }
 
@@ -68,13 +68,13 @@
 struct PartCandidate {
     /// Index of the engine in the timetable.
     index: usize,
-    /// Worth that the engine's other requests lose by the pause.
+    /// Worth that the engine's other requests lose by the pause that the part causes.
     pause_loss: f64,
-    /// Time until the part may start, milliseconds.
+    /// Time until the engine has finished its earlier prefill and its rate limit permits the request, milliseconds.
     start_ms: f64,
-    /// Time until the part is complete, milliseconds.
+    /// Time until the engine completes the part of the prompt, milliseconds.
     first_ms: f64,
-    /// Cost of using the engine, milliseconds of delay.
+    /// Cost of using the engine for the part, milliseconds of delay.
     cost_ms: f64,
 }
 
