--- a/crates/core/src/planner/waiting_job.rs
+++ b/crates/core/src/planner/waiting_job.rs
@@ -19,7 +19,7 @@
     pub(crate) since: units::MonoTime,
     /// Whether the first token is planned to be late; decided again in each planning round.
     pub(crate) late: bool,
-    /// Whether the request has become late in an earlier step and was not refused then.
+    /// Whether the request missed its due time in an earlier planning step and was admitted late instead of refused.
     pub(crate) admitted_late: bool,
 }
 
