--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -3,8 +3,8 @@
 //! A crash breaks all requests in progress, and at most one of them is the cause. Three rules identify it without running
 //! any request in isolation:
 //!
-//! - *Sequence.* A crash counts only if its run began after the previous counted crash. A rack failure that ends many
-//!   copies of a request counts once.
+//! - *Sequence.* A crash counts only if its run (the attempt that the crash ended) began after the previous counted
+//!   crash. A rack failure that ends many copies of a request counts once.
 //! - *Answer.* A completed answer clears a request of all earlier crashes.
 //! - *Known cause.* A request is not the cause if a quarantined request shares all its crashes and has more.
 //!
@@ -21,7 +21,7 @@
 /// Divisor of a run's length for its tolerated overlap with the previous crash. Members exchange ages, which are off by
 /// the delay of a message, and a second attempt starts right after the first breaks.
 const OVERLAP_DIVISOR: u32 = 4;
-/// Longest tolerated overlap.
+/// Longest tolerated overlap of a run with the previous crash.
 const MAX_OVERLAP: time::Duration = time::Duration::from_millis(25);
 /// Length of a quarantine, counted from the last crash. Far longer than callers retry by themselves.
 const QUARANTINE_TIME: time::Duration = time::Duration::from_secs(300);
@@ -39,7 +39,7 @@
 pub struct CrashedRun {
     /// Digest of the request.
     pub digest: request_digest::RequestDigest,
-    /// The start of the upstream that crashed.
+    /// The start (one life of its process) of the upstream that crashed.
     pub upstream: ids::UpstreamId,
     /// When the request was sent to the upstream.
     pub sent: units::MonoTime,
@@ -54,7 +54,7 @@
         Self { sent, ended, ..self }
     }
 
-    /// Tolerated overlap with the previous crash.
+    /// How long before the previous counted crash the run may have begun and still count.
     fn slack(&self) -> time::Duration {
         (self.ended.since(self.sent) / OVERLAP_DIVISOR).min(MAX_OVERLAP)
     }
@@ -80,7 +80,7 @@
 }
 
 impl QuarantineVerdict {
-    /// Names of the upstreams, separated by spaces.
+    /// Names of the upstreams that crashed, separated by spaces.
     pub fn names(&self) -> String {
         let names: Vec<_> = self.upstreams.iter().map(ToString::to_string).collect();
         names.join(" ")
@@ -90,7 +90,7 @@
 /// Evidence against one request.
 #[derive(Debug, Default)]
 struct SuspectRecord {
-    /// Ordered by [`CrashedRun::ended`]; each upstream occurs once.
+    /// Crashes that ended runs of the request, ordered by [`CrashedRun::ended`]; each upstream occurs once.
     crashes: Vec<CrashedRun>,
     /// Time of the last completed answer or release by an operator; crashes up to then are not in `crashes`.
     answered: Option<units::MonoTime>,
@@ -99,12 +99,12 @@
 }
 
 impl SuspectRecord {
-    /// Length of the sequence of crashes.
+    /// Number of crashes that count by the sequence rule of this module.
     fn sequence(&self) -> usize {
         in_sequence(&self.crashes).iter().filter(|counts| **counts).count()
     }
 
-    /// Whether another request shares all its crashes and has more.
+    /// Whether the request of `other` shares all crashes of this one and has more.
     fn explained_by(&self, other: &Self) -> bool {
         let shared = |run: &CrashedRun| {
             other.crashes.iter().any(|other_run| other_run.upstream == run.upstream)
@@ -132,7 +132,7 @@
         Self { mode, ..Self::default() }
     }
 
-    /// Whether there is no evidence.
+    /// Whether the table has no record of any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
@@ -184,7 +184,7 @@
         Some(QuarantineVerdict { upstreams, until })
     }
 
-    /// Whether there is evidence against a request.
+    /// Whether any crash is kept as evidence against a request.
     pub fn suspects(&self, digest: request_digest::RequestDigest) -> bool {
         self.suspects.get(&digest).is_some_and(|record| !record.crashes.is_empty())
     }
