--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -11,13 +11,13 @@
 
 /// Time for which permits are granted ahead, at rates so high that members send several within it.
 const PREFETCH_TIME: time::Duration = time::Duration::from_millis(100);
-/// Members that requested permits within this time share what is granted ahead.
+/// Time for which a member counts as a requester after its latest request; requesters share what is granted ahead.
 const REQUESTER_TTL: time::Duration = time::Duration::from_secs(1);
 /// Longest backoff of a member that was refused. It bounds the capacity reserved for members that have nothing left to
 /// send, and the time for which an increased rate stays unused.
 const MAX_BACKOFF: time::Duration = time::Duration::from_secs(2);
-/// Members invited to request again for each permit. Some of them have no request left by then, and a permit that no
-/// member requests is lost.
+/// Number of refused members that are invited to request again for each permit. Some of them have no request left by
+/// then, and a permit that no member requests is lost.
 const INVITATIONS_PER_PERMIT: u32 = 4;
 /// Window over which granted permits are reported to operators.
 const GRANT_REPORT_WINDOW: time::Duration = time::Duration::from_secs(4);
@@ -35,11 +35,11 @@
 #[derive(Debug)]
 struct LedgerRow {
     pace: send_pace::SendPace,
-    /// Latest time at which a refused member should request again.
+    /// Latest time for which a refused member was invited to request again.
     last_invited: units::MonoTime,
-    /// Number of members invited for that time.
+    /// Number of members invited for the time in `last_invited`.
     invitations: u32,
-    /// Members with recent requests.
+    /// Members with recent requests, by boot id.
     requesters: collections::BTreeMap<u64, PermitRequester>,
     /// Recent grants, oldest first: time, member and number of permits.
     grants: collections::VecDeque<(units::MonoTime, u64, u32)>,
@@ -123,7 +123,7 @@
         Some(quota_permit::PermitResponse::Granted { count, wait_ms: ceil_millis(wait) })
     }
 
-    /// Time until the next permit is due; `None` when this process does not coordinate the quota.
+    /// Time until the next permit of a quota is due; `None` when this process does not coordinate the quota.
     pub fn wait(&self, now: units::MonoTime, subject: &K) -> Option<time::Duration> {
         self.rows.get(subject).map(|row| row.pace.wait(now))
     }
