--- a/crates/core/src/quota_permit.rs
+++ b/crates/core/src/quota_permit.rs
@@ -14,7 +14,7 @@
 /// What a shared quota limits.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum QuotaSubject {
-    /// Requests to one start of an upstream that has a limit.
+    /// Requests to one start (one life of the process) of an upstream that has a limit.
     Upstream(ids::UpstreamId),
     /// Retries of requests to a service, by priority. All retries to a service share one quota.
     Retries(ids::ServiceId, retry_need::RetryNeed),
@@ -46,9 +46,9 @@
 /// Validity of a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitTerm {
-    /// Start of the validity.
+    /// Start of the permit's validity.
     pub from: units::MonoTime,
-    /// End of the validity, at most [`PERMIT_TTL`] after the time it was granted for.
+    /// End of the permit's validity, at most [`PERMIT_TTL`] after the time it was granted for.
     pub until: units::MonoTime,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// A request for permits.
+/// A member's request for permits, which the coordinator of the quota answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// Number of permits that the member expects to use soon; at least one.
@@ -93,19 +93,19 @@
     pub patience_ms: u32,
 }
 
-/// The coordinator's response.
+/// A coordinator's response to a [`PermitRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitResponse {
     /// Permits are granted.
     Granted {
-        /// Number of permits.
+        /// Number of permits granted; at least one, at most as many as requested.
         count: u32,
-        /// Start of their validity, in milliseconds after the request's arrival.
+        /// Start of the permits' validity, in milliseconds after the request's arrival.
         wait_ms: u32,
     },
     /// No permit is granted now, or another member coordinates the quota.
     Refused {
-        /// Backoff before the next request, in milliseconds.
+        /// Backoff before the member's next request for permits of the quota, in milliseconds.
         back_ms: u32,
     },
 }
