--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The value that callers receive.
+    /// Name of the state in responses to callers.
     pub fn label(self) -> &'static str {
         match self {
             Self::No => "no",
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Returns the code with the given label.
+    /// Returns the code with the given label; `None` if there is none.
     pub fn from_label(label: &str) -> Option<Self> {
         ALL_CODES.iter().copied().find(|code| code.label() == label)
     }
@@ -129,7 +129,7 @@
     }
 }
 
-/// All codes.
+/// All codes, among which [`RefusalCode::from_label`] searches.
 pub const ALL_CODES: [RefusalCode; 15] = [
     RefusalCode::BadRequest,
     RefusalCode::Unauthorized,
@@ -151,9 +151,9 @@
 /// The final answer to a request that was not served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestRefusal {
-    /// The reason.
+    /// Reason for the refusal, which determines the HTTP status.
     pub code: RefusalCode,
-    /// Whether the request ran.
+    /// Whether an upstream ran the request.
     pub ran: RanState,
     /// Time after which the caller may retry; `None` if a retry would not help.
     pub retry_after: Option<time::Duration>,
@@ -195,7 +195,7 @@
     outage.min(time_left.mul_f64(MAX_DELAY_PART)).max(MIN_RETRY_AFTER)
 }
 
-/// Shortest retry delay.
+/// Shortest retry delay that a caller is given.
 const MIN_RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
 /// Random retry delay of one to two times the expected wait, so that callers do not retry at the same
