--- a/crates/core/src/request_limits.rs
+++ b/crates/core/src/request_limits.rs
@@ -45,7 +45,7 @@
         names.filter_map(|name| Some((name, self.limit(name)?.reading.rate?))).collect()
     }
 
-    /// Number of limit changes so far.
+    /// Number of changes so far to announced limits and to those after cold starts.
     pub fn limit_changes(&self) -> u64 {
         self.notices().limit_changes() + self.cold.changes()
     }
