--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -59,7 +59,7 @@
     pub time_left: bool,
 }
 
-/// Decision on a retry.
+/// Whether a failed attempt is followed by another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryVerdict {
     /// Make another attempt.
@@ -70,7 +70,7 @@
 
 /// Window over which requests and retries are counted.
 const WINDOW: std::time::Duration = std::time::Duration::from_secs(10);
-/// Number of slices in the window.
+/// Number of slices of time in a window; the counts of a slice expire together.
 const SLICES: u64 = 10;
 /// Retries always allowed in a window, regardless of the number of requests.
 const MIN_RETRIES: f64 = 3.0;
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
-    /// Slice number, requests, retries; oldest first, at most [`SLICES`] of them.
+    /// Number, requests and retries of each slice; oldest first, at most [`SLICES`] of them.
     slices: collections::VecDeque<(u64, u64, u64)>,
 }
 
@@ -95,7 +95,7 @@
         self.share = share.factor();
     }
 
-    /// Counts a request.
+    /// Counts a request, which adds to the number of retries allowed.
     pub fn count_request(&mut self, now: units::MonoTime) {
         self.slice(now).1 += 1;
     }
