--- a/crates/core/src/retry_need.rs
+++ b/crates/core/src/retry_need.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Loss without the retry, lowest priority first.
+/// What is lost without the retry; the variants are in order of priority, lowest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RetryNeed {
     /// Only latency is lost: the pending attempt may still answer.
