--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -13,7 +13,7 @@
     pub offer: Option<placement::EngineOffer>,
     /// Number of requests that this entry has outstanding on the engine.
     pub own_requests: usize,
-    /// Summed tokens of those requests.
+    /// Summed memory that the outstanding requests of this entry need on the engine.
     pub own_tokens: units::TokenCount,
     /// Whether the engine is in this entry's data centre.
     pub near: bool,
