--- a/crates/core/src/search_budget.rs
+++ b/crates/core/src/search_budget.rs
@@ -1,17 +1,18 @@
-//! Budget for placement attempts at several cells of a service.
+//! Budget for placement attempts at several cells of a service. A cell is a subset of its engines with a planner of
+//! its own.
 //!
 //! A request refused by one cell may find capacity in another. But under overload all cells refuse, and trying every
 //! cell would multiply the messages by their number. So two cells are always tried, and further ones draw on a budget
 //! that grows with each request.
 
-/// Cells tried without drawing on the budget.
+/// Number of cells that each request may try without drawing on the budget.
 const FREE_CELLS: usize = 2;
-/// Budget added by each request.
+/// Number of further cells that each new request adds to the budget.
 const BUDGET_PER_REQUEST: f64 = 0.25;
-/// Largest budget.
+/// Largest number of further cells in the budget, which also starts with it.
 const MAX_BUDGET: f64 = 24.0;
 
-/// The search budget of an instance.
+/// The search budget of an instance, shared by all its requests.
 #[derive(Debug)]
 pub struct SearchBudget {
     /// Number of further cells that may be tried.
