--- a/crates/core/src/send_counts.rs
+++ b/crates/core/src/send_counts.rs
@@ -20,12 +20,12 @@
 /// Number of requests in the last [`COUNT_TIME`], by upstream.
 #[derive(Debug, Default)]
 pub struct SendCounts {
-    /// Oldest first; consecutive slices begin at least [`SLICE_TIME`] apart.
+    /// Slices in which requests were sent, oldest first; consecutive slices begin at least [`SLICE_TIME`] apart.
     slices: collections::VecDeque<CountSlice>,
 }
 
 impl SendCounts {
-    /// Counts a request.
+    /// Counts a request sent to an upstream, and drops old slices.
     pub fn count(&mut self, now: units::MonoTime, upstream: &ids::UpstreamId) {
         while self.slices.front().is_some_and(|slice| !slice.is_recent(now)) {
             self.slices.pop_front();
