--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -21,16 +21,16 @@
     }
 }
 
-/// Purpose of a send.
+/// Purpose of a send to an upstream, which determines the reasons for which it may be denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendKind {
     /// A request that the upstream runs, or for which it is a helper.
     Request,
-    /// A memory reservation.
+    /// A request to reserve memory on an engine.
     Hold,
-    /// A renewal of a reservation in use.
+    /// A renewal of a memory reservation in use.
     Renewal,
-    /// The release of a reservation.
+    /// The release of a memory reservation.
     Release,
     /// A request for the upstream's report.
     Report,
@@ -56,9 +56,9 @@
 pub enum SendDenial {
     /// The upstream is leaving. Holds the source of that notice, and its age.
     Leaves(upstream_notice::NoticeSource, time::Duration),
-    /// The upstream is in backoff for this long.
+    /// The upstream is in backoff. Holds the time until its end.
     Backoff(time::Duration),
-    /// The upstream has this limit, and the send has no permit.
+    /// The upstream has a rate limit, and the send has no permit. Holds the limit.
     Limited(units::RequestRate),
     /// The data centre of the upstream is evacuated.
     Evacuated,
@@ -67,7 +67,7 @@
 }
 
 impl SendDenial {
-    /// Label in counters.
+    /// Label of the denial in counters.
     pub fn label(self) -> &'static str {
         match self {
             Self::Leaves(..) => "leaves",
