--- a/crates/core/src/send_pace.rs
+++ b/crates/core/src/send_pace.rs
@@ -14,7 +14,7 @@
 /// Rate and burst allowance of a token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PaceBound {
-    /// Sustained rate.
+    /// Sustained rate of sends.
     pub rate: units::RequestRate,
     /// Burst allowance, as time at the sustained rate.
     pub catch_up: time::Duration,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A token bucket.
+/// A token bucket for sends, whose [`PaceBound`] may change while it is in use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SendPace {
     bound: PaceBound,
