--- a/crates/core/src/service_rank.rs
+++ b/crates/core/src/service_rank.rs
@@ -1,17 +1,19 @@
-//! Order in which engines prefill prompts: by length band, and within a band customers within their share first.
+//! Order in which engines prefill prompts: by length band (short, medium, long), and within a band customers within
+//! their share first.
 
 use std::{collections, time};
 
 use crate::{ids, settings, units};
 
-/// Length band of a prompt. The order of the variants is the order of service.
+/// Length band of a prompt, by the limits in [`settings::FleetOptions`]. The order of the variants is the order of
+/// service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LengthBand {
-    /// Up to `short_tokens`.
+    /// Prompts of up to `short_tokens`.
     Short,
-    /// Above `short_tokens`, up to `long_tokens`.
+    /// Prompts above `short_tokens`, up to `long_tokens`.
     Medium,
-    /// Above `long_tokens`.
+    /// Prompts above `long_tokens`.
     Long,
 }
 
@@ -62,7 +64,7 @@
 }
 
 impl ShareMeter {
-    /// Records work assigned to a customer.
+    /// Records work that the engine is given for a customer.
     pub fn record_work(
         &mut self,
         now: units::MonoTime,
@@ -74,7 +76,7 @@
         self.used.insert(customer.clone(), (used, now));
     }
 
-    /// Whether a customer has used more than its share of an engine that processes `rate`. The capacity is shared
+    /// Whether a customer has used more than its share of an engine that prefills at `rate`. The capacity is shared
     /// equally by the customers that have used the engine recently.
     pub fn over_share(
         &mut self,
