--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -22,7 +22,7 @@
 /// Window over which granted permits are reported to operators.
 const GRANT_REPORT_WINDOW: time::Duration = time::Duration::from_secs(4);
 
-/// A member that requested permits.
+/// A member's latest request for permits of a quota, and its invitation to request again.
 #[derive(Debug, Clone, Copy, Default)]
 struct PermitRequester {
     /// Time of the member's latest request.
@@ -31,7 +31,7 @@
     invited: units::MonoTime,
 }
 
-/// State of one quota.
+/// Token bucket of one quota, and the members that request permits of it.
 #[derive(Debug)]
 struct LedgerRow {
     pace: send_pace::SendPace,
