--- a/crates/core/src/quota_permit.rs
+++ b/crates/core/src/quota_permit.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Validity of a permit.
+/// Period in which a permit may be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitTerm {
     /// Start of the permit's validity.
