--- a/crates/core/src/service_rank.rs
+++ b/crates/core/src/service_rank.rs
@@ -18,7 +18,7 @@
 }
 
 impl LengthBand {
-    /// The band of a prompt.
+    /// The band of a prompt with this number of tokens to prefill.
     pub fn of(prompt: units::TokenCount, fleet: &settings::FleetOptions) -> Self {
         if prompt <= fleet.short_tokens {
             Self::Short
