--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -153,9 +153,9 @@
     Done,
     /// The engine refused for lack of capacity.
     Full,
-    /// The engine failed.
+    /// The engine failed; the planner excludes it for a while.
     Failed,
-    /// The engine sent nothing for a long time; it may have failed or be busy.
+    /// The engine sent nothing for a long time; it may have failed or be busy, so it is polled.
     Silent,
 }
 
