--- a/crates/core/src/request_limits.rs
+++ b/crates/core/src/request_limits.rs
@@ -10,7 +10,7 @@
         self.cold.set_mode(mode);
     }
 
-    /// Sets the cold start policies of services.
+    /// Replaces the cold start policies of all services; upstreams of a service without one are not limited when cold.
     pub fn set_cold_policies(
         &mut self,
         policies: collections::BTreeMap<ids::ServiceId, cold_start::ColdPolicy>,
