--- a/crates/core/src/send_counts.rs
+++ b/crates/core/src/send_counts.rs
@@ -37,7 +37,7 @@
         *slice.counts.entry(upstream.clone()).or_default() += 1;
     }
 
-    /// Number of requests that were recently sent to an upstream.
+    /// Number of requests that were sent to an upstream within the last [`COUNT_TIME`], to the accuracy of a slice.
     pub fn recent_count(&self, now: units::MonoTime, upstream: &ids::UpstreamId) -> u32 {
         let recent = self.slices.iter().filter(|slice| slice.is_recent(now));
         recent.filter_map(|slice| slice.counts.get(upstream)).sum()
