--- a/crates/core/src/request_limits.rs
+++ b/crates/core/src/request_limits.rs
@@ -10,7 +10,7 @@
         self.cold.set_mode(mode);
     }
 
-    /// Sets the cold start policies of services.
+    /// Replaces the cold start policies of all services; upstreams of a service without one are not limited when cold.
     pub fn set_cold_policies(
         &mut self,
         policies: collections::BTreeMap<ids::ServiceId, cold_start::ColdPolicy>,
@@ -45,7 +45,7 @@
         names.filter_map(|name| Some((name, self.limit(name)?.reading.rate?))).collect()
     }
 
-    /// Number of limit changes so far.
+    /// Number of changes so far to announced limits and to those after cold starts.
     pub fn limit_changes(&self) -> u64 {
         self.notices().limit_changes() + self.cold.changes()
     }
--- a/crates/core/src/send_counts.rs
+++ b/crates/core/src/send_counts.rs
@@ -20,12 +20,12 @@
 /// Number of requests in the last [`COUNT_TIME`], by upstream.
 #[derive(Debug, Default)]
 pub struct SendCounts {
-    /// Oldest first; consecutive slices begin at least [`SLICE_TIME`] apart.
+    /// Slices in which requests were sent, oldest first; consecutive slices begin at least [`SLICE_TIME`] apart.
     slices: collections::VecDeque<CountSlice>,
 }
 
 impl SendCounts {
-    /// Counts a request.
+    /// Counts a request sent to an upstream, and drops old slices.
     pub fn count(&mut self, now: units::MonoTime, upstream: &ids::UpstreamId) {
         while self.slices.front().is_some_and(|slice| !slice.is_recent(now)) {
             self.slices.pop_front();
@@ -37,7 +37,7 @@
         *slice.counts.entry(upstream.clone()).or_default() += 1;
     }
 
-    /// Number of requests that were recently sent to an upstream.
+    /// Number of requests that were sent to an upstream within the last [`COUNT_TIME`], to the accuracy of a slice.
     pub fn recent_count(&self, now: units::MonoTime, upstream: &ids::UpstreamId) -> u32 {
         let recent = self.slices.iter().filter(|slice| slice.is_recent(now));
         recent.filter_map(|slice| slice.counts.get(upstream)).sum()
