--- a/crates/net/src/boot_clock.rs
+++ b/crates/net/src/boot_clock.rs
@@ -10,7 +10,7 @@
 pub struct BootInstant(time::Duration);
 
 impl BootInstant {
-    /// Returns the current time.
+    /// Reads `CLOCK_BOOTTIME`. Values are comparable only within one boot of the system.
     pub fn now() -> Self {
         let timespec = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
         // The clock counts up from zero, so neither field is negative.
@@ -19,7 +19,7 @@
         Self(time::Duration::new(seconds, nanos))
     }
 
-    /// Returns the time that has passed since `self`.
+    /// Returns the time from `self` until now, or zero if `self` is in the future.
     pub fn elapsed(self) -> time::Duration {
         Self::now().since(self)
     }
--- a/crates/net/src/command_line.rs
+++ b/crates/net/src/command_line.rs
@@ -6,27 +6,28 @@
 
 use crate::{local_settings, logging, process as own_process};
 
-/// Exit code after success.
+/// Exit code after a successful run, and after `--help`, `--version` and a successful `--check`.
 pub const EXIT_SUCCESS: u8 = 0;
-/// Exit code after a failure.
+/// Exit code after any failure other than a usage error, for example an invalid local settings
+/// file.
 pub const EXIT_FAILURE: u8 = 1;
-/// Exit code after an invalid command line.
+/// Exit code after an invalid command line or invalid options in a tool's settings file.
 pub const EXIT_USAGE: u8 = 2;
 
 /// A program's description for `--help` and `--version`.
 #[derive(Debug, Clone, Copy)]
 pub struct ProgramInfo {
-    /// Name of the program.
+    /// Name of the executable, printed by `--version` and at the start of error messages.
     pub name: &'static str,
-    /// Version of the program.
+    /// Version that `--version` prints after the name.
     pub version: &'static str,
-    /// Text after the name in the usage line.
+    /// Text after the program's name in the usage line of `--help`.
     pub arguments: &'static str,
-    /// One-line description of the program.
+    /// One-line description of the program, with which the output of `--help` starts.
     pub about: &'static str,
 }
 
-/// Result of parsing a command line.
+/// What a program does after its command line has been parsed.
 pub enum ParsedArguments {
     /// Run the program with these options.
     Run(getopts::Matches),
@@ -58,7 +59,8 @@
     ParsedArguments::Run(matches)
 }
 
-/// Returns the options of the server programs.
+/// Returns the options that an instance's programs accept, without `--help` and `--version`, which
+/// [`parse`] adds.
 pub fn server_options() -> getopts::Options {
     let mut options = getopts::Options::new();
     options.optopt("s", "settings", "local settings file (YAML)", "FILE");
@@ -75,7 +77,7 @@
 }
 
 impl ToolOptions {
-    /// Adds the `--settings` option.
+    /// Adds the `--settings` option, whose file [`Self::load`] reads, to the options of a tool.
     pub fn declare(options: &mut getopts::Options) {
         options.optopt("s", "settings", "YAML file with values for options not given here", "FILE");
     }
@@ -96,7 +98,7 @@
         Ok(Self { matches, file })
     }
 
-    /// Returns the value of an option as text.
+    /// Returns the value of an option from the command line, otherwise from the settings file.
     pub fn text(&self, name: &str) -> Option<String> {
         self.matches.opt_str(name).or_else(|| self.file.get(name).cloned())
     }
@@ -111,18 +113,19 @@
         }
     }
 
-    /// Returns whether a flag is set.
+    /// Returns whether a flag is given on the command line or is `true` in the settings file.
     pub fn flag(&self, name: &str) -> bool {
         self.matches.opt_present(name) || self.file.get(name).is_some_and(|text| text == "true")
     }
 
-    /// Returns the positional arguments.
+    /// Returns the arguments on the command line that belong to no option, in their order.
     pub fn positional(&self) -> Vec<&str> {
         self.matches.free.iter().map(String::as_str).collect()
     }
 }
 
-/// A value in a tool's settings file.
+/// A value in a tool's settings file. It is converted to the text that the command line would
+/// contain; the items of a list are joined by commas.
 #[derive(Debug, serde::Deserialize)]
 #[serde(untagged)]
 enum ToolValue {
--- a/crates/net/src/document_client.rs
+++ b/crates/net/src/document_client.rs
@@ -12,23 +12,23 @@
 
 use crate::http_client;
 
-/// Name of the settings document.
+/// Name under which the platform publishes the settings tree.
 pub const SETTINGS_DOCUMENT: &str = "settings";
 /// Name of the document that lists instances, engines and upstreams.
 pub const LIST_DOCUMENT: &str = "list";
-/// Time allowed for a response in addition to the requested wait.
+/// Time allowed for a response of the platform in addition to the wait that the request asks for.
 const RESPONSE_MARGIN: time::Duration = time::Duration::from_secs(2);
 
 /// Error that occurs when a document is read from the platform.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
-    /// The call failed.
+    /// The connection failed, or the response is incomplete or too large.
     #[snafu(display("platform: {source}"))]
     Call {
-        /// Underlying error.
+        /// Error of the HTTP client.
         source: http_client::CallError,
     },
-    /// The platform did not respond in time.
+    /// No response arrived within the requested wait and the margin for the response.
     #[snafu(display("platform {address} did not answer in time"))]
     TimedOut {
         /// Address of the configuration service.
@@ -45,8 +45,8 @@
     NotText,
 }
 
-/// Requests a document with a number above `after` and waits up to `wait` for one. Returns `None` if
-/// there is none.
+/// Requests a document with a number above `after` and waits up to `wait` for one. Returns `None`
+/// if none is published in that time.
 pub async fn read_document(
     pool: &http_client::ConnectionPool,
     address: net::SocketAddr,
--- a/crates/net/src/document_feed.rs
+++ b/crates/net/src/document_feed.rs
@@ -18,19 +18,21 @@
 const PLATFORM_WAIT: time::Duration = time::Duration::from_secs(5);
 /// Pause after a round in which no source responded. Jitter adds up to the same time again.
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(500);
-/// Pause after every response, in case the source responds without waiting.
+/// Pause after each round with a response. It bounds the request rate if the source responds
+/// without waiting.
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(20);
 
-/// How the next round of requests is made.
+/// Whether the next round of requests waits for a newer document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FetchMode {
-    /// The source responds at once.
+    /// Every source responds at once, with or without a newer document. Used at the start and after
+    /// a round in which no source responded.
     Immediate,
-    /// The first source waits for a newer document.
+    /// The first source waits for a newer document; the others respond at once.
     Watch,
 }
 
-/// A source of documents.
+/// A source of the settings and the list, with its address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedSource {
     /// The scheduler of another instance or, for an entry, of its own instance.
@@ -39,17 +41,19 @@
     Platform(net::SocketAddr),
 }
 
-/// The part of a process that the feed keeps up to date.
+/// The feed's access to the process whose settings and list it keeps up to date.
 pub trait FeedConsumer {
-    /// Returns the versions of the documents in force.
+    /// Returns the version of the settings and the revision of the list in force. Only documents
+    /// newer than these are requested.
     fn known_versions(&self) -> scheduler_link::KnownDocuments;
-    /// Returns the sources to ask, most preferred first.
+    /// Returns the sources to ask, most preferred first. Called at the start of each round.
     fn sources(&self) -> Vec<FeedSource>;
     /// Applies an update. An update without documents confirms that those in force are current.
     fn apply(&self, update: scheduler_link::DocumentUpdate);
     /// Called after a round in which no source responded.
     fn sources_unreachable(&self);
-    /// Returns a number between 0 and 1 that spreads the pauses of the processes.
+    /// Returns a number between 0 and 1 that differs between processes. It lengthens the pause
+    /// after a round without a response, so that the processes do not retry at the same time.
     fn jitter(&self) -> f64;
 }
 
--- a/crates/net/src/h1.rs
+++ b/crates/net/src/h1.rs
@@ -38,7 +38,7 @@
 /// Error that occurs when a message is read or written.
 #[derive(Debug, Snafu)]
 pub enum MessageError {
-    /// The socket failed.
+    /// Reading from or writing to the socket failed.
     #[snafu(display("connection: {source}"))]
     Socket {
         /// Error of the operating system.
@@ -50,19 +50,19 @@
     /// The message is not valid HTTP/1.1.
     #[snafu(display("not HTTP/1.1: {reason}"))]
     Malformed {
-        /// Description of the cause.
+        /// Part of the message that is malformed, or error of the parser.
         reason: String,
     },
-    /// The head is larger than allowed.
+    /// The head is still incomplete after the maximum number of bytes.
     #[snafu(display("the head has more than {limit} bytes"))]
     HeadTooLarge {
-        /// Maximum size in bytes.
+        /// Maximum size of the head in bytes.
         limit: usize,
     },
-    /// The body is larger than allowed.
+    /// The body is longer, by its declared or its received length, than the reader allows.
     #[snafu(display("the body has more than {limit} bytes"))]
     BodyTooLarge {
-        /// Maximum size in bytes.
+        /// Maximum size of the body in bytes.
         limit: usize,
     },
 }
@@ -105,12 +105,15 @@
         Ok(count)
     }
 
-    /// Returns whether the buffer contains bytes that are not consumed.
+    /// Returns whether the buffer contains bytes that are not consumed. After a request, they are
+    /// the start of the next one; after a response, they belong to no request, and the connection
+    /// is not reused.
     pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Returns the number of bytes in the buffer.
+    /// Returns the number of bytes that have arrived and are not consumed. The instance uses it to
+    /// limit pipelined requests.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
@@ -122,7 +125,8 @@
         }
     }
 
-    /// Reads the head of a request. Returns `None` if the peer closes the connection before it starts one.
+    /// Reads the head of a request; fails if it is incomplete after more than `limit` bytes.
+    /// Returns `None` if the peer closes the connection before it starts one.
     pub async fn request_head(
         &mut self,
         limit: usize,
@@ -180,7 +184,8 @@
         Ok(body.freeze())
     }
 
-    /// Returns the next piece of a body, or `None` at its end.
+    /// Waits for bytes of a body and returns those that have arrived, at most to the end of a
+    /// chunk. Returns `None` at the end of the body.
     pub async fn next_piece(
         &mut self,
         framing: &mut BodyFraming,
@@ -315,7 +320,7 @@
 }
 
 impl MessageWriter {
-    /// Writes bytes and flushes them.
+    /// Writes all bytes to the socket and flushes it.
     pub async fn write(&mut self, data: impl Into<Bytes>) -> Result<(), MessageError> {
         let (result, _) = self.half.write_all(data.into()).await;
         result.context(SocketSnafu)?;
@@ -355,13 +360,15 @@
 }
 
 impl BodyFraming {
-    /// Determines the framing of a request body from its headers.
+    /// Determines the framing of a request body from the headers. A request that declares no length
+    /// has no body.
     pub fn of_request(head: &http::request::Parts) -> Result<Self, MessageError> {
         let declared = Self::declared(&head.headers)?;
         Ok(declared.unwrap_or(Self::Ended))
     }
 
-    /// Determines the framing of a response body from its status and headers.
+    /// Determines the framing of a response body from the status and the headers. A response that
+    /// declares no length ends with the connection, unless its status excludes a body.
     pub fn of_response(head: &http::response::Parts) -> Result<Self, MessageError> {
         if matches!(head.status.as_u16(), 204 | 304) {
             return Ok(Self::Ended);
@@ -375,7 +382,8 @@
         *self == Self::Ended
     }
 
-    /// Returns the framing that the headers declare, if any.
+    /// Returns the framing that the headers declare, if any. Fails if they declare several or an
+    /// invalid one.
     fn declared(headers: &http::HeaderMap) -> Result<Option<Self>, MessageError> {
         let lengths: Vec<_> = headers.get_all(http::header::CONTENT_LENGTH).iter().collect();
         let encoding = headers.get_all(http::header::TRANSFER_ENCODING).iter().next_back();
@@ -415,7 +423,8 @@
     text
 }
 
-/// Encodes the head of a response. Without a `length`, the body is sent in chunks.
+/// Encodes the head of a response. Without a `length`, the body is sent in chunks. `close`
+/// announces that the connection is closed after the response.
 pub fn encode_response_head(
     status: http::StatusCode,
     headers: &http::HeaderMap,
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -45,19 +45,19 @@
     NotConnected {
         /// Address of the upstream.
         address: std_net::SocketAddr,
-        /// Description of the cause.
+        /// Error of the operating system, or `timed out`.
         reason: String,
     },
     /// The call failed after a part of the request may have been sent.
     #[snafu(display("the call broke off: {reason}"))]
     Interrupted {
-        /// Description of the cause.
+        /// Error while the request was sent or the response was read.
         reason: String,
     },
-    /// The response is larger than allowed.
+    /// The body of the response, or a piece of it, is larger than the caller allows.
     #[snafu(display("the answer has more than {limit} bytes"))]
     TooLarge {
-        /// Maximum size in bytes.
+        /// Maximum size that the caller gave, in bytes.
         limit: u64,
     },
 }
@@ -229,11 +229,11 @@
         }
     }
 
-    /// Closes the connections to an address that have been idle since `instant` or longer and returns
-    /// their number.
+    /// Closes the connections to an address that have been idle since `instant` or longer and
+    /// returns their number.
     ///
-    /// If a reused connection has become unresponsive, those that were idle at the same time may have
-    /// too.
+    /// If a reused connection has become unresponsive, the connections that were idle at the same
+    /// time may be unresponsive as well.
     pub fn close_idle_since(&self, address: std_net::SocketAddr, instant: time::Instant) -> usize {
         let mut idle = self.idle.borrow_mut();
         let Some(connections) = idle.get_mut(&address) else {
@@ -258,9 +258,10 @@
 pub struct StreamedResponse<'pool> {
     pool: &'pool ConnectionPool,
     address: std_net::SocketAddr,
-    /// Invariant: `Some` until the end of the body or an error.
+    /// Connection on which the body arrives. Invariant: `Some` until the end of the body or an
+    /// error.
     connection: Option<ClientConnection>,
-    /// Status and headers.
+    /// Status and headers of the response.
     pub head: response::ResponseHead,
     body: BodyDecoder,
     ended: bool,
--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -22,7 +22,7 @@
 
 use crate::{body, metered_read, server};
 
-/// Maximum size of a request head.
+/// Maximum size of a request head in bytes.
 const MAX_HEAD_BYTES: u64 = 32 * 1024;
 /// Number of bytes that the reader may buffer beyond the part of a message that is being decoded.
 const READ_AHEAD_BYTES: u64 = 16 * 1024;
@@ -45,10 +45,10 @@
 type Reader =
     monoio_codec::FramedRead<metered_read::MeteredRead<OwnedReadHalf<net::TcpStream>>, HeadDecoder>;
 
-/// Error on a connection from a caller.
+/// Error while a request is read or a response is sent.
 #[derive(Debug, Snafu)]
 pub enum ServeError {
-    /// The socket failed.
+    /// Writing to the socket failed.
     #[snafu(display("connection: {source}"))]
     Socket {
         /// Error of the operating system.
@@ -57,13 +57,13 @@
     /// The request cannot be decoded, or a response cannot be sent.
     #[snafu(display("the request cannot be read: {reason}"))]
     Malformed {
-        /// Description of the cause.
+        /// Error of the decoder or the encoder, or description of the malformed body.
         reason: String,
     },
     /// The body is larger than allowed.
     #[snafu(display("the body has more than {limit} bytes"))]
     BodyTooLarge {
-        /// Maximum size in bytes.
+        /// Maximum size of the body in bytes.
         limit: u64,
     },
     /// The body did not arrive in time.
@@ -77,15 +77,15 @@
 /// Limits on the body of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyLimits {
-    /// Maximum size in bytes.
+    /// Maximum size of the body in bytes.
     pub max_bytes: u64,
-    /// Time within which the body must arrive.
+    /// Time within which the complete body must arrive, counted from the start of reading it.
     pub time: time::Duration,
 }
 
 /// The head of a request whose body has not been read yet.
 pub struct IncomingHead {
-    /// Method, path and headers.
+    /// Method, path and headers of the request.
     pub head: request::RequestHead,
     body: BodyDecoder,
 }
@@ -109,7 +109,7 @@
     }
 }
 
-/// A connection from a caller.
+/// An accepted connection of a caller or an operator.
 pub struct ServerConnection {
     reader: Reader,
     allowance: metered_read::ReadAllowance,
@@ -173,14 +173,14 @@
         body.unwrap_or_else(|_| BodyTimeoutSnafu { limit: limits.time }.fail())
     }
 
-    /// Sends a complete response.
+    /// Sends a response whose body is completely in memory.
     pub async fn respond(&mut self, response: http::Response<Bytes>) -> Result<(), ServeError> {
         let (head, body) = response.into_parts();
         let response = response::Response::from_parts(head, body::full_payload(body));
         self.encoder.send_and_flush(response).await.map_err(malformed)
     }
 
-    /// Sends the head of a streamed response.
+    /// Sends the head of a streamed response, whose body follows in chunks by [`Self::send_piece`].
     pub async fn start_stream(&mut self, head: &http::Response<()>) -> Result<(), ServeError> {
         let mut text = BytesMut::with_capacity(256);
         let status = head.status();
@@ -209,7 +209,8 @@
         self.write_all(chunk.freeze()).await
     }
 
-    /// Ends a streamed response.
+    /// Sends the empty chunk that ends a streamed response. Without it, the caller takes the
+    /// response for truncated.
     pub async fn finish_stream(&mut self) -> Result<(), ServeError> {
         self.write_all(Bytes::from_static(b"0\r\n\r\n")).await
     }
--- a/crates/net/src/local_settings.rs
+++ b/crates/net/src/local_settings.rs
@@ -59,15 +59,18 @@
 pub struct ProcessLimits {
     /// Largest body of a request. A prompt of a million tokens has about 4 MB.
     pub max_body: units::ByteCount,
-    /// Limit on the bodies in memory, over all requests.
+    /// Limit on the total size of the request bodies in memory. A request that would exceed it is
+    /// refused.
     pub held_bodies: units::ByteCount,
     /// Largest body of a response to a request that does not stream.
     pub max_answer: units::ByteCount,
     /// Time within which the body of a request must arrive.
     pub body_time: units::TimeSpan,
-    /// Number of decisions that are kept for operators.
+    /// Number of decision records, which tell operators how a request was routed and ended, that
+    /// are kept.
     pub decisions: usize,
-    /// After a pause longer than this, the process confirms its settings before it serves requests.
+    /// Length of a pause of the process, such as a suspension, after which it confirms its settings
+    /// before it serves requests.
     pub sleep_bound: units::TimeSpan,
 }
 
@@ -102,7 +105,7 @@
 pub struct LogOptions {
     /// Least severe level logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: log::LevelFilter,
-    /// Format of a line.
+    /// Format of each line of the log.
     pub format: LogFormat,
 }
 
@@ -120,11 +123,11 @@
     pub instance: ids::InstanceId,
     /// Data centre that the instance runs in.
     pub data_center: ids::DataCenterId,
-    /// Addresses to listen on.
+    /// Addresses that the instance's programs listen on.
     pub listen: ListenAddresses,
     /// Addresses of the platform's configuration service.
     pub platform: Vec<net::SocketAddr>,
-    /// Limits on memory and time.
+    /// Limits on the memory and time that each process spends.
     #[serde(default)]
     pub limits: ProcessLimits,
     /// Level and format of the log.
@@ -136,7 +139,7 @@
 }
 
 impl LocalSettings {
-    /// Reads and validates a file.
+    /// Reads and validates a local settings file.
     pub fn load(file: &path::Path) -> Result<Self, LocalSettingsError> {
         let text = fs::read_to_string(file).context(ReadSnafu { file })?;
         let local: Self = settings::parse_yaml(&text).context(ContentSnafu { file })?;
--- a/crates/net/src/logging.rs
+++ b/crates/net/src/logging.rs
@@ -11,7 +11,7 @@
 /// Error that occurs when logging is set up.
 #[derive(Debug, Snafu)]
 pub enum LoggingError {
-    /// The configuration is inconsistent.
+    /// `log4rs` rejects the configuration of the logger.
     #[snafu(display("logs: {source}"))]
     Build {
         /// The errors that `log4rs` reports.
@@ -25,7 +25,7 @@
     },
 }
 
-/// Installs the logger of the process.
+/// Installs the logger of the process. Fails if the process already has one.
 pub fn install(options: &local_settings::LogOptions) -> Result<(), LoggingError> {
     let encoder: Box<dyn encode::Encode> = match options.format {
         local_settings::LogFormat::Json => Box::new(encode::json::JsonEncoder::new()),
--- a/crates/net/src/metrics.rs
+++ b/crates/net/src/metrics.rs
@@ -11,13 +11,13 @@
 /// Error that occurs when a metrics sender is created.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// The socket cannot be opened.
+    /// The UDP socket cannot be opened.
     #[snafu(display("metrics: {source}"))]
     Socket {
         /// Error of the operating system.
         source: io::Error,
     },
-    /// The sink cannot be created.
+    /// `cadence` cannot create the sink that buffers the metrics.
     #[snafu(display("metrics: {source}"))]
     Sink {
         /// Error of `cadence`.
@@ -40,7 +40,7 @@
         Ok(Self(Some(cadence::StatsdClient::from_sink(prefix, sink))))
     }
 
-    /// Increments a counter by one.
+    /// Increments a counter by one. The server receives `name` with the prefix of the sender.
     pub fn count(&self, name: &str) {
         if let Some(client) = &self.0 {
             // A lost metric is preferable to a delayed request.
@@ -48,21 +48,21 @@
         }
     }
 
-    /// Sets a gauge.
+    /// Sets a gauge, a value that replaces the previous one of the same name.
     pub fn gauge(&self, name: &str, value: u64) {
         if let Some(client) = &self.0 {
             let _ = client.gauge(name, value);
         }
     }
 
-    /// Records a duration.
+    /// Records a duration, which is sent in milliseconds.
     pub fn time(&self, name: &str, span: time::Duration) {
         if let Some(client) = &self.0 {
             let _ = client.time(name, span);
         }
     }
 
-    /// Sends the buffered metrics.
+    /// Sends the buffered metrics. Without this call, they wait until the buffer is full.
     pub fn flush(&self) {
         if let Some(client) = &self.0 {
             let _ = client.flush();
--- a/crates/net/src/retry_after.rs
+++ b/crates/net/src/retry_after.rs
@@ -10,14 +10,15 @@
 
 /// Number of characters of an invalid value that an error message contains.
 const MAX_SHOWN_CHARS: usize = 40;
-/// Larger numbers of seconds are reduced to this one: they are mistakes, and might not fit into a `Duration`.
+/// Longest delay returned for a number of seconds. Larger numbers are reduced to it: they are
+/// mistakes, and might not fit into a `Duration`.
 const MAX_SECONDS: f64 = 1e9;
 
 /// The value is neither a number of seconds nor a date.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("found '{found}', expected seconds or a date"))]
 pub struct RetryAfterError {
-    /// The value, truncated to 40 characters.
+    /// Value of the `Retry-After` header, truncated to 40 characters.
     pub found: String,
 }
 
@@ -29,7 +30,8 @@
     headers: &http::HeaderMap,
     now: time::SystemTime,
 ) -> Option<Result<time::Duration, RetryAfterError>> {
-    // Both dates come from the sender's clock, so an offset between the two clocks does not matter.
+    // The `Date` header and a date in `Retry-After` come from the sender's clock, so its offset
+    // from the local clock does not matter.
     let sent_at = headers.get(header::DATE).and_then(|value| value.to_str().ok());
     let now = sent_at.and_then(|text| httpdate::parse_http_date(text).ok()).unwrap_or(now);
     let values = headers.get_all(header::RETRY_AFTER).into_iter();
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -1,4 +1,7 @@
 //! RPC connections to schedulers.
+//!
+//! A place is the assignment of an attempt of a request to an engine. A scheduler grants it with a
+//! lease, which the entry renews while the attempt runs.
 
 use std::{cell, collections, net as std_net, rc, time};
 
@@ -18,7 +21,8 @@
 const VOTE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Timeout for documents that are requested without a wait. It is short because there are other sources.
 const IMMEDIATE_WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(500);
-/// Time allowed for an answer in addition to the requested wait.
+/// Time allowed for the answer to an acquire or watch call in addition to the wait that it
+/// requests.
 const WAIT_MARGIN: time::Duration = time::Duration::from_millis(1_500);
 
 /// Error of a call to a scheduler.
@@ -29,7 +33,7 @@
     NotConnected {
         /// Address of the scheduler.
         address: std_net::SocketAddr,
-        /// Description of the cause.
+        /// Error of the operating system, or `timed out`.
         reason: String,
     },
     /// The call failed, or its answer could not be decoded.
@@ -37,7 +41,7 @@
     Failed {
         /// Address of the scheduler.
         address: std_net::SocketAddr,
-        /// Description of the cause.
+        /// Error of the RPC library, or of the decoding of the answer.
         reason: String,
     },
     /// The scheduler did not answer in time.
@@ -50,23 +54,24 @@
     },
 }
 
-/// Documents of the platform, as received from a scheduler or from the platform.
+/// Newer documents, as received from a scheduler or from the platform.
 #[derive(Debug, Clone, Default)]
 pub struct DocumentUpdate {
-    /// Settings document, if there is a newer one.
+    /// Text of the settings document, if there is one newer than the receiver's.
     pub settings: Option<String>,
-    /// List document, if there is a newer one.
+    /// Text of the list document, if there is one newer than the receiver's.
     pub list: Option<String>,
-    /// Time since the scheduler's own copy was confirmed; zero if the platform sent the documents.
+    /// Time since the settings of the sending scheduler were last confirmed; zero if the platform
+    /// sent the documents.
     pub age: time::Duration,
 }
 
 /// Versions of the documents that the requesting process has. Only newer ones are sent to it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KnownDocuments {
-    /// Version of the settings document.
+    /// Version of the settings document; zero if the process has none.
     pub settings: u64,
-    /// Revision of the list document.
+    /// Revision of the list document; zero if the process has none.
     pub list: u64,
 }
 
@@ -98,7 +103,8 @@
         .await
     }
 
-    /// Waits for a place on an engine. Returns the priority to send to the engine.
+    /// Waits for a place on an engine, at most until the request's queue deadline or deadline.
+    /// Returns the priority to send to the engine, or the scheduler's refusal.
     pub async fn acquire(
         &self,
         engine: &ids::EngineId,
@@ -115,7 +121,7 @@
         .await
     }
 
-    /// Releases the place of an attempt.
+    /// Releases an attempt's place, or removes the attempt from the engine's queue.
     pub async fn release(
         &self,
         engine: &ids::EngineId,
@@ -155,7 +161,8 @@
         .await
     }
 
-    /// Draws a portion of a customer's budget.
+    /// Draws a portion of a customer's budget from the scheduler that keeps it. If the budget is
+    /// exhausted, returns the time until a portion is available.
     pub async fn draw(
         &self,
         customer: &ids::CustomerId,
@@ -227,7 +234,8 @@
         .await
     }
 
-    /// Runs one call. After a disconnection or a timeout the next call opens a new connection.
+    /// Runs one call, which fails after `limit`. After a disconnection or a timeout the next call
+    /// opens a new connection.
     async fn call<T>(
         &self,
         limit: time::Duration,
@@ -271,14 +279,15 @@
     }
 }
 
-/// Links to schedulers by address.
+/// Links to schedulers, at most one for each address.
 #[derive(Default)]
 pub struct LinkPool {
     links: cell::RefCell<collections::HashMap<std_net::SocketAddr, rc::Rc<SchedulerLink>>>,
 }
 
 impl LinkPool {
-    /// Returns the link to the scheduler at `address`.
+    /// Returns the link to the scheduler at `address`, which is created on first use and connects
+    /// on its first call.
     pub fn link(&self, address: std_net::SocketAddr) -> rc::Rc<SchedulerLink> {
         let mut links = self.links.borrow_mut();
         let link = links.entry(address).or_insert_with(|| rc::Rc::new(SchedulerLink::new(address)));
@@ -318,7 +327,7 @@
     stream: net::TcpStream,
     side: rpc_twoparty_capnp::Side,
 ) -> twoparty::VatNetwork<ReadHalf> {
-    // Without the option the socket is slower, but works.
+    // Without `TCP_NODELAY`, the connection is slower but works, so a failure is ignored.
     let _ = stream.set_nodelay(true);
     let stream = monoio_compat::TcpStreamCompat::new(stream).compat();
     let (reader, writer) = stream.split();
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -13,7 +13,7 @@
     /// The server cannot listen on an address.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address that was requested.
+        /// Address from the local settings file.
         address: net::SocketAddr,
         /// Error of the operating system.
         source: io::Error,
@@ -27,7 +27,7 @@
     /// The metrics sender cannot be created.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Underlying error.
+        /// Error of the socket or of `cadence`.
         source: metrics::MetricsError,
     },
 }
