--- a/crates/scheduler/src/document_sources.rs
+++ b/crates/scheduler/src/document_sources.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Sources for `instance`, most preferred first.
+/// Sources from which `instance` fetches the documents, most preferred first.
 pub fn sources(
     list: &fleet_list::FleetList,
     instance: &ids::InstanceId,
--- a/crates/scheduler/src/document_store.rs
+++ b/crates/scheduler/src/document_store.rs
@@ -45,12 +45,13 @@
         }
     }
 
-    /// The settings in force.
+    /// The settings in force, with their age and the error of the last rejected ones.
     pub fn settings(&self) -> &live_settings::LiveSettings {
         &self.settings
     }
 
-    /// The list in force.
+    /// The list of instances, engines and upstreams in force; empty before the first one is
+    /// applied.
     pub fn list(&self) -> &fleet_list::FleetList {
         &self.list
     }
--- a/crates/scheduler/src/engine_client.rs
+++ b/crates/scheduler/src/engine_client.rs
@@ -12,9 +12,9 @@
 
 /// Pause between two polls of an engine's load.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
-/// Time limit of a call to an engine.
+/// Time limit of a call to an engine, from connecting to the end of the response.
 const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
-/// Largest accepted response body, in bytes.
+/// Largest accepted body of an engine's response, in bytes.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 /// Error of a call to an engine.
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,4 +1,6 @@
 //! Events that the scheduler's state handles, and the effects that it returns.
+//!
+//! A place is the assignment of an attempt of a request to an engine, held under a lease.
 
 use std::{net, time};
 
@@ -23,7 +25,7 @@
     pub settings: Option<(u64, std::rc::Rc<str>)>,
     /// Revision and text of the list; `None` if the watcher has it.
     pub list: Option<(u64, std::rc::Rc<str>)>,
-    /// Time since a source last confirmed the settings.
+    /// Time since a source last confirmed the scheduler's settings.
     pub age: time::Duration,
 }
 
@@ -34,7 +36,7 @@
     Offer(ids::EngineId, placement::CapacityRequest, oneshot::Sender<OfferAnswer>),
     /// An entry requests a place on an engine, and waits until it is granted or refused.
     Acquire(ids::EngineId, placement::CapacityRequest, oneshot::Sender<PlaceAnswer>),
-    /// An entry releases a place, or leaves the engine's queue.
+    /// An entry releases the place of an attempt, or removes the attempt from the engine's queue.
     Release(ids::EngineId, ids::AttemptId),
     /// An entry lists all attempts that it is streaming, which renews their leases.
     Renew(ids::InstanceId, ids::BootId, Vec<(ids::EngineId, placement::CapacityRequest)>),
@@ -50,7 +52,7 @@
     Documents(scheduler_link::DocumentUpdate),
     /// An engine sent a load report.
     Report(ids::EngineId, placement::EngineReport),
-    /// Regular tick, on which timeouts are checked.
+    /// Regular timer tick, on which the state checks its timeouts.
     Tick,
 }
 
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -11,14 +11,14 @@
 
 use crate::{document_sources, engine_client, event, rpc_service, state};
 
-/// Pause between two ticks.
+/// Pause between two ticks, on which the state checks its timeouts and the metrics are sent.
 const TICK: time::Duration = time::Duration::from_millis(50);
 /// Time for which the scheduler serves calls after a stop request, so that entries can switch to
 /// another scheduler.
 const STOP_GRACE: time::Duration = time::Duration::from_secs(2);
 
 type SharedState = rc::Rc<cell::RefCell<state::SchedulerState>>;
-/// Flags that end the poll task of each engine when set.
+/// One flag for each polled engine, which ends the engine's poll task when set.
 type PollStopFlags = collections::HashMap<slipturn_core::ids::EngineId, rc::Rc<cell::Cell<bool>>>;
 
 /// Runs a scheduler until the process receives a stop signal, and [`STOP_GRACE`] longer.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -32,7 +32,7 @@
     pub instance: ids::InstanceId,
     /// Data centre of the instance.
     pub data_center: ids::DataCenterId,
-    /// Id of this run of the process.
+    /// Id of this run of the process, which changes with each restart.
     pub boot: ids::BootId,
 }
 
@@ -41,8 +41,8 @@
     identity: SchedulerIdentity,
     documents: document_store::DocumentStore,
     engines: collections::BTreeMap<ids::EngineId, ManagedEngine>,
-    /// Reply channels of acquire calls that are not answered yet. Invariant: each attempt is in the
-    /// queue of one ledger.
+    /// Reply channels of acquire calls that are not answered yet, by attempt. Invariant: each
+    /// attempt is in the queue of one ledger.
     pending_acquires: collections::HashMap<ids::AttemptId, oneshot::Sender<event::PlaceAnswer>>,
     budgets: budget::BudgetLedger,
     voter: key_vote::KeyVoter,
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -17,17 +17,17 @@
     pub leaving: bool,
     /// Memory of the engine according to the list, in tokens.
     pub memory: units::TokenCount,
-    /// Memory neither leased nor held by an attempt without a lease, in tokens.
+    /// Memory of the engine neither leased nor held by an attempt without a lease, in tokens.
     pub free: units::TokenCount,
-    /// Number of leases.
+    /// Number of attempts that hold a lease on the engine.
     pub running: usize,
-    /// Number of requests in the queue.
+    /// Number of requests that wait for a place on the engine.
     pub waiting: usize,
     /// Number of attempts that the engine holds without a lease.
     pub unexplained: usize,
 }
 
-/// Status of a scheduler.
+/// Status of a scheduler, as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct SchedulerStatus {
     /// Instance that the scheduler runs on.
@@ -44,9 +44,9 @@
     pub settings_age_ms: u64,
     /// Revision of the list in force.
     pub list_revision: u64,
-    /// Engines for which the scheduler has a ledger.
+    /// Engines for which the scheduler has a ledger, the record of an engine's leases and queue.
     pub engines: Vec<EngineStatus>,
-    /// Number of customers with a token bucket.
+    /// Number of customers whose budget this scheduler keeps in a token bucket.
     pub budgets: usize,
     /// Number of recorded idempotency keys.
     pub keys: usize,
@@ -56,7 +56,7 @@
     pub watchers: usize,
 }
 
-/// Serializes a status as JSON.
+/// Serializes a status as JSON, the form in which it is sent to the entry.
 pub fn to_json(status: &SchedulerStatus) -> String {
     serde_json::to_string(status).expect("a status contains no map with non-string keys")
 }
