--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -31,7 +31,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Ids of a request that are shown to its caller.
+/// Ids of a request that its answer carries in headers.
 #[derive(Debug, Clone)]
 pub struct RequestIds {
     /// Id assigned by slipturn.
@@ -41,7 +41,8 @@
 }
 
 impl RequestIds {
-    /// Adds the ids to an answer's headers.
+    /// Adds both ids to an answer's headers. If the caller sent no id, [`CALLER_ID_HEADER`]
+    /// contains slipturn's.
     pub fn add_headers(&self, headers: &mut http::HeaderMap) {
         let own = self.request.as_str();
         let caller = self.caller.as_deref().unwrap_or(own);
--- a/crates/entry/src/body_budget.rs
+++ b/crates/entry/src/body_budget.rs
@@ -4,14 +4,14 @@
 
 use slipturn_core::{refusal, units};
 
-/// Number of bytes that can still be held. Clones share one count.
+/// Number of bytes of request bodies that can still be held in memory. Clones share one count.
 #[derive(Debug, Clone)]
 pub struct BodyBudget {
     available: rc::Rc<cell::Cell<u64>>,
 }
 
 impl BodyBudget {
-    /// Creates a budget of `limit` bytes.
+    /// Creates a budget of `limit` bytes for all requests of the process.
     pub fn new(limit: units::ByteCount) -> Self {
         Self { available: rc::Rc::new(cell::Cell::new(limit.0)) }
     }
@@ -32,7 +32,7 @@
         Ok(BodyHold { budget: self.clone(), bytes })
     }
 
-    /// Number of bytes that are not held.
+    /// Number of bytes of the limit that no request holds.
     pub fn available(&self) -> u64 {
         self.available.get()
     }
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -13,9 +13,9 @@
 
 /// Paths of model requests.
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
-/// Path of the list of models.
+/// Path at which a GET request returns the names of the models of all listed engines.
 const MODELS_PATH: &str = "/v1/models";
-/// Prefix of the paths of plain services.
+/// Prefix of the paths of plain services, whose upstreams run no model. The service's name follows.
 const SERVICES_PREFIX: &str = "/services/";
 /// Longest request id accepted from a caller, in bytes; a longer one is ignored.
 const MAX_CALLER_ID_BYTES: usize = 128;
@@ -103,7 +103,8 @@
     }
 }
 
-/// Reads a request's body and holds its size in the body budget.
+/// Reads a request's body and takes its size from the body budget until the returned hold is
+/// dropped.
 async fn read_body(
     context: &request_context::EntryContext,
     connection: &mut http_server::ServerConnection,
--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -1,5 +1,8 @@
 //! The task that owns the state shared by an entry's requests: router, decision records,
 //! histograms.
+//!
+//! A place is the assignment of an attempt to an engine. An attempt on a group of engines has one
+//! place on each of them.
 
 use std::{collections, rc};
 
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Handles one event.
+    /// Applies an event to the state at the time `now`, and sends the answer if the event asks for
+    /// one.
     fn handle(&mut self, now: units::MonoTime, event: event::EntryEvent) {
         use event::EntryEvent;
         let router = &mut self.router;
--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -7,7 +7,7 @@
 
 use crate::event;
 
-/// Number of schedulers of other instances to ask after the one of this instance.
+/// Number of other instances' schedulers that are asked for documents after this instance's own.
 const OTHER_SCHEDULERS: usize = 2;
 
 /// Summary of the director's documents, shared with the document feed.
@@ -15,7 +15,8 @@
 pub struct DocumentSummary {
     /// Version of the settings and revision of the list in force.
     pub known: cell::Cell<scheduler_link::KnownDocuments>,
-    /// Number of detected pauses of the process.
+    /// Number of pauses of the process detected so far. An answer to a query from before a pause
+    /// may be outdated.
     pub pause_count: cell::Cell<u64>,
     /// Addresses of the schedulers of all live instances, in the order of the list.
     pub schedulers: cell::RefCell<Vec<net::SocketAddr>>,
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,4 +1,6 @@
 //! Events that the tasks of an entry send to its director.
+//!
+//! A place is the assignment of an attempt of a request to an engine.
 
 use std::{net, rc, time};
 
@@ -12,7 +14,7 @@
 /// A place in use, with the data that renewals of its lease carry.
 #[derive(Debug, Clone)]
 pub struct RunningPlace {
-    /// Engine of the place.
+    /// Engine to which the attempt is assigned.
     pub engine: ids::EngineId,
     /// Request for the place, which renewals repeat.
     pub request: placement::CapacityRequest,
@@ -58,9 +60,11 @@
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
     ),
-    /// Adds a portion drawn from the customer's budget keeper.
+    /// Adds a portion, drawn from the instance that keeps the customer's budget, to the tokens that
+    /// this entry holds.
     Portion(ids::CustomerId, budget::BudgetPortion),
-    /// Selects the engines to consider for a prompt with this prefix hash, without those listed.
+    /// Selects the engines to consider for a request. The number is the hash of the prompt's
+    /// prefix; the engine ids are those already tried, which are left out.
     Candidates(
         entry_router::PlanQuery,
         rc::Rc<settings::SettingsTree>,
@@ -68,7 +72,8 @@
         Vec<ids::EngineId>,
         oneshot::Sender<Vec<engine_directory::EngineTarget>>,
     ),
-    /// Selects a group of engines for a prompt that needs more memory than one engine has.
+    /// Selects a group of engines for a prompt that needs more memory than one engine has. The
+    /// token count is the memory for prompt and output.
     Group(
         ids::ModelId,
         units::TokenCount,
@@ -111,7 +116,7 @@
     Find(String, oneshot::Sender<Option<rc::Rc<decision::DecisionRecord>>>),
     /// Returns the models of all listed engines.
     Models(oneshot::Sender<Vec<ids::ModelId>>),
-    /// Returns the published list in force.
+    /// Returns the published list of instances, engines and upstreams in force.
     List(oneshot::Sender<fleet_list::FleetList>),
     /// Returns the rows of all histograms.
     Histograms(oneshot::Sender<Vec<histogram::HistogramRow>>),
@@ -125,7 +130,7 @@
     /// Reports that no source of documents answered. The number is the count of detected process
     /// pauses at the time of the query.
     SourcesUnreachable(u64),
-    /// Runs the periodic work of the director.
+    /// Runs the periodic work of the director: cleanup of the router and sending of metrics.
     Tick,
 }
 
@@ -150,7 +155,8 @@
     pub running: usize,
     /// Number of stored decision records.
     pub decisions: usize,
-    /// Number of requests being served, including those to plain services.
+    /// Number of requests being served, including those to plain services, whose upstreams run no
+    /// model. The director leaves it at 0; the operators' interface fills it in.
     pub requests: usize,
 }
 
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -7,7 +7,8 @@
 
 use crate::{event, request_context};
 
-/// Asks the voters of a key for their votes and returns the result.
+/// Asks the voters of a key, which are instances ranked by the key, for their votes and returns the
+/// verdict.
 ///
 /// The voter that ranks first for the key is asked before the others, alone. Of two requests with
 /// one key, the later thus learns of the earlier at once, and the votes are not split between them.
@@ -40,7 +41,8 @@
     }
 }
 
-/// Asks several voters at once and adds their answers to the tally.
+/// Asks several voters at once and adds their answers to the tally. A voter that does not answer
+/// adds nothing.
 async fn ask_all(
     context: &request_context::EntryContext,
     key: &key_vote::ScopedKey,
--- a/crates/entry/src/model_answer.rs
+++ b/crates/entry/src/model_answer.rs
@@ -5,7 +5,7 @@
 
 use crate::{answer, model_request, upstream_call};
 
-/// Largest piece of a streamed answer, in bytes.
+/// Largest accepted piece of a streamed answer, in bytes. A larger one fails the attempt.
 const MAX_PIECE_BYTES: u64 = 4 << 20;
 /// Final event of a complete streamed answer.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
--- a/crates/entry/src/model_measure.rs
+++ b/crates/entry/src/model_measure.rs
@@ -7,12 +7,14 @@
 use crate::{event, model_request, place};
 
 impl model_request::ModelRequest {
-    /// Records one duration in the histograms of the request's customer and class.
+    /// Records one duration in the histograms of the request's customer and of its class and prompt
+    /// length.
     pub(crate) fn measure(&self, kind: histogram::MeasureKind, span: time::Duration) {
         self.measure_all(kind, vec![span]);
     }
 
-    /// Records several durations in the histograms of the request's customer and class.
+    /// Records several durations in the histograms of the request's customer and of its class and
+    /// prompt length.
     pub(crate) fn measure_all(&self, kind: histogram::MeasureKind, spans: Vec<time::Duration>) {
         let settings = &self.admitted.grant.settings;
         let class = settings.class.as_ref().map_or("-", ids::ClassId::as_str);
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -13,11 +13,11 @@
 
 /// A model request as sent by the caller, without its body.
 pub struct ModelCall {
-    /// Ids of the request.
+    /// Ids of the request, assigned by slipturn and sent by the caller.
     pub request_ids: answer::RequestIds,
     /// API key of the caller.
     pub key: String,
-    /// Time limit requested by the caller.
+    /// Time limit requested by the caller; it can shorten the limit in the settings, not extend it.
     pub requested_limit: Option<time::Duration>,
     /// Path of the request, which is also the path on the engine.
     pub path: String,
@@ -47,7 +47,7 @@
     Failed(upstream_call::AttemptFault),
 }
 
-/// A model request being served.
+/// A model request that has been admitted, with the state of its attempts.
 pub(crate) struct ModelRequest {
     pub(crate) context: rc::Rc<request_context::EntryContext>,
     pub(crate) call: ModelCall,
@@ -63,7 +63,7 @@
     pub(crate) first_token: Option<units::MonoTime>,
 }
 
-/// Serves a model request.
+/// Admits a model request, makes its attempts, and sends the answer or a refusal to the caller.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     connection: &mut http_server::ServerConnection,
@@ -102,7 +102,8 @@
     }
 }
 
-/// Data of a request that has passed admission.
+/// Data of a request whose settings are resolved and whose tokens are charged to the customer's
+/// budget.
 pub(crate) struct AdmittedRequest {
     pub(crate) plan_query: entry_router::PlanQuery,
     pub(crate) grant: entry_router::RequestGrant,
@@ -356,7 +357,8 @@
         self.admitted.deadline.since(self.context.clock.now())
     }
 
-    /// Fault of an answer that broke, before or after its first piece was forwarded.
+    /// Builds the fault of an answer that broke. Another attempt may follow only if no piece of the
+    /// answer was forwarded.
     pub(crate) fn broken_answer(&self, text: &str) -> upstream_call::AttemptFault {
         let failure = match self.first_token {
             Some(_) => retry::AttemptFailure::BrokeMidAnswer,
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -1,4 +1,7 @@
 //! Finds a place on an engine for an attempt and holds it until the attempt ends.
+//!
+//! A place is the assignment of an attempt to an engine, or to each engine of a group. Usually the
+//! engine's scheduler grants it with a lease.
 
 use std::{rc, time};
 
@@ -7,9 +10,10 @@
 
 use crate::{event, group_place, request_context, upstream_call::EngineCommands as _};
 
-/// Largest number of rounds of candidates before a request is refused.
+/// Largest number of rounds, each with newly selected candidates, before the search for a place
+/// ends with a refusal.
 const MAX_ROUNDS: usize = 3;
-/// Pause before a failed release is retried. There is only one retry.
+/// Pause before a failed release of a lease is retried. There is only one retry.
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(300);
 
 /// Request for a place for one attempt.
@@ -20,7 +24,7 @@
     pub plan_query: entry_router::PlanQuery,
     /// Settings that the router resolved for the request.
     pub grant: entry_router::RequestGrant,
-    /// Hash of the prompt's prefix.
+    /// Hash of the prompt's prefix, by which routing finds an engine that may have it cached.
     pub prefix: u64,
     /// Estimated length of the prompt's prefix.
     pub prefix_tokens: units::TokenCount,
@@ -31,7 +35,7 @@
 }
 
 impl PlaceRequest {
-    /// Memory needed for the prompt and the output together.
+    /// Memory of an engine needed for the prompt and the output together, in tokens.
     pub(crate) fn required_memory(&self) -> units::TokenCount {
         self.plan_query.prompt + self.grant.output
     }
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -14,16 +14,16 @@
     body_budget, caller_connection, director, documents, event, operators, renewal, request_context,
 };
 
-/// Interval of the director's periodic work.
+/// Interval of the director's periodic work: cleanup of the router and sending of metrics.
 const TICK: time::Duration = time::Duration::from_millis(50);
-/// Interval at which idle connections and unused locks are dropped.
+/// Interval at which idle connections, unused locks and links to unlisted schedulers are dropped.
 const PRUNE_INTERVAL: time::Duration = time::Duration::from_secs(5);
 /// Time for which new connections are still accepted after a stop is requested. The load balancer
 /// and the published list need that time to direct callers to other instances.
 const UNREADY_GRACE: time::Duration = time::Duration::from_secs(3);
 /// Longest time for which a stop waits for requests in progress; above any time limit in use.
 const STOP_LIMIT: time::Duration = time::Duration::from_secs(3_600);
-/// Interval of the checks whether requests are still in progress.
+/// Interval at which a stop checks whether requests are still in progress.
 const STOP_POLL: time::Duration = time::Duration::from_millis(20);
 
 /// Runs an entry until a stop is requested and its requests have ended, or a limit on that wait has
@@ -110,7 +110,7 @@
     monoio::time::sleep(STOP_POLL * 5).await;
 }
 
-/// Sends a tick to the director at every interval.
+/// Sends a tick to the director after every [`TICK`].
 async fn tick(events: event::EventSender) {
     loop {
         events.send(event::EntryEvent::Tick);
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -28,7 +28,7 @@
     pub output: Option<units::TokenCount>,
     /// Whether the caller requested a streamed answer.
     pub stream: bool,
-    /// Members of the JSON object, with undecoded values.
+    /// Members of the caller's JSON object, with undecoded values.
     members: collections::BTreeMap<String, Box<value::RawValue>>,
 }
 
@@ -83,7 +83,7 @@
     units::TokenCount((bytes as u64).div_ceil(BYTES_PER_TOKEN))
 }
 
-/// Decodes a member that must be present.
+/// Decodes a member of the body that must be present.
 fn required<'de, T: serde::Deserialize<'de>>(
     members: &'de collections::BTreeMap<String, Box<value::RawValue>>,
     name: &str,
@@ -91,7 +91,7 @@
     optional(members, name)?.ok_or_else(|| bad_request(&format!("'{name}' is missing")))
 }
 
-/// Decodes a member that may be absent or null.
+/// Decodes a member of the body; `None` if it is absent or null.
 fn optional<'de, T: serde::Deserialize<'de>>(
     members: &'de collections::BTreeMap<String, Box<value::RawValue>>,
     name: &str,
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -26,8 +26,8 @@
     pub body_budget: body_budget::BodyBudget,
     /// Signal that the process is to stop.
     pub stop: process::StopSignal,
-    /// Locks held while a portion of a customer's budget is drawn, so that concurrent requests of
-    /// the customer wait for that portion instead of drawing their own.
+    /// Locks by customer, held while a portion of a customer's budget is drawn, so that concurrent
+    /// requests of the customer wait for that portion instead of drawing their own.
     pub draw_locks: DrawLocks,
     /// Number of requests being served.
     pub active: cell::Cell<usize>,
@@ -36,7 +36,7 @@
 }
 
 impl EntryContext {
-    /// Assigns the id of the next request.
+    /// Assigns an id to a request, made of the instance, the boot id and the sequence number.
     pub fn next_request_id(&self) -> ids::RequestId {
         self.sequence.set(self.sequence.get() + 1);
         ids::RequestId::new(&self.local.instance, self.boot, self.sequence.get())
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -1,4 +1,6 @@
 //! Serving of a call to a plain service, from the received body to the final answer.
+//!
+//! A plain service is one whose upstreams run no model.
 
 use std::{collections, pin, rc, time};
 
@@ -27,22 +29,22 @@
     "authorization",
 ];
 
-/// Fraction of the remaining time for which a repeatable call waits for an answer over a connection
-/// that had been idle, before it is sent again over a new one. Less than half, so that the new
-/// connection has at least as much time. `slipturn-instance` uses the same fraction.
+/// Fraction of a call's remaining time for which a repeatable call waits for an answer over a
+/// connection that had been idle, before it is sent again over a new one. Less than half, so that
+/// the new connection has at least as much time. `slipturn-instance` uses the same fraction.
 const SILENCE_FRACTION: f64 = 0.45;
 
-/// A call as sent by the caller, without its body.
+/// A call to a plain service as sent by the caller, without its body.
 pub struct ServiceCall {
-    /// Ids of the request.
+    /// Ids of the call, assigned by slipturn and sent by the caller.
     pub request_ids: answer::RequestIds,
     /// API key of the caller.
     pub key: String,
-    /// Time limit requested by the caller.
+    /// Time limit requested by the caller; it can shorten the service's limit, not extend it.
     pub requested_limit: Option<time::Duration>,
     /// Idempotency key, for calls that must run at most once.
     pub idempotency_key: Option<String>,
-    /// Service that is called.
+    /// Name of the service, from the path of the call.
     pub service: ids::ServiceId,
     /// Method, headers, and the path and query after the service's name.
     pub head: http::request::Parts,
@@ -61,7 +63,7 @@
     response: http::Response<Bytes>,
 }
 
-/// A call being served.
+/// A call that has been admitted, with the state of its attempts.
 struct ServiceRequest {
     context: rc::Rc<request_context::EntryContext>,
     call: ServiceCall,
@@ -77,11 +79,12 @@
     /// idle. From then on only new connections are used, so that a call waits for at most one
     /// unresponsive connection.
     new_connections_only: bool,
-    /// Pending answer over the unresponsive connection. The upstream may merely be slow.
+    /// Pending answer of an earlier attempt over an unresponsive connection. The upstream of the
+    /// connection may merely be slow.
     late: Option<LateAnswer>,
 }
 
-/// Serves a call to a plain service.
+/// Admits a call to a plain service, tries its upstreams, and sends the answer or a refusal.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     connection: &mut http_server::ServerConnection,
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Checks the head of an answer.
+/// Checks that an answer belongs to `attempt` and that the upstream ran the call.
 ///
 /// # Errors
 ///
@@ -73,7 +73,8 @@
     Ok(())
 }
 
-/// Builds a call to an upstream with the headers that every attempt carries.
+/// Builds a call to an upstream with the attempt's id and remaining time, which every attempt
+/// carries in headers.
 pub fn build_call(
     method: http::Method,
     path: &str,
