--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -7,21 +7,21 @@
 use slipturn_net::{http_client, process};
 use snafu::{ResultExt as _, Snafu};
 
-/// Timeout for the complete response.
+/// Time limit for a request to an instance, from connecting to the end of the response.
 const RESPONSE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// Maximum size of a response body.
+/// Maximum size in bytes of the body of an instance's response.
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Error of a command.
+/// Error of a command, with the text that `slipturnctl` prints.
 #[derive(Debug, Snafu)]
 pub enum CommandError {
-    /// The call to the instance failed.
+    /// The connection failed, or the response is incomplete or too large.
     #[snafu(display("{source}"))]
     Call {
         /// Error of the HTTP client.
         source: http_client::CallError,
     },
-    /// The instance did not respond in time.
+    /// The response was not complete within the time limit.
     #[snafu(display("{address} did not answer within {RESPONSE_TIMEOUT:?}"))]
     TimedOut {
         /// Address of the instance.
@@ -33,7 +33,7 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The response is not valid JSON.
+    /// The body of the response is not valid JSON, with any HTTP status.
     #[snafu(display("the answer cannot be read: {source}"))]
     InvalidJson {
         /// Error of the JSON parser.
@@ -44,13 +44,13 @@
     Refused {
         /// HTTP status of the response.
         status: u16,
-        /// Error text of the response.
+        /// The `status` field of the response's JSON, or `refused` if there is none.
         text: String,
     },
     /// The settings document cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
-        /// Path of the file.
+        /// Path of the settings document.
         file: path::PathBuf,
         /// Error of the operating system.
         source: std::io::Error,
@@ -58,9 +58,9 @@
     /// The settings document is not valid.
     #[snafu(display("{}: {source}", file.display()))]
     Settings {
-        /// Path of the file.
+        /// Path of the settings document.
         file: path::PathBuf,
-        /// Error of the parser.
+        /// Error of the settings parser.
         source: settings::SettingsError,
     },
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -14,9 +14,9 @@
 
 /// Error of the program. The variants have different exit codes.
 enum CliError {
-    /// The command line is invalid.
+    /// The command line is invalid; the exit code is [`command_line::EXIT_USAGE`].
     Usage(String),
-    /// The command failed.
+    /// The command failed; the exit code is [`command_line::EXIT_FAILURE`].
     Failed(String),
 }
 
