--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -19,21 +19,21 @@
     pub output: u64,
     /// Relative frequency of each API key; the sum is arbitrary.
     pub key_weights: Vec<f64>,
-    /// Seed of the random number generator.
+    /// Seed of the random number generator that draws times, prompt lengths and keys.
     pub seed: u64,
 }
 
 /// Prompt length in tokens above which a prompt counts as long.
 pub const LONG_PROMPT_TOKENS: u64 = 100_000;
 
-/// A request to be sent.
+/// A request of the run, with the time at which it is sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
     /// Scheduled time, relative to the start of the run.
     pub at: time::Duration,
     /// Prompt length, in tokens.
     pub prompt: u64,
-    /// Number of output tokens.
+    /// Number of output tokens that the request asks for.
     pub output: u64,
     /// Index into [`ArrivalProfile::key_weights`] of the key to use.
     pub key: usize,
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -18,31 +18,31 @@
 /// Text that is repeated to fill a prompt.
 const PROMPT_FILLER: &str = "abcdefghijklmno ";
 
-/// The outcome of a request.
+/// The outcome of a request, as seen by its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallOutcome {
     /// The response was complete and correct.
     Whole {
-        /// Time to the first chunk.
+        /// Time from the start of the call to the first chunk of the response.
         first_token: time::Duration,
-        /// Time to the end of the response.
+        /// Time from the start of the call to the end of the response.
         total: time::Duration,
-        /// Longest time between two chunks.
+        /// Longest time between two consecutive chunks of the response.
         longest_gap: time::Duration,
         /// Request id that slipturn returned; empty if it returned none.
         request: String,
     },
     /// The request was refused with a readable error body.
     Refused {
-        /// HTTP status.
+        /// HTTP status of the refusal.
         status: u16,
-        /// Error code.
+        /// The `code` field of the error body.
         code: String,
         /// The `ran` field of the error body: whether the request ran.
         ran: String,
-        /// Time after which the caller may retry.
+        /// Time after which the caller may retry, if the error body contains one.
         retry_after: Option<time::Duration>,
-        /// Time to the end of the error body.
+        /// Time from the start of the call to the end of the error body.
         after: time::Duration,
     },
     /// The response began but ended with an error event or without its last event.
@@ -56,7 +56,7 @@
 /// Destination and credentials of a request.
 #[derive(Debug, Clone)]
 pub struct CallTarget {
-    /// Address of an entry or an engine.
+    /// Address of an entry, or of an engine that is called directly.
     pub address: net::SocketAddr,
     /// API key, sent as bearer token.
     pub key: String,
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -30,7 +30,7 @@
 /// Longest prompt of the baseline run, in tokens.
 const SHORT_PROMPT_TOKENS: u64 = 2_000;
 
-/// The parameters of a run, from the command line and the settings file.
+/// The parameters of a run, from the command line and the tool's settings file.
 struct LoadPlan {
     profile: arrivals::ArrivalProfile,
     targets: Vec<net::SocketAddr>,
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -11,19 +11,19 @@
 /// 99th percentile in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct BandReport {
-    /// Name of the band.
+    /// Name of the band, as in [`histogram::BAND_BOUNDS`].
     pub band: &'static str,
-    /// Number of complete responses.
+    /// Number of complete and correct responses to prompts of this band.
     pub whole: u64,
-    /// Time to first token.
+    /// Percentiles of the time from the start of a call to the first chunk of its response.
     pub first_token_ms: [f64; 3],
-    /// Time to the end of the response.
+    /// Percentiles of the time from the start of a call to the end of its response.
     pub total_ms: [f64; 3],
-    /// Longest time between two chunks of a response.
+    /// Percentiles of the longest time between two consecutive chunks of a response.
     pub gap_ms: [f64; 3],
 }
 
-/// The results of a run.
+/// The results of a run, printed as a table or as JSON.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunReport {
     /// Number of requests sent.
@@ -32,13 +32,13 @@
     pub whole: u64,
     /// Number of refusals by status, code and whether the request ran.
     pub refused: collections::BTreeMap<String, u64>,
-    /// Number of truncated responses by reason.
+    /// Number of responses that ended without their last event or with an error event, by reason.
     pub cut: collections::BTreeMap<String, u64>,
     /// Number of responses that ended normally but with the wrong text.
     pub wrong: u64,
     /// Number of other failures, such as lost connections and timeouts, by reason.
     pub failed: collections::BTreeMap<String, u64>,
-    /// Prompt and output tokens of the complete responses.
+    /// Sum of the prompt and output tokens of the complete responses.
     pub tokens: u64,
     /// Latency by band of prompt lengths, shortest first.
     pub bands: Vec<BandReport>,
@@ -71,7 +71,8 @@
 }
 
 impl ReportBuilder {
-    /// Adds the outcome of one request.
+    /// Counts the outcome of one request. A complete response also adds its times to the band of
+    /// the prompt's length.
     pub fn add(&mut self, arrival: &arrivals::Arrival, outcome: &caller::CallOutcome) {
         self.requests += 1;
         match outcome {
