--- a/crates/net/src/command_line.rs
+++ b/crates/net/src/command_line.rs
@@ -29,9 +29,9 @@
 
 /// What a program does after its command line has been parsed.
 pub enum ParsedArguments {
-    /// Run the program with these options.
+    /// The program runs with these options and positional arguments.
     Run(getopts::Matches),
-    /// Exit with this code. All output has been printed.
+    /// The program exits with this code. The help, version or error text has already been printed.
     Exit(u8),
 }
 
@@ -103,7 +103,8 @@
         self.matches.opt_str(name).or_else(|| self.file.get(name).cloned())
     }
 
-    /// Returns the value of an option, or `default` if it is not set.
+    /// Parses the value of an option; returns `default` if neither the command line nor the
+    /// settings file contains it.
     pub fn value<T: str::FromStr>(&self, name: &str, default: T) -> Result<T, String> {
         match self.text(name) {
             None => Ok(default),
@@ -148,7 +149,7 @@
     }
 }
 
-/// Prints an error and returns [`EXIT_FAILURE`].
+/// Prints an error, after the program's name, to standard error and returns [`EXIT_FAILURE`].
 pub fn fail(info: ProgramInfo, error: &dyn fmt::Display) -> process::ExitCode {
     eprintln!("{}: {error}", info.name);
     process::ExitCode::from(EXIT_FAILURE)
@@ -174,7 +175,7 @@
     Ok(local)
 }
 
-/// Installs the logger and runs a server until it stops.
+/// Installs the logger and runs a server on a new event loop until it stops. An error is printed.
 pub fn serve<F, Fut, E>(
     info: ProgramInfo,
     local: local_settings::LocalSettings,
--- a/crates/net/src/h1.rs
+++ b/crates/net/src/h1.rs
@@ -74,7 +74,7 @@
     buffer: BytesMut,
 }
 
-/// The writing half of a connection.
+/// The writing half of a connection. It has no buffer; every write is flushed.
 #[derive(Debug)]
 pub struct MessageWriter {
     half: OwnedWriteHalf<net::TcpStream>,
@@ -82,8 +82,8 @@
 
 /// Splits a connected socket into a reader and a writer and disables Nagle's algorithm.
 pub fn split(stream: net::TcpStream) -> (MessageReader, MessageWriter) {
-    // Without this option small events wait for an acknowledgement. A socket that rejects it still
-    // works.
+    // Without `TCP_NODELAY`, small events wait for an acknowledgement of the earlier ones. A socket
+    // that rejects the option still works.
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("set_nodelay: {error}");
     }
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -18,7 +18,7 @@
 
 use crate::{body, metered_read};
 
-/// Timeout for establishing a connection.
+/// Timeout for establishing a TCP connection.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 /// Maximum number of idle connections per address.
 const MAX_IDLE_CONNECTIONS: usize = 32;
@@ -147,7 +147,8 @@
         self.send(connection, request).await
     }
 
-    /// Takes an idle connection from the pool or opens a new one.
+    /// Takes an idle connection from the pool, if the policy allows it and there is one, or opens a
+    /// new one.
     pub async fn connect(
         &self,
         address: std_net::SocketAddr,
--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -60,13 +60,13 @@
         /// Error of the decoder or the encoder, or description of the malformed body.
         reason: String,
     },
-    /// The body is larger than allowed.
+    /// The declared or the received body is larger than [`BodyLimits::max_bytes`].
     #[snafu(display("the body has more than {limit} bytes"))]
     BodyTooLarge {
         /// Maximum size of the body in bytes.
         limit: u64,
     },
-    /// The body did not arrive in time.
+    /// The complete body did not arrive within [`BodyLimits::time`].
     #[snafu(display("the body did not arrive within {limit:?}"))]
     BodyTimeout {
         /// Time within which the body had to arrive.
@@ -120,7 +120,7 @@
 impl ServerConnection {
     /// Wraps an accepted socket and disables Nagle's algorithm.
     pub fn new(stream: net::TcpStream) -> Self {
-        // The connection works without the option, so a failure is ignored.
+        // The connection works without `TCP_NODELAY`, so a failure is ignored.
         let _ = stream.set_nodelay(true);
         let (read_half, writer) = stream.into_split();
         let second_writer = OwnedWriteHalf(rc::Rc::clone(&writer.0));
--- a/crates/net/src/local_settings.rs
+++ b/crates/net/src/local_settings.rs
@@ -14,7 +14,7 @@
     /// The file cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
-        /// Path of the file.
+        /// Path of the local settings file.
         file: path::PathBuf,
         /// Error of the operating system.
         source: io::Error,
@@ -22,7 +22,7 @@
     /// The content of the file is not valid.
     #[snafu(display("{}: {source}", file.display()))]
     Content {
-        /// Path of the file.
+        /// Path of the local settings file.
         file: path::PathBuf,
         /// Error of the parser.
         source: settings::SettingsError,
@@ -30,7 +30,7 @@
     /// A value is out of range.
     #[snafu(display("{}: {field}: found {found}, expected {expected}", file.display()))]
     Range {
-        /// Path of the file.
+        /// Path of the local settings file.
         file: path::PathBuf,
         /// Path of the setting within the file.
         field: &'static str,
@@ -66,8 +66,8 @@
     pub max_answer: units::ByteCount,
     /// Time within which the body of a request must arrive.
     pub body_time: units::TimeSpan,
-    /// Number of decision records, which tell operators how a request was routed and ended, that
-    /// are kept.
+    /// Number of decision records that are kept. Operators read in them how a request was routed
+    /// and how it ended.
     pub decisions: usize,
     /// Length of a pause of the process, such as a suspension, after which it confirms its settings
     /// before it serves requests.
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -13,7 +13,7 @@
 use snafu::Snafu;
 use tokio_util::compat::TokioAsyncReadCompatExt as _;
 
-/// Timeout for establishing a connection.
+/// Timeout for establishing a connection to a scheduler.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Timeout for a call that the scheduler answers without waiting.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
@@ -28,7 +28,7 @@
 /// Error of a call to a scheduler.
 #[derive(Debug, Snafu)]
 pub enum LinkError {
-    /// The connection could not be established.
+    /// The connection could not be established; the call was not sent.
     #[snafu(display("cannot connect to scheduler {address}: {reason}"))]
     NotConnected {
         /// Address of the scheduler.
@@ -44,7 +44,7 @@
         /// Error of the RPC library, or of the decoding of the answer.
         reason: String,
     },
-    /// The scheduler did not answer in time.
+    /// The scheduler did not answer within the timeout. It may have carried out the call.
     #[snafu(display("scheduler {address} did not answer within {limit:?}"))]
     TimedOut {
         /// Address of the scheduler.
@@ -225,7 +225,7 @@
         .await
     }
 
-    /// Returns the scheduler's status page as JSON.
+    /// Returns the scheduler's status for operators as JSON.
     pub async fn status(&self) -> Result<String, LinkError> {
         self.call(CALL_TIMEOUT, async |client| {
             let reply = client.status_request().send().promise.await?;
