--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -12,7 +12,8 @@
 /// Header with the caller's own id of a request. The answer echoes it, or carries slipturn's id if
 /// the caller sent none.
 pub const CALLER_ID_HEADER: &str = "x-request-id";
-/// Header with a shorter time limit requested by a caller, in milliseconds.
+/// Header with a time limit requested by a caller, in milliseconds, if it is to be shorter than the
+/// configured one.
 pub const TIMEOUT_HEADER: &str = "slipturn-timeout-ms";
 /// Header with a caller's idempotency key, for calls that must run at most once.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -11,7 +11,7 @@
     answer, event, model_request, model_request::RequestEnd, request_context, service_request,
 };
 
-/// Paths of model requests.
+/// Paths of model requests, which are the same on the engines.
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 /// Path at which a GET request returns the names of the models of all listed engines.
 const MODELS_PATH: &str = "/v1/models";
@@ -196,7 +196,7 @@
     }
 }
 
-/// The key in the `Authorization` header, if its scheme is `Bearer`.
+/// The caller's API key in the `Authorization` header, if its scheme is `Bearer`.
 fn bearer_key(incoming: &http_server::IncomingHead) -> Option<String> {
     let (scheme, key) = incoming.header("authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim().to_owned())
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -90,13 +90,13 @@
     WantsOffers(oneshot::Sender<bool>),
     /// Returns whether an engine may be used without a lease while its scheduler is unreachable.
     MaySendUnleased(ids::EngineId, oneshot::Sender<bool>),
-    /// Counts an attempt as running on an engine.
+    /// Counts an attempt as running on an engine; until it ends, its lease is renewed.
     Started(RunningPlace),
-    /// Counts an attempt as ended on an engine.
+    /// Counts an attempt as ended on an engine, so that its lease there is no longer renewed.
     Ended(ids::AttemptId, ids::EngineId),
     /// Excludes an engine from the candidates for a while after it refused or failed.
     Eject(ids::EngineId),
-    /// Decides whether a request gets another attempt.
+    /// Decides whether a request gets another attempt, and if so takes it from the retry budget.
     Retry(retry::FailedAttempt, oneshot::Sender<retry::RetryVerdict>),
     /// Counts a request to a plain service towards the retry budget.
     CountRequest,
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -243,7 +243,8 @@
         }
     }
 
-    /// Adds the failure of the previous attempt, if there was one, to the refusal of the next.
+    /// Adds the failure of the previous attempt, if there was one, to the refusal of the next
+    /// attempt.
     fn add_last_failure(&self, refusal: refusal::RequestRefusal) -> refusal::RequestRefusal {
         let last = self.record.attempts.last().and_then(|row| row.end.clone());
         match last {
@@ -352,7 +353,7 @@
         }
     }
 
-    /// Time until the deadline of the request, or zero.
+    /// Time until the deadline of the request, or zero if it has passed.
     pub(crate) fn remaining_time(&self) -> time::Duration {
         self.admitted.deadline.since(self.context.clock.now())
     }
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -22,7 +22,7 @@
     pub attempt: ids::AttemptId,
     /// Routing data of the request: API key, model, prompt length and requested limits.
     pub plan_query: entry_router::PlanQuery,
-    /// Settings that the router resolved for the request.
+    /// Settings and output limit that the router resolved for the request.
     pub grant: entry_router::RequestGrant,
     /// Hash of the prompt's prefix, by which routing finds an engine that may have it cached.
     pub prefix: u64,
@@ -35,7 +35,8 @@
 }
 
 impl PlaceRequest {
-    /// Memory of an engine needed for the prompt and the output together, in tokens.
+    /// Memory needed for the prompt and the output together, on one engine or over all members of a
+    /// group, in tokens.
     pub(crate) fn required_memory(&self) -> units::TokenCount {
         self.plan_query.prompt + self.grant.output
     }
@@ -439,7 +440,7 @@
         .retry_after(time::Duration::from_secs(1))
 }
 
-/// Whole milliseconds since `started`.
+/// Whole milliseconds since `started`, the unit of waits in decision records.
 pub(crate) fn millis_since(
     context: &request_context::EntryContext,
     started: units::MonoTime,
--- a/crates/entry/src/prompt.rs
+++ b/crates/entry/src/prompt.rs
@@ -16,7 +16,7 @@
 /// A parsed request body, with the values that routing needs.
 #[derive(Debug, Clone)]
 pub struct ParsedRequest {
-    /// Requested model.
+    /// Model that the caller requests.
     pub model: ids::ModelId,
     /// Estimated length of the prompt.
     pub tokens: units::TokenCount,
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -1,6 +1,7 @@
 //! Serving of a call to a plain service, from the received body to the final answer.
 //!
-//! A plain service is one whose upstreams run no model.
+//! A plain service is one whose upstreams run no model. A call to it is repeatable if the settings
+//! of the service allow calls of its method to run more than once.
 
 use std::{collections, pin, rc, time};
 
