--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -8,7 +8,7 @@
 use slipturn_core::{budget, ids, key_vote, placement, refusal, units};
 use slipturn_net::scheduler_link;
 
-/// Sends events to the task that handles them.
+/// Sender of events to the task that owns the scheduler's state.
 pub type EventSender = mpsc::UnboundedSender<SchedulerEvent>;
 
 /// Answer to an offer call: the engine's estimate for the request, or a refusal.
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -48,7 +48,7 @@
     pub engines: Vec<EngineStatus>,
     /// Number of customers whose budget this scheduler keeps in a token bucket.
     pub budgets: usize,
-    /// Number of recorded idempotency keys.
+    /// Number of idempotency keys that the scheduler has recorded as a voter.
     pub keys: usize,
     /// Whether the instance has been running and listed long enough to vote.
     pub votes: bool,
