--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -66,7 +66,8 @@
     }
 }
 
-/// Returns the path of a query for the settings of a customer's application, or for the whole settings tree.
+/// Returns the path of a query for the settings of a customer's application. Without the options
+/// that name them, the path has no query, and an entry lists the applications of all customers.
 fn settings_path(matches: &getopts::Matches) -> Result<String, CliError> {
     let (customer, application) = (matches.opt_str("customer"), matches.opt_str("application"));
     match (customer, application) {
