--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -9,7 +9,7 @@
 
 use crate::arrivals;
 
-/// Largest accepted chunk of a response, and largest accepted error body.
+/// Largest accepted chunk of a response, and largest accepted error body, in bytes.
 const MAX_READ_BYTES: u64 = 4 << 20;
 /// Timeout of a request, from sending it to the end of its response.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(600);
@@ -60,7 +60,7 @@
     pub address: net::SocketAddr,
     /// API key, sent as bearer token.
     pub key: String,
-    /// Name of the model.
+    /// Name of the model that the request asks for.
     pub model: String,
 }
 
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -12,7 +12,7 @@
     about: "Sends requests at a given rate, whatever becomes of them, and reports on the answers.",
 };
 
-/// Options that can also be set in a settings file.
+/// Options that can also be set in the tool's settings file.
 const OPTIONS: [&str; 12] = [
     "targets",
     "keys",
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -40,7 +40,8 @@
     pub failed: collections::BTreeMap<String, u64>,
     /// Sum of the prompt and output tokens of the complete responses.
     pub tokens: u64,
-    /// Latency by band of prompt lengths, shortest first.
+    /// Latency by band of prompt lengths, shortest first, without the bands that have no complete
+    /// response.
     pub bands: Vec<BandReport>,
     /// Id of the completed request with the longest prompt, to look up in slipturn.
     pub example: Option<String>,
@@ -56,7 +57,7 @@
     gap: Vec<time::Duration>,
 }
 
-/// Accumulates the outcomes of a run.
+/// Accumulates the outcomes of the requests of a run.
 #[derive(Default)]
 pub struct ReportBuilder {
     requests: u64,
