--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -12,7 +12,8 @@
 /// Header with the caller's own id of a request. The answer echoes it, or carries slipturn's id if
 /// the caller sent none.
 pub const CALLER_ID_HEADER: &str = "x-request-id";
-/// Header with a shorter time limit requested by a caller, in milliseconds.
+/// Header with a time limit requested by a caller, in milliseconds, if it is to be shorter than the
+/// configured one.
 pub const TIMEOUT_HEADER: &str = "slipturn-timeout-ms";
 /// Header with a caller's idempotency key, for calls that must run at most once.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
@@ -31,7 +32,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Ids of a request that are shown to its caller.
+/// Ids of a request that its answer carries in headers.
 #[derive(Debug, Clone)]
 pub struct RequestIds {
     /// Id assigned by slipturn.
@@ -41,7 +42,8 @@
 }
 
 impl RequestIds {
-    /// Adds the ids to an answer's headers.
+    /// Adds both ids to an answer's headers. If the caller sent no id, [`CALLER_ID_HEADER`]
+    /// contains slipturn's.
     pub fn add_headers(&self, headers: &mut http::HeaderMap) {
         let own = self.request.as_str();
         let caller = self.caller.as_deref().unwrap_or(own);
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -11,11 +11,11 @@
     answer, event, model_request, model_request::RequestEnd, request_context, service_request,
 };
 
-/// Paths of model requests.
+/// Paths of model requests, which are the same on the engines.
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
-/// Path of the list of models.
+/// Path at which a GET request returns the names of the models of all listed engines.
 const MODELS_PATH: &str = "/v1/models";
-/// Prefix of the paths of plain services.
+/// Prefix of the paths of plain services, whose upstreams run no model. The service's name follows.
 const SERVICES_PREFIX: &str = "/services/";
 /// Longest request id accepted from a caller, in bytes; a longer one is ignored.
 const MAX_CALLER_ID_BYTES: usize = 128;
@@ -103,7 +103,8 @@
     }
 }
 
-/// Reads a request's body and holds its size in the body budget.
+/// Reads a request's body and takes its size from the body budget until the returned hold is
+/// dropped.
 async fn read_body(
     context: &request_context::EntryContext,
     connection: &mut http_server::ServerConnection,
@@ -195,7 +196,7 @@
     }
 }
 
-/// The key in the `Authorization` header, if its scheme is `Bearer`.
+/// The caller's API key in the `Authorization` header, if its scheme is `Bearer`.
 fn bearer_key(incoming: &http_server::IncomingHead) -> Option<String> {
     let (scheme, key) = incoming.header("authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim().to_owned())
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -12,7 +12,7 @@
     about: "Sends requests at a given rate, whatever becomes of them, and reports on the answers.",
 };
 
-/// Options that can also be set in a settings file.
+/// Options that can also be set in the tool's settings file.
 const OPTIONS: [&str; 12] = [
     "targets",
     "keys",
@@ -30,7 +30,7 @@
 /// Longest prompt of the baseline run, in tokens.
 const SHORT_PROMPT_TOKENS: u64 = 2_000;
 
-/// The parameters of a run, from the command line and the settings file.
+/// The parameters of a run, from the command line and the tool's settings file.
 struct LoadPlan {
     profile: arrivals::ArrivalProfile,
     targets: Vec<net::SocketAddr>,
