--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -10,8 +10,8 @@
 /// Takes `want` tokens for a request from the portion of the customer's budget that this entry
 /// holds.
 ///
-/// If the portion doesn't suffice, a new one is drawn from the customer's budget keeper, the
-/// instance that holds the customer's token bucket. While the keeper is unreachable, this entry's
+/// If the portion doesn't suffice, a new one is drawn from the owner of the customer's budget, the
+/// instance that holds the customer's token bucket. While the owner is unreachable, this entry's
 /// own share is used.
 ///
 /// # Errors
@@ -36,7 +36,7 @@
         }
     }
     match step {
-        // `Draw` after a draw means that the portion expired before it was spent. The keeper has
+        // `Draw` after a draw means that the portion expired before it was spent. The owner has
         // charged it to the customer, so the request proceeds.
         entry_router::BudgetStep::Spent | entry_router::BudgetStep::Draw { .. } => Ok(()),
         entry_router::BudgetStep::Empty(wait) => {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Draws a portion from the customer's budget keeper and takes the request's tokens from it.
+/// Draws a portion from the owner of the customer's budget and takes the request's tokens from it.
 async fn draw(
     context: &request_context::EntryContext,
     settings: &settings_resolve::ResolvedSettings,
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -53,7 +53,7 @@
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
     ),
-    /// Takes tokens from this entry's own share of the budget, while the customer's budget keeper
+    /// Takes tokens from this entry's own share of the budget, while the owner of the customer's budget
     /// is unreachable.
     SpendOwnShare(
         settings_resolve::ResolvedSettings,
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct UpstreamLoads {
     /// Rule that chooses among upstreams by their costs; other rules than the default serve for comparisons.
-    way: modes::LoadChoiceMode,
+    mode: modes::LoadChoiceMode,
     /// Name of this instance, which determines its own order of upstreams with equal costs.
     own: String,
     /// Load and health by upstream.
@@ -45,8 +45,8 @@
 
 impl UpstreamLoads {
     /// Creates an empty state for the instance named `own`.
-    pub fn new(way: modes::LoadChoiceMode, own: &str) -> Self {
-        Self { way, own: own.to_owned(), ..Self::default() }
+    pub fn new(mode: modes::LoadChoiceMode, own: &str) -> Self {
+        Self { mode, own: own.to_owned(), ..Self::default() }
     }
 
     /// Picks the upstream for a call: a failed one whose probe is due, else the candidate with the
@@ -88,7 +88,7 @@
         if let Some(limited) = equal.clone().find(|entry| has_limit(entry)) {
             return Some(limited);
         }
-        match self.way {
+        match self.mode {
             modes::LoadChoiceMode::First => Some(first),
             // Instances with few calls in progress see equal costs for all upstreams, so a fixed order
             // would send the calls of all instances to the same one.
