--- a/crates/core/src/connection_share.rs
+++ b/crates/core/src/connection_share.rs
@@ -11,7 +11,7 @@
 /// `limit` connections.
 ///
 /// A fractional share is rounded up by some members and down by the others, depending on a hash of
-/// the names, so that on average all members together keep the idle part.
+/// the names, so that on average all members together keep `IDLE_PART` of the limit idle.
 pub fn max_idle(
     limit: usize,
     members: usize,
