--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -6,12 +6,12 @@
 
 use std::time;
 
-/// Answers needed before the usual answer time is known.
+/// Fewest answers from which the usual answer time is estimated.
 const MIN_ANSWERS: u32 = 8;
-/// Weight of the newest answer in the mean. This and the other weights are those of TCP's
-/// round-trip time estimate.
+/// Weight of the newest answer time in its moving average. This and the other weights are those of
+/// TCP's round-trip time estimate.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
-/// Weight of the newest answer in the mean deviation.
+/// Weight of the newest deviation from the mean answer time in its moving average.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 /// Number of mean deviations added to the mean for the usual answer time.
 const DEVIATIONS: f64 = 4.0;
@@ -20,18 +20,18 @@
 /// Least wait on a reused connection, as a part of the latency goal. The remainder is for sending
 /// the request again on a new connection.
 const GOAL_PART: f64 = 0.6;
-/// Latest part of a wait in which a connection must have received data to be trusted. The answer
-/// was due in the earlier part, so the silence had begun by then.
+/// A connection is trusted if it received data within this last fraction of a wait. The answer was
+/// due in the earlier part, so the silence had begun by then.
 const TRUST_PART: f64 = 0.5;
 
 /// Estimate of how long answers of one kind take, from writing the request to receiving the head.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AnswerTimes {
-    /// Number of answers.
+    /// Number of answers in the estimate, which is not used below [`MIN_ANSWERS`].
     answers: u32,
-    /// Mean time, seconds.
+    /// Moving average of the answer times, in seconds.
     mean: f64,
-    /// Mean deviation from `mean`, seconds.
+    /// Moving average of the absolute deviations from `mean`, in seconds.
     deviation: f64,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// Time since the events of a connection.
+/// Ages of the events of a connection that tell a dead connection from a slow upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionAges {
     /// Time since the connection was opened.
@@ -131,8 +131,8 @@
 }
 
 impl SilenceCause {
-    /// The cause of the silence of `silent` after a wait of `waited`, given the `others` to the same
-    /// upstream.
+    /// Classifies the silence of the connection `silent` after a wait of `waited`; `others` are the
+    /// other connections to the same upstream.
     pub fn of(
         silent: ConnectionAges,
         phase: SilencePhase,
