--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -3,6 +3,8 @@
 //! Members form a ring by hash, and each monitors the next [`MONITORED`] live members on it. A member that misses a
 //! direct probe is probed again, also through relays. If it stays silent it is suspected, and its monitor broadcasts
 //! that more than once, as datagrams are lost. Any sign of life ends a suspicion.
+//!
+//! A start of a member is one run of its process, identified by a boot number; suspicions are of a start.
 
 mod message;
 mod probe;
@@ -14,7 +16,7 @@
 pub use self::message::{DetectorAction, ProbeMessage, SuspectReport};
 use crate::units;
 
-/// Live members that each member monitors.
+/// Number of live members that each member monitors.
 pub const MONITORED: usize = 3;
 /// Most further members that each member monitors if neighbours on the ring are suspected.
 const MAX_EXTRA_MONITORED: usize = 16;
@@ -22,7 +24,7 @@
 pub const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(600);
 /// Interval between two calls of [`FailureDetector::tick`] from which this process itself is considered paused.
 const PAUSE_TIME: time::Duration = time::Duration::from_millis(400);
-/// Relays that probe a silent member.
+/// Number of other members that are asked to probe a silent one.
 const RELAYS: usize = 3;
 /// Number of broadcasts of each finding.
 const BROADCASTS: u32 = 3;
@@ -30,15 +32,15 @@
 const BROADCAST_INTERVAL: time::Duration = time::Duration::from_millis(400);
 /// How long the end of a suspicion is remembered, against older suspicions that arrive later.
 const RESTORED_TIME: time::Duration = time::Duration::from_secs(30);
-/// Most pending probes on behalf of other members.
+/// Most pending probes on behalf of other members; beyond that the oldest are forgotten.
 const MAX_RELAYED: usize = 256;
 
-/// A member on the ring.
+/// Another member with its position on the ring.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RingMember {
-    /// Position on the ring.
+    /// Position on the ring: the hash of the member's name.
     pub hash: u64,
-    /// Boot number of the present start.
+    /// Boot number of the member's present start.
     pub boot: u64,
     /// Address for probes.
     pub address: net::SocketAddrV4,
@@ -63,7 +65,7 @@
     finding: Finding,
 }
 
-/// The failure detector of one member.
+/// State of the failure detector of one member: the members that it monitors and those that are suspected.
 #[derive(Debug)]
 pub struct FailureDetector {
     /// Position of this member on the ring.
@@ -81,9 +83,9 @@
     broadcasts: Vec<PendingBroadcast>,
     /// When [`Self::tick`] was last called.
     last_tick: Option<units::MonoTime>,
-    /// Number of the last ping.
+    /// Number of the last ping sent. Each ping has its own number, which shows what an answer belongs to.
     number: u64,
-    /// Requesters of relayed pings, by number.
+    /// Addresses of the members that requested a relayed ping, by the number of that ping.
     relays: collections::BTreeMap<u64, net::SocketAddrV4>,
 }
 
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Sets the other members, sorted by position.
+    /// Replaces the other members, sorted by position. Suspicions of starts that are no longer among them are dropped.
     pub fn set_members(&mut self, now: units::MonoTime, ring: sync::Arc<[RingMember]>) {
         if self.ring == ring {
             return;
@@ -115,17 +117,17 @@
         self.choose_probes(now);
     }
 
-    /// Whether a start is suspected.
+    /// Whether the start with this boot number is suspected.
     pub fn is_suspected(&self, boot: u64) -> bool {
         self.suspected.contains(&boot)
     }
 
-    /// Number of suspected members.
+    /// Number of members on the ring that are suspected now.
     pub fn suspected_count(&self) -> usize {
         self.suspected.len()
     }
 
-    /// Sends due probes and evaluates unanswered ones.
+    /// Evaluates unanswered probes, and returns the probes and broadcasts that are due.
     pub fn tick(
         &mut self,
         now: units::MonoTime,
@@ -171,7 +173,7 @@
         actions
     }
 
-    /// Handles a message of another member.
+    /// Handles a message from the member at `from`; returns the replies, and the end of a suspicion if this is an answer.
     pub fn receive(
         &mut self,
         now: units::MonoTime,
@@ -200,7 +202,8 @@
         }
     }
 
-    /// Handles a suspicion of another member; returns whether it is new here. A monitor with a later answer refutes it.
+    /// Handles a suspicion that another member broadcast; returns whether it is new here. A monitor of the suspected member
+    /// that has a later answer refutes the suspicion.
     pub fn receive_suspect(
         &mut self,
         now: units::MonoTime,
@@ -231,7 +234,7 @@
         true
     }
 
-    /// Whether this member monitors the suspected one and has a later answer.
+    /// Whether this member monitors the suspected one, and has an answer from after the first unanswered probe.
     fn has_answered(&self, now: units::MonoTime, report: SuspectReport) -> bool {
         let probe = self.probes.iter().find(|probe| probe.member.boot == report.boot);
         let answered = probe.and_then(|probe| probe.answered);
