--- a/crates/core/src/failure_detector/probe.rs
+++ b/crates/core/src/failure_detector/probe.rs
@@ -4,21 +4,21 @@
 
 use crate::{failure_detector, units};
 
-/// Timeout of a direct probe.
+/// Timeout of a direct probe, after which relayed ones are requested.
 const DIRECT_TIMEOUT: time::Duration = time::Duration::from_millis(250);
-/// Timeout of the relayed probes that follow.
+/// Timeout of the relayed probes, after which the nearest monitor suspects the member.
 const RELAYED_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Extra time for each monitor between this process and the member, so that usually only the nearest monitor announces
 /// a finding.
 const ANNOUNCE_STEP: time::Duration = time::Duration::from_millis(150);
 
-/// State of the probes of one member.
+/// State of the probes of one monitored member.
 #[derive(Debug)]
 pub(super) struct MemberProbe {
     pub(super) member: failure_detector::RingMember,
     /// Number of monitors between this process and the member on the ring.
     pub(super) rank: u32,
-    /// When the member last answered.
+    /// When the member last answered a probe, directly or through a relay.
     pub(super) answered: Option<units::MonoTime>,
     /// When the next probe is due.
     pub(super) due: units::MonoTime,
@@ -29,17 +29,17 @@
 }
 
 impl MemberProbe {
-    /// A probe that is due now.
+    /// The state for a newly monitored member, whose first probe is due at once.
     pub(super) fn new(member: failure_detector::RingMember, now: units::MonoTime) -> Self {
         Self { member, rank: 0, answered: None, due: now, unanswered_since: None, relayed: None }
     }
 
-    /// Forgets unanswered probes.
+    /// Forgets unanswered probes, so that the timeouts begin anew.
     pub(super) fn reset(&mut self) {
         (self.unanswered_since, self.relayed) = (None, None);
     }
 
-    /// Records an answer.
+    /// Records an answer of the member, after which no probe counts as unanswered.
     pub(super) fn note_answer(&mut self, now: units::MonoTime) {
         self.answered = Some(now);
         self.reset();
