--- a/crates/core/src/fleet_list.rs
+++ b/crates/core/src/fleet_list.rs
@@ -1,4 +1,6 @@
 //! The published list of live and leaving instances, engines and upstreams, which may be out of date.
+//!
+//! An engine is an upstream that runs a model; the upstreams of a plain service run none.
 
 use std::net;
 
@@ -17,11 +19,11 @@
     Leaving,
 }
 
-/// An entry instance.
+/// An instance, which runs an entry for callers and a scheduler.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceRecord {
-    /// Name of the instance.
+    /// Name of the instance; its hash decides which engines and budgets the instance's scheduler owns.
     pub name: ids::InstanceId,
     /// Data centre in which it runs.
     pub data_center: ids::DataCenterId,
@@ -36,11 +38,11 @@
     pub state: ListState,
 }
 
-/// A model engine.
+/// An engine with the capacity and speed that its operators state for it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineRecord {
-    /// Name of the engine.
+    /// Name of the engine; its hash decides which instance owns the engine.
     pub name: ids::EngineId,
     /// Data centre in which it runs.
     pub data_center: ids::DataCenterId,
@@ -74,17 +76,17 @@
     pub state: ListState,
 }
 
-/// A revision of the list.
+/// The whole list in one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetList {
-    /// Incremented with each change.
+    /// Number of the revision, incremented with each change; a list never replaces a newer one.
     pub revision: u64,
-    /// Entry instances.
+    /// All instances, live or leaving.
     pub instances: Vec<InstanceRecord>,
-    /// Model engines.
+    /// All engines, live or leaving.
     pub engines: Vec<EngineRecord>,
-    /// Upstreams of plain services.
+    /// Upstreams of all plain services, live or leaving.
     pub upstreams: Vec<UpstreamRecord>,
 }
 
