--- a/crates/core/src/histogram.rs
+++ b/crates/core/src/histogram.rs
@@ -6,7 +6,7 @@
 
 use crate::units;
 
-/// A measured latency.
+/// The latency of a request that a series measures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MeasureKind {
@@ -16,7 +16,7 @@
     TokenInterval,
     /// From the last byte of the request to the end of the answer.
     Total,
-    /// From the request for a placement to its grant.
+    /// From asking for a placement, the assignment of the request to engines, to its grant.
     PlaceWait,
 }
 
@@ -30,7 +30,7 @@
     (u64::MAX, "over_300k"),
 ];
 
-/// The name of a prompt's length band.
+/// The name of the length band that contains a prompt.
 pub fn band_name(prompt: units::TokenCount) -> &'static str {
     let band = BAND_BOUNDS.iter().find(|(bound, _)| prompt.0 <= *bound);
     band.map_or("over_300k", |(_, name)| name)
@@ -48,23 +48,24 @@
 /// Percentiles of one series, in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct HistogramRow {
-    /// Measured latency.
+    /// Which latency the series measures.
     pub measure: MeasureKind,
     /// Name of the series: a customer, or a request class and length band.
     pub series: String,
     /// Number of recorded values.
     pub count: u64,
-    /// Median.
+    /// Median, in milliseconds.
     pub p50_ms: f64,
-    /// 95th percentile.
+    /// 95th percentile, in milliseconds.
     pub p95_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// Largest value.
+    /// Largest value, in milliseconds.
     pub max_ms: f64,
 }
 
-/// A bounded set of histograms.
+/// Latency histograms by measure and series. Further series share an overflow one, so that customers and classes of any
+/// number take a bounded amount of memory.
 #[derive(Debug, Default)]
 pub struct HistogramSet {
     /// Histograms in tenths of a millisecond. Invariant: at most [`MAX_SERIES`], plus one overflow series for each
@@ -73,7 +74,7 @@
 }
 
 impl HistogramSet {
-    /// Records values in a series.
+    /// Records latencies in a series, or in the overflow series if this one would exceed the limit.
     pub fn record_all(&mut self, measure: MeasureKind, series: &str, spans: &[time::Duration]) {
         if spans.is_empty() {
             return;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// All series with their percentiles.
+    /// The percentiles of each series, sorted by measure and name.
     pub fn rows(&self) -> Vec<HistogramRow> {
         self.series
             .iter()
