--- a/crates/core/src/document_source.rs
+++ b/crates/core/src/document_source.rs
@@ -7,10 +7,12 @@
 
 use crate::units;
 
-/// How long only members are queried. It covers three attempts, so that a member that is busy, gone or silent is
-/// followed by another. A change must be in force within two seconds on the smallest fleets.
+/// How long after a document was found missing only members are queried for it. It covers three attempts, so that a
+/// member that is busy, gone or silent is followed by another. A change must be in force within two seconds on the
+/// smallest fleets.
 const MEMBERS_ONLY_TIME: time::Duration = time::Duration::from_millis(450);
-/// Period after [`MEMBERS_ONLY_TIME`] over which instances turn to the store, so that they don't do so all at once.
+/// Period after [`MEMBERS_ONLY_TIME`] over which instances begin to query the store, so that they don't do so all at
+/// once.
 const STORE_SPREAD_TIME: time::Duration = time::Duration::from_millis(300);
 /// How long only members are queried after a failed read of the store. Another wait for the store would take a second
 /// or more of the time within which a change must be in force.
@@ -19,9 +21,9 @@
 /// Where to fetch a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DocumentOrigin {
-    /// A member that has it.
+    /// Another instance that has the document.
     Member,
-    /// The platform's store.
+    /// The platform's store, which is read only if members cannot provide the document.
     Store,
 }
 
@@ -39,7 +41,7 @@
 }
 
 impl DocumentSource {
-    /// The state before any fetch; `spread` is drawn from 0 to 1.
+    /// The state before any fetch; `spread` is a random number from 0 to 1.
     pub fn new(spread: f64) -> Self {
         Self { spread, since: None, failed: None, damaged: false }
     }
