--- a/crates/core/src/evacuation.rs
+++ b/crates/core/src/evacuation.rs
@@ -5,7 +5,7 @@
 use crate::{ids, units, upstream_list};
 
 impl upstream_list::UpstreamList {
-    /// Evacuated data centres.
+    /// Data centres whose upstreams take no new work, in the order of their names.
     pub fn evacuated(&self) -> impl Iterator<Item = &ids::DataCenterId> {
         self.evacuated.keys()
     }
@@ -26,7 +26,7 @@
         Some(now.since(*since))
     }
 
-    /// Begins an evacuation; returns whether it is new.
+    /// Begins the evacuation of a data centre; returns false if it is already evacuated.
     pub(crate) fn evacuate(
         &mut self,
         now: units::MonoTime,
@@ -40,8 +40,8 @@
         began
     }
 
-    /// Ends an evacuation; returns whether it was in force. The upstreams of the data centre are considered cold, as they
-    /// may be cold without announcing it.
+    /// Ends the evacuation of a data centre; returns false if there was none. The upstreams of the data centre are
+    /// considered cold, as they may be cold without announcing it.
     pub(crate) fn restore(
         &mut self,
         now: units::MonoTime,
