--- a/crates/core/src/failure_detector/message.rs
+++ b/crates/core/src/failure_detector/message.rs
@@ -1,4 +1,6 @@
-//! Messages and actions of the failure detector.
+//! Messages that members send each other to detect failures, and actions that the detector returns.
+//!
+//! A start of a member is one run of its process, identified by a boot number.
 
 use std::{net, time};
 
@@ -11,7 +13,8 @@
 pub struct SuspectReport {
     /// Boot number of the start.
     pub boot: u64,
-    /// Age of the first unanswered probe, milliseconds. Signs of life from before it do not contradict the suspicion.
+    /// Age of the first unanswered probe at the time of the report, in milliseconds. Signs of life from before it do
+    /// not contradict the suspicion.
     pub silent_ms: u32,
 }
 
@@ -28,7 +31,7 @@
     }
 }
 
-/// A message between members.
+/// A message by which a member probes another one, directly or through a relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbeMessage {
     /// Requests an [`Ack`](Self::Ack) with this number.
@@ -41,13 +44,13 @@
     AckFor(net::SocketAddrV4),
 }
 
-/// An action of the failure detector.
+/// An action that the caller of the detector carries out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DetectorAction {
-    /// Send a message.
+    /// Send a message to the member at this address.
     Send(net::SocketAddrV4, ProbeMessage),
-    /// Broadcast a suspicion.
+    /// Mark a member as suspected in this process's view, and broadcast the suspicion to all members.
     Suspect(SuspectReport),
-    /// Broadcast that the suspicion of a start has ended.
+    /// Clear the suspicion of the start with this boot number, and broadcast that to all members.
     Restore(u64),
 }
