--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -10,20 +10,20 @@
 
 /// Interval between two periodic rounds of a member.
 pub const REPEAT_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Members whose state is requested by one that may have missed something.
+/// Number of members whose state is requested by one that may have missed something.
 const REQUESTED_MEMBERS: usize = 3;
-/// Fan-out of a periodic round. With a smaller one, the last member of a large fleet learns that an upstream is leaving
-/// only after the upstream has exited.
+/// Number of members to which a periodic round repeats the state. With a smaller one, the last member of a large fleet
+/// learns that an upstream is leaving only after the upstream has exited.
 const REPEATED_MEMBERS: usize = 3;
 
 /// What triggers a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GossipCause {
-    /// A change learned first-hand.
+    /// This process has detected a change itself, and broadcasts it to all members.
     Found,
-    /// The periodic round.
+    /// The periodic round, in which this process repeats its state to a few members.
     Repeat,
-    /// The end of a pause of this process.
+    /// A pause of this process has ended, and it requests the state of a few members.
     Resumed,
 }
 
