--- a/crates/core/src/fleet_list.rs
+++ b/crates/core/src/fleet_list.rs
@@ -38,7 +38,7 @@
     pub state: ListState,
 }
 
-/// An engine with the capacity and speed that its operators state for it.
+/// An engine with its published capacity and speed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineRecord {
