--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -86,7 +86,7 @@
 }
 
 text_id! {
-    /// A model engine, the upstream of completions.
+    /// An engine: an upstream that runs a model and serves completions.
     EngineId
 }
 text_id! {
@@ -98,7 +98,7 @@
     InstanceId
 }
 text_id! {
-    /// A data centre.
+    /// A data centre, in which instances and upstreams run and which operators can evacuate.
     DataCenterId
 }
 text_id! {
@@ -128,8 +128,8 @@
 }
 
 text_id! {
-    /// One start of an upstream: `IDENTIFIER`, or `IDENTIFIER@START` if the upstream reports its
-    /// start.
+    /// One start of an upstream, which is one life of its process: `IDENTIFIER`, or
+    /// `IDENTIFIER@START` if the upstream reports its start.
     ///
     /// An upstream may restart under its identifier and loses its state then. Its memory contents, its
     /// assigned work and what is known of it belong to one start, so they are stored under this name.
@@ -219,7 +219,7 @@
     }
 }
 
-/// Identifies one run of a process; it changes with each restart.
+/// Identifies one run of an instance's process; it changes with each restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootId(pub u64);
 
