--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -40,7 +40,8 @@
 pub enum VoteAnswer {
     /// The instance votes for the request.
     Granted {
-        /// Number of the key's voters, by the lists that this instance saw within the window.
+        /// Number of the key's voters, by the lists that this instance saw within the retention,
+        /// extended by the list lag.
         group: usize,
     },
     /// This instance received an earlier query for the key, from the request given here.
@@ -50,6 +51,8 @@
 }
 
 /// One instance's record of the first request for each key.
+///
+/// The voter's window is the retention, extended by [`MAX_LIST_LAG`] but at most doubled.
 #[derive(Debug)]
 pub struct KeyVoter {
     name: ids::InstanceId,
@@ -58,7 +61,7 @@
     /// First request for each key, and when its query arrived. Invariant: an entry is kept for at least
     /// `retention` and never replaced.
     first_requests: collections::HashMap<ScopedKey, (ids::RequestId, units::MonoTime)>,
-    /// Instances listed at some time within the window.
+    /// Instances listed at some time within the voter's window, and when they were.
     listed: collections::HashMap<ids::InstanceId, ListedSpan>,
 }
 
@@ -94,7 +97,8 @@
         self.retention = retention;
     }
 
-    /// Updates the listed instances from the published list.
+    /// Records which instances the published list names now, and forgets those that were last listed
+    /// before the voter's window.
     pub fn update_list<'a>(
         &mut self,
         now: units::MonoTime,
@@ -141,13 +145,13 @@
         }
     }
 
-    /// Drops keys whose retention has passed. Keeping one for longer is harmless.
+    /// Drops keys whose first query arrived before the voter's window. Keeping one for longer is harmless.
     pub fn prune(&mut self, now: units::MonoTime) {
         let window = self.window();
         self.first_requests.retain(|_, (_, queried_at)| now.since(*queried_at) < window);
     }
 
-    /// Number of recorded keys.
+    /// Number of recorded keys, at most [`MAX_KEYS`].
     pub fn len(&self) -> usize {
         self.first_requests.len()
     }
@@ -157,7 +161,7 @@
         self.first_requests.is_empty()
     }
 
-    /// Whether this instance has been running and listed for the whole window. Until then it grants
+    /// Whether this instance has been running and listed for the voter's whole window. Until then it grants
     /// no votes.
     pub fn has_full_history(&self, now: units::MonoTime) -> bool {
         let listed = self.listed.get(&self.name);
@@ -187,21 +191,21 @@
 pub enum VoteVerdict {
     /// The request has a majority and may run.
     Run {
-        /// Time by which it must have started.
+        /// Time by which the request must have started.
         until: units::MonoTime,
     },
     /// A voter received an earlier query for the key, from the request given here.
     Taken(ids::RequestId),
     /// The request has no usable majority, and no earlier query of another request is known.
     InDoubt {
-        /// Votes received.
+        /// Number of votes that the request has received.
         granted: usize,
-        /// Votes needed for a majority.
+        /// Number of votes that a majority needs.
         needed: usize,
     },
 }
 
-/// Count of the answers to one request.
+/// Count of the voters' answers to the queries of one request.
 #[derive(Debug)]
 pub struct VoteTally {
     /// When the first voter was queried.
@@ -219,7 +223,7 @@
         Self { queried_at, group: 0, granted: collections::HashSet::new(), taken: None }
     }
 
-    /// Adds an answer. Repeated votes of one instance count once.
+    /// Adds the answer of one voter. Repeated votes of one instance count once.
     pub fn add(&mut self, voter: &ids::InstanceId, answer: VoteAnswer) {
         match answer {
             VoteAnswer::Granted { group } => {
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Number of voters to query, as far as known.
+    /// Number of voters to query: [`GROUP_SIZE`], or more if a voter stated more.
     pub fn group(&self) -> usize {
         self.group.max(GROUP_SIZE)
     }
