--- a/crates/core/src/list_changes.rs
+++ b/crates/core/src/list_changes.rs
@@ -1,4 +1,7 @@
 //! Applies changes to the list of upstreams: determines the present start of each upstream, and removes upstreams.
+//!
+//! A start is one life of an upstream's process. An era is a generation of the history of the list's source, and a
+//! later one begins when the source is restored from an older copy.
 
 use std::{collections, sync, time};
 
@@ -40,7 +43,7 @@
         changed
     }
 
-    /// Advances to a revision, which may belong to a later era.
+    /// Advances the list to a revision; the first one of a later era begins a recovery.
     fn advance(&mut self, now: units::MonoTime, revision: store_revision::StoreRevision) {
         if !self.revision.is_none() && self.revision.era < revision.era {
             self.enter_era(now);
@@ -77,7 +80,7 @@
             self.recovery.note_listed(&entry.name);
             changed |= self.apply_entry(now, entry);
         }
-        // Upstreams that the first list of this era lacked are missing from its later lists as well.
+        // Upstreams kept because the first list of this era lacked them are missing from its later lists as well.
         let gone: Vec<_> = missing.iter().filter(|name| !self.recovery.is_kept(name)).collect();
         for name in gone {
             changed |= self.apply_gone(now, name);
