--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -1,4 +1,5 @@
-//! Keeps recent changes of a list in force after its source was restored from an older copy.
+//! Recovery: keeps recent changes of the list in force after its source was restored from an older copy, which begins a
+//! new era.
 //!
 //! The copy lacks the last changes, which their writers repeat within seconds. Until then the list alone would name upstreams
 //! as ready that have left, lack new ones, and lack evacuations.
@@ -14,20 +15,20 @@
 /// Default of [`ListRecovery::rewrite_time`].
 const REWRITE_TIME: time::Duration = time::Duration::from_millis(5_600);
 
-/// State carried over from the previous era.
+/// State of a recovery, carried over from the previous era.
 #[derive(Debug)]
 pub(crate) struct ListRecovery {
     /// When the present era became known; `None` in the first era, and once the recovery has ended.
     pub(crate) since: Option<units::MonoTime>,
-    /// Whether the list of the present era has not been taken over yet.
+    /// Whether the first list of the present era has not been applied yet.
     pub(crate) pending: bool,
     /// Time after the present era became known by which each valid entry has been rewritten by its upstream.
     pub(crate) rewrite_time: time::Duration,
-    /// Identifiers of upstreams that stay in use although the copy lacks them.
+    /// Identifiers of upstreams that stay in use although the restored copy lacks them.
     pub(crate) kept: collections::BTreeSet<sync::Arc<str>>,
-    /// Starts that were removed before the copy was restored and that it lists again; they are not used.
+    /// Starts that had been removed and that the restored copy lists again; they get no new work during the recovery.
     pub(crate) withheld: collections::BTreeSet<ids::UpstreamId>,
-    /// Evacuated data centres that the copy does not list.
+    /// Data centres that stay evacuated although the restored copy does not list the evacuation.
     pub(crate) evacuated: collections::BTreeSet<ids::DataCenterId>,
     /// Recently removed starts, with the time of removal.
     removed: collections::BTreeMap<ids::UpstreamId, units::MonoTime>,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Whether an upstream is in use although the copy lacks it.
+    /// Whether an upstream stays in use although the restored copy lacks it.
     pub(crate) fn is_kept(&self, name: &ids::UpstreamId) -> bool {
         self.kept.contains(name.identifier())
     }
@@ -95,11 +96,11 @@
 pub struct RecoveryState {
     /// When the present era became known.
     pub since: units::MonoTime,
-    /// Identifiers of upstreams that stay in use although the copy lacks them.
+    /// Identifiers of upstreams that stay in use although the restored copy lacks them.
     pub kept: Vec<sync::Arc<str>>,
-    /// Starts that were removed before the copy was restored and that it lists again; they are not used.
+    /// Starts that had been removed and that the restored copy lists again; they get no new work during the recovery.
     pub withheld: Vec<ids::UpstreamId>,
-    /// Evacuated data centres that the copy does not list.
+    /// Data centres that stay evacuated although the restored copy does not list the evacuation.
     pub evacuated: Vec<ids::DataCenterId>,
 }
 
@@ -194,15 +195,15 @@
         self.changes += 1;
     }
 
-    /// Whether a start in the copy is earlier than the present one. Starts are timestamps of clocks that may be wrong: a start
-    /// that is considered a former one in error becomes the present one later.
+    /// Whether a start in the restored copy is earlier than the present one. Starts are timestamps of clocks that may
+    /// be wrong: a start that is considered a former one in error becomes the present one later.
     fn is_former_start(&self, name: &ids::UpstreamId) -> bool {
         let present = self.entry(name).map(|entry| &entry.name);
         name.start().is_some() && present.is_some_and(|present| name.start() < present.start())
     }
 
-    /// Records that the copy names a former start of an upstream. It becomes the present one unless the present one is
-    /// rewritten.
+    /// Records that the restored copy names a former start of an upstream. It becomes the present one unless the
+    /// present one is rewritten.
     fn note_former_start(&mut self, now: units::MonoTime, entry: upstream_list::UpstreamEntry) {
         let delay = self.recovery.rewrite_time.saturating_sub(start_record::RELISTED_TIME);
         let record = self.starts.entry(entry.name.identifier().into()).or_default();
@@ -269,8 +270,8 @@
         self.recovery.withheld.contains(name)
     }
 
-    /// Starts that are known to leave although the list names them as ready or lacks them, for instances that know the copy
-    /// only.
+    /// Starts that are known to leave although the list names them as ready or lacks them, to be sent to instances that
+    /// know only the restored copy.
     pub fn relisted_leaving(
         &self,
     ) -> impl Iterator<Item = (&ids::UpstreamId, upstream_notice::LeavingNotice)> {
