--- a/crates/core/src/live_settings.rs
+++ b/crates/core/src/live_settings.rs
@@ -28,7 +28,7 @@
     rejected: Option<String>,
 }
 
-/// An accepted document.
+/// An accepted document: parsed, and as text for other members.
 #[derive(Debug, Clone)]
 struct SettingsDocument {
     tree: rc::Rc<settings::SettingsTree>,
