--- a/crates/core/src/member_heartbeat.rs
+++ b/crates/core/src/member_heartbeat.rs
@@ -12,9 +12,9 @@
 /// A full heartbeat: the state of a member as it describes itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberHeartbeat {
-    /// Name of the member.
+    /// Name of the member, which stays the same when it restarts.
     pub name: ids::InstanceId,
-    /// Boot number of this start of the member.
+    /// Boot number of this start of the member, which is one run of its process.
     pub boot: u64,
     /// Incremented with each heartbeat of a start.
     pub sequence: u64,
@@ -28,13 +28,13 @@
     pub plans: bool,
     /// Whether the member is leaving by plan.
     pub leaving: bool,
-    /// Version of its routes; 0 before it has any.
+    /// Version of the routes that the member has; 0 before it has any.
     pub routes: u64,
-    /// Revision of its list of upstreams.
+    /// Revision of the list of upstreams that the member has; the default before it has any.
     pub list: store_revision::StoreRevision,
     /// Whether the member watches the platform's store and other members may rely on that.
     pub watches: bool,
-    /// Addresses of some other members.
+    /// Addresses of some other members, from which receivers learn of members that they have not met.
     pub others: Vec<net::SocketAddrV4>,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl MemberHeartbeat {
-    /// The short form of this heartbeat.
+    /// The short form of this heartbeat, for members that know this start of its sender.
     pub fn alive(&self) -> ShortHeartbeat {
         ShortHeartbeat {
             boot: self.boot,
