--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -20,24 +20,24 @@
         (live + 1) as f64 / (staying().count() + 1) as f64
     }
 
-    /// Whether there was a sign of life of a member after `at`.
+    /// Whether there was a sign of life of a member after `at`; false for an unknown member.
     pub fn was_heard_since(&self, name: &ids::InstanceId, at: units::MonoTime) -> bool {
         self.members.get(name).is_some_and(|member| member.last_alive > at)
     }
 
-    /// The member with this boot number.
+    /// Name of the member whose present start has this boot number; `None` once it has restarted or was removed.
     pub fn name_of_boot(&self, boot: u64) -> Option<&ids::InstanceId> {
         self.by_boot.get(&boot)
     }
 
-    /// Records an unanswered call to a member.
+    /// Records an unanswered call to a member. Some in a row exclude the member from planning until it answers.
     pub fn note_unanswered(&mut self, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered += 1;
         }
     }
 
-    /// Records an answered call to a member.
+    /// Records an answered call to a member, which ends any suspicion of it.
     pub fn note_answered(&mut self, now: units::MonoTime, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered = 0;
@@ -65,8 +65,8 @@
         ring.into()
     }
 
-    /// Sets or clears the suspicion of a member. A sign of life within `silent` prevents it. Returns whether the member is
-    /// suspected now.
+    /// Sets the suspicion of a member that has been silent for `silent`, or clears it if that is `None`. A sign of life
+    /// within that time prevents the suspicion. Returns whether the member is suspected now.
     pub fn set_suspected(
         &mut self,
         now: units::MonoTime,
