--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -40,8 +40,8 @@
 pub enum VoteAnswer {
     /// The instance votes for the request.
     Granted {
-        /// Number of the key's voters, by the lists that this instance saw within the retention,
-        /// extended by the list lag.
+        /// Number of the key's voters, by the lists that this instance saw within its
+        /// window, see [`KeyVoter`].
         group: usize,
     },
     /// This instance received an earlier query for the key, from the request given here.
