--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -19,15 +19,16 @@
 const SUSPECT_HEARTBEATS: u32 = 4;
 /// Missed heartbeats until a member is removed.
 const REMOVE_HEARTBEATS: u32 = 40;
-/// Addresses of other members in a full heartbeat.
+/// Number of addresses of other members in a full heartbeat.
 const NAMED_MEMBERS: usize = 4;
-/// Addresses in a reply to a member that knows few; 7 bytes each, to keep the datagram unfragmented.
+/// Most addresses in one datagram of a reply to a member that knows few; 7 bytes each, to keep the datagram
+/// unfragmented.
 const NEWCOMER_ADDRESSES: usize = 160;
 /// Most addresses kept of members not met yet: twice the largest planned fleet, some 40 bytes each.
 const MAX_LEARNED_ADDRESSES: usize = 2_400;
 /// Unanswered calls in a row that exclude a member from planning.
 const MAX_UNANSWERED: u32 = 2;
-/// Least age of a planner: a younger member does not know the load of the engines yet.
+/// Least age of a process that plans for others: a younger member does not know the load of the engines yet.
 const PLANNER_AGE: time::Duration = time::Duration::from_millis(1_200);
 
 /// Time without a new member after which a starting process assumes that it knows all.
@@ -35,12 +36,12 @@
 /// Time without any reply after which a starting process assumes that it is alone.
 const LONE_TIME: time::Duration = time::Duration::from_millis(350);
 
-/// State of another member.
+/// State of another member, as this process knows it.
 #[derive(Debug)]
 struct MemberState {
     /// The last full heartbeat, with later short ones merged in.
     heartbeat: member_heartbeat::MemberHeartbeat,
-    /// Hash of the name, for the order of members by key.
+    /// Hash of the name, which is the member's position on the ring and decides for which cells it plans.
     hash: u64,
     /// Time of the last sign of life.
     last_alive: units::MonoTime,
@@ -70,7 +71,7 @@
     learned_addresses: collections::BTreeMap<net::SocketAddrV4, units::MonoTime>,
     /// Of `learned_addresses`, those that have not been contacted.
     uncontacted: Vec<net::SocketAddrV4>,
-    /// Addresses that the process knows from its settings.
+    /// Addresses from the settings, to which heartbeats are sent whether or not a member has answered there.
     seeds: Vec<net::SocketAddrV4>,
     /// Largest number of live members since the start of this process, including this one.
     max_size: usize,
@@ -79,7 +80,7 @@
 }
 
 impl MemberView {
-    /// An empty view with seeds.
+    /// A view without members; heartbeats go to the seeds until members are met.
     pub fn new(own: ids::InstanceId, seeds: Vec<net::SocketAddrV4>) -> Self {
         Self {
             own,
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds after the settings were reloaded.
     pub fn set_seeds(&mut self, seeds: Vec<net::SocketAddrV4>) {
         self.seeds = seeds;
     }
 
-    /// Interval between heartbeats.
+    /// Interval between two heartbeats of this process, from the number of members that it knows.
     pub fn heartbeat_interval(&self) -> time::Duration {
         Self::heartbeat_interval_of(self.members.len() + 1)
     }
@@ -123,7 +124,7 @@
         targets
     }
 
-    /// Addresses to include in a heartbeat, in rotation.
+    /// Addresses to include in the full heartbeat with this sequence number, in rotation.
     pub fn sample_addresses(&self, sequence: u64) -> Vec<net::SocketAddrV4> {
         let addresses = self.addresses();
         let count = addresses.len();
@@ -158,7 +159,7 @@
         known.chain(self.learned_addresses.keys().copied()).collect()
     }
 
-    /// Applies a heartbeat; returns whether its member is new or restarted.
+    /// Applies a full heartbeat; returns whether its sender is new or restarted.
     pub fn receive(
         &mut self,
         now: units::MonoTime,
@@ -197,7 +198,7 @@
         joined
     }
 
-    /// Inserts or replaces a member.
+    /// Inserts or replaces a member, with the indexes by boot number and address.
     fn insert(&mut self, name: ids::InstanceId, state: MemberState) {
         let (boot, address) = (state.heartbeat.boot, state.heartbeat.address);
         if let Some(before) = self.members.insert(name.clone(), state) {
@@ -208,7 +209,7 @@
         self.by_address.insert(address, name);
     }
 
-    /// Removes a member.
+    /// Removes a member, with the indexes by boot number and address.
     fn remove(&mut self, name: &ids::InstanceId) {
         if let Some(removed) = self.members.remove(name) {
             self.by_boot.remove(&removed.heartbeat.boot);
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Applies a short heartbeat; returns whether its member is known.
+    /// Applies a short heartbeat; returns false if its sender is not known, so that a full one must be requested.
     pub fn receive_alive(
         &mut self,
         now: units::MonoTime,
@@ -243,12 +244,12 @@
         true
     }
 
-    /// Whether a member has this address.
+    /// Whether a member that has been met has this address.
     pub fn knows(&self, address: net::SocketAddrV4) -> bool {
         self.by_address.contains_key(&address)
     }
 
-    /// Removes members that have been silent for long, and returns them.
+    /// Removes members that have been silent for [`REMOVE_HEARTBEATS`], and returns their names.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<ids::InstanceId> {
         let limit = self.heartbeat_interval() * REMOVE_HEARTBEATS;
         self.learned_addresses.retain(|_, since| now.since(*since) < limit);
@@ -262,7 +263,7 @@
         silent
     }
 
-    /// Live members.
+    /// Last heartbeats of the live members: those neither suspected nor silent for more than [`SUSPECT_HEARTBEATS`].
     pub fn alive(
         &self,
         now: units::MonoTime,
@@ -288,7 +289,7 @@
         (self.members.len() + 1).max(self.max_size.div_ceil(2))
     }
 
-    /// The member that plans for a cell of engines; `None` for this process.
+    /// The member that plans for a cell, which is a group of a service's engines; `None` for this process.
     ///
     /// Prefers members that know the load of the engines, then those with more CPU, then by hash.
     pub fn planner(
@@ -356,7 +357,7 @@
         self.sources(now, near, revision, |heartbeat| heartbeat.list)
     }
 
-    /// Newest versions that live members have.
+    /// Newest version of each document that any live member has.
     pub fn newest(&self, now: units::MonoTime) -> store_tracker::DocumentVersions {
         let none = store_tracker::DocumentVersions::default();
         self.alive(now).fold(none, |newest, heartbeat| store_tracker::DocumentVersions {
@@ -380,7 +381,7 @@
         nearest(self.alive(now).filter(|heartbeat| version(heartbeat) == newest).collect(), near)
     }
 
-    /// Whether a process of this age may plan for others.
+    /// Whether a process of this age may plan for others; a younger one does not know the load of the engines yet.
     pub fn is_old_enough_to_plan(age: time::Duration) -> bool {
         age >= PLANNER_AGE
     }
