--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -1,4 +1,4 @@
-//! Which members watch the platform's store.
+//! Which members watch the platform's store for changes; the others receive documents from members.
 
 use std::time;
 
@@ -8,14 +8,14 @@
 const WATCHERS: usize = 2;
 /// With fewer other members in its data centre, each member watches the store.
 const SMALL_DATA_CENTER: usize = 4;
-/// Delay until the next member in order replaces a missing watcher.
+/// Delay per place in the order until a member replaces a missing watcher.
 const TAKE_OVER_STEP: time::Duration = time::Duration::from_millis(120);
-/// Longest delay until a missing watcher is replaced.
+/// Longest delay until a member replaces a missing watcher, whatever its place in the order.
 const TAKE_OVER_LIMIT: time::Duration = time::Duration::from_millis(1_500);
 /// Delay per place in the order for a member whose last attempt failed. While the store is down for all, the first in
 /// order keep trying and the others back off, so that the calls do not grow with the fleet.
 const FAILED_STEP: time::Duration = time::Duration::from_millis(400);
-/// Longest delay for a member whose last attempt failed.
+/// Longest delay until a member whose last attempt failed replaces a missing watcher.
 const FAILED_LIMIT: time::Duration = time::Duration::from_secs(10);
 
 impl membership::MemberView {
