--- a/crates/core/src/pause_detector.rs
+++ b/crates/core/src/pause_detector.rs
@@ -4,15 +4,17 @@
 
 use crate::units;
 
-/// Detects pauses by the time between two events.
+/// Detects pauses by the time between two events, at which the process certainly runs.
 #[derive(Debug)]
 pub(crate) struct PauseDetector {
     bound: time::Duration,
     /// Time of the last event.
     last: Option<units::MonoTime>,
-    /// Number of pauses so far.
+    /// Number of pauses so far; a change of it during a query shows that the answer may be
+    /// outdated.
     pub(crate) pause_count: u64,
-    /// Whether the sources have not been queried since the last pause, or since the start.
+    /// Whether the sources of settings and list have not been queried since the last pause, or
+    /// since the start.
     pub(crate) unrefreshed: bool,
 }
 
@@ -22,7 +24,8 @@
         Self { bound, last: None, pause_count: 0, unrefreshed: true }
     }
 
-    /// Records an event.
+    /// Records that the process runs now, after a pause if the last event was longer ago than the
+    /// bound.
     pub(crate) fn record_event(&mut self, now: units::MonoTime) {
         if self.last.is_some_and(|last| now.since(last) > self.bound) {
             self.pause_count += 1;
