--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -77,7 +77,7 @@
         .or_else(|| highest_ranked(engine.as_str(), list.live_instances()))
 }
 
-/// The instance whose scheduler owns a customer's token budget.
+/// The instance whose scheduler owns a customer's token budget; `None` if none is live.
 pub fn budget_owner<'a>(
     list: &'a fleet_list::FleetList,
     customer: &ids::CustomerId,
