--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -7,12 +7,12 @@
 /// How often a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RepeatRule {
-    /// Any number of times.
+    /// The request may run any number of times.
     Repeatable,
-    /// At most once.
+    /// The request may run at most once.
     AtMostOnce,
-    /// Any number of times; another upstream can also continue its event stream after the last
-    /// delivered event.
+    /// The request may run any number of times; another upstream can also continue its event stream
+    /// after the last delivered event.
     Resumable,
 }
 
@@ -92,7 +92,7 @@
     pub slots: usize,
     /// Size of the KV cache of one engine.
     pub memory: units::TokenCount,
-    /// Decode steps in one pass, when at least one request is decoding.
+    /// Decode steps in one pass, which is one round of an engine, when at least one request is decoding.
     pub stride: f64,
     /// Duration of one decode step without load, in milliseconds.
     pub step_ms: f64,
@@ -108,7 +108,7 @@
     pub report_lag_ms: f64,
 }
 
-/// Settings of one service.
+/// Settings of one service, which apply to each of its upstreams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServicePolicy {
     /// Name of the service.
@@ -124,11 +124,11 @@
 /// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest accepted request head.
+    /// Largest accepted request head, in bytes.
     pub head_bytes: usize,
-    /// Largest accepted request body.
+    /// Largest accepted request body, in bytes.
     pub body_bytes: usize,
-    /// Time for the head of a request to arrive once it has begun, and again for its body.
+    /// Time within which the head of a request must arrive once it has begun, and again its body.
     pub arrival: time::Duration,
     /// Longest time for which a connection may be idle between two requests.
     pub idle: time::Duration,
@@ -149,9 +149,9 @@
 /// The strictest latency goals of a service's streaming routes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceGoals {
-    /// Shortest goal for the first event.
+    /// Shortest goal for an answer's first event.
     pub first_token: time::Duration,
-    /// Shortest goal for the pause between two events.
+    /// Shortest goal for the pause between two events of an answer.
     pub pause: time::Duration,
 }
 
@@ -176,7 +176,7 @@
     pub version: settings::SettingsVersion,
     /// Routes by host; those of one host are ordered from the longest prefix to the shortest.
     routes: collections::HashMap<String, Vec<std::rc::Rc<RoutePolicy>>>,
-    /// Services by name.
+    /// Settings of the services, by name.
     pub services: collections::BTreeMap<ids::ServiceId, ServicePolicy>,
     /// The strictest latency goals of each service's streaming routes.
     goals: collections::BTreeMap<ids::ServiceId, ServiceGoals>,
@@ -187,7 +187,7 @@
 }
 
 impl RouteTable {
-    /// Creates the table of one version.
+    /// Creates the table of one version, with the routes indexed by host and the goals of each service.
     pub fn new(
         version: settings::SettingsVersion,
         routes: Vec<RoutePolicy>,
@@ -229,13 +229,13 @@
         self.routes.values().flatten().map(std::rc::Rc::as_ref)
     }
 
-    /// Cold start policies, of the services that have one.
+    /// Limits of upstreams that have just started, by service, without the services that need none.
     pub fn cold_policies(&self) -> collections::BTreeMap<ids::ServiceId, cold_start::ColdPolicy> {
         let services = self.services.values();
         services.filter_map(|service| Some((service.name.clone(), service.cold?))).collect()
     }
 
-    /// Number of routes.
+    /// Number of routes of all hosts.
     pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
