--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -13,7 +13,7 @@
 
 /// Length of a caller key's digest, in hexadecimal digits.
 const KEY_DIGEST_LENGTH: usize = 64;
-/// Largest accepted document. The platform's store holds values of up to a megabyte.
+/// Largest accepted document, in bytes. The platform's store holds values of up to a megabyte.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
 /// Error for a settings document that is not accepted. Documents are accepted as a whole or not at
@@ -89,7 +89,7 @@
 pub struct NodeOptions {
     /// Time within which a request finishes or fails, counted from its last body byte.
     pub time_limit: Option<units::TimeSpan>,
-    /// Longest accepted prompt.
+    /// Longest accepted prompt, in tokens.
     pub max_prompt_tokens: Option<units::TokenCount>,
     /// Most tokens generated for one request; larger requested limits are reduced to it.
     pub max_output_tokens: Option<units::TokenCount>,
@@ -105,7 +105,7 @@
     pub models: Option<Vec<ids::ModelId>>,
 }
 
-/// Options for the whole fleet.
+/// Options for the whole fleet, which no node of the tree overrides.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetOptions {
@@ -117,9 +117,9 @@
     pub long_candidates: usize,
     /// Share of an engine's memory reserved for prompts up to `short_tokens`.
     pub headroom: units::ShareRatio,
-    /// Longest prompt that counts as short.
+    /// Longest prompt that counts as short, in tokens.
     pub short_tokens: units::TokenCount,
-    /// Length beyond which a prompt counts as long.
+    /// Length in tokens beyond which a prompt counts as long.
     pub long_tokens: units::TokenCount,
     /// Share of a data centre's engines that long prompts may use.
     pub long_engines: units::ShareRatio,
@@ -133,7 +133,7 @@
     pub retry_share: units::ShareRatio,
     /// How long an engine may hold an attempt that belongs to no live lease.
     pub orphan_grace: units::TimeSpan,
-    /// How long an idempotency key is remembered.
+    /// How long instances remember an idempotency key, so that no other request with it runs.
     pub key_retention: units::TimeSpan,
 }
 
@@ -173,7 +173,7 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassNode {
-    /// Longest prompt of the class. Of several classes that fit, the one with the smallest limit is
+    /// Longest prompt of the class, in tokens. Of several classes that fit, the one with the smallest limit is
     /// used.
     pub up_to_tokens: units::TokenCount,
     /// Options that the class overrides.
@@ -181,17 +181,17 @@
     pub options: NodeOptions,
 }
 
-/// An application of a customer.
+/// An application of a customer, selected by the caller's key.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ApplicationNode {
     /// Options that the application overrides.
     pub options: NodeOptions,
-    /// Request classes of the application.
+    /// Request classes of the application, by name; there may be none.
     pub classes: collections::BTreeMap<ids::ClassId, ClassNode>,
 }
 
-/// A customer.
+/// A customer, with the keys that identify its callers.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CustomerNode {
@@ -199,7 +199,7 @@
     pub keys: Vec<CallerKey>,
     /// Options that the customer overrides.
     pub options: NodeOptions,
-    /// Applications of the customer.
+    /// Applications of the customer, by name.
     pub applications: collections::BTreeMap<ids::ApplicationId, ApplicationNode>,
 }
 
@@ -239,7 +239,7 @@
     }
 }
 
-/// A settings document.
+/// A settings document in one version, with all levels of the tree.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SettingsTree {
@@ -249,9 +249,9 @@
     pub fleet: FleetOptions,
     /// Defaults that the customers inherit.
     pub defaults: NodeOptions,
-    /// Plain services.
+    /// Plain services, whose upstreams run no model, by name.
     pub services: collections::BTreeMap<ids::ServiceId, ServiceNode>,
-    /// Customers.
+    /// Customers by name; a key of none of them identifies no caller.
     pub customers: collections::BTreeMap<ids::CustomerId, CustomerNode>,
     /// Callers by the prefix of their key's digest. Invariant: built from `customers` when the
     /// document is parsed, and not changed afterwards.
@@ -264,9 +264,9 @@
 pub(crate) struct KnownCaller {
     /// Full digest of the key, in lower case.
     pub(crate) digest: String,
-    /// The customer.
+    /// Customer that the key belongs to.
     pub(crate) customer: ids::CustomerId,
-    /// The customer's application.
+    /// Application of that customer which the key selects.
     pub(crate) application: ids::ApplicationId,
 }
 
