--- a/crates/core/src/settings_resolve.rs
+++ b/crates/core/src/settings_resolve.rs
@@ -27,11 +27,11 @@
     BuiltIn,
     /// The defaults for the whole fleet.
     Fleet,
-    /// A customer.
+    /// The node of a customer.
     Customer(ids::CustomerId),
-    /// An application.
+    /// The node of an application of a customer.
     Application(ids::CustomerId, ids::ApplicationId),
-    /// A request class.
+    /// The node of a request class of an application.
     Class(ids::CustomerId, ids::ApplicationId, ids::ClassId),
     /// The caller, which can only shorten the time limit.
     Caller,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A value and its source.
+/// The value of an option for one request, and its source.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResolvedValue<T> {
     /// The value in force.
@@ -74,7 +74,7 @@
     pub class: Option<ids::ClassId>,
     /// Time within which the request finishes or fails.
     pub time_limit: ResolvedValue<units::TimeSpan>,
-    /// Longest accepted prompt.
+    /// Longest accepted prompt, in tokens.
     pub max_prompt_tokens: ResolvedValue<units::TokenCount>,
     /// Most tokens generated for the request.
     pub max_output_tokens: ResolvedValue<units::TokenCount>,
@@ -84,14 +84,14 @@
     pub token_rate: ResolvedValue<units::TokenRate>,
     /// Token burst of the customer; applications and classes cannot override it.
     pub token_burst: ResolvedValue<units::TokenCount>,
-    /// Most attempts, including the first.
+    /// Most attempts for the request, including the first.
     pub max_attempts: ResolvedValue<u32>,
     /// Models that the request may use; `None` means all.
     pub models: ResolvedValue<Option<Vec<ids::ModelId>>>,
 }
 
 impl ResolvedSettings {
-    /// Returns the name, value and source of each option.
+    /// Returns the name, value and source of each option as text, to explain a request to operators.
     pub fn rows(&self) -> Vec<(&'static str, String, String)> {
         fn row<T: ToString>(
             name: &'static str,
@@ -127,9 +127,9 @@
 /// The customer and the application that a caller key identifies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerIdentity {
-    /// The customer.
+    /// Customer that the key belongs to.
     pub customer: ids::CustomerId,
-    /// The customer's application.
+    /// Application of that customer which the key selects.
     pub application: ids::ApplicationId,
 }
 
