--- a/crates/core/src/start_record.rs
+++ b/crates/core/src/start_record.rs
@@ -1,4 +1,5 @@
-//! The starts of one upstream: which have ended, and since when the present one is known.
+//! The starts of one upstream: which have ended, and since when the present one is known. A start is one life of an
+//! upstream's process.
 
 use std::{collections, time};
 
@@ -16,12 +17,12 @@
 /// that restarts more often within that time is unusable anyway.
 const MAX_ENDED: usize = 8;
 
-/// The known starts of one upstream.
+/// The known starts of one upstream that has restarted or was removed from the list.
 #[derive(Debug, Default)]
 pub(crate) struct StartRecord {
     /// When the present start became known, or when the last one was removed from the list.
     pub(crate) known_since: units::MonoTime,
-    /// The last start, while none is listed.
+    /// The start that was listed last, while none is listed.
     last: Option<ids::UpstreamStart>,
     /// Ended starts, oldest first, at most [`MAX_ENDED`]; never contains the present one.
     ended: collections::VecDeque<ids::UpstreamStart>,
