--- a/crates/core/src/store_revision.rs
+++ b/crates/core/src/store_revision.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// A state of the store.
+/// Identifies a state of the store, or of the documents read from it.
 ///
 /// Ordered by era first: numbers are assigned again after the store was restored from an older copy, so numbers of two
 /// eras cannot be compared. The default is ordered before every state.
@@ -35,9 +35,9 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StoreRevision {
-    /// Era of the store.
+    /// Era of the store's history that the number belongs to.
     pub era: StoreEra,
-    /// Revision within the era; rises with each change.
+    /// Number of the revision within the era; rises with each change.
     pub number: u64,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// A text is not an era and a number separated by a dot.
+/// Error for a text that is not an era and a number separated by a dot.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("found '{found}', expected ERA.REVISION"))]
 pub struct RevisionError {
