--- a/crates/core/src/store_tracker.rs
+++ b/crates/core/src/store_tracker.rs
@@ -35,14 +35,14 @@
 /// For how long other members have had newer documents than this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DocumentLags {
-    /// For how long they have had newer routes.
+    /// For how long other members have had newer routes.
     pub routes: time::Duration,
-    /// For how long they have had a newer list of upstreams.
+    /// For how long other members have had a newer list of upstreams.
     pub list: time::Duration,
 }
 
 impl DocumentLags {
-    /// The longer of both lags.
+    /// The longer of both lags, which decides whether this process counts as behind other members.
     pub fn longest(&self) -> time::Duration {
         self.routes.max(self.list)
     }
@@ -97,7 +97,7 @@
 }
 
 impl StoreTracker {
-    /// The present contact with the store.
+    /// Whether the store answers this process now, and whether that is in doubt.
     pub fn contact(&self) -> StoreContact {
         self.contact
     }
@@ -128,7 +128,7 @@
         now.since(self.last_answer_at)
     }
 
-    /// Highest era in the store's answers.
+    /// Highest era in the store's answers; 0 before the first answer.
     pub fn era(&self) -> store_revision::StoreEra {
         self.era.unwrap_or_default()
     }
@@ -151,7 +151,7 @@
         self.era_since.is_some_and(|since| queried_at.since(since) < REWRITE_TIME)
     }
 
-    /// Records an answer of the store.
+    /// Records an answer of the store, which ends an outage.
     pub fn receive(&mut self, now: units::MonoTime) -> AnswerEffect {
         let before = std::mem::replace(&mut self.contact, StoreContact::Answering);
         let away = self.away_since.take().map(|since| now.since(since));
@@ -159,7 +159,7 @@
         AnswerEffect { away, resumes_watch: before == StoreContact::Away && self.watching }
     }
 
-    /// Records that an answer is overdue.
+    /// Records that an answer of the store is overdue.
     pub fn note_overdue(&mut self) {
         self.contact = StoreContact::Doubted;
     }
@@ -170,17 +170,17 @@
         std::mem::replace(&mut self.contact, StoreContact::Away) != StoreContact::Away
     }
 
-    /// Records that this process watches the store.
+    /// Records that this process has begun to watch the store.
     pub fn watch(&mut self) {
         self.watching = true;
     }
 
-    /// Records that routes and list were read up to a revision.
+    /// Records that this process itself has read routes and list from the store up to a revision.
     pub fn set_watched(&mut self, revision: store_revision::StoreRevision) {
         self.watched = revision;
     }
 
-    /// Leaves the store to other members.
+    /// Leaves the store to other members, and forgets up to which revision this process has read it.
     pub fn stop_watching(&mut self) {
         self.watching = false;
         self.watched = store_revision::StoreRevision::default();
