--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -48,7 +48,7 @@
     },
 }
 
-/// A number of tokens.
+/// A number of tokens. Sums and differences saturate.
 #[derive(
     Debug,
     Clone,
@@ -155,7 +155,7 @@
 impl Eq for RequestRate {}
 
 impl RequestRate {
-    /// The rate in requests per second.
+    /// The rate as a number of requests per second; finite and not negative.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -311,7 +311,7 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A share, from 0 to 1.
+/// A share from 0 to 1; other numbers are rejected where they are parsed.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, serde::Serialize, serde::Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct ShareRatio(f64);
