--- a/crates/core/src/upstream_health.rs
+++ b/crates/core/src/upstream_health.rs
@@ -48,7 +48,7 @@
     Gone,
 }
 
-/// Health of one start of an upstream.
+/// Health of one start of an upstream, which is one life of its process.
 #[derive(Debug, Default, Clone)]
 pub struct UpstreamHealth {
     /// Failed or refused calls since the last good one; at least 1 after a report that the upstream is gone.
@@ -70,8 +70,8 @@
         self.consecutive_failures == 0
     }
 
-    /// Whether a call should probe the upstream: no other signal would show its recovery, as an avoided upstream gets no calls.
-    /// Repeatable calls probe first.
+    /// Whether a call should probe the upstream: no other signal would show its recovery, as an avoided upstream gets
+    /// no calls. Repeatable calls probe first.
     pub fn needs_probe(&self, now: units::MonoTime, repeatable: bool) -> bool {
         let due =
             if repeatable { self.paused_until } else { self.paused_until + REPEATABLE_ONLY_TIME };
