--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -1,5 +1,5 @@
 //! The list of upstreams: which are usable, which were dropped from the list but may return, and which start of each is the
-//! present one.
+//! present one. A start is one life of an upstream's process.
 
 use std::{collections, net, sync, time};
 
@@ -30,7 +30,7 @@
     pub data_center: ids::DataCenterId,
     /// Address for requests.
     pub address: net::SocketAddrV4,
-    /// Requests that the upstream processes concurrently.
+    /// Number of requests that the upstream processes concurrently.
     pub slots: usize,
     /// Whether the upstream takes new work.
     pub state: fleet_list::ListState,
@@ -38,7 +38,7 @@
     pub cold: time::Duration,
 }
 
-/// A change to the list.
+/// A change to the list: to one entry, or to the evacuation of a data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListChange {
     /// An entry is new or changed.
@@ -56,11 +56,11 @@
 /// A start of an upstream that has ended, as another start has replaced it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedStart {
-    /// The ended start.
+    /// Name of the upstream, with the ended start.
     pub name: ids::UpstreamId,
     /// Address at which the ended start took requests.
     pub address: net::SocketAddrV4,
-    /// The start that has replaced it.
+    /// Name of the upstream, with the start that has replaced the ended one.
     pub present: ids::UpstreamId,
 }
 
@@ -75,9 +75,9 @@
     pub(crate) doubtful: collections::BTreeMap<sync::Arc<str>, units::MonoTime>,
     /// Notices of upstreams, and leaving notices of the list.
     pub(crate) notices: upstream_notice::NoticeTable,
-    /// State that stays in force after the source was restored from an older copy.
+    /// State of a recovery, which stays in force after the source was restored from an older copy.
     pub(crate) recovery: list_recovery::ListRecovery,
-    /// Cold phases of upstreams.
+    /// Cold phases, in which upstreams that have just started may have a limit.
     pub(crate) cold: cold_start::ColdTable,
     /// Evacuated data centres, and when each evacuation became known.
     pub(crate) evacuated: collections::BTreeMap<ids::DataCenterId, units::MonoTime>,
@@ -102,7 +102,8 @@
         self.changes
     }
 
-    /// Records that the source answers again after an outage.
+    /// Records that the source answers again after an outage. Upstreams that it drops soon after become doubtful at
+    /// first.
     pub fn source_returned(&mut self, now: units::MonoTime) {
         self.doubt_until = Some(now + RETURN_TIME);
     }
@@ -190,7 +191,7 @@
         self.entry(name).is_some_and(|entry| entry.name == *name)
     }
 
-    /// Notices of upstreams.
+    /// Notices that upstreams have sent, and leaving notices of the list.
     pub fn notices(&self) -> &upstream_notice::NoticeTable {
         &self.notices
     }
@@ -235,7 +236,7 @@
         name.filter(|_| entries.next().is_none())
     }
 
-    /// Entries of all upstreams.
+    /// Entries of all listed upstreams, usable or not, with their present starts.
     pub fn entries(&self) -> impl Iterator<Item = &UpstreamEntry> {
         self.entries.values()
     }
