--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -1,8 +1,8 @@
 //! Notices that upstreams send with their answers: that they are leaving, a backoff, and a limit.
 //!
 //! A leaving notice concerns all instances, a backoff only the one that received it, and a limit all instances together.
-//! Each belongs to one start of an upstream and ends with it. Leaving is final. After a backoff one request probes the
-//! upstream, and the others follow its result.
+//! Each belongs to one start of an upstream, which is one life of its process, and ends with it. Leaving is final.
+//! After a backoff one request probes the upstream, and the others follow its result.
 
 use std::{collections, fmt, time};
 
@@ -25,7 +25,7 @@
 /// Origin of a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeSource {
-    /// The published list.
+    /// The published list, in the present era.
     List,
     /// The published list of a previous era, which the present list cannot revoke.
     FormerList,
@@ -33,7 +33,7 @@
     Answer,
     /// The upstream, in a report of itself.
     Report,
-    /// The upstream, in an answer to an order.
+    /// The upstream, in an answer to an order that is neither a request nor a request for a report.
     Order,
     /// Another instance, which received it from the upstream.
     Member,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A start of an upstream is leaving.
+/// A notice that a start of an upstream is leaving, and so takes no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeavingNotice {
     /// Origin of the notice.
@@ -64,7 +64,7 @@
 /// A backoff that a start of an upstream requested from this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffNotice {
-    /// Length that the upstream requested.
+    /// Length of the backoff that the upstream requested.
     pub requested: time::Duration,
     /// When the notice was received.
     pub since: units::MonoTime,
@@ -85,10 +85,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackoffReturnMode {
-    /// One probe first.
+    /// One request probes the upstream, and the others follow once it has been accepted.
     #[default]
     One,
-    /// All at once.
+    /// All requests resume at once.
     All,
 }
 
@@ -97,9 +97,9 @@
 pub enum BackoffChange {
     /// A backoff began.
     Begun,
-    /// The backoff ends later.
+    /// The backoff in force ends later than before.
     Longer,
-    /// Nothing changed.
+    /// Nothing changed, as a backoff in force ends no earlier.
     Known,
 }
 
@@ -108,7 +108,8 @@
 struct UpstreamNotice {
     leaving: Option<LeavingNotice>,
     backoff: Option<BackoffNotice>,
-    /// The limit; also kept after its end while older readings may arrive.
+    /// The request limit that the start announced; also kept after the limit has ended, while older readings may
+    /// arrive.
     limit: Option<upstream_limit::LimitNotice>,
     /// When the start was last listed or sent a notice.
     known: units::MonoTime,
@@ -119,7 +120,7 @@
 pub struct NoticeTable {
     notices: collections::BTreeMap<ids::UpstreamId, UpstreamNotice>,
     rest_return: BackoffReturnMode,
-    /// Incremented with each change of a limit.
+    /// Incremented with each change of any start's limit.
     limit_changes: u64,
 }
 
@@ -285,7 +286,7 @@
         change
     }
 
-    /// Number of changes of limits so far.
+    /// Number of changes of any start's limit so far. While it stays the same, so do the limits.
     pub fn limit_changes(&self) -> u64 {
         self.limit_changes
     }
@@ -302,17 +303,17 @@
         Some(self.notices.get(name)?.limit?.reading)
     }
 
-    /// Starts with a limit.
+    /// Starts with a limit in force, and that limit.
     pub fn limits(&self) -> impl Iterator<Item = (&ids::UpstreamId, units::RequestRate)> {
         self.limit_readings().filter_map(|(name, reading)| Some((name, reading.rate?)))
     }
 
-    /// The limit in force for a start.
+    /// The limit in force for a start; `None` if it has none, or none any more.
     pub fn limit(&self, name: &ids::UpstreamId) -> Option<upstream_limit::LimitNotice> {
         self.notices.get(name)?.limit.filter(|limit| limit.reading.rate.is_some())
     }
 
-    /// The leaving notice of a start.
+    /// The leaving notice of a start; `None` if the start is not known to be leaving.
     pub fn leaving(&self, name: &ids::UpstreamId) -> Option<LeavingNotice> {
         self.notices.get(name)?.leaving
     }
@@ -358,7 +359,7 @@
         leaving.filter(|(_, leaving)| leaving.source != NoticeSource::List)
     }
 
-    /// Starts with notices.
+    /// Starts with a notice that is in force or still remembered.
     pub fn names(&self) -> impl Iterator<Item = &ids::UpstreamId> {
         self.notices.keys()
     }
@@ -394,7 +395,7 @@
     }
 }
 
-/// A duration for operators.
+/// Formats a duration in seconds with one decimal, for operators.
 pub(crate) fn seconds(span: time::Duration) -> String {
     format!("{:.1} s", span.as_secs_f64())
 }
