--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -29,7 +29,7 @@
         service: &'a ids::ServiceId,
         permission: send_gate::ProbePermission,
     ) -> Vec<&'a ids::UpstreamId> {
-        // Few upstreams have notices, and mostly none of this service.
+        // Only upstreams with notices or withheld ones can be closed: few, and mostly none of this service.
         let listed = |name: &&ids::UpstreamId| {
             let entry = self.entry(name).filter(|entry| entry.name == **name);
             entry.is_some_and(|entry| {
