--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -22,14 +22,15 @@
         open
     }
 
-    /// Listed upstreams of a service that are not [`Self::open`] now.
+    /// Listed upstreams of a service that are not [`Self::open`] now, among those with notices and those withheld by a
+    /// recovery.
     pub fn closed<'a>(
         &'a self,
         now: units::MonoTime,
         service: &'a ids::ServiceId,
         permission: send_gate::ProbePermission,
     ) -> Vec<&'a ids::UpstreamId> {
-        // Only upstreams with notices or withheld ones can be closed: few, and mostly none of this service.
+        // The upstreams with notices and the withheld ones are few, and mostly none is of this service.
         let listed = |name: &&ids::UpstreamId| {
             let entry = self.entry(name).filter(|entry| entry.name == **name);
             entry.is_some_and(|entry| {
