--- a/crates/core/src/store_tracker.rs
+++ b/crates/core/src/store_tracker.rs
@@ -151,7 +151,7 @@
         self.era_since.is_some_and(|since| queried_at.since(since) < REWRITE_TIME)
     }
 
-    /// Records an answer of the store, which ends an outage.
+    /// Records an answer of the store, which ends any outage.
     pub fn receive(&mut self, now: units::MonoTime) -> AnswerEffect {
         let before = std::mem::replace(&mut self.contact, StoreContact::Answering);
         let away = self.away_since.take().map(|since| now.since(since));
