--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -30,7 +30,7 @@
         self.by_boot.get(&boot)
     }
 
-    /// Records an unanswered call to a member. Some in a row exclude the member from planning until it answers.
+    /// Records an unanswered call to a member. `MAX_UNANSWERED` in a row exclude it from planning until a sign of life.
     pub fn note_unanswered(&mut self, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered += 1;
