--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -251,7 +251,7 @@
     pub defaults: NodeOptions,
     /// Plain services, whose upstreams run no model, by name.
     pub services: collections::BTreeMap<ids::ServiceId, ServiceNode>,
-    /// Customers by name; a key of none of them identifies no caller.
+    /// Customers by name; a caller key that none of them has is unknown.
     pub customers: collections::BTreeMap<ids::CustomerId, CustomerNode>,
     /// Callers by the prefix of their key's digest. Invariant: built from `customers` when the
     /// document is parsed, and not changed afterwards.
