--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -33,7 +33,7 @@
     Answer,
     /// The upstream, in a report of itself.
     Report,
-    /// The upstream, in an answer to an order that is neither a request nor a request for a report.
+    /// The upstream, in an answer to an order such as a memory reservation.
     Order,
     /// Another instance, which received it from the upstream.
     Member,
@@ -286,7 +286,7 @@
         change
     }
 
-    /// Number of changes of any start's limit so far. While it stays the same, so do the limits.
+    /// Number of changes of any start's limit by readings so far.
     pub fn limit_changes(&self) -> u64 {
         self.limit_changes
     }
