--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -110,13 +110,13 @@
 /// Phase of a request in which its connection went silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilencePhase {
-    /// Before the head of the answer.
+    /// The connection went silent before the head of the answer.
     Head,
-    /// After part of the answer.
+    /// The connection went silent after part of the answer.
     MidAnswer,
 }
 
-/// Assumed cause of a silence.
+/// Assumed cause of a connection's silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceCause {
     /// A reused connection is dead; others that were idle during the same time may be dead as well.
