--- a/crates/core/src/document_source.rs
+++ b/crates/core/src/document_source.rs
@@ -69,13 +69,13 @@
         self.damaged = true;
     }
 
-    /// Records a successful read of the store.
+    /// Records a successful read of the store, after which no document is missing.
     pub fn note_store_answer(&mut self) {
         self.failed = None;
         self.note_complete();
     }
 
-    /// Records a failed read of the store.
+    /// Records a failed read of the store, after which only members are queried for [`STORE_RETRY_DELAY`].
     pub fn note_store_failure(&mut self, now: units::MonoTime) {
         self.failed = Some(now);
     }
