--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -51,16 +51,16 @@
 enum Finding {
     /// A start has been silent since its first unanswered probe, sent at this time.
     Silent(u64, units::MonoTime),
-    /// A start answers again.
+    /// The start with this boot number answers again.
     Answers(u64),
 }
 
 /// A finding with its remaining broadcasts.
 #[derive(Debug, Clone, Copy)]
 struct PendingBroadcast {
-    /// Time of the next broadcast.
+    /// Time of the finding's next broadcast.
     due: units::MonoTime,
-    /// Number of remaining broadcasts.
+    /// Number of remaining broadcasts of the finding.
     left: u32,
     finding: Finding,
 }
@@ -72,7 +72,7 @@
     own_hash: u64,
     /// The other members, sorted by position.
     ring: sync::Arc<[RingMember]>,
-    /// Boot numbers of `ring`.
+    /// Boot numbers of the members on the ring.
     boots: collections::HashSet<u64>,
     /// Probes of the monitored members.
     probes: Vec<probe::MemberProbe>,
