--- a/crates/core/src/fleet_list.rs
+++ b/crates/core/src/fleet_list.rs
@@ -12,10 +12,10 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListState {
-    /// It takes new work.
+    /// The instance, engine or upstream takes new work.
     #[default]
     Live,
-    /// It finishes its work in progress and takes no new work.
+    /// The instance, engine or upstream finishes its work in progress and takes no new work.
     Leaving,
 }
 
@@ -25,7 +25,7 @@
 pub struct InstanceRecord {
     /// Name of the instance; its hash decides which engines and budgets the instance's scheduler owns.
     pub name: ids::InstanceId,
-    /// Data centre in which it runs.
+    /// Data centre in which the instance runs.
     pub data_center: ids::DataCenterId,
     /// Address of its entry for requests of callers.
     pub entry: net::SocketAddr,
@@ -44,11 +44,11 @@
 pub struct EngineRecord {
     /// Name of the engine; its hash decides which instance owns the engine.
     pub name: ids::EngineId,
-    /// Data centre in which it runs.
+    /// Data centre in which the engine runs.
     pub data_center: ids::DataCenterId,
     /// Model that the engine serves.
     pub model: ids::ModelId,
-    /// Address for requests.
+    /// Address at which the engine takes requests.
     pub address: net::SocketAddr,
     /// Capacity of its KV cache in tokens.
     pub memory: units::TokenCount,
@@ -67,9 +67,9 @@
     pub name: ids::UpstreamId,
     /// Service that the upstream belongs to.
     pub service: ids::ServiceId,
-    /// Data centre in which it runs.
+    /// Data centre in which the upstream runs.
     pub data_center: ids::DataCenterId,
-    /// Address for requests.
+    /// Address at which the upstream takes requests.
     pub address: net::SocketAddr,
     /// Whether the upstream takes new work; live if absent.
     #[serde(default)]
