--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -16,7 +16,7 @@
 /// learns that an upstream is leaving only after the upstream has exited.
 const REPEATED_MEMBERS: usize = 3;
 
-/// What triggers a round.
+/// What triggers a gossip round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GossipCause {
     /// This process has detected a change itself, and broadcasts it to all members.
@@ -27,7 +27,7 @@
     Resumed,
 }
 
-/// Chooses the targets of a round among the live members.
+/// Chooses the targets of a gossip round among the live members.
 pub fn targets<T>(
     cause: GossipCause,
     alive: impl Iterator<Item = T>,
