--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -38,7 +38,7 @@
 /// An instance's answer to a query for a key on behalf of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VoteAnswer {
-    /// The instance votes for the request.
+    /// The answering instance votes for the request.
     Granted {
         /// Number of the key's voters, by the lists that this instance saw within its
         /// window, see [`KeyVoter`].
