--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Whether a recovery is in progress.
+    /// Whether a recovery is in progress, even if the first list of its era has not been read yet.
     pub fn is_recovering(&self) -> bool {
         self.recovery.since.is_some()
     }
