--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -388,7 +388,7 @@
     }
 }
 
-/// Members of a data centre; all members if it has none.
+/// Those of the members `all` that are in the data centre `near`, or all of them if none is.
 fn nearest<'a>(
     all: Vec<&'a member_heartbeat::MemberHeartbeat>,
     near: &ids::DataCenterId,
