--- a/crates/core/src/planner_key.rs
+++ b/crates/core/src/planner_key.rs
@@ -16,7 +16,7 @@
 /// Identifies a planner: a service and one of its cells.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlannerKey {
-    /// Service whose engines are planned.
+    /// Service whose engines, plain upstream or retries the planner coordinates.
     pub service: ids::ServiceId,
     /// Number of the cell; below [`cell_count`] for cells of engines.
     pub cell: u16,
