--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -90,7 +90,7 @@
 pub struct EngineShape {
     /// Most requests that run concurrently on one engine.
     pub slots: usize,
-    /// Size of the KV cache of one engine.
+    /// Size of the KV cache of one engine, in tokens.
     pub memory: units::TokenCount,
     /// Decode steps in one pass, which is one round of an engine, when at least one request is decoding.
     pub stride: f64,
@@ -172,7 +172,7 @@
 /// One published version of the routes, applied as a whole.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RouteTable {
-    /// Version number, which never decreases.
+    /// Version number of the routes, which never decreases.
     pub version: settings::SettingsVersion,
     /// Routes by host; those of one host are ordered from the longest prefix to the shortest.
     routes: collections::HashMap<String, Vec<std::rc::Rc<RoutePolicy>>>,
