--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -213,7 +213,7 @@
     Once,
 }
 
-/// A service that is not backed by model engines.
+/// A plain service: its upstreams run no model.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceNode {
