--- a/crates/core/src/settings_resolve.rs
+++ b/crates/core/src/settings_resolve.rs
@@ -55,7 +55,7 @@
 /// The value of an option for one request, and its source.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResolvedValue<T> {
-    /// The value in force.
+    /// The value in force for the request.
     pub value: T,
     /// Where the value comes from.
     pub source: NodePath,
