--- a/crates/core/src/start_wait.rs
+++ b/crates/core/src/start_wait.rs
@@ -16,7 +16,7 @@
 /// The best contact that a process has had since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartContact {
-    /// The process has had no contact.
+    /// The process has had no contact with a member or the store.
     NoContact,
     /// The process has had contact only with members without routes.
     Members,
