--- a/crates/core/src/store_tracker.rs
+++ b/crates/core/src/store_tracker.rs
@@ -26,9 +26,9 @@
 /// Versions of the routes and of the list of upstreams that a process has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DocumentVersions {
-    /// Version of the routes.
+    /// Version of the routes that the process has.
     pub routes: u64,
-    /// Revision of the list of upstreams.
+    /// Revision of the list of upstreams that the process has.
     pub list: store_revision::StoreRevision,
 }
 
