--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -66,7 +66,7 @@
 pub struct TokenCount(pub u64);
 
 impl TokenCount {
-    /// No tokens.
+    /// Zero tokens, the neutral element of sums.
     pub const ZERO: Self = Self(0);
 
     /// The difference, or zero if `other` is larger.
