--- a/crates/core/src/upstream_limit.rs
+++ b/crates/core/src/upstream_limit.rs
@@ -45,7 +45,7 @@
 /// The limit in force for an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitNotice {
-    /// The reading that holds.
+    /// The reading that holds among all received ones; see [`LimitReading::or`].
     pub reading: LimitReading,
     /// When the upstream was first seen to have a limit, or to have none any more.
     pub since: units::MonoTime,
