--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -75,7 +75,7 @@
 }
 
 impl BackoffNotice {
-    /// Accepted length of the backoff.
+    /// Length of the backoff as accepted, which may be shorter than requested.
     pub fn duration(&self) -> time::Duration {
         self.until.since(self.since)
     }
@@ -142,7 +142,7 @@
         age: time::Duration,
     ) -> bool {
         let since = now.earlier_by(age);
-        // Gossip must not preserve a start that is not listed.
+        // Dates from the first receipt by any instance: repeated gossip must not preserve a start that is not listed.
         let notice = self.notice(since, name);
         match &mut notice.leaving {
             Some(known) if known.source == NoticeSource::List => {
