--- a/crates/core/src/fleet_list.rs
+++ b/crates/core/src/fleet_list.rs
@@ -1,4 +1,6 @@
 //! The published list of live and leaving instances, engines and upstreams, which may be out of date.
+//!
+//! An engine is an upstream that runs a model; the upstreams of a plain service run none.
 
 use std::net;
 
@@ -10,20 +12,20 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListState {
-    /// It takes new work.
+    /// The instance, engine or upstream takes new work.
     #[default]
     Live,
-    /// It finishes its work in progress and takes no new work.
+    /// The instance, engine or upstream finishes its work in progress and takes no new work.
     Leaving,
 }
 
-/// An entry instance.
+/// An instance, which runs an entry for callers and a scheduler.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceRecord {
-    /// Name of the instance.
+    /// Name of the instance; its hash decides which engines and budgets the instance's scheduler owns.
     pub name: ids::InstanceId,
-    /// Data centre in which it runs.
+    /// Data centre in which the instance runs.
     pub data_center: ids::DataCenterId,
     /// Address of its entry for requests of callers.
     pub entry: net::SocketAddr,
@@ -36,17 +38,17 @@
     pub state: ListState,
 }
 
-/// A model engine.
+/// An engine with its published capacity and speed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineRecord {
-    /// Name of the engine.
+    /// Name of the engine; its hash decides which instance owns the engine.
     pub name: ids::EngineId,
-    /// Data centre in which it runs.
+    /// Data centre in which the engine runs.
     pub data_center: ids::DataCenterId,
     /// Model that the engine serves.
     pub model: ids::ModelId,
-    /// Address for requests.
+    /// Address at which the engine takes requests.
     pub address: net::SocketAddr,
     /// Capacity of its KV cache in tokens.
     pub memory: units::TokenCount,
@@ -65,26 +67,26 @@
     pub name: ids::UpstreamId,
     /// Service that the upstream belongs to.
     pub service: ids::ServiceId,
-    /// Data centre in which it runs.
+    /// Data centre in which the upstream runs.
     pub data_center: ids::DataCenterId,
-    /// Address for requests.
+    /// Address at which the upstream takes requests.
     pub address: net::SocketAddr,
     /// Whether the upstream takes new work; live if absent.
     #[serde(default)]
     pub state: ListState,
 }
 
-/// A revision of the list.
+/// The whole list in one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetList {
-    /// Incremented with each change.
+    /// Number of the revision, incremented with each change; a list never replaces a newer one.
     pub revision: u64,
-    /// Entry instances.
+    /// All instances, live or leaving.
     pub instances: Vec<InstanceRecord>,
-    /// Model engines.
+    /// All engines, live or leaving.
     pub engines: Vec<EngineRecord>,
-    /// Upstreams of plain services.
+    /// Upstreams of all plain services, live or leaving.
     pub upstreams: Vec<UpstreamRecord>,
 }
 
