--- a/crates/core/src/document_source.rs
+++ b/crates/core/src/document_source.rs
@@ -75,7 +75,7 @@
         self.note_complete();
     }
 
-    /// Records a failed read of the store, after which only members are queried for [`STORE_RETRY_DELAY`].
+    /// Records a failed read of the store, after which only members are queried for `STORE_RETRY_DELAY`.
     pub fn note_store_failure(&mut self, now: units::MonoTime) {
         self.failed = Some(now);
     }
