--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -249,7 +249,7 @@
         self.by_address.contains_key(&address)
     }
 
-    /// Removes members that have been silent for [`REMOVE_HEARTBEATS`] intervals, and returns their names.
+    /// Removes members that have been silent for `REMOVE_HEARTBEATS` intervals, and returns their names.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<ids::InstanceId> {
         let limit = self.heartbeat_interval() * REMOVE_HEARTBEATS;
         self.learned_addresses.retain(|_, since| now.since(*since) < limit);
@@ -263,7 +263,7 @@
         silent
     }
 
-    /// Last heartbeats of the live members: those neither suspected nor silent for more than [`SUSPECT_HEARTBEATS`]
+    /// Last heartbeats of the live members: those neither suspected nor silent for more than `SUSPECT_HEARTBEATS`
     /// intervals.
     pub fn alive(
         &self,
