--- a/crates/core/src/start_record.rs
+++ b/crates/core/src/start_record.rs
@@ -17,7 +17,7 @@
 /// that restarts more often within that time is unusable anyway.
 const MAX_ENDED: usize = 8;
 
-/// The known starts of one upstream that has restarted or was removed from the list.
+/// What is known of an upstream's starts beside the present one, which its list entry names.
 #[derive(Debug, Default)]
 pub(crate) struct StartRecord {
     /// When the present start became known, or when the last one was removed from the list.
