--- a/crates/core/src/class_worth.rs
+++ b/crates/core/src/class_worth.rs
@@ -12,7 +12,7 @@
 const BASE_FRACTION: f64 = 0.3;
 /// Range to which the worth of a class is clamped, in case of a goal of zero.
 const WORTH_RANGE: (f64, f64) = (0.1, 1_000.0);
-/// Smallest weight of the newest prompt in a mean; turns the mean into a moving average.
+/// Smallest weight of the newest prompt in a mean, so that a mean of many prompts becomes a moving average.
 const MEAN_WEIGHT: f64 = 0.02;
 /// Largest number of classes with a mean. Beyond it all are dropped, as deleted routes leave their classes behind.
 const MAX_CLASSES: usize = 1_024;
@@ -32,7 +32,7 @@
     pub shortest_goal: time::Duration,
 }
 
-/// Mean of the prompt lengths added so far, which becomes a moving average, see [`MEAN_WEIGHT`].
+/// Mean of the prompt lengths added so far; a moving average once `1 / count` is below [`MEAN_WEIGHT`].
 #[derive(Debug, Clone, Copy, Default)]
 struct PromptMean {
     tokens: f64,
--- a/crates/core/src/cold_start.rs
+++ b/crates/core/src/cold_start.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ColdUpstreamMode {
-    /// Limited to the cold-start rate of their service.
+    /// Cold upstreams are limited to the cold-start rate of their service.
     #[default]
     Limited,
     /// Cold upstreams are treated like warm ones.
@@ -44,7 +44,7 @@
     mode: ColdUpstreamMode,
     policies: collections::BTreeMap<ids::ServiceId, ColdPolicy>,
     phases: collections::BTreeMap<ids::UpstreamId, (ids::ServiceId, ColdPhase)>,
-    /// Number of changes so far to the policies and phases, from which limits are derived.
+    /// Number of changes so far to `policies` and `phases`, which determine the limits.
     changes: u64,
 }
 
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Sets the remaining cold phase of an upstream: `left`, or the usual length of its service if that is `None`.
+    /// Sets the remaining cold phase of an upstream: `left`, or the usual length for its service if `left` is `None`.
+    /// Without a remaining time or a usual length, the upstream counts as warm.
     pub(crate) fn set(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -9,7 +9,7 @@
 /// A setting that applied to a request.
 #[derive(Debug, Clone, Serialize)]
 pub struct SettingRow {
-    /// Name of the option.
+    /// Name of the option in the settings tree.
     pub option: &'static str,
     /// Value that applied to the request.
     pub value: String,
@@ -33,13 +33,13 @@
     pub attempt: ids::AttemptId,
     /// Engines or upstream that the attempt was sent to.
     pub target: String,
-    /// Candidates at the time of the choice.
+    /// Engines or upstreams among which the target was chosen.
     pub candidates: Vec<CandidateRow>,
     /// Why the target was chosen.
     pub reason: String,
     /// Time for which the attempt waited for a placement, in milliseconds.
     pub waited_ms: u64,
-    /// Outcome of the attempt; absent while it runs.
+    /// Outcome of the attempt; `None` while it runs.
     pub end: Option<String>,
 }
 
@@ -48,33 +48,33 @@
 pub struct DecisionRecord {
     /// Request id assigned by slipturn.
     pub request: ids::RequestId,
-    /// Request id that the caller sent.
+    /// Request id that the caller sent; `None` if it sent none.
     pub caller_request: Option<String>,
     /// Path of the HTTP request.
     pub path: String,
-    /// Customer that the request belongs to.
+    /// Customer that the request belongs to; `None` until the settings are resolved.
     pub customer: Option<ids::CustomerId>,
-    /// Application of the customer.
+    /// Application of the customer that sent the request; `None` until the settings are resolved.
     pub application: Option<ids::ApplicationId>,
-    /// Request class.
+    /// Request class; `None` until the settings are resolved, or if no class fits the prompt.
     pub class: Option<ids::ClassId>,
-    /// Prompt length in tokens.
+    /// Estimated prompt length in tokens; 0 unless a model request was admitted.
     pub prompt_tokens: u64,
-    /// Version of the settings that applied to the request.
+    /// Version of the settings that applied to the request; 0 until they are resolved.
     pub settings_version: u64,
-    /// Revision of the published list in force.
+    /// Revision of the published list that was in force at admission; 0 unless a model request was admitted.
     pub list_revision: u64,
     /// Settings that applied, with the node that set each.
     pub settings: Vec<SettingRow>,
-    /// Decisions on budgets, votes and the like, in order.
+    /// Descriptions of decisions on budgets, votes, retries and the like, in the order taken.
     pub notes: Vec<String>,
     /// Attempts to serve the request, oldest first.
     pub attempts: Vec<AttemptRow>,
-    /// Time from the arrival of the request to its first token, in milliseconds.
+    /// Time from the arrival of the request to its first token, in milliseconds; `None` unless a streamed answer began.
     pub first_token_ms: Option<u64>,
-    /// Time from the arrival of the request to its end, in milliseconds.
+    /// Time from the arrival of the request to its end, in milliseconds; `None` while it runs.
     pub total_ms: Option<u64>,
-    /// Outcome of the request; absent while it runs.
+    /// Outcome of the request; `None` while it runs.
     pub end: Option<String>,
 }
 
