--- a/crates/core/src/engine_directory.rs
+++ b/crates/core/src/engine_directory.rs
@@ -6,7 +6,7 @@
 
 use crate::{fleet_list, ids, rendezvous, settings, units};
 
-/// Addresses of an engine and of its scheduler, with what matters for choosing it.
+/// Addresses of an engine and of its scheduler, with the properties that an entry needs to choose the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineTarget {
     /// Name of the engine.
@@ -91,7 +91,8 @@
         })
     }
 
-    /// Groups of engines, each within one data centre, whose members together can hold `need`.
+    /// Groups of engines, each within one data centre, whose members together can hold `need`; at most
+    /// `fleet.group_limit` for each data centre.
     ///
     /// Groups of one size are disjoint, because all entries split the list in the same order. Groups of different
     /// sizes may overlap. Members are sorted by name and acquired in this order, so that two prompts cannot deadlock.
--- a/crates/core/src/engine_estimate.rs
+++ b/crates/core/src/engine_estimate.rs
@@ -37,8 +37,8 @@
 
     /// Refuses a medium or long request if the engine cannot work through the whole queue in time.
     ///
-    /// Shorter requests may go first until this one is overdue; from then on it goes before all later ones. So the
-    /// queue must fit into the time between its overdue time and its latest start.
+    /// Shorter requests may go before this request until it is overdue; from then on it goes before all that arrive
+    /// later. So all queued work must fit into the time between the overdue time and the latest start of the request.
     fn check_backlog(
         &self,
         now: units::MonoTime,
@@ -84,7 +84,8 @@
         self.leases.len() < self.options.max_running && request.memory <= self.free()
     }
 
-    /// Expected time until enough leases end, each after its remaining prefill and half its longest answer.
+    /// Expected time until enough leases end to free the memory for a request; each lease is expected to end after its
+    /// remaining prefill and half its longest answer. The orphan grace period if all leases together free too little.
     fn memory_wait(&self, request: &placement::CapacityRequest) -> time::Duration {
         let mut ends: Vec<_> = self
             .leases
@@ -109,7 +110,8 @@
         self.options.orphan_grace.0
     }
 
-    /// Prefill work on the engine that goes before a request of `rank`, including work that no lease explains.
+    /// Prefill work on the engine that goes before a request of `rank`, including reported work that belongs to no
+    /// lease.
     pub(crate) fn backlog(&self, rank: service_rank::ServiceRank) -> units::TokenCount {
         let before = self.leases.values().filter(|lease| lease.rank <= rank);
         let own: f64 = before.map(|lease| lease.prefill_left).sum();
--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -10,7 +10,7 @@
 
 /// Assumed time between two output tokens, for estimates of the whole answer.
 const TOKEN_INTERVAL: time::Duration = time::Duration::from_millis(30);
-/// Prefill work that is queued on an engine in advance, beyond the request in progress.
+/// Prefill work that is queued on an engine in advance, beyond the request in progress, as time at its prefill rate.
 const PREFILL_AHEAD: time::Duration = time::Duration::from_millis(250);
 /// Time without a load report after which an engine counts as unreachable.
 const REPORT_LIMIT: time::Duration = time::Duration::from_secs(3);
@@ -53,7 +53,7 @@
     /// Invariant: when a lease was granted, the memory of all leases and known orphans did not exceed `capacity`.
     pub(crate) leases: collections::HashMap<ids::AttemptId, EngineLease>,
     pub(crate) orphans: collections::HashMap<ids::AttemptId, OrphanRecord>,
-    /// Attempts whose lease has ended, with the time of its end.
+    /// Attempts whose lease has ended, with the time of its end; kept until the engine's reports no longer list them.
     pub(crate) released: collections::HashMap<ids::AttemptId, units::MonoTime>,
     pub(crate) queue: fair_queue::FairQueue<placement::CapacityRequest>,
     pub(crate) shares: service_rank::ShareMeter,
@@ -200,7 +200,8 @@
         self.advance(now)
     }
 
-    /// Renews the leases of the attempts that an entry is still streaming, and ends its other leases.
+    /// Renews the leases of the attempts that an entry is still streaming, and ends its other leases; those of the same
+    /// `boot` only after `RELEASE_LAG` without renewal.
     ///
     /// Attempts without a lease are adopted, because the ledger may have started after them.
     pub fn renew(
@@ -230,7 +231,8 @@
         self.advance(now)
     }
 
-    /// Applies a report of the engine and cancels work without a lease.
+    /// Applies a report of the engine, and cancels attempts that the engine still holds after their release or has held
+    /// without a lease for the grace period.
     pub fn report(
         &mut self,
         now: units::MonoTime,
@@ -472,7 +474,7 @@
         self.orphans.values().map(|orphan| orphan.tokens).sum()
     }
 
-    /// Simulates the engine's prefill up to `now`, in the engine's order of service.
+    /// Simulates the engine's prefill up to `now`, in the order of [`service_rank::ServiceRank`] like the engine.
     fn advance_prefill(&mut self, now: units::MonoTime) {
         let mut done = self.prefill_rate.0 * now.since(self.advanced).as_secs_f64();
         self.advanced = self.advanced.max(now);
--- a/crates/core/src/free_capacity.rs
+++ b/crates/core/src/free_capacity.rs
@@ -15,11 +15,11 @@
     pub(crate) grouped: bool,
     /// Remaining prefill of each lease in tokens, with its rank.
     pub(crate) prefills: Vec<(service_rank::ServiceRank, f64)>,
-    /// Prefill work that no lease explains, tokens.
+    /// Prefill work that the engine reported beyond that of the leases, tokens.
     pub(crate) foreign: f64,
     /// Largest prefill backlog at which another request may start.
     pub(crate) prefill_limit: units::TokenCount,
-    /// Set once an overdue request did not fit; from then on only short requests may start before it.
+    /// Set once an overdue request that is not short did not fit; from then on only short requests may start.
     pub(crate) reserved: bool,
 }
 
@@ -35,7 +35,7 @@
         if self.has_capacity(request, rank) && (short || !self.reserved) {
             return true;
         }
-        // Free memory accumulates for the first overdue request; only short ones may still go before it.
+        // Free memory accumulates for the overdue request, because only short requests may still start before it.
         self.reserved |= overdue && !short;
         false
     }
@@ -56,7 +56,7 @@
     /// Whether the prefill backlog ahead of a request is small enough for it to start.
     ///
     /// Requests beyond the limit wait in the queue, where they can still be reordered. An engine prefills one long
-    /// prompt at a time; only one that takes precedence on the engine may join it.
+    /// prompt at a time; another long prompt may start only if it has precedence over that one on the engine.
     fn is_within_prefill_limit(&self, rank: service_rank::ServiceRank) -> bool {
         let before = self.prefills.iter().filter(|(other, left)| *other <= rank && *left > 0.0);
         if rank.band == service_rank::LengthBand::Long {
