--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -41,10 +41,11 @@
     pub tight: bool,
     /// Worth of the answer if it is in time; that of a short request is 1.
     pub worth: f32,
-    /// Whether this is a first attempt; `false` after a refusal or an earlier attempt.
+    /// Whether this is a first attempt, which is refused sooner than a retry; `false` after a refusal or an earlier
+    /// attempt.
     pub refusable: bool,
-    /// Whether an engine has already worked on the request. Such a request is placed as soon as any engine has capacity, and
-    /// never refused.
+    /// Whether an earlier attempt reached an engine. Such a request is placed as soon as any engine has capacity,
+    /// and never refused.
     pub resumed: bool,
     /// Engines that must not be used for this attempt, for example because one requested a backoff from the member.
     pub excluded: Vec<ids::UpstreamId>,
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -9,7 +9,8 @@
     rendezvous, retry, routing, settings, settings_resolve, units,
 };
 
-/// Number of prompt prefixes whose last engine is remembered, to benefit from its prefix cache.
+/// Largest number of prompt prefixes whose last engine is remembered, to benefit from that engine's prefix cache. When
+/// it is reached, all are dropped.
 const MAX_AFFINITY: usize = 20_000;
 
 /// Properties of a model request that determine its settings and engines.
@@ -79,14 +80,15 @@
     budget_cache: budget::BudgetCache,
     retries: retry::RetryBudget,
     outstanding: collections::HashMap<ids::EngineId, OutstandingLoad>,
-    /// Engines left out of the sample after a refusal or failure, with the time at which that ends.
+    /// Engines that are not considered after a refusal or failure, unless no others are left, with the time at which
+    /// that ends.
     ejected: collections::HashMap<ids::EngineId, units::MonoTime>,
     /// Last engine of each prompt prefix, by the prefix's hash. Invariant: at most [`MAX_AFFINITY`] entries.
     affinity: collections::HashMap<u64, ids::EngineId>,
     random: rand_chacha::ChaCha8Rng,
 }
 
-/// How long an engine that refused or failed is left out of the sample.
+/// How long an engine that refused or failed is not considered, unless no others are left.
 const EJECTION_TIME: time::Duration = time::Duration::from_secs(3);
 
 impl EntryRouter {
@@ -312,7 +314,8 @@
         open.iter().filter_map(|engine| directory.target(engine, warm.as_ref())).collect()
     }
 
-    /// A random group of engines of one data centre that together can hold a prompt too large for one engine.
+    /// A random group of engines of one data centre that together can hold a prompt too large for one engine; empty if
+    /// there is no such group.
     pub fn group(
         &mut self,
         model: &ids::ModelId,
@@ -323,7 +326,8 @@
         groups.choose(&mut self.random).cloned().unwrap_or_default()
     }
 
-    /// Chooses among `targets`, given the `offers` of their schedulers in the same order.
+    /// Chooses among `targets`, given the `offers` of their schedulers in the same order; `None` if the routing policy
+    /// finds none suitable.
     pub fn choose(
         &mut self,
         targets: &[engine_directory::EngineTarget],
@@ -380,7 +384,7 @@
         }
     }
 
-    /// Leaves an engine out of the sample for a while after it refused or failed.
+    /// Stops considering an engine for a while after it refused or failed, unless no others are left.
     pub fn eject(&mut self, now: units::MonoTime, engine: &ids::EngineId) {
         self.ejected.insert(engine.clone(), now + EJECTION_TIME);
     }
@@ -394,7 +398,7 @@
         self.retries.decide(now, failed)
     }
 
-    /// Counts a request that [`Self::plan`] does not see, which adds to the retry budget.
+    /// Counts a request that does not pass through [`Self::plan`], so that it adds to the retry budget.
     pub fn count_request(&mut self, now: units::MonoTime) {
         self.retries.count_request(now);
     }
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -24,7 +24,7 @@
     pub payload: T,
 }
 
-/// A queue of items of several customers, in the order of service that the module describes.
+/// A queue of items of several customers, ordered by overdue time and by finish tag.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     items: Vec<QueueItem<T>>,
