--- a/crates/core/src/histogram.rs
+++ b/crates/core/src/histogram.rs
@@ -16,7 +16,7 @@
     TokenInterval,
     /// From the last byte of the request to the end of the answer.
     Total,
-    /// From asking for a placement, the assignment of the request to engines, to its grant.
+    /// From the request for a placement (an assignment to engines) to its grant.
     PlaceWait,
 }
 
@@ -64,8 +64,8 @@
     pub max_ms: f64,
 }
 
-/// Latency histograms by measure and series. Further series share an overflow one, so that customers and classes of any
-/// number take a bounded amount of memory.
+/// Latency histograms by measure and series. Beyond `MAX_SERIES`, new series share one overflow series per measure, so
+/// that memory stays bounded with any number of customers and classes.
 #[derive(Debug, Default)]
 pub struct HistogramSet {
     /// Histograms in tenths of a millisecond. Invariant: at most [`MAX_SERIES`], plus one overflow series for each
--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -210,7 +210,7 @@
 pub struct VoteTally {
     /// When the first voter was queried.
     queried_at: units::MonoTime,
-    /// Largest number of voters that any answer stated.
+    /// Largest number of voters that any vote stated; 0 before the first vote.
     group: usize,
     granted: collections::HashSet<ids::InstanceId>,
     /// Another request whose query a voter received earlier.
--- a/crates/core/src/pass_model.rs
+++ b/crates/core/src/pass_model.rs
@@ -10,8 +10,8 @@
     part_ms(shape, prompt, 1)
 }
 
-/// Time to prefill one of `parts` equal parts of a prompt, milliseconds; the quadratic cost of token pairs is divided
-/// equally, too.
+/// Time to prefill one of `parts` equal parts of a prompt, milliseconds. The quadratic cost of token pairs is also
+/// divided equally.
 pub fn part_ms(shape: &route_table::EngineShape, prompt: u64, parts: usize) -> f64 {
     let tokens = prompt as f64;
     let million_pairs = tokens * tokens / 2.0 / 1e6;
@@ -20,8 +20,8 @@
     whole / parts.max(1) as f64
 }
 
-/// Time of the decode steps of one pass without its prefill, milliseconds. `context` is the summed number of prompt
-/// tokens of the requests that are decoding.
+/// Time of the decode steps of one pass without its prefill, milliseconds; a single step if no request is decoding.
+/// `context` is the summed number of prompt tokens of the requests that are decoding.
 pub fn steps_ms(shape: &route_table::EngineShape, decoding: usize, context: u64) -> f64 {
     if decoding == 0 {
         return shape.step_ms;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -60,7 +60,7 @@
 pub enum LedgerAction {
     /// The entry may start the attempt, with this rank.
     Grant(ids::AttemptId, service_rank::ServiceRank),
-    /// The attempt is refused.
+    /// The attempt gets no capacity, for the reason in the refusal.
     Refuse(ids::AttemptId, refusal::RequestRefusal),
     /// The engine must cancel the attempt.
     Cancel(ids::AttemptId, CancelReason),
--- a/crates/core/src/planner_key.rs
+++ b/crates/core/src/planner_key.rs
@@ -29,7 +29,7 @@
 }
 
 impl PlannerKey {
-    /// Key for the member that coordinates one plain upstream, which forms a cell of its own.
+    /// Key for the member that coordinates one plain upstream (one that runs no model), which forms a cell of its own.
     pub fn of_plain(service: &ids::ServiceId, upstream: &ids::UpstreamId) -> Self {
         let hash = rendezvous::stable_hash(&["plain", service.as_str(), upstream.identifier()]);
         Self { service: service.clone(), cell: hash as u16 }
@@ -73,7 +73,7 @@
 ) -> Option<PlannerKey> {
     let key = |cell| PlannerKey { service: service.clone(), cell };
     if engines.is_empty() || cells == 1 {
-        // A planner without engines answers, too.
+        // A service without engines has a planner, too, which answers the request.
         return Some(key(0)).filter(|key| !refused.contains(&key.cell));
     }
     let in_turn = engines.iter().cycle().skip(drawn % engines.len()).take(engines.len());
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -66,7 +66,8 @@
     scored.into_iter().map(|(_, candidate)| candidate).collect()
 }
 
-/// The instance whose scheduler owns an engine: one in the engine's data centre, or any if none is live there.
+/// The instance whose scheduler owns an engine: a live one in the engine's data centre, or if there is none, in any
+/// other. `None` if no instance is live.
 pub fn engine_owner<'a>(
     list: &'a fleet_list::FleetList,
     engine: &ids::EngineId,
