--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -184,8 +184,8 @@
 /// little time for the answer, and callers rarely wait longer.
 const MAX_DELAY_PART: f64 = 0.33;
 
-/// Retry delay for a caller whose request has `time_left`, when no such request could be served for
-/// `outage`.
+/// Retry delay for a caller whose request has `time_left`, during an outage that has lasted for `outage`
+/// so far.
 ///
 /// The end of an outage cannot be predicted. Outages last from a fraction of a second to minutes, so
 /// the best estimate is that this one lasts as long again. Callers retry once or twice: with a fixed
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
-    /// Number, requests and retries of each slice; oldest first, at most [`SLICES`] of them.
+    /// Number of each slice, and the requests and retries counted in it; oldest first, at most [`SLICES`] of them.
     slices: collections::VecDeque<(u64, u64, u64)>,
 }
 
--- a/crates/core/src/retry_need.rs
+++ b/crates/core/src/retry_need.rs
@@ -14,8 +14,8 @@
 }
 
 impl RetryNeed {
-    /// Part of the burst allowance reserved for retries of higher priority. Beyond the burst allowance nothing is
-    /// reserved, as permits reserved for them would be lost while there are no such retries.
+    /// Part of the burst allowance reserved for retries of higher priority. Permits beyond the burst allowance are not
+    /// reserved, because they would be lost while there are no retries of higher priority.
     pub fn reserved_part(self) -> f64 {
         match self {
             Self::Early => 0.3,
--- a/crates/core/src/retry_schedule.rs
+++ b/crates/core/src/retry_schedule.rs
@@ -6,8 +6,8 @@
 
 use crate::units;
 
-/// Fraction of the permitted rate that is reserved for retries; the remainder is for first attempts, which can still be in
-/// time.
+/// Fraction of the permitted rate that is reserved for retries; the remainder is for first attempts, which can still be
+/// in time.
 const RETRY_FRACTION: f64 = 0.5;
 /// Longest Retry-After time. Limits have mostly changed after this time.
 const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(10);
@@ -22,7 +22,7 @@
 impl RetrySchedule {
     /// Returns the Retry-After time for the next caller, at a permitted rate of `rate` requests per second.
     ///
-    /// If it would exceed the longest time, it is random between half of that and the whole.
+    /// A time that would reach `MAX_RETRY_AFTER` is replaced by a random one between half of that and the whole.
     pub fn next(&mut self, now: units::MonoTime, rate: f64) -> time::Duration {
         let step = 1.0 / (rate * RETRY_FRACTION).max(f64::MIN_POSITIVE);
         let step =
--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -113,7 +113,7 @@
 pub struct ServicePolicy {
     /// Name of the service.
     pub name: ids::ServiceId,
-    /// Most connections that one upstream accepts in total.
+    /// Most connections that one upstream accepts from all instances together.
     pub connection_limit: usize,
     /// Engine parameters; `None` if the upstreams are not model engines.
     pub engine: Option<EngineShape>,
--- a/crates/core/src/search_budget.rs
+++ b/crates/core/src/search_budget.rs
@@ -1,5 +1,5 @@
-//! Budget for placement attempts at several cells of a service. A cell is a subset of its engines with a planner of
-//! its own.
+//! Budget for placement attempts at several cells of a service. A cell is a subset of the service's engines with a
+//! planner of its own.
 //!
 //! A request refused by one cell may find capacity in another. But under overload all cells refuse, and trying every
 //! cell would multiply the messages by their number. So two cells are always tried, and further ones draw on a budget
--- a/crates/core/src/service_rank.rs
+++ b/crates/core/src/service_rank.rs
@@ -76,8 +76,9 @@
         self.used.insert(customer.clone(), (used, now));
     }
 
-    /// Whether a customer has used more than its share of an engine that prefills at `rate`. The capacity is shared
-    /// equally by the customers that have used the engine recently.
+    /// Whether a customer has used clearly more than its share of an engine that prefills at `rate`, see
+    /// `SHARE_TOLERANCE`. The share is an equal part of the capacity for each customer that has used the engine
+    /// recently, times the weight of the customer.
     pub fn over_share(
         &mut self,
         now: units::MonoTime,
