--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of long prompts: which are prefilled in time, which run late and which are refused.
 //!
 //! All waiting prompts are scheduled by due time, earliest first. If one of them would miss its due time, the prompt
-//! with the lowest value per engine time is displaced: a prompt that could still be in time becomes late, and a late
+//! that loses least for its engine time is displaced: a prompt that could still be in time becomes late, and a late
 //! one is refused.
 
 use crate::{
@@ -13,7 +13,8 @@
 /// Largest loss that the prefill of a long prompt may cause to other requests, as a fraction of what the prompt
 /// itself loses by missing its due time.
 const MAX_LOSS_FRACTION: f64 = 0.5;
-/// Largest loss that the prefill of a late long prompt may cause, as the same fraction: a late prompt can afford to wait.
+/// Largest loss that the prefill of a late long prompt may cause to other requests, as a fraction of what the prompt
+/// itself loses by missing its due time. The caller of a late prompt waits anyway.
 const LATE_MAX_LOSS_FRACTION: f64 = 0.12;
 /// Bounds of the retry delay given to a refused prompt, milliseconds. Callers obey a delay of up to a third of their
 /// time limit.
@@ -54,14 +55,14 @@
         let latency_sensitive: usize =
             views.iter().map(engine_view::EngineView::latency_sensitive).sum();
         let usable = views.iter().filter(|view| !view.ejected && view.has_permit()).count();
-        // Engines left to long prompts once short requests are packed onto the fewest.
+        // Number of engines left to long prompts once short requests are packed onto the fewest.
         let free = usable.saturating_sub(latency_sensitive.div_ceil(self.packing_target));
         let mut answers = Vec::new();
         // Lateness is decided again in each round, because engines may be free earlier than expected.
         jobs.iter_mut().for_each(|job| job.late = job.goal_left_ms(self.now) <= 0.0);
         let worth_prefill = |index: &usize| {
             // A prompt worth less than the short requests that it displaces is not scheduled: it is unknown how long
-            // these will occupy the engines.
+            // the short requests will occupy the engines.
             self.price.is_worth_prefill(self.now, &self.table.shape, jobs[*index])
         };
         let mut order: Vec<_> = (0..jobs.len()).filter(worth_prefill).collect();
@@ -118,7 +119,7 @@
                 continue;
             };
             if !timetable.can_hold(&job.request) && !job.request.resumed {
-                // Displacing another prompt would not help.
+                // The engines that the prompt may use cannot hold it, so displacing another prompt would not help.
                 return Err(DisplacedPrompt { index: *index, expected_ms: f64::INFINITY });
             }
             let missed = booking.first_ms > job.due_ms(self.now) && !job.request.resumed;
@@ -144,7 +145,7 @@
     /// Returns the best prefill, in this order of preference:
     ///
     /// 1. one that is in time and costs other requests nothing,
-    /// 2. one that is in time and costs them less than the allowed fraction of the prompt's own loss,
+    /// 2. one that is in time and costs them at most the allowed fraction of what the prompt would lose,
     /// 3. a late one that costs them nothing,
     /// 4. any other, which must not start and only serves to estimate the first token.
     ///
@@ -172,9 +173,10 @@
         forced().map(|booking| PrefillCandidate { booking, allowed: false })
     }
 
-    /// Picks the prompt to displace: the one with the lowest value per engine time, and among equals the newest.
+    /// Picks the prompt to displace: the one that loses least for its engine time by missing its due time, and among
+    /// equals the newest. Resumed requests are never displaced.
     ///
-    /// The last of `booked` is the one that misses its due time.
+    /// The last of `booked` is the prompt that would miss its due time.
     fn pick_displaced(
         &self,
         jobs: &[&mut waiting_job::WaitingJob],
--- a/crates/core/src/planner/baseline_choice.rs
+++ b/crates/core/src/planner/baseline_choice.rs
@@ -6,7 +6,7 @@
     route_table, settings, units,
 };
 
-/// Grants the engine that a baseline policy picks; `None` if no engine may be used.
+/// Grants the engine that a baseline policy picks; `None` if no engine may be used now.
 pub(crate) fn choose(
     shape: &route_table::EngineShape,
     routing: settings::RoutingKind,
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -28,8 +28,8 @@
 
 /// Longest time for which a request stays queued; its member has given up long before.
 const MAX_WAIT: time::Duration = time::Duration::from_secs(30);
-/// Fraction of all engine slots that must be in use before a short request is refused; below it, engines that seem
-/// unusable may only have been slow.
+/// Fraction of all engine slots that must be in use before a short request is refused because it would be queued or
+/// late. Below it, engines that seem unusable may only have been slow.
 const CROWDED_FRACTION: f64 = 0.6;
 /// Number of retried requests that an engine may hold in its own queue beyond its slots.
 const MAX_QUEUED_RETRIES: usize = 2;
@@ -169,10 +169,10 @@
         own.into_iter().next()
     }
 
-    /// Drops expired requests and leases, then places waiting requests, the most urgent first.
+    /// Drops expired requests and leases, then places waiting requests: short ones first, then long ones by due time.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<engine_place::PlaceAnswer> {
         self.table.expire(now);
-        // A member that still needs a placement repeats its request within the lease time.
+        // Dropping a request is harmless: a member that still needs a placement repeats it within the lease time.
         self.waiting.retain(|job| now.since(job.since) < MAX_WAIT);
         let mut answers = std::mem::take(&mut self.ready_answers);
         if self.waiting.is_empty() {
@@ -255,7 +255,8 @@
         self.table.set_report(name, pace, requests);
     }
 
-    /// Whether one engine prefills the whole prompt. Baseline routing policies treat every request so.
+    /// Whether a request is placed on a single engine without the timetable of long prompts. Baseline routing policies
+    /// treat every request as short.
     fn is_short(&self, request: &engine_place::PlacementRequest) -> bool {
         request.tight || self.options.routing != settings::RoutingKind::ExpectedStart
     }
@@ -319,7 +320,8 @@
         self.take(now, &job.request, grant)
     }
 
-    /// Whether a short request would queue at its engine or take more than twice its first-token goal.
+    /// Whether a short request would take more than twice its first-token goal, or would find all slots of its engine
+    /// in use; a retry may then still be queued, see [`MAX_QUEUED_RETRIES`].
     fn is_crowded(&self, job: &waiting_job::WaitingJob, grant: &engine_place::PlaceGrant) -> bool {
         let max_queued = if job.request.refusable { 0 } else { MAX_QUEUED_RETRIES };
         self.table.running_on(&grant.engine) >= self.table.shape.slots + max_queued
--- a/crates/core/src/planner/modes.rs
+++ b/crates/core/src/planner/modes.rs
@@ -50,7 +50,7 @@
     Pause,
 }
 
-/// When a short request is refused that finds no engine which meets all its limits.
+/// When a short request that finds no engine within all its limits is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShortRefusalMode {
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryOrderMode {
-    /// Retries that save more come first.
+    /// Retries without which more is lost come first, see [`retry_need::RetryNeed`].
     #[default]
     ByNeed,
     /// Retries come in the order of their arrival.
