--- a/crates/core/src/planner/engine_limits.rs
+++ b/crates/core/src/planner/engine_limits.rs
@@ -4,12 +4,12 @@
 
 use crate::{ids, quota_ledger, send_pace, units};
 
-/// When an engine's rate limit permits requests, milliseconds.
+/// When an engine's rate limit permits requests, in milliseconds from now.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct PermitTimes {
-    /// Time until the next permit: 0 without a limit, infinite if another process enforces it.
+    /// Time until the next permit: 0 without a limit, infinite if another process enforces the limit.
     pub(crate) wait_ms: f64,
-    /// Time between two permits; 0 without a limit.
+    /// Time between two permits; 0 if this process enforces no limit.
     pub(crate) interval_ms: f64,
 }
 
@@ -34,7 +34,8 @@
         self.elsewhere = elsewhere;
     }
 
-    /// Requests per second that this planner may send to an engine; `None` without a limit.
+    /// Requests per second that this planner may send to an engine: `None` without a limit, 0 if another process
+    /// enforces the limit.
     pub(crate) fn rate(&self, engine: &ids::UpstreamId) -> Option<f64> {
         let enforced = self.permits.bound(engine).map(|bound| bound.rate.per_second());
         enforced.or_else(|| self.elsewhere.contains(engine).then_some(0.0))
--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -21,7 +21,7 @@
     pub(crate) steps_ms: f64,
     /// Smallest pause goal of the engine's requests, milliseconds; infinite without requests.
     pub(crate) pause_goal_ms: f64,
-    /// Summed worth of the engine's requests.
+    /// Summed worth of the engine's requests; each request of another planner counts 1.
     pub(crate) worth: f64,
     /// Number of this planner's requests with tight pause goals on the engine.
     pub(crate) tight: usize,
@@ -59,19 +59,19 @@
         self.tight + self.foreign
     }
 
-    /// Expected time to the first token if this engine prefills a part of `part` milliseconds: the token is sent at
-    /// the end of the pass that prefills it.
+    /// Expected time to the first token, milliseconds, if this engine prefills a part of `part` milliseconds. The token
+    /// is sent at the end of the pass that prefills the part.
     pub(crate) fn first_ms(&self, part: f64) -> f64 {
         (self.wait_ms + self.pending_ms + part + self.steps_ms) * self.pace
     }
 
-    /// Time of a pass that prefills a part of `part` milliseconds, milliseconds.
+    /// Duration in milliseconds of a pass that prefills a part of `part` milliseconds.
     pub(crate) fn pass_ms(&self, part: f64) -> f64 {
         (part + self.steps_ms) * self.pace
     }
 
     /// Worth that the engine's requests lose if it prefills one more part of `part` milliseconds; infinite if the pause
-    /// would be too long for a plan.
+    /// would be longer than any plan may cause.
     pub(crate) fn pause_loss(&self, part: f64) -> f64 {
         let before = (self.steps_ms + self.pending_ms) * self.pace;
         let pause = before + part * self.pace;
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -31,7 +31,7 @@
 /// Time without new work after which an engine counts as idle.
 const IDLE_TIME: time::Duration = time::Duration::from_secs(4);
 
-/// Delay after which a first token counts as overdue: one pass and the message to the planner.
+/// Time after its expected time from which a first token counts as overdue: one pass and the message to the planner.
 const FIRST_TOKEN_DELAY_SLACK: time::Duration = time::Duration::from_millis(120);
 
 /// Lower bound of a pass, milliseconds, in case the model of an engine gives an implausible time.
@@ -66,13 +66,14 @@
     pub(crate) answering: collections::BTreeSet<engine_place::JobId>,
     /// Requests of `answering` whose prefill is complete and which are decoding.
     pub(crate) decoding: collections::BTreeSet<engine_place::JobId>,
-    /// Time of the decode steps of one pass with the current decoding requests, milliseconds.
+    /// Time of the decode steps of one pass with the current decoding requests, milliseconds; 0 if there are none.
     pub(crate) steps_ms: f64,
     /// The pass in progress; `None` while the engine has no work.
     pub(crate) pass: Option<EnginePass>,
     /// Parts queued for the next pass, oldest first.
     pub(crate) pending: collections::VecDeque<PendingPart>,
-    /// Requests prefilled on this engine that have not sent a first token, with the time at which it is expected.
+    /// Expected time of the first token of each request that this engine prefills, wholly or in part, until the token
+    /// is sent or the request ends.
     pub(crate) expected: collections::BTreeMap<engine_place::JobId, units::MonoTime>,
     /// Tokens of memory in use or reserved.
     pub(crate) used: u64,
@@ -253,7 +254,7 @@
     /// Applies the number of requests that the engine had when it sent a first token.
     ///
     /// First tokens arrive several times a second, reports every two seconds. With reports alone, two planners on
-    /// the sides of a network partition fill the same engines.
+    /// the two sides of a network partition would fill the same engines.
     pub(crate) fn note_load(&mut self, requests: usize) {
         self.foreign = requests.saturating_sub(self.answering.len() + FIRST_TOKEN_SLACK);
     }
