--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -1,5 +1,5 @@
-//! Table of placements: granted, renewed by their members, adopted from other planners and released; and the
-//! estimated work of every engine that results from them.
+//! Table of placements, and the estimated work of every engine that results from them. A placement is granted here or
+//! adopted from another planner, renewed by its member, and finally released.
 
 mod occupancy;
 mod queries;
@@ -93,7 +93,7 @@
         self.jobs.len()
     }
 
-    /// The grant of a request that has a placement.
+    /// The grant of a request, as answered before; `None` if the request has no placement.
     pub(crate) fn answer(&self, job: engine_place::JobId) -> Option<engine_place::PlaceAnswer> {
         let state = self.jobs.get(&job)?;
         let grant = state.lease.grant.clone();
--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -146,8 +146,8 @@
         self.answer_ms / decoding as f64
     }
 
-    /// Time until the first tokens of the long prompts on this engine are expected, milliseconds: only these confirm
-    /// that its prefill is complete.
+    /// Time until the last first token of the long prompts on this engine is expected, milliseconds; 0 without such
+    /// prompts. Only first tokens confirm that the prefill is complete.
     fn unconfirmed_ms(&self, now: units::MonoTime, engine: &engine_work::EngineWork) -> f64 {
         engine
             .expected
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -1,4 +1,5 @@
-//! Opportunity cost of engine time: the worth of the short requests that it could serve, while some are refused.
+//! Opportunity cost of engine time: the worth of the short requests that it could serve, while some of them find no
+//! engine that meets all their limits.
 
 use std::time;
 
@@ -115,7 +116,7 @@
     }
 
     /// Whether a long prompt is worth at least as much as the short requests that its prefill displaces. Always true
-    /// without contention.
+    /// without contention and for resumed requests.
     pub(crate) fn is_worth_prefill(
         &self,
         now: units::MonoTime,
--- a/crates/core/src/planner/short_choice.rs
+++ b/crates/core/src/planner/short_choice.rs
@@ -38,7 +38,8 @@
 }
 
 impl ShortChoice<'_> {
-    /// Grants the engine with the smallest loss; with `strict`, only one that meets all limits.
+    /// Grants the engine with the smallest loss; with `strict`, only one that meets all limits. `None` if there is
+    /// none.
     pub(crate) fn choose(
         &self,
         now: units::MonoTime,
@@ -101,7 +102,7 @@
         let foreign_loss = view.foreign as f64 * FOREIGN_LOSS;
         let neighbor_loss =
             (view.answering - view.tight - view.foreign) as f64 * LONG_NEIGHBOR_LOSS;
-        // A first token within this fraction of the goal costs nothing.
+        // A first token within this time costs nothing; each second beyond it costs a short request's worth.
         let goal_without_loss = f64::from(request.goal_ms) * NO_LOSS_GOAL_FRACTION;
         let delay_loss = (view.first_ms(part) - goal_without_loss).max(0.0) / 1_000.0;
         let pace_loss = (view.pace - 1.0).max(0.0) * PACE_LOSS;
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -11,7 +11,7 @@
 
 /// Numbers of parts into which a prompt may be split; the cheapest is chosen.
 const PART_COUNTS: [usize; 11] = [1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 17];
-/// Shortest part that is sent to a helper, milliseconds.
+/// Shortest part that is worth sending to a helper, milliseconds.
 const MIN_PART_MS: f64 = 20.0;
 /// Engine time lost per part in addition to its prefill, milliseconds: a pass with the decode steps of other
 /// requests, and the wait for the message that the part is complete. With a lower value, prompts are split into
@@ -99,8 +99,8 @@
         Self { shape, views, waiting, ms_per_worth }
     }
 
-    /// The cheapest prefill of a prompt after all bookings that costs other requests at most `max_loss` worth; `None`
-    /// if there is none.
+    /// The cheapest prefill of a prompt, after all earlier bookings, by which other requests lose at most `max_loss` of
+    /// their worth; `None` if there is none.
     pub(crate) fn cheapest(
         &self,
         request: &engine_place::PlacementRequest,
@@ -117,7 +117,7 @@
             .min_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms))
     }
 
-    /// Whether all engines together could hold a prompt and its answer.
+    /// Whether the engines that one prompt may use could together hold the prompt and its answer.
     pub(crate) fn can_hold(&self, request: &engine_place::PlacementRequest) -> bool {
         let engines =
             engine_view::usable(&self.views, request).len().min(engine_place::MAX_HELPERS + 1);
