--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -45,7 +45,7 @@
 const PAUSE_LOSS_FRACTION: f64 = 0.75;
 
 /// Longest pause that a plan may cause, as a multiple of the pause goal. Callers leave after 8 times their goal.
-const MAX_PAUSES: f64 = 6.0;
+const MAX_PAUSE_FACTOR: f64 = 6.0;
 
 impl EngineView<'_> {
     /// Whether the engine's rate limit permits a request now.
@@ -76,7 +76,7 @@
         let before = (self.steps_ms + self.pending_ms) * self.pace;
         let pause = before + part * self.pace;
         let limit = self.pause_goal_ms * PAUSE_FRACTION;
-        if pause > self.pause_goal_ms * MAX_PAUSES {
+        if pause > self.pause_goal_ms * MAX_PAUSE_FACTOR {
             return f64::INFINITY;
         }
         // A pause that exceeds the limit even without this part has been counted already.
