--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -100,7 +100,7 @@
         self.table.limits.set(now, enforced, elsewhere);
     }
 
-    /// Rate-limit permits of this planner's engines, also for requests that need no placement.
+    /// Rate-limit permits of this planner's engines. They are also taken for requests that need no placement.
     pub fn permits(&mut self) -> &mut quota_ledger::QuotaLedger<ids::UpstreamId> {
         &mut self.table.limits.permits
     }
--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -29,7 +29,7 @@
     }
 
     /// Number of requests that an engine can answer concurrently. With a rate limit, this is the number that the
-    /// limit admits within the duration of one answer.
+    /// limit admits within the duration of one answer, as the other slots cannot be used.
     fn usable_slots(&self, name: &ids::UpstreamId, engine: &engine_work::EngineWork) -> usize {
         let answering = engine.answering.len();
         let Some(rate) = self.limits.rate(name) else {
@@ -146,8 +146,8 @@
         self.answer_ms / decoding as f64
     }
 
-    /// Time until the last first token of the long prompts on this engine is expected, milliseconds; 0 without such
-    /// prompts. Only first tokens confirm that the prefill is complete.
+    /// Time until all long prompts on this engine are expected to have sent their first tokens, milliseconds; 0 without
+    /// such prompts. Only first tokens confirm that the prefill is complete.
     fn unconfirmed_ms(&self, now: units::MonoTime, engine: &engine_work::EngineWork) -> f64 {
         engine
             .expected
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -99,8 +99,8 @@
         Self { shape, views, waiting, ms_per_worth }
     }
 
-    /// The cheapest prefill of a prompt, after all earlier bookings, by which other requests lose at most `max_loss` of
-    /// their worth; `None` if there is none.
+    /// The cheapest prefill of a prompt, after all earlier bookings, by which other requests lose a worth of at most
+    /// `max_loss`; `None` if there is none.
     pub(crate) fn cheapest(
         &self,
         request: &engine_place::PlacementRequest,
