--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -21,7 +21,7 @@
     pub(crate) steps_ms: f64,
     /// Smallest pause goal of the engine's requests, milliseconds; infinite without requests.
     pub(crate) pause_goal_ms: f64,
-    /// Summed worth of the engine's requests.
+    /// Summed worth of the engine's requests; each request of another planner counts 1.
     pub(crate) worth: f64,
     /// Number of this planner's requests with tight pause goals on the engine.
     pub(crate) tight: usize,
@@ -45,7 +45,7 @@
 const PAUSE_LOSS_FRACTION: f64 = 0.75;
 
 /// Longest pause that a plan may cause, as a multiple of the pause goal. Callers leave after 8 times their goal.
-const MAX_PAUSES: f64 = 6.0;
+const MAX_PAUSE_FACTOR: f64 = 6.0;
 
 impl EngineView<'_> {
     /// Whether the engine's rate limit permits a request now.
@@ -59,24 +59,24 @@
         self.tight + self.foreign
     }
 
-    /// Expected time to the first token if this engine prefills a part of `part` milliseconds: the token is sent at
-    /// the end of the pass that prefills it.
+    /// Expected time to the first token, milliseconds, if this engine prefills a part of `part` milliseconds. The token
+    /// is sent at the end of the pass that prefills the part.
     pub(crate) fn first_ms(&self, part: f64) -> f64 {
         (self.wait_ms + self.pending_ms + part + self.steps_ms) * self.pace
     }
 
-    /// Time of a pass that prefills a part of `part` milliseconds, milliseconds.
+    /// Duration in milliseconds of a pass that prefills a part of `part` milliseconds.
     pub(crate) fn pass_ms(&self, part: f64) -> f64 {
         (part + self.steps_ms) * self.pace
     }
 
     /// Worth that the engine's requests lose if it prefills one more part of `part` milliseconds; infinite if the pause
-    /// would be too long for a plan.
+    /// would be longer than any plan may cause.
     pub(crate) fn pause_loss(&self, part: f64) -> f64 {
         let before = (self.steps_ms + self.pending_ms) * self.pace;
         let pause = before + part * self.pace;
         let limit = self.pause_goal_ms * PAUSE_FRACTION;
-        if pause > self.pause_goal_ms * MAX_PAUSES {
+        if pause > self.pause_goal_ms * MAX_PAUSE_FACTOR {
             return f64::INFINITY;
         }
         // A pause that exceeds the limit even without this part has been counted already.
