--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,9 +1,10 @@
 //! Token budgets of customers.
 //!
-//! One scheduler holds a customer's token bucket and grants entries portions of it that expire. A
-//! bucket may go into debt by one grant, so that a prompt larger than its level can start while
-//! the level is positive; later grants wait until the debt is repaid. An entry that cannot reach
-//! the scheduler uses its share of the limit: the rate divided by the number of live entries.
+//! One scheduler holds a customer's token bucket and grants portions of it, which expire, to the
+//! entries, the parts of instances that receive requests. A bucket may go into debt by one grant,
+//! so that a prompt larger than its level can start while the level is positive; later grants wait
+//! until the debt is repaid. An entry that cannot reach the scheduler uses its share of the limit:
+//! the rate divided by the number of live entries.
 
 use std::{collections, time};
 
@@ -224,7 +225,7 @@
         self.fallback.draw(now, customer, limit, want).map(|_| ())
     }
 
-    /// Drops expired portions, old spending and idle buckets.
+    /// Drops expired portions, spending not updated for [`PORTION_TTL`], and idle buckets.
     pub fn prune(&mut self, now: units::MonoTime) {
         self.portions.retain(|_, (_, expires)| *expires > now);
         self.spending.retain(|_, (_, updated)| now.since(*updated) < PORTION_TTL);
--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -8,10 +8,10 @@
 
 /// Fewest answers from which the usual answer time is estimated.
 const MIN_ANSWERS: u32 = 8;
-/// Weight of the newest answer time in its moving average. This and the other weights are those of
-/// TCP's round-trip time estimate.
+/// Weight of the newest answer time in the moving average of answer times. This weight and
+/// [`DEVIATION_WEIGHT`] are those of TCP's round-trip time estimate.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
-/// Weight of the newest deviation from the mean answer time in its moving average.
+/// Weight of the newest deviation from the mean answer time in the moving average of deviations.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 /// Number of mean deviations added to the mean for the usual answer time.
 const DEVIATIONS: f64 = 4.0;
@@ -20,8 +20,8 @@
 /// Least wait on a reused connection, as a part of the latency goal. The remainder is for sending
 /// the request again on a new connection.
 const GOAL_PART: f64 = 0.6;
-/// A connection is trusted if it received data within this last fraction of a wait. The answer was
-/// due in the earlier part, so the silence had begun by then.
+/// A connection is trusted if it received data within this last fraction of the wait for an answer
+/// on another one. The answer was due in the earlier part, so the other one was silent by then.
 const TRUST_PART: f64 = 0.5;
 
 /// Estimate of how long answers of one kind take, from writing the request to receiving the head.
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Whether other connections may be dead as well, unless they received data since.
+    /// Whether other connections to the upstream may be dead as well, except those that have received
+    /// data since.
     pub fn may_affect_others(self) -> bool {
         matches!(self, Self::ReusedConnection | Self::OpenConnection)
     }
--- a/crates/core/src/document_lag.rs
+++ b/crates/core/src/document_lag.rs
@@ -52,7 +52,7 @@
         self.refuted = V::default();
     }
 
-    /// The version above which a newer one may be available: the local or the refuted one.
+    /// The version above which a newer one may be available: the later of the local and the refuted one.
     pub fn known(&self, own: V) -> V {
         own.max(self.refuted)
     }
--- a/crates/core/src/failure_detector/message.rs
+++ b/crates/core/src/failure_detector/message.rs
@@ -13,8 +13,8 @@
 pub struct SuspectReport {
     /// Boot number of the start.
     pub boot: u64,
-    /// Age of the first unanswered probe at the time of the report, in milliseconds. Signs of life from before it do
-    /// not contradict the suspicion.
+    /// Age of the first unanswered probe at the time of the report, in milliseconds. Signs of life from before that
+    /// probe do not contradict the suspicion.
     pub silent_ms: u32,
 }
 
--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -4,7 +4,7 @@
 //! direct probe is probed again, also through relays. If it stays silent it is suspected, and its monitor broadcasts
 //! that more than once, as datagrams are lost. Any sign of life ends a suspicion.
 //!
-//! A start of a member is one run of its process, identified by a boot number; suspicions are of a start.
+//! A start of a member is one run of its process, identified by a boot number; a suspicion concerns one start.
 
 mod message;
 mod probe;
@@ -254,7 +254,8 @@
         true
     }
 
-    /// Records an answer to a probe. If its sender was suspected, that ends and is broadcast.
+    /// Records an answer to a probe of the member at `from`. If that member was suspected, the suspicion ends, and its
+    /// end is broadcast.
     fn note_answer(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/fleet_budget.rs
+++ b/crates/core/src/fleet_budget.rs
@@ -32,15 +32,16 @@
 }
 
 impl RetryBound {
-    /// Bound of the coordinator's token bucket for its `part` of the quota. Half of it is available at once and the
-    /// rest over time, so that no window exceeds the quota.
+    /// Bound of the coordinator's token bucket for `part` of the quota, the share of members in contact, 0 to 1. Half of
+    /// the tokens are available at once and the rest over time, so that no window exceeds the quota.
     pub fn coordinator_bound(&self, part: f64, members: Option<usize>) -> send_pace::PaceBound {
         let is_split = members.is_none_or(|members| self.split(members) >= 1.0);
         let granted_part = if is_split { GRANTED_PART } else { GRANTED_ALONE_PART };
         let quota = self.extra * granted_part * part.clamp(0.0, 1.0);
         let rate = quota / 2.0 / self.window.as_secs_f64();
         let rate = units::RequestRate::try_from(rate).unwrap_or_default();
-        // Coordinators that replace each other a few times within a window grant less than the unused quota.
+        // Each new coordinator grants the credit again. A few changes of the coordinator within a window use less than
+        // the half of the quota that is neither split nor granted.
         send_pace::PaceBound { rate, catch_up: self.window, credit: self.window / 2 }
     }
 
