--- a/crates/core/src/list_changes.rs
+++ b/crates/core/src/list_changes.rs
@@ -43,7 +43,7 @@
         changed
     }
 
-    /// Advances the list to a revision; the first one of a later era begins a recovery.
+    /// Sets the revision of the list. A revision of a later era than the previous one begins a recovery.
     fn advance(&mut self, now: units::MonoTime, revision: store_revision::StoreRevision) {
         if !self.revision.is_none() && self.revision.era < revision.era {
             self.enter_era(now);
@@ -80,7 +80,8 @@
             self.recovery.note_listed(&entry.name);
             changed |= self.apply_entry(now, entry);
         }
-        // Upstreams kept because the first list of this era lacked them are missing from its later lists as well.
+        // Upstreams that are kept although the first list of this era lacked them are missing from its later lists as
+        // well.
         let gone: Vec<_> = missing.iter().filter(|name| !self.recovery.is_kept(name)).collect();
         for name in gone {
             changed |= self.apply_gone(now, name);
@@ -102,7 +103,7 @@
         }
         let is_other_start = known.is_some();
         if is_other_start && entry.name.start().is_none() {
-            // An upstream that has reported its start once always does: another writer wrote this entry.
+            // An upstream that has written its start once always does, so another writer wrote this entry.
             return self.remove(now, identifier);
         }
         let record = self.starts.get_mut(identifier);
@@ -183,7 +184,7 @@
         true
     }
 
-    /// Records that the list no longer names an ended start of an upstream.
+    /// Discards the ended start that the list has named for an upstream, if any.
     pub(crate) fn clear_relisted(&mut self, identifier: &str) {
         if let Some(record) = self.starts.get_mut(identifier) {
             record.clear_relisted();
--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -59,7 +59,8 @@
         self.removed.insert(name.clone(), now);
     }
 
-    /// Records a change to an upstream in the present era, which shows that its entry was rewritten or deleted since.
+    /// Records a change to an upstream in the present era, which shows that its entry was rewritten or deleted after the
+    /// era began.
     pub(crate) fn confirm(&mut self, name: &ids::UpstreamId) {
         self.removed.remove(name);
         self.kept.remove(name.identifier());
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Whether an upstream stays in use although the restored copy lacks it.
+    /// Whether an upstream stays in use although the list, restored from an older copy, lacks it.
     pub(crate) fn is_kept(&self, name: &ids::UpstreamId) -> bool {
         self.kept.contains(name.identifier())
     }
@@ -151,7 +152,7 @@
         self.notices.finalize_listed();
     }
 
-    /// Adopts the recovery of another instance, after the list that belongs to it.
+    /// Adopts the recovery of another instance. The list that belongs to it must have been applied before.
     ///
     /// Upstreams that the copy lacks and that the other instance does not keep are removed.
     pub fn adopt_recovery(&mut self, now: units::MonoTime, state: RecoveryState) {
@@ -213,7 +214,8 @@
     /// Returns the evacuations in force after a list of this revision, which names the `listed` ones. An evacuation that the
     /// first list of an era lacks also stays in force, until it is rewritten or the recovery ends.
     ///
-    /// Another instance keeps the `unconfirmed` ones of the listed evacuations in force for that reason alone.
+    /// `unconfirmed` are those of the listed evacuations that the list's sender, another instance, keeps in force for that
+    /// reason alone.
     pub fn merge_evacuations(
         &mut self,
         revision: store_revision::StoreRevision,
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -41,7 +41,8 @@
 struct MemberState {
     /// The last full heartbeat, with later short ones merged in.
     heartbeat: member_heartbeat::MemberHeartbeat,
-    /// Hash of the name, which is the member's position on the ring and decides for which cells it plans.
+    /// Hash of the name: the member's position on the failure detector's ring. It also decides which of equally suitable
+    /// members plans for a cell, which is a group of a service's engines.
     hash: u64,
     /// Time of the last sign of life.
     last_alive: units::MonoTime,
@@ -217,7 +218,8 @@
         }
     }
 
-    /// Applies a short heartbeat; returns false if its sender is not known, so that a full one must be requested.
+    /// Applies a short heartbeat; returns false if this start of its sender is not known, so that a full one must be
+    /// requested.
     pub fn receive_alive(
         &mut self,
         now: units::MonoTime,
@@ -249,7 +251,8 @@
         self.by_address.contains_key(&address)
     }
 
-    /// Removes members that have been silent for `REMOVE_HEARTBEATS` intervals, and returns their names.
+    /// Removes members that have been silent for `REMOVE_HEARTBEATS` intervals, and returns their names. Learned addresses
+    /// where no member was met within that time are dropped.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<ids::InstanceId> {
         let limit = self.heartbeat_interval() * REMOVE_HEARTBEATS;
         self.learned_addresses.retain(|_, since| now.since(*since) < limit);
@@ -285,7 +288,8 @@
         }
     }
 
-    /// Estimated number of members, including this one and those that are silent for a short time.
+    /// Estimated number of members, including this one and those that are silent for a short time. It is at least half of
+    /// the largest number so far, so that a member that loses contact with all others does not claim the share of a lone one.
     pub fn size(&self) -> usize {
         (self.members.len() + 1).max(self.max_size.div_ceil(2))
     }
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -8,12 +8,12 @@
 const WATCHERS: usize = 2;
 /// With fewer other members in its data centre, each member watches the store.
 const SMALL_DATA_CENTER: usize = 4;
-/// Delay per place in the order until a member replaces a missing watcher.
+/// Delay until a member replaces a missing watcher, for each member that comes before it in the order of replacement.
 const TAKE_OVER_STEP: time::Duration = time::Duration::from_millis(120);
 /// Longest delay until a member replaces a missing watcher, whatever its place in the order.
 const TAKE_OVER_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// Delay per place in the order for a member whose last attempt failed. While the store is down for all, the first in
-/// order keep trying and the others back off, so that the calls do not grow with the fleet.
+/// Like [`TAKE_OVER_STEP`], for a member whose last attempt to watch the store failed. While the store is down for all,
+/// the first in order keep trying and the others back off, so that the calls do not grow with the fleet.
 const FAILED_STEP: time::Duration = time::Duration::from_millis(400);
 /// Longest delay until a member whose last attempt failed replaces a missing watcher.
 const FAILED_LIMIT: time::Duration = time::Duration::from_secs(10);
--- a/crates/core/src/pause_detector.rs
+++ b/crates/core/src/pause_detector.rs
@@ -13,8 +13,8 @@
     /// Number of pauses so far; a change of it during a query shows that the answer may be
     /// outdated.
     pub(crate) pause_count: u64,
-    /// Whether the sources of settings and list have not been queried since the last pause, or
-    /// since the start.
+    /// Whether the settings and the list may be out of date, as their sources have not been queried
+    /// since the last pause or, before any, since the start.
     pub(crate) unrefreshed: bool,
 }
 
--- a/crates/core/src/start_record.rs
+++ b/crates/core/src/start_record.rs
@@ -36,7 +36,7 @@
         start.is_some_and(|start| self.ended.contains(&start))
     }
 
-    /// Records that `present` has replaced the start `before`, or the last one that was listed.
+    /// Records that `present` has replaced the start `before` or, if that is `None`, the one that was listed last.
     pub(crate) fn replace(
         &mut self,
         now: units::MonoTime,
