--- a/crates/core/src/permit_cache.rs
+++ b/crates/core/src/permit_cache.rs
@@ -74,7 +74,8 @@
         self.rows.get(subject).map_or(time::Duration::ZERO, |row| row.backoff_until.since(now))
     }
 
-    /// Applies the response to a request for permits sent at `requested_at`; returns a permit, or the backoff.
+    /// Applies the response to a request for permits sent at `requested_at`; returns a permit, or the backoff, which is zero
+    /// if permits were granted but have expired since.
     pub fn receive(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -27,7 +27,7 @@
 const QUARANTINE_TIME: time::Duration = time::Duration::from_secs(300);
 /// Most doublings of [`QUARANTINE_TIME`], one for each further crash in the sequence.
 const MAX_DOUBLINGS: u32 = 4;
-/// How long evidence is kept after the last crash, the last answer and the end of the quarantine.
+/// How long evidence is kept after the last crash, the last answer or the end of the quarantine, whichever is latest.
 const EVIDENCE_TTL: time::Duration = time::Duration::from_secs(600);
 /// Most crashes kept for a request; about 60 bytes each.
 const MAX_CRASHES: usize = 16;
@@ -159,7 +159,7 @@
     }
 
     /// Clears a request of crashes up to `at`, when it was answered or released by an operator; returns whether there
-    /// is a record of it.
+    /// is a record of it. Does nothing in [`CrashCountMode::Count`].
     pub fn clear(&mut self, digest: request_digest::RequestDigest, at: units::MonoTime) -> bool {
         let Some(record) =
             self.suspects.get_mut(&digest).filter(|_| self.mode != CrashCountMode::Count)
--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -114,7 +114,7 @@
             return Some(quota_permit::PermitResponse::Refused { back_ms });
         }
         if wait.is_zero() {
-            // A permit is available now, so earlier invitations delay no later ones.
+            // A permit is available now, so later invitations need not wait behind earlier ones.
             (row.last_invited, row.invitations) = (now, 0);
         }
         let count = row.grant_size(request.wanted);
--- a/crates/core/src/send_counts.rs
+++ b/crates/core/src/send_counts.rs
@@ -6,7 +6,7 @@
 
 /// Time for which a request is counted.
 pub const COUNT_TIME: time::Duration = time::Duration::from_secs(10);
-/// Length of a slice, whose requests expire together.
+/// Length of a slice of time, whose requests expire together.
 const SLICE_TIME: time::Duration = time::Duration::from_secs(1);
 
 /// Requests sent within one slice of time, by upstream.
--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -24,7 +24,7 @@
 /// Purpose of a send to an upstream, which determines the reasons for which it may be denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendKind {
-    /// A request that the upstream runs, or for which it is a helper.
+    /// A request that the upstream runs, or a part of whose prompt it prefills as a helper.
     Request,
     /// A request to reserve memory on an engine.
     Hold,
--- a/crates/core/src/upstream_limit.rs
+++ b/crates/core/src/upstream_limit.rs
@@ -47,7 +47,7 @@
 pub struct LimitNotice {
     /// The reading that holds among all received ones; see [`LimitReading::or`].
     pub reading: LimitReading,
-    /// When the upstream was first seen to have a limit, or to have none any more.
+    /// Since when the upstream has had a limit or, if `reading` has none, since when it has had none.
     pub since: units::MonoTime,
 }
 
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -214,8 +214,8 @@
         is_new
     }
 
-    /// Notices of upstreams, to record those that concern only this instance. Leaving notices, which change the usable
-    /// upstreams, go through [`Self::receive_leaving`].
+    /// Notices of upstreams, to record backoffs, probes and limits. Leaving notices, which change the usable upstreams, go
+    /// through [`Self::receive_leaving`].
     pub fn notices_mut(&mut self) -> &mut upstream_notice::NoticeTable {
         &mut self.notices
     }
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -142,7 +142,8 @@
         age: time::Duration,
     ) -> bool {
         let since = now.earlier_by(age);
-        // Dates from the first receipt by any instance: repeated gossip must not preserve a start that is not listed.
+        // The notice counts as received when the first instance received it: repeated gossip must not preserve a start
+        // that is not listed.
         let notice = self.notice(since, name);
         match &mut notice.leaving {
             Some(known) if known.source == NoticeSource::List => {
@@ -176,8 +177,8 @@
 
     /// Whether something may be sent to a start now.
     ///
-    /// Renewals and releases always may: they serve requests in progress. A leaving upstream still takes reports; one in
-    /// backoff takes nothing. A check would see a planned end as a crash.
+    /// Renewals and releases always may: they serve requests in progress. A leaving upstream may also be asked for its
+    /// report, but not be checked, as a check would take a planned end for a crash. One in backoff may be sent nothing else.
     pub fn permits(
         &self,
         now: units::MonoTime,
@@ -199,7 +200,8 @@
         }
     }
 
-    /// Whether requests should avoid a start that has not accepted one since its backoff.
+    /// Whether a request should avoid a start whose backoff ended recently and that has not accepted a request since: yes,
+    /// unless the request may probe and no other probe is pending. In [`BackoffReturnMode::All`] no start is avoided.
     pub fn is_avoided(
         &self,
         now: units::MonoTime,
@@ -308,7 +310,7 @@
         self.limit_readings().filter_map(|(name, reading)| Some((name, reading.rate?)))
     }
 
-    /// The limit in force for a start; `None` if it has none, or none any more.
+    /// The limit in force for a start; `None` if it has announced none, or if its limit has ended.
     pub fn limit(&self, name: &ids::UpstreamId) -> Option<upstream_limit::LimitNotice> {
         self.notices.get(name)?.limit.filter(|limit| limit.reading.rate.is_some())
     }
@@ -352,7 +354,7 @@
         (!parts.is_empty()).then(|| parts.join("; "))
     }
 
-    /// Starts whose leaving notice is final: any but one of the present list.
+    /// Starts whose leaving notice is final, which is any notice but one of the present list.
     pub fn final_leaving(&self) -> impl Iterator<Item = (&ids::UpstreamId, LeavingNotice)> {
         let leaving =
             self.notices.iter().filter_map(|(name, notice)| Some((name, notice.leaving?)));
@@ -364,7 +366,8 @@
         self.notices.keys()
     }
 
-    /// Drops starts that have been neither listed nor sent a notice for long.
+    /// Drops starts without a notice that is in force or remembered, and starts that have neither been listed nor sent a
+    /// notice for [`NOTICE_MEMORY`].
     pub fn retain(&mut self, now: units::MonoTime, listed: impl Fn(&ids::UpstreamId) -> bool) {
         self.notices.retain(|name, notice| {
             if listed(name) {
--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether something may be sent to an upstream now, whichever its present start is. New work requires the upstream to be
-    /// usable, and a permit if it has a limit.
+    /// usable, and a permit if it has announced a limit.
     pub fn permits(
         &self,
         now: units::MonoTime,
