--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -119,7 +119,7 @@
 #[derive(Debug, Default)]
 pub struct NoticeTable {
     notices: collections::BTreeMap<ids::UpstreamId, UpstreamNotice>,
-    rest_return: BackoffReturnMode,
+    return_mode: BackoffReturnMode,
     /// Incremented with each change of any start's limit.
     limit_changes: u64,
 }
@@ -127,7 +127,7 @@
 impl NoticeTable {
     /// Sets how requests resume after a backoff.
     pub fn set_return_mode(&mut self, mode: BackoffReturnMode) {
-        self.rest_return = mode;
+        self.return_mode = mode;
     }
 
     /// Records a leaving notice of a start; returns whether it is new.
@@ -211,7 +211,7 @@
         let backoff = self.notices.get(name).and_then(|notice| notice.backoff);
         let ended =
             backoff.filter(|backoff| backoff.until <= now && now < backoff.until + RETURN_TIME);
-        let Some(backoff) = ended.filter(|_| self.rest_return == BackoffReturnMode::One) else {
+        let Some(backoff) = ended.filter(|_| self.return_mode == BackoffReturnMode::One) else {
             return false;
         };
         let probed = backoff.probe_sent.is_some_and(|at| now.since(at) < PROBE_TIMEOUT);
