--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -83,7 +83,8 @@
     broadcasts: Vec<PendingBroadcast>,
     /// When [`Self::tick`] was last called.
     last_tick: Option<units::MonoTime>,
-    /// Number of the last ping sent. Each ping has its own number, which shows what an answer belongs to.
+    /// Number of the last ping sent. An answer repeats the number of its ping, which shows whether the ping was relayed
+    /// for another member.
     number: u64,
     /// Addresses of the members that requested a relayed ping, by the number of that ping.
     relays: collections::BTreeMap<u64, net::SocketAddrV4>,
--- a/crates/core/src/fleet_list.rs
+++ b/crates/core/src/fleet_list.rs
@@ -27,11 +27,11 @@
     pub name: ids::InstanceId,
     /// Data centre in which the instance runs.
     pub data_center: ids::DataCenterId,
-    /// Address of its entry for requests of callers.
+    /// Address of the instance's entry for requests of callers.
     pub entry: net::SocketAddr,
-    /// Address of its entry for operators.
+    /// Address of the instance's entry for operators.
     pub operators: net::SocketAddr,
-    /// Address of its scheduler for entries and other schedulers.
+    /// Address of the instance's scheduler for entries and other schedulers.
     pub scheduler: net::SocketAddr,
     /// Whether the instance takes new work; live if absent.
     #[serde(default)]
@@ -50,7 +50,7 @@
     pub model: ids::ModelId,
     /// Address at which the engine takes requests.
     pub address: net::SocketAddr,
-    /// Capacity of its KV cache in tokens.
+    /// Capacity of the engine's KV cache in tokens.
     pub memory: units::TokenCount,
     /// Prompt tokens processed per second.
     pub prefill_rate: units::TokenRate,
--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -111,7 +111,8 @@
         self.recovery.rewrite_time = span;
     }
 
-    /// When the era of the recovery in progress became known; `None` without a recovery, and until its list has been read.
+    /// When the era of the recovery in progress became known; `None` without a recovery, and until the first list of
+    /// that era has been read.
     pub fn recovering_since(&self) -> Option<units::MonoTime> {
         self.recovery.since.filter(|_| !self.recovery.pending)
     }
@@ -267,7 +268,8 @@
         changed
     }
 
-    /// Whether a start is not used because it was removed before the source was restored from a copy.
+    /// Whether a start gets no new work during a recovery, as it had been removed before the list's source was restored
+    /// from an older copy that lists it.
     pub fn is_withheld(&self, name: &ids::UpstreamId) -> bool {
         self.recovery.withheld.contains(name)
     }
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -4,7 +4,7 @@
 
 use crate::{member_heartbeat, membership, rendezvous, units};
 
-/// Members of a data centre that watch the store in a large fleet; one of them is redundant.
+/// Number of members that watch the store in a large data centre; one of them is redundant.
 const WATCHERS: usize = 2;
 /// With fewer other members in its data centre, each member watches the store.
 const SMALL_DATA_CENTER: usize = 4;
@@ -22,8 +22,8 @@
     /// Whether this member should watch the store, given for how long watchers have been missing and whether its last
     /// attempt failed.
     ///
-    /// In a small fleet all members watch. In a large one [`WATCHERS`] in each data centre do, and missing ones are
-    /// replaced in order.
+    /// In a small data centre all members watch. In a large one [`WATCHERS`] do, and missing ones are replaced in the order
+    /// of a hash of the names.
     pub fn should_watch(
         &self,
         now: units::MonoTime,
--- a/crates/core/src/pause_detector.rs
+++ b/crates/core/src/pause_detector.rs
@@ -10,8 +10,7 @@
     bound: time::Duration,
     /// Time of the last event.
     last: Option<units::MonoTime>,
-    /// Number of pauses so far; a change of it during a query shows that the answer may be
-    /// outdated.
+    /// Number of pauses so far. If it changes during a query, the answer may be outdated.
     pub(crate) pause_count: u64,
     /// Whether the settings and the list may be out of date, as their sources have not been queried
     /// since the last pause or, before any, since the start.
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -122,7 +122,7 @@
 pub struct QuarantineTable {
     mode: CrashCountMode,
     suspects: collections::BTreeMap<request_digest::RequestDigest, SuspectRecord>,
-    /// Number of requests with a quarantine, whether expired or not, that no other request explains.
+    /// Number of requests with a quarantine, whether expired or not, whose crashes no other quarantined request explains.
     quarantined: usize,
 }
 
--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -54,7 +54,7 @@
 /// Reason for which a send is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendDenial {
-    /// The upstream is leaving. Holds the source of that notice, and its age.
+    /// The upstream is leaving. Holds the source and the age of the leaving notice.
     Leaves(upstream_notice::NoticeSource, time::Duration),
     /// The upstream is in backoff. Holds the time until its end.
     Backoff(time::Duration),
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -111,7 +111,8 @@
 pub struct FleetOptions {
     /// Rule by which the engine for a request is chosen.
     pub routing: RoutingKind,
-    /// Number of engines from which an offer is requested for each request.
+    /// Number of engines from which an offer is requested for each request, besides one that probably has the prompt's
+    /// prefix cached.
     pub candidates: usize,
     /// Number of engines from which an offer is requested for a long request, for which the choice matters more.
     pub long_candidates: usize,
@@ -121,7 +122,7 @@
     pub short_tokens: units::TokenCount,
     /// Length in tokens beyond which a prompt counts as long.
     pub long_tokens: units::TokenCount,
-    /// Share of a data centre's engines that long prompts may use.
+    /// Share of a model's live engines, in all data centres together, that long prompts may use; at least one engine.
     pub long_engines: units::ShareRatio,
     /// Most requests running on one engine at a time.
     pub max_running: usize,
@@ -131,7 +132,8 @@
     pub group_wait: units::TimeSpan,
     /// Retries allowed as a share of recent requests.
     pub retry_share: units::ShareRatio,
-    /// How long an engine may hold an attempt that belongs to no live lease.
+    /// How long an engine may hold an attempt that belongs to no live lease. A lease that its entry does not renew ends
+    /// after the same time.
     pub orphan_grace: units::TimeSpan,
     /// How long instances remember an idempotency key, so that no other request with it runs.
     pub key_retention: units::TimeSpan,
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -144,8 +144,8 @@
         changed
     }
 
-    /// Upstreams of a service that may take new work of any instance: neither the list nor the upstream itself announces that
-    /// the upstream is leaving, and its data centre is not evacuated.
+    /// Upstreams of a service that may take new work of any instance: those that are neither known to be leaving, nor withheld
+    /// by a recovery, nor in an evacuated data centre. Doubtful ones are included only if they are more than [`OUTAGE_SHARE`].
     pub fn usable<'a>(&'a self, service: &'a ids::ServiceId) -> Vec<&'a UpstreamEntry> {
         let live: Vec<_> = self
             .entries
--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -22,8 +22,8 @@
         open
     }
 
-    /// Listed upstreams of a service that are not [`Self::open`] now, among those with notices and those withheld by a
-    /// recovery.
+    /// Upstreams of a service that the list declares live but that are not [`Self::open`] now, among those with notices and
+    /// those withheld by a recovery.
     pub fn closed<'a>(
         &'a self,
         now: units::MonoTime,
