--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -145,7 +145,7 @@
     }
 
     /// Upstreams of a service that may take new work of any instance: those that are neither known to be leaving, nor withheld
-    /// by a recovery, nor in an evacuated data centre. Doubtful ones are included only if they are more than [`OUTAGE_SHARE`].
+    /// by a recovery, nor in an evacuated data centre. Doubtful ones are included only if they are more than `OUTAGE_SHARE`.
     pub fn usable<'a>(&'a self, service: &'a ids::ServiceId) -> Vec<&'a UpstreamEntry> {
         let live: Vec<_> = self
             .entries
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -367,7 +367,7 @@
     }
 
     /// Drops starts without a notice that is in force or remembered, and starts that have neither been listed nor sent a
-    /// notice for [`NOTICE_MEMORY`].
+    /// notice for `NOTICE_MEMORY`.
     pub fn retain(&mut self, now: units::MonoTime, listed: impl Fn(&ids::UpstreamId) -> bool) {
         self.notices.retain(|name, notice| {
             if listed(name) {
