--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -4,7 +4,7 @@
 //! direct probe is probed again, also through relays. If it stays silent it is suspected, and its monitor broadcasts
 //! that more than once, as datagrams are lost. Any sign of life ends a suspicion.
 //!
-//! A start of a member is one run of its process, identified by a boot number; suspicions are of a start.
+//! A start of a member is one run of its process, identified by a boot number; a suspicion concerns one start.
 
 mod message;
 mod probe;
@@ -83,7 +83,8 @@
     broadcasts: Vec<PendingBroadcast>,
     /// When [`Self::tick`] was last called.
     last_tick: Option<units::MonoTime>,
-    /// Number of the last ping sent. Each ping has its own number, which shows what an answer belongs to.
+    /// Number of the last ping sent. An answer repeats the number of its ping, which shows whether the ping was relayed
+    /// for another member.
     number: u64,
     /// Addresses of the members that requested a relayed ping, by the number of that ping.
     relays: collections::BTreeMap<u64, net::SocketAddrV4>,
@@ -254,7 +255,8 @@
         true
     }
 
-    /// Records an answer to a probe. If its sender was suspected, that ends and is broadcast.
+    /// Records an answer to a probe of the member at `from`. If that member was suspected, the suspicion ends, and its
+    /// end is broadcast.
     fn note_answer(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -59,7 +59,8 @@
         self.removed.insert(name.clone(), now);
     }
 
-    /// Records a change to an upstream in the present era, which shows that its entry was rewritten or deleted since.
+    /// Records a change to an upstream in the present era, which shows that its entry was rewritten or deleted after the
+    /// era began.
     pub(crate) fn confirm(&mut self, name: &ids::UpstreamId) {
         self.removed.remove(name);
         self.kept.remove(name.identifier());
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Whether an upstream stays in use although the restored copy lacks it.
+    /// Whether an upstream stays in use although the list, restored from an older copy, lacks it.
     pub(crate) fn is_kept(&self, name: &ids::UpstreamId) -> bool {
         self.kept.contains(name.identifier())
     }
@@ -110,7 +111,8 @@
         self.recovery.rewrite_time = span;
     }
 
-    /// When the era of the recovery in progress became known; `None` without a recovery, and until its list has been read.
+    /// When the era of the recovery in progress became known; `None` without a recovery, and until the first list of
+    /// that era has been read.
     pub fn recovering_since(&self) -> Option<units::MonoTime> {
         self.recovery.since.filter(|_| !self.recovery.pending)
     }
@@ -151,7 +153,7 @@
         self.notices.finalize_listed();
     }
 
-    /// Adopts the recovery of another instance, after the list that belongs to it.
+    /// Adopts the recovery of another instance. The list that belongs to it must have been applied before.
     ///
     /// Upstreams that the copy lacks and that the other instance does not keep are removed.
     pub fn adopt_recovery(&mut self, now: units::MonoTime, state: RecoveryState) {
@@ -213,7 +215,8 @@
     /// Returns the evacuations in force after a list of this revision, which names the `listed` ones. An evacuation that the
     /// first list of an era lacks also stays in force, until it is rewritten or the recovery ends.
     ///
-    /// Another instance keeps the `unconfirmed` ones of the listed evacuations in force for that reason alone.
+    /// `unconfirmed` are those of the listed evacuations that the list's sender, another instance, keeps in force for that
+    /// reason alone.
     pub fn merge_evacuations(
         &mut self,
         revision: store_revision::StoreRevision,
@@ -265,7 +268,8 @@
         changed
     }
 
-    /// Whether a start is not used because it was removed before the source was restored from a copy.
+    /// Whether a start gets no new work during a recovery, as it had been removed before the list's source was restored
+    /// from an older copy that lists it.
     pub fn is_withheld(&self, name: &ids::UpstreamId) -> bool {
         self.recovery.withheld.contains(name)
     }
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -4,16 +4,16 @@
 
 use crate::{member_heartbeat, membership, rendezvous, units};
 
-/// Members of a data centre that watch the store in a large fleet; one of them is redundant.
+/// Number of members that watch the store in a large data centre; one of them is redundant.
 const WATCHERS: usize = 2;
 /// With fewer other members in its data centre, each member watches the store.
 const SMALL_DATA_CENTER: usize = 4;
-/// Delay per place in the order until a member replaces a missing watcher.
+/// Delay until a member replaces a missing watcher, for each member that comes before it in the order of replacement.
 const TAKE_OVER_STEP: time::Duration = time::Duration::from_millis(120);
 /// Longest delay until a member replaces a missing watcher, whatever its place in the order.
 const TAKE_OVER_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// Delay per place in the order for a member whose last attempt failed. While the store is down for all, the first in
-/// order keep trying and the others back off, so that the calls do not grow with the fleet.
+/// Like [`TAKE_OVER_STEP`], for a member whose last attempt to watch the store failed. While the store is down for all,
+/// the first in order keep trying and the others back off, so that the calls do not grow with the fleet.
 const FAILED_STEP: time::Duration = time::Duration::from_millis(400);
 /// Longest delay until a member whose last attempt failed replaces a missing watcher.
 const FAILED_LIMIT: time::Duration = time::Duration::from_secs(10);
@@ -22,8 +22,8 @@
     /// Whether this member should watch the store, given for how long watchers have been missing and whether its last
     /// attempt failed.
     ///
-    /// In a small fleet all members watch. In a large one [`WATCHERS`] in each data centre do, and missing ones are
-    /// replaced in order.
+    /// In a small data centre all members watch. In a large one [`WATCHERS`] do, and missing ones are replaced in the order
+    /// of a hash of the names.
     pub fn should_watch(
         &self,
         now: units::MonoTime,
--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -24,7 +24,7 @@
 /// Purpose of a send to an upstream, which determines the reasons for which it may be denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendKind {
-    /// A request that the upstream runs, or for which it is a helper.
+    /// A request that the upstream runs, or a part of whose prompt it prefills as a helper.
     Request,
     /// A request to reserve memory on an engine.
     Hold,
@@ -54,7 +54,7 @@
 /// Reason for which a send is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendDenial {
-    /// The upstream is leaving. Holds the source of that notice, and its age.
+    /// The upstream is leaving. Holds the source and the age of the leaving notice.
     Leaves(upstream_notice::NoticeSource, time::Duration),
     /// The upstream is in backoff. Holds the time until its end.
     Backoff(time::Duration),
--- a/crates/core/src/upstream_open.rs
+++ b/crates/core/src/upstream_open.rs
@@ -22,8 +22,8 @@
         open
     }
 
-    /// Listed upstreams of a service that are not [`Self::open`] now, among those with notices and those withheld by a
-    /// recovery.
+    /// Upstreams of a service that the list declares live but that are not [`Self::open`] now, among those with notices and
+    /// those withheld by a recovery.
     pub fn closed<'a>(
         &'a self,
         now: units::MonoTime,
@@ -58,7 +58,7 @@
     }
 
     /// Whether something may be sent to an upstream now, whichever its present start is. New work requires the upstream to be
-    /// usable, and a permit if it has a limit.
+    /// usable, and a permit if it has announced a limit.
     pub fn permits(
         &self,
         now: units::MonoTime,
