--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -76,9 +76,9 @@
     pub not_run: bool,
     /// Whether the answering process states that it is not the upstream that was addressed.
     pub misdirected: bool,
-    /// Numbers of running requests, waiting requests and slots.
+    /// Numbers of running requests, waiting requests and slots (the most requests that run concurrently).
     pub load: Option<(u32, u32, u32)>,
-    /// Address of the upstream that caused a refusal, if it is another one.
+    /// Address of the upstream that caused a refusal, if another one than the upstream that answers.
     pub at_fault: Option<net::SocketAddrV4>,
     /// Whether the upstream announces that it is shutting down.
     pub leaving: bool,
@@ -91,7 +91,7 @@
 }
 
 impl UpstreamAnswer {
-    /// Returns the number of running and waiting requests, if reported.
+    /// Returns the number of running and waiting requests; `None` if it is not reported or exceeds [`u16::MAX`].
     pub fn requests(&self) -> Option<u16> {
         let (running, waiting, _) = self.load?;
         u16::try_from(running.saturating_add(waiting)).ok()
@@ -197,8 +197,8 @@
     pub evacuated: collections::BTreeSet<ids::DataCenterId>,
     /// Store revision of the upstreams and evacuations; the default if only routes were requested.
     pub revision: store_revision::StoreRevision,
-    /// Digest of all upstreams, if the changes lead into another era; one begins when the store is restored from an
-    /// older copy.
+    /// Digest of all upstreams, by which the receiver checks the result of the changes. Set if they lead into another
+    /// era, which begins when the store is restored from an older copy.
     pub digest: Option<u64>,
     /// State of the previous era that is still in force while the list recovers.
     pub recovery: Option<list_recovery::RecoveryReport>,
@@ -251,11 +251,12 @@
 
 /// Translates between the instance and the platform's store.
 pub trait StoreAdapter {
-    /// Returns the path that reads the page of upstreams after a key.
+    /// Returns the path that reads the page of upstreams after a key; `None` is the first page.
     fn upstreams_path(&self, after: Option<&str>) -> String;
     /// Returns the path that reads the routes.
     fn routes_path(&self) -> String;
-    /// Returns the path that reads the page of operator documents (routes and evacuations) after a key.
+    /// Returns the path that reads the page of operator documents (routes and evacuations) after a key; `None` is the
+    /// first page.
     fn operator_path(&self, after: Option<&str>) -> String;
     /// Returns the path that waits up to `wait` for changes after a revision.
     fn watch_path(&self, after: u64, wait: time::Duration) -> String;
--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -90,7 +90,8 @@
         self.writer.write(bytes).await
     }
 
-    /// Sends another piece of a body that was begun with [`Self::start_body`].
+    /// Sends another piece of a body that was begun with [`Self::start_body`]; `known_length` tells whether
+    /// that call had a `length`.
     pub(crate) async fn send_body_piece(
         &mut self,
         known_length: bool,
@@ -243,7 +244,7 @@
     };
     call.body = body;
     let mut record = call.record(context);
-    // Remains in the record if the caller disconnects before the request is answered or refused.
+    // This outcome remains if the caller disconnects before the request is answered or refused.
     "caller left".clone_into(&mut record.outcome);
     context.count_request(&call.service);
     let next = {
