--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -7,9 +7,9 @@
 
 use crate::{context, incoming_call, plan_client};
 
-/// Requests a place in one cell of the service's engines, and in further cells if it is refused
-/// there: the engines of one cell may be full while others have room. If all refuse, the refusal
-/// with the shortest retry delay is returned.
+/// Requests a place in one cell of the service's engines. After a refusal further cells are tried, as far as
+/// the search budget allows: the engines of one cell may be full while others have room. If no cell grants a
+/// place, the refusal with the shortest retry delay is returned.
 pub(crate) async fn place(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -61,9 +61,9 @@
     pub members: cell::RefCell<membership::MemberView>,
     /// Failure detector for the other members.
     pub detector: cell::RefCell<failure_detector::FailureDetector>,
-    /// When this process last refuted a suspicion of itself.
+    /// When this process last refuted a suspicion of itself; `None` if it never did.
     pub last_refuted: cell::Cell<Option<units::MonoTime>>,
-    /// Worth of an answer in time, by class of requests.
+    /// Mean prompt lengths by class of requests, from which the worth of a request for planners is computed.
     pub classes: cell::RefCell<class_worth::ClassWorth>,
     /// Planners that run in this process.
     pub planners: cell::RefCell<planner_set::PlannerSet>,
@@ -73,7 +73,7 @@
     pub planned_by: cell::RefCell<collections::BTreeMap<planner_key::PlannerKey, ids::InstanceId>>,
     /// Budget for requesting places from further cells after a refusal.
     pub search_budget: cell::RefCell<search_budget::SearchBudget>,
-    /// Channels for the planner's replies, by waiting request.
+    /// Channels for planners' replies, by the attempt that waits for a place.
     pub reply_senders:
         cell::RefCell<collections::HashMap<engine_place::JobId, peer_message::ReplySender>>,
     /// This process's share of the retry budget, by service.
@@ -90,7 +90,7 @@
     pub starts: upstream_starts::StartWaiters,
     /// Evidence about requests that crash upstreams.
     pub quarantine: cell::RefCell<quarantine::QuarantineTable>,
-    /// Notifies requests in progress that one was quarantined.
+    /// Wakes all requests in progress when a request has been quarantined, so that each checks whether it is that one.
     pub verdicts: quarantine_gate::VerdictSignal,
     /// Process age, in seconds, when gossip state was last requested from a member that had joined,
     /// and the number of such requests in that second.
@@ -111,10 +111,10 @@
     pub joined_members: cell::Cell<usize>,
     /// Sequence number of the last heartbeat.
     pub heartbeat_sequence: cell::Cell<u64>,
-    /// When this process last detected that it had been paused; it does not plan for other members
-    /// shortly after that. The default if it was never paused.
+    /// When this process last detected that it had been paused; shortly after that, other members are preferred as
+    /// planners. The default if it was never paused.
     pub resumed_at: cell::Cell<units::MonoTime>,
-    /// Until when requests wait for places after a graceful stop has begun.
+    /// Until when requests wait for places; `None` unless a graceful stop has begun.
     pub places_until: cell::Cell<Option<units::MonoTime>>,
     /// When accepting a connection last failed; reset by the next accepted one.
     pub accept_failed_at: cell::Cell<Option<units::MonoTime>>,
@@ -294,7 +294,7 @@
 
     /// Picks the planner from which a request for a service requests a place: that of a random cell,
     /// weighted by its number of engines, among those that have not `refused` the request. If there are
-    /// several cells, those that have only closed engines are left out.
+    /// several cells, those that have only closed engines are left out. Returns `None` if no cell remains.
     pub fn pick_planner(
         &self,
         service: &ids::ServiceId,
