--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -28,7 +28,8 @@
     requester_has: (u64, Option<store_revision::StoreRevision>),
     /// Versions of routes and list that this process has.
     current: (u64, store_revision::StoreRevision),
-    /// Ages reported in the answer, in milliseconds: once they have grown, the answer is encoded again.
+    /// Ages in milliseconds of the last outage's end and of the era, as reported in the answer: once they have grown,
+    /// the answer is encoded again.
     ages: (Option<u64>, Option<u64>),
 }
 
--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -1,4 +1,4 @@
-//! Calls to engines other than callers' requests: reads of their reports, and memory orders.
+//! Calls that an instance itself makes to engines, besides callers' requests: reads of reports, and memory orders.
 
 use std::{net, time};
 
@@ -90,7 +90,7 @@
     let started = context.now();
     let mut connection = document_call::DocumentConnection::new(to.address.into());
     connection.open(limit).await.map_err(failed)?;
-    // The state may have changed while the connection was opened.
+    // The gate decides again right before the first byte: notices may have arrived while the connection was opened.
     let _pass = upstream_gate::pass(context, &to.engine, kind, permits).map_err(denied)?;
     let sent_at = context.now();
     let left = limit.saturating_sub(sent_at.since(started));
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -36,8 +36,8 @@
     fault: &upstream_attempt::AttemptFault,
 ) {
     if fault.failure == retry::AttemptFailure::Denied {
-        // No engine failed. A planner that does not know the reason of the denial would grant the
-        // same engine again.
+        // No engine failed, and the gate decides again before the next attempt. A planner that does not
+        // know the reason of the denial would grant the same engine again.
         exclude_denied(context, state, hold);
         return;
     }
@@ -80,7 +80,7 @@
     state.excluded.push(engine.clone());
 }
 
-/// Returns whether the engine of the last attempt is the only one left for a request.
+/// Returns whether the engine of the last attempt is the only open one that the request does not exclude.
 fn is_only_engine_left(
     context: &context::InstanceContext,
     state: &stream_state::StreamState,
