--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -59,12 +59,13 @@
         }
     }
 
-    /// Origin of the list in force.
+    /// Returns who provided the list in force, and when its last change was applied.
     pub fn origin(&self) -> &ListOrigin {
         &self.origin
     }
 
-    /// Number of lists and changes dropped because they were older than the list in force.
+    /// Number of lists and changes dropped, since the start of the process, because they were older than the list in
+    /// force.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
@@ -74,7 +75,7 @@
         self.routes.version.0 > 0 && self.has_list
     }
 
-    /// Whether a list of upstreams is known.
+    /// Whether a list of upstreams has been read since the start of the process; it may be outdated.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
@@ -121,7 +122,7 @@
     }
 
     /// Ages in milliseconds reported to members: of the end of the last outage, if that is recent, and of the era
-    /// (begun when the store returned from an older copy), if the list is still recovering from that.
+    /// (begun when the store was restored from an older copy), if the list is still recovering from that.
     pub(crate) fn reported_ages(&self, now: units::MonoTime) -> (Option<u64>, Option<u64>) {
         let return_age = self.returned_at.map(|returned_at| rounded_age(now.since(returned_at)));
         let return_age = return_age.filter(|millis| *millis < RECENT_RETURN_MS);
@@ -138,7 +139,7 @@
     /// Adopts those documents of another member that are newer than the ones in force.
     ///
     /// Fails if the copy of the routes is damaged or is based on other routes than those in force; the list is adopted
-    /// nevertheless.
+    /// nevertheless. Fails also if the changes of the list lead into another era and do not result in the member's list.
     pub fn adopt(
         &mut self,
         now: units::MonoTime,
@@ -164,7 +165,7 @@
         Ok(())
     }
 
-    /// Adopts a routes item of the store, if it is readable and newer.
+    /// Adopts the routes in an item of the store, if they are valid and newer than those in force.
     pub fn put_routes_item(&mut self, item: adapter::StoreItem, source: &str) {
         match item.value {
             Ok(text) => self.put_routes(text, source),
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Adopts the routes in the store, if they are newer.
+    /// Adopts the routes in a document of the store, if they are valid and newer than those in force.
     pub fn put_routes(&mut self, text: String, source: &str) {
         if let Some((version, before)) = self.replace_routes(text, source) {
             let text = self.raw.routes.as_deref().unwrap_or_default();
