--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the list after the store has returned from an older copy, which begins a new era.
+//! Recovery of the list after the store was restored from an older copy, which begins a new era.
 //!
 //! The first list of an era lacks the last changes of the era before. Until their writers have repeated them,
 //! upstreams and evacuations that the copy lacks stay in force, and starts (lives of an upstream's process) that had
@@ -26,7 +26,7 @@
     pub leaving: Vec<peer_message::LeavingReport>,
 }
 
-/// Age reported for a recovery that has ended.
+/// Age reported for a recovery that has ended; longer than any recovery lasts, so that the receiver ends its own.
 const ENDED_RECOVERY_AGE: time::Duration = time::Duration::from_secs(3_600);
 
 impl RecoveryReport {
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -15,8 +15,8 @@
     upstreams: collections::BTreeMap<String, String>,
     /// Evacuated data centres.
     evacuated: collections::BTreeSet<ids::DataCenterId>,
-    /// Those of `evacuated` that another member keeps in force although the first list of the era, after the store's
-    /// return from an older copy, lacks them.
+    /// Those of `evacuated` that another member keeps in force although the first list after the store was restored
+    /// from an older copy lacks them.
     unconfirmed: Vec<ids::DataCenterId>,
     /// Revision of the store that the list belongs to.
     revision: store_revision::StoreRevision,
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Replaces the list with all upstreams and evacuations in the store.
+    /// Replaces the list with all upstreams and evacuations in the store, unless they are older than the list in force.
     pub fn replace_list(
         &mut self,
         now: units::MonoTime,
@@ -88,7 +88,7 @@
         self.replace_all(now, list, None, source);
     }
 
-    /// Replaces the list, and adopts the state of the previous era that another member still has in force.
+    /// Replaces the list, and adopts the `recovery`: state of the previous era that another member still has in force.
     fn replace_all(
         &mut self,
         now: units::MonoTime,
