--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -40,7 +40,7 @@
 /// Rate limiter for lines, per second.
 #[derive(Debug, Default)]
 struct LineRate {
-    /// Seconds since the appender's start.
+    /// The second in which lines are counted, in seconds since the appender's start.
     second: u64,
     /// Number of lines accepted in that second.
     taken: usize,
@@ -144,7 +144,7 @@
     fields.0.insert("time_ms".into(), (now.as_millis() as u64).into());
     fields.0.insert("level".into(), record.level().as_str().into());
     fields.0.insert("event".into(), record.args().to_string().into());
-    // A field that cannot be formatted must not discard the line.
+    // A field that cannot be formatted must not discard the other fields of the line.
     let _ = record.key_values().visit(&mut fields);
     let mut line = serde_json::Value::Object(fields.0).to_string();
     line.push('\n');
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -46,7 +46,8 @@
                 let outcome = adopt_routes(&context, &member, address).await;
                 last_failed = (outcome != CopyOutcome::Adopted).then_some(member);
                 match outcome {
-                    // If changes follow each other quickly, the next one may be missing already.
+                    // Even if a newer change is missing already, as when changes follow each other quickly, the time
+                    // for which only members are queried starts again.
                     CopyOutcome::Adopted => source.note_complete(),
                     CopyOutcome::Missing => {}
                     CopyOutcome::Damaged => source.note_damaged_copy(),
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(display("{engine} sets no memory aside: {reason}"))]
 pub struct HoldError {
-    /// An engine that did not reserve its memory.
+    /// The engine that did not reserve its memory; the first one if there are several.
     pub engine: ids::UpstreamId,
     /// Reason why the engine did not reserve the memory.
     pub reason: String,
@@ -57,7 +57,7 @@
         engine_call::EngineAddress { engine, address: self.address }
     }
 
-    /// Returns whether the engine was restarted after the reservation, so that it is lost.
+    /// Returns whether the engine was restarted after the reservation, so that the reservation is lost.
     fn is_lost(&self, context: &context::InstanceContext) -> bool {
         let fleet = context.fleet.borrow();
         fleet.list.entry(&self.engine).is_some_and(|entry| entry.name != *self.start.borrow())
