--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -19,7 +19,8 @@
 /// Retry delay of a refusal if neither the planner nor the state of the upstreams determines one.
 const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(400);
 /// Maximum time from the head to the first event for which the load in the head is passed to the
-/// planner; a short answer takes a few seconds.
+/// planner. Requests of other instances on the engine change little meanwhile, as a short answer takes a
+/// few seconds.
 const MAX_LOAD_AGE: time::Duration = time::Duration::from_millis(100);
 /// Largest body of an engine's failure answer that is forwarded, in bytes.
 const MAX_FAILURE_BODY: usize = 1 << 20;
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -25,7 +25,7 @@
         /// Retry delay for the caller.
         retry_after: time::Duration,
     },
-    /// All usable upstreams have a limit.
+    /// All usable upstreams have a limit; it is assumed that no permit was available for the request.
     Limited {
         /// The service that the request is for.
         service: ids::ServiceId,
@@ -92,7 +92,7 @@
     }
     let limits = open.iter().map(|entry| fleet.list.limit(&entry.name)?.reading.rate);
     let rates = limits.collect::<Option<Vec<_>>>()?;
-    // Each member receives its share of the retries.
+    // Callers retry at all members alike, so this process schedules its share of the total rate.
     let rate: f64 = rates.into_iter().map(units::RequestRate::per_second).sum();
     let share = rate / context.members.borrow().size() as f64;
     let mut retry_schedules = context.quotas.retry_schedules.borrow_mut();
