--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -110,7 +110,7 @@
 /// An upstream's announcement that it is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingReport {
-    /// Start of the upstream that is leaving.
+    /// Start (one life of the process) of the upstream that is leaving.
     pub upstream: ids::UpstreamId,
     /// Time in milliseconds since the upstream's first announcement that it is leaving.
     pub age_ms: u64,
@@ -122,7 +122,7 @@
 pub struct CrashReport {
     /// Digest of the request that the upstream was running.
     pub digest: request_digest::RequestDigest,
-    /// Start of the upstream that crashed.
+    /// Start (one life of the process) of the upstream that crashed.
     pub upstream: ids::UpstreamId,
     /// Time in microseconds since the request was sent.
     pub sent_us: u64,
@@ -158,7 +158,7 @@
         postcard::to_stdvec(self)
     }
 
-    /// Decodes a datagram; one that cannot be decoded is logged and dropped.
+    /// Decodes a datagram; the receiver logs and drops one that cannot be decoded.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -165,7 +165,7 @@
             heartbeats::broadcast_state(&context, state, announced);
             announced = state;
         }
-        // A process that has just started announces at once that it has routes.
+        // The interval is short also until routes are known, so that the process announces at once that it has them.
         let busy = context.planners.borrow().waiting() > 0 || !announced.has_routes;
         monoio::time::sleep(if busy { PLAN_INTERVAL } else { IDLE_INTERVAL }).await;
         let now = context.now();
@@ -203,7 +203,7 @@
     }
 }
 
-/// The member that runs the planner of `key`; `None` if it is this process.
+/// The member that runs the planner of `key`; `None` if it is this process, or if no process qualifies.
 pub fn planner_of(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -62,7 +62,7 @@
     Ok(Some(quota_permit::SendPermit { upstream: upstream.clone(), term }))
 }
 
-/// Acquires one retry to a service, from this member's share or from the shared quota.
+/// Acquires one retry to a service, from this member's share or from the shared quota; returns whether there was one.
 pub(crate) async fn obtain_retry(
     context: &context::InstanceContext,
     service: &ids::ServiceId,
@@ -102,7 +102,7 @@
     Ok(unused.when_due().await)
 }
 
-/// Handles a coordinator's response.
+/// Handles a coordinator's response to the request `number`.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     number: u64,
