--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -128,8 +128,8 @@
             Some(engine_place::PlaceAnswer::Paced(grant, limited)) => (grant, limited),
         };
         guard.granted = true;
-        // The planner issued the permits when the request had waited there for `waited`. It cannot have
-        // reached the planner before `started`, so this never makes a permit valid for too long.
+        // The planner issued the permits when the request had waited there for `waited`. The request cannot
+        // have reached the planner before `started`, so this never makes a permit valid for too long.
         let waited = time::Duration::from_millis(u64::from(grant.waited_ms));
         let term = quota_permit::PermitTerm::of_answer(started, waited);
         let permit = |upstream| quota_permit::SendPermit { upstream, term };
@@ -200,7 +200,7 @@
     }
 }
 
-/// Records which member plans for a key; returns whether it replaced another member, and so may not
+/// Records which member plans for a key; returns whether that member replaced another one, and so may not
 /// know this process's leases.
 fn note_planner(
     context: &context::InstanceContext,
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -34,7 +34,7 @@
     own: ids::InstanceId,
     options: planner::PlannerOptions,
     planners: collections::BTreeMap<planner_key::PlannerKey, planner::PlacementPlanner>,
-    /// Origins of queued requests.
+    /// Origins of queued requests, to which the answers are sent.
     origins: collections::HashMap<engine_place::JobId, PlacementOrigin>,
     /// Change count of the list and version of the routes at the last [`Self::sync`].
     synced: (u64, u64),
@@ -111,7 +111,8 @@
         self.planners.get_mut(key)
     }
 
-    /// Requests a place. If the request is queued, [`Self::tick`] returns the answer later.
+    /// Requests a place. Returns `None` if the request is queued, so that [`Self::tick`] returns the answer later, or
+    /// if there is no planner for `key`.
     pub fn request(
         &mut self,
         now: units::MonoTime,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Resets the permits of all limits that this process coordinates.
+    /// Empties the permit buckets of all engine limits that this process coordinates.
     pub fn reset_limits(&mut self, now: units::MonoTime) {
         self.planners.values_mut().for_each(|planner| planner.permits().reset_buckets(now));
     }
