--- a/crates/instance/src/quarantine_gate.rs
+++ b/crates/instance/src/quarantine_gate.rs
@@ -45,7 +45,7 @@
     (sender, receiver.shared())
 }
 
-/// Runs `work` for a request unless it is, or becomes, quarantined; the error is the verdict.
+/// Runs `work` for a request unless the request is, or becomes, quarantined; the error is the verdict.
 pub(crate) async fn pass<T>(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -16,7 +16,7 @@
 
 /// Interval between two checks of which quotas this process coordinates.
 const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
-/// Interval between two checks of whether the members are known.
+/// Interval between two checks of whether this process presumably knows all members.
 const SETTLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Backoff of a member that requested permits from the wrong coordinator.
 const WRONG_COORDINATOR_BACKOFF: time::Duration = time::Duration::from_millis(100);
@@ -30,12 +30,12 @@
     ledger: cell::RefCell<quota_ledger::QuotaLedger<quota_permit::QuotaSubject>>,
     /// Permits for this process's own requests.
     pub(crate) cache: cell::RefCell<permit_cache::PermitCache<quota_permit::QuotaSubject>>,
-    /// Pending requests for permits.
+    /// Requests for permits that this process has sent to other coordinators.
     pub(crate) pending: permit_request::PendingRequests,
     /// Schedules of the retry delays sent to callers, by service.
     pub(crate) retry_schedules:
         cell::RefCell<collections::HashMap<ids::ServiceId, retry_schedule::RetrySchedule>>,
-    /// When changes of limits were last logged.
+    /// When a change of each upstream's limit was last logged.
     pub(crate) limit_log: cell::RefCell<limit_gossip::LimitLog>,
     /// Inputs and time of the last check of which quotas this process coordinates.
     last_check: cell::Cell<(CheckedState, units::MonoTime)>,
@@ -43,7 +43,7 @@
     probe: cell::RefCell<Option<(ids::InstanceId, units::MonoTime)>>,
 }
 
-/// Inputs of a check of which quotas this process coordinates; it is repeated at once when they change.
+/// Inputs of a check of which quotas this process coordinates; the check is repeated at once when they change.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 struct CheckedState {
     limit_changes: u64,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Waits until the members are known.
+/// Waits until this process presumably knows all members.
 pub(crate) async fn until_settled(context: &context::InstanceContext) {
     while !is_settled(context) {
         monoio::time::sleep(SETTLE_CHECK_INTERVAL).await;
@@ -122,7 +122,7 @@
     context.planners.borrow_mut().set_limits(now, planned);
 }
 
-/// Whether the members are known.
+/// Whether this process presumably knows all members, as none has joined for some time.
 fn is_settled(context: &context::InstanceContext) -> bool {
     context.members.borrow().is_settled(context.now())
 }
@@ -134,7 +134,7 @@
     part: f64,
 ) -> collections::BTreeMap<quota_permit::QuotaSubject, send_pace::PaceBound> {
     if !is_settled(context) {
-        // After a start of all members each would consider itself the coordinator.
+        // After a start of all members at once, each would consider itself the coordinator until it knows the others.
         return collections::BTreeMap::new();
     }
     let bound =
@@ -172,7 +172,8 @@
     peers::planner_of(context, &key)
 }
 
-/// Responds to a request for permits of a member or of this process.
+/// Grants or refuses permits under the quota `subject`. `requester` is the boot id of the requesting instance, which
+/// may be this one.
 pub(crate) fn respond(
     context: &context::InstanceContext,
     requester: u64,
@@ -238,7 +239,8 @@
     context.send_to(from, peer_message::PeerMessage::Permit(message.number, response));
 }
 
-/// The coordinator of a quota and, if it is this process, its recent grants, for operators.
+/// Text for operators on the coordinator of a quota and, if it is this process, on its recent grants. `None` if it is
+/// this process, but has no record of the quota yet.
 pub(crate) fn summary(
     context: &context::InstanceContext,
     subject: &quota_permit::QuotaSubject,
@@ -265,7 +267,8 @@
     Some(format!("kept here; given in 4 s: {}", rows.join(", ")))
 }
 
-/// Probes a coordinator that another member reports as silent.
+/// Probes a coordinator that is silent to a member, as the member sent its request to this process instead. A previous
+/// probe without a reply counts as an unanswered call.
 fn probe(context: &context::InstanceContext, coordinator: &member_heartbeat::MemberHeartbeat) {
     let now = context.now();
     let last = context.quotas.probe.take().filter(|(name, _)| *name == coordinator.name);
