--- a/crates/instance/src/raw_state.rs
+++ b/crates/instance/src/raw_state.rs
@@ -34,8 +34,8 @@
     /// Ranges of revisions whose single changes are unknown, oldest first: only the difference between the two ends of
     /// each range is known.
     gaps: collections::VecDeque<(store_revision::StoreRevision, store_revision::StoreRevision)>,
-    /// Documents of upstreams that stay in use although the first list of the present era, after the store's return
-    /// from an older copy, lacked them.
+    /// Documents of upstreams that stay in use although the first list after the store was restored from an older copy
+    /// lacked them.
     pub(crate) kept: collections::BTreeMap<String, String>,
 }
 
--- a/crates/instance/src/request_record.rs
+++ b/crates/instance/src/request_record.rs
@@ -26,7 +26,7 @@
     /// Planned time to the first token, in milliseconds.
     #[serde(skip_serializing_if = "is_zero")]
     pub planned_ms: u64,
-    /// Measured time to the first event, in milliseconds.
+    /// Measured time from obtaining a connection to the first event, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_ms: Option<u64>,
     /// How the attempt ended.
@@ -50,7 +50,7 @@
     pub list: String,
     /// Origin of the list of upstreams: the store, or the member that sent it.
     pub list_source: String,
-    /// Time since the last change of the list of upstreams, in milliseconds.
+    /// Time from the last change of the list of upstreams to the admission of the request, in milliseconds.
     pub list_age_ms: u64,
     /// Whether, and how, the route allows the request to be repeated.
     pub repeat: &'static str,
@@ -60,7 +60,7 @@
     pub digest: Option<String>,
     /// Number of prompt tokens.
     pub prompt: u64,
-    /// Time limit counted from the arrival, in milliseconds.
+    /// Time limit counted from the arrival, in milliseconds; a margin for sending the answer is subtracted.
     pub limit_ms: u64,
     /// Origin of the time limit: the caller, or the route by name.
     pub limit_from: String,
@@ -69,7 +69,7 @@
     /// Status code of the answer; absent if the caller disconnected or a stream was cut off.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// Time to the first event or to the answer, in milliseconds.
+    /// Time from the arrival to the first event, or for a plain service to the answer or refusal, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_ms: Option<u64>,
     /// Longest pause between two events, in milliseconds.
--- a/crates/instance/src/service_choice.rs
+++ b/crates/instance/src/service_choice.rs
@@ -63,7 +63,7 @@
     open.retain(|entry| !excluded.contains(&entry.name) && !refused.contains(&entry.name));
     open.retain(|entry| permit_request::backoff_left(context, &entry.name).is_zero());
     let own = context.settings().data_center.clone();
-    // A call probes an upstream that failed only while it has another attempt left.
+    // A call probes an upstream that failed only while the call has another attempt left.
     let first = excluded.is_empty() && call.route.max_attempts > 1;
     let repeatable = first && call.route.repeat.allows_repeat();
     let has_limit = |entry: &upstream_list::UpstreamEntry| fleet.list.limit(&entry.name).is_some();
@@ -104,7 +104,8 @@
     limited
 }
 
-/// Returns how long a call waits for a permit.
+/// Returns how long a call waits for a permit: at most until its answer is expected to miss the first-token
+/// goal. A retried call, which has missed the goal already, waits longer.
 fn max_permit_wait(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
