--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -32,7 +32,7 @@
     pub shape: Option<route_table::EngineShape>,
     /// When the last byte of the request was received.
     pub arrived: units::MonoTime,
-    /// When the final answer is due.
+    /// When the final answer must be ready: `ANSWER_MARGIN` before the caller's or the route's time limit.
     pub deadline: units::MonoTime,
     /// Number of attempts that an upstream may have run: the request was sent, and the upstream did
     /// not deny having run it.
@@ -56,7 +56,8 @@
         })
     }
 
-    /// Returns the refusal of a request that was not answered within `limit`.
+    /// Returns the refusal of a request that was not answered within `limit`; it states `retry_after` only if no
+    /// upstream may have run the request.
     pub fn timeout_refusal(
         &self,
         limit: time::Duration,
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -30,7 +30,7 @@
     ledger: cell::RefCell<quota_ledger::QuotaLedger<quota_permit::QuotaSubject>>,
     /// Permits for this process's own requests.
     pub(crate) cache: cell::RefCell<permit_cache::PermitCache<quota_permit::QuotaSubject>>,
-    /// Requests for permits that this process has sent to other coordinators.
+    /// Requests for permits that this process has sent to other members, and that await a response.
     pub(crate) pending: permit_request::PendingRequests,
     /// Schedules of the retry delays sent to callers, by service.
     pub(crate) retry_schedules:
--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -139,15 +139,15 @@
     }
 
     /// Returns whether the engine answers, and whether the reserved memory is unused. An engine that
-    /// the gate closes, for example because it requested a backoff, is not probed and counts as
-    /// answering.
+    /// the gate closes is not probed and counts as answering: it has just answered if it requested a
+    /// backoff.
     async fn probe(&self, holder: &engine_call::EngineAddress, ticket: &str) -> (bool, bool) {
         let answers = self.report(&self.engine).await.is_some();
         (answers, self.answering && answers && self.is_unused(holder, ticket).await)
     }
 
     /// Requests a report over a new connection, as that of the answer may be dead. Returns `None` if the
-    /// engine does not answer and `Some(None)` if it has no readable report.
+    /// engine does not answer, and `Some(None)` if its report is unreadable or the gate denied the request.
     async fn report(
         &self,
         engine: &engine_call::EngineAddress,
