--- a/crates/instance/src/store_call.rs
+++ b/crates/instance/src/store_call.rs
@@ -41,7 +41,7 @@
 }
 
 impl StoreError {
-    /// Whether the store answered.
+    /// Whether the error is an answer of the store; answers of an unreadable or former era do not count.
     pub(crate) fn is_answer(&self) -> bool {
         matches!(
             self,
--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -57,7 +57,8 @@
     }
 }
 
-/// Logs when this process falls behind other members and when it has caught up; `behind_since` is state between calls.
+/// Logs when this process falls behind other members and when it has caught up; `behind_since` keeps, between calls,
+/// since when it has been behind.
 pub(crate) fn log_lag(
     context: &context::InstanceContext,
     behind_since: &mut Option<units::MonoTime>,
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -19,7 +19,7 @@
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(100);
 /// Longest pause after a failure, and so the longest time after which the end of an outage is detected.
 const MAX_RETRY_PAUSE: time::Duration = time::Duration::from_millis(800);
-/// Duration of a failed attempt that makes up for the pause: the next one starts again at [`RETRY_PAUSE`].
+/// Duration from which a failed attempt counts as a pause by itself: the pause after it is [`RETRY_PAUSE`] again.
 const SLOW_FAILURE: time::Duration = time::Duration::from_millis(900);
 /// Range of process ages in which a process without documents may wait for members that watch the store. Before it the
 /// process has received no heartbeats; after it the members evidently do not provide the documents.
@@ -57,7 +57,7 @@
     }
 }
 
-/// Waits until this process should watch the store itself.
+/// Waits until this process should watch the store itself; `failed` is whether its last attempt failed.
 async fn wait_until_needed(context: &context::InstanceContext, failed: bool) {
     let mut missing_since = None;
     while !is_needed(context, &mut missing_since, failed) {
@@ -65,7 +65,8 @@
     }
 }
 
-/// Whether this process should watch the store itself.
+/// Whether this process should watch the store itself. `missing_since` keeps, between calls, since when its data centre
+/// has had too few watchers; `failed` is whether the last attempt of this process failed.
 fn is_needed(
     context: &context::InstanceContext,
     missing_since: &mut Option<units::MonoTime>,
@@ -194,7 +195,8 @@
     era: store_revision::StoreEra,
 ) -> Result<store_revision::StoreRevision, String> {
     let before = context.fleet.borrow().revision().era;
-    // Recorded before the read, as entries that expired during an outage must not be removed at once.
+    // The end of an outage is recorded before the read, so that entries that expired during the outage are not removed
+    // at once.
     store_contact::mark_answered(context);
     let revision = if before == era && context.store_tracker.borrow().watched().era < era {
         revision_from_members(context).await?
