--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -11,8 +11,8 @@
 const SHORT_PAUSE_FACTOR: f64 = 1.5;
 /// Fraction of its first-token goal within which one engine must process the prompt of a short request.
 const SHORT_GOAL_FRACTION: f64 = 0.75;
-/// Minimum time without an event after which callers give up a stream; the multiples of goals below may
-/// be longer.
+/// Minimum time without an event after which callers give up a stream; the multiples by
+/// [`CALLER_GOAL_FACTOR`] and [`CALLER_PAUSE_FACTOR`] may be longer.
 const MIN_EVENT_WAIT: time::Duration = time::Duration::from_secs(2);
 /// Multiple of the first-token goal that callers wait without an event.
 const CALLER_GOAL_FACTOR: u32 = 4;
@@ -28,7 +28,8 @@
 const SILENCE_PLAN_FACTOR: f64 = 3.0;
 /// Minimum multiple of the planned time to the first token for which an engine may be silent.
 const MIN_PLAN_FACTOR: f64 = 1.1;
-/// Time added to both multiples of the planned time, for delays that the plan does not cover.
+/// Time added to the multiples by [`SILENCE_PLAN_FACTOR`] and [`MIN_PLAN_FACTOR`], for delays that the
+/// plan does not cover.
 const SILENCE_MARGIN: time::Duration = time::Duration::from_millis(600);
 /// Fraction of the route's time limit below which the time that a caller waits indicates that it has
 /// sent the request before.
@@ -53,7 +54,7 @@
     pub(crate) begun: bool,
     /// Whether an earlier attempt reached an engine.
     pub(crate) sent: bool,
-    /// Whether upstreams crashed while they ran the request, now or when it was sent earlier.
+    /// Whether upstreams crashed while they ran the request, in this call or when its caller sent it before.
     pub(crate) suspect: bool,
     /// Engines that must not be used.
     pub(crate) excluded: &'a [ids::UpstreamId],
--- a/crates/instance/src/stream_state.rs
+++ b/crates/instance/src/stream_state.rs
@@ -18,7 +18,7 @@
     pub(crate) last_event: Option<String>,
     /// Engines that must not be used again.
     pub(crate) excluded: Vec<ids::UpstreamId>,
-    /// Number of attempts that reached an engine.
+    /// Number of attempts that may have reached an engine.
     pub(crate) sent: u32,
     /// Whether a retry has already been taken from the budget for the next attempt.
     pub(crate) retry_taken: bool,
