--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -21,11 +21,11 @@
 pub struct AttemptFault {
     /// Kind of the failure, which shows whether the request may have run.
     pub failure: retry::AttemptFailure,
-    /// Address of the upstream that caused a refusal, if it is another one.
+    /// Address of the upstream that caused a refusal, if another one than the upstream that refused.
     pub at_fault: Option<net::SocketAddrV4>,
     /// Whether a reused connection was silent, so that the upstream itself may be healthy.
     pub reused_silent: bool,
-    /// Description of the failure.
+    /// Description of the failure, for the request's record and the refusal.
     pub text: String,
 }
 
@@ -50,13 +50,13 @@
 pub struct AttemptTarget {
     /// The upstream that answers.
     pub upstream: ids::UpstreamId,
-    /// Address of that upstream.
+    /// Address of the upstream that answers.
     pub address: net::SocketAddrV4,
     /// Engines that process parts of the prompt.
     pub helpers: Vec<PartReader>,
-    /// Id of the event after which the stream resumes.
+    /// Id of the event after which the stream resumes; `None` if it starts from the beginning.
     pub last_event: Option<String>,
-    /// Priority, where 0 is the most urgent.
+    /// Priority, where 0 is the most urgent; `None` leaves it to the upstream.
     pub priority: Option<u8>,
     /// Permits for the upstream and the helpers that have a limit.
     pub permits: Vec<quota_permit::SendPermit>,
@@ -154,7 +154,7 @@
 pub(crate) struct LeadingBody {
     /// The bytes read.
     pub(crate) bytes: Bytes,
-    /// Whether these are the complete body.
+    /// Whether `bytes` is the complete body.
     pub(crate) whole: bool,
 }
 
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -53,7 +53,7 @@
 /// A run that its upstream did not complete.
 #[derive(Debug, Clone)]
 pub struct BrokenRun {
-    /// Start of the upstream that ran the request.
+    /// Start (one life of the process) of the upstream that ran the request.
     pub upstream: ids::UpstreamId,
     /// Address that the request was sent to.
     pub address: net::SocketAddrV4,
