--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -50,8 +50,8 @@
     }
 
     /// Picks the upstream for a call: a failed one whose probe is due, else the candidate with the
-    /// lowest cost. Ejected ones are picked only if there is no other. Among equal ones, those with a
-    /// limit, for which `has_limit` returns true, are preferred.
+    /// lowest cost. `repeatable` calls probe first. Ejected upstreams are picked only if there is no other.
+    /// Among those of equal cost, one with a limit, for which `has_limit` returns true, is preferred.
     pub fn pick<'a>(
         &self,
         now: units::MonoTime,
@@ -83,7 +83,7 @@
         };
         let (lowest, first) = least(&costs)?;
         let equal = costs.iter().filter(|(cost, _)| *cost <= lowest).map(|(_, entry)| *entry);
-        // The rate of a limit is lost if it is not used in time; upstreams without a limit take the
+        // Calls that a limit admits now cannot be made up for later; upstreams without a limit take the
         // remaining calls.
         if let Some(limited) = equal.clone().find(|entry| has_limit(entry)) {
             return Some(limited);
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -101,9 +101,9 @@
 /// Numbers of this process's connections to one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ConnectionCounts {
-    /// All open connections.
+    /// Number of open connections, including the idle ones.
     pub(crate) open: usize,
-    /// Idle connections in the pool.
+    /// Number of idle connections in the pool.
     pub(crate) idle: usize,
 }
 
--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Notifies the attempts of a start that it has ended; returns their number.
+    /// Notifies the attempts in progress at a start that the start has ended; returns the number of these attempts.
     fn end(&self, name: &ids::UpstreamId) -> usize {
         let waiters = self.waiters.borrow_mut().remove(name).unwrap_or_default();
         // Some attempts may have ended in the meantime.
@@ -58,7 +58,8 @@
     }
 }
 
-/// Fails the attempts and closes the idle connections of starts that have been found to have ended.
+/// Handles the starts (lives of an upstream's process) that have ended since the last call: fails the attempts in
+/// progress there and closes their idle connections.
 pub(crate) fn handle_ended(context: &context::InstanceContext) {
     let ended = context.fleet.borrow_mut().list.take_ended_starts();
     if ended.is_empty() {
