--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -53,7 +53,7 @@
     pub boot: u64,
     /// Signals that a graceful stop was requested.
     pub stop: process::StopSignal,
-    /// Completes when idle connections are to be closed.
+    /// Completes when idle connections of callers are to be closed, during a graceful stop.
     pub closing: future::Shared<oneshot::Receiver<()>>,
     /// Routes and the list of upstreams that are in force in this process.
     pub fleet: cell::RefCell<fleet_state::FleetState>,
@@ -116,7 +116,7 @@
     pub resumed_at: cell::Cell<units::MonoTime>,
     /// Until when requests wait for places; `None` unless a graceful stop has begun.
     pub places_until: cell::Cell<Option<units::MonoTime>>,
-    /// When accepting a connection last failed; reset by the next accepted one.
+    /// When accepting a caller's connection last failed; `None` once one has been accepted since.
     pub accept_failed_at: cell::Cell<Option<units::MonoTime>>,
     /// Queue of messages to other members, read by `peers::send_all`.
     pub outgoing: mpsc::UnboundedSender<OutgoingMessage>,
@@ -135,7 +135,7 @@
     pub adapter: rc::Rc<dyn adapter::InstanceAdapter>,
     /// Signals that a graceful stop was requested.
     pub stop: process::StopSignal,
-    /// Completes when idle connections are to be closed.
+    /// Completes when idle connections of callers are to be closed, during a graceful stop.
     pub closing: oneshot::Receiver<()>,
     /// Queue of messages to other members; its receiver must live as long as the process.
     pub outgoing: mpsc::UnboundedSender<OutgoingMessage>,
--- a/crates/instance/src/failure_watch.rs
+++ b/crates/instance/src/failure_watch.rs
@@ -8,7 +8,7 @@
 
 /// Interval between two calls of the failure detector.
 const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
-/// Interval between two updates of the detector's probe ring.
+/// Interval between two updates of the detector's list of members.
 const RING_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Minimum interval between two refutations of suspicions of this process.
 const REFUTATION_INTERVAL: time::Duration = time::Duration::from_secs(1);
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -24,7 +24,7 @@
     pub(crate) raw: raw_state::RawState,
     /// Whether a list of upstreams has ever been read.
     pub(crate) has_list: bool,
-    /// When the last outage of the store ended.
+    /// When the last outage of the store ended; `None` if there was none.
     returned_at: Option<units::MonoTime>,
     /// Origin of the list in force.
     pub(crate) origin: ListOrigin,
@@ -139,7 +139,8 @@
     /// Adopts those documents of another member that are newer than the ones in force.
     ///
     /// Fails if the copy of the routes is damaged or is based on other routes than those in force; the list is adopted
-    /// nevertheless. Fails also if the changes of the list lead into another era and do not result in the member's list.
+    /// nevertheless. Fails also if the changes of the list lead into another era but do not result in the member's
+    /// list.
     pub fn adopt(
         &mut self,
         now: units::MonoTime,
--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -14,7 +14,7 @@
 /// State of a recovery, as one instance reports it to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryReport {
-    /// Time in milliseconds since the era became known.
+    /// Time in milliseconds since the present era of the store became known.
     pub age_ms: u64,
     /// Names and documents of upstreams that stay in use although the store's older copy lacks them.
     pub kept: Vec<(String, String)>,
