--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -20,10 +20,10 @@
 
 /// Maximum number of lines in the queue; a line takes about 500 bytes.
 const QUEUE_CAPACITY: usize = 512;
-/// Maximum number of lines per second: ten times the peak of an instance in a large fleet, which
-/// is taken as three times 13 requests a second.
+/// Maximum number of lines per second: ten times the peak of an instance in a large fleet, three times
+/// 13 requests a second.
 const MAX_LINES_PER_SECOND: usize = 400;
-/// Fraction of both limits that is reserved for warnings and errors.
+/// Fraction of [`QUEUE_CAPACITY`] and of [`MAX_LINES_PER_SECOND`] that is reserved for warnings and errors.
 const RESERVED_FRACTION: f64 = 0.25;
 
 /// Installs the logger; records below `level` are discarded.
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -85,7 +85,7 @@
     Damaged,
 }
 
-/// Fetches and adopts a member's routes.
+/// Fetches and adopts a member's routes. [`CopyOutcome::Missing`] also if the member's are not newer.
 async fn adopt_routes(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Fetches and adopts documents of a member.
+/// Fetches and adopts the documents at `path` of a member; waits a moment if the member is busy.
 async fn adopt_from(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -96,8 +96,8 @@
                 ticket,
                 tokens: part.tokens,
             };
-            // Stored before the order is sent, so that it is released even if the order has no answer
-            // and is executed later.
+            // Stored before the order is sent, so that the reservation is released even if the order has no
+            // answer and is executed later.
             hold.tickets.push(held);
         }
         let kind = send_gate::SendKind::Hold;
