--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -204,7 +204,7 @@
             plan_client::PlaceOutcome::TimedOut => return Ok(AttemptEnd::NoPlace),
         };
     let mut attempt_record = request_record::AttemptRecord {
-        // Remains in the record if the caller disconnects during the attempt.
+        // This text remains in the record if the caller disconnects during the attempt.
         end: "under way".to_owned(),
         upstream: hold.grant.engine.to_string(),
         known: upstream_signals::describe_notices(context, &hold.grant.engine),
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -49,7 +49,8 @@
         self.context.fleet.borrow().list.entry(&self.grant.engine).map(|entry| entry.address)
     }
 
-    /// Notifies the planner that another engine caused a refusal.
+    /// Notifies the planner that another engine than the granted one caused a refusal; the planner excludes
+    /// that engine for a while.
     pub fn eject(&self, engine: &ids::UpstreamId) {
         let note = engine_place::PlaceNote::Eject(engine.clone());
         peers::notify_planner(&self.context, &self.key, note);
--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -154,7 +154,7 @@
         planners.flat_map(planner::PlacementPlanner::take_suspects).collect()
     }
 
-    /// Sets the engines with a limit, by planner.
+    /// Sets the engines with a limit, by planner; planners that are not in `limits` have none.
     pub fn set_limits(
         &mut self,
         now: units::MonoTime,
--- a/crates/instance/src/service_request.rs
+++ b/crates/instance/src/service_request.rs
@@ -125,7 +125,7 @@
         record.attempts.push(request_record::AttemptRecord {
             upstream: entry.name.to_string(),
             known: upstream_signals::describe_notices(context, &entry.name),
-            // Remains in the record if the caller disconnects during the attempt.
+            // This text remains in the record if the caller disconnects during the attempt.
             end: "under way".to_owned(),
             ..Default::default()
         });
