--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -9,7 +9,8 @@
     request_digest, units,
 };
 
-/// Size of the largest datagram, in bytes. Senders observe the limits below, so that each message fits.
+/// Size of the largest datagram, in bytes. Senders split lists by [`MAX_LEASES`] and the similar limits, so that each
+/// message fits.
 pub const MAX_DATAGRAM: usize = 16 * 1024;
 /// Most leases in one message.
 pub const MAX_LEASES: usize = 24;
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -131,7 +131,8 @@
     }
 }
 
-/// Informs a member which of its quarantined requests this process has had answered after the crashes that it reports.
+/// Informs a member which of its quarantined requests were answered, as this process knows, after all crashes that the
+/// member reports.
 fn report_cleared(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -87,7 +87,7 @@
     context.quotas.last_check.set((CheckedState::of(context), now));
     let mut coordinated = coordinated_retries(context, &fleet, part);
     let mut planned = collections::BTreeMap::<_, planner_set::EngineLimits>::new();
-    // All engines of a cell have one coordinator.
+    // All engines of a cell have one coordinator, which is determined once.
     let mut own_keys = collections::BTreeMap::new();
     for (upstream, limit) in fleet.list.limits() {
         let Some(entry) = fleet.list.entry(upstream).filter(|entry| entry.name == *upstream) else {
@@ -146,7 +146,7 @@
     own.map(|service| (quota_permit::QuotaSubject::all_retries(service.clone()), bound)).collect()
 }
 
-/// Empties all buckets after a pause: other members may have coordinated the quotas meanwhile.
+/// Empties all permit buckets after a pause of this process: other members may have coordinated the quotas meanwhile.
 pub(crate) fn reset_quotas(context: &context::InstanceContext) {
     let now = context.now();
     context.quotas.ledger.borrow_mut().reset_buckets(now);
--- a/crates/instance/src/request_record.rs
+++ b/crates/instance/src/request_record.rs
@@ -23,7 +23,7 @@
     /// a plain service, whose upstreams run no model.
     #[serde(skip_serializing_if = "is_zero")]
     pub waited_ms: u64,
-    /// Planned time to the first token, in milliseconds.
+    /// Time to the first token that the planner expected, in milliseconds; 0 for a plain service.
     #[serde(skip_serializing_if = "is_zero")]
     pub planned_ms: u64,
     /// Measured time from obtaining a connection to the first event, in milliseconds.
