--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -9,7 +9,7 @@
 
 /// Interval between two probes of an engine for whose answer memory is reserved on other engines.
 const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(900);
-/// Timeout of a probe.
+/// Timeout of a probe, which requests the engine's report.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Number of consecutive unanswered probes after which the engine counts as gone. Memory must be
 /// free within seconds of the end of the request that used it, even if the end is not announced.
@@ -57,7 +57,8 @@
     pub call: &'a incoming_call::IncomingCall,
     /// The engine that answers.
     pub engine: engine_call::EngineAddress,
-    /// An engine with memory reserved for the attempt, and the ticket of the reservation.
+    /// An engine with memory reserved for the attempt, and the ticket of the reservation; `None` if no
+    /// memory is reserved.
     pub held: Option<(engine_call::EngineAddress, String)>,
     /// Whether the answer has begun.
     pub answering: bool,
--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -33,7 +33,7 @@
     context.lags().longest() >= MAX_WATCH_LAG
 }
 
-/// Records that the store does not answer; returns whether that is a change.
+/// Records that the store does not answer; returns whether that ends the contact with the store.
 pub(crate) fn mark_lost(context: &context::InstanceContext, error: &str) -> bool {
     let lost = context.store_tracker.borrow_mut().note_failure(context.now());
     if lost {
@@ -43,7 +43,7 @@
     lost
 }
 
-/// Records an answer of the store.
+/// Records an answer of the store, which ends any outage.
 pub(crate) fn mark_answered(context: &context::InstanceContext) {
     let now = context.now();
     let contact_change = context.store_tracker.borrow_mut().receive(now);
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -9,7 +9,7 @@
 
 /// Multiple of the service's shortest pause goal up to which a request's pause goal counts as short.
 const SHORT_PAUSE_FACTOR: f64 = 1.5;
-/// Fraction of its first-token goal within which one engine must process the prompt of a short request.
+/// Fraction of the first-token goal within which one engine must process the prompt of a short request.
 const SHORT_GOAL_FRACTION: f64 = 0.75;
 /// Minimum time without an event after which callers give up a stream; the multiples by
 /// [`CALLER_GOAL_FACTOR`] and [`CALLER_PAUSE_FACTOR`] may be longer.
@@ -130,14 +130,14 @@
     call.request.max_wait.is_some_and(|max_wait| max_wait < first_try_wait)
 }
 
-/// Returns how long a caller waits without an event.
+/// Returns how long a caller is assumed to wait without an event before it gives up the stream.
 pub(crate) fn max_event_wait(call: &incoming_call::IncomingCall) -> time::Duration {
     MIN_EVENT_WAIT
         .max(call.route.first_token_goal * CALLER_GOAL_FACTOR)
         .max(call.route.pause_goal * CALLER_PAUSE_FACTOR)
 }
 
-/// Returns how long an engine may be silent mid-answer.
+/// Returns how long an engine may be silent mid-answer if another engine can continue the stream.
 pub(crate) fn silence(call: &incoming_call::IncomingCall) -> time::Duration {
     let pauses = call.route.pause_goal.mul_f64(SILENCE_PAUSE_FACTOR);
     pauses.min(last_silence(call))
@@ -149,7 +149,7 @@
     max_event_wait(call).mul_f64(SILENCE_FRACTION)
 }
 
-/// Returns how long an engine may be silent before its answer begins.
+/// Returns how long an engine may be silent before its answer begins if another engine can answer.
 pub(crate) fn first_silence(
     call: &incoming_call::IncomingCall,
     grant: &engine_place::PlaceGrant,
