--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -172,7 +172,7 @@
 pub struct HeadWait {
     /// Limit on a reused connection, which may have died while idle.
     pub reused: time::Duration,
-    /// Limit on any connection.
+    /// Limit on any connection, new or reused.
     pub longest: time::Duration,
     /// Usual time of an answer; with less time left, a retry over a new connection is useless.
     pub usual_time: time::Duration,
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -155,7 +155,8 @@
     }
 }
 
-/// Whether the list names this start of an upstream and it is not leaving: a leaving one ends as planned, whatever it runs.
+/// Whether the list names this start of an upstream, and the start is not leaving: a leaving one ends as planned,
+/// whatever it runs.
 fn is_expected_to_run(context: &context::InstanceContext, name: &ids::UpstreamId) -> bool {
     let fleet = context.fleet.borrow();
     let leaving = fleet.list.notices().leaving(name).is_some();
--- a/crates/instance/src/upstream_gate.rs
+++ b/crates/instance/src/upstream_gate.rs
@@ -15,7 +15,7 @@
 pub struct SendPass<'a> {
     context: &'a context::InstanceContext,
     upstream: ids::UpstreamId,
-    /// Whether this request probes the upstream after its backoff.
+    /// Whether the request that holds the pass probes the upstream after a backoff.
     is_probe: bool,
 }
 
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -149,7 +149,8 @@
         self.times.get(&route.name).copied().unwrap_or_default().usual_time()
     }
 
-    /// Returns how long to wait for the head of an answer on a reused connection.
+    /// Returns how long to wait for the head of an answer on a reused connection before the call is sent
+    /// again; at most `longest`.
     pub fn reused_wait(
         &self,
         route: &route_table::RoutePolicy,
@@ -159,7 +160,7 @@
         times.reused_connection_wait(route.first_token_goal, longest)
     }
 
-    /// Records the load reported by an upstream.
+    /// Records the number of running and waiting requests that an upstream has reported.
     pub fn set_reported_load(
         &mut self,
         now: units::MonoTime,
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -51,7 +51,7 @@
 pub struct ConnectionTimes {
     address: net::SocketAddrV4,
     opened: boot_clock::BootInstant,
-    /// When bytes were last received.
+    /// When bytes were last received; `None` if there were none yet.
     received: cell::Cell<Option<boot_clock::BootInstant>>,
 }
 
@@ -229,7 +229,8 @@
     /// Closes idle connections that may have died along with a silent one; returns their number.
     pub fn close_untrusted(&self, silent: &ConnectionTimes, waited: time::Duration) -> usize {
         // A network fault of this process breaks its connections to all upstreams at once. If another
-        // connection that was open since then still receives, only those to the same address are closed.
+        // connection that was open when this one fell silent still receives, only those to the same address
+        // are closed.
         let connection_times = self.connection_times.borrow();
         let others = ages_of_others(silent, connection_times.values().flatten());
         let all = !silent.ages().has_live_peer(waited, others);
--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -122,7 +122,7 @@
     is_new
 }
 
-/// Records that an upstream has accepted a request.
+/// Records that an upstream has accepted a request, and logs if that ends its backoff.
 fn receive_accepted(context: &context::InstanceContext, upstream: &ids::UpstreamId) {
     let mut fleet = context.fleet.borrow_mut();
     if fleet.list.notices_mut().receive_accepted(context.now(), upstream) {
