--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the list after the store has returned from an older copy, which begins a new era.
+//! Recovery of the list after the store was restored from an older copy, which begins a new era.
 //!
 //! The first list of an era lacks the last changes of the era before. Until their writers have repeated them,
 //! upstreams and evacuations that the copy lacks stay in force, and starts (lives of an upstream's process) that had
@@ -14,7 +14,7 @@
 /// State of a recovery, as one instance reports it to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryReport {
-    /// Time in milliseconds since the era became known.
+    /// Time in milliseconds since the present era of the store became known.
     pub age_ms: u64,
     /// Names and documents of upstreams that stay in use although the store's older copy lacks them.
     pub kept: Vec<(String, String)>,
@@ -26,7 +26,7 @@
     pub leaving: Vec<peer_message::LeavingReport>,
 }
 
-/// Age reported for a recovery that has ended.
+/// Age reported for a recovery that has ended; longer than any recovery lasts, so that the receiver ends its own.
 const ENDED_RECOVERY_AGE: time::Duration = time::Duration::from_secs(3_600);
 
 impl RecoveryReport {
--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -20,10 +20,10 @@
 
 /// Maximum number of lines in the queue; a line takes about 500 bytes.
 const QUEUE_CAPACITY: usize = 512;
-/// Maximum number of lines per second: ten times the peak of an instance in a large fleet, which
-/// is taken as three times 13 requests a second.
+/// Maximum number of lines per second: ten times the peak of an instance in a large fleet, three times
+/// 13 requests a second.
 const MAX_LINES_PER_SECOND: usize = 400;
-/// Fraction of both limits that is reserved for warnings and errors.
+/// Fraction of [`QUEUE_CAPACITY`] and of [`MAX_LINES_PER_SECOND`] that is reserved for warnings and errors.
 const RESERVED_FRACTION: f64 = 0.25;
 
 /// Installs the logger; records below `level` are discarded.
@@ -40,7 +40,7 @@
 /// Rate limiter for lines, per second.
 #[derive(Debug, Default)]
 struct LineRate {
-    /// Seconds since the appender's start.
+    /// The second in which lines are counted, in seconds since the appender's start.
     second: u64,
     /// Number of lines accepted in that second.
     taken: usize,
@@ -144,7 +144,7 @@
     fields.0.insert("time_ms".into(), (now.as_millis() as u64).into());
     fields.0.insert("level".into(), record.level().as_str().into());
     fields.0.insert("event".into(), record.args().to_string().into());
-    // A field that cannot be formatted must not discard the line.
+    // A field that cannot be formatted must not discard the other fields of the line.
     let _ = record.key_values().visit(&mut fields);
     let mut line = serde_json::Value::Object(fields.0).to_string();
     line.push('\n');
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -46,7 +46,8 @@
                 let outcome = adopt_routes(&context, &member, address).await;
                 last_failed = (outcome != CopyOutcome::Adopted).then_some(member);
                 match outcome {
-                    // If changes follow each other quickly, the next one may be missing already.
+                    // Even if a newer change is missing already, as when changes follow each other quickly, the time
+                    // for which only members are queried starts again.
                     CopyOutcome::Adopted => source.note_complete(),
                     CopyOutcome::Missing => {}
                     CopyOutcome::Damaged => source.note_damaged_copy(),
@@ -84,7 +85,7 @@
     Damaged,
 }
 
-/// Fetches and adopts a member's routes.
+/// Fetches and adopts a member's routes. [`CopyOutcome::Missing`] also if the member's are not newer.
 async fn adopt_routes(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
@@ -119,7 +120,7 @@
     }
 }
 
-/// Fetches and adopts documents of a member.
+/// Fetches and adopts the documents at `path` of a member; waits a moment if the member is busy.
 async fn adopt_from(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(display("{engine} sets no memory aside: {reason}"))]
 pub struct HoldError {
-    /// An engine that did not reserve its memory.
+    /// The engine that did not reserve its memory; the first one if there are several.
     pub engine: ids::UpstreamId,
     /// Reason why the engine did not reserve the memory.
     pub reason: String,
@@ -57,7 +57,7 @@
         engine_call::EngineAddress { engine, address: self.address }
     }
 
-    /// Returns whether the engine was restarted after the reservation, so that it is lost.
+    /// Returns whether the engine was restarted after the reservation, so that the reservation is lost.
     fn is_lost(&self, context: &context::InstanceContext) -> bool {
         let fleet = context.fleet.borrow();
         fleet.list.entry(&self.engine).is_some_and(|entry| entry.name != *self.start.borrow())
@@ -96,8 +96,8 @@
                 ticket,
                 tokens: part.tokens,
             };
-            // Stored before the order is sent, so that it is released even if the order has no answer
-            // and is executed later.
+            // Stored before the order is sent, so that the reservation is released even if the order has no
+            // answer and is executed later.
             hold.tickets.push(held);
         }
         let kind = send_gate::SendKind::Hold;
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -9,7 +9,8 @@
     request_digest, units,
 };
 
-/// Size of the largest datagram, in bytes. Senders observe the limits below, so that each message fits.
+/// Size of the largest datagram, in bytes. Senders split lists by [`MAX_LEASES`] and the similar limits, so that each
+/// message fits.
 pub const MAX_DATAGRAM: usize = 16 * 1024;
 /// Most leases in one message.
 pub const MAX_LEASES: usize = 24;
@@ -110,7 +111,7 @@
 /// An upstream's announcement that it is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingReport {
-    /// Start of the upstream that is leaving.
+    /// Start (one life of the process) of the upstream that is leaving.
     pub upstream: ids::UpstreamId,
     /// Time in milliseconds since the upstream's first announcement that it is leaving.
     pub age_ms: u64,
@@ -122,7 +123,7 @@
 pub struct CrashReport {
     /// Digest of the request that the upstream was running.
     pub digest: request_digest::RequestDigest,
-    /// Start of the upstream that crashed.
+    /// Start (one life of the process) of the upstream that crashed.
     pub upstream: ids::UpstreamId,
     /// Time in microseconds since the request was sent.
     pub sent_us: u64,
@@ -158,7 +159,7 @@
         postcard::to_stdvec(self)
     }
 
-    /// Decodes a datagram; one that cannot be decoded is logged and dropped.
+    /// Decodes a datagram; the receiver logs and drops one that cannot be decoded.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -49,7 +49,8 @@
         self.context.fleet.borrow().list.entry(&self.grant.engine).map(|entry| entry.address)
     }
 
-    /// Notifies the planner that another engine caused a refusal.
+    /// Notifies the planner that another engine than the granted one caused a refusal; the planner excludes
+    /// that engine for a while.
     pub fn eject(&self, engine: &ids::UpstreamId) {
         let note = engine_place::PlaceNote::Eject(engine.clone());
         peers::notify_planner(&self.context, &self.key, note);
@@ -128,8 +129,8 @@
             Some(engine_place::PlaceAnswer::Paced(grant, limited)) => (grant, limited),
         };
         guard.granted = true;
-        // The planner issued the permits when the request had waited there for `waited`. It cannot have
-        // reached the planner before `started`, so this never makes a permit valid for too long.
+        // The planner issued the permits when the request had waited there for `waited`. The request cannot
+        // have reached the planner before `started`, so this never makes a permit valid for too long.
         let waited = time::Duration::from_millis(u64::from(grant.waited_ms));
         let term = quota_permit::PermitTerm::of_answer(started, waited);
         let permit = |upstream| quota_permit::SendPermit { upstream, term };
@@ -200,7 +201,7 @@
     }
 }
 
-/// Records which member plans for a key; returns whether it replaced another member, and so may not
+/// Records which member plans for a key; returns whether that member replaced another one, and so may not
 /// know this process's leases.
 fn note_planner(
     context: &context::InstanceContext,
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -50,8 +50,8 @@
     }
 
     /// Picks the upstream for a call: a failed one whose probe is due, else the candidate with the
-    /// lowest cost. Ejected ones are picked only if there is no other. Among equal ones, those with a
-    /// limit, for which `has_limit` returns true, are preferred.
+    /// lowest cost. `repeatable` calls probe first. Ejected upstreams are picked only if there is no other.
+    /// Among those of equal cost, one with a limit, for which `has_limit` returns true, is preferred.
     pub fn pick<'a>(
         &self,
         now: units::MonoTime,
@@ -83,7 +83,7 @@
         };
         let (lowest, first) = least(&costs)?;
         let equal = costs.iter().filter(|(cost, _)| *cost <= lowest).map(|(_, entry)| *entry);
-        // The rate of a limit is lost if it is not used in time; upstreams without a limit take the
+        // Calls that a limit admits now cannot be made up for later; upstreams without a limit take the
         // remaining calls.
         if let Some(limited) = equal.clone().find(|entry| has_limit(entry)) {
             return Some(limited);
@@ -149,7 +149,8 @@
         self.times.get(&route.name).copied().unwrap_or_default().usual_time()
     }
 
-    /// Returns how long to wait for the head of an answer on a reused connection.
+    /// Returns how long to wait for the head of an answer on a reused connection before the call is sent
+    /// again; at most `longest`.
     pub fn reused_wait(
         &self,
         route: &route_table::RoutePolicy,
@@ -159,7 +160,7 @@
         times.reused_connection_wait(route.first_token_goal, longest)
     }
 
-    /// Records the load reported by an upstream.
+    /// Records the number of running and waiting requests that an upstream has reported.
     pub fn set_reported_load(
         &mut self,
         now: units::MonoTime,
