--- a/crates/net/src/document_feed.rs
+++ b/crates/net/src/document_feed.rs
@@ -1,9 +1,9 @@
 //! Keeps the settings and the list (of instances, engines and upstreams) of a process up to date
 //! from peers and from the platform.
 //!
-//! Only a few instances of a data centre watch the platform. The other instances watch one of
-//! these, and entries watch their own scheduler, so the load on the platform does not grow with the
-//! fleet. If a source does not respond, the next one is asked.
+//! Only a few instances of a data centre watch the platform. Each other instance watches an
+//! instance of its data centre, and entries watch their own scheduler, so the load on the platform
+//! does not grow with the fleet. If a source does not respond, the next one is asked.
 
 use std::{net, rc, time};
 
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -137,8 +137,8 @@
         .await
     }
 
-    /// Renews the leases of the attempts that the entry is streaming from the scheduler's engines. The
-    /// leases of its other attempts end.
+    /// Renews the leases of the attempts that the entry is running on the scheduler's engines. The
+    /// entry's other leases end, except those granted or renewed only just before.
     pub async fn renew(
         &self,
         entry: &ids::InstanceId,
