--- a/crates/net/src/command_line.rs
+++ b/crates/net/src/command_line.rs
@@ -82,7 +82,8 @@
         options.optopt("s", "settings", "YAML file with values for options not given here", "FILE");
     }
 
-    /// Reads the settings file if `--settings` is given. `known` lists the options that it may contain.
+    /// Reads the settings file if `--settings` is given. `known` lists the options that the file may
+    /// contain; any other is an error.
     pub fn load(matches: getopts::Matches, known: &[&str]) -> Result<Self, String> {
         let Some(name) = matches.opt_str("settings") else {
             return Ok(Self { matches, file: collections::BTreeMap::new() });
@@ -98,7 +99,8 @@
         Ok(Self { matches, file })
     }
 
-    /// Returns the value of an option from the command line, otherwise from the settings file.
+    /// Returns the value of an option from the command line, otherwise from the settings file; `None`
+    /// if neither contains it.
     pub fn text(&self, name: &str) -> Option<String> {
         self.matches.opt_str(name).or_else(|| self.file.get(name).cloned())
     }
@@ -175,7 +177,8 @@
     Ok(local)
 }
 
-/// Installs the logger and runs a server on a new event loop until it stops. An error is printed.
+/// Installs the logger and runs a server on a new event loop until it stops. Prints an error and
+/// returns [`EXIT_FAILURE`] if either fails.
 pub fn serve<F, Fut, E>(
     info: ProgramInfo,
     local: local_settings::LocalSettings,
--- a/crates/net/src/local_settings.rs
+++ b/crates/net/src/local_settings.rs
@@ -66,8 +66,8 @@
     pub max_answer: units::ByteCount,
     /// Time within which the body of a request must arrive.
     pub body_time: units::TimeSpan,
-    /// Number of decision records that are kept. Operators read in them how a request was routed
-    /// and how it ended.
+    /// Number of decision records that an entry keeps; the oldest is dropped first. Operators read
+    /// in them how a request was routed and how it ended.
     pub decisions: usize,
     /// Length of a pause of the process, such as a suspension, after which it confirms its settings
     /// before it serves requests.
--- a/crates/net/src/process.rs
+++ b/crates/net/src/process.rs
@@ -13,7 +13,7 @@
 /// Interval at which [`StopSignal::wait`] checks for a stop request.
 const STOP_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// The process's monotonic clock. It keeps counting while the process is paused or the machine is
+/// The process's monotonic clock. It keeps counting while the process is paused or the system is
 /// suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
