--- a/crates/net/src/h1.rs
+++ b/crates/net/src/h1.rs
@@ -126,7 +126,7 @@
     }
 
     /// Reads the head of a request; fails if it is incomplete after more than `limit` bytes.
-    /// Returns `None` if the peer closes the connection before it starts one.
+    /// Returns `None` if the peer closes the connection before the first byte of a head.
     pub async fn request_head(
         &mut self,
         limit: usize,
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -20,7 +20,7 @@
 
 /// Timeout for establishing a TCP connection.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
-/// Maximum number of idle connections per address.
+/// Maximum number of idle connections per address. A further connection is closed after its call.
 const MAX_IDLE_CONNECTIONS: usize = 32;
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
