--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -17,7 +17,7 @@
 
 use crate::{documents, event};
 
-/// State that handles [`event::EntryEvent`]s one at a time.
+/// Actor that owns the state shared by requests and handles [`event::EntryEvent`]s one at a time.
 pub struct EntryDirector {
     router: entry_router::EntryRouter,
     boot: ids::BootId,
--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -10,7 +10,7 @@
 /// Number of other instances' schedulers that are asked for documents after this instance's own.
 const OTHER_SCHEDULERS: usize = 2;
 
-/// Summary of the director's documents, shared with the document feed.
+/// Summary of the documents in force: the director updates it, the document feed reads it.
 #[derive(Debug, Default)]
 pub struct DocumentSummary {
     /// Version of the settings and revision of the list in force.
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that the tasks of an entry send to its director.
+//! Events that the tasks of an entry send to its director, the task that owns their shared state.
 //!
 //! A place is the assignment of an attempt of a request to an engine.
 
@@ -11,14 +11,14 @@
 };
 use slipturn_net::scheduler_link;
 
-/// A place in use, with the data that renewals of its lease carry.
+/// A place in use, kept until its attempt ends, so that the lease can be renewed.
 #[derive(Debug, Clone)]
 pub struct RunningPlace {
     /// Engine to which the attempt is assigned.
     pub engine: ids::EngineId,
     /// Request for the place, which renewals repeat.
     pub request: placement::CapacityRequest,
-    /// Hash of the prompt's prefix, which the engine is expected to cache.
+    /// Hash of the prompt's prefix, which routing expects this engine to have cached from now on.
     pub prefix: u64,
 }
 
@@ -60,8 +60,8 @@
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
     ),
-    /// Adds a portion, drawn from the instance that keeps the customer's budget, to the tokens that
-    /// this entry holds.
+    /// Adds a portion, drawn from the owner of the customer's budget, to the tokens that this entry
+    /// holds.
     Portion(ids::CustomerId, budget::BudgetPortion),
     /// Selects the engines to consider for a request. The number is the hash of the prompt's
     /// prefix; the engine ids are those already tried, which are left out.
@@ -94,11 +94,13 @@
     Started(RunningPlace),
     /// Counts an attempt as ended on an engine, so that its lease there is no longer renewed.
     Ended(ids::AttemptId, ids::EngineId),
-    /// Excludes an engine from the candidates for a while after it refused or failed.
+    /// Leaves an engine out of the candidates for a while after it refused or failed, unless only
+    /// such engines remain.
     Eject(ids::EngineId),
     /// Decides whether a request gets another attempt, and if so takes it from the retry budget.
     Retry(retry::FailedAttempt, oneshot::Sender<retry::RetryVerdict>),
-    /// Counts a request to a plain service towards the retry budget.
+    /// Counts a request to a plain service towards the retry budget. A model request is counted by
+    /// [`Self::Plan`].
     CountRequest,
     /// Returns the live upstreams of a plain service, in the order in which to try them.
     Upstreams(ids::ServiceId, oneshot::Sender<Vec<fleet_list::UpstreamRecord>>),
@@ -112,7 +114,7 @@
     Measure(histogram::MeasureKind, Vec<String>, Vec<time::Duration>),
     /// Stores the decision record of a request that has ended.
     Decision(Box<decision::DecisionRecord>),
-    /// Looks up the decision record of a request by its id, the one of slipturn or the caller's.
+    /// Looks up the decision record of a request by the id that slipturn assigned or the caller sent.
     Find(String, oneshot::Sender<Option<rc::Rc<decision::DecisionRecord>>>),
     /// Returns the models of all listed engines.
     Models(oneshot::Sender<Vec<ids::ModelId>>),
