--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -20,8 +20,8 @@
 /// Longest request id accepted from a caller, in bytes; a longer one is ignored.
 const MAX_CALLER_ID_BYTES: usize = 128;
 
-/// Serves a connection until the caller closes it, a request requires it to be closed, or the
-/// process stops.
+/// Serves a connection until the caller closes it or leaves it idle for too long, a request requires
+/// it to be closed, or the process stops.
 pub async fn serve(
     context: rc::Rc<request_context::EntryContext>,
     mut connection: http_server::ServerConnection,
--- a/crates/entry/src/model_measure.rs
+++ b/crates/entry/src/model_measure.rs
@@ -24,7 +24,7 @@
         self.context.events.send(event::EntryEvent::Measure(kind, series, spans));
     }
 
-    /// Records the time that the attempt waited for its place.
+    /// Records the time that an attempt waited until a scheduler granted its place on an engine.
     pub(crate) fn measure_wait(&self, place: &place::HeldPlace) {
         let waited = time::Duration::from_millis(place.row.waited_ms);
         self.measure(histogram::MeasureKind::PlaceWait, waited);
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -59,7 +59,8 @@
     pub(crate) ran: refusal::RanState,
     /// Intervals between pieces of the answer, sent to the director when the request ends.
     pub(crate) intervals: Vec<time::Duration>,
-    /// When the first piece was forwarded; from then on there is no other attempt.
+    /// When the first piece of a streamed answer was forwarded; from then on there is no other
+    /// attempt. Stays `None` for an answer that is not streamed.
     pub(crate) first_token: Option<units::MonoTime>,
 }
 
@@ -179,7 +180,7 @@
                 return Ok(RequestEnd::Close);
             };
             let found = found.unwrap_or_else(|_| Err(no_place_in_time()));
-            // Earlier attempts may have run although this one found no place.
+            // Earlier attempts may have run although this one found no place on an engine.
             let place = found.map_err(|refusal| self.add_last_failure(refusal))?;
             self.measure_wait(&place);
             let end = self.run_attempt(connection, &place, &place_request.attempt).await;
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Sends the request to the engine of a place and forwards the answer.
+    /// Sends the request to the engine on which the attempt has its place and forwards the answer.
     async fn run_attempt(
         &mut self,
         connection: &mut http_server::ServerConnection,
@@ -403,7 +404,7 @@
     }
 }
 
-/// Refusal of a request for which no place was found within its time limit.
+/// Refusal of a request for which no place on an engine was found within its time limit.
 fn no_place_in_time() -> refusal::RequestRefusal {
     let code = refusal::RefusalCode::Overloaded;
     refusal::RequestRefusal::not_run(code, "no engine took it within its time limit")
