--- a/crates/entry/src/renewal.rs
+++ b/crates/entry/src/renewal.rs
@@ -10,8 +10,9 @@
 
 use crate::{event, request_context};
 
-/// Number of renewals within `orphan_grace`, after which the leases of an unresponsive entry end.
-/// More than one, so that leases survive the loss of several renewals in a row.
+/// Number of renewals within the setting `orphan_grace`, the time after which the leases of an
+/// unresponsive entry end. More than one, so that leases survive the loss of several renewals in a
+/// row.
 const RENEWALS_PER_GRACE: u32 = 4;
 
 /// Interval of the checks whether a renewal is due. Short, because a change of the settings can
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -16,7 +16,7 @@
     pub boot: ids::BootId,
     /// Monotonic clock of the process.
     pub clock: process::ProcessClock,
-    /// Sender of events to the director.
+    /// Sender of events to the [`director`](crate::director), which owns the state shared by requests.
     pub events: event::EventSender,
     /// Pool of connections to engines, upstreams and other entries.
     pub pool: rc::Rc<http_client::ConnectionPool>,
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -16,7 +16,7 @@
 pub const PEERS_HEADER: &str = "x-kv-peers";
 /// Header in which an upstream states with `no` that it did not run a call.
 pub const RAN_HEADER: &str = "x-ran";
-/// Largest accepted answer to a command, in bytes.
+/// Largest accepted answer of an engine to a command, in bytes.
 const MAX_COMMAND_ANSWER_BYTES: u64 = 64 * 1024;
 /// Time limit for an engine to carry out a command.
 const COMMAND_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
@@ -90,15 +90,16 @@
     call
 }
 
-/// Sets a header; a value that is not valid in a header is left out.
+/// Sets a header. A value that is not valid in a header is left out; slipturn builds all of them
+/// itself, so none should be.
 pub fn set_header(call: &mut http::Request<Bytes>, name: &'static str, value: &str) {
     if let Ok(value) = http::HeaderValue::from_str(value) {
         call.headers_mut().insert(name, value);
     }
 }
 
-/// Commands that an entry sends to engines. An implementation adapts them to the engine's
-/// interface.
+/// Commands that an entry sends to engines. This is a trait because the users' own engines may need
+/// another interface.
 pub trait EngineCommands {
     /// Reserves memory for a part of a prompt whose answer another engine sends.
     fn reserve(
