--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -38,7 +38,7 @@
     Acquire(ids::EngineId, placement::CapacityRequest, oneshot::Sender<PlaceAnswer>),
     /// An entry releases the place of an attempt, or removes the attempt from the engine's queue.
     Release(ids::EngineId, ids::AttemptId),
-    /// An entry lists all attempts that it is streaming, which renews their leases.
+    /// An entry lists all attempts that it is running: their leases are renewed, its other leases end.
     Renew(ids::InstanceId, ids::BootId, Vec<(ids::EngineId, placement::CapacityRequest)>),
     /// An entry draws a portion of a customer's budget.
     Draw(ids::CustomerId, budget::BudgetLimit, units::TokenCount, oneshot::Sender<PortionAnswer>),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -160,7 +160,7 @@
         }
         let plan = state.faults.plan();
         if plan.down {
-            // Neither responds nor closes the connection, like an instance that has stopped.
+            // Neither responds nor closes the connection, like an engine whose host has stopped.
             monoio::time::sleep(time::Duration::from_secs(3_600)).await;
             return;
         }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Writes a request for a place (assignment of a request to an engine) on `engine`. Its deadlines
-/// are sent as the time left at `now`.
+/// Writes a request for a place (assignment of an attempt of a request to an engine) on `engine`.
+/// Its deadlines are sent as the time left at `now`.
 pub fn write_place(
     mut builder: scheduler_capnp::place::Builder<'_>,
     engine: &ids::EngineId,
@@ -79,8 +79,8 @@
     builder.set_patience_ms(units::whole_millis(request.queue_deadline.since(now)));
 }
 
-/// Reads a request for a place, and the engine that is to run it. Its deadlines are counted from
-/// `now`, the time of receipt.
+/// Reads a request for a place, and the engine that is to run the request. Its deadlines are counted
+/// from `now`, the time of receipt.
 pub fn read_place(
     reader: scheduler_capnp::place::Reader<'_>,
     now: units::MonoTime,
