--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -33,7 +33,7 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The body of the response is not valid JSON, with any HTTP status.
+    /// The body of the response is not valid JSON, whatever its HTTP status.
     #[snafu(display("the answer cannot be read: {source}"))]
     InvalidJson {
         /// Error of the JSON parser.
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -45,8 +45,9 @@
     pub bands: Vec<BandReport>,
     /// Id of the completed request with the longest prompt, to look up in slipturn.
     pub example: Option<String>,
-    /// Time to first token in the shortest band as a multiple of that in the baseline run, by
-    /// percentile; see [`RunReport::compare_short_prompts`].
+    /// Time to first token of short prompts as a multiple of that in a run with short prompts only,
+    /// each taken from the first of the run's `bands`: 50th, 95th and 99th percentile. `None`
+    /// without such a run; see [`RunReport::compare_short_prompts`].
     pub short_slowdown: Option<[f64; 3]>,
 }
 
