--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -11,7 +11,7 @@
 
 /// Number of instances in the planned fleet.
 const INSTANCES: usize = 380;
-/// Number of engines in the planned fleet, one for each runner.
+/// Number of engines. The planned fleet has as many runners (upstreams), and each counts as one engine.
 const ENGINES: usize = 600;
 /// Number of customers in the settings.
 const CUSTOMERS: usize = 4_300;
--- a/crates/compare/src/planner_cost.rs
+++ b/crates/compare/src/planner_cost.rs
@@ -17,7 +17,7 @@
 const PLACED_REQUESTS: u64 = 200;
 /// Numbers of engines for which placement is measured.
 const ENGINE_COUNTS: [usize; 4] = [18, 60, 96, 600];
-/// Number of members among which the planner is chosen, including the local one.
+/// Number of members (instances) among which the planner is chosen, including the local one.
 const MEMBERS: u16 = 380;
 
 /// Measures placement with 18 to 600 engines, and the choice of the planner.
@@ -56,8 +56,8 @@
     planned_size::cost_row(format!("{operation}, {engines} engines"), format!("{mean:?}"))
 }
 
-/// Measures how long a member takes to choose the planner of a cell, which is a group of engines of
-/// one service.
+/// Measures how long a member takes to choose the planner of a cell (a subset of the engines of a
+/// service).
 fn measure_planner_choice() -> planned_size::CostRow {
     let mut view = membership::MemberView::new(name("m", 0), Vec::new());
     for number in 1..MEMBERS {
--- a/crates/compare/src/summary.rs
+++ b/crates/compare/src/summary.rs
@@ -28,7 +28,8 @@
     pub failed: usize,
     /// Share of admitted requests with prompts over 100,000 tokens that completed.
     pub long_completion_share: f64,
-    /// Prompt and output tokens of completed requests per second of the run.
+    /// Prompt and output tokens of completed requests, divided by [`scenario::RunScenario::length`]
+    /// in seconds.
     pub goodput: f64,
     /// Longest time from arrival to refusal, in milliseconds.
     pub slowest_refusal_ms: f64,
