--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -88,7 +88,8 @@
     ),
     /// Returns whether the routing policy in force needs offers from schedulers.
     WantsOffers(oneshot::Sender<bool>),
-    /// Returns whether an engine may be used without a lease while its scheduler is unreachable.
+    /// Returns whether an engine may be used without a lease while its scheduler is unreachable: only
+    /// while this entry has no attempt on it.
     MaySendUnleased(ids::EngineId, oneshot::Sender<bool>),
     /// Counts an attempt as running on an engine; until it ends, its lease is renewed.
     Started(RunningPlace),
--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -264,8 +264,8 @@
 
 /// Handles a round in which no candidate was chosen from the schedulers' offers.
 ///
-/// An engine whose scheduler is unreachable is used without a lease if this entry may still do so;
-/// otherwise the request is refused.
+/// An engine whose scheduler is unreachable is used without a lease if this entry has no other
+/// attempt on it; otherwise the request is refused.
 async fn handle_no_choice(
     context: &rc::Rc<request_context::EntryContext>,
     place_request: &PlaceRequest,
