--- a/crates/soak/src/config_check.rs
+++ b/crates/soak/src/config_check.rs
@@ -54,8 +54,8 @@
     Some((kind, describe(evidence, probe, published)))
 }
 
-/// Returns the violations where an instance answered a probe from an older configuration than an
-/// earlier probe, without a restart in between.
+/// Returns the violations in which an instance answered a probe from an older configuration than it
+/// had used for an earlier probe, without a restart in between.
 fn regressions(evidence: &Evidence) -> Vec<(String, String)> {
     let mut found = Vec::new();
     let mut seen: Option<(u8, usize, time::Instant)> = None;
--- a/crates/soak/src/contact_plan.rs
+++ b/crates/soak/src/contact_plan.rs
@@ -1,9 +1,10 @@
 //! Plans losses of contact: connections that fall silent, instances that are cut off from the store
 //! or from other members, answers that are lost.
 //!
-//! A scene consists of one or two simultaneous losses of contact, other faults close to them, a
-//! series of configurations, upstreams that leave and an upstream that does not answer. Its later
-//! part has no new loss of contact, so that the promises to instances in contact can be checked.
+//! A scene consists of one or two simultaneous losses of contact, other faults at about the same
+//! time, a series of configurations, upstreams that leave and an upstream that is silent or answers
+//! late. Its later part has no new loss of contact, so that the promises to instances in contact can
+//! be checked.
 
 use std::{ops, time};
 
@@ -29,7 +30,7 @@
 /// How long an upstream stays silent or late, milliseconds: long enough that callers leave while
 /// their requests wait.
 const SILENT_UPSTREAM_LENGTH_MS: ops::Range<u64> = 700..1_600;
-/// Pause between the starts of two losses of contact in the first part, milliseconds.
+/// Time between the starts of two losses of contact in the first part, milliseconds.
 const FIRST_PART_GAP_MS: ops::Range<u64> = 600..2_500;
 /// How long a loss of contact or an accompanying fault lasts, milliseconds. Silenced connections
 /// stay silent for good.
@@ -41,7 +42,7 @@
 const LOSS_START_MS: ops::Range<u64> = 300..900;
 /// Time from the start of a scene until an accompanying fault begins, milliseconds.
 const COMPANION_START_MS: ops::Range<u64> = 100..1_500;
-/// Pause between two configurations of a scene, milliseconds.
+/// Time between the publications of two configurations in a scene, milliseconds.
 const PUBLISH_GAP_MS: ops::Range<u64> = 80..900;
 /// Time from the start of a scene after which no configuration is published, milliseconds: early
 /// enough for the last one to be checked within the scene.
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -46,7 +46,8 @@
     UpstreamGood(u8),
     /// Makes the link to an upstream work again.
     UpstreamLinkGood(u8),
-    /// Lists an upstream as ready, after it was listed as leaving or its entry was not valid.
+    /// Lists an upstream as ready, after it was listed as leaving, has restarted, or its entry was
+    /// overwritten.
     Return(u8),
     /// Restarts an upstream and lists it as ready.
     Restart(u8),
@@ -67,7 +68,6 @@
 
 /// A fleet, the faults in force and the evidence recorded so far.
 pub(crate) struct FaultInjector {
-    /// Fleet that faults are injected into.
     pub(crate) fleet: Fleet,
     /// Observations of the run so far, and the periods that faults disturbed.
     pub(crate) evidence: Evidence,
@@ -288,7 +288,8 @@
             self.end(end);
         }
         for number in 0..self.fleet.instances.len() as u8 {
-            // An instance that exited after SIGTERM is started again.
+            // Covers an exit after SIGTERM and a crash; an instance that was killed is started
+            // again by its pending `FaultEnd::Start`.
             if self.fleet.wait_for_exit(number, Duration::from_millis(1)).is_some() {
                 self.end(FaultEnd::Start(number));
             }
@@ -512,8 +513,8 @@
 }
 
 /// Returns the link of the instance or upstream with a number, or all links for `None`.
-fn select_links(runner_links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
-    number.map_or(runner_links, |number| &runner_links[usize::from(number)..][..1])
+fn select_links(links: &[sync::Arc<Proxy>], number: Option<u8>) -> &[sync::Arc<Proxy>] {
+    number.map_or(links, |number| &links[usize::from(number)..][..1])
 }
 
 /// Returns the name of the data centre that only this upstream is in, if the plan has evacuations.
--- a/crates/soak/src/fault_plan.rs
+++ b/crates/soak/src/fault_plan.rs
@@ -13,12 +13,12 @@
 
 use crate::{contact_plan, data_center_plan, drill_plan, entry_plan, limit_plan, signal_plan};
 
-/// Pause between the starts of two faults in the first part, milliseconds: short enough for faults
-/// to overlap.
+/// Time between the starts of two dense faults in the first part, milliseconds: short enough for
+/// them to overlap.
 const GAP_MS: std::ops::Range<u64> = 100..600;
-/// How long a fault of the first part lasts, milliseconds.
+/// How long a dense fault of the first part lasts, milliseconds.
 const LENGTH_MS: std::ops::Range<u64> = 200..2_500;
-/// Time without faults at the start and the end of the first part, milliseconds.
+/// Time without dense faults at the start and the end of the first part, milliseconds.
 const QUIET_MS: u64 = 600;
 
 /// A fault to inject. Numbers of instances and upstreams count from 0. "The end" is the end of the
@@ -81,7 +81,7 @@
     Litter(u8),
     /// The data centre of an upstream is evacuated until the end; it has no other upstream.
     Evacuate(u8),
-    /// An engine is listed as cold until the end.
+    /// An engine is listed as cold (limited to a low request rate) until the end.
     Cool(u8),
     /// The store is unavailable and is restored from an older copy; lost entries are written again
     /// later.
@@ -100,7 +100,7 @@
     pub at: time::Duration,
     /// Length of the fault; single actions such as [`Fault::Publish`] ignore it.
     pub length: time::Duration,
-    /// Fault to inject.
+    /// Kind of fault, with the number of the instance or upstream that it affects.
     pub fault: Fault,
 }
 
--- a/crates/soak/src/final_checks.rs
+++ b/crates/soak/src/final_checks.rs
@@ -16,14 +16,14 @@
     leave_check, traffic,
 };
 
-/// Time after the last fault within which all instances must be ready.
+/// Time after the end of all faults within which all instances must be ready.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time after the end of traffic within which upstreams must have no request running and no tokens
 /// reserved.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Number of streams that are open while an instance is stopped.
 const STOP_STREAMS: u64 = 3;
-/// Time from sending the streams to the stop, in which their answers begin.
+/// Time from sending the requests of the streams until the stop, so that their answers have begun.
 const STREAM_START_DELAY: Duration = Duration::from_millis(400);
 /// Length of the store outage in [`FaultInjector::check_store_return`].
 const STORE_OUTAGE: Duration = Duration::from_millis(1_500);
