--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -124,7 +124,7 @@
             at: arrival.at,
             leaving_announced_at: arrival.leaving_announced_at,
             rejection: arrival.rejection,
-            limit_announced_at: arrival.limited,
+            limit_announced_at: arrival.limit_announced_at,
         }));
         evidence.limits.extend(announced_limits(upstream, &runner.limits()));
         for (id, record) in runner.runs() {
