--- a/crates/soak/src/final_checks.rs
+++ b/crates/soak/src/final_checks.rs
@@ -74,7 +74,7 @@
     /// Checks that a planned stop without other faults cuts no stream that ends within the grace
     /// period.
     fn check_planned_stop(&mut self) {
-        let address = self.fleet.callers(0);
+        let address = self.fleet.caller_address(0);
         let start = |number: u64| {
             let id = format!("probe-stop-{number}");
             let request = traffic::request(id, "draft", (1_000, traffic::LONG_ANSWER_TOKENS.start));
@@ -123,7 +123,7 @@
                 let id = format!("probe-{phase}-{number}-{route}");
                 let mut probe = traffic::request(id, "safe", (0, 0));
                 probe.path = format!("/{route}/");
-                let outcome = caller::send(self.fleet.callers(number), &probe);
+                let outcome = caller::send(self.fleet.caller_address(number), &probe);
                 if matches!(outcome, Outcome::Status(401 | 403 | 404, _)) {
                     let violation =
                         format!("{phase}: instance {number} does not know {route}: {outcome:?}");
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -98,7 +98,7 @@
 /// Injects the planned faults while clients send requests and probe the configuration.
 fn inject_under_traffic(injector: &mut FaultInjector, options: &RunOptions) {
     let addresses: Vec<_> =
-        (0..options.instances).map(|number| injector.fleet.callers(number)).collect();
+        (0..options.instances).map(|number| injector.fleet.caller_address(number)).collect();
     let prober = ConfigProber::start(&injector.publication_log, &addresses);
     let traffic = Traffic::start(options.seed, options.clients, addresses);
     let length = options.length + contact_plan::scenes_length(plan_size(options));
