--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -135,7 +135,7 @@
     pub link_faults: Vec<LinkFault>,
     /// Changes of the listed state of upstreams, in order of time.
     pub listings: Vec<UpstreamListing>,
-    /// Number of the instance and time for each restart after a kill or a planned stop.
+    /// Number of the instance and time for each restart after a kill, a planned stop or a crash.
     pub instance_restarts: Vec<(u8, time::Instant)>,
     /// Configurations published, in order of time.
     pub publications: Vec<config_probe::Publication>,
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -126,8 +126,8 @@
         self.end_drills();
     }
 
-    /// Ends pending drills at once and writes lost entries again, so that the store has every
-    /// published configuration.
+    /// Ends pending drills now, before they are due, and writes lost entries again, so that the store
+    /// has every published configuration.
     fn end_drills(&mut self) {
         let is_drill =
             |end: &FaultEnd| matches!(end, FaultEnd::StoreReturn(..) | FaultEnd::Rewrite);
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Ends all pending faults at once.
+    /// Ends all pending faults now, also those that are not due yet.
     pub(crate) fn end_all(&mut self) {
         let ends: Vec<_> = self.ends.drain(..).collect();
         ends.into_iter().for_each(|(_, end)| self.end(end));
