--- a/crates/soak/src/data_center_plan.rs
+++ b/crates/soak/src/data_center_plan.rs
@@ -11,8 +11,8 @@
     fault_series,
 };
 
-/// First seed whose plan has evacuations and cold engines: plans of lower seeds are kept as tests
-/// and must not change.
+/// First seed whose plan has evacuations and cold engines: some plans of lower seeds are kept as
+/// tests and must not change.
 const FIRST_SEED: u64 = 60_000;
 /// Number of the random stream that draws the evacuations and cold engines.
 const DATA_CENTER_STREAM: u64 = 7;
--- a/crates/soak/src/drill_plan.rs
+++ b/crates/soak/src/drill_plan.rs
@@ -10,7 +10,7 @@
     fault_series,
 };
 
-/// First seed whose plan has store drills: plans of lower seeds are kept as tests and must not
+/// First seed whose plan has store drills: some plans of lower seeds are kept as tests and must not
 /// change.
 const FIRST_SEED: u64 = 70_000;
 /// Number of the random stream that draws the store drills.
--- a/crates/soak/src/entry_plan.rs
+++ b/crates/soak/src/entry_plan.rs
@@ -10,8 +10,8 @@
     fault_series,
 };
 
-/// First seed whose plan has restarts and invalid entries: plans of lower seeds are kept as tests
-/// and must not change.
+/// First seed whose plan has restarts and invalid entries: some plans of lower seeds are kept as
+/// tests and must not change.
 const FIRST_SEED: u64 = 20_000;
 /// Number of the random stream that draws the restarts and invalid entries.
 const ENTRY_STREAM: u64 = 4;
--- a/crates/soak/src/fault_series.rs
+++ b/crates/soak/src/fault_series.rs
@@ -12,8 +12,8 @@
 
 /// Timing of a series: when its faults begin and how long each lasts.
 pub(crate) struct FaultSeries {
-    /// First seed whose plan has the faults of the series: plans of lower seeds are kept as tests
-    /// and must not change.
+    /// First seed whose plan has the faults of the series: some plans of lower seeds are kept as
+    /// tests and must not change.
     pub(crate) first_seed: u64,
     /// Number of the random stream that the series is drawn from; no other series uses it.
     pub(crate) stream: u64,
--- a/crates/soak/src/limit_plan.rs
+++ b/crates/soak/src/limit_plan.rs
@@ -11,7 +11,7 @@
     fault_series,
 };
 
-/// First seed whose plan has rate limits: plans of lower seeds are kept as tests and must not
+/// First seed whose plan has rate limits: some plans of lower seeds are kept as tests and must not
 /// change.
 const FIRST_SEED: u64 = 50_000;
 /// Number of the random stream that draws the rate limits.
--- a/crates/soak/src/signal_plan.rs
+++ b/crates/soak/src/signal_plan.rs
@@ -11,8 +11,8 @@
     fault_series,
 };
 
-/// First seed whose plan has such signals: plans of lower seeds are kept as tests and must not
-/// change.
+/// First seed whose plan has upstreams that signal leaving or a `Retry-After` time: some plans of
+/// lower seeds are kept as tests and must not change.
 const FIRST_SEED: u64 = 40_000;
 /// Number of the random stream that draws the signals.
 const SIGNAL_STREAM: u64 = 5;
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -38,7 +38,7 @@
 /// Idle time after which a connection is not reused: well under the instances' idle timeout of 10
 /// s, so that no request is sent while the instance closes the connection.
 const MAX_IDLE_TIME: time::Duration = time::Duration::from_secs(8);
-/// Deadline that clients give with each request.
+/// Time limit that clients state in each request, counted from sending.
 const DEADLINE: time::Duration = time::Duration::from_secs(6);
 
 /// A request that a client sent, and its outcome as the client saw it.
