--- a/crates/soak/src/final_checks.rs
+++ b/crates/soak/src/final_checks.rs
@@ -16,14 +16,14 @@
     leave_check, traffic,
 };
 
-/// Time after the last fault within which all instances must be ready.
+/// Time after the end of all faults within which all instances must be ready.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time after the end of traffic within which upstreams must have no request running and no tokens
 /// reserved.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Number of streams that are open while an instance is stopped.
 const STOP_STREAMS: u64 = 3;
-/// Time from sending the streams to the stop, in which their answers begin.
+/// Time from sending the requests of the streams until the stop, so that their answers have begun.
 const STREAM_START_DELAY: Duration = Duration::from_millis(400);
 /// Length of the store outage in [`FaultInjector::check_store_return`].
 const STORE_OUTAGE: Duration = Duration::from_millis(1_500);
@@ -74,7 +74,7 @@
     /// Checks that a planned stop without other faults cuts no stream that ends within the grace
     /// period.
     fn check_planned_stop(&mut self) {
-        let address = self.fleet.callers(0);
+        let address = self.fleet.caller_address(0);
         let start = |number: u64| {
             let id = format!("probe-stop-{number}");
             let request = traffic::request(id, "draft", (1_000, traffic::LONG_ANSWER_TOKENS.start));
@@ -123,7 +123,7 @@
                 let id = format!("probe-{phase}-{number}-{route}");
                 let mut probe = traffic::request(id, "safe", (0, 0));
                 probe.path = format!("/{route}/");
-                let outcome = caller::send(self.fleet.callers(number), &probe);
+                let outcome = caller::send(self.fleet.caller_address(number), &probe);
                 if matches!(outcome, Outcome::Status(401 | 403 | 404, _)) {
                     let violation =
                         format!("{phase}: instance {number} does not know {route}: {outcome:?}");
