--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -63,7 +63,8 @@
     assert_eq!(limit(&list, 1), Some(17.0));
 }
 
-/// An entry is not updated while the upstream warms up, so members that read the list again see the same cold phase.
+/// An entry states the length that was left of the cold phase when the entry was written, and is not rewritten as that
+/// time passes. A member that reads the list again must not count the same length anew.
 #[test]
 fn rereading_an_unchanged_entry_does_not_restart_the_cold_phase() {
     let mut list = list_with_policy();
--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -4,11 +4,11 @@
 
 use slipturn_core::connection_silence::{AnswerTimes, ConnectionAges, SilenceCause, SilencePhase};
 
-/// Latency goal.
+/// Latency goal of the service, a part of which is the shortest wait for an answer on a reused connection.
 const GOAL: time::Duration = time::Duration::from_millis(300);
 /// Longest wait for the head of an answer, for slow upstreams.
 const LONGEST_WAIT: time::Duration = time::Duration::from_millis(675);
-/// How long the answer was waited for on the silent connection.
+/// Time for which a connection has been silent while an answer was expected on it.
 const WAITED: time::Duration = time::Duration::from_millis(200);
 
 fn millis(count: u64) -> time::Duration {
