--- a/crates/core/tests/document_lag.rs
+++ b/crates/core/tests/document_lag.rs
@@ -47,7 +47,7 @@
     lag.refute(5, at(600));
     assert_eq!(lag.observe(at(700), 5, 9), time::Duration::ZERO);
     assert_eq!(lag.known(5), 9);
-    // A newer claim is not refuted.
+    // The refutation does not cover version 10, which is claimed later.
     lag.observe(at(800), 5, 10);
     assert_eq!(lag.observe(at(900), 5, 10), time::Duration::from_millis(100));
 }
--- a/crates/core/tests/document_source.rs
+++ b/crates/core/tests/document_source.rs
@@ -25,7 +25,7 @@
         let source = || DocumentSource::new(spread);
         assert_eq!(choose_until(&mut source(), 1_000), DocumentOrigin::Member);
         assert_eq!(choose_until(&mut source(), 1_440), DocumentOrigin::Member);
-        // On the smallest fleets, a change must be in force within two seconds.
+        // In the smallest fleets, a change must be in force within two seconds.
         assert_eq!(choose_until(&mut source(), 1_800), DocumentOrigin::Store);
     }
 }
--- a/crates/core/tests/engine_ledger.rs
+++ b/crates/core/tests/engine_ledger.rs
@@ -226,7 +226,7 @@
         ledger.report(at(16_000), &lost),
         vec![cancelled("lost:1:1:1", placement::CancelReason::Unexplained)]
     );
-    // The first cancel is lost.
+    // The engine still reports the attempt, as if the first cancel had been lost.
     assert_eq!(
         ledger.report(at(16_500), &lost),
         vec![cancelled("lost:1:1:1", placement::CancelReason::Unexplained)]
@@ -368,7 +368,7 @@
 fn an_old_report_is_compared_with_the_state_at_its_time() {
     let mut ledger = ledger();
     ledger.enqueue(at(0), request("a:1:1:1", 50_000, 60_000));
-    // Half a second later, half of the prompt is prefilled, but the report is from the start.
+    // The report is half a second old: it shows the whole prompt as backlog, of which half has been prefilled since.
     let old = placement::EngineReport {
         age: time::Duration::from_millis(500),
         prefill_backlog: units::TokenCount(50_000),
