--- a/crates/core/tests/failure_detector.rs
+++ b/crates/core/tests/failure_detector.rs
@@ -10,7 +10,7 @@
 
 use virtual_fleet::{Protocol, VirtualFleet};
 
-/// Numbers of members.
+/// Numbers of members of the simulated fleets.
 const SIZES: [usize; 5] = [6, 60, 300, 585, 1_170];
 /// Share of the datagrams that are lost.
 const LOSS: f64 = 0.01;
@@ -87,7 +87,7 @@
     }
 }
 
-/// Half the members fail at once, among them monitors of each other.
+/// Half the members fail at once, so many of them fail together with members that monitor them.
 #[test]
 fn members_that_fail_together_with_their_monitors_are_detected() {
     let members = 585;
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -22,7 +22,7 @@
         .collect()
 }
 
-/// Overdue time that no test reaches.
+/// Time from which an item is overdue that lies after all times in these tests, in microseconds.
 const NEVER: u64 = u64::MAX - 1;
 
 #[test]
--- a/crates/core/tests/fleet_budget.rs
+++ b/crates/core/tests/fleet_budget.rs
@@ -27,7 +27,7 @@
 }
 
 impl Fleet {
-    /// Creates a fleet in which each of the `coordinators` has `part` of the quota.
+    /// Creates a fleet whose `coordinators` each grant `part` of the quota, from time 0 on.
     fn new(members: usize, known: Option<usize>, coordinators: usize, part: f64) -> Self {
         let coordinator = |_| {
             let mut ledger = QuotaLedger::default();
@@ -133,7 +133,7 @@
         share.count_request(at(request));
     }
     let mut taken = |now| (0..1_000).filter(|_| share.take(at(now), Some(6))).count();
-    // Twelve for the requests, and five from the evenly split part.
+    // Twelve for the 100 requests, and five as the share of one of six members in the evenly split part of the quota.
     assert_eq!(taken(100), 17);
     assert_eq!(taken(5_000), 0);
     assert!(taken(10_200) > 0);
