--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -13,7 +13,7 @@
 struct Fleet {
     /// Whether each member knows the change.
     knows: Vec<bool>,
-    /// End of the partition in milliseconds.
+    /// End of the partition in milliseconds; 0 without a partition.
     cut_until: u64,
     /// Messages sent so far.
     messages: usize,
@@ -48,8 +48,8 @@
         self.knows.iter().filter(|knows| !**knows).count()
     }
 
-    /// Time in milliseconds until all members know a change that the first member learns at time 0; with `found`, that member
-    /// also broadcasts the change.
+    /// Time in milliseconds until all members know a change that the first member learns at time 0, or 60,000 if some do not
+    /// by then. With `found`, the first member also broadcasts the change.
     fn run(&mut self, found: bool) -> u64 {
         self.knows[0] = true;
         if found {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The longest time in milliseconds over 20 seeds, with the messages of that run.
+/// The longest time of [`Fleet::run`] in milliseconds over 20 seeds, with the number of messages of that run.
 fn longest(members: usize, cut_until: u64, found: bool) -> (u64, usize) {
     let run = |seed| {
         let mut fleet = Fleet::new(members, cut_until, seed);
--- a/crates/core/tests/heartbeat_timer.rs
+++ b/crates/core/tests/heartbeat_timer.rs
@@ -38,7 +38,7 @@
     times
 }
 
-/// Longest time without a heartbeat of any member of a fleet.
+/// Longest time in which no member of a fleet sends a heartbeat, from 15 s to 60 s. All members start within 0.3 s.
 fn longest_gap(members: u32, seed: u64) -> time::Duration {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let until = time::Duration::from_secs(60);
@@ -51,15 +51,16 @@
     gaps.max().unwrap_or(until)
 }
 
-/// Time without any heartbeat from which a fleet counts as late.
+/// A fleet is late if none of its members sends a heartbeat for this long.
 const LATE_GAP: time::Duration = time::Duration::from_millis(500);
 
 /// Number of simulated fleets.
 const FLEETS: u64 = 1_000;
-/// Most late fleets. Of fleets with 100 members and independent heartbeat times within 4.9 s, one in 400 is late.
+/// Most late fleets of [`FLEETS`]. Of fleets with 100 members and independent heartbeat times within 4.9 s, one in 400 is
+/// late.
 const MAX_LATE_FLEETS: usize = 10;
 
-/// 100 members: about as many remain in other data centres after a partition in halves.
+/// Simulates 100 members: about as many stay reachable in the other data centres when a partition halves the fleet.
 #[test]
 fn members_that_start_together_do_not_send_heartbeats_together() {
     let gaps = (0..FLEETS).map(|seed| longest_gap(100, seed));
