--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -169,7 +169,7 @@
     for number in [0, 1, 2] {
         fleet.restart(number);
     }
-    // Only instance 3 still has the vote on record, and without its answer there is no majority.
+    // The restarted instances abstain. The others recorded the first request, also those whose answers to it were lost.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
     fleet.advance(WINDOW);
     assert!(runs(&fleet.vote(3, |_| false)));
@@ -194,7 +194,7 @@
     for number in 0..3 {
         fleet.leave(number);
     }
-    // Three instances are left. Two of them did not vote before and would be a majority of three.
+    // Three instances are left, and two answers arrive: a majority of three, but not of the six former voters.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
 }
 
--- a/crates/core/tests/limit_strategies.rs
+++ b/crates/core/tests/limit_strategies.rs
@@ -228,7 +228,8 @@
         }
     }
 
-    /// Starts a new second of the demand counts and, if shares follow the demand, sends the last one to all members.
+    /// Starts the demand counts of a new second and, if shares follow the demand, sends those of the last second to all
+    /// members.
     fn send_demands(&mut self) {
         for from in 0..self.members.len() {
             let (current, _) = self.members[from].counts;
