--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -113,7 +113,7 @@
         let outcomes = exchange(count);
         let others = usize::from(count) - 1;
         assert!(outcomes.iter().all(|(known, _)| *known == others), "{count}: {outcomes:?}");
-        // One message to each other member and one answer, and the chunked replies of the seed.
+        // The bound covers one message and one answer to each other member, and the chunked replies of the seed.
         let most = outcomes.iter().map(|(_, sent)| *sent).max().unwrap_or_default();
         assert!(most <= others * 3, "{count}: {most} messages");
     }
--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -440,8 +440,8 @@
 }
 
 proptest! {
-    /// For any sequence of calls, a grant names each engine once, and no slot or memory stays in use when all requests
-    /// have ended.
+    /// For any sequence of calls, a grant names each engine once and holds memory only on its helpers, and no slot or
+    /// memory stays in use when all requests have ended.
     #[test]
     fn all_placements_are_released_when_all_requests_end(steps in prop::collection::vec((0_u8..5, 0_u64..40, 1_000_u64..700_000), 1..120)) {
         let mut planner = planner(5);
@@ -477,7 +477,7 @@
         prop_assert_eq!(planner.waiting_count(), 0);
         let summary = planner.summary(at(now));
         prop_assert!(!summary.contains("1 running"), "{}", summary);
-        // Idle engines, which hold nothing, are only counted; the others are listed with their tokens.
+        // The summary only counts idle engines, which hold nothing, and lists the others with their tokens.
         let idle = summary.rsplit("; ").next().and_then(|last| last.strip_suffix(" idle"));
         let idle = idle.and_then(|count| count.parse::<usize>().ok());
         let empty = summary.matches(" 0 tokens").count() + idle.unwrap_or(0);
