--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -54,8 +54,8 @@
     assert!(!is_quarantined(&table_of(runs), "x", 300));
 }
 
-/// Guards against a missed sequence because of inaccurate times: as times are exchanged as ages, the second attempt may
-/// seem to be sent before the first one ended.
+/// Guards against crashes of successive runs that are not counted because of inaccurate times: as times are exchanged as
+/// ages, the second attempt may seem to be sent before the first one ended.
 #[test]
 fn a_small_overlap_of_runs_does_not_hide_a_sequence() {
     let runs = [run("x", "a", 0, 100), run("x", "b", 97, 200), run("x", "c", 196, 300)];
@@ -64,8 +64,8 @@
     assert!(!is_quarantined(&table_of(overlap), "x", 300));
 }
 
-/// Guards against a missed sequence at a member that was paused: the member receives all messages at once, as if the runs had
-/// just ended, and more accurate times in later reports.
+/// Guards against crashes that a paused member does not count: after the pause it receives all messages at once, as if the
+/// runs had just ended together, and more accurate times only in later reports.
 #[test]
 fn the_earliest_reported_times_of_a_run_are_used() {
     let mut table =
@@ -84,7 +84,8 @@
     assert!(!is_quarantined(&table_of(copies), "x", 600));
 }
 
-/// Guards against a missed sequence when each wave has more copies than the table stores crashes for a request.
+/// Guards against waves of crashes that are not counted because each has more copies of the request than the table stores
+/// crashes for a request.
 #[test]
 fn three_waves_of_many_copies_quarantine_a_request() {
     let wave = |number: u64| {
--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -33,7 +33,7 @@
     name: &'static str,
     /// Interval of unrelated crashes in milliseconds, and the number of engines that crash each time.
     crashes: Option<(u64, usize)>,
-    /// Number of deadly requests; each arrives four times a second in the first half of the run.
+    /// Number of deadly requests; each arrives about four times a second in the first half of the run.
     deadly: usize,
     /// Harmless requests per second.
     rate: f64,
