--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn an_outage_of_a_third_of_the_engines_is_not_amplified() {
-    // 10,000 requests in 100 s, of which every third attempt fails.
+    // 10,000 requests in 100 s; every third attempt fails.
     let mut budget = budget();
     let (mut attempts, mut counter) = (0_u32, 0_u32);
     for number in 0..10_000_u64 {
@@ -79,8 +79,8 @@
     assert_eq!(budget.decide(units::MonoTime(0), attempt), retry::RetryVerdict::Retry);
 }
 
-/// Guards against wrongly counting attempts of which no upstream received any part. An upstream that rejected a request
-/// has received it.
+/// An attempt of which no upstream received any part counts neither as an attempt nor against the retry budget. An
+/// upstream that rejected a request has received it.
 #[test]
 fn only_failures_before_anything_was_sent_reached_no_upstream() {
     use retry::AttemptFailure;
--- a/crates/core/tests/search_budget.rs
+++ b/crates/core/tests/search_budget.rs
@@ -32,7 +32,7 @@
     (refused as f64 / REQUESTS as f64, total_tried as f64 / REQUESTS as f64)
 }
 
-/// Compares the budget with the earlier limit of two cells per request.
+/// Compares the budget with a fixed limit of two cells per request.
 #[test]
 fn no_more_requests_are_refused_than_with_a_fixed_number_of_cells() {
     for full in [1, 3, 5, 8, 10] {
