--- a/crates/core/tests/start_of_all.rs
+++ b/crates/core/tests/start_of_all.rs
@@ -6,7 +6,8 @@
 
 use virtual_start::{SourceChoice, VirtualStart};
 
-/// Numbers of members, and the time in milliseconds after the last start within which all must have the documents.
+/// Numbers of members of the simulated fleets, each with the time in milliseconds after the last start within which all
+/// members must have the documents.
 const SIZES: [(usize, u64); 3] = [(6, 500), (60, 500), (585, 500)];
 
 #[test]
@@ -39,8 +40,8 @@
     }
 }
 
-/// Compares with the former protocol, which fetches only the newest list and reads the store only once no new member joins:
-/// few members then serve all others.
+/// Compares with a protocol that fetches only the newest list and reads the store only once no new member joins: few
+/// members then serve all others.
 #[test]
 fn fetching_any_version_is_faster_than_waiting_for_the_newest() {
     let newest = VirtualStart::new(200, 0.0, SourceChoice::Newest, 3).run();
--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -29,7 +29,7 @@
 /// First and longest pause after a call that failed.
 const PAUSES: (time::Duration, time::Duration) =
     (time::Duration::from_millis(100), time::Duration::from_millis(800));
-/// Duration of a fetch of the differences from a member.
+/// Duration of a fetch of the differences between two revisions of the list from another member.
 const FETCH_TIME: time::Duration = time::Duration::from_millis(5);
 /// Start of the store's outage.
 const OUTAGE_START_MS: u64 = 20_000;
@@ -95,13 +95,13 @@
     learned_at: Option<units::MonoTime>,
 }
 
-/// The simulation.
+/// The members of a data centre and their store, which has an outage and is restored from an older copy.
 struct RestoreSimulation {
     random: ChaCha8Rng,
     now: units::MonoTime,
     events: event_queue::EventQueue<(usize, Step)>,
     members: Vec<Member>,
-    /// Interval between heartbeats.
+    /// Interval between the heartbeats of a member, which depends on the size of the whole fleet.
     interval: time::Duration,
     /// Number of calls to the store.
     calls: u32,
@@ -109,7 +109,7 @@
     reads: u32,
 }
 
-/// Result of a simulation.
+/// Result of [`RestoreSimulation::run`].
 #[derive(Debug)]
 struct RestoreOutcome {
     /// Time from the write of the change until the last member learned of it; `None` if a member did not.
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Applies a revision of the list; returns whether it is newer.
+    /// Applies a revision of the list if it is newer than the member's; returns whether it is.
     fn adopt(&mut self, own: usize, list: StoreRevision) -> bool {
         let member = &mut self.members[own];
         if list <= member.list {
