--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -25,7 +25,7 @@
     list
 }
 
-/// Number of usable upstreams.
+/// Number of upstreams of the service that may take new work.
 fn usable(list: &UpstreamList) -> usize {
     list.usable(&service()).len()
 }
@@ -123,12 +123,12 @@
     assert_eq!(list.changes(), count, "nothing new");
 }
 
-/// The entry of a start of an upstream.
+/// An entry of an upstream that names `started` as its start.
 fn start(number: u8, started: u64) -> UpstreamEntry {
     UpstreamEntry { name: name(number).with_start(ids::UpstreamStart(started)), ..entry(number) }
 }
 
-/// The present start of an upstream.
+/// The present start of an upstream; `None` if the upstream is not listed or its entry names no start.
 fn present(list: &UpstreamList, number: u8) -> Option<u64> {
     list.entry(&name(number)).and_then(|entry| entry.name.start()).map(|start| start.0)
 }
@@ -285,7 +285,7 @@
     time::Duration::ZERO
 }
 
-/// Records a backoff.
+/// Records that an upstream requests a backoff of `millis`; `now` is in milliseconds too.
 fn begin_backoff(list: &mut UpstreamList, now: u64, number: u8, millis: u64) {
     let requested = time::Duration::from_millis(millis);
     list.notices_mut().receive_backoff(at(now), &name(number), requested);
--- a/crates/core/tests/upstream_notice.rs
+++ b/crates/core/tests/upstream_notice.rs
@@ -33,7 +33,7 @@
     text.parse().expect("a name")
 }
 
-/// What may be sent to an upstream.
+/// Kinds of messages that the table permits to an upstream at `now`, in milliseconds.
 fn permitted(table: &NoticeTable, now: u64, upstream: &ids::UpstreamId) -> Vec<SendKind> {
     let permits = |kind: &SendKind| table.permits(at(now), upstream, *kind).is_ok();
     ALL_KINDS.into_iter().filter(permits).collect()
--- a/crates/core/tests/upstream_starts.rs
+++ b/crates/core/tests/upstream_starts.rs
@@ -104,7 +104,7 @@
         }
         list.update_start(at(now + 1), &name(1), ids::UpstreamStart(reported), at(now + 1));
         prop_assert!(list.is_present(&name(reported)));
-        // A single late write of an ended start does not replace it.
+        // A single late write of an ended start does not replace the reported one.
         let ended = list.take_ended_starts();
         if let Some(before) = ended.last().filter(|ended| ended.name != name(reported)) {
             let start = before.name.start().map_or(0, |start| start.0);
