--- a/crates/core/tests/support/event_queue.rs
+++ b/crates/core/tests/support/event_queue.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// A queue of scheduled events.
+/// Scheduled events, of which the earliest is removed first.
 #[derive(Debug)]
 pub(crate) struct EventQueue<T> {
     /// Sequence number of the last scheduled event.
@@ -45,7 +45,7 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Schedules an event.
+    /// Schedules an event at a time; it follows the events that are already scheduled for the same time.
     pub(crate) fn push(&mut self, at: units::MonoTime, event: T) {
         self.sequence += 1;
         self.events.push(QueuedEvent { at, sequence: self.sequence, event });
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -7,7 +7,7 @@
     ids, route_table, units,
 };
 
-/// Slots of an engine.
+/// Most requests that an engine answers concurrently.
 #[allow(dead_code, reason = "not every test file uses it")]
 pub(crate) const SLOTS: usize = 16;
 /// Memory of an engine, in tokens.
--- a/crates/core/tests/support/virtual_fleet.rs
+++ b/crates/core/tests/support/virtual_fleet.rs
@@ -58,14 +58,14 @@
     datagram: Option<Datagram>,
 }
 
-/// A simulated member.
+/// A member, with the state that it needs for each of the protocols.
 struct VirtualMember {
     /// Whether the member neither sends nor receives.
     silent: bool,
-    /// Side of the partition, 0 or 1.
+    /// Side of the partition, 0 or 1; the same for all members without a partition.
     side: u8,
     detector: FailureDetector,
-    /// When the last heartbeat of each other member arrived.
+    /// When the last heartbeat of each other member arrived; used by [`Protocol::Heartbeats`].
     last_heartbeats: Vec<units::MonoTime>,
     /// Members that random probes found silent, and when this member learned of each.
     known_silent: collections::BTreeMap<usize, units::MonoTime>,
@@ -75,7 +75,7 @@
     pending: Option<(usize, units::MonoTime)>,
 }
 
-/// The simulation.
+/// Members, with their timers and the datagrams in transit.
 pub(crate) struct VirtualFleet {
     protocol: Protocol,
     loss: f64,
@@ -129,7 +129,7 @@
         fleet
     }
 
-    /// Runs the simulation for a time.
+    /// Advances virtual time by `time` and handles the events that are due.
     pub(crate) fn run(&mut self, time: time::Duration) {
         let end = self.now + time;
         while let Some((at, event)) = self.events.pop_until(end) {
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Handles the timer of a member.
+    /// Sends what the protocol sends when a member's timer fires, and sets the next timer.
     fn handle_timer(&mut self, own: usize) {
         match self.protocol {
             Protocol::Heartbeats => {
@@ -311,7 +311,7 @@
         self.schedule(PROBE_INTERVAL, own, None, None);
     }
 
-    /// Recent results to send with a probe or an answer.
+    /// Members to name with a probe or an answer: at most eight that this member learned to be silent recently.
     fn piggybacked_results(&self, own: usize) -> Vec<usize> {
         let doublings = self.members.len().ilog2() + 1;
         let max_age = PROBE_INTERVAL * PIGGYBACK_PERIODS * doublings;
@@ -351,7 +351,7 @@
         }
     }
 
-    /// Broadcasts that a suspected member is live.
+    /// Broadcasts that a suspected member is live, at most once per [`REFUTATION_INTERVAL`].
     fn refute(&mut self, own: usize) {
         let refuted = self.members[own].refuted;
         if refuted.is_none_or(|refuted| self.now.since(refuted) >= REFUTATION_INTERVAL) {
@@ -380,7 +380,7 @@
     }
 }
 
-/// Interval between two timers of a member.
+/// Interval at which the timer of a member fires.
 fn interval(protocol: Protocol, members: usize) -> time::Duration {
     match protocol {
         Protocol::Heartbeats => MemberView::heartbeat_interval_of(members),
--- a/crates/core/tests/support/virtual_start.rs
+++ b/crates/core/tests/support/virtual_start.rs
@@ -23,7 +23,7 @@
 const DOCUMENT_BYTES_PER_MEMBER: usize = 24 * 2;
 /// Bandwidth of a member's link in bytes per millisecond, 20 Mbit/s.
 const LINK_BYTES_PER_MS: usize = 2_500;
-/// Most bytes that a member sends concurrently.
+/// Most bytes that a member sends concurrently if it serves more than eight fetches.
 const MAX_SENDING_BYTES: usize = 480 * 1024;
 /// Number of seed members, whose addresses every member knows when it starts.
 const SEED_COUNT: usize = 3;
@@ -41,7 +41,7 @@
     Newest,
 }
 
-/// Result of a simulation.
+/// Result of [`VirtualStart::run`].
 #[derive(Debug)]
 pub(crate) struct StartOutcome {
     /// Members without documents at the end.
@@ -86,7 +86,7 @@
     step: Step,
 }
 
-/// A simulated member.
+/// A member, which has no documents when it starts.
 struct StartingMember {
     view: MemberView,
     /// Whether the member is cut off from the other members and the store.
@@ -109,14 +109,14 @@
     served: usize,
 }
 
-/// The simulation.
+/// The members of a fleet that start together, and the state of the store.
 pub(crate) struct VirtualStart {
     choice: SourceChoice,
     random: ChaCha8Rng,
     now: units::MonoTime,
     events: event_queue::EventQueue<Event>,
     members: Vec<StartingMember>,
-    /// Size of the documents.
+    /// Size of the compressed documents of the whole fleet.
     bytes: usize,
     /// Revision of the list in the store.
     revision: u64,
