--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -114,7 +114,7 @@
     lost: u32,
     /// Attempts refused by an engine.
     refused_attempts: u32,
-    /// Granted places that the member could not use, as its gate denied the engine.
+    /// Granted places that the member could not use, as its list did not permit requests to the engine.
     denied_grants: u32,
 }
 
@@ -235,9 +235,9 @@
     })
 }
 
-/// Of 15,000 prompts, with three of six engines refusing 7 in 10, 67 were lost if a single request
-/// probes after a backoff and refused requests do not probe, and 130 if all members return at once. Without
-/// excluded engines in the requests for places, 307 of these were wasted.
+/// Of 15,000 prompts, with three of six engines refusing 7 in 10, 67 are lost if a single request
+/// probes after a backoff and refused requests do not probe, and 130 if all members return at once.
+/// If requests for places do not name the excluded engines, 307 granted places cannot be used.
 #[test]
 fn single_probes_after_a_backoff_lose_fewer_prompts_and_excluded_engines_are_not_granted() {
     for failures in [(1, 0.4), (2, 0.4), (2, 1.0), (3, 0.7)] {
--- a/crates/instance/tests/routes_history.rs
+++ b/crates/instance/tests/routes_history.rs
@@ -6,7 +6,8 @@
     routes_history::{RoutesCopy, RoutesHistory},
 };
 
-/// Routes of a version as an operator publishes them: many similar routes, and some keys without similarity.
+/// Routes of a version as an operator publishes them: 40 similar routes and `extra_routes` more, one of which differs
+/// between versions, and 400 keys that have little in common.
 fn routes(version: u64, extra_routes: usize) -> String {
     let route = |number: usize| {
         let timeout = if number == 7 { 100 * version } else { 800 };
--- a/crates/instance/tests/settings_cases.rs
+++ b/crates/instance/tests/settings_cases.rs
@@ -1,5 +1,5 @@
-//! Settings files of instances. Each case is a folder with `input.yaml` and a part of the expected outcome: `valid`, or the
-//! error message.
+//! Settings files of instances. Each case is a folder with a settings file `input.yaml` and a file `expected`, which
+//! contains `valid` or a part of the error message.
 
 use std::{fs, path};
 
--- a/crates/instance/tests/upstream_load.rs
+++ b/crates/instance/tests/upstream_load.rs
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 struct LoadOutcome {
     calls: u32,
-    /// Calls that failed at the first upstream while it failed.
+    /// Calls that failed because of the first upstream's fault.
     lost: u32,
     /// Lost calls that must not be repeated.
     lost_once: u32,
@@ -158,7 +158,7 @@
 };
 
 /// Returns the mean over ten seeds of the calls to the failing upstream, and of the calls lost there
-/// that must not be repeated. The other failed calls are repeated elsewhere.
+/// that must not be repeated. The others do not count as lost, as an instance repeats them elsewhere.
 fn mean(plan: LoadPlan) -> (f64, f64) {
     const SEEDS: u64 = 10;
     let outcomes: Vec<_> = (1..=SEEDS).map(|seed| simulate(plan, seed)).collect();
