--- a/crates/trial/tests/idempotency.rs
+++ b/crates/trial/tests/idempotency.rs
@@ -10,8 +10,8 @@
 use serde_json::json;
 use support::{Fleet, FleetConfig};
 
-/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a
-/// margin.
+/// Time after which a new scheduler votes on keys: the key retention of 5 s, doubled because
+/// instances' lists may lag behind each other, and a margin.
 const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 
 /// Starts a fleet with two upstreams of the service, and waits until its schedulers vote.
--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -31,7 +31,7 @@
     streaming: collections::BTreeMap<ids::AttemptId, placement::CapacityRequest>,
 }
 
-/// State of one simulation.
+/// Entries, a scheduler's ledger and an engine, with the messages in transit between them.
 struct Simulation {
     rng: rand_chacha::ChaCha8Rng,
     now: units::MonoTime,
--- a/crates/trial/tests/partition.rs
+++ b/crates/trial/tests/partition.rs
@@ -8,8 +8,8 @@
 
 use support::{Fleet, FleetConfig};
 
-/// Time after which a new scheduler votes on keys: key retention and list lag, 5 s each, and a
-/// margin.
+/// Time after which a new scheduler votes on keys: the key retention of 5 s, doubled because
+/// instances' lists may lag behind each other, and a margin.
 const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 /// Index of the first instance on the smaller side: 0 to 3 are on one side, 4 and 5 on the other.
 const SMALL_SIDE_START: usize = 4;
--- a/crates/trial/tests/support/mod.rs
+++ b/crates/trial/tests/support/mod.rs
@@ -53,7 +53,6 @@
         wait_until("the process exits", || self.child.try_wait().unwrap())
     }
 
-    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -111,7 +110,8 @@
     }
 }
 
-/// The running processes of a fleet, and the list that it publishes.
+/// The running processes of a fleet, and the list of its instances, engines and upstreams that
+/// [`Self::publish_list`] publishes.
 pub struct Fleet {
     pub platform: Process,
     /// Index of the first instance on the second platform, and that platform.
@@ -122,7 +122,7 @@
     pub services: Vec<Process>,
     pub instances: Vec<Instance>,
     dir: path::PathBuf,
-    /// Names that the published list marks as leaving.
+    /// Names of the instances, engines and upstreams that the published list marks as leaving.
     leaving: collections::BTreeSet<String>,
     /// The list without revision and states, and a flag `checks_keys` that is not published.
     list: Value,
@@ -470,7 +470,7 @@
     }
 }
 
-/// An HTTP response with its whole body.
+/// An HTTP response, with as much of its body as arrived.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -538,7 +538,8 @@
     stream.write_all(body)
 }
 
-/// Reads an HTTP response with a body of known length or in chunks.
+/// Reads an HTTP response with a body of known length or in chunks. Chunks that break off are no
+/// error, but clear [`Answer::ended`].
 pub fn read_answer(reader: &mut impl io::BufRead) -> io::Result<Answer> {
     let mut line = String::new();
     reader.read_line(&mut line)?;
