--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -169,7 +169,8 @@
     for number in [0, 1, 2] {
         fleet.restart(number);
     }
-    // The restarted instances abstain. The others recorded the first request, also those whose answers to it were lost.
+    // The restarted instances abstain, and the answer of instance 3 is lost. Instances 4 and 5 recorded the first request,
+    // although their answers to it were lost.
     assert!(!runs(&fleet.vote(2, |number| number == 3)));
     fleet.advance(WINDOW);
     assert!(runs(&fleet.vote(3, |_| false)));
--- a/crates/instance/tests/peer_message.rs
+++ b/crates/instance/tests/peer_message.rs
@@ -127,7 +127,7 @@
 }
 
 /// The largest messages about upstreams, with the longest names: a request that excludes a whole cell of engines, and a
-/// full message of leaving ones.
+/// message with the largest number of leaving engines.
 #[test]
 fn messages_about_many_upstreams_fit_a_datagram() {
     let longest_name = name("i-0123456789ab@1764633600000");
@@ -151,7 +151,8 @@
     assert!(single_message.len() <= 40);
 }
 
-/// Limits, requests for permits and their responses take few bytes each, and a full message of limits fits a datagram.
+/// Limits, requests for permits and their responses take few bytes each, and a message with the largest number of limits
+/// fits a datagram.
 #[test]
 fn messages_about_limits_are_small() {
     let upstream = name("i-0123456789ab@1764633600000");
