--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -34,8 +34,8 @@
 
 /// Sends a prompt every 20 ms to two engines: the first engine ends each prompt at once with `end`, the other one answers
 /// within about 250 ms. Returns the number of prompts that the first engine got.
-fn prompts_to_faulty(way: EngineFaultMode, end: PlaceEnd, prompts: u64) -> usize {
-    let modes = PlannerModes { engine_faults: way, ..Default::default() };
+fn prompts_to_faulty(mode: EngineFaultMode, end: PlaceEnd, prompts: u64) -> usize {
+    let modes = PlannerModes { engine_faults: mode, ..Default::default() };
     let mut planner = planner(2, modes);
     let mut count = 0;
     for number in 0..prompts {
--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -103,12 +103,12 @@
 }
 
 impl Simulation {
-    fn run(storm: Storm, way: CrashCountMode, seed: u64) -> Figures {
+    fn run(storm: Storm, mode: CrashCountMode, seed: u64) -> Figures {
         let mut simulation = Self {
             storm,
             random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             engines: vec![Engine::default(); ENGINES],
-            table: QuarantineTable::new(way),
+            table: QuarantineTable::new(mode),
             reports: Vec::new(),
             figures: Figures::default(),
             now: 0,
@@ -217,8 +217,8 @@
 const SEEDS: u64 = 5;
 
 /// Runs a storm with all seeds and adds the results up.
-fn sums(storm: Storm, way: CrashCountMode) -> Figures {
-    let all = (0..SEEDS).map(|seed| Simulation::run(storm, way, seed));
+fn sums(storm: Storm, mode: CrashCountMode) -> Figures {
+    let all = (0..SEEDS).map(|seed| Simulation::run(storm, mode, seed));
     let sum = all.reduce(|sum, next| Figures {
         harmless: sum.harmless + next.harmless,
         served: sum.served + next.served,
@@ -226,7 +226,7 @@
         crashed: sum.crashed + next.crashed,
     });
     let sum = sum.expect("there is at least one seed");
-    println!("{:28} {way:?}: {sum:?}", storm.name);
+    println!("{:28} {mode:?}: {sum:?}", storm.name);
     sum
 }
 
--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -51,7 +51,7 @@
     "models".parse().expect("a name")
 }
 
-fn list(way: BackoffReturnMode) -> UpstreamList {
+fn list(mode: BackoffReturnMode) -> UpstreamList {
     let entry = |number| UpstreamEntry {
         name: engine(number),
         service: service(),
@@ -63,7 +63,7 @@
     };
     let mut list = UpstreamList::default();
     list.replace(at(0), (0..ENGINES).map(entry).collect(), 1.into());
-    list.notices_mut().set_return_mode(way);
+    list.notices_mut().set_return_mode(mode);
     list
 }
 
@@ -199,13 +199,13 @@
 }
 
 fn simulate(
-    way: BackoffReturnMode,
+    mode: BackoffReturnMode,
     closed: ClosedEngineMode,
     (failing_engines, refused_fraction): (usize, f64),
     seed: u64,
 ) -> Outcome {
     let mut simulation = Simulation {
-        lists: (0..MEMBERS).map(|_| list(way)).collect(),
+        lists: (0..MEMBERS).map(|_| list(mode)).collect(),
         planner: planner(),
         due: collections::BTreeMap::new(),
         random: ChaCha8Rng::seed_from_u64(seed),
@@ -224,8 +224,8 @@
     simulation.outcome
 }
 
-fn sum(way: BackoffReturnMode, closed: ClosedEngineMode, failures: (usize, f64)) -> Outcome {
-    let runs = (0..10).map(|seed| simulate(way, closed, failures, seed));
+fn sum(mode: BackoffReturnMode, closed: ClosedEngineMode, failures: (usize, f64)) -> Outcome {
+    let runs = (0..10).map(|seed| simulate(mode, closed, failures, seed));
     runs.fold(Outcome::default(), |sum, one| Outcome {
         sent: sum.sent + one.sent,
         refused: sum.refused + one.refused,
--- a/crates/instance/tests/upstream_shares.rs
+++ b/crates/instance/tests/upstream_shares.rs
@@ -85,12 +85,12 @@
     }
 }
 
-fn simulate(way: LoadChoiceMode, plan: SharePlan, seed: u64) -> ShareFigures {
+fn simulate(mode: LoadChoiceMode, plan: SharePlan, seed: u64) -> ShareFigures {
     let entries: Vec<_> = (0..UPSTREAMS).map(entry).collect();
     let usable: Vec<_> = entries.iter().collect();
     let own = "dc".parse().expect("a valid name");
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-    let loads = |number: usize| UpstreamLoads::new(way, &format!("i{number}"));
+    let loads = |number: usize| UpstreamLoads::new(mode, &format!("i{number}"));
     let mut loads: Vec<_> = (0..plan.instances).map(loads).collect();
     let work = |number: usize| if number == 0 { WORK_MS * plan.slowdown } else { WORK_MS };
     let new = |number| SimulatedUpstream {
@@ -133,15 +133,15 @@
 }
 
 /// Returns the mean figures over three seeds.
-fn mean(way: LoadChoiceMode, plan: SharePlan) -> ShareFigures {
+fn mean(mode: LoadChoiceMode, plan: SharePlan) -> ShareFigures {
     const SEEDS: u64 = 3;
-    let runs: Vec<_> = (0..SEEDS).map(|seed| simulate(way, plan, seed)).collect();
+    let runs: Vec<_> = (0..SEEDS).map(|seed| simulate(mode, plan, seed)).collect();
     let mean =
         |figure: fn(&ShareFigures) -> f64| runs.iter().map(figure).sum::<f64>() / SEEDS as f64;
     ShareFigures { busiest: mean(|run| run.busiest), late: mean(|run| run.late) }
 }
 
-const WAYS: [LoadChoiceMode; 4] = [
+const MODES: [LoadChoiceMode; 4] = [
     LoadChoiceMode::First,
     LoadChoiceMode::Random,
     LoadChoiceMode::TwoChoices,
@@ -155,12 +155,12 @@
     for instances in [6, 60, 300] {
         for reports_load in [false, true] {
             let plan = SharePlan { instances, load: 0.3, reports_load, slowdown: 1 };
-            for way in WAYS {
-                let figures = mean(way, plan);
+            for mode in MODES {
+                let figures = mean(mode, plan);
                 println!(
-                    "{way:?}, {instances} instances, load reported {reports_load}: {figures:?}"
+                    "{mode:?}, {instances} instances, load reported {reports_load}: {figures:?}"
                 );
-                if way == LoadChoiceMode::default() {
+                if mode == LoadChoiceMode::default() {
                     assert!(figures.busiest <= EQUAL, "{instances}, {reports_load}: {figures:?}");
                 }
             }
@@ -174,8 +174,8 @@
     for (load, slowdown) in [(0.7, 1), (0.9, 1), (0.7, 3), (0.5, 8)] {
         for (instances, reports_load) in [(6, true), (60, true), (300, true), (60, false)] {
             let plan = SharePlan { instances, load, reports_load, slowdown };
-            let late = |way| mean(way, plan).late;
-            let all: Vec<_> = WAYS.iter().map(|way| late(*way)).collect();
+            let late = |mode| mean(mode, plan).late;
+            let all: Vec<_> = MODES.iter().map(|mode| late(*mode)).collect();
             println!(
                 "load {load}, slowdown {slowdown}, {instances} instances, load reported {reports_load}: late {all:.3?}"
             );
