--- a/crates/core/tests/failure_detector.rs
+++ b/crates/core/tests/failure_detector.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// With 1% of the datagrams lost no member is suspected, and a member that was paused is trusted again.
+/// With 1% of the datagrams lost no member is suspected, and a paused member is trusted again once it resumes.
 #[test]
 fn packet_loss_alone_causes_no_suspicion() {
     for members in [60, 585] {
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -112,8 +112,8 @@
     assert_eq!(next.engine, starts[1]);
 }
 
-/// An engine gets up to two requests more than its packing target, as overpacking it costs more than an empty engine only
-/// then. So both packing variants fill all of eight slots, although the target of the slot share is seven.
+/// An engine gets requests beyond its packing target until overpacking it costs more than using an empty engine, which is
+/// after up to two. So both packing variants fill all of eight slots, although the target of the slot share is seven.
 #[test]
 fn packing_fills_an_engine_up_to_two_beyond_its_target() {
     // The largest number of prompts on one engine with 8 slots, when 8 prompts arrive slowly.
--- a/crates/core/tests/retry_schedule.rs
+++ b/crates/core/tests/retry_schedule.rs
@@ -17,7 +17,8 @@
     assert_eq!(schedule.next(at(9_000), 4.0).as_millis(), 500);
 }
 
-/// A Retry-After of minutes would be useless: in place of times beyond ten seconds, callers get random ones from 5 to 10 s.
+/// A Retry-After of minutes would be useless: in place of times beyond ten seconds callers get random times of 5 to
+/// 10 s.
 #[test]
 fn retry_after_is_at_most_ten_seconds_and_spread() {
     let mut schedule = RetrySchedule::default();
--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -181,7 +181,7 @@
         if self.model.start(request) {
             self.entries[entry].streaming.insert(attempt.clone(), capacity_request);
             if self.random_bool(0.1) {
-                // A hanging engine never finishes the attempt and keeps its memory.
+                // The engine never finishes a hanging attempt, and keeps its memory.
                 self.model.hang(attempt.as_str());
             }
         } else {
