--- a/crates/core/tests/failure_detector.rs
+++ b/crates/core/tests/failure_detector.rs
@@ -10,7 +10,7 @@
 
 use virtual_fleet::{Protocol, VirtualFleet};
 
-/// Numbers of members.
+/// Numbers of members of the simulated fleets.
 const SIZES: [usize; 5] = [6, 60, 300, 585, 1_170];
 /// Share of the datagrams that are lost.
 const LOSS: f64 = 0.01;
@@ -71,7 +71,7 @@
     }
 }
 
-/// With 1% of the datagrams lost no member is suspected, and a member that was paused is trusted again.
+/// With 1% of the datagrams lost no member is suspected, and a paused member is trusted again once it resumes.
 #[test]
 fn packet_loss_alone_causes_no_suspicion() {
     for members in [60, 585] {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Half the members fail at once, among them monitors of each other.
+/// Half the members fail at once, so many of them fail together with members that monitor them.
 #[test]
 fn members_that_fail_together_with_their_monitors_are_detected() {
     let members = 585;
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -34,8 +34,8 @@
 
 /// Sends a prompt every 20 ms to two engines: the first engine ends each prompt at once with `end`, the other one answers
 /// within about 250 ms. Returns the number of prompts that the first engine got.
-fn prompts_to_faulty(way: EngineFaultMode, end: PlaceEnd, prompts: u64) -> usize {
-    let modes = PlannerModes { engine_faults: way, ..Default::default() };
+fn prompts_to_faulty(mode: EngineFaultMode, end: PlaceEnd, prompts: u64) -> usize {
+    let modes = PlannerModes { engine_faults: mode, ..Default::default() };
     let mut planner = planner(2, modes);
     let mut count = 0;
     for number in 0..prompts {
@@ -112,8 +112,8 @@
     assert_eq!(next.engine, starts[1]);
 }
 
-/// An engine gets up to two requests more than its packing target, until the loss of overpacking exceeds that of an
-/// empty engine. So both packing variants fill all of eight slots, although the target of the slot share is seven.
+/// An engine gets requests beyond its packing target until overpacking it costs more than using an empty engine, which is
+/// after up to two. So both packing variants fill all of eight slots, although the target of the slot share is seven.
 #[test]
 fn packing_fills_an_engine_up_to_two_beyond_its_target() {
     // The largest number of prompts on one engine with 8 slots, when 8 prompts arrive slowly.
--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -51,7 +51,7 @@
     "models".parse().expect("a name")
 }
 
-fn list(way: BackoffReturnMode) -> UpstreamList {
+fn list(mode: BackoffReturnMode) -> UpstreamList {
     let entry = |number| UpstreamEntry {
         name: engine(number),
         service: service(),
@@ -63,7 +63,7 @@
     };
     let mut list = UpstreamList::default();
     list.replace(at(0), (0..ENGINES).map(entry).collect(), 1.into());
-    list.notices_mut().set_return_mode(way);
+    list.notices_mut().set_return_mode(mode);
     list
 }
 
@@ -114,7 +114,7 @@
     lost: u32,
     /// Attempts refused by an engine.
     refused_attempts: u32,
-    /// Granted places that the member could not use, as its gate denied the engine.
+    /// Granted places that the member could not use, as its list did not permit requests to the engine.
     denied_grants: u32,
 }
 
@@ -199,13 +199,13 @@
 }
 
 fn simulate(
-    way: BackoffReturnMode,
+    mode: BackoffReturnMode,
     closed: ClosedEngineMode,
     (failing_engines, refused_fraction): (usize, f64),
     seed: u64,
 ) -> Outcome {
     let mut simulation = Simulation {
-        lists: (0..MEMBERS).map(|_| list(way)).collect(),
+        lists: (0..MEMBERS).map(|_| list(mode)).collect(),
         planner: planner(),
         due: collections::BTreeMap::new(),
         random: ChaCha8Rng::seed_from_u64(seed),
@@ -224,8 +224,8 @@
     simulation.outcome
 }
 
-fn sum(way: BackoffReturnMode, closed: ClosedEngineMode, failures: (usize, f64)) -> Outcome {
-    let runs = (0..10).map(|seed| simulate(way, closed, failures, seed));
+fn sum(mode: BackoffReturnMode, closed: ClosedEngineMode, failures: (usize, f64)) -> Outcome {
+    let runs = (0..10).map(|seed| simulate(mode, closed, failures, seed));
     runs.fold(Outcome::default(), |sum, one| Outcome {
         sent: sum.sent + one.sent,
         refused: sum.refused + one.refused,
@@ -235,9 +235,9 @@
     })
 }
 
-/// Of 15,000 prompts, with three of six engines refusing 7 in 10, 67 were lost if a single request
-/// probes after a backoff and refused requests do not probe, and 130 if all members return at once. Without
-/// excluded engines in the requests for places, 307 of these were wasted.
+/// Of 15,000 prompts, with three of six engines refusing 7 in 10, 67 are lost if a single request
+/// probes after a backoff and refused requests do not probe, and 130 if all members return at once.
+/// If requests for places do not name the excluded engines, 307 granted places cannot be used.
 #[test]
 fn single_probes_after_a_backoff_lose_fewer_prompts_and_excluded_engines_are_not_granted() {
     for failures in [(1, 0.4), (2, 0.4), (2, 1.0), (3, 0.7)] {
--- a/crates/trial/tests/ledger_simulation.rs
+++ b/crates/trial/tests/ledger_simulation.rs
@@ -31,7 +31,7 @@
     streaming: collections::BTreeMap<ids::AttemptId, placement::CapacityRequest>,
 }
 
-/// State of one simulation.
+/// Entries, a scheduler's ledger and an engine, with the messages in transit between them.
 struct Simulation {
     rng: rand_chacha::ChaCha8Rng,
     now: units::MonoTime,
@@ -181,7 +181,7 @@
         if self.model.start(request) {
             self.entries[entry].streaming.insert(attempt.clone(), capacity_request);
             if self.random_bool(0.1) {
-                // A hanging engine never finishes the attempt and keeps its memory.
+                // The engine never finishes a hanging attempt, and keeps its memory.
                 self.model.hang(attempt.as_str());
             }
         } else {
