--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -169,7 +169,7 @@
 ) -> Result<ConnectionNext, h1::MessageError> {
     let limits = context.fleet.borrow().routes.limits;
     if !reader.has_unread_bytes() {
-        reader.rest();
+        reader.free_empty_buffer();
         let next_bytes = std::pin::pin!(monoio::time::timeout(limits.idle, reader.fill()));
         match future::select(next_bytes, context.closing.clone()).await {
             future::Either::Left((Ok(filled), _)) => {
--- a/crates/instance/src/document_call.rs
+++ b/crates/instance/src/document_call.rs
@@ -157,6 +157,6 @@
     let body = reader.whole_body(&mut framing, MAX_DOCUMENT_BYTES).await.context(MessageSnafu)?;
     let reusable =
         !until_close && !h1::closes(head.version, &head.headers) && !reader.has_unread_bytes();
-    reader.rest();
+    reader.free_empty_buffer();
     Ok((HttpResponse { head, body }, reusable))
 }
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -74,7 +74,7 @@
         if answer.send(&mut writer, close).await.is_err() || close {
             return;
         }
-        reader.rest();
+        reader.free_empty_buffer();
     }
 }
 
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -164,7 +164,7 @@
         if connection.reader.has_unread_bytes() {
             return;
         }
-        connection.reader.rest();
+        connection.reader.free_empty_buffer();
         connection.used = true;
         connection.times.receive();
         let idle_time = keep_alive.map_or(MAX_IDLE_TIME, |keep_alive| {
--- a/crates/net/src/h1.rs
+++ b/crates/net/src/h1.rs
@@ -119,7 +119,7 @@
     }
 
     /// Frees the memory of the buffer if it is empty. Called before a connection becomes idle.
-    pub fn rest(&mut self) {
+    pub fn free_empty_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
