--- a/crates/core/src/class_worth.rs
+++ b/crates/core/src/class_worth.rs
@@ -1,20 +1,22 @@
-//! Relative worth of streamed requests, from the published goals and the observed prompt lengths. Planners weigh
-//! requests that compete for engine time by their worth.
+//! Relative worth of requests with streamed answers. Planners weigh requests that compete for engine time by their
+//! worth.
 //!
-//! The worth of a class is the geometric mean of two ratios to the service's most urgent class: that of the
-//! first-token goals and that of the mean prompt lengths. Within a class, worth grows with the prompt length.
+//! The worth of a class is relative to the most urgent class of its service, the one with the shortest first-token
+//! goal. It is the geometric mean of two ratios: that of the first-token goals, which are published, and that of the
+//! mean prompt lengths, which are observed. Within a class, worth grows with the prompt length.
 
 use std::{collections, time};
 
 use crate::ids;
 
-/// Fraction of its class's worth that even an empty prompt has; the rest grows with the prompt length.
+/// Fraction of the worth of a class that an empty prompt of the class has; the rest grows with the prompt length.
 const BASE_FRACTION: f64 = 0.3;
 /// Range to which the worth of a class is clamped, in case of a goal of zero.
 const WORTH_RANGE: (f64, f64) = (0.1, 1_000.0);
 /// Smallest weight of the newest prompt in a mean, so that a mean of many prompts becomes a moving average.
 const MEAN_WEIGHT: f64 = 0.02;
-/// Largest number of classes with a mean. Beyond it all are dropped, as deleted routes leave their classes behind.
+/// Largest number of classes with a mean. At the limit, a new class clears the means of all classes: nothing else
+/// removes the classes of deleted routes.
 const MAX_CLASSES: usize = 1_024;
 
 /// The properties of a request that determine its worth.
@@ -22,11 +24,11 @@
 pub struct WorthQuery<'a> {
     /// Class of the request; the prompts of a class share one mean length.
     pub class: &'a ids::ClassId,
-    /// Service that the request is for.
+    /// Service of the request; its most urgent class is the reference for the worth.
     pub service: &'a ids::ServiceId,
     /// Prompt length, tokens.
     pub prompt: u64,
-    /// First-token goal of the class.
+    /// Latency goal of the class for the first token.
     pub goal: time::Duration,
     /// Shortest first-token goal of the service.
     pub shortest_goal: time::Duration,
@@ -52,7 +54,7 @@
 pub struct ClassWorth {
     /// Mean prompt length of each class.
     classes: collections::HashMap<ids::ClassId, PromptMean>,
-    /// Mean prompt length of each service's most urgent requests.
+    /// Mean prompt length, by service, of the requests with the shortest first-token goal of their service.
     urgent: collections::HashMap<ids::ServiceId, PromptMean>,
 }
 
--- a/crates/core/src/cold_start.rs
+++ b/crates/core/src/cold_start.rs
@@ -28,7 +28,7 @@
     pub duration: time::Duration,
 }
 
-/// The period in which an upstream is cold.
+/// The period after an upstream's start in which its request rate is limited.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdPhase {
     /// When this process learned of the phase.
@@ -37,8 +37,8 @@
     pub until: units::MonoTime,
 }
 
-/// Cold phases of upstreams. An upstream name includes its start (one life of its process), so a restarted upstream
-/// has its own entry.
+/// Cold phases by upstream. A restarted upstream has an entry of its own, because the name of an upstream includes the
+/// time at which its process started, if the upstream reports it.
 #[derive(Debug, Default)]
 pub(crate) struct ColdTable {
     mode: ColdUpstreamMode,
@@ -109,7 +109,8 @@
         self.phases.keys()
     }
 
-    /// Number of changes so far by which a limit may have changed.
+    /// Number of changes so far to the policies and phases, which determine the limits. Changes of the mode don't
+    /// count.
     pub(crate) fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -26,7 +26,7 @@
     pub offer: String,
 }
 
-/// An attempt to serve a request.
+/// An attempt to serve a request: the target, the other candidates and the outcome.
 #[derive(Debug, Clone, Serialize)]
 pub struct AttemptRow {
     /// Attempt id, as sent to the upstream.
@@ -35,7 +35,7 @@
     pub target: String,
     /// Engines or upstreams among which the target was chosen.
     pub candidates: Vec<CandidateRow>,
-    /// Why the target was chosen.
+    /// Why the target was chosen, as text for operators.
     pub reason: String,
     /// Time for which the attempt waited for a placement, in milliseconds.
     pub waited_ms: u64,
@@ -50,7 +50,7 @@
     pub request: ids::RequestId,
     /// Request id that the caller sent; `None` if it sent none.
     pub caller_request: Option<String>,
-    /// Path of the HTTP request.
+    /// Path of the HTTP request, without its query.
     pub path: String,
     /// Customer that the request belongs to; `None` until the settings are resolved.
     pub customer: Option<ids::CustomerId>,
@@ -79,7 +79,7 @@
 }
 
 impl DecisionRecord {
-    /// Creates the record of a new request.
+    /// Creates the record of a request whose settings are not resolved yet.
     pub fn new(request: ids::RequestId, caller_request: Option<String>, path: String) -> Self {
         Self {
             request,
@@ -121,7 +121,7 @@
 }
 
 impl DecisionLog {
-    /// Creates a log of at most `limit` records; at least one.
+    /// Creates a log of at most `limit` records; a `limit` of 0 counts as 1.
     pub fn new(limit: usize) -> Self {
         Self { limit: limit.max(1), records: collections::VecDeque::new() }
     }
@@ -142,7 +142,7 @@
         self.records.iter().rev().find(matches).cloned()
     }
 
-    /// Number of records held.
+    /// Number of records held, at most the limit of the log.
     pub fn len(&self) -> usize {
         self.records.len()
     }
--- a/crates/core/src/engine_directory.rs
+++ b/crates/core/src/engine_directory.rs
@@ -1,4 +1,4 @@
-//! Selection of engines from the published list, from the point of view of one entry.
+//! Selection of engines from the published list by an instance that serves a caller's request.
 
 use std::{collections, net};
 
@@ -6,16 +6,16 @@
 
 use crate::{fleet_list, ids, rendezvous, settings, units};
 
-/// Addresses of an engine and of its scheduler, with the properties that an entry needs to choose the engine.
+/// Addresses of an engine and of its scheduler, with the properties by which an instance chooses an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineTarget {
-    /// Name of the engine.
+    /// Name of the engine in the published list.
     pub engine: ids::EngineId,
     /// Address at which the engine takes requests.
     pub address: net::SocketAddr,
     /// Address of the scheduler on the instance that owns the engine.
     pub scheduler: net::SocketAddr,
-    /// Whether the engine is in this entry's data centre.
+    /// Whether the engine is in the data centre of the instance that chooses.
     pub near: bool,
     /// KV cache capacity of the engine.
     pub memory: units::TokenCount,
@@ -23,7 +23,7 @@
     pub warm: bool,
 }
 
-/// The engines of a list, seen from one data centre.
+/// The engines of a published list, for the choice by an instance in one data centre.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineDirectory<'list> {
     list: &'list fleet_list::FleetList,
@@ -31,13 +31,13 @@
 }
 
 impl<'list> EngineDirectory<'list> {
-    /// Creates a directory of the engines of `list`, seen from `data_center`.
+    /// Creates a directory of the engines of `list` for an instance in `data_center`.
     pub fn new(list: &'list fleet_list::FleetList, data_center: &'list ids::DataCenterId) -> Self {
         Self { list, data_center }
     }
 
-    /// The fraction `share` of the live engines of a model, but at least one; every entry with the same list gets the
-    /// same engines.
+    /// The fraction `share` of the live engines of a model, but at least one; every instance with the same list gets
+    /// the same engines.
     pub fn share_of(
         &self,
         model: &ids::ModelId,
@@ -52,7 +52,8 @@
         ranked.into_iter().take(count.max(1)).collect()
     }
 
-    /// Samples from the `open` engines: the `warm` one if it is among them, one of this data centre, and random others.
+    /// Samples candidates from the engines `open`: the engine named `warm` if it is among them, a random engine of this
+    /// data centre, and random engines of any data centre.
     ///
     /// Returns at most `count` engines, plus one if `warm` is given.
     pub fn sample(
@@ -74,7 +75,8 @@
         picked
     }
 
-    /// Resolves an engine and its owner to a target; `None` if no instance is live.
+    /// Returns the addresses of an engine and of the scheduler that owns it. `None` if no instance is live, because
+    /// then no scheduler owns the engine.
     pub fn target(
         &self,
         engine: &fleet_list::EngineRecord,
@@ -94,7 +96,7 @@
     /// Groups of engines, each within one data centre, whose members together can hold `need`; at most
     /// `fleet.group_limit` for each data centre.
     ///
-    /// Groups of one size are disjoint, because all entries split the list in the same order. Groups of different
+    /// Groups of one size are disjoint, because all instances split the list in the same order. Groups of different
     /// sizes may overlap. Members are sorted by name and acquired in this order, so that two prompts cannot deadlock.
     pub fn groups(
         &self,
