--- a/crates/core/src/engine_estimate.rs
+++ b/crates/core/src/engine_estimate.rs
@@ -37,8 +37,9 @@
 
     /// Refuses a medium or long request if the engine cannot work through the whole queue in time.
     ///
-    /// Shorter requests may go before this request until it is overdue; from then on it goes before all that arrive
-    /// later. So all queued work must fit into the time between the overdue time and the latest start of the request.
+    /// Shorter requests may go before this request until it is overdue, which is the case once a fraction
+    /// [`engine_ledger::OVERDUE_FRACTION`] of the time until its latest start has passed; from then on it goes before
+    /// all that arrive later. So all queued work must fit into the time between these two moments.
     fn check_backlog(
         &self,
         now: units::MonoTime,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Expected time until the first token of a request.
+    /// Expected time until the first token of a request that arrives now.
     pub(crate) fn first_token(
         &mut self,
         now: units::MonoTime,
@@ -85,7 +86,8 @@
     }
 
     /// Expected time until enough leases end to free the memory for a request; each lease is expected to end after its
-    /// remaining prefill and half its longest answer. The orphan grace period if all leases together free too little.
+    /// remaining prefill and half the duration of its longest answer. If all leases together free too little, the
+    /// result is the grace period after which orphans (attempts that the engine holds without a lease) are cancelled.
     fn memory_wait(&self, request: &placement::CapacityRequest) -> time::Duration {
         let mut ends: Vec<_> = self
             .leases
--- a/crates/core/src/engine_ledger.rs
+++ b/crates/core/src/engine_ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! The engine's report is authoritative: memory counts as free only once a lease is gone and the engine no longer
 //! lists the attempt. A ledger that starts empty, as after a crash, is rebuilt from the engine's reports and from the
-//! renewals of entries that are still streaming.
+//! lease renewals of the instances that are still streaming answers.
 
 use std::{collections, time};
 
@@ -16,9 +16,10 @@
 const REPORT_LIMIT: time::Duration = time::Duration::from_secs(3);
 /// How long the engine's reports may still list an attempt after its release.
 const RELEASE_LAG: time::Duration = time::Duration::from_secs(2);
-/// How far back the history of prefill work reaches. Older reports are compared with its oldest entry.
+/// How long earlier values of the leases' remaining prefill are kept. A report of an older state of the engine is
+/// compared with the oldest value.
 const HISTORY_SPAN: time::Duration = time::Duration::from_secs(5);
-/// Fraction of the time until its latest start after which a waiting request counts as overdue.
+/// Fraction of the time from the arrival of a request to its latest start after which the request counts as overdue.
 pub(crate) const OVERDUE_FRACTION: f64 = 0.5;
 /// How long a lease is kept after the request's time limit, while a cancel may still be on its way.
 const LEASE_MARGIN: time::Duration = time::Duration::from_secs(2);
@@ -30,7 +31,7 @@
     pub(crate) rank: service_rank::ServiceRank,
     /// Estimated number of prompt tokens that are not prefilled yet. Never increases.
     pub(crate) prefill_left: f64,
-    /// When the entry last confirmed that it is still streaming the answer.
+    /// When the instance that sent the request last confirmed that it is still streaming the answer.
     pub(crate) renewed: units::MonoTime,
 }
 
@@ -59,8 +60,8 @@
     pub(crate) shares: service_rank::ShareMeter,
     /// Prefill work that the engine reported beyond that of the leases, tokens.
     pub(crate) foreign_prefill: f64,
-    /// Prefill work of the leases at earlier times, oldest first, so that a report can be compared with the state at
-    /// its own time. Invariant: reaches back [`HISTORY_SPAN`] at most.
+    /// Remaining prefill of all leases at earlier times, tokens, oldest first. A report is compared with the value at
+    /// the time of the reported state. Invariant: reaches back [`HISTORY_SPAN`] at most.
     pub(crate) history: collections::VecDeque<(units::MonoTime, f64)>,
     /// Time up to which the engine's prefill has been simulated.
     pub(crate) advanced: units::MonoTime,
@@ -200,10 +201,10 @@
         self.advance(now)
     }
 
-    /// Renews the leases of the attempts that an entry is still streaming, and ends its other leases; those of the same
-    /// `boot` only after `RELEASE_LAG` without renewal.
+    /// Renews the leases of the attempts that an instance is still streaming, and ends the instance's other leases. A
+    /// lease that was granted under the same `boot` id ends only `RELEASE_LAG` after its last renewal.
     ///
-    /// Attempts without a lease are adopted, because the ledger may have started after them.
+    /// A streaming attempt without a lease gets one, because the attempt may be older than this ledger.
     pub fn renew(
         &mut self,
         now: units::MonoTime,
@@ -284,7 +285,8 @@
         self.leases.entry(request.attempt.clone()).or_insert_with(adopted).renewed = now;
     }
 
-    /// Updates the orphans from the attempts in a report made at `report_time`.
+    /// Replaces the orphans (attempts that the engine holds without a lease) by those in a report of the engine's state
+    /// at `report_time`. Attempts that were released less than [`RELEASE_LAG`] before are left out.
     fn update_orphans(
         &mut self,
         now: units::MonoTime,
@@ -383,7 +385,8 @@
             .collect()
     }
 
-    /// Ends a lease that its entry has not released. Its memory becomes an orphan, as the engine may still hold it.
+    /// Ends a lease that was not released. The memory counts as held by an orphan (an attempt without a lease), as the
+    /// engine may still hold it.
     fn drop_lease(&mut self, now: units::MonoTime, attempt: &ids::AttemptId) {
         let Some(lease) = self.leases.remove(attempt) else {
             return;
@@ -395,7 +398,7 @@
 
     fn grant_waiting(&mut self, now: units::MonoTime) -> Vec<placement::LedgerAction> {
         let mut actions = Vec::new();
-        // After a pause of this process, the ledger is outdated until the engine has reported.
+        // After a pause of this process, the ledger is outdated, so nothing is granted until the engine has reported.
         while self.reachable(now) && !self.queue.is_empty() {
             let mut free_capacity = self.free_capacity();
             let over_share = self.waiting_over_share(now);
--- a/crates/core/src/free_capacity.rs
+++ b/crates/core/src/free_capacity.rs
@@ -5,13 +5,13 @@
 /// Free capacity of an engine while its queue is searched for the next request to start.
 #[derive(Debug)]
 pub(crate) struct FreeCapacity {
-    /// Memory neither leased nor held by an orphan.
+    /// Memory neither leased nor held by an orphan (an attempt that the engine holds without a lease).
     pub(crate) free: units::TokenCount,
     /// Part of the memory that only short requests may use.
     pub(crate) headroom: units::TokenCount,
     /// Number of requests that may still start on the engine.
     pub(crate) slots: usize,
-    /// Whether the engine runs a request of a group of engines that serve a prompt together; a second one must wait.
+    /// Whether the engine runs a request that a group of engines serves together; another such request must wait.
     pub(crate) grouped: bool,
     /// Remaining prefill of each lease in tokens, with its rank.
     pub(crate) prefills: Vec<(service_rank::ServiceRank, f64)>,
@@ -24,7 +24,7 @@
 }
 
 impl FreeCapacity {
-    /// Whether a waiting request can start now; reserves the capacity for it if it is overdue and cannot.
+    /// Whether a waiting request can start now. If an overdue request that is not short cannot, sets `reserved`.
     pub(crate) fn fits(
         &mut self,
         request: &placement::CapacityRequest,
@@ -56,7 +56,7 @@
     /// Whether the prefill backlog ahead of a request is small enough for it to start.
     ///
     /// Requests beyond the limit wait in the queue, where they can still be reordered. An engine prefills one long
-    /// prompt at a time; another long prompt may start only if it has precedence over that one on the engine.
+    /// prompt at a time; another long prompt may start only if the engine prefills it before the running one.
     fn is_within_prefill_limit(&self, rank: service_rank::ServiceRank) -> bool {
         let before = self.prefills.iter().filter(|(other, left)| *other <= rank && *left > 0.0);
         if rank.band == service_rank::LengthBand::Long {
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of an engine ledger: requests from entries, reports from engines, and the resulting actions.
+//! Inputs and outputs of an engine ledger: requests from instances, reports from engines, and the resulting actions.
 
 use std::time;
 
@@ -7,13 +7,13 @@
 /// A request for capacity on an engine.
 #[derive(Debug, Clone)]
 pub struct CapacityRequest {
-    /// Attempt that needs the capacity.
+    /// Attempt that needs the capacity, under whose id the lease is granted and the engine reports memory.
     pub attempt: ids::AttemptId,
-    /// Entry that sends the request.
+    /// Instance that sends the request and renews the lease.
     pub entry: ids::InstanceId,
-    /// Boot id of that entry.
+    /// Boot id of the instance that sends the request, which changes with each restart.
     pub boot: ids::BootId,
-    /// Customer that the request belongs to.
+    /// Customer that the request belongs to, for fair queueing between customers.
     pub customer: ids::CustomerId,
     /// Weight of the customer in fair queueing.
     pub weight: f64,
@@ -43,7 +43,7 @@
 /// A load report of an engine.
 #[derive(Debug, Clone, Default)]
 pub struct EngineReport {
-    /// Whether the engine accepts no new work.
+    /// Whether the engine accepts no new work; the ledger then refuses all waiting requests.
     pub draining: bool,
     /// Total memory of the engine; zero if unknown.
     pub memory: units::TokenCount,
@@ -58,7 +58,7 @@
 /// An action requested by the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerAction {
-    /// The entry may start the attempt, with this rank.
+    /// The instance may start the attempt; the rank is the order in which the engine serves it.
     Grant(ids::AttemptId, service_rank::ServiceRank),
     /// The attempt gets no capacity, for the reason in the refusal.
     Refuse(ids::AttemptId, refusal::RequestRefusal),
@@ -69,7 +69,7 @@
 /// Reason for cancelling an attempt on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelReason {
-    /// The entry has not renewed the lease within the grace period.
+    /// The instance that sent the request has not renewed the lease within the grace period.
     EntrySilent,
     /// The time limit of the request has passed.
     PastLimit,
