--- a/crates/core/src/engine_place.rs
+++ b/crates/core/src/engine_place.rs
@@ -1,5 +1,5 @@
-//! Messages between members and planners about placements. A placement assigns a request to the engine that answers
-//! it, and to helpers, which are engines that prefill parts of its prompt.
+//! Messages between members (instances of the fleet) and planners about placements. A placement assigns a request to
+//! the engine that answers it, and to helpers, which are engines that prefill parts of its prompt.
 
 use std::{fmt, time};
 
@@ -10,7 +10,7 @@
 /// Largest number of helpers for one prompt; engines accept no more.
 pub const MAX_HELPERS: usize = 16;
 
-/// Identifies an attempt at a planner; unique across all members and their restarts.
+/// Identifies an attempt in messages to and from planners; unique across all members and their restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId {
     /// Boot id of the member that holds the caller's connection.
@@ -22,13 +22,13 @@
 /// A member's request to place an attempt on the engines of a planner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacementRequest {
-    /// The attempt to place.
+    /// The attempt to place. A repeated request for a placed attempt gets the same answer.
     pub job: JobId,
     /// Prompt length, tokens.
     pub prompt: u64,
     /// Largest answer length, tokens.
     pub output: u64,
-    /// Pause goal: longest pause between two events of the answer that is in time, milliseconds.
+    /// Pause goal: the pause between two events of the answer should not be longer, milliseconds.
     pub pause_ms: u32,
     /// First-token goal, from the arrival of the request, milliseconds.
     pub goal_ms: u32,
@@ -39,7 +39,7 @@
     /// Whether the request is short: one engine can prefill it in time, and its pause goal is among the shortest of
     /// its service, so that long prefills on the same engine delay it too much.
     pub tight: bool,
-    /// Worth of the answer if it is in time; that of a short request is 1.
+    /// Relative worth of an answer in time; 1 for a short request.
     pub worth: f32,
     /// Whether this is a first attempt, which is refused sooner than a retry; `false` after a refusal or an earlier
     /// attempt.
@@ -66,7 +66,7 @@
 /// Memory reserved on an engine for a prompt that another engine answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldPart {
-    /// Engine that holds the memory.
+    /// Helper that holds the memory.
     pub engine: ids::UpstreamId,
     /// Reserved memory, tokens.
     pub tokens: u64,
@@ -75,7 +75,7 @@
 /// The placement of an attempt, as granted by its planner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceGrant {
-    /// The placed attempt.
+    /// The placed attempt, from [`PlacementRequest::job`].
     pub job: JobId,
     /// Engine that answers, and prefills a part of the prompt.
     pub engine: ids::UpstreamId,
@@ -92,7 +92,7 @@
 /// The refusal of a request that cannot be placed in time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceRefusal {
-    /// The refused attempt.
+    /// The refused attempt, from [`PlacementRequest::job`].
     pub job: JobId,
     /// Time after which a retry is likely to succeed, milliseconds.
     pub back_after_ms: u32,
@@ -116,16 +116,16 @@
 /// The planner's answer to a [`PlacementRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PlaceAnswer {
-    /// The request is placed.
+    /// The request is placed and holds no rate-limit permits.
     Grant(PlaceGrant),
     /// The request cannot be placed in time.
     Refuse(PlaceRefusal),
-    /// The request is placed and holds rate-limit permits for these engines.
+    /// The request is placed and holds a rate-limit permit for each of the listed engines.
     Paced(PlaceGrant, Vec<ids::UpstreamId>),
 }
 
 impl PlaceAnswer {
-    /// The attempt that this answers.
+    /// The attempt that the planner placed or refused.
     pub fn job(&self) -> JobId {
         match self {
             Self::Grant(grant) | Self::Paced(grant, _) => grant.job,
@@ -137,10 +137,10 @@
 /// A placement in use, as its member reports it to a planner that has just taken over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlaceLease {
-    /// The request that was placed.
+    /// The placed request. Members leave `excluded` empty, as it matters only for the choice of engines.
     #[serde(rename = "ask")]
     pub request: PlacementRequest,
-    /// The placement of the request.
+    /// The placement, as granted by the planner that chose the engines.
     pub grant: PlaceGrant,
     /// Whether the prompt is still being prefilled.
     #[serde(rename = "reading")]
@@ -164,7 +164,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlaceNote {
     /// The first token was sent. Includes the number of requests that the engine was running and queueing at that
-    /// time, if it reports it.
+    /// time; `None` if the engine did not report the number.
     FirstToken(JobId, Option<u16>),
     /// The attempt has ended, or no longer waits for a placement.
     Ended(JobId, PlaceEnd),
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -1,4 +1,5 @@
-//! Routing decisions of an entry: identification of the caller, settings in force, and choice of engines.
+//! Routing decisions of an instance for its callers' requests: identification of the caller, settings in force, and
+//! choice of engines.
 
 use std::{collections, net, rc, time};
 
@@ -9,16 +10,16 @@
     rendezvous, retry, routing, settings, settings_resolve, units,
 };
 
-/// Largest number of prompt prefixes whose last engine is remembered, to benefit from that engine's prefix cache. When
-/// it is reached, all are dropped.
+/// Largest number of prompt prefixes whose last engine is remembered, to benefit from that engine's prefix cache. At
+/// the limit, the next attempt clears all of them.
 const MAX_AFFINITY: usize = 20_000;
 
 /// Properties of a model request that determine its settings and engines.
 #[derive(Debug, Clone)]
 pub struct PlanQuery {
-    /// API key of the caller.
+    /// API key of the caller, which determines its customer and settings.
     pub key: String,
-    /// Requested model.
+    /// Requested model; refused unless the settings allow it and the published list has an engine for it.
     pub model: ids::ModelId,
     /// Estimated prompt length.
     pub prompt: units::TokenCount,
@@ -50,7 +51,7 @@
     Draw {
         /// Address of the owner's scheduler.
         owner: net::SocketAddr,
-        /// Budget limit to send with the draw.
+        /// Limit of the customer's budget by this instance's settings, to send with the draw.
         limit: budget::BudgetLimit,
         /// Size of the portion to draw.
         want: units::TokenCount,
@@ -59,16 +60,16 @@
     Empty(time::Duration),
 }
 
-/// Load that this entry has outstanding on one engine.
+/// Load that this instance has outstanding on one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutstandingLoad {
-    /// Number of requests that this entry has outstanding on the engine.
+    /// Number of requests that this instance has outstanding on the engine.
     pub requests: usize,
     /// Summed memory that the outstanding requests need on the engine.
     pub tokens: units::TokenCount,
 }
 
-/// State for an entry's routing decisions, owned by a single task.
+/// State for an instance's routing decisions, owned by a single task.
 pub struct EntryRouter {
     instance: ids::InstanceId,
     data_center: ids::DataCenterId,
@@ -80,8 +81,8 @@
     budget_cache: budget::BudgetCache,
     retries: retry::RetryBudget,
     outstanding: collections::HashMap<ids::EngineId, OutstandingLoad>,
-    /// Engines that are not considered after a refusal or failure, unless no others are left, with the time at which
-    /// that ends.
+    /// Engines that are ejected after a refusal or failure, with the time until which they are. They are considered
+    /// only if no others are left.
     ejected: collections::HashMap<ids::EngineId, units::MonoTime>,
     /// Last engine of each prompt prefix, by the prefix's hash. Invariant: at most [`MAX_AFFINITY`] entries.
     affinity: collections::HashMap<u64, ids::EngineId>,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Offers a settings document and applies its fleet-wide options if it is adopted.
+    /// Puts a settings document in force, with its fleet-wide options, if it is valid and newer than the one in force.
     pub fn offer_settings(
         &mut self,
         now: units::MonoTime,
@@ -134,19 +135,21 @@
         outcome
     }
 
-    /// Records that a source has no newer settings; `age` is the time since that source was itself confirmed.
+    /// Records that a source (the platform or a scheduler) has no newer settings. `age` is the time since the source's
+    /// own settings were last confirmed; zero for the platform.
     pub fn confirm_settings(&mut self, now: units::MonoTime, age: time::Duration) {
         self.live_settings.confirm(now, age);
     }
 
     /// Number of pauses of this process detected so far.
     ///
-    /// Callers read it before they query a source, and pass it to [`Self::note_sources_queried`] with the answer.
+    /// Callers read it before they query a source of settings, and pass it to [`Self::note_sources_queried`] with the
+    /// answer.
     pub fn pause_count(&self) -> u64 {
         self.pause_detector.pause_count
     }
 
-    /// Records that the sources have been queried, whether one answered or all were silent.
+    /// Records that the sources of settings have been queried, whether one answered or all were silent.
     ///
     /// `pause_count` is the value of [`Self::pause_count`] before the query: if the process was paused since, the
     /// answer may be outdated and does not count.
@@ -169,13 +172,13 @@
         &self.live_settings
     }
 
-    /// The published list in force.
+    /// The published list in force; empty before the first.
     pub fn list(&self) -> &fleet_list::FleetList {
         &self.list
     }
 
-    /// Whether requests may be accepted: settings and list are known, and the process has queried the sources since
-    /// its last pause.
+    /// Whether requests may be accepted: settings and list are known, and the process has queried the sources of
+    /// settings since its last pause.
     pub fn ready(&mut self, now: units::MonoTime) -> bool {
         self.pause_detector.record_event(now);
         !self.pause_detector.unrefreshed
@@ -237,8 +240,9 @@
         Ok((tree, resolved))
     }
 
-    /// Draws the request's tokens from the portion of the customer's budget that this entry holds; without a sufficient
-    /// portion, returns what to draw from the budget's owner, or uses this entry's share if there is no owner.
+    /// Draws the request's tokens from the portion of the customer's budget that this instance holds. If the portion is
+    /// too small, returns the draw to send to the budget's owner, or uses this instance's share if no instance is the
+    /// owner.
     pub fn spend(
         &mut self,
         now: units::MonoTime,
@@ -269,7 +273,7 @@
         self.budget_cache.add(now, customer, portion);
     }
 
-    /// Draws the request's tokens from this entry's own share of the budget, while the owner is unreachable.
+    /// Draws the request's tokens from this instance's own share of the budget, while the owner is unreachable.
     pub fn spend_own_share(
         &mut self,
         now: units::MonoTime,
@@ -355,8 +359,8 @@
         self.policy.wants_offers()
     }
 
-    /// Whether an engine whose scheduler is unreachable may be used without a lease: this entry sends one such request
-    /// at a time.
+    /// Whether an engine whose scheduler is unreachable may be used without a lease: only while this instance has no
+    /// other request outstanding on the engine.
     pub fn may_send_unleased(&self, engine: &ids::EngineId) -> bool {
         self.outstanding.get(engine).is_none_or(|outstanding| outstanding.requests == 0)
     }
@@ -389,7 +393,7 @@
         self.ejected.insert(engine.clone(), now + EJECTION_TIME);
     }
 
-    /// Decides whether a request gets another attempt after a failed one.
+    /// Decides whether a request gets another attempt after a failed one, and if so, takes it from the retry budget.
     pub fn decide_retry(
         &mut self,
         now: units::MonoTime,
@@ -432,7 +436,7 @@
         engine_directory::EngineDirectory::new(&self.list, &self.data_center)
     }
 
-    /// The instance that this entry runs on.
+    /// Name of the instance that this router decides for.
     pub fn instance(&self) -> &ids::InstanceId {
         &self.instance
     }
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -20,7 +20,7 @@
     pub cost: units::TokenCount,
     /// Time from which the item goes before items that are not overdue.
     pub overdue: units::MonoTime,
-    /// The queued value.
+    /// The queued value, returned with the item when it is removed.
     pub payload: T,
 }
 
@@ -30,8 +30,9 @@
     items: Vec<QueueItem<T>>,
     /// Usage of each customer, in tokens divided by weight.
     ///
-    /// Invariants: contains all customers with queued items. A customer that starts to wait starts no lower than
-    /// `virtual_time`, so that idle time earns no credit. While it waits, only service increases its usage.
+    /// Invariants: contains all customers with queued items. With a customer's first queued item, its usage is raised
+    /// to `virtual_time` if it is lower, so that idle time earns no credit. While items are queued, only service
+    /// increases the usage.
     used: collections::HashMap<ids::CustomerId, f64>,
     /// Virtual time: the smallest usage among waiting customers. Never decreases.
     virtual_time: f64,
@@ -54,7 +55,7 @@
         self.items.push(item);
     }
 
-    /// Number of queued items.
+    /// Number of queued items of all customers, overdue or not.
     pub fn len(&self) -> usize {
         self.items.len()
     }
@@ -137,7 +138,7 @@
             self.items.iter().map(|item| &item.customer).collect();
         let least = waiting.iter().filter_map(|customer| self.used.get(*customer)).copied();
         let least = least.min_by(f64::total_cmp);
-        // If the queue is empty, the next item starts level with the customer with the highest usage.
+        // If the queue is empty, the virtual time rises to the highest usage, so that all customers start equal.
         let least = least.or_else(|| self.used.values().copied().max_by(f64::total_cmp));
         self.virtual_time = self.virtual_time.max(least.unwrap_or(self.virtual_time));
         // An idle customer behind the virtual time is treated like a new one, so its usage can be dropped.
