--- a/crates/core/src/histogram.rs
+++ b/crates/core/src/histogram.rs
@@ -36,11 +36,11 @@
     band.map_or("over_300k", |(_, name)| name)
 }
 
-/// Largest recorded value, in milliseconds; larger ones are counted as this.
+/// Largest recorded value, in milliseconds; larger values are recorded as this value.
 const MAX_MILLIS: u64 = 3_600_000;
 /// Significant decimal digits of recorded values.
 const DIGITS: u8 = 2;
-/// Largest number of series; values of further ones are counted in [`OVERFLOW`].
+/// Largest number of series; values of further series are counted in the series [`OVERFLOW`].
 const MAX_SERIES: usize = 2_000;
 /// Name of the series for values beyond [`MAX_SERIES`].
 const OVERFLOW: &str = "other";
@@ -74,7 +74,7 @@
 }
 
 impl HistogramSet {
-    /// Records latencies in a series, or in the overflow series if this one would exceed the limit.
+    /// Records latencies in a series, or in the overflow series if a new series would exceed `MAX_SERIES`.
     pub fn record_all(&mut self, measure: MeasureKind, series: &str, spans: &[time::Duration]) {
         if spans.is_empty() {
             return;
--- a/crates/core/src/key_vote.rs
+++ b/crates/core/src/key_vote.rs
@@ -40,8 +40,8 @@
 pub enum VoteAnswer {
     /// The answering instance votes for the request.
     Granted {
-        /// Number of the key's voters, by the lists that this instance saw within its
-        /// window, see [`KeyVoter`].
+        /// Number of the key's voters, by the lists that the answering instance saw within its window (the time
+        /// for which it keeps records), see [`KeyVoter`].
         group: usize,
     },
     /// This instance received an earlier query for the key, from the request given here.
@@ -240,7 +240,7 @@
         self.group.max(GROUP_SIZE)
     }
 
-    /// Returns the result of the answers so far.
+    /// Returns the result of the answers so far. A majority counts only until [`MAJORITY_TTL`] after the first query.
     pub fn verdict(&self, now: units::MonoTime) -> VoteVerdict {
         if let Some(first) = &self.taken {
             return VoteVerdict::Taken(first.clone());
--- a/crates/core/src/planner_key.rs
+++ b/crates/core/src/planner_key.rs
@@ -18,7 +18,7 @@
 pub struct PlannerKey {
     /// Service whose engines, plain upstream or retries the planner coordinates.
     pub service: ids::ServiceId,
-    /// Number of the cell; below [`cell_count`] for cells of engines.
+    /// Number of the cell, below [`cell_count`], for cells of engines; a hash for plain upstreams and retries.
     pub cell: u16,
 }
 
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -16,7 +16,8 @@
 }
 
 impl RanState {
-    /// Combines the states of two attempts into the state of their request.
+    /// Combines the states of two attempts into the state of their request: `Yes` if one of them ran, `No` if neither
+    /// ran, otherwise `Unknown`.
     pub fn or(self, other: Self) -> Self {
         match (self, other) {
             (Self::Yes, _) | (_, Self::Yes) => Self::Yes,
@@ -38,7 +39,7 @@
 /// Why a request was not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalCode {
-    /// The request is not valid.
+    /// The request is malformed, for example its HTTP head, a header value or its body.
     BadRequest,
     /// The caller key is missing or unknown.
     Unauthorized,
@@ -64,9 +65,9 @@
     NotReady,
     /// The request has repeatedly crashed upstreams.
     Quarantined,
-    /// The upstream failed.
+    /// An attempt failed at an upstream, and no other attempt succeeded.
     UpstreamFailed,
-    /// The time limit has passed.
+    /// The time limit of the request has passed, and an upstream may have run it.
     TimedOut,
 }
 
