--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -37,8 +37,8 @@
         )
     }
 
-    /// Whether no upstream received any part of the request. Such an attempt, and the retry taken
-    /// for it, do not count as used.
+    /// Whether no upstream received any part of the request. Such an attempt does not count towards the limit of
+    /// attempts, and the retry permit taken for it stays valid for the next one.
     pub fn reached_no_upstream(self) -> bool {
         matches!(self, Self::NotConnected | Self::NotPrepared | Self::Denied)
     }
@@ -80,7 +80,8 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
-    /// Number of each slice, and the requests and retries counted in it; oldest first, at most [`SLICES`] of them.
+    /// For each slice its index (time divided by the slice length) and the requests and retries counted in it; oldest
+    /// first, at most [`SLICES`] of them.
     slices: collections::VecDeque<(u64, u64, u64)>,
 }
 
--- a/crates/core/src/retry_schedule.rs
+++ b/crates/core/src/retry_schedule.rs
@@ -1,4 +1,4 @@
-//! Retry-After times for callers whose requests no upstream's rate limit permits.
+//! Retry-After times for callers whose requests are refused because no upstream's rate limit permits them.
 
 use std::time;
 
@@ -22,7 +22,8 @@
 impl RetrySchedule {
     /// Returns the Retry-After time for the next caller, at a permitted rate of `rate` requests per second.
     ///
-    /// A time that would reach `MAX_RETRY_AFTER` is replaced by a random one between half of that and the whole.
+    /// A time that would reach `MAX_RETRY_AFTER` is replaced by a random time between half of `MAX_RETRY_AFTER` and the
+    /// whole of it.
     pub fn next(&mut self, now: units::MonoTime, rate: f64) -> time::Duration {
         let step = 1.0 / (rate * RETRY_FRACTION).max(f64::MIN_POSITIVE);
         let step =
--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -111,7 +111,7 @@
 /// Settings of one service, which apply to each of its upstreams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServicePolicy {
-    /// Name of the service.
+    /// Name by which routes and upstreams refer to the service.
     pub name: ids::ServiceId,
     /// Most connections that one upstream accepts from all instances together.
     pub connection_limit: usize,
@@ -121,14 +121,15 @@
     pub cold: Option<cold_start::ColdPolicy>,
 }
 
-/// Limits on callers' requests and connections.
+/// Limits on the size and timing of callers' requests and connections, for all routes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest accepted request head, in bytes.
     pub head_bytes: usize,
     /// Largest accepted request body, in bytes.
     pub body_bytes: usize,
-    /// Time within which the head of a request must arrive once it has begun, and again its body.
+    /// Time within which the head of a request must arrive, counted from its first byte, and within which the body must
+    /// arrive, counted from the end of the head.
     pub arrival: time::Duration,
     /// Longest time for which a connection may be idle between two requests.
     pub idle: time::Duration,
@@ -229,7 +230,7 @@
         self.routes.values().flatten().map(std::rc::Rc::as_ref)
     }
 
-    /// Limits of upstreams that have just started, by service, without the services that need none.
+    /// Limits of upstreams that have just started, by service; services without such limits are left out.
     pub fn cold_policies(&self) -> collections::BTreeMap<ids::ServiceId, cold_start::ColdPolicy> {
         let services = self.services.values();
         services.filter_map(|service| Some((service.name.clone(), service.cold?))).collect()
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -4,18 +4,18 @@
 
 use crate::{ids, placement, settings, units};
 
-/// An engine that a request could be sent to, with what this entry knows about it.
+/// An engine that a request could be sent to, with what this instance knows about the engine.
 #[derive(Debug, Clone)]
 pub struct RouteCandidate {
-    /// Name of the engine.
+    /// Name of the engine in the published list.
     pub engine: ids::EngineId,
     /// Offer of the engine's scheduler; `None` if the scheduler did not answer.
     pub offer: Option<placement::EngineOffer>,
-    /// Number of requests that this entry has outstanding on the engine.
+    /// Number of requests that this instance has outstanding on the engine.
     pub own_requests: usize,
-    /// Summed memory that the outstanding requests of this entry need on the engine.
+    /// Summed memory that the outstanding requests of this instance need on the engine.
     pub own_tokens: units::TokenCount,
-    /// Whether the engine is in this entry's data centre.
+    /// Whether the engine is in this instance's data centre.
     pub near: bool,
 }
 
@@ -24,7 +24,7 @@
 pub struct RouteChoice {
     /// Index into the candidates.
     pub index: usize,
-    /// Why the candidate was chosen.
+    /// Why the policy chose the candidate, as text for operators.
     pub reason: &'static str,
 }
 
@@ -35,7 +35,7 @@
 
     /// Whether the policy needs the offers of schedulers, which are requested for a sample of the engines.
     ///
-    /// The baselines consider all engines and only the load that the entry itself has sent, like common routers.
+    /// The baselines consider all engines and only the load that the instance itself has sent, like common routers.
     fn wants_offers(&self) -> bool;
 }
 
--- a/crates/core/src/search_budget.rs
+++ b/crates/core/src/search_budget.rs
@@ -7,15 +7,15 @@
 
 /// Number of cells that each request may try without drawing on the budget.
 const FREE_CELLS: usize = 2;
-/// Number of further cells that each new request adds to the budget.
+/// Number of cell attempts beyond [`FREE_CELLS`] that each new request adds to the budget.
 const BUDGET_PER_REQUEST: f64 = 0.25;
-/// Largest number of further cells in the budget, which also starts with it.
+/// Largest number of cell attempts in the budget; also the number at the start.
 const MAX_BUDGET: f64 = 24.0;
 
 /// The search budget of an instance, shared by all its requests.
 #[derive(Debug)]
 pub struct SearchBudget {
-    /// Number of further cells that may be tried.
+    /// Number of cell attempts beyond [`FREE_CELLS`] that the requests may still make.
     available: f64,
 }
 
--- a/crates/core/src/service_rank.rs
+++ b/crates/core/src/service_rank.rs
@@ -33,7 +33,7 @@
 /// Order of service on an engine; lower ranks are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceRank {
-    /// Length band of the prompt.
+    /// Length band of the prompt without its cached prefix.
     pub band: LengthBand,
     /// Whether the customer has recently used more than its share of the engine.
     pub over_share: bool,
@@ -51,9 +51,11 @@
 
 /// Time constant of the exponential decay of recorded usage.
 const USAGE_WINDOW: time::Duration = time::Duration::from_secs(20);
-/// Multiple of an equal share up to which a customer is within its share, as a few long prompts may come by chance.
+/// Multiple of an equal share up to which a customer is within its share. The margin allows for a few long prompts that
+/// arrive close together by chance.
 const SHARE_TOLERANCE: f64 = 2.0;
-/// Fraction of the engine's work below which a customer's usage is dropped and it counts as inactive.
+/// Fraction of the work that an engine can do in [`USAGE_WINDOW`]; a customer with less usage counts as inactive, and
+/// its usage is dropped.
 const IDLE_FRACTION: f64 = 0.001;
 
 /// Recent usage of one engine by customer.
