--- a/crates/core/src/planner/admission.rs
+++ b/crates/core/src/planner/admission.rs
@@ -1,8 +1,8 @@
 //! Admission of long prompts: which are prefilled in time, which run late and which are refused.
 //!
 //! All waiting prompts are scheduled by due time, earliest first. If one of them would miss its due time, the prompt
-//! that loses least for its engine time is displaced: a prompt that could still be in time becomes late, and a late
-//! one is refused.
+//! that loses the least worth per engine time is displaced: a prompt that could still be in time becomes late, and a
+//! late one is refused.
 
 use crate::{
     engine_place, pass_model,
@@ -55,7 +55,7 @@
         let latency_sensitive: usize =
             views.iter().map(engine_view::EngineView::latency_sensitive).sum();
         let usable = views.iter().filter(|view| !view.ejected && view.has_permit()).count();
-        // Number of engines left to long prompts once short requests are packed onto the fewest.
+        // Number of engines left to long prompts once short requests are packed onto as few engines as possible.
         let free = usable.saturating_sub(latency_sensitive.div_ceil(self.packing_target));
         let mut answers = Vec::new();
         // Lateness is decided again in each round, because engines may be free earlier than expected.
@@ -87,8 +87,8 @@
             let was_late = job.late;
             job.late = true;
             // A late prompt also waits for prompts that arrive after it, so its expected time grows with the load.
-            // The load is counted only the first time: a prompt that was admitted late stays as long as its caller
-            // would still get an answer.
+            // The load counts only when a prompt is first admitted late: later load must not get the prompt refused
+            // while its caller would still get an answer.
             let prefill_load = self.price.load(self.now, free, &self.table.shape, &job.request);
             let rate = self.table.limited_rate(&job.request.excluded);
             let limit_load = rate.map_or(0.0, |rate| self.price.limited_load(self.now, rate));
@@ -173,8 +173,8 @@
         forced().map(|booking| PrefillCandidate { booking, allowed: false })
     }
 
-    /// Picks the prompt to displace: the one that loses least for its engine time by missing its due time, and among
-    /// equals the newest. Resumed requests are never displaced.
+    /// Picks the prompt to displace: the one that loses the least worth per engine time by missing its due time, and
+    /// among equals the newest. Resumed requests are never displaced.
     ///
     /// The last of `booked` is the prompt that would miss its due time.
     fn pick_displaced(
--- a/crates/core/src/planner/engine_view.rs
+++ b/crates/core/src/planner/engine_view.rs
@@ -7,7 +7,8 @@
 #[derive(Debug, Clone)]
 pub(crate) struct EngineView<'a> {
     pub(crate) name: &'a ids::UpstreamId,
-    /// Tie-breaker between engines of equal loss or cost; the same on every member.
+    /// Tie-breaker between engines of equal loss or cost: the lowest rank is preferred. Each member derives its own
+    /// ranks.
     pub(crate) rank: u64,
     /// Whether the engine is excluded for a while after a recent failure or refusal.
     pub(crate) ejected: bool,
@@ -79,7 +80,7 @@
         if pause > self.pause_goal_ms * MAX_PAUSE_FACTOR {
             return f64::INFINITY;
         }
-        // A pause that exceeds the limit even without this part has been counted already.
+        // If the pause exceeds the limit even without this part, the part causes no further loss.
         if pause > limit && before <= limit { self.worth * PAUSE_LOSS_FRACTION } else { 0.0 }
     }
 }
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -4,7 +4,7 @@
 
 use crate::{engine_place, planner::modes, units};
 
-/// How long an engine is ejected (excluded from new placements) after a failure; doubles with each further one.
+/// How long an engine is ejected (excluded from new placements) after a failure; doubles with each further failure.
 const EJECTION_TIME: time::Duration = time::Duration::from_millis(600);
 /// Longest ejection after failures.
 const MAX_EJECTION_TIME: time::Duration = time::Duration::from_secs(5);
@@ -14,24 +14,27 @@
 /// Largest number of doublings of an ejection time.
 const MAX_DOUBLINGS: u32 = 4;
 /// How long an engine is ejected after it refused to prefill a part for another engine. Most such engines are leaving,
-/// and this is about the delay until the published list says so. With a shorter time, a prompt may meet two such
-/// engines in a row.
+/// and the published list takes about this long to say so. With a shorter time, a prompt may meet two such engines in a
+/// row.
 const HELPER_EJECTION_TIME: time::Duration = time::Duration::from_millis(2_500);
-/// Range of plausible reports of an engine's pace, its slowdown relative to the performance model; others are clamped
-/// to it.
+/// Range of an engine's plausible pace, its slowdown relative to the performance model. A reported pace outside it is
+/// clamped to it.
 const PACE_RANGE: (f64, f64) = (0.5, 20.0);
 /// Pace above which an engine is polled as often as one with work.
 const SLOW_PACE: f64 = 1.2;
-/// Difference in the number of requests that may result from requests starting and ending while a report is sent.
+/// Number of requests by which an engine's report may exceed the planner's own count before the excess is attributed to
+/// other planners. Requests start and end while the report is sent.
 const REPORT_SLACK: usize = 4;
-/// Like [`REPORT_SLACK`], for the count sent with a first token, which is a few milliseconds old; reports are about
+/// Number of requests by which the count sent with a first token may exceed the planner's own count before the excess
+/// is attributed to other planners. Below [`REPORT_SLACK`], as that count is a few milliseconds old; reports are about
 /// 200 ms old.
 const FIRST_TOKEN_SLACK: usize = 2;
 
 /// Time without new work after which an engine counts as idle.
 const IDLE_TIME: time::Duration = time::Duration::from_secs(4);
 
-/// Time after its expected time from which a first token counts as overdue: one pass and the message to the planner.
+/// Delay of a first token, relative to its expected time, from which the token counts as overdue: the time of one pass
+/// and of the message to the planner.
 const FIRST_TOKEN_DELAY_SLACK: time::Duration = time::Duration::from_millis(120);
 
 /// Lower bound of a pass, milliseconds, in case the model of an engine gives an implausible time.
@@ -58,7 +61,7 @@
 /// Estimated state of one engine.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineWork {
-    /// Position in the order in which engines are filled; lower ranks come first.
+    /// Position in the order in which engines of equal loss or cost are filled; lower ranks come first.
     pub(crate) rank: u64,
     /// Tokens of memory that the planner may assign.
     pub(crate) memory: u64,
@@ -95,7 +98,6 @@
 }
 
 impl EngineWork {
-    /// Creates an idle engine.
     pub(crate) fn new(rank: u64, memory: u64, now: units::MonoTime) -> Self {
         Self {
             rank,
@@ -159,7 +161,6 @@
         true
     }
 
-    /// Queues a part for prefill.
     pub(crate) fn add_part(&mut self, part: PendingPart) {
         self.pending.push_back(part);
     }
@@ -212,17 +213,17 @@
     }
 
     /// Ejects the engine after it refused to prefill a part for another engine. Most such engines are leaving, which
-    /// their own answers do not show.
+    /// the answers that they are still sending do not show.
     pub(crate) fn eject_helper(&mut self, now: units::MonoTime) {
         self.ejected_until = self.ejected_until.max(now + HELPER_EJECTION_TIME);
     }
 
-    /// Records that work was placed on the engine.
     pub(crate) fn note_placed(&mut self, now: units::MonoTime) {
         self.last_placed = Some(now);
     }
 
-    /// Whether the engine has no work, has had none recently, and is not suspect.
+    /// Whether the engine has no work, has got none for [`IDLE_TIME`], and is not suspect. An engine is suspect if it
+    /// has requests of other planners, has failed since its last first token, or is slower than [`SLOW_PACE`].
     pub(crate) fn is_idle(&self, now: units::MonoTime) -> bool {
         let has_work = !self.answering.is_empty() || self.used > 0 || self.pass.is_some();
         let is_suspect = self.foreign > 0 || self.failures > 0 || self.pace > SLOW_PACE;
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/planner/mod.rs
@@ -26,10 +26,10 @@
     engine_place, ids, quota_ledger, retry_schedule, route_table, send_pace, settings, units,
 };
 
-/// Longest time for which a request stays queued; its member has given up long before.
+/// Longest time for which a request stays queued; the member that sent it has given up long before.
 const MAX_WAIT: time::Duration = time::Duration::from_secs(30);
 /// Fraction of all engine slots that must be in use before a short request is refused because it would be queued or
-/// late. Below it, engines that seem unusable may only have been slow.
+/// late. While fewer slots are in use, engines that seem unusable may only have been slow.
 const CROWDED_FRACTION: f64 = 0.6;
 /// Number of retried requests that an engine may hold in its own queue beyond its slots.
 const MAX_QUEUED_RETRIES: usize = 2;
@@ -38,7 +38,7 @@
 /// Longest time for which a retried short request waits for a rate-limit permit, as a multiple of its first-token goal.
 /// The request is late by then.
 const RETRY_WAIT_GOALS: f64 = 2.0;
-/// Shortest retry delay given to a refused short request, milliseconds. Its member adds jitter.
+/// Shortest retry delay given to a refused short request, milliseconds. The member that sent it adds jitter.
 const MIN_RETRY_AFTER_MS: f64 = 300.0;
 /// Longest retry delay given to a refused short request, milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 2_500.0;
@@ -110,7 +110,11 @@
         self.table.shape = shape;
     }
 
-    /// Sets which engines may be used, each with a rank that is the same on every member.
+    /// Sets which engines may be used, each with a rank: of engines with equal loss or cost, the lowest rank is
+    /// preferred.
+    ///
+    /// Each member derives its own ranks, so that two planners of the same engines, as in a network partition, fill
+    /// them in different orders. An engine that the planner already knows keeps its state and rank.
     pub fn set_engines(&mut self, now: units::MonoTime, names: &[(ids::UpstreamId, u64)]) {
         self.table.set_engines(now, names);
     }
@@ -328,8 +332,8 @@
             || grant.first_token_ms > job.request.goal_ms * 2
     }
 
-    /// Refuses a short request whose caller would give up before the first token, and one that would be late while
-    /// most slots are in use: queued at an engine, it would also delay the requests behind it.
+    /// Refuses a short request whose caller would give up before the first token. While most slots are in use, also
+    /// refuses a request that would be late or queued at an engine, where it would delay the requests behind it.
     fn refuse_short(
         &self,
         now: units::MonoTime,
--- a/crates/core/src/planner/place_table/mod.rs
+++ b/crates/core/src/planner/place_table/mod.rs
@@ -12,7 +12,7 @@
     route_table, units,
 };
 
-/// Time without renewal by its member after which the lease of a placement expires.
+/// Time after the last renewal by the member at which the lease of a placement expires.
 const LEASE_TIME: time::Duration = time::Duration::from_millis(2_500);
 /// Fraction of an engine's memory that the planner assigns to requests.
 pub(crate) const MEMORY_FRACTION: f64 = 0.96;
@@ -54,7 +54,6 @@
     answer_ms: f64,
     /// Smallest pause goal of any request so far, milliseconds; infinite before the first.
     min_pause_goal_ms: f64,
-    /// Rate limits of the engines.
     pub(crate) limits: engine_limits::EngineLimits,
 }
 
@@ -76,7 +75,8 @@
         }
     }
 
-    /// Sets which engines may be used, each with a rank that is the same on every member.
+    /// Sets which engines may be used, each with the rank by which it is preferred among engines of equal loss or cost,
+    /// lowest first. An engine that is already in the table keeps its state and rank.
     pub(crate) fn set_engines(&mut self, now: units::MonoTime, names: &[(ids::UpstreamId, u64)]) {
         let wanted: collections::BTreeSet<_> = names.iter().map(|(name, _)| name).collect();
         self.engines.retain(|name, _| wanted.contains(name));
@@ -93,7 +93,7 @@
         self.jobs.len()
     }
 
-    /// The grant of a request, as answered before; `None` if the request has no placement.
+    /// The answer to a request that has a placement, which is the same at each call; `None` if it has no placement.
     pub(crate) fn answer(&self, job: engine_place::JobId) -> Option<engine_place::PlaceAnswer> {
         let state = self.jobs.get(&job)?;
         let grant = state.lease.grant.clone();
@@ -129,7 +129,8 @@
         self.refresh_steps(&grant.engine);
     }
 
-    /// Releases the placement of a request, if it has one, and updates the state of its engine by how it ended.
+    /// Releases the placement of a request, if it has one. Depending on how the attempt ended, also ejects the engine
+    /// or marks it for polling.
     pub(crate) fn end(
         &mut self,
         now: units::MonoTime,
@@ -205,7 +206,8 @@
         }
     }
 
-    /// Renews the lease of a placement; returns `false` if it is unknown.
+    /// Renews the lease of a placement, and records the first token once `prefilling` is `false`. Returns `false` if
+    /// the job has no placement.
     pub(crate) fn renew(
         &mut self,
         now: units::MonoTime,
