--- a/crates/core/src/planner/modes.rs
+++ b/crates/core/src/planner/modes.rs
@@ -84,7 +84,8 @@
     KeptBack,
 }
 
-/// Which of the upstreams of equal rank takes a call to a plain service.
+/// Which upstream takes a call to a plain service (one whose upstreams run no model). The load that is compared
+/// includes surcharges for failures, ejection and another data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadChoiceMode {
@@ -103,7 +104,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryOrderMode {
-    /// Retries without which more is lost come first, see [`retry_need::RetryNeed`].
+    /// Retries come in the order of what is lost without them, the largest loss first, see [`retry_need::RetryNeed`].
     #[default]
     ByNeed,
     /// Retries come in the order of their arrival.
@@ -111,7 +112,7 @@
 }
 
 impl RetryOrderMode {
-    /// The need by which a retry is ordered; the same for all with [`Self::Arrival`].
+    /// The need by which a retry is ordered. With [`Self::Arrival`], all retries get the highest need.
     pub fn need(self, need: retry_need::RetryNeed) -> retry_need::RetryNeed {
         match self {
             Self::ByNeed => need,
@@ -136,15 +137,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct PlannerWays")]
 pub struct PlannerModes {
-    /// Packing of short requests.
+    /// Up to which number short requests are packed onto an engine before the next one is used.
     pub packing: PackingMode,
-    /// Recovery of engines that failed.
+    /// How an engine gets work again after its ejection time, and whether refusals for lack of capacity eject it.
     pub engine_faults: EngineFaultMode,
-    /// Refusal of short requests.
+    /// When a short request that finds no engine within all its limits is refused.
     pub short_refusal: ShortRefusalMode,
     /// How requests to an upstream resume after a backoff.
     pub rest_return: upstream_notice::BackoffReturnMode,
-    /// Propagation of leaving notices of upstreams.
+    /// Whether the member that an upstream informs of its leaving notifies the other members.
     pub leaving_news: LeavingNoticeMode,
     /// How planners learn which engines a member must not send to.
     pub closed_engines: ClosedEngineMode,
@@ -154,7 +155,7 @@
     pub retry_order: RetryOrderMode,
     /// Whether the request rate of upstreams that have just started is limited.
     pub cold_upstreams: cold_start::ColdUpstreamMode,
-    /// Polling of engines for reports.
+    /// Whether idle engines are polled for reports less often than engines with work.
     pub reports: ReportMode,
 }
 
--- a/crates/core/src/planner/place_table/queries.rs
+++ b/crates/core/src/planner/place_table/queries.rs
@@ -111,8 +111,8 @@
             prefilling += usize::from(request.tight && state.lease.prefilling);
         }
         if engine.foreign > 0 {
-            // The pause goals of another planner's requests are unknown. They are treated as short requests, so that
-            // long prefills do not delay them.
+            // The pause goals of another planner's requests are unknown. These requests are treated as short ones, so
+            // that long prefills do not delay them.
             pause_goal_ms = pause_goal_ms.min(self.min_pause_goal_ms);
             worth += engine.foreign as f64;
         }
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -26,7 +26,8 @@
 pub(crate) struct EnginePrice {
     /// Until when engines count as contended by short requests.
     contended_until: units::MonoTime,
-    /// Engine time per unit of worth (a short request's) of recent long prompts, milliseconds; a moving average.
+    /// Prefill time of recent long prompts per unit of their worth, milliseconds; a moving average. A short request has
+    /// a worth of 1.
     ms_per_worth: f64,
     /// Engine time requested by long prompts, decaying over [`LOAD_TIME`], milliseconds; as of `demand_updated`.
     demand_ms: f64,
--- a/crates/core/src/planner/timetable.rs
+++ b/crates/core/src/planner/timetable.rs
@@ -195,7 +195,7 @@
         PartCandidate { index, pause_loss, start_ms, first_ms, cost_ms }
     }
 
-    /// Records a booking: later ones on the same engines start after it.
+    /// Records a booking: later bookings on the same engines start after it.
     pub(crate) fn book(&mut self, booking: &PrefillBooking) {
         for index in &booking.engines {
             let view = &mut self.views[*index];
@@ -259,7 +259,8 @@
             .filter(|index| self.views[*index].answering < self.shape.slots)
             .filter(|index| !alone || self.views[*index].free >= need)
             .min_by(|left, right| cost(*left).total_cmp(&cost(*right)));
-        // Without a free slot, a forced request goes into an engine's own queue.
+        // With `forced`, a request that finds no engine with a free slot and enough memory goes into the queue of the
+        // booked engine with the fewest answers.
         let queued = || engines().min_by_key(|index| self.views[*index].answering);
         free.or_else(|| if forced && alone { queued() } else { None })
     }
--- a/crates/core/src/planner/waiting_job.rs
+++ b/crates/core/src/planner/waiting_job.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Time within which the first token must be planned before the caller gives up, milliseconds.
+    /// Part of the time left until the caller gives up that a plan may use, milliseconds; see [`CALLER_WAIT_FRACTION`].
     pub(crate) fn patience_ms(&self, now: units::MonoTime) -> f64 {
         (f64::from(self.request.patience_ms) - self.waited_ms(now)) * CALLER_WAIT_FRACTION
     }
@@ -59,8 +59,8 @@
         f64::from(self.request.worth) * if self.late { LATE_FRACTION } else { 1.0 }
     }
 
-    /// Worth lost if the request misses its due time: the difference between an answer in time and a late one, or if the
-    /// request is late already, the late answer.
+    /// Worth lost if the request misses its due time: the difference between an answer in time and a late one, or if
+    /// the request is late already, the late answer.
     pub(crate) fn loss_if_missed(&self) -> f64 {
         let part = if self.late { LATE_FRACTION } else { 1.0 - LATE_FRACTION };
         f64::from(self.request.worth) * part
