--- a/crates/core/src/pass_model.rs
+++ b/crates/core/src/pass_model.rs
@@ -32,7 +32,8 @@
     step * shape.stride
 }
 
-/// Time to decode `tokens` on an engine with `decoding` requests, without any prefill in between, milliseconds.
+/// Time to decode `tokens` output tokens of each of `decoding` requests on one engine, without any prefill in between,
+/// milliseconds. `context` is the summed number of prompt tokens of these requests.
 pub fn decode_ms(
     shape: &route_table::EngineShape,
     decoding: usize,
--- a/crates/core/src/planner/engine_work.rs
+++ b/crates/core/src/planner/engine_work.rs
@@ -17,8 +17,8 @@
 /// and the published list takes about this long to say so. With a shorter time, a prompt may meet two such engines in a
 /// row.
 const HELPER_EJECTION_TIME: time::Duration = time::Duration::from_millis(2_500);
-/// Range of an engine's plausible pace, its slowdown relative to the performance model. A reported pace outside it is
-/// clamped to it.
+/// Range of plausible paces of an engine. The pace is the slowdown relative to the performance model; a reported pace
+/// outside the range is clamped to it.
 const PACE_RANGE: (f64, f64) = (0.5, 20.0);
 /// Pace above which an engine is polled as often as one with work.
 const SLOW_PACE: f64 = 1.2;
--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -72,14 +72,15 @@
         self.demand_updated = now;
     }
 
-    /// Fraction of `rate`, the summed rate limits of all engines, that long prompts have requested recently.
+    /// Fraction of `rate`, in requests per second, that long prompts have requested recently; at most [`MAX_LOAD`].
+    /// `rate` sums the rate limits of the engines that a prompt may use.
     pub(crate) fn limited_load(&self, now: units::MonoTime, rate: f64) -> f64 {
         let requested = self.demand_count * self.remaining_fraction(now);
         (requested / (LOAD_TIME.as_secs_f64() * rate)).min(MAX_LOAD)
     }
 
-    /// Fraction of the time of `engines` engines that long prompts have requested recently; 0 if prompts other than
-    /// that of `request` requested less than [`ALONE_LOAD`].
+    /// Fraction of the time of `engines` engines that long prompts have requested recently, at most [`MAX_LOAD`]; 0 if
+    /// prompts other than that of `request` requested less than [`ALONE_LOAD`].
     pub(crate) fn load(
         &self,
         now: units::MonoTime,
