--- a/crates/core/src/planner/price.rs
+++ b/crates/core/src/planner/price.rs
@@ -26,7 +26,8 @@
 pub(crate) struct EnginePrice {
     /// Until when engines count as contended by short requests.
     contended_until: units::MonoTime,
-    /// Engine time per unit of worth (a short request's) of recent long prompts, milliseconds; a moving average.
+    /// Prefill time of recent long prompts per unit of their worth, milliseconds; a moving average. A short request has
+    /// a worth of 1.
     ms_per_worth: f64,
     /// Engine time requested by long prompts, decaying over [`LOAD_TIME`], milliseconds; as of `demand_updated`.
     demand_ms: f64,
@@ -71,14 +72,15 @@
         self.demand_updated = now;
     }
 
-    /// Fraction of `rate`, the summed rate limits of all engines, that long prompts have requested recently.
+    /// Fraction of `rate`, in requests per second, that long prompts have requested recently; at most [`MAX_LOAD`].
+    /// `rate` sums the rate limits of the engines that a prompt may use.
     pub(crate) fn limited_load(&self, now: units::MonoTime, rate: f64) -> f64 {
         let requested = self.demand_count * self.remaining_fraction(now);
         (requested / (LOAD_TIME.as_secs_f64() * rate)).min(MAX_LOAD)
     }
 
-    /// Fraction of the time of `engines` engines that long prompts have requested recently; 0 if prompts other than
-    /// that of `request` requested less than [`ALONE_LOAD`].
+    /// Fraction of the time of `engines` engines that long prompts have requested recently, at most [`MAX_LOAD`]; 0 if
+    /// prompts other than that of `request` requested less than [`ALONE_LOAD`].
     pub(crate) fn load(
         &self,
         now: units::MonoTime,
