--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -15,14 +15,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{input}: {reason}"))]
 pub struct FormatError {
-    /// The kind of input that was parsed.
+    /// What was parsed, such as the name of a header or of a document; shown in logs and refusals.
     pub input: &'static str,
     /// The reason why the input is invalid, for logs and refusals.
     pub reason: String,
 }
 
 impl FormatError {
-    /// Creates an error about `input`.
+    /// Creates an error about `input`; `reason` is a text or the error of a parser.
     pub fn new(input: &'static str, reason: impl ToString) -> Self {
         Self { input, reason: reason.to_string() }
     }
@@ -31,9 +31,9 @@
 /// Fields of a caller's request head.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CallerRequest {
-    /// Id that the caller gave to this attempt.
+    /// Id that the caller gave to this attempt at its request; an upstream's answer must repeat it.
     pub id: String,
-    /// API key that the caller sent, if any.
+    /// API key that the caller sent, if any; it identifies the customer.
     pub key: Option<String>,
     /// How long the caller waits for the answer, if the caller states that; the route's time limit is the maximum and
     /// the default.
@@ -51,7 +51,7 @@
 pub struct UpstreamCall<'a> {
     /// Head of the caller's request.
     pub head: &'a http::request::Parts,
-    /// The upstream that must answer.
+    /// The upstream that must answer; another one at its address answers that the request was misdirected.
     pub upstream: &'a ids::UpstreamId,
     /// The customer that sent the request, if known.
     pub customer: Option<&'a ids::CustomerId>,
@@ -61,22 +61,24 @@
     pub priority: Option<u8>,
     /// Id of the event after which a stream resumes.
     pub last_event: Option<&'a str>,
-    /// Engines that each process a part (share) of the prompt, with the ticket of the memory reserved there, if any.
+    /// Addresses of the engines that each prefill a part of the prompt, and the ticket of the memory reserved on the
+    /// engine, if any.
     pub helpers: Vec<(net::SocketAddrV4, Option<String>)>,
 }
 
 /// Fields of an upstream's answer head.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct UpstreamAnswer {
-    /// Id of the request that is answered.
+    /// Id of the request that is answered; an answer without the id that was sent counts as broken.
     pub id: Option<String>,
-    /// Whether the answer carries the upstream's signature.
+    /// Whether the answer carries the upstream's signature; a success without it counts as broken.
     pub signed: bool,
     /// Whether the upstream states that it did not run the request.
     pub not_run: bool,
     /// Whether the answering process states that it is not the upstream that was addressed.
     pub misdirected: bool,
-    /// Numbers of running requests, waiting requests and slots (the most requests that run concurrently).
+    /// Numbers of running requests, of waiting requests and of slots (the most requests that run concurrently), in this
+    /// order; `None` if the upstream does not report them.
     pub load: Option<(u32, u32, u32)>,
     /// Address of the upstream that caused a refusal, if another one than the upstream that answers.
     pub at_fault: Option<net::SocketAddrV4>,
@@ -103,9 +105,9 @@
 pub struct EngineReport {
     /// Slowdown relative to the engine's configured speed: 1 at that speed, and higher if it is slower.
     pub pace: f64,
-    /// Number of running requests.
+    /// Number of requests that the engine is running, from all instances together.
     pub running: u32,
-    /// Number of waiting requests.
+    /// Number of requests that wait at the engine, from all instances together.
     pub waiting: u32,
     /// KV cache memory in use, in tokens.
     pub used: u64,
@@ -172,7 +174,7 @@
     fn parse_answer(&self, head: &http::response::Parts) -> UpstreamAnswer;
     /// Returns the path and body of the POST request that sends a memory order to an engine.
     fn memory_order(&self, order: &MemoryOrder) -> (String, Bytes);
-    /// Returns the start of the engine that answered a memory order, if the answer states it.
+    /// Returns the start (one life of the process) of the engine that answered a memory order, if the answer states it.
     fn order_start(&self, body: &[u8]) -> Option<ids::UpstreamStart>;
     /// Returns the path at which an engine serves the report about its load.
     fn report_path(&self) -> String;
@@ -191,7 +193,8 @@
     pub upstreams: Option<collections::BTreeMap<String, String>>,
     /// Changes to upstreams, oldest first: the name with its document, or `None` if it was deleted.
     pub changes: Vec<(String, Option<String>)>,
-    /// Whether the changes omit some that were reverted later.
+    /// Whether `changes` may lack changes that were reverted later, as the sender knows only the difference between two
+    /// revisions.
     pub skipped: bool,
     /// All data centres under evacuation; empty if only routes were requested.
     pub evacuated: collections::BTreeSet<ids::DataCenterId>,
@@ -200,10 +203,11 @@
     /// Digest of all upstreams, by which the receiver checks the result of the changes. Set if they lead into another
     /// era, which begins when the store is restored from an older copy.
     pub digest: Option<u64>,
-    /// State of the previous era that is still in force while the list recovers.
+    /// State that the sender keeps in force from before the store was restored from an older copy; `None` if it is not
+    /// recovering from a restore.
     pub recovery: Option<list_recovery::RecoveryReport>,
-    /// Milliseconds since the store recovered from an outage, if that was recent: entries that
-    /// vanished with the outage may return.
+    /// Milliseconds since the last outage of the store ended, if that was recent: upstreams whose entries vanished with
+    /// the outage may be listed again.
     pub returned_ms: Option<u64>,
 }
 
@@ -223,7 +227,8 @@
     pub items: Vec<StoreItem>,
     /// Key after which the next page starts, if there is a next page.
     pub next: Option<String>,
-    /// Revision of the store when the page was read, within the store's present era.
+    /// Revision of the store when the page was read. It counts within the store's present era, which ends when the
+    /// store is restored from an older copy.
     pub revision: u64,
 }
 
@@ -260,7 +265,8 @@
     fn operator_path(&self, after: Option<&str>) -> String;
     /// Returns the path that waits up to `wait` for changes after a revision.
     fn watch_path(&self, after: u64, wait: time::Duration) -> String;
-    /// Returns the era named in an answer's head, whatever the answer's status.
+    /// Returns the store's era, which rises when the store is restored from an older copy, as named in an answer's
+    /// head. `None` if the head names none; the answer may have any status.
     fn store_era(
         &self,
         head: &http::response::Parts,
@@ -281,5 +287,5 @@
     ) -> Result<upstream_list::UpstreamEntry, FormatError>;
 }
 
-/// All adapter traits of one platform.
+/// All adapter traits of one platform, which the instance uses as a single object.
 pub trait InstanceAdapter: CallerAdapter + UpstreamAdapter + StoreAdapter {}
