--- a/crates/instance/src/caller_connection.rs
+++ b/crates/instance/src/caller_connection.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Serves a connection until it is closed.
+/// Serves the requests on a connection one after another until it is closed; errors are logged.
 pub async fn serve(context: rc::Rc<context::InstanceContext>, stream: monoio::net::TcpStream) {
     let (mut reader, mut writer) = h1::split(stream);
     loop {
@@ -283,7 +283,8 @@
     }
 }
 
-/// Returns the best contact that this process has with the store and with other members.
+/// Returns the best contact of this process: a source of documents (the store or a member that has them), any live
+/// member, or none.
 fn start_contact(
     context: &context::InstanceContext,
     now: units::MonoTime,
@@ -407,6 +408,7 @@
         let mut framing = h1::BodyFraming::UntilClose;
         while let Ok(Some(_)) = reader.next_piece(&mut framing).await {}
     };
-    // A caller that is still sending has had this much time to read its answer.
+    // After `LINGER_TIMEOUT` the connection is closed even if the caller is still sending: it has had time to read its
+    // answer.
     let _ = monoio::time::timeout(LINGER_TIMEOUT, discarding).await;
 }
--- a/crates/instance/src/cell_search.rs
+++ b/crates/instance/src/cell_search.rs
@@ -1,5 +1,5 @@
-//! Searches the cells of a service's engines, each with a planner of its own, for a place: the assignment of a
-//! request to engines.
+//! Searches the cells of a service (groups of its engines, each with a planner of its own) for a place: the assignment
+//! of a request to engines.
 
 use std::{rc, time};
 
@@ -7,9 +7,9 @@
 
 use crate::{context, incoming_call, plan_client};
 
-/// Requests a place in one cell of the service's engines. After a refusal further cells are tried, as far as
-/// the search budget allows: the engines of one cell may be full while others have room. If no cell grants a
-/// place, the refusal with the shortest retry delay is returned.
+/// Requests a place in one cell (group of engines) of the service. After a refusal further cells are tried, as far as
+/// the instance's budget for such attempts allows: the engines of one cell may be full while others have room. If no
+/// cell grants a place, the refusal with the shortest retry delay is returned.
 pub(crate) async fn place(
     context: &rc::Rc<context::InstanceContext>,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/compressed_bytes.rs
+++ b/crates/instance/src/compressed_bytes.rs
@@ -84,7 +84,7 @@
         Ok(bytes)
     }
 
-    /// Number of compressed bytes.
+    /// Number of bytes after compression, without the length and the digest.
     pub fn size(&self) -> usize {
         self.packed.len()
     }
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -19,8 +19,8 @@
 /// Process age from which the member count is reliable; heartbeats are at most a second apart.
 const MEMBER_COUNT_MIN_AGE: time::Duration = time::Duration::from_secs(3);
 
-/// Minimum time for which an attempt waits for a place (the assignment of its request to engines),
-/// also after a long first attempt.
+/// Minimum time for which an attempt may wait for a place (the assignment of its request to engines), even if earlier
+/// attempts have used up the time that the caller waits for an event. Only the request's deadline shortens it.
 pub(crate) const MIN_PLACE_TIME: time::Duration = time::Duration::from_millis(200);
 
 /// A message to another member.
@@ -32,7 +32,8 @@
     pub message: peer_message::PeerMessage,
 }
 
-/// A lease on a place that a request of this process uses.
+/// A lease on a place (the assignment of a request to engines), which this process renews at the planner while the
+/// request runs.
 #[derive(Debug, Clone)]
 pub struct HeldLease {
     /// The planner that granted the place.
@@ -63,15 +64,17 @@
     pub detector: cell::RefCell<failure_detector::FailureDetector>,
     /// When this process last refuted a suspicion of itself; `None` if it never did.
     pub last_refuted: cell::Cell<Option<units::MonoTime>>,
-    /// Mean prompt lengths by class of requests, from which the worth of a request for planners is computed.
+    /// Mean prompt lengths by class of requests. From them the worth of a request is computed: its weight at the
+    /// planner when requests compete for engine time.
     pub classes: cell::RefCell<class_worth::ClassWorth>,
     /// Planners that run in this process.
     pub planners: cell::RefCell<planner_set::PlannerSet>,
     /// Leases on the places that this process's requests use.
     pub leases: cell::RefCell<collections::HashMap<engine_place::JobId, HeldLease>>,
-    /// The other member from which this process last requested a place, by planner key.
+    /// The other member from which this process last requested a place (the assignment of a request to engines), by
+    /// planner key (service and cell).
     pub planned_by: cell::RefCell<collections::BTreeMap<planner_key::PlannerKey, ids::InstanceId>>,
-    /// Budget for requesting places from further cells after a refusal.
+    /// Budget for requesting places from further cells (groups of a service's engines) after a refusal.
     pub search_budget: cell::RefCell<search_budget::SearchBudget>,
     /// Channels for planners' replies, by the attempt that waits for a place.
     pub reply_senders:
@@ -80,7 +83,7 @@
     pub retries: cell::RefCell<collections::HashMap<ids::ServiceId, fleet_budget::RetryShare>>,
     /// Idle connections to upstreams.
     pub pool: upstream_pool::UpstreamPool,
-    /// Load and health of the upstreams of plain services.
+    /// Load and health of the upstreams of plain services, which run no model.
     pub loads: cell::RefCell<upstream_load::UpstreamLoads>,
     /// Numbers of requests recently sent to each upstream.
     pub sent: cell::RefCell<send_counts::SendCounts>,
@@ -90,7 +93,8 @@
     pub starts: upstream_starts::StartWaiters,
     /// Evidence about requests that crash upstreams.
     pub quarantine: cell::RefCell<quarantine::QuarantineTable>,
-    /// Wakes all requests in progress when a request has been quarantined, so that each checks whether it is that one.
+    /// Wakes all requests in progress when a request has been quarantined, so that each checks whether it is
+    /// quarantined.
     pub verdicts: quarantine_gate::VerdictSignal,
     /// Process age, in seconds, when gossip state was last requested from a member that had joined,
     /// and the number of such requests in that second.
@@ -103,7 +107,7 @@
     pub stats: cell::RefCell<instance_stats::InstanceStats>,
     /// Records of the last completed requests.
     pub records: cell::RefCell<crate::request_record::RecordLog>,
-    /// Number of requests and memory orders in progress.
+    /// Number of requests, and of releases of engine memory, in progress; a graceful stop waits for them.
     pub busy: cell::Cell<usize>,
     /// Believed state of the store, and document versions that other members have.
     pub store_tracker: cell::RefCell<store_tracker::StoreTracker>,
@@ -114,7 +118,8 @@
     /// When this process last detected that it had been paused; shortly after that, other members are preferred as
     /// planners. The default if it was never paused.
     pub resumed_at: cell::Cell<units::MonoTime>,
-    /// Until when requests wait for places; `None` unless a graceful stop has begun.
+    /// End of the time in which requests may wait for places (assignments to engines); `None` unless a graceful stop
+    /// has begun.
     pub places_until: cell::Cell<Option<units::MonoTime>>,
     /// When accepting a caller's connection last failed; `None` once one has been accepted since.
     pub accept_failed_at: cell::Cell<Option<units::MonoTime>>,
@@ -129,9 +134,9 @@
 
 /// Arguments of [`InstanceContext::new`].
 pub struct ContextParts {
-    /// Initial settings.
+    /// Settings at the start of the process; a reload does not change the planners' options derived from them.
     pub settings: instance_settings::InstanceSettings,
-    /// Adapter of the platform.
+    /// Adapter that translates the headers, paths and documents of the platform.
     pub adapter: rc::Rc<dyn adapter::InstanceAdapter>,
     /// Signals that a graceful stop was requested.
     pub stop: process::StopSignal,
@@ -225,13 +230,13 @@
 
     /// Sends a message to another member.
     pub fn send_to(&self, to: std::net::SocketAddrV4, message: peer_message::PeerMessage) {
-        // The receiver lives as long as the process.
+        // Sending cannot fail, as the receiver lives as long as the process.
         let _ = self.outgoing.unbounded_send(OutgoingMessage { to, message });
     }
 
-    /// Reports an event about a request at an upstream.
+    /// Queues an event about a request at an upstream for `upstream_ends::find_ended_upstreams`.
     pub(crate) fn report_run(&self, event: upstream_ends::RunEvent) {
-        // The receiver lives as long as the process.
+        // Sending cannot fail, as the receiver lives as long as the process.
         let _ = self.runs.unbounded_send(event);
     }
 
@@ -243,8 +248,8 @@
         member_heartbeat::MemberHeartbeat { sequence, others, ..self.own_heartbeat() }
     }
 
-    /// Returns the current state of this process as a heartbeat, with the sequence number of the last
-    /// one and without other members.
+    /// Returns the current state of this process as a heartbeat, which repeats the sequence number of the last
+    /// heartbeat and names no other members.
     pub fn own_heartbeat(&self) -> member_heartbeat::MemberHeartbeat {
         let settings = self.settings();
         let fleet = self.fleet.borrow();
@@ -292,9 +297,9 @@
         (age > MEMBER_COUNT_MIN_AGE && !alone).then(|| members.size())
     }
 
-    /// Picks the planner from which a request for a service requests a place: that of a random cell,
-    /// weighted by its number of engines, among those that have not `refused` the request. If there are
-    /// several cells, those that have only closed engines are left out. Returns `None` if no cell remains.
+    /// Picks the planner from which a request for a service requests a place: that of a random cell (group of engines),
+    /// weighted by its number of engines. Cells that have `refused` the request are left out and, if there are several
+    /// cells, also those whose engines may all get no requests now. Returns `None` if no cell remains.
     pub fn pick_planner(
         &self,
         service: &ids::ServiceId,
