--- a/crates/instance/src/document_answers.rs
+++ b/crates/instance/src/document_answers.rs
@@ -11,7 +11,8 @@
 
 use crate::{adapter, compressed_bytes, context};
 
-/// Most cached answers: those of one version of routes and list, for requesters that lack the routes, the list, or both.
+/// Most cached answers. All contain the same versions of the routes and the list of upstreams; they differ by what the
+/// requester lacks: the routes, the list, or both.
 const MAX_CACHED_ANSWERS: usize = 4;
 /// Size in bytes from which an answer counts as large: sending it takes 7 ms on a link of 20 Mbit/s.
 const MIN_LARGE_ANSWER_BYTES: usize = 16 * 1024;
@@ -24,12 +25,13 @@
 /// Key of a cached answer, which is reused only for a request with an equal key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct AnswerKey {
-    /// Versions of routes and list that the requester has.
+    /// Versions of the routes and of the list of upstreams that the requester has; no version of the list if it
+    /// requests the routes alone.
     requester_has: (u64, Option<store_revision::StoreRevision>),
-    /// Versions of routes and list that this process has.
+    /// Versions of the routes and of the list of upstreams that this process has.
     current: (u64, store_revision::StoreRevision),
-    /// Ages in milliseconds of the last outage's end and of the era, as reported in the answer: once they have grown,
-    /// the answer is encoded again.
+    /// Ages in milliseconds, as reported in the answer, of the last outage's end and of the store's era, which began
+    /// when the store was restored from an older copy. Once a reported age has grown, the answer is encoded again.
     ages: (Option<u64>, Option<u64>),
 }
 
@@ -69,8 +71,8 @@
     Failed(compressed_bytes::CompressionError),
 }
 
-/// Returns the documents that a member with these versions of routes and list lacks; without a version of the list, the
-/// routes alone.
+/// Returns the documents that a member with version `routes` of the routes and revision `list` of the list of upstreams
+/// lacks; without `list`, the routes alone.
 pub(crate) fn answer(
     context: &rc::Rc<context::InstanceContext>,
     routes: u64,
--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -8,10 +8,10 @@
 
 use crate::{adapter, context, document_call, upstream_gate, upstream_signals};
 
-/// A failed call to an engine.
+/// Why a call to an engine failed.
 #[derive(Debug, Snafu)]
 pub(crate) enum EngineCallError {
-    /// The gate denied the call; nothing was sent.
+    /// The gate, which checks the engine's notices before each send, denied the call; nothing was sent.
     #[snafu(display("{reason}"))]
     Denied {
         /// The reason for the denial.
@@ -39,7 +39,7 @@
 /// An engine and its network address.
 #[derive(Debug, Clone)]
 pub struct EngineAddress {
-    /// Name of the engine, by which the gate decides whether it may be called now.
+    /// Name of the engine, by which `upstream_gate` decides whether it may be called now.
     pub engine: ids::UpstreamId,
     /// Address on which the engine accepts calls.
     pub address: net::SocketAddrV4,
@@ -49,7 +49,7 @@
 pub(crate) struct EngineOrder<'a> {
     /// The order to reserve or release memory.
     pub(crate) order: &'a adapter::MemoryOrder,
-    /// Kind of send, by which the gate decides whether the order may be sent now.
+    /// Purpose of the order, which determines the reasons for which `upstream_gate` may deny it.
     pub(crate) kind: send_gate::SendKind,
     /// Permits for engines with a limit, if the order begins work there.
     pub(crate) permits: &'a [quota_permit::SendPermit],
@@ -90,12 +90,13 @@
     let started = context.now();
     let mut connection = document_call::DocumentConnection::new(to.address.into());
     connection.open(limit).await.map_err(failed)?;
-    // The gate decides again right before the first byte: notices may have arrived while the connection was opened.
+    // The gate checks the engine's notices again right before the first byte: some may have arrived while the
+    // connection was opened.
     let _pass = upstream_gate::pass(context, &to.engine, kind, permits).map_err(denied)?;
     let sent_at = context.now();
     let left = limit.saturating_sub(sent_at.since(started));
     let response = connection.call_any_status(method, path, body, left).await.map_err(failed)?;
-    // The head's load and backoff signals are also valid in refusals.
+    // The notices in the answer's head (leaving, limit, backoff) count also if the engine refused the call.
     let source = match kind {
         send_gate::SendKind::Report => upstream_notice::NoticeSource::Report,
         _ => upstream_notice::NoticeSource::Order,
--- a/crates/instance/src/engine_fault.rs
+++ b/crates/instance/src/engine_fault.rs
@@ -20,7 +20,7 @@
     }
     let other = fault.at_fault.filter(|address| Some(*address) != hold.address());
     match (fault.failure, other) {
-        // The engine refused because of another one, or never received the request.
+        // The engine refused because of another engine, or never received the request.
         (AttemptFailure::SaidNotRun | AttemptFailure::Misdirected, Some(_))
         | (AttemptFailure::NotPrepared | AttemptFailure::Denied, _) => engine_place::PlaceEnd::Done,
         (AttemptFailure::SaidNotRun, None) => engine_place::PlaceEnd::Full,
@@ -36,8 +36,8 @@
     fault: &upstream_attempt::AttemptFault,
 ) {
     if fault.failure == retry::AttemptFailure::Denied {
-        // No engine failed, and the gate decides again before the next attempt. A planner that does not
-        // know the reason of the denial would grant the same engine again.
+        // No engine failed, and the gate checks the notices of engines again before the next attempt. A planner that
+        // does not know the reason of the denial would grant the same engine again.
         exclude_denied(context, state, hold);
         return;
     }
@@ -60,8 +60,8 @@
     state.excluded.push(cause);
 }
 
-/// Excludes the engine of a place that this instance must not use now, and reports the engine's
-/// limit to its coordinator.
+/// Excludes, from the request's next attempts, the first engine of a place to which this instance must not send the
+/// request now, and reports that engine's limit to the limit's coordinator.
 fn exclude_denied(
     context: &context::InstanceContext,
     state: &mut stream_state::StreamState,
--- a/crates/instance/src/engine_reports.rs
+++ b/crates/instance/src/engine_reports.rs
@@ -75,7 +75,7 @@
     let to = engine_call::EngineAddress { engine: engine.name.clone(), address: engine.address };
     let body = match engine_call::report(&context, &to, REPORT_TIMEOUT).await {
         Ok(body) => body,
-        // The gate denied the poll, so nothing is known about whether the engine answers.
+        // Nothing was sent, as `upstream_gate` denied the poll, so it is unknown whether the engine answers.
         Err(engine_call::EngineCallError::Denied { .. }) => return,
         Err(error) => {
             log::info!(engine:% = engine.name, error:%; "engine.silent");
