--- a/crates/instance/src/event_stream.rs
+++ b/crates/instance/src/event_stream.rs
@@ -9,7 +9,7 @@
 }
 
 impl EventBuffer {
-    /// Appends received bytes.
+    /// Appends received bytes, which may end in the middle of an event.
     pub fn push(&mut self, piece: &[u8]) {
         self.bytes.extend_from_slice(piece);
     }
@@ -20,7 +20,7 @@
         end.map_or_else(BytesMut::new, |end| self.bytes.split_to(end))
     }
 
-    /// Returns whether the buffer holds no bytes.
+    /// Returns whether the buffer holds no bytes, not even those of an incomplete event.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
--- a/crates/instance/src/fleet_state.rs
+++ b/crates/instance/src/fleet_state.rs
@@ -13,7 +13,8 @@
 /// Step in milliseconds to which ages reported to members are rounded up, so that one cached answer serves many of them.
 const AGE_STEP_MS: u64 = 250;
 
-/// Routes and upstreams in force in this process. Versions never go down.
+/// Routes and upstreams in force in this process. Neither the version of the routes nor the revision of the list ever
+/// goes down.
 pub struct FleetState {
     pub(crate) adapter: rc::Rc<dyn adapter::InstanceAdapter>,
     /// Routes in force; version 0 until the first routes are known.
@@ -26,7 +27,6 @@
     pub(crate) has_list: bool,
     /// When the last outage of the store ended; `None` if there was none.
     returned_at: Option<units::MonoTime>,
-    /// Origin of the list in force.
     pub(crate) origin: ListOrigin,
     /// Number of lists and changes dropped because they were older than the list in force.
     pub(crate) dropped: u64,
@@ -34,7 +34,7 @@
     pub(crate) diverged: bool,
 }
 
-/// Origin of the list in force.
+/// Source and time of the last change of the list in force, for operators and for the records of requests.
 #[derive(Debug, Clone)]
 pub struct ListOrigin {
     /// `store`, or the name of the member that passed the list on; empty before the first list.
@@ -90,7 +90,8 @@
         if self.diverged { store_revision::StoreRevision::default() } else { self.list.revision() }
     }
 
-    /// Documents that a member with these versions lacks; the routes alone if it states no revision of the list.
+    /// Documents that a member with version `routes` of the routes and revision `list` of the list lacks; the routes
+    /// alone if `list` is `None`.
     pub fn documents(
         &mut self,
         now: units::MonoTime,
--- a/crates/instance/src/incoming_call.rs
+++ b/crates/instance/src/incoming_call.rs
@@ -15,9 +15,9 @@
 
 /// A caller's request with the customer, route, service and deadline determined on its admission.
 pub struct IncomingCall {
-    /// Head of the caller's request.
+    /// Request line and headers, as received from the caller.
     pub head: http::request::Parts,
-    /// The complete body.
+    /// The complete body; empty until the caller of [`admit`] has set it.
     pub body: Bytes,
     /// Fields read from the head.
     pub request: adapter::CallerRequest,
