--- a/crates/instance/src/instance_settings.rs
+++ b/crates/instance/src/instance_settings.rs
@@ -100,7 +100,7 @@
 pub struct InstanceSettings {
     /// Unique name of the instance.
     pub name: ids::InstanceId,
-    /// Data centre in which the instance runs.
+    /// Data centre in which the instance runs; upstreams and document sources there are preferred.
     pub data_center: ids::DataCenterId,
     /// Addresses on which the instance accepts connections.
     pub listen: ListenAddresses,
@@ -112,10 +112,10 @@
     pub seeds: Vec<net::SocketAddrV4>,
     /// Address of the platform's store.
     pub store: net::SocketAddr,
-    /// How engines are chosen; values other than the default serve for comparisons.
+    /// How engines are chosen; values other than the default serve to compare the rules.
     #[serde(default = "default_routing")]
     pub routing: settings::RoutingKind,
-    /// Variants of decision rules; values other than the defaults serve for comparisons.
+    /// Variants of decision rules; values other than the defaults serve to compare the variants.
     #[serde(default)]
     pub experiments: planner::modes::PlannerModes,
     /// CPU share of the instance, in cores; members with the largest share are preferred as planners.
--- a/crates/instance/src/instance_stats.rs
+++ b/crates/instance/src/instance_stats.rs
@@ -32,7 +32,7 @@
 /// Summary of one latency series, for operators.
 #[derive(Debug, Serialize)]
 pub struct LatencyRow {
-    /// Name of the metric.
+    /// Name of the metric, without the prefix `slipturn_` and the unit.
     pub measure: &'static str,
     /// Label of the series within the metric, such as a route or a customer.
     pub series: String,
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -116,7 +116,8 @@
     }
 }
 
-/// Whether this instance should receive new connections.
+/// Whether this instance should receive new connections: it knows routes and upstreams, is not stopping, and did not
+/// fail to accept a connection within the last `ACCEPT_FAILURE_TIME`.
 pub fn is_ready(context: &context::InstanceContext) -> bool {
     let now = context.now();
     let failed_lately =
--- a/crates/instance/src/lease_renewal.rs
+++ b/crates/instance/src/lease_renewal.rs
@@ -36,9 +36,9 @@
     }
 }
 
-/// Initialises the planner of a key if it has been idle: takes over this process's leases and
-/// requests those of all members. Renewals arrive up to half a second later, and until then the
-/// planner would assign engines that are full.
+/// Initialises this process's planner of a key (service and cell) if it has been idle: takes over this process's leases
+/// and requests those of all members. Renewals arrive up to half a second later, and until then the planner would
+/// assign engines that are full.
 pub(crate) fn begin_if_idle(
     context: &context::InstanceContext,
     planners: &mut planner_set::PlannerSet,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns this process's leases for a key.
+/// Returns this process's leases on places granted by the planner of a key (service and cell).
 fn held_leases(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
@@ -66,7 +66,7 @@
     held.values().filter(|held| held.key == *key).map(|held| held.lease.clone()).collect()
 }
 
-/// Sends a planner all of this process's leases for its key.
+/// Sends the member that runs the planner of `key` all leases that this process holds for that key (service and cell).
 pub(crate) fn announce_leases(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
