--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -11,14 +11,15 @@
 
 use crate::{adapter, compressed_bytes, fleet_state, peer_message, raw_state};
 
-/// State of a recovery, as one instance reports it to another.
+/// State of a list's recovery from the restore of the store, as one instance reports it to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryReport {
-    /// Time in milliseconds since the present era of the store became known.
+    /// Time in milliseconds since it became known that the store was restored from an older copy.
     pub age_ms: u64,
     /// Names and documents of upstreams that stay in use although the store's older copy lacks them.
     pub kept: Vec<(String, String)>,
-    /// Starts of upstreams that the store's older copy lists but that are not used, as they had been removed before.
+    /// Starts (lives of the process) of upstreams that the store's older copy lists but that are not used, as they had
+    /// been removed before.
     pub withheld: Vec<ids::UpstreamId>,
     /// Evacuated data centres that the store's older copy does not list.
     pub evacuated: Vec<ids::DataCenterId>,
@@ -37,12 +38,14 @@
 }
 
 impl fleet_state::FleetState {
-    /// Whether `revision` belongs to a later era than the list in force.
+    /// Whether `revision` belongs to a later era than the list in force: the store was restored from an older copy
+    /// since.
     pub(crate) fn is_later_era(&self, revision: store_revision::StoreRevision) -> bool {
         self.has_list() && self.list.revision().era < revision.era
     }
 
-    /// Report of the recovery in progress, for another member.
+    /// Report of the recovery in progress, for another member; `None` if there is none, or if its first list has not
+    /// been read yet.
     pub(crate) fn recovery_report(&self, now: units::MonoTime) -> Option<RecoveryReport> {
         let state = self.list.recovery()?;
         let document = |identifier: &std::sync::Arc<str>| {
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Adopts the state of the previous era that another member keeps in force.
+    /// Adopts the state that another member keeps in force from before the store was restored from an older copy.
     pub(crate) fn adopt_recovery(&mut self, now: units::MonoTime, report: RecoveryReport) {
         let identifiers = report.kept.iter().map(|(name, _)| name.as_str().into());
         let state = list_recovery::RecoveryState {
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -56,7 +56,8 @@
             self.diverged = false;
             let evacuated = documents.evacuated;
             let list = StoreList { upstreams, evacuated, unconfirmed, revision };
-            // Within an era this process itself knows which state of the previous era is in force.
+            // If the list is of the same era, this process already knows which state of the previous era is in force,
+            // so the member's report is not adopted.
             let recovery = recovery.filter(|_| later_era || !self.has_list);
             self.replace_all(now, list, recovery, source);
         } else if self.has_list {
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Adopts the evacuated data centres, and keeps those evacuated that the first list of a later era lacks.
+    /// Adopts the evacuated data centres. An evacuation that the first list after a restore of the store lacks stays in
+    /// force until it is written again or the recovery ends.
     fn adopt_evacuations(
         &mut self,
         now: units::MonoTime,
@@ -227,13 +229,14 @@
         source: &str,
     ) {
         if revision < self.list.revision() {
-            // This is a late answer. Its content must not be passed on to other members as a change.
+            // Changes that arrive after newer ones must not be passed on to other members.
             self.reject_older(revision, source);
             return;
         }
         self.record_origin(now, source);
         // Members may resend changes that were applied before, older ones first. Only the last change of each upstream
-        // counts: otherwise a start that ended long ago would briefly count as the next one.
+        // counts: otherwise a start (life of the process) that ended long ago would briefly count as the upstream's
+        // next one.
         let mut last_changes = collections::BTreeMap::new();
         let mut list_changes = Vec::new();
         for (name, mut text) in changes {
@@ -245,7 +248,8 @@
             let without_start = matches!(&change, Some(upstream_list::ListChange::Present(entry))
                 if entry.name.start().is_none());
             let before = last_changes.insert(name.clone(), change).flatten();
-            // An entry without a start may follow an entry with one only if that one had been removed in between.
+            // An entry that names no start (life of the process) replaces an entry that names one only after a removal,
+            // so a removal in between is applied too.
             let gone = before.filter(|before| matches!(before, upstream_list::ListChange::Gone(_)));
             list_changes.extend(gone.filter(|_| without_start));
             self.raw.change(name, text, revision);
