--- a/crates/instance/src/log_sink.rs
+++ b/crates/instance/src/log_sink.rs
@@ -20,8 +20,8 @@
 
 /// Maximum number of lines in the queue; a line takes about 500 bytes.
 const QUEUE_CAPACITY: usize = 512;
-/// Maximum number of lines per second: ten times the peak of an instance in a large fleet, three times
-/// 13 requests a second.
+/// Maximum number of lines per second: ten times the peak of an instance in a large fleet, which is three times its
+/// 13 requests per second.
 const MAX_LINES_PER_SECOND: usize = 400;
 /// Fraction of [`QUEUE_CAPACITY`] and of [`MAX_LINES_PER_SECOND`] that is reserved for warnings and errors.
 const RESERVED_FRACTION: f64 = 0.25;
--- a/crates/instance/src/long_answer.rs
+++ b/crates/instance/src/long_answer.rs
@@ -43,11 +43,11 @@
     pub(crate) upstream: ids::UpstreamId,
     /// The answer's head, and the connection on which its body arrives.
     pub(crate) answer: upstream_attempt::AttemptAnswer,
-    /// The part of the body that has been read.
+    /// The part of the body that has been read and not forwarded yet.
     pub(crate) leading: Bytes,
-    /// Guard of the run, which ends with the answer.
+    /// Guard of the run (the execution of the request at the upstream), which ends with the answer.
     pub(crate) run: upstream_ends::RunGuard<'a>,
-    /// Guard that records the end of the call in the load state.
+    /// Guard that, when dropped, records the end and the result of the call in the upstream's load and health.
     pub(crate) guard: service_request::LoadGuard<'a>,
 }
 
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -19,8 +19,8 @@
 const START_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Range, in seconds, of the random pause after a member has refused because it is sending documents to others.
 const BUSY_PAUSE_S: std::ops::Range<f64> = 0.05..0.15;
-/// Number of members that a member informs after it has received a large document: enough that the number of members
-/// known to have the document grows as fast as it can be sent.
+/// Number of members to which a process announces that it has received a large document: enough that the number of
+/// members known to have the document grows as fast as it can be sent.
 const INFORMED_MEMBERS: usize = 3;
 /// Path at which a member serves its documents.
 pub const DOCUMENTS_PATH: &str = "/documents";
@@ -46,8 +46,8 @@
                 let outcome = adopt_routes(&context, &member, address).await;
                 last_failed = (outcome != CopyOutcome::Adopted).then_some(member);
                 match outcome {
-                    // Even if a newer change is missing already, as when changes follow each other quickly, the time
-                    // for which only members are queried starts again.
+                    // The time for which only members are queried starts again, even if this process already lacks a
+                    // newer version because changes follow each other quickly.
                     CopyOutcome::Adopted => source.note_complete(),
                     CopyOutcome::Missing => {}
                     CopyOutcome::Damaged => source.note_damaged_copy(),
@@ -68,7 +68,8 @@
     }
 }
 
-/// Records that the store, read at `requested_at`, had no newer routes than this process has now.
+/// Records that the store, read at `requested_at`, had no newer routes than this process has now: a newer version that
+/// members claimed by then no longer counts as missing.
 fn refute_routes(context: &context::InstanceContext, requested_at: units::MonoTime) {
     let own = context.versions().routes;
     context.store_tracker.borrow_mut().refute_routes(own, requested_at);
@@ -85,7 +86,7 @@
     Damaged,
 }
 
-/// Fetches and adopts a member's routes. [`CopyOutcome::Missing`] also if the member's are not newer.
+/// Fetches and adopts a member's routes; returns [`CopyOutcome::Missing`] also if the member has no newer routes.
 async fn adopt_routes(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
--- a/crates/instance/src/member_gossip.rs
+++ b/crates/instance/src/member_gossip.rs
@@ -54,7 +54,8 @@
             upstream_signals::send_leaving(&context, *to);
             limit_gossip::send_to(&context, *to);
         }
-        // Evidence of the quarantine is larger and only needed for future requests, so one member is enough.
+        // Evidence against quarantined requests is larger and only needed for future requests, so it is sent to one
+        // member in each round.
         targets
             .first()
             .into_iter()
