--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -30,7 +30,7 @@
 pub struct HoldError {
     /// The engine that did not reserve its memory; the first one if there are several.
     pub engine: ids::UpstreamId,
-    /// Reason why the engine did not reserve the memory.
+    /// Reason why the engine did not reserve the memory, for the log and the request's record.
     pub reason: String,
 }
 
@@ -41,7 +41,8 @@
     /// [`LATE_ORDER_TIME`] later.
     unanswered: rc::Rc<cell::Cell<Option<units::MonoTime>>>,
     engine: ids::UpstreamId,
-    /// The start of the engine that holds the memory; a reservation does not survive a restart.
+    /// Name of the engine with the start (life of its process) that holds the memory; a reservation does not survive a
+    /// restart.
     start: rc::Rc<cell::RefCell<ids::UpstreamId>>,
     address: net::SocketAddrV4,
     /// Identifies the reservation at the engine.
@@ -130,7 +131,7 @@
         Ok(hold)
     }
 
-    /// Returns whether any memory is reserved.
+    /// Returns whether any memory is reserved; a place may need none.
     pub fn holds(&self) -> bool {
         !self.tickets.is_empty()
     }
@@ -156,7 +157,8 @@
     }
 }
 
-/// Sends a hold order; returns the start of the engine that holds the memory, if reported.
+/// Sends an order that reserves memory or extends a reservation; returns the start (life of the process) of the engine
+/// that holds the memory, if reported.
 async fn send_hold(
     context: &context::InstanceContext,
     held: &HeldTicket,
@@ -180,7 +182,7 @@
     result.map_err(|error| error.to_string())
 }
 
-/// Sends an order; returns the start of the engine that executed it, if reported.
+/// Sends an order; returns the start (life of the process) of the engine that executed it, if reported.
 async fn send_order(
     context: &context::InstanceContext,
     held: &HeldTicket,
@@ -203,7 +205,7 @@
             return;
         }
         for held in &tickets {
-            // A renewal at another start of the engine would create a reservation that no request uses.
+            // After a restart of the engine, a renewal would create a reservation that no request uses.
             if held.is_lost(&context) {
                 continue;
             }
--- a/crates/instance/src/model_request.rs
+++ b/crates/instance/src/model_request.rs
@@ -14,7 +14,8 @@
     upstream_ends, upstream_gate, upstream_signals,
 };
 
-/// Maximum number of places tried, including those whose engine never received the request.
+/// Maximum number of places (assignments to engines) tried for a request, including those whose engine never received
+/// it.
 const MAX_TRIES: u32 = 5;
 /// Retry delay of a refusal if neither the planner nor the state of the upstreams determines one.
 const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_millis(400);
--- a/crates/instance/src/no_open_upstream.rs
+++ b/crates/instance/src/no_open_upstream.rs
@@ -11,7 +11,6 @@
 pub(crate) enum NoUpstreamReason {
     /// All otherwise usable upstreams requested a backoff.
     Backoff {
-        /// The service that the request is for.
         service: ids::ServiceId,
         /// The backoff that ends first.
         first: upstream_notice::BackoffNotice,
@@ -20,14 +19,12 @@
     },
     /// All otherwise usable upstreams are in data centres under evacuation.
     Evacuated {
-        /// The service that the request is for.
         service: ids::ServiceId,
         /// Retry delay for the caller.
         retry_after: time::Duration,
     },
     /// All usable upstreams have a limit; it is assumed that no permit was available for the request.
     Limited {
-        /// The service that the request is for.
         service: ids::ServiceId,
         /// Retry delay for the caller.
         retry_after: time::Duration,
