--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -44,7 +44,8 @@
     Queued(engine_place::JobId),
     /// Informs a planner of a change to a place, or of an engine's failure.
     Note(planner_key::PlannerKey, engine_place::PlaceNote),
-    /// Renews the places that are in use by jobs of a member; the number identifies the start of that member.
+    /// Renews the places that are in use by jobs (attempts) of a member; the number is the member's boot id, which
+    /// changes with each start of its process.
     Renew(planner_key::PlannerKey, u64, Vec<RenewedJob>),
     /// Requests the leases of jobs that a planner does not know, by their sequence numbers.
     Unknown(planner_key::PlannerKey, Vec<u64>),
@@ -154,7 +155,7 @@
 pub type ReplySender = mpsc::UnboundedSender<PlanReply>;
 
 impl PeerMessage {
-    /// Encodes the message as a datagram.
+    /// Encodes the message as the content of one datagram; its size is not checked against [`MAX_DATAGRAM`].
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_stdvec(self)
     }
--- a/crates/instance/src/peers.rs
+++ b/crates/instance/src/peers.rs
@@ -203,7 +203,8 @@
     }
 }
 
-/// The member that runs the planner of `key`; `None` if it is this process, or if no process qualifies.
+/// The other member that runs the planner of `key` (service and cell); `None` if this process runs it, or if neither
+/// this process nor a live member may plan.
 pub fn planner_of(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
--- a/crates/instance/src/permit_request.rs
+++ b/crates/instance/src/permit_request.rs
@@ -18,7 +18,6 @@
 #[derive(Debug)]
 struct PendingRequest {
     subject: quota_permit::QuotaSubject,
-    /// When the request was sent.
     sent_at: units::MonoTime,
     /// Channel to the task that waits for the response.
     reply: Option<oneshot::Sender<quota_permit::PermitResponse>>,
--- a/crates/instance/src/plan_client.rs
+++ b/crates/instance/src/plan_client.rs
@@ -87,7 +87,7 @@
 
 /// Result of a request for a place.
 pub enum PlaceOutcome {
-    /// A place was granted.
+    /// A place was granted; it is in use until the [`PlaceHold`] is dropped.
     Placed(PlaceHold),
     /// The planner refused the request, as no place will be free in time.
     Refused(engine_place::PlaceRefusal),
@@ -201,8 +201,8 @@
     }
 }
 
-/// Records which member plans for a key; returns whether that member replaced another one, and so may not
-/// know this process's leases.
+/// Records which member runs the planner of a key (service and cell). Returns whether that member has replaced another
+/// one, and so may not know this process's leases.
 fn note_planner(
     context: &context::InstanceContext,
     key: &planner_key::PlannerKey,
