--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -103,7 +103,7 @@
         self.last_requests.get(key).is_none_or(|since| now.since(*since) >= ACTIVE_TIME)
     }
 
-    /// Returns the planner of a key, or `None` if there is no such cell.
+    /// Returns the planner of a key, or `None` if the service has no such cell (group of engines).
     pub fn planner(
         &mut self,
         key: &planner_key::PlannerKey,
--- a/crates/instance/src/quarantine_gate.rs
+++ b/crates/instance/src/quarantine_gate.rs
@@ -45,7 +45,8 @@
     (sender, receiver.shared())
 }
 
-/// Runs `work` for a request unless the request is, or becomes, quarantined; the error is the verdict.
+/// Runs `work` for a request unless the request is, or becomes, quarantined. The error then names the upstreams that
+/// crashed and the end of the quarantine.
 pub(crate) async fn pass<T>(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
@@ -57,7 +58,7 @@
         while signal.poll_unpin(cx).is_ready() {
             signal = context.verdicts.subscribe();
         }
-        // The table changes only between polls, so this check covers all that `work` sends in this one.
+        // The quarantine table changes only between polls, so this check covers all that `work` sends in this poll.
         if let Some(verdict) = verdict(context, call) {
             return task::Poll::Ready(Err(verdict));
         }
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -115,7 +115,7 @@
     known
 }
 
-/// Records evidence, and informs all members of requests that it quarantines.
+/// Records evidence, and informs all members of the requests that are quarantined because of it.
 fn record_evidence(context: &context::InstanceContext, crashes: Vec<quarantine::CrashedRun>) {
     let now = context.now();
     let quarantined = context.quarantine.borrow_mut().note_crashes(now, crashes);
@@ -131,8 +131,8 @@
     }
 }
 
-/// Informs a member which of its quarantined requests were answered, as this process knows, after all crashes that the
-/// member reports.
+/// Informs a member that has reported `crashes` of those requests that, as this process knows, were answered or
+/// released after all reported crashes.
 fn report_cleared(
     context: &context::InstanceContext,
     to: net::SocketAddrV4,
@@ -154,7 +154,7 @@
     }
 }
 
-/// Evidence of this process against these requests.
+/// Evidence of this process against the requests with these `digests`.
 fn crashes_of(
     context: &context::InstanceContext,
     digests: &[request_digest::RequestDigest],
@@ -163,7 +163,8 @@
     digests.iter().flat_map(|digest| table.crashes_of(*digest).to_vec()).collect()
 }
 
-/// Members that store the evidence against these requests, each with the requests whose evidence it stores.
+/// Addresses of the members that store the evidence against the requests with these `digests`, each with the digests
+/// whose evidence it stores.
 fn replicas_of(
     context: &context::InstanceContext,
     digests: impl Iterator<Item = request_digest::RequestDigest>,
@@ -187,7 +188,7 @@
     replicas.into_iter().collect()
 }
 
-/// Reports of these runs, split so that each batch fits into a message.
+/// Reports of `crashes` for other members, split into batches that each fit into a message.
 fn report_batches(
     now: units::MonoTime,
     crashes: &[quarantine::CrashedRun],
--- a/crates/instance/src/quota_coordinator.rs
+++ b/crates/instance/src/quota_coordinator.rs
@@ -309,7 +309,8 @@
     fleet.routes.services.get(&entry.service).is_some_and(|service| service.engine.is_some())
 }
 
-/// The key that selects the coordinator of an upstream's limit.
+/// The key that selects the coordinator of an upstream's limit: that of the engine's planner, or for an upstream that
+/// runs no model a key of its own.
 fn key_of_limit(
     fleet: &fleet_state::FleetState,
     entry: &upstream_list::UpstreamEntry,
