--- a/crates/instance/src/request_record.rs
+++ b/crates/instance/src/request_record.rs
@@ -10,7 +10,7 @@
 /// Record of one attempt at an upstream.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct AttemptRecord {
-    /// Name of the upstream.
+    /// Name of the upstream, with its start (life of its process) if that is known.
     pub upstream: String,
     /// Notices of the upstream in force when it was chosen, such as a shutdown or a backoff, with their
     /// ages and sources.
@@ -23,10 +23,12 @@
     /// a plain service, whose upstreams run no model.
     #[serde(skip_serializing_if = "is_zero")]
     pub waited_ms: u64,
-    /// Time to the first token that the planner expected, in milliseconds; 0 for a plain service.
+    /// Time to the first token that the planner expected, in milliseconds; 0 for a plain service, whose upstreams run
+    /// no model.
     #[serde(skip_serializing_if = "is_zero")]
     pub planned_ms: u64,
-    /// Measured time from obtaining a connection to the first event, in milliseconds.
+    /// Measured time from obtaining a connection to the first event, in milliseconds; absent if no event was received,
+    /// and for services whose upstreams run no model.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_ms: Option<u64>,
     /// How the attempt ended.
@@ -38,11 +40,11 @@
 pub struct RequestRecord {
     /// The caller's id of the request.
     pub id: String,
-    /// Name of the route.
+    /// Name of the route that matched the request's host and path.
     pub route: String,
     /// Name of the customer; empty if unknown.
     pub customer: String,
-    /// Name of the service.
+    /// Name of the service that the route picked for the request.
     pub service: String,
     /// Version of the routes in force when the request was admitted.
     pub routes: u64,
@@ -52,7 +54,7 @@
     pub list_source: String,
     /// Time from the last change of the list of upstreams to the admission of the request, in milliseconds.
     pub list_age_ms: u64,
-    /// Whether, and how, the route allows the request to be repeated.
+    /// Whether the route allows the request to run more than once: `repeatable`, `resumable` or `at_most_once`.
     pub repeat: &'static str,
     /// Digest that identifies the request when its caller repeats it; set if the request is
     /// quarantined or an upstream may have run an attempt that failed.
@@ -69,7 +71,8 @@
     /// Status code of the answer; absent if the caller disconnected or a stream was cut off.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// Time from the arrival to the first event, or for a plain service to the answer or refusal, in milliseconds.
+    /// Time in milliseconds from the arrival to the first event; for a plain service, whose upstreams run no model, to
+    /// the answer or refusal. Absent for a stream without events.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_ms: Option<u64>,
     /// Longest pause between two events, in milliseconds.
--- a/crates/instance/src/routes_history.rs
+++ b/crates/instance/src/routes_history.rs
@@ -14,7 +14,7 @@
 /// Most compressed bytes of remembered changes; a change of one route takes some 50.
 const MAX_REMEMBERED_BYTES: usize = 64 * 1024;
 
-/// A change from one version of the routes to another.
+/// A change from one version of the routes to another, as the difference between their texts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesChange {
     /// Version before the change.
--- a/crates/instance/src/silence_watch.rs
+++ b/crates/instance/src/silence_watch.rs
@@ -22,7 +22,8 @@
 /// Why an attempt was given up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaitFault {
-    /// The engine is silent for too long, or memory is reserved for it without use.
+    /// The engine is silent for too long, or memory stays reserved for its answer although no request uses the memory.
+    /// The text says which.
     Silent(String),
     /// The engine was restarted, so the answer is lost.
     Restarted,
@@ -72,9 +73,9 @@
     /// says why the attempt is given up. `upstream_ended` must be created before the request is sent,
     /// so that a restart between two waits ends the next one.
     ///
-    /// After each of `limits` the engine is given up if `take_retry`, called with the reach of that
-    /// limit, returns true. Silence alone does not end an answer that cannot be retried, unless memory
-    /// is reserved for it without use.
+    /// After each of `limits` the engine is given up if `take_retry` returns true; its argument says which upstreams
+    /// may continue the request after that limit. Silence alone does not end an answer that cannot be retried, unless
+    /// memory stays reserved for the answer although no request uses the memory.
     pub async fn wait<T>(
         &self,
         work: pin::Pin<&mut impl Future<Output = T>>,
@@ -139,16 +140,16 @@
         }
     }
 
-    /// Returns whether the engine answers, and whether the reserved memory is unused. An engine that
-    /// the gate closes is not probed and counts as answering: it has just answered if it requested a
+    /// Returns whether the engine answers, and whether the reserved memory is unused. An engine for which
+    /// `upstream_gate` denies the probe is not probed and counts as answering: it has just answered if it requested a
     /// backoff.
     async fn probe(&self, holder: &engine_call::EngineAddress, ticket: &str) -> (bool, bool) {
         let answers = self.report(&self.engine).await.is_some();
         (answers, self.answering && answers && self.is_unused(holder, ticket).await)
     }
 
-    /// Requests a report over a new connection, as that of the answer may be dead. Returns `None` if the
-    /// engine does not answer, and `Some(None)` if its report is unreadable or the gate denied the request.
+    /// Requests a report over a new connection, as the connection of the answer may be dead. Returns `None` if the
+    /// engine does not answer, and `Some(None)` if its report is unreadable or `upstream_gate` denied the request.
     async fn report(
         &self,
         engine: &engine_call::EngineAddress,
