--- a/crates/instance/src/store_contact.rs
+++ b/crates/instance/src/store_contact.rs
@@ -14,7 +14,7 @@
 /// member. A change does not reach all watches at the same time, and arrives later if another change preceded it.
 pub(crate) const MAX_WATCH_LAG: time::Duration = time::Duration::from_millis(500);
 
-/// Interval between two checks of what members have; short while this process has no documents.
+/// Interval between two checks of whether members have newer documents; short while this process has none.
 pub(crate) fn poll_interval(context: &context::InstanceContext) -> time::Duration {
     if context.fleet.borrow().is_known() { POLL_INTERVAL } else { START_POLL_INTERVAL }
 }
--- a/crates/instance/src/store_feed.rs
+++ b/crates/instance/src/store_feed.rs
@@ -205,7 +205,8 @@
     };
     if before < era {
         heartbeats::announce(context);
-        // Members may know leaving upstreams that the copy does not list as leaving.
+        // Members may know of leaving upstreams that the older copy, from which the store was restored, does not list
+        // as leaving.
         member_gossip::request(context);
     }
     Ok(revision)
--- a/crates/instance/src/store_watch.rs
+++ b/crates/instance/src/store_watch.rs
@@ -9,8 +9,8 @@
 
 /// Longest wait of one watch, as a share of the time within which requests to a leaving upstream must stop.
 ///
-/// A connection may fall silent without an error. A change is then received after the wait, [`MAX_DELAY`] and one read:
-/// before the platform again requires an instance that had a fault to keep its bounds.
+/// A connection may fall silent without an error. A change is then received after the wait, [`MAX_DELAY`] and one read.
+/// That is soon enough: the platform tolerates for longer that an instance exceeds its bounds after a fault.
 const WAIT_SHARE: f64 = 0.75;
 /// Wait of a probe, a watch that only checks whether the store answers: it returns at once.
 const PROBE_WAIT: time::Duration = time::Duration::from_millis(1);
@@ -33,7 +33,8 @@
     revision: store_revision::StoreRevision,
 ) -> Result<store_call::StoreAnswer, store_call::StoreError> {
     if !context.store_tracker.borrow().answers() {
-        // The end of an outage must be detected soon.
+        // While the store is not known to answer, a probe replaces the watch, so that the end of an outage is detected
+        // soon.
         return probe(context, connection, revision).await;
     }
     let wait = context.settings().bounds.leave.0.mul_f64(WAIT_SHARE).max(MIN_WAIT);
@@ -94,8 +95,8 @@
     Err(store_call::StoreError::Call { source })
 }
 
-/// Waits for the answer to a watch; `None` once it is overdue, or once members have had changes for some time that it
-/// should have brought.
+/// Waits for the answer to a watch; `None` once the answer is overdue, or once this process has lacked newer documents
+/// of members for `store_contact::MAX_WATCH_LAG` although it watches.
 async fn until_overdue<T>(
     context: &context::InstanceContext,
     mut waiting: pin::Pin<&mut impl Future<Output = T>>,
