--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -7,12 +7,13 @@
 
 use crate::{context, incoming_call};
 
-/// Multiple of the service's shortest pause goal up to which a request's pause goal counts as short.
+/// Multiple of the service's shortest pause goal (latency goal between two events) up to which a request's pause goal
+/// counts as short.
 const SHORT_PAUSE_FACTOR: f64 = 1.5;
 /// Fraction of the first-token goal within which one engine must process the prompt of a short request.
 const SHORT_GOAL_FRACTION: f64 = 0.75;
-/// Minimum time without an event after which callers give up a stream; the multiples by
-/// [`CALLER_GOAL_FACTOR`] and [`CALLER_PAUSE_FACTOR`] may be longer.
+/// Minimum time without an event after which callers are assumed to give up a stream. The times computed with
+/// [`CALLER_GOAL_FACTOR`] and [`CALLER_PAUSE_FACTOR`] apply instead if they are longer.
 const MIN_EVENT_WAIT: time::Duration = time::Duration::from_secs(2);
 /// Multiple of the first-token goal that callers wait without an event.
 const CALLER_GOAL_FACTOR: u32 = 4;
@@ -28,8 +29,8 @@
 const SILENCE_PLAN_FACTOR: f64 = 3.0;
 /// Minimum multiple of the planned time to the first token for which an engine may be silent.
 const MIN_PLAN_FACTOR: f64 = 1.1;
-/// Time added to the multiples by [`SILENCE_PLAN_FACTOR`] and [`MIN_PLAN_FACTOR`], for delays that the
-/// plan does not cover.
+/// Time added to the planned time to the first token after its multiplication by [`SILENCE_PLAN_FACTOR`] or
+/// [`MIN_PLAN_FACTOR`], for delays that the plan does not cover.
 const SILENCE_MARGIN: time::Duration = time::Duration::from_millis(600);
 /// Fraction of the route's time limit below which the time that a caller waits indicates that it has
 /// sent the request before.
--- a/crates/instance/src/stream_target.rs
+++ b/crates/instance/src/stream_target.rs
@@ -5,8 +5,8 @@
     context, incoming_call, memory_hold, plan_client, stream_policy, stream_state, upstream_attempt,
 };
 
-/// Returns the target of an attempt: the engine that answers and its helpers. Returns `None` if
-/// that engine is no longer listed; helpers that are not listed are left out.
+/// Returns the target of an attempt: the engine that answers and its helpers, which prefill parts of the prompt.
+/// Returns `None` if the engine that answers is no longer listed; helpers that are not listed are left out.
 pub(crate) fn target(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -65,11 +65,11 @@
 /// An engine that processes a part (share) of a prompt for the engine that answers.
 #[derive(Debug, Clone)]
 pub struct PartReader {
-    /// Name of the engine, by which the gate decides whether the request may be sent.
+    /// Name of the engine, by which `upstream_gate` decides whether the request may be sent.
     pub engine: ids::UpstreamId,
     /// Address of the engine.
     pub address: net::SocketAddrV4,
-    /// The ticket of the memory reserved there, if any.
+    /// The ticket of the memory reserved on the engine, if any.
     pub ticket: Option<String>,
 }
 
@@ -152,7 +152,6 @@
 
 /// The first bytes of a body.
 pub(crate) struct LeadingBody {
-    /// The bytes read.
     pub(crate) bytes: Bytes,
     /// Whether `bytes` is the complete body.
     pub(crate) whole: bool,
@@ -189,7 +188,8 @@
     target: &AttemptTarget,
     new_connection: bool,
 ) -> Result<upstream_pool::UpstreamConnection, AttemptFault> {
-    // Avoids a useless connection; the gate decides again right before the first byte is sent.
+    // Avoids opening a connection for a request that must not be sent. The gate checks the upstream's notices again
+    // right before the first byte is sent.
     upstream_gate::check_request(context, target)?;
     let retry_allowed = call.route.repeat.allows_repeat() && call.route.max_attempts > 1;
     let opened = if new_connection || !retry_allowed {
