--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -50,7 +50,7 @@
     Silent,
 }
 
-/// A run that its upstream did not complete.
+/// A run (execution of a request at an upstream) that the upstream did not complete.
 #[derive(Debug, Clone)]
 pub struct BrokenRun {
     /// Start (one life of the process) of the upstream that ran the request.
@@ -72,7 +72,7 @@
 enum EndProof {
     /// No process listens at the upstream's address.
     Refused,
-    /// The list names another start of the upstream, or none.
+    /// The list names another start (life of the process) of the upstream, or none.
     List,
 }
 
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -83,8 +83,8 @@
         };
         let (lowest, first) = least(&costs)?;
         let equal = costs.iter().filter(|(cost, _)| *cost <= lowest).map(|(_, entry)| *entry);
-        // Calls that a limit admits now cannot be made up for later; upstreams without a limit take the
-        // remaining calls.
+        // Calls that a limit admits now are lost if none is sent, so an upstream with a limit comes first. Upstreams
+        // without a limit take the remaining calls.
         if let Some(limited) = equal.clone().find(|entry| has_limit(entry)) {
             return Some(limited);
         }
@@ -108,7 +108,7 @@
         rendezvous::stable_hash(&[&self.own, entry.name.identifier()])
     }
 
-    /// Records the start of a call.
+    /// Records the start of a call; [`Self::end`] must follow, also for a call that fails.
     pub fn begin(&mut self, now: units::MonoTime, name: &ids::UpstreamId) {
         let state = self.states.entry(name.clone()).or_default();
         state.calls += 1;
--- a/crates/instance/src/upstream_pool.rs
+++ b/crates/instance/src/upstream_pool.rs
@@ -56,7 +56,7 @@
 }
 
 impl ConnectionTimes {
-    /// Records that bytes were received.
+    /// Records that bytes have been received just now.
     pub fn receive(&self) {
         self.received.set(Some(boot_clock::BootInstant::now()));
     }
@@ -103,7 +103,6 @@
 pub(crate) struct ConnectionCounts {
     /// Number of open connections, including the idle ones.
     pub(crate) open: usize,
-    /// Number of idle connections in the pool.
     pub(crate) idle: usize,
 }
 
@@ -113,7 +112,6 @@
     /// Times by address; a reference expires when its connection is closed.
     connection_times:
         cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<rc::Weak<ConnectionTimes>>>>,
-    /// Idle connections by address.
     idle: cell::RefCell<collections::HashMap<net::SocketAddrV4, Vec<PooledConnection>>>,
 }
 
@@ -129,7 +127,7 @@
         }
     }
 
-    /// Opens a new connection.
+    /// Opens a new connection, even if the pool has an idle one; fails after `CONNECT_TIMEOUT`.
     pub async fn open(
         &self,
         address: net::SocketAddrV4,
