--- a/crates/instance/src/upstream_signals.rs
+++ b/crates/instance/src/upstream_signals.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// Like [`receive`], for an engine known by its address; does nothing if two upstreams are listed at the address.
+/// Handles the signals in the head of an answer to a call that the instance itself made to an engine at `address`; does
+/// nothing unless exactly one upstream is listed there.
 pub(crate) fn receive_at(
     context: &context::InstanceContext,
     address: net::SocketAddrV4,
--- a/crates/instance/src/upstream_silence.rs
+++ b/crates/instance/src/upstream_silence.rs
@@ -18,7 +18,7 @@
     pub times: &'a upstream_pool::ConnectionTimes,
     /// The part of the answer that was awaited.
     pub phase: connection_silence::SilencePhase,
-    /// Duration of the wait.
+    /// Time for which nothing was received before the wait was given up.
     pub waited: time::Duration,
 }
 
--- a/crates/instance/src/upstream_starts.rs
+++ b/crates/instance/src/upstream_starts.rs
@@ -11,7 +11,7 @@
 /// Outcome, in the record of a request, of an attempt whose upstream has restarted.
 pub(crate) const RESTARTED: &str = "the upstream has started again";
 
-/// Attempts in progress, by the start of the upstream that they depend on.
+/// Attempts in progress, by the start (life of the process) of the upstream that they depend on.
 #[derive(Debug, Default)]
 pub struct StartWaiters {
     waiters: cell::RefCell<collections::HashMap<ids::UpstreamId, Vec<oneshot::Sender<()>>>>,
@@ -77,7 +77,7 @@
     context.starts.retain(|name| fleet.list.is_present(name));
 }
 
-/// Records the start of an upstream, if an answer reports it.
+/// Records the start (life of the process) of the upstream at `address`, if an answer reports it.
 pub(crate) fn receive(
     context: &context::InstanceContext,
     address: std::net::SocketAddrV4,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Records, and returns, the start that an engine reports in its answer to a memory order.
+/// Records, and returns, the start (life of its process) that an engine reports in its answer to a memory order.
 pub(crate) fn receive_order(
     context: &context::InstanceContext,
     address: std::net::SocketAddrV4,
