--- a/crates/instance/src/engine_call.rs
+++ b/crates/instance/src/engine_call.rs
@@ -11,7 +11,8 @@
 /// Why a call to an engine failed.
 #[derive(Debug, Snafu)]
 pub(crate) enum EngineCallError {
-    /// The gate, which checks the engine's notices before each send, denied the call; nothing was sent.
+    /// The gate, which checks the engine's notices (leaving, backoff, limit) before each send, denied the call; nothing
+    /// was sent.
     #[snafu(display("{reason}"))]
     Denied {
         /// The reason for the denial.
@@ -90,8 +91,8 @@
     let started = context.now();
     let mut connection = document_call::DocumentConnection::new(to.address.into());
     connection.open(limit).await.map_err(failed)?;
-    // The gate checks the engine's notices again right before the first byte: some may have arrived while the
-    // connection was opened.
+    // The gate checks the engine's notices (leaving, backoff, limit) again right before the first byte: some may have
+    // arrived while the connection was opened.
     let _pass = upstream_gate::pass(context, &to.engine, kind, permits).map_err(denied)?;
     let sent_at = context.now();
     let left = limit.saturating_sub(sent_at.since(started));
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -47,7 +47,8 @@
     }
 }
 
-/// Sends this process's heartbeat to `targets`: in full when due and to unknown members, else in its short form.
+/// Sends this process's heartbeat to `targets`. Members that this process has not met get it in full, the others in its
+/// short form, except that every few heartbeats are sent to all in full.
 fn send_heartbeat(context: &context::InstanceContext, targets: Vec<net::SocketAddrV4>) {
     let heartbeat = context.next_heartbeat();
     for to in targets {
--- a/crates/instance/src/internal_server.rs
+++ b/crates/instance/src/internal_server.rs
@@ -284,7 +284,8 @@
     format!("slipturn_requests_held {quarantined}\n")
 }
 
-/// Gauges of evacuated data centres, and of upstreams that are leaving, in backoff, limited, or affected by a recovery.
+/// Gauges of evacuated data centres, and of upstreams that are leaving, in backoff or limited, or that are kept or
+/// withheld because the store was restored from an older copy.
 fn notice_gauges(context: &context::InstanceContext) -> String {
     let now = context.now();
     let fleet = context.fleet.borrow();
--- a/crates/instance/src/upstream_attempt.rs
+++ b/crates/instance/src/upstream_attempt.rs
@@ -188,8 +188,8 @@
     target: &AttemptTarget,
     new_connection: bool,
 ) -> Result<upstream_pool::UpstreamConnection, AttemptFault> {
-    // Avoids opening a connection for a request that must not be sent. The gate checks the upstream's notices again
-    // right before the first byte is sent.
+    // Avoids opening a connection for a request that must not be sent. The gate checks the upstream's notices (leaving,
+    // backoff, limit) again right before the first byte is sent.
     upstream_gate::check_request(context, target)?;
     let retry_allowed = call.route.repeat.allows_repeat() && call.route.max_attempts > 1;
     let opened = if new_connection || !retry_allowed {
