--- a/crates/instance/src/list_recovery.rs
+++ b/crates/instance/src/list_recovery.rs
@@ -70,7 +70,8 @@
         self.list.relisted_leaving().map(report).collect()
     }
 
-    /// All upstreams that result from the documents of another member, whose list is of a later era.
+    /// All upstreams that result from the documents of another member, which already has the list of a later era, begun
+    /// when the store was restored from an older copy.
     ///
     /// Fails if applying the member's changes does not result in its list.
     pub(crate) fn upstreams_after(
--- a/crates/instance/src/list_update.rs
+++ b/crates/instance/src/list_update.rs
@@ -89,7 +89,8 @@
         self.replace_all(now, list, None, source);
     }
 
-    /// Replaces the list, and adopts the `recovery`: state of the previous era that another member still has in force.
+    /// Replaces the list, and adopts the `recovery`: state that another member keeps in force from before the store was
+    /// restored from an older copy.
     fn replace_all(
         &mut self,
         now: units::MonoTime,
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -51,7 +51,7 @@
     Unknown(planner_key::PlannerKey, Vec<u64>),
     /// Leases in use, in answer to [`Self::Unknown`] or [`Self::Census`].
     Leases(planner_key::PlannerKey, Vec<engine_place::PlaceLease>),
-    /// Requests all leases of a key, for a planner that has just taken it over.
+    /// Requests all leases for a planner key (service and cell), for a planner that has just taken the key over.
     Census(planner_key::PlannerKey),
     /// An upstream is gone: another one answered at its address.
     Gone(ids::UpstreamId),
