--- a/crates/instance/src/planner_set.rs
+++ b/crates/instance/src/planner_set.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet_state;
 
-/// Time since the last request for a place from which a planner counts as idle.
+/// Time without requests for places after which a planner counts as idle.
 const ACTIVE_TIME: time::Duration = time::Duration::from_secs(2);
 
 /// Engines of a planner that have a limit: the bounds of those whose limit this process coordinates,
--- a/crates/instance/src/quarantine_gossip.rs
+++ b/crates/instance/src/quarantine_gossip.rs
@@ -58,7 +58,7 @@
     log_quarantined(context, &quarantined, "member");
 }
 
-/// Deletes the evidence against a request that is older than `micros_ago`, in microseconds.
+/// Deletes the evidence of crashes that happened at least `micros_ago` microseconds ago, against the request `digest`.
 pub(crate) fn receive_cleared(
     context: &context::InstanceContext,
     digest: request_digest::RequestDigest,
--- a/crates/instance/src/upstream_load.rs
+++ b/crates/instance/src/upstream_load.rs
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Records that a member, or this process, has found that an upstream is gone; returns whether
-    /// there was no recent report of that.
+    /// Records that a member, or this process, has found that an upstream is gone; returns whether that is new, as
+    /// there was no recent report that the upstream is gone.
     pub fn receive_gone(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
         self.states.entry(name.clone()).or_default().health.receive_gone(now)
     }
