--- a/crates/instance/src/adapter.rs
+++ b/crates/instance/src/adapter.rs
@@ -271,7 +271,7 @@
         &self,
         head: &http::response::Parts,
     ) -> Result<Option<store_revision::StoreEra>, FormatError>;
-    /// Parses a page, or the answer to a read of a single key.
+    /// Parses a page of the store's contents; an answer to a read of a single key becomes a page with one item.
     fn parse_page(&self, body: &[u8]) -> Result<StorePage, FormatError>;
     /// Parses the answer to a watch: the changes, and the revision after them.
     fn parse_changes(&self, body: &[u8]) -> Result<(Vec<StoreChange>, u64), FormatError>;
--- a/crates/instance/src/context.rs
+++ b/crates/instance/src/context.rs
@@ -354,7 +354,7 @@
         self.retry_share(service, fleet_budget::RetryShare::count_request);
     }
 
-    /// Takes one retry from this process's share of the budget; returns whether there was one.
+    /// Takes one retry from this process's share of the retry budget of a service; returns whether there was one.
     pub fn take_retry(&self, service: &ids::ServiceId) -> bool {
         let members = self.member_count();
         self.retry_share(service, |share, now| share.take(now, members))
--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -13,9 +13,10 @@
 /// Timeout for fetching routes from a member: 100 KB, compressed, take 0.04 s on a link of 20 Mbit/s, and eight such
 /// answers at once 0.3 s. After a silent member there must be time to fetch them from other members or the store.
 const ROUTES_TIMEOUT: time::Duration = time::Duration::from_millis(600);
-/// Timeout for fetching the list from a member.
+/// Timeout for fetching the list of upstreams from a member.
 const LIST_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
-/// Timeout for fetching both documents at the start of the process, when other members can provide them as well.
+/// Timeout for fetching routes and list from a member at the start of the process, when other members can provide them
+/// as well.
 const START_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Range, in seconds, of the random pause after a member has refused because it is sending documents to others.
 const BUSY_PAUSE_S: std::ops::Range<f64> = 0.05..0.15;
@@ -32,7 +33,7 @@
     let mut last_failed = None;
     loop {
         monoio::time::sleep(store_contact::poll_interval(&context)).await;
-        // At the start of the process `follow_list` fetches both documents with one call.
+        // At the start of the process `follow_list` fetches the routes together with the list.
         if store_contact::trusts_own_watch(&context) || !context.fleet.borrow().has_list() {
             continue;
         }
@@ -185,7 +186,7 @@
     pick_source(&sources, settings.listen.members.port())
 }
 
-/// A random member that has both documents, for a process that has just started.
+/// A random member that has routes and a list, for a process that has just started.
 fn any_source(context: &context::InstanceContext) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
     let members = context.members.borrow();
