--- a/crates/instance/src/memory_hold.rs
+++ b/crates/instance/src/memory_hold.rs
@@ -7,7 +7,7 @@
 
 use crate::{adapter, context, engine_call, upstream_starts};
 
-/// Lifetime of a reservation without renewal. It is shorter than the time within which memory must
+/// Lifetime of a memory reservation without renewal. It is shorter than the time within which memory must
 /// be free again after the instance that reserved it has crashed.
 const HOLD_TTL: time::Duration = time::Duration::from_millis(3_400);
 /// Interval between two renewals of a reservation.
@@ -34,7 +34,7 @@
     pub reason: String,
 }
 
-/// A reservation on one engine.
+/// A reservation of memory on one engine.
 #[derive(Debug, Clone)]
 struct HeldTicket {
     /// When the last hold order without an answer was sent; it may be executed up to
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -118,8 +118,8 @@
     pub age_ms: u64,
 }
 
-/// A run during which its upstream crashed. Times are given as ages, as members' clocks differ; those of one message
-/// are relative to the same moment.
+/// A run (execution of a request at an upstream) during which the upstream crashed. Times are given as ages, as
+/// members' clocks differ; those of one message are relative to the same moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// Digest of the request that the upstream was running.
@@ -132,7 +132,7 @@
     pub ended_us: u64,
 }
 
-/// Renewal of a place that is still in use.
+/// Renewal of a place (the assignment of a request to engines) that is still in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewedJob {
     /// Sequence number of the attempt at its member.
@@ -142,7 +142,7 @@
     pub prefilling: bool,
 }
 
-/// Message to a request of this process that waits for a place.
+/// Reply of a planner to a request of this process that waits for a place (its assignment to engines).
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanReply {
     /// The planner's grant or refusal.
--- a/crates/instance/src/program.rs
+++ b/crates/instance/src/program.rs
@@ -29,7 +29,8 @@
 /// Time before SIGKILL at which the process exits by itself: on a slow machine its last steps take some hundred
 /// milliseconds.
 const GRACE_MARGIN: time::Duration = time::Duration::from_millis(900);
-/// Time before the exit from which requests are not granted places any more, as their answers would be cut off.
+/// Time before the exit from which requests do not get places (assignments to engines) any more, as their answers would
+/// be cut off.
 const PLACE_MARGIN: time::Duration = time::Duration::from_secs(1);
 /// Interval between two clean-ups of idle connections and of state about upstreams that are gone.
 const PRUNE_INTERVAL: time::Duration = time::Duration::from_secs(1);
--- a/crates/instance/src/stream_policy.rs
+++ b/crates/instance/src/stream_policy.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// State of a request when it requests a place.
+/// State of a request when it requests a place (its assignment to engines).
 pub(crate) struct RequestProgress<'a> {
     /// Whether the caller has received part of the answer.
     pub(crate) begun: bool,
@@ -61,7 +61,7 @@
     pub(crate) excluded: &'a [ids::UpstreamId],
 }
 
-/// Builds the request for a place.
+/// Builds the request to a planner for a place: the assignment of `call` to engines.
 pub(crate) fn placement_request(
     context: &context::InstanceContext,
     call: &incoming_call::IncomingCall,
--- a/crates/instance/src/upstream_ends.rs
+++ b/crates/instance/src/upstream_ends.rs
@@ -31,7 +31,7 @@
 /// Events that show or suggest the end of an upstream.
 #[derive(Debug)]
 pub enum RunEvent {
-    /// A run broke or was abandoned: its upstream may have ended.
+    /// A run (execution of a request at an upstream) broke or was abandoned: the upstream may have ended.
     Broke(BrokenRun),
     /// No process listens at an upstream's address.
     Refused(ids::UpstreamId),
