--- a/crates/instance/src/member_feed.rs
+++ b/crates/instance/src/member_feed.rs
@@ -13,14 +13,15 @@
 /// Timeout for fetching routes from a member: 100 KB, compressed, take 0.04 s on a link of 20 Mbit/s, and eight such
 /// answers at once 0.3 s. After a silent member there must be time to fetch them from other members or the store.
 const ROUTES_TIMEOUT: time::Duration = time::Duration::from_millis(600);
-/// Timeout for fetching the list from a member.
+/// Timeout for fetching the list of upstreams from a member.
 const LIST_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
-/// Timeout for fetching both documents at the start of the process, when other members can provide them as well.
+/// Timeout for fetching routes and list from a member at the start of the process, when other members can provide them
+/// as well.
 const START_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Range, in seconds, of the random pause after a member has refused because it is sending documents to others.
 const BUSY_PAUSE_S: std::ops::Range<f64> = 0.05..0.15;
-/// Number of members that a member informs after it has received a large document: enough that the number of members
-/// known to have the document grows as fast as it can be sent.
+/// Number of members to which a process announces that it has received a large document: enough that the number of
+/// members known to have the document grows as fast as it can be sent.
 const INFORMED_MEMBERS: usize = 3;
 /// Path at which a member serves its documents.
 pub const DOCUMENTS_PATH: &str = "/documents";
@@ -32,7 +33,7 @@
     let mut last_failed = None;
     loop {
         monoio::time::sleep(store_contact::poll_interval(&context)).await;
-        // At the start of the process `follow_list` fetches both documents with one call.
+        // At the start of the process `follow_list` fetches the routes together with the list.
         if store_contact::trusts_own_watch(&context) || !context.fleet.borrow().has_list() {
             continue;
         }
@@ -46,8 +47,8 @@
                 let outcome = adopt_routes(&context, &member, address).await;
                 last_failed = (outcome != CopyOutcome::Adopted).then_some(member);
                 match outcome {
-                    // Even if a newer change is missing already, as when changes follow each other quickly, the time
-                    // for which only members are queried starts again.
+                    // The time for which only members are queried starts again, even if this process already lacks a
+                    // newer version because changes follow each other quickly.
                     CopyOutcome::Adopted => source.note_complete(),
                     CopyOutcome::Missing => {}
                     CopyOutcome::Damaged => source.note_damaged_copy(),
@@ -68,7 +69,8 @@
     }
 }
 
-/// Records that the store, read at `requested_at`, had no newer routes than this process has now.
+/// Records that the store, read at `requested_at`, had no newer routes than this process has now: a newer version that
+/// members claimed by then no longer counts as missing.
 fn refute_routes(context: &context::InstanceContext, requested_at: units::MonoTime) {
     let own = context.versions().routes;
     context.store_tracker.borrow_mut().refute_routes(own, requested_at);
@@ -85,7 +87,7 @@
     Damaged,
 }
 
-/// Fetches and adopts a member's routes. [`CopyOutcome::Missing`] also if the member's are not newer.
+/// Fetches and adopts a member's routes; returns [`CopyOutcome::Missing`] also if the member has no newer routes.
 async fn adopt_routes(
     context: &context::InstanceContext,
     member: &ids::InstanceId,
@@ -184,7 +186,7 @@
     pick_source(&sources, settings.listen.members.port())
 }
 
-/// A random member that has both documents, for a process that has just started.
+/// A random member that has routes and a list, for a process that has just started.
 fn any_source(context: &context::InstanceContext) -> Option<(ids::InstanceId, net::SocketAddr)> {
     let settings = context.settings();
     let members = context.members.borrow();
--- a/crates/instance/src/peer_message.rs
+++ b/crates/instance/src/peer_message.rs
@@ -44,13 +44,14 @@
     Queued(engine_place::JobId),
     /// Informs a planner of a change to a place, or of an engine's failure.
     Note(planner_key::PlannerKey, engine_place::PlaceNote),
-    /// Renews the places that are in use by jobs of a member; the number identifies the start of that member.
+    /// Renews the places that are in use by jobs (attempts) of a member; the number is the member's boot id, which
+    /// changes with each start of its process.
     Renew(planner_key::PlannerKey, u64, Vec<RenewedJob>),
     /// Requests the leases of jobs that a planner does not know, by their sequence numbers.
     Unknown(planner_key::PlannerKey, Vec<u64>),
     /// Leases in use, in answer to [`Self::Unknown`] or [`Self::Census`].
     Leases(planner_key::PlannerKey, Vec<engine_place::PlaceLease>),
-    /// Requests all leases of a key, for a planner that has just taken it over.
+    /// Requests all leases for a planner key (service and cell), for a planner that has just taken the key over.
     Census(planner_key::PlannerKey),
     /// An upstream is gone: another one answered at its address.
     Gone(ids::UpstreamId),
@@ -117,8 +118,8 @@
     pub age_ms: u64,
 }
 
-/// A run during which its upstream crashed. Times are given as ages, as members' clocks differ; those of one message
-/// are relative to the same moment.
+/// A run (execution of a request at an upstream) during which the upstream crashed. Times are given as ages, as
+/// members' clocks differ; those of one message are relative to the same moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// Digest of the request that the upstream was running.
@@ -131,7 +132,7 @@
     pub ended_us: u64,
 }
 
-/// Renewal of a place that is still in use.
+/// Renewal of a place (the assignment of a request to engines) that is still in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewedJob {
     /// Sequence number of the attempt at its member.
@@ -141,7 +142,7 @@
     pub prefilling: bool,
 }
 
-/// Message to a request of this process that waits for a place.
+/// Reply of a planner to a request of this process that waits for a place (its assignment to engines).
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanReply {
     /// The planner's grant or refusal.
@@ -154,7 +155,7 @@
 pub type ReplySender = mpsc::UnboundedSender<PlanReply>;
 
 impl PeerMessage {
-    /// Encodes the message as a datagram.
+    /// Encodes the message as the content of one datagram; its size is not checked against [`MAX_DATAGRAM`].
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_stdvec(self)
     }
