--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -18,7 +18,7 @@
 const DENIAL_STATUSES: [u16; 5] = [400, 401, 403, 404, 413];
 /// Time after the deadline of a request within which it must have ended.
 const END_SLACK: time::Duration = time::Duration::from_millis(1_500);
-/// Time limit that clients state in each request, counted from sending; the same as in
+/// Time limit that clients state in each request, counted from sending; equal to `DEADLINE` in
 /// [`crate::traffic`].
 const REQUEST_DEADLINE: time::Duration = time::Duration::from_secs(6);
 
@@ -92,7 +92,8 @@
     request.closed_idle_since.is_some_and(|since| !excused(since))
 }
 
-/// Returns whether a disturbance of the instance overlaps the time of a request.
+/// Returns whether a disturbance of the instance that got a request overlaps the time from sending
+/// the request to its end.
 fn disturbed(disturbances: &[Disturbance], request: &SentRequest) -> bool {
     evidence::any_overlaps(disturbances, request.instance, request.from, request.to)
 }
--- a/crates/soak/src/config_check.rs
+++ b/crates/soak/src/config_check.rs
@@ -10,8 +10,8 @@
     evidence::{self, Evidence},
 };
 
-/// Time within which a new configuration must take effect at instances in contact: the platform's
-/// bound of 2 s plus scheduling delays of the test host.
+/// Time within which a new configuration must take effect at instances in contact with the store
+/// and other members: the platform's bound of 2 s plus scheduling delays of the test host.
 pub const APPLY_BOUND: time::Duration = time::Duration::from_millis(2_300);
 /// Statuses with which an instance rejects the route or the API key of a probe.
 const DENIAL_STATUSES: [u16; 3] = [401, 403, 404];
@@ -41,8 +41,8 @@
     }
 }
 
-/// Returns the violation if an instance in contact answered a probe without a publication that was
-/// older than [`APPLY_BOUND`].
+/// Returns the violation if an instance in contact with the store and other members answered a
+/// probe without a publication that was older than [`APPLY_BOUND`].
 fn late_activation(evidence: &Evidence, probe: &ConfigProbe) -> Option<(String, String)> {
     let number = denied_publication(probe)?;
     let published = evidence.publications.get(number)?.at;
--- a/crates/soak/src/config_probe.rs
+++ b/crates/soak/src/config_probe.rs
@@ -1,6 +1,7 @@
 //! Probes each instance throughout a run to see which configuration it applies.
 //!
-//! Each configuration adds a route and a key and removes the key of the one before it.
+//! Each configuration adds a route and a key and removes the key that the previous configuration
+//! added.
 
 use std::{
     net,
@@ -20,7 +21,7 @@
 
 /// Pause between two probes of an instance.
 const PROBE_PAUSE: time::Duration = time::Duration::from_millis(60);
-/// API keys that every configuration has, in addition to the key that only it has.
+/// API keys that every configuration has, in addition to the key that it adds itself.
 const PERMANENT_KEYS: [&str; 2] = [fleet::KEY, "key-2"];
 
 /// A configuration that was written to the store.
@@ -84,13 +85,15 @@
     pub id: String,
     /// Number of the instance probed.
     pub instance: u8,
-    /// Route or key that the probe tests.
+    /// Route or key that the probe tests; the probes of an instance take turns between new and old
+    /// ones.
     pub target: ProbeTarget,
     /// Time at which the probe was sent.
     pub from: time::Instant,
     /// Time at which the answer ended.
     pub to: time::Instant,
-    /// Outcome of the probe as its client saw it.
+    /// Outcome as the client saw it; statuses 401, 403 and 404 show that the instance rejected the
+    /// route or the key.
     pub outcome: Outcome,
 }
 
--- a/crates/soak/src/limit_check.rs
+++ b/crates/soak/src/limit_check.rs
@@ -1,5 +1,5 @@
-//! Checks that upstreams that announce a rate limit get no more requests than it allows. Only
-//! requests from instances that have received the limit count.
+//! Checks that upstreams that announce a rate limit get no more requests than it allows. A request
+//! is counted only if its instance has received the limit.
 
 use std::time;
 
@@ -12,9 +12,11 @@
 const WINDOW: time::Duration = time::Duration::from_secs(4);
 /// Factor by which the requests in a window may exceed the limit, by the platform's rule.
 const ALLOWED_FACTOR: f64 = 1.5;
-/// Requests allowed in a window in addition to [`ALLOWED_FACTOR`], by the platform's rule.
+/// Number of requests allowed in a window on top of the limit times [`ALLOWED_FACTOR`], by the
+/// platform's rule.
 const ALLOWED_EXTRA: f64 = 5.0;
-/// Time from the first answer with a limit that an instance gets until its requests count.
+/// Time after an instance gets its first answer with a limit until the requests of that instance
+/// are counted.
 const NOTICE_TIME: time::Duration = time::Duration::from_millis(500);
 
 /// Returns the rate limits that instances exceeded, summarized by upstream.
@@ -47,7 +49,7 @@
         let mut announced = same_instance.filter_map(|other| other.limit_announced_at);
         announced.any(|announced| {
             // A limit sent before the instance started, resumed or lost contact may not have
-            // reached it.
+            // reached the instance.
             announced + NOTICE_TIME <= response.at
                 && evidence.in_contact(instance, announced.min(from), response.at)
         })
