--- a/crates/soak/src/contact_plan.rs
+++ b/crates/soak/src/contact_plan.rs
@@ -1,10 +1,11 @@
-//! Plans losses of contact: connections that fall silent, instances that are cut off from the store
-//! or from other members, answers that are lost.
+//! Plans losses of contact: connections that stop carrying bytes, instances that are cut off from
+//! the store or from other members, answers that are lost.
 //!
 //! A scene consists of one or two simultaneous losses of contact, other faults at about the same
-//! time, a series of configurations, upstreams that leave and an upstream that is silent or answers
-//! late. Its later part has no new loss of contact, so that the promises to instances in contact can
-//! be checked.
+//! time, a series of configurations, upstreams that are listed as leaving, and an upstream that
+//! does not answer or answers late. A scene has no loss of contact that begins in its later part,
+//! so that the promises to instances in contact with the store and other members can be checked
+//! there.
 
 use std::{ops, time};
 
@@ -17,26 +18,27 @@
     fault_series,
 };
 
-/// Number of the random stream that draws the losses of contact in the first part.
+/// Number of the random stream that draws the losses of contact in the first part of a run.
 const FIRST_PART_STREAM: u64 = 1;
-/// Number of the random stream that draws the faults of the scenes, except their silent or late
-/// upstreams.
+/// Number of the random stream that draws the faults of the scenes (periods that begin with a loss
+/// of contact), except their silent or late upstreams.
 const SCENE_STREAM: u64 = 2;
-/// Number of the random stream that draws the upstreams that are silent or late while instances are
-/// in contact.
+/// Number of the random stream that draws, for each scene, the upstream that is silent or late
+/// after the losses of contact of the scene have ended.
 const SILENT_UPSTREAM_STREAM: u64 = 3;
 /// Time from the start of a scene until an upstream becomes silent or late, milliseconds.
 const SILENT_UPSTREAM_START_MS: ops::Range<u64> = 3_500..5_000;
 /// How long an upstream stays silent or late, milliseconds: long enough that callers leave while
 /// their requests wait.
 const SILENT_UPSTREAM_LENGTH_MS: ops::Range<u64> = 700..1_600;
-/// Time between the starts of two losses of contact in the first part, milliseconds.
+/// Time between the starts of two losses of contact in the first part of a run, milliseconds.
 const FIRST_PART_GAP_MS: ops::Range<u64> = 600..2_500;
 /// How long a loss of contact or an accompanying fault lasts, milliseconds. Silenced connections
 /// stay silent for good.
 const LOSS_MS: ops::Range<u64> = 200..1_200;
 /// Length of a scene, milliseconds: time for its faults, the 3 s until all instances count as in
-/// contact again, and about 3 s more in which promises are checked.
+/// contact with the store and other members again, and about 3 s more in which promises are
+/// checked.
 const SCENE_MS: u64 = 7_000;
 /// Quiet time from the start of a scene until its loss of contact begins, milliseconds.
 const LOSS_START_MS: ops::Range<u64> = 300..900;
@@ -52,7 +54,8 @@
 /// Time before the end of a scene at which leaving upstreams return, milliseconds.
 const RETURN_BEFORE_END_MS: u64 = 200;
 
-/// Returns the length of all scenes together, which is at least that of the first part.
+/// Returns the length of all scenes of a run together, which is at least the length of the run's
+/// first part.
 pub fn scenes_length(size: PlanSize) -> time::Duration {
     time::Duration::from_millis(scene_count(size) * SCENE_MS)
 }
@@ -61,7 +64,8 @@
     (size.length.as_millis() as u64).div_ceil(SCENE_MS)
 }
 
-/// Returns the losses of contact in the first part, planned in addition to its other faults.
+/// Returns the losses of contact in the first part of a run, planned in addition to the other
+/// faults of that part.
 pub(crate) fn first_part_losses(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: 0,
@@ -73,7 +77,7 @@
     series.faults(seed, |random| draw_loss(random, size))
 }
 
-/// Returns the faults of all scenes, which make up the second part.
+/// Returns the faults of all scenes. The scenes make up the second part of a run.
 pub(crate) fn scenes(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let mut random = random_stream(seed, SCENE_STREAM);
     let mut upstream_random = random_stream(seed, SILENT_UPSTREAM_STREAM);
@@ -105,7 +109,7 @@
     let loss = draw_loss(random, size);
     faults.push(planned_fault(loss_start, random.random_range(LOSS_MS), loss));
     if random.random_bool(0.5) {
-        // Both losses begin at the same moment.
+        // A second loss of contact begins at the same moment as the first one.
         let loss = draw_loss(random, size);
         faults.push(planned_fault(loss_start, random.random_range(LOSS_MS), loss));
     }
@@ -119,7 +123,8 @@
         faults.push(planned_fault(at, 0, Fault::Publish));
         at += random.random_range(PUBLISH_GAP_MS);
     }
-    // One upstream of each service, so that others remain available.
+    // Lists one upstream of each service as leaving, so that the other upstreams of the service
+    // remain available.
     for upstream in
         [random.random_range(0..size.engines), random.random_range(size.plain_upstreams())]
     {
@@ -130,8 +135,8 @@
     faults
 }
 
-/// Draws a loss of contact: connections that fall silent, a faulty link of one instance, or lost
-/// answers of the store.
+/// Draws a loss of contact: connections that stop carrying bytes, a faulty link of one instance, or
+/// lost answers of the store.
 fn draw_loss(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
@@ -147,7 +152,7 @@
     }
 }
 
-/// Draws a fault that accompanies a loss of contact.
+/// Draws a fault that begins at about the same time as the loss of contact of a scene.
 fn draw_companion(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
@@ -170,8 +175,8 @@
     PlannedFault { at, length, fault }
 }
 
-/// Returns one of the independent random streams of a seed. The dense faults of the first part use
-/// stream 0.
+/// Returns the random stream `number` of a seed, which is independent of the seed's other streams.
+/// Stream 0 draws the faults that [`fault_plan::plan`] packs densely into the first part of a run.
 pub(crate) fn random_stream(seed: u64, number: u64) -> ChaCha8Rng {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(number);
--- a/crates/soak/src/entry_plan.rs
+++ b/crates/soak/src/entry_plan.rs
@@ -15,7 +15,7 @@
 const FIRST_SEED: u64 = 20_000;
 /// Number of the random stream that draws the restarts and invalid entries.
 const ENTRY_STREAM: u64 = 4;
-/// Time between the starts of two restarts or invalid entries, milliseconds.
+/// Time between the starts of two consecutive faults of this plan, milliseconds.
 const GAP_MS: ops::Range<u64> = 400..2_000;
 /// How long an upstream lacks a valid entry after a restart or an overwrite, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 20..1_500;
--- a/crates/soak/src/fault_plan.rs
+++ b/crates/soak/src/fault_plan.rs
@@ -1,9 +1,10 @@
 //! Derives the plan of a run from its seed: which faults occur, when, and what they affect.
 //!
 //! A run has two parts. In the first, faults follow each other densely and overlap. The second
-//! consists of scenes. Each begins with a loss of contact and has no new one in its later part, so
-//! that the promises to instances in contact can be checked. Each kind of fault draws from a random
-//! stream of its own, so that new kinds leave the other faults of a seed as they are.
+//! consists of scenes. A scene begins with a loss of contact and has no other one that begins in
+//! its later part, so that the promises to instances in contact with the store and other members
+//! can be checked. Each kind of fault draws from a random stream of its own, so that new kinds
+//! leave the other faults of a seed as they are.
 
 use std::{fmt, time};
 
@@ -13,16 +14,17 @@
 
 use crate::{contact_plan, data_center_plan, drill_plan, entry_plan, limit_plan, signal_plan};
 
-/// Time between the starts of two dense faults in the first part, milliseconds: short enough for
-/// them to overlap.
+/// Time between the starts of two faults of [`dense_faults`] in the first part of a run,
+/// milliseconds: short enough for the faults to overlap.
 const GAP_MS: std::ops::Range<u64> = 100..600;
-/// How long a dense fault of the first part lasts, milliseconds.
+/// How long a fault of [`dense_faults`] lasts, milliseconds.
 const LENGTH_MS: std::ops::Range<u64> = 200..2_500;
-/// Time without dense faults at the start and the end of the first part, milliseconds.
+/// Time at the start and the end of the first part of a run without faults of [`dense_faults`],
+/// milliseconds.
 const QUIET_MS: u64 = 600;
 
-/// A fault to inject. Numbers of instances and upstreams count from 0. "The end" is the end of the
-/// fault's planned length.
+/// A fault to inject. Numbers of instances and upstreams count from 0. "The end" is the start of
+/// the fault plus its planned length.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// An instance gets SIGKILL and is started again at the end.
@@ -50,21 +52,23 @@
     UpstreamLink(u8, LinkMode),
     /// An upstream is listed as leaving, and as ready again at the end.
     Leave(u8),
-    /// Open connections between the store and one instance, or all for `None`, fall silent for
-    /// good.
+    /// Open connections between the store and one instance, or all for `None`, become silent for
+    /// good: they stay open but carry no more bytes.
     SilenceStore(Option<u8>),
-    /// Open connections between one upstream and all instances fall silent for good.
+    /// Open connections between one upstream and all instances become silent for good: they stay
+    /// open but carry no more bytes.
     SilenceUpstream(u8),
-    /// Open connections on which members read documents of one instance, or of all for `None`, fall
-    /// silent for good.
+    /// Open connections on which members fetch the routes and the list of upstreams from one
+    /// instance, or from all for `None`, become silent for good: they stay open but carry no more
+    /// bytes.
     SilenceMembers(Option<u8>),
-    /// Open connections to the store, to members and to upstreams fall silent for good at the same
-    /// moment.
+    /// Open connections to the store, to members and to upstreams become silent for good at the
+    /// same moment: they stay open but carry no more bytes.
     SilenceAll,
     /// The link from one instance to the store fails in the given mode until the end.
     StoreLinkOf(u8, LinkMode),
-    /// The link on which members read documents of one instance fails in the given mode until the
-    /// end.
+    /// The link on which members fetch the routes and the list of upstreams from one instance fails
+    /// in the given mode until the end.
     MemberLink(u8, LinkMode),
     /// An upstream restarts under the same name; its new entry is written at the end.
     Restart(u8),
@@ -83,8 +87,8 @@
     Evacuate(u8),
     /// An engine is listed as cold (limited to a low request rate) until the end.
     Cool(u8),
-    /// The store is unavailable and is restored from an older copy; lost entries are written again
-    /// later.
+    /// The store is unavailable until the end and is then restored from an older copy; lost entries
+    /// are written again later.
     Drill {
         /// Age of the copy at the time of the restore, milliseconds.
         age_ms: u64,
@@ -121,7 +125,8 @@
 pub struct PlanSize {
     /// Number of instances; faults refer to them by numbers from 0.
     pub instances: u8,
-    /// Number of upstreams of both services together; engines have the lowest numbers.
+    /// Number of upstreams: engines, which have the lowest numbers, and upstreams of the plain
+    /// service, which run no model.
     pub upstreams: u8,
     /// Number of engines among the upstreams.
     pub engines: u8,
@@ -130,7 +135,7 @@
 }
 
 impl PlanSize {
-    /// Returns the numbers of the upstreams of the plain service.
+    /// Returns the numbers of the upstreams of the plain service, which run no model.
     pub fn plain_upstreams(&self) -> std::ops::Range<u8> {
         self.engines..self.upstreams
     }
@@ -150,7 +155,7 @@
     faults
 }
 
-/// Returns the dense faults of the first part.
+/// Returns the faults that follow each other densely and overlap in the first part of a run.
 fn dense_faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let end = (size.length.as_millis() as u64).saturating_sub(QUIET_MS);
@@ -169,7 +174,7 @@
     faults
 }
 
-/// Draws one of the dense faults of the first part.
+/// Draws one of the faults of [`dense_faults`].
 fn draw_fault(random: &mut ChaCha8Rng, size: PlanSize) -> Fault {
     let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
--- a/crates/soak/src/signal_plan.rs
+++ b/crates/soak/src/signal_plan.rs
@@ -14,17 +14,18 @@
 /// First seed whose plan has upstreams that signal leaving or a `Retry-After` time: some plans of
 /// lower seeds are kept as tests and must not change.
 const FIRST_SEED: u64 = 40_000;
-/// Number of the random stream that draws the signals.
+/// Number of the random stream that draws upstreams that signal leaving or a `Retry-After` time.
 const SIGNAL_STREAM: u64 = 5;
-/// Time between the starts of two signals, milliseconds.
+/// Time between the starts of two consecutive signals (leaving or `Retry-After`), milliseconds.
 const GAP_MS: ops::Range<u64> = 500..2_500;
-/// How long an upstream keeps signalling, milliseconds.
+/// How long an upstream signals leaving or a `Retry-After` time in its answers, milliseconds.
 const LENGTH_MS: ops::Range<u64> = 500..5_000;
 /// `Retry-After` time of a rejection, milliseconds.
 const RETRY_AFTER_MS: ops::Range<u64> = 200..4_000;
 
-/// Returns the signals of a seed, spread over the whole run: the scenes leave instances in contact,
-/// so that their reaction can be checked.
+/// Returns the signals (leaving or `Retry-After`) of a seed, spread over the whole run: in the
+/// scenes, instances are in contact with the store and other members for long enough that their
+/// reaction to the signals can be checked.
 pub(crate) fn faults(seed: u64, size: PlanSize) -> Vec<PlannedFault> {
     let series = fault_series::FaultSeries {
         first_seed: FIRST_SEED,
