--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -36,7 +36,8 @@
     disturbances.iter().any(|disturbance| disturbance.overlaps(instance, from, to))
 }
 
-/// A change of the listed state of an upstream.
+/// A change of an upstream between ready and leaving, by its entry in the store or by an
+/// evacuation.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamListing {
     /// Number of the upstream whose listed state changed.
@@ -72,7 +73,8 @@
     pub ended: time::Instant,
 }
 
-/// A request that reached an upstream, run or not, and the signals in its answer.
+/// A request that reached an upstream, run or not, and what the answer announced: leaving, a
+/// `Retry-After` time or a rate limit.
 #[derive(Debug, Clone)]
 pub struct UpstreamResponse {
     /// Number of the upstream that the request reached.
@@ -109,17 +111,17 @@
     pub started: time::Instant,
     /// Requests of clients, without probes.
     pub sent: Vec<SentRequest>,
-    /// Records of the requests that were run, by request id, without probes. The number of runs is
-    /// that at all upstreams together.
+    /// Records of the requests that were run, by request id, without probes. [`RunRecord::runs`] is
+    /// the sum over all upstreams.
     pub runs: collections::HashMap<String, RunRecord>,
-    /// Single runs at all upstreams, including those of probes, in order of time.
+    /// Every run of a request at an upstream, including those of probes, in order of time.
     pub upstream_runs: Vec<UpstreamRun>,
-    /// Requests that reached upstreams, run or not, and the signals in their answers.
+    /// Requests that reached upstreams, run or not, and what the answers announced.
     pub responses: Vec<UpstreamResponse>,
     /// Rate limits that upstreams announced, each with the period in which it applied.
     pub limits: Vec<AnnouncedLimit>,
-    /// Number of the upstream and time for each restart: signals from before a restart no longer
-    /// apply.
+    /// Number of the upstream and time for each restart: what answers from before the restart
+    /// announced no longer applies.
     pub upstream_restarts: Vec<(u8, time::Instant)>,
     /// Kills and pauses of instances, which excuse cut connections and long answers.
     pub unplanned_outages: Vec<Disturbance>,
@@ -133,7 +135,7 @@
     pub contact_losses: Vec<Disturbance>,
     /// Faults of links to upstreams, which excuse requests and cancels that arrive late.
     pub link_faults: Vec<LinkFault>,
-    /// Changes of the listed state of upstreams, in order of time.
+    /// Changes of upstreams between ready and leaving, in order of time.
     pub listings: Vec<UpstreamListing>,
     /// Number of the instance and time for each restart after a kill, a planned stop or a crash.
     pub instance_restarts: Vec<(u8, time::Instant)>,
@@ -146,8 +148,9 @@
 }
 
 impl Evidence {
-    /// Extends the periods that were to end at `planned_end` to `actual_end`. A fault ends late if
-    /// the soak has to wait before it can end the fault, for example for an instance to start.
+    /// Moves the end of each period that ends at `planned_end` to `actual_end`, where both include
+    /// the margin for recovery. Planned stops keep their end. A fault ends late if the soak has to
+    /// wait before it can end the fault, for example for an instance to start.
     pub fn extend_to_actual_end(&mut self, planned_end: time::Instant, actual_end: time::Instant) {
         let disturbances =
             [&mut self.unplanned_outages, &mut self.external_faults, &mut self.contact_losses];
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -40,7 +40,8 @@
     /// Makes the link from one instance to the store work again, or those of all instances for
     /// `None`.
     StoreLinkGood(Option<u8>),
-    /// Makes the link on which members read documents of an instance work again.
+    /// Makes the link on which members fetch the routes and the list of upstreams from an instance
+    /// work again.
     MemberLinkGood(u8),
     /// Makes an upstream work again.
     UpstreamGood(u8),
@@ -80,7 +81,7 @@
     /// Index in [`Evidence::contact_losses`] of the loss that a planned stop causes, by number of
     /// the instance, until the instance is started again.
     stop_losses: collections::HashMap<u8, usize>,
-    /// Recent copies of the store, if the plan has drills.
+    /// Recent copies of the store, if the plan has drills (restores of the store from a copy).
     copy_log: Option<store_drill::CopyLog>,
 }
 
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Returns the number of the first upstream of the plain service.
+    /// Returns the lowest number of the upstreams of the plain service, which run no model.
     pub(crate) fn first_plain(&self) -> u8 {
         self.fleet.engines.len() as u8
     }
@@ -288,8 +289,8 @@
             self.end(end);
         }
         for number in 0..self.fleet.instances.len() as u8 {
-            // Covers an exit after SIGTERM and a crash; an instance that was killed is started
-            // again by its pending `FaultEnd::Start`.
+            // Starts an instance that exited after SIGTERM or in a crash; an instance that was
+            // killed is started again by its pending `FaultEnd::Start`.
             if self.fleet.wait_for_exit(number, Duration::from_millis(1)).is_some() {
                 self.end(FaultEnd::Start(number));
             }
@@ -357,7 +358,8 @@
                 self.list(number, false);
             }
             FaultEnd::Restart(number) => {
-                // Signals from before the restart no longer apply, and running requests are lost.
+                // Failures are excused, as the restart loses running requests; what the upstream
+                // announced before the restart no longer applies.
                 self.restart(number);
                 self.record_external_fault(now);
                 self.list(number, false);
@@ -380,7 +382,8 @@
         if let Err(error) = self.fleet.start_instance(number) {
             self.evidence.violations.push(format!("instance {number} does not start: {error}"));
         }
-        // The loss of contact is recorded from after the start, which may take long on a busy host.
+        // The loss of contact is recorded only when the start is over: the start may take long on a
+        // busy host and must not use up the margin for recovery.
         let now = Instant::now();
         self.record_contact_loss(Some(number), now);
         if let Some(index) = self.stop_losses.remove(&number) {
@@ -432,8 +435,8 @@
         self.fleet.list_all();
     }
 
-    /// Evacuates the data centre of an upstream and records the upstream as leaving: the bound after
-    /// which it must get no more requests is the same.
+    /// Evacuates the data centre of an upstream and records the upstream as leaving: the time
+    /// within which it may still get requests is that of an upstream listed as leaving.
     fn evacuate(&mut self, number: u8, until: Instant) {
         self.fleet.evacuate(&data_center_of(usize::from(number)), true);
         let listing = UpstreamListing { upstream: number, leaving: true, at: Instant::now() };
@@ -441,7 +444,8 @@
         self.ends.push((until, FaultEnd::Restore(number)));
     }
 
-    /// Replaces the entry of an upstream by an invalid one and records the upstream as leaving.
+    /// Replaces the entry of an upstream by an invalid one and records the upstream as leaving, as
+    /// instances must not use an upstream without a valid entry.
     fn overwrite_entry(&mut self, number: u8) {
         let name = self.fleet.runners()[usize::from(number)].name.clone();
         let invalid = INVALID_ENTRIES[usize::from(number) % INVALID_ENTRIES.len()];
--- a/crates/soak/src/leave_check.rs
+++ b/crates/soak/src/leave_check.rs
@@ -56,8 +56,8 @@
     used.into_iter().chain(worked).collect()
 }
 
-/// Returns whether, up to `until`, the instance lost contact after the request was sent or the link
-/// to the upstream had a fault after the run began.
+/// Returns whether a loss of contact of the instance overlaps the time from sending the request to
+/// `until`, or a fault of the link to the upstream the time from the start of the run to `until`.
 fn is_excused(
     evidence: &Evidence,
     origin: &RequestOrigin,
@@ -123,7 +123,8 @@
     sent.chain(probes).collect()
 }
 
-/// Joins the changes of listed states into periods; a repeated listing does not restart a period.
+/// Joins the changes of upstreams between ready and leaving into periods of leaving; a repeated
+/// listing does not restart a period.
 fn leave_spans(evidence: &Evidence) -> Vec<LeaveSpan> {
     let mut spans = Vec::<LeaveSpan>::new();
     for listing in &evidence.listings {
--- a/crates/soak/src/signal_check.rs
+++ b/crates/soak/src/signal_check.rs
@@ -23,7 +23,8 @@
     sent.chain(probes).collect()
 }
 
-/// Returns the requests that reached an upstream in spite of its signals, summarized by kind.
+/// Returns the requests that reached an upstream after it had announced that it is leaving, or
+/// before its `Retry-After` time was over, summarized by kind.
 pub(crate) fn violations(evidence: &Evidence) -> Vec<String> {
     let origins = origins(evidence);
     let found = evidence
@@ -33,8 +34,9 @@
     evidence::summarize_by_kind(found)
 }
 
-/// Returns the violation if a request reached an upstream although its instance had received a
-/// signal against further requests, and the upstream has not restarted since.
+/// Returns the violation if a request reached an upstream although an answer had told its instance
+/// to send no more (it announced leaving, or a `Retry-After` time that is not over), and the
+/// upstream has not restarted since.
 fn response_violation(
     evidence: &Evidence,
     origins: &RequestOrigins<'_>,
@@ -46,7 +48,8 @@
             origins.get(other.id.as_str()).is_some_and(|origin| origin.0 == instance);
         same_instance && other.upstream == response.upstream
     });
-    // A signal sent before the instance started, resumed or lost contact may not have reached it.
+    // What an upstream announced before the instance started, resumed or lost contact may not have
+    // reached the instance.
     let applies = |signalled: time::Instant| {
         let restarted = evidence.upstream_restarts.iter().any(|(upstream, at)| {
             *upstream == response.upstream && *at >= signalled && *at <= response.at
