--- a/crates/soak/src/final_checks.rs
+++ b/crates/soak/src/final_checks.rs
@@ -21,9 +21,10 @@
 /// Time after the end of traffic within which upstreams must have no request running and no tokens
 /// reserved.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Number of streams that are open while an instance is stopped.
+/// Number of streams that are open when [`FaultInjector::check_planned_stop`] stops an instance.
 const STOP_STREAMS: u64 = 3;
-/// Time from sending the requests of the streams until the stop, so that their answers have begun.
+/// Time from sending the requests until the stop in [`FaultInjector::check_planned_stop`], so that
+/// the answers have begun.
 const STREAM_START_DELAY: Duration = Duration::from_millis(400);
 /// Length of the store outage in [`FaultInjector::check_store_return`].
 const STORE_OUTAGE: Duration = Duration::from_millis(1_500);
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -12,7 +12,7 @@
     about: "Runs real instances under random faults from outside and checks their promises.",
 };
 
-/// Maximum number of instances that the stand-in has addresses for.
+/// Maximum number of instances that a test fleet has loopback addresses for.
 const MAX_INSTANCES: u64 = 40;
 
 fn main() -> process::ExitCode {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -50,7 +50,7 @@
 
 /// Number of engines in the fleet.
 const ENGINES: u8 = 4;
-/// Number of upstreams of the plain service.
+/// Number of upstreams of the plain service, which run no model.
 const PLAIN: u8 = 3;
 
 /// File in the log folder that lists the injected faults with their times, and the violations.
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -1,4 +1,5 @@
-//! Clients that reuse their connections while these stay open, and record every request.
+//! Clients that reuse their connections as long as the connections stay open, and record every
+//! request.
 
 use std::{
     collections, net,
@@ -19,7 +20,8 @@
 /// Pause of a client between two requests, milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 2..40;
 /// One request in this many has a long answer of [`LONG_ANSWER_TOKENS`]: its stream outlasts the
-/// time for which a stopping instance still accepts connections, and ends within the grace period.
+/// time for which a stopping instance still accepts connections, and ends before the instance must
+/// have exited.
 const LONG_STREAMS: u32 = 24;
 /// Number of tokens of a long answer, whose stream takes 3.3 to 4.5 s.
 pub const LONG_ANSWER_TOKENS: std::ops::Range<u64> = 11_000..15_000;
@@ -27,7 +29,8 @@
 /// answer.
 const ABANDONED_REQUESTS: u32 = 8;
 /// Time from writing an abandoned request to closing its connection, milliseconds. The longest
-/// exceed the shortest time after which an instance gives up a silent connection.
+/// waits exceed the shortest time after which an instance gives up a silent connection to an
+/// upstream.
 const ABANDON_WAIT_MS: std::ops::Range<u64> = 0..400;
 /// Number of a client's random stream that chooses the abandoned requests.
 const ABANDON_STREAM: u64 = 1;
@@ -86,8 +89,9 @@
 }
 
 impl UnreadRequest {
-    /// Reads the answer, which must be complete. The recorded end is no later than the deadline, as
-    /// the time of reading does not show when the answer was sent.
+    /// Reads the answer, which the checks require to be complete although it is read late. The
+    /// recorded end is no later than the deadline, as the time of reading does not show when the
+    /// answer was sent.
     fn read(mut self) -> SentRequest {
         let outcome = self.caller.read(&self.request);
         let to = time::Instant::now().min(self.sent.from + DEADLINE);
@@ -169,7 +173,8 @@
             _ => random.random_range(50..1_500),
         };
         let abandons = abandon_random.random_range(0..ABANDONED_REQUESTS) == 0;
-        // Abandoned requests have long answers, so that it shows if an upstream continues to work.
+        // Abandoned requests have long answers, so that the checks notice an upstream that
+        // continues to work after the client has left.
         let answer = if abandons { LONG_ANSWER_TOKENS.start } else { answer };
         let counts = (prompt, answer);
         let request = request(format!("{seed:x}-{client}-{turn}"), route, counts);
@@ -186,7 +191,8 @@
                 let id = request.id.clone();
                 let sent =
                     SentRequest { id, route, instance, from, to, closed_idle_since, outcome: None };
-                // A failed write shows when the answer is read.
+                // A failed write needs no handling here: the outcome is recorded when the answer
+                // is read.
                 let _ = caller.write(&request);
                 unread.push(UnreadRequest { caller, request, sent });
                 continue;
