--- a/crates/compare/src/fake_engines.rs
+++ b/crates/compare/src/fake_engines.rs
@@ -32,7 +32,7 @@
 
 impl FakeEngine {
     /// Creates an engine without requests, and records its first load report at time 0. `options`
-    /// are those of the ledger.
+    /// configure the engine's ledger.
     pub fn new(name: ids::EngineId, options: settings::FleetOptions) -> Self {
         let parameters = engine_model::EngineParameters {
             memory: scenario::ENGINE_MEMORY_TOKENS,
--- a/crates/compare/src/main.rs
+++ b/crates/compare/src/main.rs
@@ -1,4 +1,5 @@
-//! `slipturn-compare`: compares the routing policies on the fleets of both users.
+//! `slipturn-compare`: compares the routing policies on each of the simulated fleets of
+//! [`scenario::PROFILES`].
 
 use std::{process, thread, time};
 
@@ -65,11 +66,12 @@
 struct CommonOptions {
     length: time::Duration,
     seed: u64,
-    /// Additional options for `fleet:`, for the runs of slipturn's own policy only.
+    /// Additional settings of the `fleet:` section, as in [`scenario::RunScenario::options`].
+    /// Applied only to the runs of slipturn's own policy.
     options: String,
 }
 
-/// Changes the default scenario to that of a case.
+/// Turns the default scenario (70% load, no faults) into that of one row of [`CASES`].
 type ScenarioChange = fn(&mut scenario::RunScenario);
 
 const CASES: [(&str, ScenarioChange); 9] = [
--- a/crates/compare/src/planned_size.rs
+++ b/crates/compare/src/planned_size.rs
@@ -11,7 +11,8 @@
 
 /// Number of instances in the planned fleet.
 const INSTANCES: usize = 380;
-/// Number of engines. The planned fleet has as many runners (upstreams), and each counts as one engine.
+/// Number of engines. The planned fleet has this number of upstreams, called runners there, and
+/// each is counted as one engine.
 const ENGINES: usize = 600;
 /// Number of customers in the settings.
 const CUSTOMERS: usize = 4_300;
@@ -30,8 +31,9 @@
     pub value: String,
 }
 
-/// Measures the reading of the settings and the list, and the decisions of an entry and a ledger,
-/// each with one row of the result.
+/// Measures the parsing of the settings and the fleet list, the routing decisions of an entry, and
+/// an offer of an engine's ledger, which records its leases and queue. Returns one row for each
+/// measurement.
 pub fn measure() -> Vec<CostRow> {
     let (settings_text, list_text) = (settings_text(), list_text());
     let mut cost_rows = vec![
@@ -98,7 +100,8 @@
     ]
 }
 
-/// Measures an offer by a ledger with 64 leases and 64 queued requests.
+/// Measures the time in which the ledger of an engine with 64 leases and 64 queued requests makes
+/// an offer, an estimate of how it could serve a request.
 fn measure_ledger() -> CostRow {
     let now = units::MonoTime(0);
     let (memory, rate) = (units::TokenCount(400_000), units::TokenRate(100_000.0));
@@ -133,7 +136,6 @@
     cost_row(operation, format!("{:?}", elapsed / ITERATIONS))
 }
 
-/// Runs `workload` and returns its result with the elapsed time.
 fn timed<T>(workload: impl FnOnce() -> T) -> (T, time::Duration) {
     let started = time::Instant::now();
     let result = workload();
