--- a/crates/compare/src/policy_run.rs
+++ b/crates/compare/src/policy_run.rs
@@ -17,7 +17,8 @@
 const ADVANCE_INTERVAL: time::Duration = time::Duration::from_millis(50);
 /// Virtual time between two renewals of the leases that entries hold at the engines.
 const RENEW_INTERVAL: time::Duration = time::Duration::from_secs(4);
-/// Maximum number of candidate sets that are tried per placement, as in a real entry.
+/// Maximum number of rounds per placement, each with newly selected candidate engines, as in a real
+/// entry.
 const MAX_ROUNDS: usize = 3;
 
 /// How a request ended. The times include the simulated network time.
@@ -31,12 +32,12 @@
     Failed,
 }
 
-/// A request that has ended, as the summary of the run counts it.
+/// Result of a request that has ended, from which the summary of the run is computed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestResult {
-    /// The request as it arrived.
+    /// Scheduled time, prompt and output length, and API key of the request.
     pub arrival: arrivals::Arrival,
-    /// How the request ended.
+    /// Whether the request completed, was refused or failed, with its latencies.
     pub outcome: RequestOutcome,
     /// Number of attempts that reached an engine; 0 if the request was refused without one.
     pub attempts: u32,
@@ -49,7 +50,7 @@
     entry: usize,
     /// Index of the engine that serves the current attempt.
     engine: usize,
-    /// The current attempt, as sent to the schedulers.
+    /// The current attempt as a scheduler receives it, with its memory and deadlines.
     capacity_request: placement::CapacityRequest,
     /// Number of attempts so far, including the current one.
     attempts: u32,
@@ -327,8 +328,8 @@
         self.results.push(RequestResult { arrival: active.arrival, outcome, attempts });
     }
 
-    /// Removes a request from the active ones, and from the outstanding attempts that its entry
-    /// counts.
+    /// Removes a request from `active`, and from the outstanding load that its entry counts for the
+    /// engine.
     fn remove_active(&mut self, attempt: &ids::AttemptId) -> Option<ActiveRequest> {
         let active = self.active.remove(attempt)?;
         let name = self.engines[active.engine].name.clone();
--- a/crates/compare/src/scenario.rs
+++ b/crates/compare/src/scenario.rs
@@ -28,7 +28,7 @@
 /// The properties of a user's fleet that a run depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetProfile {
-    /// Name of the user, printed as the heading of the results.
+    /// Name of the organization that runs the fleet, printed as the heading of the results.
     pub name: &'static str,
     /// Network round-trip time within a data centre.
     pub local_round_trip: time::Duration,
@@ -37,7 +37,7 @@
     pub remote_round_trip: time::Duration,
 }
 
-/// The fleets of the two users.
+/// The simulated fleets. They differ in the network round-trip time between data centres.
 pub const PROFILES: [FleetProfile; 2] = [
     FleetProfile {
         name: "Bluebonnet",
@@ -54,7 +54,7 @@
 /// The fleet, load, policy and faults of a run.
 #[derive(Debug, Clone)]
 pub struct RunScenario {
-    /// User whose fleet is simulated, with its network times.
+    /// Fleet that is simulated, with its network round-trip times.
     pub profile: FleetProfile,
     /// Policy by which the entries choose an engine.
     pub routing: settings::RoutingKind,
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Returns the request rate per second at which the full mix makes up [`Self::load`], without
-    /// the excess of [`Self::flood_factor`].
+    /// Returns the request rate per second at which the full mix of prompt lengths causes
+    /// [`Self::load`]. The additional requests due to [`Self::flood_factor`] are not included.
     pub fn rate(&self) -> f64 {
         self.load * ENGINES as f64 * PREFILL_RATE / mean_prompt()
     }
--- a/crates/compare/src/summary.rs
+++ b/crates/compare/src/summary.rs
@@ -20,9 +20,9 @@
     pub other_small_customers: [f64; 3],
     /// Number of requests that arrived.
     pub requests: usize,
-    /// Number of requests that completed.
+    /// Number of requests whose output was generated completely.
     pub completed: usize,
-    /// Number of requests that were refused.
+    /// Number of requests that were refused at placement or while they waited in a queue.
     pub refused: usize,
     /// Number of requests that were admitted but timed out or lost their engine.
     pub failed: usize,
@@ -33,7 +33,7 @@
     pub goodput: f64,
     /// Longest time from arrival to refusal, in milliseconds.
     pub slowest_refusal_ms: f64,
-    /// Mean number of attempts that reached an engine per request.
+    /// Mean number of attempts per request, without attempts that reached no engine.
     pub attempts_per_request: f64,
 }
 
