--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -66,8 +66,9 @@
     }
 }
 
-/// Returns the path of a query for the settings of a customer's application. Without the options
-/// that name them, the path has no query, and an entry lists the applications of all customers.
+/// Returns the path at which an entry serves the resolved settings of a customer's application.
+/// Without `--customer` and `--application` the path has no query, and the entry lists the
+/// applications of all customers.
 fn settings_path(matches: &getopts::Matches) -> Result<String, CliError> {
     let (customer, application) = (matches.opt_str("customer"), matches.opt_str("application"));
     match (customer, application) {
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -45,9 +45,9 @@
     pub bands: Vec<BandReport>,
     /// Id of the completed request with the longest prompt, to look up in slipturn.
     pub example: Option<String>,
-    /// Time to first token of short prompts as a multiple of that in a run with short prompts only,
-    /// each taken from the first of the run's `bands`: 50th, 95th and 99th percentile. `None`
-    /// without such a run; see [`RunReport::compare_short_prompts`].
+    /// Time to first token of short prompts as a multiple of that in a baseline run with short
+    /// prompts only: 50th, 95th and 99th percentile, computed from the first row of each run's
+    /// `bands`. `None` without a baseline run; see [`RunReport::compare_short_prompts`].
     pub short_slowdown: Option<[f64; 3]>,
 }
 
@@ -86,7 +86,8 @@
                 values.first_token.push(*first_token);
                 values.total.push(*total);
                 values.gap.push(*longest_gap);
-                // The longest prompt is the most useful example.
+                // Of the complete requests, the one with the longest prompt is the most useful to
+                // look up.
                 if self.example.as_ref().is_none_or(|(longest, _)| arrival.prompt > *longest) {
                     self.example = Some((arrival.prompt, request.clone()));
                 }
