--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -7,13 +7,14 @@
 use slipturn_core::{ids, refusal, units};
 use slipturn_net::{http_server, process};
 
-/// Header with the id that slipturn gave a request, by which its decision record can be looked up.
+/// Header with the id that slipturn assigned to a request. Operators use it to look up the decision
+/// record, which tells how the request was routed and how it ended.
 pub const REQUEST_ID_HEADER: &str = "slipturn-request-id";
 /// Header with the caller's own id of a request. The answer echoes it, or carries slipturn's id if
 /// the caller sent none.
 pub const CALLER_ID_HEADER: &str = "x-request-id";
-/// Header with a time limit requested by a caller, in milliseconds, if it is to be shorter than the
-/// configured one.
+/// Header with a time limit in milliseconds, requested by a caller. It can shorten the configured
+/// limit, not extend it.
 pub const TIMEOUT_HEADER: &str = "slipturn-timeout-ms";
 /// Header with a caller's idempotency key, for calls that must run at most once.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
@@ -35,15 +36,15 @@
 /// Ids of a request that its answer carries in headers.
 #[derive(Debug, Clone)]
 pub struct RequestIds {
-    /// Id assigned by slipturn.
+    /// Id assigned by slipturn, made of the instance, the boot id and a sequence number.
     pub request: ids::RequestId,
     /// Id sent by the caller, if any.
     pub caller: Option<String>,
 }
 
 impl RequestIds {
-    /// Adds both ids to an answer's headers. If the caller sent no id, [`CALLER_ID_HEADER`]
-    /// contains slipturn's.
+    /// Sets [`REQUEST_ID_HEADER`] to slipturn's id, and [`CALLER_ID_HEADER`] to the caller's id or,
+    /// if the caller sent none, to slipturn's id.
     pub fn add_headers(&self, headers: &mut http::HeaderMap) {
         let own = self.request.as_str();
         let caller = self.caller.as_deref().unwrap_or(own);
--- a/crates/entry/src/budget_step.rs
+++ b/crates/entry/src/budget_step.rs
@@ -7,12 +7,12 @@
 
 use crate::{event, request_context};
 
-/// Takes `want` tokens for a request from the portion of the customer's budget that this entry
-/// holds.
+/// Takes `want` tokens for a request from the portion of the customer's budget that this entry has
+/// drawn in advance.
 ///
 /// If the portion doesn't suffice, a new one is drawn from the owner of the customer's budget, the
 /// instance that holds the customer's token bucket. While the owner is unreachable, this entry's
-/// own share is used.
+/// own share is used: the customer's limit divided by the number of live instances.
 ///
 /// # Errors
 ///
@@ -29,15 +29,15 @@
     if matches!(step, entry_router::BudgetStep::Draw { .. }) {
         let lock = context.draw_locks.for_customer(&settings.customer);
         let _guard = lock.lock().await;
-        // Another request may have drawn enough while this one waited for the lock.
+        // Another request may have drawn a sufficient portion while this one waited for the lock.
         step = context.events.ask(spend).await;
         if let entry_router::BudgetStep::Draw { owner, limit, want } = step {
             step = draw(context, settings, (owner, limit, want), spend, record).await;
         }
     }
     match step {
-        // `Draw` after a draw means that the portion expired before it was spent. The owner has
-        // charged it to the customer, so the request proceeds.
+        // `Draw` as the result of a draw means that the new portion expired before it was spent.
+        // The owner has charged it to the customer, so the request proceeds.
         entry_router::BudgetStep::Spent | entry_router::BudgetStep::Draw { .. } => Ok(()),
         entry_router::BudgetStep::Empty(wait) => {
             let text = format!("customer {} has used its tokens", settings.customer);
--- a/crates/entry/src/caller_connection.rs
+++ b/crates/entry/src/caller_connection.rs
@@ -11,7 +11,7 @@
     answer, event, model_request, model_request::RequestEnd, request_context, service_request,
 };
 
-/// Paths of model requests, which are the same on the engines.
+/// Paths of model requests, which are forwarded to the engines without a change of the path.
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 /// Path at which a GET request returns the names of the models of all listed engines.
 const MODELS_PATH: &str = "/v1/models";
@@ -112,8 +112,8 @@
 ) -> Result<(Bytes, crate::body_budget::BodyHold), refusal::RequestRefusal> {
     let limits = &context.local.limits;
     let body_limit = limits.max_body.0;
-    // The length of a chunked body is unknown, so the largest allowed is held until it has been
-    // read.
+    // The length of a chunked body is unknown before it has been read, so the maximum body size is
+    // held until then.
     let expected = incoming.declared_length().unwrap_or(body_limit).min(body_limit);
     let mut hold = context.body_budget.hold(expected)?;
     let bounds = http_server::BodyLimits { max_bytes: body_limit, time: limits.body_time.0 };
@@ -131,14 +131,16 @@
     refusal::RequestRefusal::not_run(code, error.to_string())
 }
 
-/// A request, by the part of the entry that serves it.
+/// A request and the handler that serves it: a model request, a call to a plain service, or a query
+/// for the list of models.
 enum RoutedCall {
     Model(model_request::ModelCall),
     Service(Box<service_request::ServiceCall>),
     Models,
 }
 
-/// Determines by method and path what serves a request, and reads the headers that it needs.
+/// Chooses the handler of a request by its method and path, and reads the headers that the handler
+/// needs.
 fn route(
     context: &request_context::EntryContext,
     request_ids: answer::RequestIds,
