--- a/crates/entry/src/director.rs
+++ b/crates/entry/src/director.rs
@@ -23,10 +23,11 @@
     boot: ids::BootId,
     decisions: decision::DecisionLog,
     histograms: histogram::HistogramSet,
-    /// Places in use by attempt and engine, because the members of a group share an attempt.
+    /// Places in use, keyed by attempt and engine: an attempt on a group of engines has one place
+    /// on each of them.
     running: collections::HashMap<(ids::AttemptId, ids::EngineId), event::RunningPlace>,
-    /// Summary for the document feed, updated whenever the documents or the number of detected
-    /// pauses change.
+    /// Documents in force and number of detected process pauses, for the document feed. Updated
+    /// when documents are applied and on every tick.
     summary: rc::Rc<documents::DocumentSummary>,
     sender: metrics::MetricSender,
 }
@@ -166,8 +167,11 @@
         self.decisions.add(record);
     }
 
-    /// Applies settings and list from an update; without new settings, it confirms those in force.
-    /// `pause_count` is the number of detected process pauses when the sources were asked.
+    /// Applies the settings and the list of an update. An update without settings confirms that
+    /// those in force are current.
+    ///
+    /// `pause_count` is the number of process pauses detected before the sources were asked. If it
+    /// has changed since, the answer may be outdated and doesn't count as a refresh.
     fn apply_documents(
         &mut self,
         now: units::MonoTime,
@@ -246,8 +250,8 @@
 
 /// Instances to ask for votes on a key, ranked by the key.
 ///
-/// Every entry asks the same instance first. Of two requests with one key, the later thus learns of
-/// the earlier at once, and the votes are not split between them.
+/// Every entry asks the same instance first. Of two requests with the same key, the later one thus
+/// learns of the earlier one from its first query, and the votes are not split between them.
 fn voters(list: &fleet_list::FleetList, key: &key_vote::ScopedKey) -> event::VoterList {
     let ranked =
         rendezvous::ranked(&key.0, list.instances.iter(), |instance| instance.name.as_str());
--- a/crates/entry/src/documents.rs
+++ b/crates/entry/src/documents.rs
@@ -1,4 +1,5 @@
-//! Access of the document feed to the settings and the list that an entry holds.
+//! The document feed's access to an entry: the settings and the fleet list in force, and the
+//! sources of newer ones.
 
 use std::{cell, net, rc};
 
@@ -15,8 +16,8 @@
 pub struct DocumentSummary {
     /// Version of the settings and revision of the list in force.
     pub known: cell::Cell<scheduler_link::KnownDocuments>,
-    /// Number of pauses of the process detected so far. An answer to a query from before a pause
-    /// may be outdated.
+    /// Number of pauses of the process, such as suspensions, detected so far. If it changes while a
+    /// source is queried, the answer may be outdated.
     pub pause_count: cell::Cell<u64>,
     /// Addresses of the schedulers of all live instances, in the order of the list.
     pub schedulers: cell::RefCell<Vec<net::SocketAddr>>,
@@ -27,7 +28,8 @@
     local: rc::Rc<local_settings::LocalSettings>,
     summary: rc::Rc<DocumentSummary>,
     events: event::EventSender,
-    /// Number of detected pauses when the sources were last asked.
+    /// Value of [`DocumentSummary::pause_count`] when the sources were last asked, sent to the
+    /// director with the result of the query.
     pauses_when_asked: cell::Cell<u64>,
 }
 
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -16,7 +16,7 @@
 pub struct RunningPlace {
     /// Engine to which the attempt is assigned.
     pub engine: ids::EngineId,
-    /// Request for the place, which renewals repeat.
+    /// Request for capacity on the engine, which each renewal of the lease sends again.
     pub request: placement::CapacityRequest,
     /// Hash of the prompt's prefix, which routing expects this engine to have cached from now on.
     pub prefix: u64,
@@ -47,14 +47,15 @@
     ),
     /// Identifies the caller of a plain service by its key and resolves its settings.
     Resolve(String, oneshot::Sender<ResolveAnswer>),
-    /// Takes tokens from the portion of the customer's budget that this entry holds.
+    /// Takes tokens from the portion of the customer's budget that this entry holds. If the portion
+    /// doesn't suffice, the answer states what to draw from the owner of the budget.
     Spend(
         settings_resolve::ResolvedSettings,
         units::TokenCount,
         oneshot::Sender<entry_router::BudgetStep>,
     ),
-    /// Takes tokens from this entry's own share of the budget, while the owner of the customer's budget
-    /// is unreachable.
+    /// Takes tokens from this entry's own share of the budget: the customer's limit divided by the
+    /// number of live instances. Used while the owner of the customer's budget is unreachable.
     SpendOwnShare(
         settings_resolve::ResolvedSettings,
         units::TokenCount,
@@ -111,7 +112,7 @@
     SpreadRetry(time::Duration, oneshot::Sender<time::Duration>),
     /// Returns the places in use, whose leases have to be renewed.
     Renewals(oneshot::Sender<RenewalBatch>),
-    /// Records measured durations, each of them in each of the named series.
+    /// Records all of the measured durations in each of the named histogram series.
     Measure(histogram::MeasureKind, Vec<String>, Vec<time::Duration>),
     /// Stores the decision record of a request that has ended.
     Decision(Box<decision::DecisionRecord>),
@@ -127,11 +128,12 @@
     Settings(oneshot::Sender<Option<rc::Rc<settings::SettingsTree>>>),
     /// Returns the state of the entry for operators.
     Status(oneshot::Sender<EntryStatus>),
-    /// Applies received documents, or a confirmation of those held. The number is the count of
-    /// detected process pauses at the time of the query.
+    /// Applies documents from a source, or its confirmation that those in force are current. The
+    /// number is the count of process pauses detected before the query; if it has changed since,
+    /// the answer may be outdated.
     Documents(scheduler_link::DocumentUpdate, u64),
-    /// Reports that no source of documents answered. The number is the count of detected process
-    /// pauses at the time of the query.
+    /// Reports that no source of documents answered. The number is the count of process pauses
+    /// detected before the query, as in [`Self::Documents`].
     SourcesUnreachable(u64),
     /// Runs the periodic work of the director: cleanup of the router and sending of metrics.
     Tick,
