--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -41,8 +41,8 @@
         request.grouped = true;
         request.queue_deadline = wait_until.min(place_request.deadline);
         let link = context.links.link(member.scheduler);
-        // Added before the scheduler answers, so that the lease is released even if the answer is
-        // lost.
+        // The member is added before the scheduler answers, so that its lease is released even if
+        // the answer is lost.
         place::add_member(context, place_request, &mut held, member.clone(), request.clone());
         match link.acquire(&member.engine, &request, context.clock.now()).await {
             Ok(Ok(priority)) => held.priority = held.priority.or(Some(priority)),
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -1,4 +1,5 @@
-//! Claiming of an idempotency key for one request by a vote of the key's voters.
+//! Claims an idempotency key for one request: the instances that rank highest for the key vote on
+//! it.
 
 use std::net;
 
@@ -11,7 +12,8 @@
 /// verdict.
 ///
 /// The voter that ranks first for the key is asked before the others, alone. Of two requests with
-/// one key, the later thus learns of the earlier at once, and the votes are not split between them.
+/// the same key, the later one thus learns of the earlier one from its first query, and the votes
+/// are not split between them.
 pub async fn claim(
     context: &request_context::EntryContext,
     key: &key_vote::ScopedKey,
@@ -28,8 +30,9 @@
         let verdict = tally.verdict(now);
         let end = (tally.group() - 1).min(others.len());
         let decided = !matches!(verdict, key_vote::VoteVerdict::InDoubt { .. });
-        // The first vote alone can look like a majority, because that voter may count fewer voters
-        // than there are. Only the answers of the others can show a larger number.
+        // A vote states how many voters the key has, as far as the voter knows. If the first voter
+        // knows too few, its vote alone looks like a majority; only further votes can show the
+        // larger number.
         if next >= end
             || matches!(verdict, key_vote::VoteVerdict::Taken(_))
             || (decided && next > 0)
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -35,7 +35,6 @@
     Close,
 }
 
-/// How an attempt ended.
 pub(crate) enum AttemptEnd {
     /// The complete answer was sent to the caller.
     Complete,
@@ -55,7 +54,8 @@
     pub(crate) record: decision::DecisionRecord,
     /// Engines of failed attempts, which are left out of the candidates.
     pub(crate) tried: Vec<ids::EngineId>,
-    /// Whether any attempt has run so far, as far as is known. Never returns to `No`.
+    /// Whether any attempt has run so far, combined from the failures of all attempts. Never
+    /// returns to `No` from `Unknown` or `Yes`.
     pub(crate) ran: refusal::RanState,
     /// Intervals between pieces of the answer, sent to the director when the request ends.
     pub(crate) intervals: Vec<time::Duration>,
@@ -180,7 +180,8 @@
                 return Ok(RequestEnd::Close);
             };
             let found = found.unwrap_or_else(|_| Err(no_place_in_time()));
-            // Earlier attempts may have run although this one found no place on an engine.
+            // Earlier attempts may have run although this one found no place on an engine, so the
+            // refusal also reports the last failure.
             let place = found.map_err(|refusal| self.add_last_failure(refusal))?;
             self.measure_wait(&place);
             let end = self.run_attempt(connection, &place, &place_request.attempt).await;
@@ -210,7 +211,8 @@
         }
     }
 
-    /// Ejects the engines of a failed attempt and decides whether another attempt follows.
+    /// Leaves the engines of a failed attempt out of the candidates for a while, and decides
+    /// whether another attempt follows.
     async fn handle_fault(
         &mut self,
         place: &place::HeldPlace,
@@ -244,8 +246,9 @@
         }
     }
 
-    /// Adds the failure of the previous attempt, if there was one, to the refusal of the next
-    /// attempt.
+    /// Adds the failure of the last attempt, if there was one, to `refusal`, which states why no
+    /// place was found for the next attempt. The result also states whether an attempt may have
+    /// run.
     fn add_last_failure(&self, refusal: refusal::RequestRefusal) -> refusal::RequestRefusal {
         let last = self.record.attempts.last().and_then(|row| row.end.clone());
         match last {
@@ -297,7 +300,8 @@
         }
     }
 
-    /// Reserves memory on the other members of a group, before the prompt is sent to the first one.
+    /// Reserves memory on all members of a group but the first, before the prompt is sent to the
+    /// first.
     async fn reserve_members(
         &self,
         place: &place::HeldPlace,
@@ -307,7 +311,7 @@
             let tokens = place.member_memory;
             let reserved = self.context.pool.reserve(member.address, attempt.clone(), tokens).await;
             if let Err(fault) = reserved {
-                // The prompt has not been sent to any engine.
+                // The prompt has not been sent to any engine, so the attempt counts as not run.
                 let failure = retry::AttemptFailure::SaidNotRun;
                 return Err(upstream_call::AttemptFault { failure, ..fault });
             }
@@ -359,8 +363,8 @@
         self.admitted.deadline.since(self.context.clock.now())
     }
 
-    /// Builds the fault of an answer that broke. Another attempt may follow only if no piece of the
-    /// answer was forwarded.
+    /// Builds the fault of an attempt whose streamed answer failed or ended early. Its class allows
+    /// another attempt only if no piece of the answer was forwarded.
     pub(crate) fn broken_answer(&self, text: &str) -> upstream_call::AttemptFault {
         let failure = match self.first_token {
             Some(_) => retry::AttemptFailure::BrokeMidAnswer,
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -181,8 +181,9 @@
     unknown()
 }
 
-/// Instances that may hold the record of a request: the listed instance that the id names,
-/// otherwise all others. An id chosen by a caller usually names none.
+/// Returns the instances that may hold the record of a request. An id assigned by slipturn contains
+/// the name of an instance, and only that instance is returned if it is listed. Otherwise, as for
+/// most ids chosen by callers, all instances but this one are returned.
 fn peers_to_ask<'list>(
     context: &request_context::EntryContext,
     list: &'list fleet_list::FleetList,
