--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -41,8 +41,8 @@
         self.plan_query.prompt + self.grant.output
     }
 
-    /// Builds the request to the scheduler of `target`, as for an engine that serves the prompt
-    /// alone.
+    /// Builds the request to the scheduler of `target` for an engine that serves the prompt alone.
+    /// For a member of a group, the caller adapts `memory`, `grouped` and `queue_deadline`.
     pub(crate) fn capacity_request(
         &self,
         context: &request_context::EntryContext,
@@ -74,7 +74,8 @@
     pub members: Vec<engine_directory::EngineTarget>,
     /// Memory needed on each member of a group; zero for a single engine.
     pub member_memory: units::TokenCount,
-    /// Whether schedulers may have granted leases, which have to be released.
+    /// Whether schedulers may have granted leases for the place, which are then released on drop.
+    /// False if the engine was chosen without a lease.
     leased: bool,
     /// Priority assigned by the first member's scheduler; `None` without a lease.
     pub priority: Option<u8>,
@@ -98,8 +99,8 @@
         let freeing =
             others.map(|member| self.context.pool.cancel(member.address, self.attempt.clone()));
         for freed in future::join_all(freeing).await {
-            // If the cancel is lost, the engine's scheduler cancels the attempt when it still appears
-            // in the engine's report.
+            // If the cancel request fails, the engine continues to report the attempt, and its
+            // scheduler cancels it.
             if let Err(fault) = freed {
                 log::debug!("cannot free reserved memory: {}", fault.text);
             }
@@ -112,8 +113,8 @@
             let context = rc::Rc::clone(&self.context);
             let (address, attempt) = (member.address, self.attempt.clone());
             monoio::spawn(async move {
-                // If the cancel is lost, the engine's scheduler cancels the attempt when it still
-                // appears in the engine's report.
+                // If the cancel request fails, the engine continues to report the attempt, and its
+                // scheduler cancels it.
                 if let Err(fault) = context.pool.cancel(address, attempt).await {
                     log::debug!("cannot cancel an attempt: {}", fault.text);
                 }
@@ -181,7 +182,8 @@
     context.events.ask(to_event).await
 }
 
-/// Whether prompt and output need more memory than any of the candidates has without its headroom.
+/// Whether prompt and output together need more memory than any of the candidates offers. The share
+/// `headroom` of an engine's memory is kept free and does not count.
 fn needs_group(place_request: &PlaceRequest, targets: &[engine_directory::EngineTarget]) -> bool {
     let headroom = place_request.grant.fleet.fleet.headroom.factor();
     let largest = targets.iter().map(|target| target.memory.scale(1.0 - headroom)).max();
@@ -344,7 +346,8 @@
         }
         Ok(Err(refusal)) => Err(refusal),
         Err(error) => {
-            // The scheduler may have granted the lease although its answer did not arrive.
+            // The scheduler may have granted the lease although its answer did not arrive, so the
+            // lease is released.
             let (attempt, context) = (place_request.attempt.clone(), rc::Rc::clone(context));
             monoio::spawn(release_lease(context, target, attempt));
             let code = refusal::RefusalCode::NoUpstream;
@@ -414,7 +417,8 @@
     if link.release(&target.engine, &attempt).await.is_ok() {
         return;
     }
-    // If the retry fails too, the next renewal, which no longer names the lease, ends it.
+    // If the retry fails too, the lease ends with a later renewal by the entry, which no longer
+    // names the attempt, or expires without renewal.
     monoio::time::sleep(RELEASE_PAUSE).await;
     if let Err(error) = link.release(&target.engine, &attempt).await {
         log::debug!("cannot release a lease: {error}");
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -106,7 +106,7 @@
     while context.active.get() > 0 && context.clock.now().since(started) < STOP_LIMIT {
         monoio::time::sleep(STOP_POLL).await;
     }
-    // Gives the last requests' background tasks time to send their releases to the schedulers.
+    // Gives the background tasks of the last requests time to release their leases.
     monoio::time::sleep(STOP_POLL * 5).await;
 }
 
--- a/crates/entry/src/renewal.rs
+++ b/crates/entry/src/renewal.rs
@@ -1,8 +1,8 @@
 //! Periodic renewal of the leases that attempts hold on engines.
 //!
 //! A renewal goes to the scheduler that owns the engine according to the list in force, which may
-//! differ from the one that granted the lease. A new owner thus learns of the attempt and doesn't
-//! treat it as abandoned.
+//! differ from the one that granted the lease. After a change of the owner, the new owner thus
+//! learns of the attempt and doesn't treat it as abandoned.
 
 use std::{rc, time};
 
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -10,7 +10,7 @@
 
 /// Shared context of an entry, which lives as long as the process.
 pub struct EntryContext {
-    /// Settings from the local settings file.
+    /// Names, addresses and limits from the local settings file, which is read once at the start.
     pub local: rc::Rc<local_settings::LocalSettings>,
     /// Boot id, which differs for every start of the process.
     pub boot: ids::BootId,
