--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -1,7 +1,7 @@
 //! Serving of a call to a plain service, from the received body to the final answer.
 //!
-//! A plain service is one whose upstreams run no model. A call to it is repeatable if the settings
-//! of the service allow calls of its method to run more than once.
+//! A plain service is one whose upstreams run no model. A call is repeatable if the settings of the
+//! service allow calls with its HTTP method to run more than once.
 
 use std::{collections, pin, rc, time};
 
@@ -80,8 +80,8 @@
     /// idle. From then on only new connections are used, so that a call waits for at most one
     /// unresponsive connection.
     new_connections_only: bool,
-    /// Pending answer of an earlier attempt over an unresponsive connection. The upstream of the
-    /// connection may merely be slow.
+    /// Pending answer of an earlier attempt over an unresponsive connection. It is kept because the
+    /// upstream may merely be slow.
     late: Option<LateAnswer>,
 }
 
@@ -219,7 +219,8 @@
             if let Some(pending) = self.late.take() {
                 late = Some(pending);
                 // The retry budget has already been charged. Only the connection is known to have
-                // failed, so this upstream may be tried again over a new one, after all others.
+                // failed, so this upstream may be tried again over a new connection, after all
+                // others.
                 upstreams.push_back(upstream);
             } else if !self.may_retry(fault.failure, number).await {
                 return Err(failed(&fault, ran));
@@ -231,8 +232,8 @@
 
     /// Claims the idempotency key of a call that must run at most once.
     ///
-    /// With a key, at most one of all requests that carry it runs. Without a key, at most one
-    /// attempt of this request runs, and other requests are not considered.
+    /// Of all requests that carry the same key, at most one runs. A call without a key is only
+    /// guarded against its own retries: at most one of its attempts runs.
     async fn claim_key(&mut self) -> Result<(), refusal::RequestRefusal> {
         let Some(key) = self.call.idempotency_key.as_deref().filter(|_| !self.repeatable) else {
             return Ok(());
@@ -313,7 +314,7 @@
     /// Asks the director for a retry of a call whose connection delivers no answer. If the retry is
     /// denied, the call keeps waiting on that connection.
     async fn retry_on_new_connection(&mut self, attempts: u32) -> bool {
-        // The call was sent and may have run.
+        // The call was sent and may have run, so it must not count as a failed connection.
         let failure = retry::AttemptFailure::BrokeBeforeAnswer;
         self.new_connections_only = self.may_retry(failure, attempts).await;
         self.new_connections_only
--- a/crates/entry/src/upstream_call.rs
+++ b/crates/entry/src/upstream_call.rs
@@ -31,7 +31,7 @@
 }
 
 impl AttemptFault {
-    /// Classifies a failed call of which nothing has reached the caller.
+    /// Classifies a call that failed before any part of its answer reached the caller.
     pub fn before_answer(error: &http_client::CallError) -> Self {
         let failure = match error {
             http_client::CallError::NotConnected { .. } => retry::AttemptFailure::NotConnected,
@@ -41,7 +41,7 @@
         Self { failure, text: error.to_string() }
     }
 
-    /// Whether the request ran, as far as this failure tells.
+    /// Whether the failed attempt ran the request; `Unknown` if the failure does not tell.
     pub fn ran(&self) -> refusal::RanState {
         match self.failure {
             retry::AttemptFailure::BrokeMidAnswer => refusal::RanState::Yes,
@@ -90,8 +90,8 @@
     call
 }
 
-/// Sets a header. A value that is not valid in a header is left out; slipturn builds all of them
-/// itself, so none should be.
+/// Sets a header. A value that is not valid in a header is left out; that should not occur, because
+/// slipturn generates all of the values.
 pub fn set_header(call: &mut http::Request<Bytes>, name: &'static str, value: &str) {
     if let Ok(value) = http::HeaderValue::from_str(value) {
         call.headers_mut().insert(name, value);
