--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -93,7 +93,7 @@
     /// asked for.
     async fn is_stale(&mut self) -> bool {
         self.allowance.set(HEAD_ALLOWANCE_BYTES);
-        // If the peek would have to wait, neither data nor the end of the stream has arrived.
+        // The peek completes at once only if data or the end of the stream has arrived.
         monoio::time::timeout(time::Duration::ZERO, self.reader.peek_data()).await.is_ok()
     }
 }
@@ -122,8 +122,8 @@
 }
 
 impl CallConnection {
-    /// Returns whether the connection comes from the pool. The upstream may have become unreachable
-    /// over it while it was idle.
+    /// Returns whether the connection was idle in the pool before. Such a connection may have
+    /// become unresponsive in the meantime.
     pub fn is_reused(&self) -> bool {
         self.reused
     }
--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -236,10 +236,11 @@
         let _ = monoio::time::timeout(LINGER_TIMEOUT, discarding).await;
     }
 
-    /// Runs `operation` until it completes or the caller disconnects. Returns `None` after a disconnection.
+    /// Runs `operation` until it completes or the caller disconnects. Returns `None` after a
+    /// disconnection.
     ///
-    /// Data that the caller sends in the meantime is not a disconnection and stays in the read buffer.
-    /// After that data, a disconnection is no longer detected.
+    /// Data that the caller sends in the meantime is not a disconnection and stays in the read
+    /// buffer. Once such data has arrived, a disconnection is no longer detected.
     pub async fn while_connected<T>(&mut self, operation: impl Future<Output = T>) -> Option<T> {
         let mut operation = pin::pin!(operation);
         self.allowance.set(MAX_HEAD_BYTES);
