--- a/crates/net/src/local_settings.rs
+++ b/crates/net/src/local_settings.rs
@@ -127,10 +127,11 @@
     pub listen: ListenAddresses,
     /// Addresses of the platform's configuration service.
     pub platform: Vec<net::SocketAddr>,
-    /// Limits on the memory and time that each process spends.
+    /// Limits on the memory and time that each process spends. The file may leave out any of them;
+    /// the defaults are those of [`ProcessLimits::default`].
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// Level and format of the log.
+    /// Level and format of the log; by default JSON lines from level `info`.
     #[serde(default)]
     pub log: LogOptions,
     /// Address to which metrics are sent over UDP. Without it, no metrics are sent.
--- a/crates/net/src/metered_read.rs
+++ b/crates/net/src/metered_read.rs
@@ -31,7 +31,7 @@
 
 /// A reader that fails with [`io::ErrorKind::FileTooLarge`] once its allowance is exhausted.
 ///
-/// The last read before that may exceed the allowance by the length of its buffer.
+/// The read that exhausts the allowance may exceed it by the length of its buffer.
 #[derive(Debug)]
 pub struct MeteredRead<R> {
     inner: R,
--- a/crates/net/src/metrics.rs
+++ b/crates/net/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics in the statsd format over UDP, sent with `cadence`.
 //!
-//! The sink is buffered but has no queue, so it needs no thread. On the non-blocking socket it drops
-//! metrics instead of blocking.
+//! The sink that collects metrics into packets has a buffer but no queue, so it needs no thread.
+//! Its socket is non-blocking, so metrics are dropped rather than delay the process.
 
 use std::{io, net, time};
 
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -61,8 +61,8 @@
     pub settings: Option<String>,
     /// Text of the list document, if there is one newer than the receiver's.
     pub list: Option<String>,
-    /// Time since the settings of the sending scheduler were last confirmed; zero if the platform
-    /// sent the documents.
+    /// Time since a source last confirmed the settings of the sending scheduler; zero if the
+    /// platform sent the documents.
     pub age: time::Duration,
 }
 
@@ -138,7 +138,8 @@
     }
 
     /// Renews the leases of the attempts that the entry is running on the scheduler's engines. The
-    /// entry's other leases end, except those granted or renewed only just before.
+    /// entry's other leases end: those of the same `boot` once they have not been renewed for the
+    /// ledger's `RELEASE_LAG`, those of another `boot` at once.
     pub async fn renew(
         &self,
         entry: &ids::InstanceId,
