--- a/crates/scheduler/src/document_sources.rs
+++ b/crates/scheduler/src/document_sources.rs
@@ -47,7 +47,7 @@
     }
 
     fn apply(&self, update: scheduler_link::DocumentUpdate) {
-        // Fails only after the event loop has ended, when the process is stopping.
+        // Sending fails only after the event loop has ended, when the process is stopping.
         let _ = self.events.unbounded_send(event::SchedulerEvent::Documents(update));
     }
 
--- a/crates/scheduler/src/document_store.rs
+++ b/crates/scheduler/src/document_store.rs
@@ -61,7 +61,8 @@
         self.watchers.len()
     }
 
-    /// Applies an update from a source. An update without settings confirms those held.
+    /// Applies an update from a source and returns the documents that came into force. An update
+    /// without settings confirms that those in force are current.
     pub fn apply(
         &mut self,
         now: units::MonoTime,
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -105,7 +105,8 @@
             metric_sender.count("cancels");
             let engine_control = rc::Rc::clone(engine_control);
             monoio::spawn(async move {
-                // A failed cancel is repeated: the engine's next report still lists the attempt.
+                // A failed cancel is not retried here: the engine's next report still lists the
+                // attempt, and the ledger cancels it again.
                 if let Err(error) = engine_control.cancel(address, attempt.clone()).await {
                     log::warn!("failed to cancel {attempt} on engine at {address}: {error}");
                 }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -21,7 +21,8 @@
 struct ManagedEngine {
     record: fleet_list::EngineRecord,
     ledger: engine_ledger::EngineLedger,
-    /// When a call of an entry or, for an owned engine, a list update last needed the ledger.
+    /// When an entry last asked for an offer, a place or a renewal on the engine or, for an owned
+    /// engine, when a list was last applied, whichever is later.
     last_used: units::MonoTime,
 }
 
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The settings and the list held by this scheduler.
+    /// The settings and the list in force, with the watchers that wait for newer ones.
     pub fn documents(&self) -> &document_store::DocumentStore {
         &self.documents
     }
@@ -273,8 +274,9 @@
 
     /// Creates a ledger for a listed engine that has none; marks an existing ledger as used.
     ///
-    /// An entry with a different list may name an engine that another scheduler owns. Its calls are
-    /// served as well, because the engine's reports show what other schedulers have placed there.
+    /// An entry with a different list may call this scheduler for an engine that another scheduler
+    /// owns. Such calls are served as well, because the engine's load reports show the attempts
+    /// that the other scheduler has placed on it.
     fn ensure_engine(
         &mut self,
         now: units::MonoTime,
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -6,7 +6,7 @@
 /// Status of an engine for which the scheduler has a ledger.
 #[derive(Debug, Clone, Serialize)]
 pub struct EngineStatus {
-    /// Name of the engine.
+    /// Name of the engine in the published list.
     pub engine: ids::EngineId,
     /// Whether this scheduler owns the engine, according to the list in force.
     pub owned: bool,
