--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -24,7 +24,7 @@
 /// An attempt at a request, as an engine receives it.
 #[derive(Debug, Clone)]
 pub struct EngineRequest {
-    /// Id of the attempt, by which outputs name it and by which it is cancelled.
+    /// Id of the attempt, which its outputs carry and by which it can be cancelled.
     pub attempt: String,
     /// Prompt length, in tokens.
     pub prompt: u64,
@@ -65,7 +65,7 @@
 pub struct EngineModel {
     parameters: EngineParameters,
     running: Vec<RunningRequest>,
-    /// Memory in tokens reserved by attempt, for requests that another engine generates.
+    /// Memory in tokens reserved by attempt, for requests whose output another engine generates.
     reserved: collections::BTreeMap<String, u64>,
     /// Hashes of the cached prefixes, least recently used first.
     prefixes: collections::VecDeque<u64>,
@@ -104,8 +104,8 @@
         true
     }
 
-    /// Reserves memory for an attempt that another engine generates. Returns `false` if there is
-    /// not enough free memory.
+    /// Reserves memory for an attempt whose output another engine generates. Returns `false` if
+    /// there is not enough free memory.
     pub fn reserve(&mut self, attempt: &str, tokens: u64) -> bool {
         if self.held() + tokens > self.parameters.memory {
             return false;
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -219,7 +219,8 @@
     }
 }
 
-/// Writes an instance's answer to a query whether a request may use an idempotency key.
+/// Writes an instance's vote on a request's use of an idempotency key: granted, abstained, or taken
+/// by another request.
 pub fn write_vote(
     mut builder: scheduler_capnp::vote_reply::Builder<'_>,
     answer: &key_vote::VoteAnswer,
@@ -232,7 +233,8 @@
     }
 }
 
-/// Reads an instance's answer to a query whether a request may use an idempotency key.
+/// Reads an instance's vote on a request's use of an idempotency key: granted, abstained, or taken
+/// by another request.
 pub fn read_vote(
     reader: scheduler_capnp::vote_reply::Reader<'_>,
 ) -> Result<key_vote::VoteAnswer, WireError> {
