--- a/crates/compare/src/scenario.rs
+++ b/crates/compare/src/scenario.rs
@@ -32,8 +32,8 @@
     pub name: &'static str,
     /// Network round-trip time within a data centre.
     pub local_round_trip: time::Duration,
-    /// Network round-trip time between data centres. The users specify only its order; the values
-    /// are assumptions.
+    /// Network round-trip time between data centres. The users specify only its order of magnitude;
+    /// the values are assumptions.
     pub remote_round_trip: time::Duration,
 }
 
--- a/crates/compare/src/summary.rs
+++ b/crates/compare/src/summary.rs
@@ -83,7 +83,7 @@
         short_prompts: first_token_percentiles(&|arrival| {
             arrival.prompt <= scenario::SHORT_PROMPT_TOKENS
         }),
-        // Customers 0 to 2 are the large ones; 3 is the one that may exceed its share.
+        // Customers 0 to 2 are the large ones; `flood_factor` applies to customer 3.
         other_small_customers: first_token_percentiles(&|arrival| arrival.key > 3),
         requests: results.len(),
         completed: count(&is_completed),
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -24,7 +24,7 @@
     /// The response was not complete within the time limit.
     #[snafu(display("{address} did not answer within {RESPONSE_TIMEOUT:?}"))]
     TimedOut {
-        /// Address of the instance.
+        /// Address for operators to which the request was sent.
         address: net::SocketAddr,
     },
     /// The event loop could not be started.
