--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -96,8 +96,8 @@
     Started(RunningPlace),
     /// Counts an attempt as ended on an engine, so that its lease there is no longer renewed.
     Ended(ids::AttemptId, ids::EngineId),
-    /// Leaves an engine out of the candidates for a while after it refused or failed, unless only
-    /// such engines remain.
+    /// Leaves an engine that refused or failed out of the candidates for a while. It remains a
+    /// candidate if there is no other.
     Eject(ids::EngineId),
     /// Decides whether a request gets another attempt, and if so takes it from the retry budget.
     Retry(retry::FailedAttempt, oneshot::Sender<retry::RetryVerdict>),
--- a/crates/entry/src/group_place.rs
+++ b/crates/entry/src/group_place.rs
@@ -8,7 +8,7 @@
 
 /// Acquires a lease on every member of a group, one after the other in the group's order.
 ///
-/// If one of them is refused or fails, the leases acquired so far are released.
+/// If a member refuses or its scheduler cannot be reached, the leases acquired so far are released.
 pub(crate) async fn find(
     context: &rc::Rc<request_context::EntryContext>,
     place_request: &place::PlaceRequest,
--- a/crates/entry/src/model_request.rs
+++ b/crates/entry/src/model_request.rs
@@ -59,8 +59,8 @@
     pub(crate) ran: refusal::RanState,
     /// Intervals between pieces of the answer, sent to the director when the request ends.
     pub(crate) intervals: Vec<time::Duration>,
-    /// When the first piece of a streamed answer was forwarded; from then on there is no other
-    /// attempt. Stays `None` for an answer that is not streamed.
+    /// When the first piece of a streamed answer was forwarded. Afterwards the request gets no
+    /// further attempt. Stays `None` for an answer that is not streamed.
     pub(crate) first_token: Option<units::MonoTime>,
 }
 
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -19,7 +19,8 @@
 const MAX_BODY_BYTES: u64 = 64 * 1024;
 /// Header that marks a query forwarded by another instance; the receiver doesn't forward it again.
 const FORWARDED_HEADER: &str = "slipturn-passed-on";
-/// Number of other instances queried concurrently for a request id that names none of them.
+/// Number of other instances queried concurrently for a request id that doesn't contain the name of
+/// a listed instance.
 const PEERS_AT_ONCE: usize = 16;
 
 /// Serves a connection of an operator until either side closes it.
