--- a/crates/entry/src/place.rs
+++ b/crates/entry/src/place.rs
@@ -267,7 +267,7 @@
 /// Handles a round in which no candidate was chosen from the schedulers' offers.
 ///
 /// An engine whose scheduler is unreachable is used without a lease if this entry has no other
-/// attempt on it; otherwise the request is refused.
+/// attempt on it. If there is no such engine, returns the refusal with the shortest retry delay.
 async fn handle_no_choice(
     context: &rc::Rc<request_context::EntryContext>,
     place_request: &PlaceRequest,
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -26,8 +26,8 @@
 /// Interval at which a stop checks whether requests are still in progress.
 const STOP_POLL: time::Duration = time::Duration::from_millis(20);
 
-/// Runs an entry until a stop is requested and its requests have ended, or a limit on that wait has
-/// passed.
+/// Runs an entry until a stop is requested, and then until its requests have ended, for at most
+/// `STOP_LIMIT`.
 ///
 /// # Errors
 ///
--- a/crates/entry/src/service_request.rs
+++ b/crates/entry/src/service_request.rs
@@ -31,8 +31,9 @@
 ];
 
 /// Fraction of a call's remaining time for which a repeatable call waits for an answer over a
-/// connection that had been idle, before it is sent again over a new one. Less than half, so that
-/// the new connection has at least as much time. `slipturn-instance` uses the same fraction.
+/// connection that had been idle, before the call is sent again over a new connection. Less than
+/// half, so that the new connection has at least as much time. `slipturn-instance` uses the same
+/// fraction.
 const SILENCE_FRACTION: f64 = 0.45;
 
 /// A call to a plain service as sent by the caller, without its body.
@@ -53,7 +54,6 @@
     pub arrived: units::MonoTime,
 }
 
-/// Answer of an attempt, or its failure.
 type AttemptResult = Result<AttemptAnswer, upstream_call::AttemptFault>;
 /// Pending answer of an attempt whose call has meanwhile been sent again.
 type LateAnswer = future::LocalBoxFuture<'static, AttemptResult>;
