--- a/crates/net/src/boot_clock.rs
+++ b/crates/net/src/boot_clock.rs
@@ -1,7 +1,7 @@
 //! A monotonic clock that keeps counting while the system is suspended.
 //!
-//! [`time::Instant`] does not count that time. After a suspension, a process that used it would take its
-//! leases, list, member liveness and idle connections to be fresh.
+//! [`time::Instant`] does not count the time of a suspension. With it, a process would take its
+//! leases, list, member liveness and idle connections to be fresh after a suspension.
 
 use std::{ops, time};
 
--- a/crates/net/src/local_settings.rs
+++ b/crates/net/src/local_settings.rs
@@ -123,7 +123,8 @@
     pub instance: ids::InstanceId,
     /// Data centre that the instance runs in.
     pub data_center: ids::DataCenterId,
-    /// Addresses that the instance's programs listen on.
+    /// Addresses that the instance's programs listen on. The entry also reaches its own scheduler
+    /// by them, and `slipturnctl` the instance.
     pub listen: ListenAddresses,
     /// Addresses of the platform's configuration service.
     pub platform: Vec<net::SocketAddr>,
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -21,8 +21,8 @@
 const VOTE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Timeout for documents that are requested without a wait. It is short because there are other sources.
 const IMMEDIATE_WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(500);
-/// Time allowed for the answer to an acquire or watch call in addition to the wait that it
-/// requests.
+/// Time allowed for the answer to an acquire or watch call, in addition to the wait that the call
+/// asks for.
 const WAIT_MARGIN: time::Duration = time::Duration::from_millis(1_500);
 
 /// Error of a call to a scheduler.
@@ -75,8 +75,8 @@
     pub list: u64,
 }
 
-/// A connection to one scheduler. It is opened by the first call, and again by the first call after it
-/// was lost.
+/// A connection to one scheduler. The first call opens it; after a disconnection or a timeout, the
+/// next call opens a new one.
 pub struct SchedulerLink {
     address: std_net::SocketAddr,
     client: cell::RefCell<Option<scheduler_capnp::scheduler::Client>>,
@@ -162,8 +162,8 @@
         .await
     }
 
-    /// Draws a portion of a customer's budget from the scheduler that keeps it. If the budget is
-    /// exhausted, returns the time until a portion is available.
+    /// Draws a portion of a customer's budget from the scheduler that holds the customer's token
+    /// bucket. If the budget is exhausted, returns the time until a portion is available.
     pub async fn draw(
         &self,
         customer: &ids::CustomerId,
