--- a/crates/scheduler/src/document_sources.rs
+++ b/crates/scheduler/src/document_sources.rs
@@ -1,9 +1,10 @@
 //! Sources from which a scheduler fetches the published documents (settings and list).
 //!
 //! The live instances of a data centre have an order that is the same for all processes with the
-//! same list. The first [`PLATFORM_WATCHERS`] of them watch the platform. Each of the others
-//! watches an earlier instance, at most [`FAN_OUT`] of them the same one, so that in a data centre
-//! with 76 instances a change reaches the last one three hops after the platform's watchers.
+//! same list. The first [`PLATFORM_WATCHERS`] of them watch the platform. Each other instance
+//! watches an earlier one, and no instance is watched by more than [`FAN_OUT`] others, so that in a
+//! data centre with 76 instances a change reaches the last one three hops after the platform's
+//! watchers.
 
 use std::{cell, net, rc};
 
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -38,7 +38,8 @@
     Acquire(ids::EngineId, placement::CapacityRequest, oneshot::Sender<PlaceAnswer>),
     /// An entry releases the place of an attempt, or removes the attempt from the engine's queue.
     Release(ids::EngineId, ids::AttemptId),
-    /// An entry lists all attempts that it is running: their leases are renewed, its other leases end.
+    /// An entry lists all attempts that it is running: their leases are renewed, and leases of
+    /// other attempts of the entry end as described at [`scheduler_link::SchedulerLink::renew`].
     Renew(ids::InstanceId, ids::BootId, Vec<(ids::EngineId, placement::CapacityRequest)>),
     /// An entry draws a portion of a customer's budget.
     Draw(ids::CustomerId, budget::BudgetLimit, units::TokenCount, oneshot::Sender<PortionAnswer>),
@@ -48,7 +49,7 @@
     Watch(scheduler_link::KnownDocuments, units::MonoTime, oneshot::Sender<DocumentAnswer>),
     /// An operator requests the status, as JSON.
     Status(oneshot::Sender<String>),
-    /// A source sent documents, or confirmed those held.
+    /// A source of documents sent newer ones, or confirmed that those in force are current.
     Documents(scheduler_link::DocumentUpdate),
     /// An engine sent a load report.
     Report(ids::EngineId, placement::EngineReport),
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -65,8 +65,8 @@
     ));
     stop.wait().await;
     log::info!("stop requested");
-    // Leases are not handed over: the next owner learns them from the reports of engines and the
-    // renewals of entries.
+    // Leases are not handed over: the scheduler that owns an engine next learns of them from the
+    // engine's reports and the renewals of entries.
     monoio::time::sleep(STOP_GRACE).await;
     Ok(())
 }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -42,8 +42,8 @@
     identity: SchedulerIdentity,
     documents: document_store::DocumentStore,
     engines: collections::BTreeMap<ids::EngineId, ManagedEngine>,
-    /// Reply channels of acquire calls that are not answered yet, by attempt. Invariant: each
-    /// attempt is in the queue of one ledger.
+    /// Reply channels of acquire calls that are not answered yet, by attempt. Invariant: each of
+    /// these attempts is in the queue of one ledger.
     pending_acquires: collections::HashMap<ids::AttemptId, oneshot::Sender<event::PlaceAnswer>>,
     budgets: budget::BudgetLedger,
     voter: key_vote::KeyVoter,
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -10,7 +10,7 @@
     pub engine: ids::EngineId,
     /// Whether this scheduler owns the engine, according to the list in force.
     pub owned: bool,
-    /// Whether the engine has sent a load report recently.
+    /// Whether the engine's last load report is recent enough for new leases.
     pub reachable: bool,
     /// Whether the engine accepts no new work, because it is listed as leaving or reports that it
     /// is draining.
