--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -19,7 +19,8 @@
 const MAX_BODY_BYTES: u64 = 64 * 1024;
 /// Header that marks a query forwarded by another instance; the receiver doesn't forward it again.
 const FORWARDED_HEADER: &str = "slipturn-passed-on";
-/// Number of other instances queried concurrently for a request id that names none of them.
+/// Number of other instances queried concurrently for a request id that doesn't contain the name of
+/// a listed instance.
 const PEERS_AT_ONCE: usize = 16;
 
 /// Serves a connection of an operator until either side closes it.
@@ -181,8 +182,9 @@
     unknown()
 }
 
-/// Instances that may hold the record of a request: the listed instance that the id names,
-/// otherwise all others. An id chosen by a caller usually names none.
+/// Returns the instances that may hold the record of a request. An id assigned by slipturn contains
+/// the name of an instance, and only that instance is returned if it is listed. Otherwise, as for
+/// most ids chosen by callers, all instances but this one are returned.
 fn peers_to_ask<'list>(
     context: &request_context::EntryContext,
     list: &'list fleet_list::FleetList,
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -26,8 +26,8 @@
 /// Interval at which a stop checks whether requests are still in progress.
 const STOP_POLL: time::Duration = time::Duration::from_millis(20);
 
-/// Runs an entry until a stop is requested and its requests have ended, or a limit on that wait has
-/// passed.
+/// Runs an entry until a stop is requested, and then until its requests have ended, for at most
+/// `STOP_LIMIT`.
 ///
 /// # Errors
 ///
@@ -106,7 +106,7 @@
     while context.active.get() > 0 && context.clock.now().since(started) < STOP_LIMIT {
         monoio::time::sleep(STOP_POLL).await;
     }
-    // Gives the last requests' background tasks time to send their releases to the schedulers.
+    // Gives the background tasks of the last requests time to release their leases.
     monoio::time::sleep(STOP_POLL * 5).await;
 }
 
--- a/crates/net/src/local_settings.rs
+++ b/crates/net/src/local_settings.rs
@@ -123,14 +123,16 @@
     pub instance: ids::InstanceId,
     /// Data centre that the instance runs in.
     pub data_center: ids::DataCenterId,
-    /// Addresses that the instance's programs listen on.
+    /// Addresses that the instance's programs listen on. The entry also reaches its own scheduler
+    /// by them, and `slipturnctl` the instance.
     pub listen: ListenAddresses,
     /// Addresses of the platform's configuration service.
     pub platform: Vec<net::SocketAddr>,
-    /// Limits on the memory and time that each process spends.
+    /// Limits on the memory and time that each process spends. The file may leave out any of them;
+    /// the defaults are those of [`ProcessLimits::default`].
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// Level and format of the log.
+    /// Level and format of the log; by default JSON lines from level `info`.
     #[serde(default)]
     pub log: LogOptions,
     /// Address to which metrics are sent over UDP. Without it, no metrics are sent.
--- a/crates/net/src/scheduler_link.rs
+++ b/crates/net/src/scheduler_link.rs
@@ -21,8 +21,8 @@
 const VOTE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Timeout for documents that are requested without a wait. It is short because there are other sources.
 const IMMEDIATE_WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(500);
-/// Time allowed for the answer to an acquire or watch call in addition to the wait that it
-/// requests.
+/// Time allowed for the answer to an acquire or watch call, in addition to the wait that the call
+/// asks for.
 const WAIT_MARGIN: time::Duration = time::Duration::from_millis(1_500);
 
 /// Error of a call to a scheduler.
@@ -61,8 +61,8 @@
     pub settings: Option<String>,
     /// Text of the list document, if there is one newer than the receiver's.
     pub list: Option<String>,
-    /// Time since the settings of the sending scheduler were last confirmed; zero if the platform
-    /// sent the documents.
+    /// Time since a source last confirmed the settings of the sending scheduler; zero if the
+    /// platform sent the documents.
     pub age: time::Duration,
 }
 
@@ -75,8 +75,8 @@
     pub list: u64,
 }
 
-/// A connection to one scheduler. It is opened by the first call, and again by the first call after it
-/// was lost.
+/// A connection to one scheduler. The first call opens it; after a disconnection or a timeout, the
+/// next call opens a new one.
 pub struct SchedulerLink {
     address: std_net::SocketAddr,
     client: cell::RefCell<Option<scheduler_capnp::scheduler::Client>>,
@@ -138,7 +138,8 @@
     }
 
     /// Renews the leases of the attempts that the entry is running on the scheduler's engines. The
-    /// entry's other leases end, except those granted or renewed only just before.
+    /// entry's other leases end: those of the same `boot` once they have not been renewed for the
+    /// ledger's `RELEASE_LAG`, those of another `boot` at once.
     pub async fn renew(
         &self,
         entry: &ids::InstanceId,
@@ -161,8 +162,8 @@
         .await
     }
 
-    /// Draws a portion of a customer's budget from the scheduler that keeps it. If the budget is
-    /// exhausted, returns the time until a portion is available.
+    /// Draws a portion of a customer's budget from the scheduler that holds the customer's token
+    /// bucket. If the budget is exhausted, returns the time until a portion is available.
     pub async fn draw(
         &self,
         customer: &ids::CustomerId,
--- a/crates/scheduler/src/program.rs
+++ b/crates/scheduler/src/program.rs
@@ -65,8 +65,8 @@
     ));
     stop.wait().await;
     log::info!("stop requested");
-    // Leases are not handed over: the next owner learns them from the reports of engines and the
-    // renewals of entries.
+    // Leases are not handed over: the scheduler that owns an engine next learns of them from the
+    // engine's reports and the renewals of entries.
     monoio::time::sleep(STOP_GRACE).await;
     Ok(())
 }
@@ -105,7 +105,8 @@
             metric_sender.count("cancels");
             let engine_control = rc::Rc::clone(engine_control);
             monoio::spawn(async move {
-                // A failed cancel is repeated: the engine's next report still lists the attempt.
+                // A failed cancel is not retried here: the engine's next report still lists the
+                // attempt, and the ledger cancels it again.
                 if let Err(error) = engine_control.cancel(address, attempt.clone()).await {
                     log::warn!("failed to cancel {attempt} on engine at {address}: {error}");
                 }
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -6,11 +6,11 @@
 /// Status of an engine for which the scheduler has a ledger.
 #[derive(Debug, Clone, Serialize)]
 pub struct EngineStatus {
-    /// Name of the engine.
+    /// Name of the engine in the published list.
     pub engine: ids::EngineId,
     /// Whether this scheduler owns the engine, according to the list in force.
     pub owned: bool,
-    /// Whether the engine has sent a load report recently.
+    /// Whether the engine's last load report is recent enough for new leases.
     pub reachable: bool,
     /// Whether the engine accepts no new work, because it is listed as leaving or reports that it
     /// is draining.
