--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -1,4 +1,5 @@
-//! Customer token budgets: portions, debt, expiry, and entries that cannot reach the scheduler.
+//! Customer token budgets, which a scheduler grants in expiring portions to the entries, the parts of instances that
+//! receive requests. Covers debt of the bucket, expiry of portions, and entries that cannot reach the scheduler.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,17 +19,19 @@
     units::MonoTime(millis * 1_000)
 }
 
-/// Tokens of one request.
+/// Tokens that each request takes from the customer's budget.
 const TOKENS: units::TokenCount = units::TokenCount(500);
 
-/// Simulates entries that draw portions from the scheduler and spend them; returns the tokens spent in `seconds`.
+/// Simulates entries that each draw from the scheduler the tokens of one request at a time and spend them. Returns the
+/// tokens spent in `seconds`. With several `schedulers`, another one is responsible for the budget every ten seconds.
 fn spend_for(seconds: u64, entries: usize, schedulers: usize) -> u64 {
     let limit = limit(10_000.0, 10_000);
     let mut ledgers: Vec<_> = (0..schedulers).map(|_| budget::BudgetLedger::default()).collect();
     let mut caches: Vec<_> = (0..entries).map(|_| budget::BudgetCache::default()).collect();
     let mut spent = 0;
     for millis in (0..seconds * 1_000).step_by(2) {
-        // Every ten seconds another scheduler takes the budget over, without any state.
+        // Every ten seconds another scheduler takes over the budget; it has no record of what its predecessor
+        // granted.
         let current = usize::try_from(millis / 10_000).unwrap() % ledgers.len();
         if ledgers.len() > 1 && millis.is_multiple_of(10_000) {
             ledgers[current] = budget::BudgetLedger::default();
--- a/crates/core/tests/class_worth.rs
+++ b/crates/core/tests/class_worth.rs
@@ -1,10 +1,12 @@
-//! Relative worth of requests of different classes.
+//! Worth of requests, by which planners weigh those that compete for engine time. It depends on the class of a request
+//! (its first-token goal and mean prompt length) and on its own prompt length.
 
 use std::time;
 
 use slipturn_core::class_worth::{ClassWorth, WorthQuery};
 
-/// Records a request and returns its worth; `goal` and `shortest` are in milliseconds.
+/// Records a request and returns its worth. `goal` is the first-token goal of its class and `shortest` the shortest one
+/// of the service, both in milliseconds; `prompt` is in tokens.
 fn worth(classes: &mut ClassWorth, class: &str, prompt: u64, goal: u64, shortest: u64) -> f64 {
     classes.record_prompt(&WorthQuery {
         class: &class.parse().expect("a valid name"),
--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -58,7 +58,7 @@
     list.apply(at(1_000), vec![ListChange::Present(entry(1, 3_000))], 11.into());
     list.apply(at(1_500), vec![ListChange::Present(entry(1, 0))], 12.into());
     assert_eq!(limit(&list, 1), None);
-    // The upstream may become cold again at any time.
+    // A later entry with a cold phase limits the upstream again.
     list.apply(at(9_000), vec![ListChange::Present(entry(1, 2_000))], 13.into());
     assert_eq!(limit(&list, 1), Some(17.0));
 }
