--- a/crates/core/tests/connection_share.rs
+++ b/crates/core/tests/connection_share.rs
@@ -1,4 +1,4 @@
-//! Idle connections of all members to one upstream.
+//! Number of idle connections that all members together keep to one upstream, within its connection limit.
 
 use slipturn_core::{connection_share, ids};
 
--- a/crates/core/tests/connection_silence.rs
+++ b/crates/core/tests/connection_silence.rs
@@ -4,9 +4,10 @@
 
 use slipturn_core::connection_silence::{AnswerTimes, ConnectionAges, SilenceCause, SilencePhase};
 
-/// Latency goal of the service, a part of which is the shortest wait for an answer on a reused connection.
+/// Latency goal of the service. A fixed part of it is the shortest wait for an answer on a reused connection.
 const GOAL: time::Duration = time::Duration::from_millis(300);
-/// Longest wait for the head of an answer, for slow upstreams.
+/// Longest wait for the head of an answer on a reused connection; it applies if the upstream usually answers slowly, or
+/// its answer times are unknown.
 const LONGEST_WAIT: time::Duration = time::Duration::from_millis(675);
 /// Time for which a connection has been silent while an answer was expected on it.
 const WAITED: time::Duration = time::Duration::from_millis(200);
--- a/crates/core/tests/document_lag.rs
+++ b/crates/core/tests/document_lag.rs
@@ -41,13 +41,14 @@
 fn a_version_that_the_source_does_not_have_is_no_longer_missing() {
     let mut lag = document_lag::DocumentLag::default();
     lag.observe(at(50), 5, 9);
-    // The source was queried before the claim, so its answer does not refute the claim.
+    // The source was queried before another member claimed to have version 9, so its answer does not refute the
+    // claim.
     lag.refute(5, at(0));
     assert_eq!(lag.observe(at(100), 5, 9), time::Duration::from_millis(50));
     lag.refute(5, at(600));
     assert_eq!(lag.observe(at(700), 5, 9), time::Duration::ZERO);
     assert_eq!(lag.known(5), 9);
-    // The refutation does not cover version 10, which is claimed later.
+    // The refutation of version 9 does not cover version 10, which a member claims to have later.
     lag.observe(at(800), 5, 10);
     assert_eq!(lag.observe(at(900), 5, 10), time::Duration::from_millis(100));
 }
--- a/crates/core/tests/document_source.rs
+++ b/crates/core/tests/document_source.rs
@@ -11,7 +11,8 @@
     units::MonoTime::from_span(time::Duration::from_millis(millis))
 }
 
-/// Makes unsuccessful attempts every 150 ms from 1,000 ms on, as an instance does; returns the choice at `end`.
+/// Simulates an instance that fails to fetch a missing document every 150 ms, from 1,000 ms on. Returns where it
+/// fetches the document from at `end`, in milliseconds.
 fn choose_until(source: &mut DocumentSource, end: u64) -> DocumentOrigin {
     for now in (1_000..end).step_by(150) {
         source.choose(at(now));
