--- a/crates/core/tests/engine_ledger.rs
+++ b/crates/core/tests/engine_ledger.rs
@@ -57,7 +57,8 @@
 }
 
 fn granted(attempt: &str) -> placement::LedgerAction {
-    // With the default options, prompts of 1,000 to 4,000 tokens are short and those over 32,000 are long.
+    // By the default options, prompts over 32,000 tokens are long. Those of 1,000 to 4,000 tokens in these tests are
+    // short; `granted_short` returns their grants.
     ranked(attempt, service_rank::LengthBand::Long)
 }
 
@@ -376,7 +377,8 @@
     };
     ledger.report(at(500), &old);
     let request = request("a:1:2:1", 40_000, 60_000);
-    // 25,000 tokens of the first prompt and 40,000 of the second, at 50,000 tokens per second.
+    // The first token comes after the prefill of 25,000 tokens of the first prompt and 40,000 of the second, at 50,000
+    // tokens per second.
     let expected = ledger.offer(at(500), &request).unwrap().first_token;
     assert_eq!(expected, time::Duration::from_millis(1_300));
 }
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -8,7 +8,7 @@
 };
 use support::{at, engine, shape, short};
 
-/// Number of engines of a full cell.
+/// Number of engines in a cell (the engines of one planner) of the target size.
 const ENGINES: usize = 96;
 /// Time between two polling rounds, milliseconds.
 const ROUND_MS: u64 = 2_000;
@@ -22,7 +22,8 @@
     planner
 }
 
-/// Number of reports requested in `rounds` rounds: from all engines, and from the one that gets all prompts.
+/// Number of reports requested in `rounds` rounds: from all engines, and from engine 0 alone, which gets the prompt of
+/// each round.
 fn requested_reports(planner: &mut PlacementPlanner, rounds: u64) -> (usize, usize) {
     let (mut all, mut used) = (0, 0);
     for round in 0..rounds {
--- a/crates/core/tests/failure_detector.rs
+++ b/crates/core/tests/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Detection time and cost of three failure detection protocols, in virtual time.
 //!
 //! The protocols are heartbeats from all members to all; probes of a random member, whose results are piggybacked on other
-//! probes; and probes along a ring, whose results are broadcast. The last one is in use.
+//! probes; and probes along a ring, whose results are broadcast. Instances use the probes along a ring.
 
 #[path = "support/virtual_fleet.rs"]
 mod virtual_fleet;
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Order of service between and within customers.
+//! Order in which the fair queue serves waiting requests: by weight between customers, shortest first within one.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,7 +22,7 @@
         .collect()
 }
 
-/// Time from which an item is overdue that lies after all times in these tests, in microseconds.
+/// Overdue time of items that never become overdue in these tests, in microseconds.
 const NEVER: u64 = u64::MAX - 1;
 
 #[test]
