--- a/crates/core/tests/fleet_budget.rs
+++ b/crates/core/tests/fleet_budget.rs
@@ -67,7 +67,8 @@
         matches!(response, Some(PermitResponse::Granted { .. }))
     }
 
-    /// Most retries in any window, when every member attempts three retries every 100 ms for 30 s, beginning at `from`.
+    /// Most retries within any window of [`BOUND`] (10 s), when every member attempts three retries every 100 ms. The
+    /// attempts begin at `from`, in milliseconds, and last for 30 s.
     fn most_in_window(&mut self, from: u64) -> usize {
         let mut taken = Vec::new();
         for now in (from..from + 30_000).step_by(100) {
@@ -133,7 +134,8 @@
         share.count_request(at(request));
     }
     let mut taken = |now| (0..1_000).filter(|_| share.take(at(now), Some(6))).count();
-    // Twelve for the 100 requests, and five as the share of one of six members in the evenly split part of the quota.
+    // The share is 17 retries: twelve for the 100 requests, and five as the part of one of six members in the evenly
+    // split part of the quota.
     assert_eq!(taken(100), 17);
     assert_eq!(taken(5_000), 0);
     assert!(taken(10_200) > 0);
@@ -173,8 +175,9 @@
     result
 }
 
-/// Guards against retries that only save time using up the quota, so that partly delivered answers are lost; and against
-/// a reservation that costs those retries much while no answers break.
+/// Guards against early retries, which only save time, using up the quota, so that partly delivered answers are lost.
+/// Also guards against a reservation for partly delivered answers that costs many of the other retries while no answer
+/// breaks.
 #[test]
 fn retries_of_partly_delivered_answers_have_priority() {
     for members in [6, 60, 300] {
--- a/crates/core/tests/limit_strategies.rs
+++ b/crates/core/tests/limit_strategies.rs
@@ -26,7 +26,7 @@
 const DEMAND: f64 = 10.0;
 /// Longest wait for a coordinator's response, in milliseconds; then the request goes to another upstream.
 const RESPONSE_TIMEOUT_MS: u64 = 25;
-/// Backoff after a late response that contained no valid permit, in milliseconds.
+/// Time for which a member requests no permits after a late response without a valid one, in milliseconds.
 const SILENCE_BACKOFF_MS: u64 = 100;
 
 /// How the members enforce the limit together.
@@ -38,7 +38,8 @@
     DemandShare,
     /// A coordinator grants a permit for each send.
     GrantEach,
-    /// A coordinator grants permits, also ahead to members that send several within a short time.
+    /// A coordinator grants a permit for each send. A member that sends several within a short time gets permits for
+    /// its next sends in advance.
     GrantAhead,
 }
 
@@ -321,14 +322,14 @@
     }
 }
 
-/// Results of a run.
 #[derive(Debug)]
 struct Figures {
     /// Most sends in any window.
     most: usize,
     /// Part of the limit that was used.
     used: f64,
-    /// Like `used`, with a tolerance: one send more is counted, and one less is allowed because the bucket starts empty.
+    /// Like `used`, with one send added to the sends, and one subtracted from those that the limit allows because the
+    /// bucket starts empty.
     used_with_tolerance: f64,
     /// Messages of all members, per second.
     messages: f64,
@@ -349,8 +350,8 @@
     }
 }
 
-/// Most sends in a window that the limit allows: those of the window itself, those that a permit's validity (0.5 s) and
-/// the burst allowance (0.2 s) can move into it, and one at its beginning.
+/// Most sends in a window that the limit allows: the sends that fall due in the window, those that a permit's validity
+/// (0.5 s) and the burst allowance (0.2 s) can move into the window, and one send at the start of the window.
 fn most_by_rate(limit: f64) -> usize {
     let seconds = WINDOW_MS as f64 / 1_000.0 + 0.2 + 0.5;
     (limit * seconds) as usize + 1
@@ -415,8 +416,8 @@
                     most_by_rate(limit),
                     figures.used
                 );
-                // Two concurrent coordinators together grant one permit more than one coordinator, and twice as many
-                // permits until they detect a partition.
+                // The bound adds what a second coordinator may grant: one permit, the permits of 0.2 s, and, until a
+                // partition is detected, permits up to the whole limit.
                 let undetected = match fault {
                     Fault::Partition(undetected) => undetected as f64 / 1_000.0,
                     _ => 0.0,
@@ -432,7 +433,7 @@
     }
 }
 
-/// Guards against a limit far above the demand that delays requests or costs a message for each.
+/// Guards against delayed requests, or a message for each request, under a limit that is far above the demand.
 #[test]
 fn permits_granted_ahead_save_messages_under_a_high_limit() {
     let simulate = |strategy| {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -320,7 +320,8 @@
     calls
 }
 
-/// If all instances call as often as the first one in order, there are 377 calls.
+/// Guards against calls that grow with the fleet while the store is down. The first instances in the order of
+/// replacement keep calling and the others back off; if all called as often as the first, there would be 377 calls.
 #[test]
 fn few_instances_keep_calling_an_unreachable_store() {
     let calls = calls_during_outage();
--- a/crates/core/tests/two_planners.rs
+++ b/crates/core/tests/two_planners.rs
@@ -15,7 +15,7 @@
 const ENGINES: usize = 12;
 /// Time from the placement to the first token, milliseconds.
 const FIRST_MS: u64 = 120;
-/// Time from the first token to the end, milliseconds.
+/// Time from the first token to the end of the answer, milliseconds.
 const DECODE_MS: u64 = 1_600;
 /// Time between two requests on each side, milliseconds: about 45 requests decode concurrently on each side, and take up
 /// half of all slots together.
