--- a/crates/core/tests/planner.rs
+++ b/crates/core/tests/planner.rs
@@ -1,4 +1,5 @@
-//! Individual decisions of the planner.
+//! Individual decisions of the placement planner: which engine answers a request, which engines prefill parts of its
+//! prompt, and which requests are refused.
 
 mod support;
 
@@ -395,13 +396,13 @@
     for number in 0..8 {
         place_decoding(&mut planner, number * 100, short(number));
     }
-    // A pass has just ended. The next one runs 51 decode steps, about 55 ms, and the one after it also prefills
-    // 19,000 tokens, about 140 ms.
+    // An engine pass prefills pending prompts and runs decode steps. A pass has just ended; the next one runs 51 decode
+    // steps, about 55 ms, and the one after that also prefills 19,000 tokens, about 140 ms.
     let first = place_decoding(&mut planner, 1_000, short(20));
     let second = place(&mut planner, 1_000, PlacementRequest { prompt: 19_000, ..short(21) });
     assert!(second.first_token_ms > first.first_token_ms + 100, "{first:?} {second:?}");
-    // The pass that prefills the second prompt has about 50 ms left because of its decode steps; the next pass prefills
-    // the third prompt.
+    // The third prompt arrives during the pass that prefills the second prompt, which has about 50 ms left because of
+    // its decode steps. The pass after that prefills the third prompt.
     let third = place(&mut planner, 1_150, short(22));
     assert!(third.first_token_ms > 120, "{third:?}");
     // The first token of the second prompt shows that its pass has ended.
--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -112,8 +112,9 @@
     assert_eq!(next.engine, starts[1]);
 }
 
-/// An engine gets requests beyond its packing target until overpacking it costs more than using an empty engine, which is
-/// after up to two. So both packing variants fill all of eight slots, although the target of the slot share is seven.
+/// Packing fills few engines with short requests. An engine gets up to two requests beyond its packing target, until
+/// overpacking costs more than using an empty engine. So `Fixed` and `SlotShare` fill all eight slots, although the
+/// target of `SlotShare` is seven.
 #[test]
 fn packing_fills_an_engine_up_to_two_beyond_its_target() {
     // The largest number of prompts on one engine with 8 slots, when 8 prompts arrive slowly.
@@ -172,7 +173,8 @@
     assert_ne!(other.engine, engine(2), "a request of another member may use the other engines");
 }
 
-/// An engine may request a backoff from a member while a prompt of that member waits for the engine.
+/// An engine may request a backoff from a member while a prompt of that member waits. The member then repeats its
+/// request and names the engine as excluded, and the prompt must not be placed on that engine.
 #[test]
 fn a_waiting_prompt_uses_the_excluded_engines_of_its_latest_request() {
     let mut planner = planner(2, PlannerModes::default());
--- a/crates/core/tests/planner_key.rs
+++ b/crates/core/tests/planner_key.rs
@@ -1,4 +1,4 @@
-//! Assignment of engines to cells, and of requests to the planners of cells.
+//! Assignment of engines to cells (groups of engines with one planner each), and of requests to the planners of cells.
 
 use slipturn_core::{
     ids,
@@ -110,8 +110,8 @@
     }
 }
 
-/// The largest cell determines the load of one member's planner: at most 1.4 times the mean, also at twice the planned
-/// size.
+/// The largest cell determines the load of one member's planner. Its size must be at most 1.4 times the mean, also with
+/// 4,000 engines, more than twice the planned 600.
 #[test]
 fn cells_are_of_similar_size() {
     for count in [300, 600, 960, 2_000, 4_000] {
--- a/crates/core/tests/search_budget.rs
+++ b/crates/core/tests/search_budget.rs
@@ -1,4 +1,5 @@
-//! Number of cells that requests try: enough if few are full, and bounded if all are.
+//! Number of cells (groups of engines with one planner each) that requests try: enough if few cells are full, and
+//! bounded if all cells are full.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -32,7 +33,8 @@
     (refused as f64 / REQUESTS as f64, total_tried as f64 / REQUESTS as f64)
 }
 
-/// Compares the budget with a fixed limit of two cells per request.
+/// Compares [`SearchBudget`], which allows requests more than two cells while most requests need few, with a fixed
+/// limit of two cells per request.
 #[test]
 fn no_more_requests_are_refused_than_with_a_fixed_number_of_cells() {
     for full in [1, 3, 5, 8, 10] {
