--- a/crates/core/tests/quarantine_storms.rs
+++ b/crates/core/tests/quarantine_storms.rs
@@ -27,7 +27,6 @@
 /// Most attempts for one arrival of a request.
 const ATTEMPTS: u32 = 2;
 
-/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 struct Storm {
     name: &'static str,
@@ -69,7 +68,6 @@
     jobs: Vec<Job>,
 }
 
-/// Results of a run.
 #[derive(Debug, Default)]
 struct Figures {
     /// Harmless requests that arrived.
--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -33,9 +33,9 @@
 const FETCH_TIME: time::Duration = time::Duration::from_millis(5);
 /// Start of the store's outage.
 const OUTAGE_START_MS: u64 = 20_000;
-/// End of the outage: the store answers again, from the copy.
+/// End of the outage: the store answers again, with the content of the older copy.
 const OUTAGE_END_MS: u64 = 22_000;
-/// When the next change is written.
+/// When the first change after the outage is written to the store.
 const CHANGED_MS: u64 = 22_100;
 /// End of the simulation.
 const END_MS: u64 = 32_000;
@@ -44,9 +44,9 @@
 
 /// The last revision before the outage.
 const FORMER: StoreRevision = StoreRevision { era: StoreEra(1), number: 90 };
-/// The revision of the copy.
+/// The revision of the older copy from which the store is restored, which starts a new era.
 const COPY: StoreRevision = StoreRevision { era: StoreEra(2), number: 70 };
-/// The revision of the next change.
+/// The revision of the first change after the outage.
 const NEXT: StoreRevision = StoreRevision { era: StoreEra(2), number: 71 };
 
 fn at(millis: u64) -> units::MonoTime {
@@ -72,16 +72,15 @@
     Change,
 }
 
-/// A simulated member.
 struct Member {
     view: MemberView,
-    /// Sequence number of the last heartbeat.
+    /// Sequence number of the last heartbeat that the member sent.
     sequence: u64,
     /// Revision of the member's list.
     list: StoreRevision,
     /// Whether the member watches the store.
     watches: bool,
-    /// Whether the member calls the store, reachable or not.
+    /// Whether the member has begun to call the store and repeats the call after each failure.
     calling: bool,
     /// Whether the member's last call failed.
     failed: bool,
@@ -91,7 +90,7 @@
     missing_since: Option<units::MonoTime>,
     /// Whether a fetch from a member is in progress.
     fetching: bool,
-    /// When the member learned of the next change.
+    /// When the member learned of the first change after the outage.
     learned_at: Option<units::MonoTime>,
 }
 
@@ -109,10 +108,10 @@
     reads: u32,
 }
 
-/// Result of [`RestoreSimulation::run`].
 #[derive(Debug)]
 struct RestoreOutcome {
-    /// Time from the write of the change until the last member learned of it; `None` if a member did not.
+    /// Time from the write of the first change after the outage until the last member learned of it; `None` if a member
+    /// did not.
     last: Option<time::Duration>,
     /// Number of calls to the store since the start of the outage.
     calls: u32,
@@ -306,7 +305,7 @@
             member.pause = (member.pause * 2).min(PAUSES.1);
             let own_heartbeat = self.heartbeat(own);
             let member = &mut self.members[own];
-            // The first members in order keep calling; the others stop.
+            // The first members in the order of replacement keep calling the store; the others stop.
             member.calling =
                 member.view.should_watch(self.now, &own_heartbeat, time::Duration::ZERO, true);
             if member.calling {
--- a/crates/core/tests/store_tracker.rs
+++ b/crates/core/tests/store_tracker.rs
@@ -1,4 +1,5 @@
-//! Contact with the store, eras and lags: each transition of the tracker.
+//! [`StoreTracker`]: whether the store answers, whether it was restored from an older copy (a new era), and for how
+//! long this process has lacked documents that other members have.
 
 use std::time;
 
