--- a/crates/core/tests/support/virtual_fleet.rs
+++ b/crates/core/tests/support/virtual_fleet.rs
@@ -22,10 +22,11 @@
 const REFUTATION_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Missed heartbeats until a member is suspected.
 const MISSED_HEARTBEATS: u32 = 4;
-/// Timeouts of the random probes: of a direct one, and of one relayed by other members.
+/// Timeouts of the random probes: of a direct probe, and then of the probes relayed by other members.
 const PROBE_TIMEOUTS: (time::Duration, time::Duration) =
     (time::Duration::from_millis(250), time::Duration::from_millis(400));
-/// Probe periods for which a result is piggybacked on random probes, for each doubling of the members.
+/// Number of probe periods for which a result is piggybacked on random probes, multiplied by the number of binary
+/// digits of the number of members.
 const PIGGYBACK_PERIODS: u32 = 3;
 
 /// Protocol by which members detect silent members.
@@ -39,7 +40,6 @@
     RingProbes,
 }
 
-/// A message between members.
 #[derive(Debug, Clone)]
 enum Datagram {
     Heartbeat,
@@ -167,8 +167,8 @@
         self.members.iter_mut().for_each(|member| member.side = 0);
     }
 
-    /// Runs until at least the given share of the pairs of a live and a silent member are suspicions of the latter by the
-    /// former; returns the time that this took, or `None` if it exceeds `limit`.
+    /// Runs until, in at least `share` of the pairs of a live and a silent member, the live one suspects the silent
+    /// one. Returns the time until then, or `None` if it exceeds `limit`.
     pub(crate) fn time_until_suspected(
         &mut self,
         share: f64,
@@ -289,8 +289,8 @@
         if let Some((target, sent_at)) = self.members[own].pending.take() {
             let waited = self.now.since(sent_at);
             if waited >= PROBE_TIMEOUTS.0 + PROBE_TIMEOUTS.1 {
-                // The result of the relayed probes: they reach the target unless it is silent or on the other side of the
-                // partition.
+                // Relayed probes are not simulated one by one: they count as failed if the target is silent or on the
+                // other side of the partition, and as answered otherwise.
                 if self.members[target].silent
                     || self.members[target].side != self.members[own].side
                 {
--- a/crates/core/tests/support/virtual_start.rs
+++ b/crates/core/tests/support/virtual_start.rs
@@ -23,7 +23,8 @@
 const DOCUMENT_BYTES_PER_MEMBER: usize = 24 * 2;
 /// Bandwidth of a member's link in bytes per millisecond, 20 Mbit/s.
 const LINK_BYTES_PER_MS: usize = 2_500;
-/// Most bytes that a member sends concurrently if it serves more than eight fetches.
+/// Most bytes of documents that a member sends concurrently. A member that serves eight or more fetches refuses another
+/// one that would exceed this number.
 const MAX_SENDING_BYTES: usize = 480 * 1024;
 /// Number of seed members, whose addresses every member knows when it starts.
 const SEED_COUNT: usize = 3;
--- a/crates/core/tests/upstream_limit.rs
+++ b/crates/core/tests/upstream_limit.rs
@@ -1,4 +1,5 @@
-//! Limits that upstreams announce: which of several readings holds, regardless of their order of arrival.
+//! Rate limits that upstreams announce in their answers. Of several readings (the limit that an answer announced, or
+//! its absence) the same one holds, regardless of their order of arrival.
 
 use std::time;
 
@@ -98,8 +99,9 @@
 }
 
 proptest! {
-    /// Guards against members that disagree permanently: they receive the same readings in different orders, some of them
-    /// twice, and must agree after a last reading that was requested after all others were received.
+    /// Guards against members that disagree permanently about an upstream's limit. They receive the same announced
+    /// limits in different orders, some of them twice, and must agree after one that was requested after all others
+    /// were received.
     #[test]
     fn members_agree_after_a_later_reading(
         readings in prop::collection::vec((prop::option::of(0.1..9.0_f64), 0..900_u64, 1..90_u64), 1..12),
