--- a/crates/instance/tests/log_sink.rs
+++ b/crates/instance/tests/log_sink.rs
@@ -110,7 +110,8 @@
     let output = BlockingOutput { unblock: receiver, lines, is_blocked: false };
     let appender = log_sink::LineAppender::start(Box::new(output));
     let started = time::Instant::now();
-    // Ten times the usual rate of an instance in a large fleet, for a little over two seconds.
+    // Appends up to 2,000 lines per second, five times the limit of 400, for a little over two
+    // seconds.
     let mut number = 0;
     while started.elapsed() < time::Duration::from_millis(2_200) {
         append(&appender, number);
--- a/crates/instance/tests/upstream_load.rs
+++ b/crates/instance/tests/upstream_load.rs
@@ -23,7 +23,6 @@
 /// Delay of a message between members, in milliseconds.
 const MESSAGE_MS: u64 = 3;
 
-/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 struct LoadPlan {
     instances: usize,
@@ -158,7 +157,8 @@
 };
 
 /// Returns the mean over ten seeds of the calls to the failing upstream, and of the calls lost there
-/// that must not be repeated. The others do not count as lost, as an instance repeats them elsewhere.
+/// that must not be repeated. Repeatable calls don't count as lost, as an instance repeats them on
+/// another upstream.
 fn mean(plan: LoadPlan) -> (f64, f64) {
     const SEEDS: u64 = 10;
     let outcomes: Vec<_> = (1..=SEEDS).map(|seed| simulate(plan, seed)).collect();
@@ -220,8 +220,8 @@
     }
 }
 
-/// Calls that fail on any upstream must not count against a single one: all continue to share the
-/// load, and an upstream that also fails by itself is still detected.
+/// Calls that fail on any upstream must not count against a single upstream: all upstreams continue
+/// to share the load, and an upstream that also fails by itself is still detected.
 #[test]
 fn calls_that_fail_on_any_upstream_do_not_shift_the_load() {
     let plan = LoadPlan {
--- a/crates/instance/tests/upstream_shares.rs
+++ b/crates/instance/tests/upstream_shares.rs
@@ -38,7 +38,6 @@
     slowdown: u64,
 }
 
-/// Results of a simulation.
 #[derive(Debug)]
 struct ShareFigures {
     /// Number of calls to the busiest upstream, relative to the mean.
@@ -47,7 +46,6 @@
     late: f64,
 }
 
-/// A simulated upstream.
 struct SimulatedUpstream {
     /// Time at which each slot becomes free, in milliseconds.
     free_at: [u64; SLOTS],
@@ -168,7 +166,8 @@
     }
 }
 
-/// Guards against a default that causes late answers, at a high load or with a slow upstream.
+/// Guards against a default [`LoadChoiceMode`] that causes more late answers than `First`, at a
+/// high load or with a slow upstream.
 #[test]
 fn the_default_load_choice_has_few_late_answers() {
     for (load, slowdown) in [(0.7, 1), (0.9, 1), (0.7, 3), (0.5, 8)] {
--- a/crates/trial/tests/idempotency.rs
+++ b/crates/trial/tests/idempotency.rs
@@ -22,8 +22,8 @@
     fleet
 }
 
-/// Returns the run counts of the services below `field`, `by_key` or `by_request`, summed over all
-/// services.
+/// Returns how often each call ran, summed over all services, by idempotency key (`field` is
+/// `by_key`) or by request (`by_request`).
 fn sum_runs_by(fleet: &Fleet, field: &str) -> collections::BTreeMap<String, u64> {
     let mut runs = collections::BTreeMap::new();
     for service in &fleet.services {
--- a/crates/trial/tests/silent_upstreams.rs
+++ b/crates/trial/tests/silent_upstreams.rs
@@ -150,8 +150,8 @@
     }
 }
 
-/// Parallel calls need more connections than the one opened after the silence was found, so they
-/// would take silent ones from the pool.
+/// Guards against parallel calls that take silent connections from the pool: they need more
+/// connections than the single one that the first call opened after it had found the silence.
 #[test]
 fn calls_avoid_connections_pooled_before_a_silence() {
     let proxied = ProxiedFleet::start(&FleetConfig { services: 1, ..Default::default() });
