--- a/crates/core/tests/engine_ledger.rs
+++ b/crates/core/tests/engine_ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of one engine: leases, queue order, engine reports, and lost or late messages.
+//! A scheduler's ledger of the memory of one engine: leases, queue order, engine reports, and lost or late messages.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/core/tests/engine_reports.rs
+++ b/crates/core/tests/engine_reports.rs
@@ -1,4 +1,4 @@
-//! How often engines are polled for reports.
+//! How often a planner requests load reports from the engines of its cell.
 
 mod support;
 
--- a/crates/core/tests/fleet_budget.rs
+++ b/crates/core/tests/fleet_budget.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// Guards against a coordinator's part that is unusable in large fleets, with one failed call at each of 300 members or
-/// 300 failed calls at one of them.
+/// Guards against a part of the quota, granted by a coordinator, that is unusable in large fleets: with one failed call
+/// at each of 300 members, or with 300 failed calls at one of them.
 #[test]
 fn the_coordinators_part_is_available_to_all_members_or_to_one() {
     let mut each = Fleet::new(300, Some(300), 1, 1.0);
--- a/crates/core/tests/key_vote.rs
+++ b/crates/core/tests/key_vote.rs
@@ -1,7 +1,8 @@
-//! At most one run for each idempotency key, under restarts, pauses, lost answers and changes of the list.
+//! At most one run for each idempotency key, under restarts, pauses, lost answers and changes of the list of instances.
 //!
-//! The property test changes a small fleet at random and lets requests collect votes at any time, with any of the answers
-//! lost. A request runs if it has a majority; no key may run twice within the retention.
+//! A request with a key runs only with the votes of a majority of the key's voters, instances that remember their votes
+//! for the retention. The property test changes a small fleet at random and lets requests collect votes at any time,
+//! with any of the answers lost. No key may run twice within the retention.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -79,8 +79,8 @@
     assert_eq!(budget.decide(units::MonoTime(0), attempt), retry::RetryVerdict::Retry);
 }
 
-/// An attempt of which no upstream received any part counts neither as an attempt nor against the retry budget. An
-/// upstream that rejected a request has received it.
+/// If no upstream has received any part of a request, the failure counts neither as an attempt nor against the retry
+/// budget. An upstream that rejected a request has received it.
 #[test]
 fn only_failures_before_anything_was_sent_reached_no_upstream() {
     use retry::AttemptFailure;
