--- a/crates/core/tests/planner_faults.rs
+++ b/crates/core/tests/planner_faults.rs
@@ -73,7 +73,8 @@
     let mut planner = planner(2, PlannerModes::default());
     let failed = place(&mut planner, 0, short(0));
     planner.end(at(5), failed.job, PlaceEnd::Failed);
-    // The ejection time is over, and packing makes the failed engine the first choice.
+    // The failed engine is no longer ejected. It is the first choice, because short prompts are packed onto few
+    // engines.
     let probe = place(&mut planner, 700, short(1));
     assert_eq!(probe.engine, failed.engine);
     let beside = place(&mut planner, 710, short(2));
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -84,8 +84,8 @@
     assert!(!is_quarantined(&table_of(copies), "x", 600));
 }
 
-/// Guards against waves of crashes that are not counted because each has more copies of the request than the table stores
-/// crashes for a request.
+/// Guards against waves of crashes that are not counted because each wave has more copies of the request than the table
+/// stores crashes for a request.
 #[test]
 fn three_waves_of_many_copies_quarantine_a_request() {
     let wave = |number: u64| {
--- a/crates/core/tests/upstream_list.rs
+++ b/crates/core/tests/upstream_list.rs
@@ -1,4 +1,6 @@
 //! The list of upstreams: changes, outages of its source, restarts, and notices of upstreams.
+//!
+//! A start is one run of an upstream's process, identified by the time at which it started.
 
 #[path = "support/list_entries.rs"]
 mod list_entries;
@@ -295,7 +297,8 @@
     list.open(at(now), &service(), permission).into_iter().map(|entry| entry.name.clone()).collect()
 }
 
-/// The list keeps naming the upstream as live, drops it and names it again. Only another start takes new work.
+/// The list keeps naming the upstream as live, drops it and names it again. New work is permitted only after the
+/// upstream has restarted.
 #[test]
 fn a_leaving_notice_of_an_upstream_outlasts_entries_of_the_list() {
     let mut list = full();
--- a/crates/core/tests/upstream_starts.rs
+++ b/crates/core/tests/upstream_starts.rs
@@ -1,5 +1,5 @@
-//! Random histories of one upstream's starts: the present start is the one that the list keeps naming, or that the upstream
-//! reports itself.
+//! Random histories of one upstream's starts (runs of its process, identified by the time of the start): the present
+//! start is the one that the list keeps naming, or that the upstream reports itself.
 
 use std::time;
 
