--- a/crates/instance/tests/backoff_return.rs
+++ b/crates/instance/tests/backoff_return.rs
@@ -1,6 +1,7 @@
 //! Simulation of engines that refuse part of their prompts and request a backoff. Too many prompts
-//! are lost if all members return at once after a backoff, and requests for a place are wasted if
-//! the planner does not know which engines a member must not use.
+//! are lost if all members return at once after a backoff. Requests for a place (the planner's
+//! choice of an engine) are wasted if the planner does not know which engines a member must not
+//! use.
 
 use std::{collections, time};
 
--- a/crates/instance/tests/upstream_load.rs
+++ b/crates/instance/tests/upstream_load.rs
@@ -59,7 +59,7 @@
     last_all: u32,
 }
 
-/// A scheduled event, at an instance and about an upstream.
+/// A scheduled event, with the indexes of the instance at which it occurs and of the upstream.
 enum Due {
     /// The end of a call.
     End(usize, usize, CallResult),
--- a/crates/trial/tests/configuration.rs
+++ b/crates/trial/tests/configuration.rs
@@ -18,8 +18,8 @@
 /// Time within which a version must take effect on the whole fleet. Required by the users.
 const IN_EFFECT_LIMIT: time::Duration = time::Duration::from_secs(9);
 
-/// Returns the settings versions in use: for each instance that of the entry, then that of the
-/// scheduler.
+/// Returns the settings versions in use, two for each instance: the version of its entry, then the
+/// version of its scheduler.
 fn versions(fleet: &Fleet) -> Vec<u64> {
     let version = |instance: &support::Instance| {
         let status = support::get(instance.operators, "/v1/status").unwrap().json();
--- a/crates/trial/tests/idempotency.rs
+++ b/crates/trial/tests/idempotency.rs
@@ -14,7 +14,8 @@
 /// instances' lists may lag behind each other, and a margin.
 const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 
-/// Starts a fleet with two upstreams of the service, and waits until its schedulers vote.
+/// Starts a fleet with two upstreams of the service, and waits until its schedulers vote on
+/// idempotency keys.
 fn start_service_fleet(instances: usize, checks_keys: bool) -> Fleet {
     let config = FleetConfig { instances, services: 2, checks_keys, ..Default::default() };
     let fleet = Fleet::start(&config);
--- a/crates/trial/tests/leaving.rs
+++ b/crates/trial/tests/leaving.rs
@@ -137,7 +137,8 @@
     let (complete_count, failures) = callers.finish();
     assert!(complete_count > 20, "{complete_count}");
     assert!(failures.is_empty(), "{failures:?}");
-    // After a refusal, an entry leaves the engine out of its sample for three seconds.
+    // For three seconds after a refusal, an entry leaves the engine out of the sample of engines
+    // from which it chooses.
     let refused = support::counts(fleet.engines[0].address)["refused"].as_u64().unwrap();
     assert!(refused <= 12, "{refused}");
 }
--- a/crates/trial/tests/memory_release.rs
+++ b/crates/trial/tests/memory_release.rs
@@ -80,7 +80,7 @@
     start_streams(&fleet, 6);
     fleet.instances[0].entry.kill();
     fleet.instances[0].scheduler.kill();
-    // Once the list marks the instance as leaving, the other one takes over its engines.
+    // Once the list marks the instance as leaving, the other instance takes over its engines.
     fleet.mark_leaving("instance-0");
     fleet.wait_no_memory_held();
 }
