--- a/crates/core/tests/limit_strategies.rs
+++ b/crates/core/tests/limit_strategies.rs
@@ -328,8 +328,8 @@
     most: usize,
     /// Part of the limit that was used.
     used: f64,
-    /// Like `used`, with one send added to the sends, and one subtracted from those that the limit allows because the
-    /// bucket starts empty.
+    /// Like `used`, with two allowances: the sends count one more, and the limit counts one less because the bucket
+    /// starts empty.
     used_with_tolerance: f64,
     /// Messages of all members, per second.
     messages: f64,
--- a/crates/core/tests/store_drill.rs
+++ b/crates/core/tests/store_drill.rs
@@ -80,7 +80,7 @@
     list: StoreRevision,
     /// Whether the member watches the store.
     watches: bool,
-    /// Whether the member has begun to call the store and repeats the call after each failure.
+    /// Whether the member will repeat a failed call to the store.
     calling: bool,
     /// Whether the member's last call failed.
     failed: bool,
--- a/crates/core/tests/support/virtual_fleet.rs
+++ b/crates/core/tests/support/virtual_fleet.rs
@@ -25,8 +25,8 @@
 /// Timeouts of the random probes: of a direct probe, and then of the probes relayed by other members.
 const PROBE_TIMEOUTS: (time::Duration, time::Duration) =
     (time::Duration::from_millis(250), time::Duration::from_millis(400));
-/// Number of probe periods for which a result is piggybacked on random probes, multiplied by the number of binary
-/// digits of the number of members.
+/// A result is piggybacked on random probes for this number of probe periods, times the number of binary digits of the
+/// number of members.
 const PIGGYBACK_PERIODS: u32 = 3;
 
 /// Protocol by which members detect silent members.
