--- a/crates/trial/tests/idempotency.rs
+++ b/crates/trial/tests/idempotency.rs
@@ -14,7 +14,8 @@
 /// instances' lists may lag behind each other, and a margin.
 const VOTING_DELAY: time::Duration = time::Duration::from_millis(10_300);
 
-/// Starts a fleet with two upstreams of the service, and waits until its schedulers vote.
+/// Starts a fleet with two upstreams of the service, and waits until its schedulers vote on
+/// idempotency keys.
 fn start_service_fleet(instances: usize, checks_keys: bool) -> Fleet {
     let config = FleetConfig { instances, services: 2, checks_keys, ..Default::default() };
     let fleet = Fleet::start(&config);
@@ -22,8 +23,8 @@
     fleet
 }
 
-/// Returns the run counts of the services below `field`, `by_key` or `by_request`, summed over all
-/// services.
+/// Returns how often each call ran, summed over all services, by idempotency key (`field` is
+/// `by_key`) or by request (`by_request`).
 fn sum_runs_by(fleet: &Fleet, field: &str) -> collections::BTreeMap<String, u64> {
     let mut runs = collections::BTreeMap::new();
     for service in &fleet.services {
