--- a/crates/compare/tests/bounds.rs
+++ b/crates/compare/tests/bounds.rs
@@ -83,7 +83,8 @@
     // The failed requests were admitted but timed out, because later arrivals can overtake a
     // request until its deadline.
     assert!(double.failed * 1_000 <= double.completed, "{} of {}", double.failed, double.completed);
-    // The bound allows for three rounds of offers between data centres, but not for queueing.
+    // An entry requests offers of free capacity from engines in up to three rounds, each over the
+    // network between data centres. The bound allows for these rounds, but not for queueing.
     assert!(double.slowest_refusal_ms <= 15.0, "{} ms", double.slowest_refusal_ms);
     assert!(double.long_completion_share >= 0.99, "{}", double.long_completion_share);
 }
@@ -103,8 +104,8 @@
 
 #[test]
 fn a_flooding_customer_delays_other_customers_by_a_bounded_factor() {
-    /// Number of seeds over which the ratio is averaged. The ratio of one seed varies by a fifth
-    /// with the order of the sampled engines.
+    /// Number of seeds over which the ratio is averaged. The ratio of a single seed varies by a
+    /// fifth, as it depends on the order in which the router samples engines.
     const SEEDS: u64 = 4;
     let mut scenarios = Vec::new();
     for seed in 1..=SEEDS {
--- a/crates/soak/tests/dense_plans.rs
+++ b/crates/soak/tests/dense_plans.rs
@@ -1,5 +1,6 @@
-//! The dense faults of the first part of a plan stay the same when other kinds of faults are added,
-//! so that seeds that once exposed a fault keep exposing it.
+//! The dense faults (those that follow each other closely and overlap) in the first part of a plan
+//! stay the same when other kinds of faults are added, so that seeds that once exposed a fault keep
+//! exposing it.
 //!
 //! Each file in `dense_plans` is named after its seed and lists the faults of the first part.
 
--- a/crates/soak/tests/violations.rs
+++ b/crates/soak/tests/violations.rs
@@ -283,7 +283,8 @@
 }
 
 /// A limit of 2 requests a second allows 17 requests in 4 s. The requests of an instance count from
-/// half a second after its first answer with the limit.
+/// half a second after its first answer with the limit, so that the first 6 requests do not count
+/// and the 24th is the first beyond the limit.
 #[test]
 fn more_requests_than_a_limit_allows_is_a_violation() {
     for (count, expected) in [(23, 0), (24, 1), (30, 1), (60, 1)] {
