--- a/crates/core/src/member_heartbeat.rs
+++ b/crates/core/src/member_heartbeat.rs
@@ -60,7 +60,7 @@
 
 impl MemberHeartbeat {
     /// The short form of this heartbeat, for members that know this start of its sender.
-    pub fn alive(&self) -> ShortHeartbeat {
+    pub fn to_short(&self) -> ShortHeartbeat {
         ShortHeartbeat {
             boot: self.boot,
             sequence: self.sequence,
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -151,17 +151,17 @@
 fn a_short_heartbeat_updates_only_the_known_start_of_a_member() {
     let mut view = view();
     view.receive(at(0), heartbeat(1, 7, 1));
-    let alive = MemberHeartbeat { routes: 9, leaving: true, ..heartbeat(1, 7, 2) }.alive();
+    let alive = MemberHeartbeat { routes: 9, leaving: true, ..heartbeat(1, 7, 2) }.to_short();
     assert!(view.receive_alive(at(900), &alive));
     assert_eq!(
         view.alive(at(1_000)).map(|heartbeat| (heartbeat.routes, heartbeat.leaving)).next(),
         Some((9, true))
     );
-    let old = heartbeat(1, 7, 1).alive();
+    let old = heartbeat(1, 7, 1).to_short();
     assert!(view.receive_alive(at(1_100), &old), "the start is known, but the heartbeat is older");
     assert_eq!(view.alive(at(1_100)).map(|heartbeat| heartbeat.routes).next(), Some(9));
     assert!(
-        !view.receive_alive(at(1_200), &heartbeat(1, 8, 3).alive()),
+        !view.receive_alive(at(1_200), &heartbeat(1, 8, 3).to_short()),
         "another start must send a full heartbeat first"
     );
 }
@@ -426,7 +426,7 @@
     assert!(view.set_suspected(at(700), 7, silent(300)));
     assert_eq!(view.alive(at(700)).count(), 0);
     assert!(view.reachable_share(at(700)) < 1.0);
-    assert!(view.receive_alive(at(750), &heartbeat(1, 7, 2).alive()));
+    assert!(view.receive_alive(at(750), &heartbeat(1, 7, 2).to_short()));
     assert_eq!(view.alive(at(750)).count(), 1);
     assert!(!view.set_suspected(at(2_000), 99, silent(300)), "no such member");
 }
--- a/crates/instance/src/heartbeats.rs
+++ b/crates/instance/src/heartbeats.rs
@@ -54,7 +54,7 @@
         let message = if heartbeat.is_full() || !context.members.borrow().knows(to) {
             peer_message::PeerMessage::Beat(Box::new(heartbeat.clone()))
         } else {
-            peer_message::PeerMessage::Alive(heartbeat.alive())
+            peer_message::PeerMessage::Alive(heartbeat.to_short())
         };
         context.send_to(to, message);
     }
