--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -12,14 +12,14 @@
 
 /// How long an entry may spend a portion, counted from when it receives the portion.
 pub const PORTION_TTL: time::Duration = time::Duration::from_secs(2);
-/// Time constant of the spending average by which an entry draws ahead. Unspent tokens expire and
-/// are lost to the customer, so an entry draws no more than it is about to spend.
+/// Time constant of the average of a customer's recent spending. An entry draws that average in addition
+/// to each request, and no more, because unspent tokens expire and are lost to the customer.
 const DRAW_AHEAD: time::Duration = time::Duration::from_millis(200);
-/// Least time for which a new bucket is credited with tokens.
+/// Minimum time for which a new bucket is credited with tokens.
 ///
-/// A new bucket is credited for the time since another scheduler may last have granted from the
-/// same budget: a scheduler that takes over must not grant a full burst a second time, and one that
-/// has been responsible throughout knows that the customer was idle.
+/// A new bucket is credited for the time since the last membership change, before which another scheduler
+/// may have granted from the same budget. So a scheduler that takes over does not grant a full burst a
+/// second time, and one that has been responsible throughout knows that the customer was idle.
 const MIN_INITIAL_FILL: time::Duration = time::Duration::from_millis(250);
 /// Time without draws after which a customer's bucket is dropped.
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Drops buckets without draws for [`IDLE_TIMEOUT`], once a new bucket would be credited with the
-    /// tokens of at least that time.
+    /// Drops buckets without draws for [`IDLE_TIMEOUT`]. All are kept for that time after a membership
+    /// change, as a new bucket would then be credited for less time than the dropped one was idle.
     pub fn prune(&mut self, now: units::MonoTime) {
         let settled = now.since(self.exclusive_since) >= IDLE_TIMEOUT;
         self.buckets.retain(|_, bucket| !settled || now.since(bucket.refilled) < IDLE_TIMEOUT);
@@ -196,7 +196,8 @@
         self.spending.insert(customer.clone(), (recent, now));
     }
 
-    /// Adds a drawn portion. What is left of the customer's earlier ones expires together with it.
+    /// Adds a drawn portion. What is left of the customer's unexpired portions will then expire together
+    /// with the new portion.
     pub fn add(
         &mut self,
         now: units::MonoTime,
--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -17,11 +17,12 @@
 const DEVIATIONS: f64 = 4.0;
 /// Wait for an answer on a reused connection, as a multiple of the usual answer time.
 const REUSED_FACTOR: f64 = 1.5;
-/// Least wait on a reused connection, as a part of the latency goal. The remainder is for sending
-/// the request again on a new connection.
+/// Minimum wait on a reused connection, as a fraction of the route's goal for the time to the first
+/// token. The remainder is for sending the request again on a new connection.
 const GOAL_PART: f64 = 0.6;
-/// A connection is trusted if it received data within this last fraction of the wait for an answer
-/// on another one. The answer was due in the earlier part, so the other one was silent by then.
+/// Last fraction of a wait on a silent connection. Another connection that received data in this part
+/// is trusted to work: the answer was due in the earlier part, so the silent connection had already
+/// failed when that data arrived.
 const TRUST_PART: f64 = 0.5;
 
 /// Estimate of how long answers of one kind take, from writing the request to receiving the head.
@@ -84,14 +85,16 @@
 }
 
 impl ConnectionAges {
-    /// Whether data was received late enough in a wait of `waited`, which ends now, that this
-    /// connection cannot have gone silent together with the one that was waited for.
+    /// Whether this connection received data in the last part (`TRUST_PART`) of a wait of `waited`
+    /// on a silent connection, which ends now. If so, a fault that silenced both connections is ruled
+    /// out.
     pub fn trusted(&self, waited: time::Duration) -> bool {
         self.received.is_some_and(|received| received < waited.mul_f64(TRUST_PART))
     }
 
-    /// Whether one of `others` was open for as long as this connection may have been silent, and is
-    /// trusted after the wait: a fault of this connection did not affect that one.
+    /// Whether one of `others` works although it was already open when this connection may have gone
+    /// silent: a fault of this connection did not affect that other connection. `waited` is the wait
+    /// on this connection, which ends now.
     pub fn has_live_peer(
         &self,
         waited: time::Duration,
