--- a/crates/core/src/document_lag.rs
+++ b/crates/core/src/document_lag.rs
@@ -34,10 +34,10 @@
     }
 
     /// Records that a query of the source, sent at `queried_at`, found nothing newer than the `own` version. A version
-    /// that was already missing by then is considered unavailable.
+    /// that was already missing at `queried_at` is considered unavailable.
     ///
-    /// Otherwise a member that claims a version that no source can provide, or that accepts a document this process
-    /// rejects, would cause ten calls a second.
+    /// Otherwise a member that claims a version which no source can provide, or that accepts a document which this
+    /// process rejects, would make this process send ten calls a second to fetch that version.
     pub fn refute(&mut self, own: V, queried_at: units::MonoTime) {
         let claimed =
             self.missing.filter(|(missing, since)| *missing > own && *since <= queried_at);
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Forgets which versions the source did not have, as they may be written again.
+    /// Forgets which versions the source did not have, for a source that was restored from an older copy: those
+    /// versions may be written to it again.
     pub fn forget_refuted(&mut self) {
         self.refuted = V::default();
     }
--- a/crates/core/src/document_source.rs
+++ b/crates/core/src/document_source.rs
@@ -8,8 +8,8 @@
 use crate::units;
 
 /// How long after a document was found missing only members are queried for it. It covers three attempts, so that a
-/// member that is busy, gone or silent is followed by another. A change must be in force within two seconds on the
-/// smallest fleets.
+/// member that is busy, gone or silent is followed by another. It must be short, as a change must be in force within
+/// two seconds on the smallest fleets.
 const MEMBERS_ONLY_TIME: time::Duration = time::Duration::from_millis(450);
 /// Period after [`MEMBERS_ONLY_TIME`] over which instances begin to query the store, so that they don't do so all at
 /// once.
@@ -18,7 +18,7 @@
 /// or more of the time within which a change must be in force.
 const STORE_RETRY_DELAY: time::Duration = time::Duration::from_secs(5);
 
-/// Where to fetch a document.
+/// Where a missing document is fetched, as chosen by [`DocumentSource::choose`] for each attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DocumentOrigin {
     /// Another instance that has the document.
@@ -64,7 +64,8 @@
         self.damaged = false;
     }
 
-    /// Records that a member's copy was unusable; the next one is read from the store.
+    /// Records that a member's copy was unusable. The document is then fetched from the store, unless a read of the
+    /// store failed recently.
     pub fn note_damaged_copy(&mut self) {
         self.damaged = true;
     }
--- a/crates/core/src/evacuation.rs
+++ b/crates/core/src/evacuation.rs
@@ -40,8 +40,8 @@
         began
     }
 
-    /// Ends the evacuation of a data centre; returns false if there was none. The upstreams of the data centre are
-    /// considered cold, as they may be cold without announcing it.
+    /// Ends the evacuation of a data centre; returns false if there was none. Its upstreams are considered cold
+    /// (just started, so limited to a lower request rate), as they may be cold without announcing it.
     pub(crate) fn restore(
         &mut self,
         now: units::MonoTime,
