--- a/crates/core/src/failure_detector/mod.rs
+++ b/crates/core/src/failure_detector/mod.rs
@@ -26,11 +26,11 @@
 const PAUSE_TIME: time::Duration = time::Duration::from_millis(400);
 /// Number of other members that are asked to probe a silent one.
 const RELAYS: usize = 3;
-/// Number of broadcasts of each finding.
+/// Number of broadcasts of each finding (that a member is silent, or that it answers again).
 const BROADCASTS: u32 = 3;
-/// Interval between two broadcasts of a finding.
+/// Interval between two broadcasts of a finding (that a member is silent, or that it answers again).
 const BROADCAST_INTERVAL: time::Duration = time::Duration::from_millis(400);
-/// How long the end of a suspicion is remembered, against older suspicions that arrive later.
+/// How long the end of a suspicion is remembered, so that reports of the ended suspicion that arrive later are ignored.
 const RESTORED_TIME: time::Duration = time::Duration::from_secs(30);
 /// Most pending probes on behalf of other members; beyond that the oldest are forgotten.
 const MAX_RELAYED: usize = 256;
@@ -174,7 +174,8 @@
         actions
     }
 
-    /// Handles a message from the member at `from`; returns the replies, and the end of a suspicion if this is an answer.
+    /// Handles a message from the member at `from`; returns the replies. If the message shows that a suspected member
+    /// answers again, the end of the suspicion is returned as well.
     pub fn receive(
         &mut self,
         now: units::MonoTime,
@@ -203,8 +204,9 @@
         }
     }
 
-    /// Handles a suspicion that another member broadcast; returns whether it is new here. A monitor of the suspected member
-    /// that has a later answer refutes the suspicion.
+    /// Handles a suspicion that another member broadcast; returns whether the suspicion is new to this detector. If
+    /// this member monitors the suspected one and got an answer after the first unanswered probe of the report, it
+    /// refutes the suspicion with a broadcast.
     pub fn receive_suspect(
         &mut self,
         now: units::MonoTime,
@@ -304,8 +306,9 @@
         actions
     }
 
-    /// Chooses the members to monitor: the next live ones on the ring, and one more for each suspected one among them,
-    /// as neighbours may fail together. Suspected members stay monitored until they answer.
+    /// Chooses the members to monitor: the next [`MONITORED`] live members on the ring, and the suspected ones between
+    /// them. Each suspected member adds one live member, up to [`MAX_EXTRA_MONITORED`], as neighbours may fail
+    /// together, and stays monitored until it answers.
     fn choose_probes(&mut self, now: units::MonoTime) {
         let start = self.ring.partition_point(|member| member.hash <= self.own_hash);
         let mut before = std::mem::take(&mut self.probes);
--- a/crates/core/src/failure_detector/probe.rs
+++ b/crates/core/src/failure_detector/probe.rs
@@ -6,10 +6,11 @@
 
 /// Timeout of a direct probe, after which relayed ones are requested.
 const DIRECT_TIMEOUT: time::Duration = time::Duration::from_millis(250);
-/// Timeout of the relayed probes, after which the nearest monitor suspects the member.
+/// Timeout of the relayed probes, after which the nearest monitor, the last live member before the silent one on the
+/// ring, suspects the silent member.
 const RELAYED_TIMEOUT: time::Duration = time::Duration::from_millis(400);
-/// Extra time for each monitor between this process and the member, so that usually only the nearest monitor announces
-/// a finding.
+/// Extra timeout for each monitor between this process and the silent member on the ring, so that usually only the
+/// nearest monitor broadcasts the suspicion.
 const ANNOUNCE_STEP: time::Duration = time::Duration::from_millis(150);
 
 /// State of the probes of one monitored member.
