--- a/crates/core/src/fleet_budget.rs
+++ b/crates/core/src/fleet_budget.rs
@@ -1,15 +1,16 @@
 //! The retry budget of the fleet and this member's share of it.
 //!
-//! The budget grows with the requests of all members, so each may use what its own requests add. The fixed part is a
-//! shared quota: one part of it is split evenly, for partitioned members, and another is granted by its coordinator.
-//! Both may be used twice after a partition, so together they are half of the quota.
+//! The budget grows with the requests of all members, so each member may use what its own requests add. The fixed part
+//! is a shared quota. A fraction of the quota is split evenly among the members, also for those that cannot reach its
+//! coordinator; another fraction is granted by the coordinator. A network partition may let both fractions be used
+//! twice, once on each side, so together they are half of the quota.
 
 use std::{collections, time};
 
 use crate::{send_pace, units};
 
-/// Part of the budget added by this member's own requests that it uses. The remainder is for members whose views of the
-/// fleet differ.
+/// Fraction that this member uses of what its own requests add to the budget. The remainder is for members whose views
+/// of the fleet differ.
 const USED_PART: f64 = 0.6;
 /// Part of the fixed quota that is split evenly. Halves of a partitioned fleet that consider each other gone use it
 /// twice.
@@ -25,23 +26,25 @@
 pub struct RetryBound {
     /// Retries allowed for each request.
     pub ratio: f64,
-    /// Fixed quota: retries of all members together that are allowed in one window beyond those that its requests add.
+    /// Fixed quota: retries of all members together that are allowed in one window beyond those that the fleet's
+    /// requests add.
     pub extra: f64,
     /// Length of the window in which requests and retries are counted. The bound holds for every span of that length.
     pub window: time::Duration,
 }
 
 impl RetryBound {
-    /// Bound of the coordinator's token bucket for `part` of the quota, the share of members in contact, 0 to 1. Half of
-    /// the tokens are available at once and the rest over time, so that no window exceeds the quota.
+    /// Rate and burst of the coordinator's token bucket, for the granted fraction of the quota scaled by `part`, the
+    /// share of members in contact (0 to 1). Half of the tokens are available at once and the rest over one window, so
+    /// that no window exceeds this part of the quota.
     pub fn coordinator_bound(&self, part: f64, members: Option<usize>) -> send_pace::PaceBound {
         let is_split = members.is_none_or(|members| self.split(members) >= 1.0);
         let granted_part = if is_split { GRANTED_PART } else { GRANTED_ALONE_PART };
         let quota = self.extra * granted_part * part.clamp(0.0, 1.0);
         let rate = quota / 2.0 / self.window.as_secs_f64();
         let rate = units::RequestRate::try_from(rate).unwrap_or_default();
-        // Each new coordinator grants the credit again. A few changes of the coordinator within a window use less than
-        // the half of the quota that is neither split nor granted.
+        // Each new coordinator starts with `credit` again, whatever its predecessor has granted. A few changes of the
+        // coordinator within a window use less than the half of the quota that is neither split nor granted.
         send_pace::PaceBound { rate, catch_up: self.window, credit: self.window / 2 }
     }
 
--- a/crates/core/src/fleet_list.rs
+++ b/crates/core/src/fleet_list.rs
@@ -76,7 +76,7 @@
     pub state: ListState,
 }
 
-/// The whole list in one revision.
+/// Published list of all instances, engines and upstreams, in one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetList {
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -10,9 +10,9 @@
 
 /// Interval between two periodic rounds of a member.
 pub const REPEAT_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Number of members whose state is requested by one that may have missed something.
+/// Number of members that are asked for their state by a member that may have missed a change.
 const REQUESTED_MEMBERS: usize = 3;
-/// Number of members to which a periodic round repeats the state. With a smaller one, the last member of a large fleet
+/// Number of members to which a periodic round repeats the state. With fewer members, the last member of a large fleet
 /// learns that an upstream is leaving only after the upstream has exited.
 const REPEATED_MEMBERS: usize = 3;
 
--- a/crates/core/src/heartbeat_timer.rs
+++ b/crates/core/src/heartbeat_timer.rs
@@ -4,9 +4,9 @@
 
 /// Timer of one member's heartbeats.
 ///
-/// Members that start together would otherwise always send at the same times, and in a large fleet a change right
-/// after such a time would spread by heartbeats only a whole interval later. So each member draws a random phase, and
-/// draws another whenever the interval changes.
+/// Each member sends with a random phase, drawn anew whenever the interval changes. Otherwise members that start
+/// together would always send at the same times, and a change right after one of these times would spread by heartbeats
+/// only a whole interval later, which is long in a large fleet.
 #[derive(Debug, Default)]
 pub struct HeartbeatTimer {
     interval: time::Duration,
