--- a/crates/core/src/list_changes.rs
+++ b/crates/core/src/list_changes.rs
@@ -137,7 +137,8 @@
         self.clear_relisted(identifier);
         let returned = self.doubtful.remove(identifier).is_some();
         let before = self.entries.insert(identifier.into(), entry.clone());
-        // The cold time dates from the writing of the entry: reading it again must not restart the cold phase.
+        // `cold` is the remaining length of the cold phase when the entry was written, so reading an unchanged value
+        // again must not restart the phase.
         if before.as_ref().is_some_and(|before| before.cold != entry.cold) {
             self.cold.set(now, &entry.name, &entry.service, Some(entry.cold));
         }
@@ -168,8 +169,9 @@
         self.changes += 1;
     }
 
-    /// Handles the deletion of an entry; returns whether the list changed. The upstream is only doubted at first if the
-    /// list's source has just returned from an outage and the upstream was not leaving.
+    /// Handles the deletion of an entry; returns whether the list changed. If the list's source has just returned from
+    /// an outage and the upstream was not leaving, the upstream only becomes doubtful: it is removed unless it is
+    /// listed again in time.
     fn apply_gone(&mut self, now: units::MonoTime, name: &ids::UpstreamId) -> bool {
         self.clear_relisted(name.identifier());
         let Some((identifier, entry)) = self.entries.get_key_value(name.identifier()) else {
@@ -184,7 +186,8 @@
         true
     }
 
-    /// Discards the ended start that the list has named for an upstream, if any.
+    /// Discards the ended start of an upstream that the list names again, if any, so that it does not become the
+    /// present one.
     pub(crate) fn clear_relisted(&mut self, identifier: &str) {
         if let Some(record) = self.starts.get_mut(identifier) {
             record.clear_relisted();
--- a/crates/core/src/list_recovery.rs
+++ b/crates/core/src/list_recovery.rs
@@ -117,7 +117,7 @@
         self.recovery.since.filter(|_| !self.recovery.pending)
     }
 
-    /// State of the recovery in progress; `None` as in [`Self::recovering_since`].
+    /// State of the recovery in progress; `None` without a recovery, and until the first list of its era has been read.
     pub fn recovery(&self) -> Option<RecoveryState> {
         let since = self.recovering_since()?;
         Some(RecoveryState {
@@ -153,9 +153,10 @@
         self.notices.finalize_listed();
     }
 
-    /// Adopts the recovery of another instance. The list that belongs to it must have been applied before.
+    /// Adopts the recovery of another instance. The list that the other instance sent with it must have been applied
+    /// before.
     ///
-    /// Upstreams that the copy lacks and that the other instance does not keep are removed.
+    /// Upstreams that this instance has kept and the other instance does not keep are removed.
     pub fn adopt_recovery(&mut self, now: units::MonoTime, state: RecoveryState) {
         self.recovery.since = Some(state.since);
         let before = std::mem::take(&mut self.recovery.kept);
@@ -198,25 +199,27 @@
     }
 
     /// Whether a start in the restored copy is earlier than the present one. Starts are timestamps of clocks that may
-    /// be wrong: a start that is considered a former one in error becomes the present one later.
+    /// be wrong; a start wrongly considered a former one becomes the present one after the delay of
+    /// [`Self::note_former_start`].
     fn is_former_start(&self, name: &ids::UpstreamId) -> bool {
         let present = self.entry(name).map(|entry| &entry.name);
         name.start().is_some() && present.is_some_and(|present| name.start() < present.start())
     }
 
-    /// Records that the restored copy names a former start of an upstream. It becomes the present one unless the
-    /// present one is rewritten.
+    /// Records that the restored copy names a former start of an upstream. It becomes the present start after the
+    /// rewrite time, unless the list drops it, or the list or the upstream itself names the present start again before.
     fn note_former_start(&mut self, now: units::MonoTime, entry: upstream_list::UpstreamEntry) {
         let delay = self.recovery.rewrite_time.saturating_sub(start_record::RELISTED_TIME);
         let record = self.starts.entry(entry.name.identifier().into()).or_default();
         record.note_relisted(now + delay, entry);
     }
 
-    /// Returns the evacuations in force after a list of this revision, which names the `listed` ones. An evacuation that the
-    /// first list of an era lacks also stays in force, until it is rewritten or the recovery ends.
+    /// Returns the evacuations in force once a list of this revision, with the evacuations `listed`, is applied. An
+    /// earlier evacuation that the first list of an era lacks stays in force until it is rewritten or the recovery
+    /// ends.
     ///
-    /// `unconfirmed` are those of the listed evacuations that the list's sender, another instance, keeps in force for that
-    /// reason alone.
+    /// `unconfirmed` are the evacuations in `listed` that the sender of the list, another instance, keeps in force only
+    /// because it has not seen them rewritten in this era.
     pub fn merge_evacuations(
         &mut self,
         revision: store_revision::StoreRevision,
--- a/crates/core/src/live_settings.rs
+++ b/crates/core/src/live_settings.rs
@@ -86,7 +86,8 @@
         now.since(self.confirmed)
     }
 
-    /// Records that a source, itself confirmed `age` ago, has nothing newer than the settings in force.
+    /// Records that a source has nothing newer than the settings in force. `age` is the time since the
+    /// source itself last confirmed its settings as the newest.
     pub fn confirm(&mut self, now: units::MonoTime, age: time::Duration) {
         self.confirmed = self.confirmed.max(now.earlier_by(age));
     }
