--- a/crates/core/src/member_heartbeat.rs
+++ b/crates/core/src/member_heartbeat.rs
@@ -18,13 +18,15 @@
     pub boot: u64,
     /// Incremented with each heartbeat of a start.
     pub sequence: u64,
-    /// Address for heartbeats and planner messages.
+    /// Address for heartbeats and for messages to and from planners, the members that assign requests to engines and
+    /// coordinate quotas.
     pub address: net::SocketAddrV4,
     /// Data centre in which the member runs.
     pub data_center: ids::DataCenterId,
     /// CPU that the member may use, in thousandths of a core.
     pub cpu: u32,
-    /// Whether the member may plan for others: it is old enough, was not paused lately, and has routes and upstreams.
+    /// Whether the member may be a planner, which assigns requests of other members to engines and coordinates quotas:
+    /// it is old enough, was not paused lately, and has routes and upstreams.
     pub plans: bool,
     /// Whether the member is leaving by plan.
     pub leaving: bool,
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -8,8 +8,8 @@
 const SUSPECT_TIME: time::Duration = time::Duration::from_secs(3);
 
 impl membership::MemberView {
-    /// Share of the members in contact, 0 to 1, which is this side's share of a quota during a partition. Members that are
-    /// leaving by plan are not counted.
+    /// Fraction of the members in contact, 0 to 1. During a network partition this side may use only this fraction of a
+    /// shared quota. Members that are leaving by plan are not counted.
     pub fn reachable_share(&self, now: units::MonoTime) -> f64 {
         let limit = self.heartbeat_interval() * membership::SUSPECT_HEARTBEATS;
         let staying = || self.members.values().filter(|member| !member.heartbeat.leaving);
@@ -65,8 +65,8 @@
         ring.into()
     }
 
-    /// Sets the suspicion of a member that has been silent for `silent`, or clears it if that is `None`. A sign of life
-    /// within that time prevents the suspicion. Returns whether the member is suspected now.
+    /// Marks a member as suspected unless it gave a sign of life within the last `silent`. With `None`, ends the
+    /// suspicion, and counts as a sign of life. Returns whether the member is suspected now.
     pub fn set_suspected(
         &mut self,
         now: units::MonoTime,
@@ -87,8 +87,8 @@
 
     /// Addresses of members with unanswered calls and no sign of life since, to be probed for their return.
     ///
-    /// With heartbeats alone, members would notice the end of a partition at different times, and two members would plan for
-    /// the same engines meanwhile.
+    /// With heartbeats alone, members would notice the end of a partition at different times, and meanwhile two members
+    /// would assign requests to the same engines independently.
     pub fn silent(&self) -> Vec<net::SocketAddrV4> {
         let silent =
             self.members.values().filter(|member| member.unanswered >= membership::MAX_UNANSWERED);
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -21,19 +21,21 @@
 const REMOVE_HEARTBEATS: u32 = 40;
 /// Number of addresses of other members in a full heartbeat.
 const NAMED_MEMBERS: usize = 4;
-/// Most addresses in one datagram of a reply to a member that knows few; 7 bytes each, to keep the datagram
-/// unfragmented.
+/// Most addresses in one datagram of a reply to a member that knows few other members; 7 bytes each, to keep the
+/// datagram unfragmented.
 const NEWCOMER_ADDRESSES: usize = 160;
-/// Most addresses kept of members not met yet: twice the largest planned fleet, some 40 bytes each.
+/// Most addresses kept of members from which no heartbeat has arrived yet: twice the largest planned fleet, some 40
+/// bytes each.
 const MAX_LEARNED_ADDRESSES: usize = 2_400;
 /// Unanswered calls in a row that exclude a member from planning.
 const MAX_UNANSWERED: u32 = 2;
-/// Least age of a process that plans for others: a younger member does not know the load of the engines yet.
+/// Minimum age of a planner, a process that assigns requests of other members to engines: a younger one does not know
+/// the load of the engines yet.
 const PLANNER_AGE: time::Duration = time::Duration::from_millis(1_200);
 
-/// Time without a new member after which a starting process assumes that it knows all.
+/// Time without a new member after which a starting process assumes that it knows all members.
 const SETTLE_TIME: time::Duration = time::Duration::from_millis(80);
-/// Time without any reply after which a starting process assumes that it is alone.
+/// Age at which a process that has received no heartbeat from another member assumes that it is alone.
 const LONE_TIME: time::Duration = time::Duration::from_millis(350);
 
 /// State of another member, as this process knows it.
@@ -68,7 +70,7 @@
     by_boot: collections::HashMap<u64, ids::InstanceId>,
     /// Index of `members` by address.
     by_address: collections::HashMap<net::SocketAddrV4, ids::InstanceId>,
-    /// Addresses of members not met yet, and when each was learned.
+    /// Addresses of members from which no heartbeat has arrived yet, and when another member named each address.
     learned_addresses: collections::BTreeMap<net::SocketAddrV4, units::MonoTime>,
     /// Of `learned_addresses`, those that have not been contacted.
     uncontacted: Vec<net::SocketAddrV4>,
@@ -76,7 +78,7 @@
     seeds: Vec<net::SocketAddrV4>,
     /// Largest number of live members since the start of this process, including this one.
     max_size: usize,
-    /// When a member was last met for the first time.
+    /// When a heartbeat of a previously unknown member last arrived; `None` before the first.
     last_joined: Option<units::MonoTime>,
 }
 
@@ -133,8 +135,9 @@
         addresses.iter().cycle().skip(start).take(NAMED_MEMBERS.min(count)).copied().collect()
     }
 
-    /// All known addresses in chunks, for a member whose heartbeat shows that it knows few; empty for others. A starting
-    /// member is known to all after one exchange, however long the heartbeat interval is.
+    /// All known addresses, one chunk for each datagram, for the sender of a heartbeat that names fewer than
+    /// `NAMED_MEMBERS` addresses; empty for other senders. So a starting member can contact all others after one
+    /// exchange, however long the heartbeat interval is.
     pub fn addresses_for_newcomer(
         &self,
         heartbeat: &member_heartbeat::MemberHeartbeat,
@@ -154,7 +157,7 @@
         uncontacted
     }
 
-    /// Addresses of all members, met or not.
+    /// Addresses of all members, also of those from which no heartbeat has arrived yet.
     fn addresses(&self) -> Vec<net::SocketAddrV4> {
         let known = self.members.values().map(|member| member.heartbeat.address);
         known.chain(self.learned_addresses.keys().copied()).collect()
@@ -246,13 +249,13 @@
         true
     }
 
-    /// Whether a member that has been met has this address.
+    /// Whether this is the address of a member from which a heartbeat has arrived.
     pub fn knows(&self, address: net::SocketAddrV4) -> bool {
         self.by_address.contains_key(&address)
     }
 
-    /// Removes members that have been silent for `REMOVE_HEARTBEATS` intervals, and returns their names. Learned addresses
-    /// where no member was met within that time are dropped.
+    /// Removes members that have been silent for `REMOVE_HEARTBEATS` intervals, and returns their names. Learned
+    /// addresses are dropped after the same time if no heartbeat arrived from there.
     pub fn tick(&mut self, now: units::MonoTime) -> Vec<ids::InstanceId> {
         let limit = self.heartbeat_interval() * REMOVE_HEARTBEATS;
         self.learned_addresses.retain(|_, since| now.since(*since) < limit);
@@ -279,8 +282,9 @@
             .map(|member| &member.heartbeat)
     }
 
-    /// Whether a process that started at time 0 knows the size of the fleet: members that start together meet within some
-    /// hundred milliseconds. Before that each would consider its data centre a small one and watch the store.
+    /// Whether a process that started at time 0 knows the size of the fleet: members that start together learn of each
+    /// other within some hundred milliseconds. Until then each process would consider its data centre a small one and
+    /// watch the store.
     pub fn is_settled(&self, now: units::MonoTime) -> bool {
         match self.last_joined {
             Some(last_joined) => now.since(last_joined) >= SETTLE_TIME,
@@ -288,13 +292,15 @@
         }
     }
 
-    /// Estimated number of members, including this one and those that are silent for a short time. It is at least half of
-    /// the largest number so far, so that a member that loses contact with all others does not claim the share of a lone one.
+    /// Estimated number of members, including this one and those that are silent for a short time. It is at least half
+    /// of the largest number so far, so that a member that loses contact with all others does not use quotas as if it
+    /// were alone.
     pub fn size(&self) -> usize {
         (self.members.len() + 1).max(self.max_size.div_ceil(2))
     }
 
-    /// The member that plans for a cell, which is a group of a service's engines; `None` for this process.
+    /// The planner of a cell (a group of a service's engines): the member that assigns requests to these engines.
+    /// `None` means this process.
     ///
     /// Prefers members that know the load of the engines, then those with more CPU, then by hash.
     pub fn planner(
@@ -334,8 +340,8 @@
         self.sources(now, near, version, |heartbeat| heartbeat.routes)
     }
 
-    /// Members with any version of both documents, in this data centre or else in any, for a process without documents:
-    /// during a series of changes only few members have the newest.
+    /// Members with any version of both documents, in this data centre or else in any, for a process without documents.
+    /// They need not have the newest versions, which only few members have during a series of changes.
     pub fn any_sources(
         &self,
         now: units::MonoTime,
@@ -347,7 +353,8 @@
         nearest(self.alive(now).filter(is_source).collect(), near)
     }
 
-    /// Whether no live member has more CPU than `cpu`, in thousandths of a core; planners are chosen among the largest.
+    /// Whether no live member has more CPU than `cpu`, in thousandths of a core. Planners, which assign requests of
+    /// other members to engines, are chosen among the largest members.
     pub fn is_largest(&self, now: units::MonoTime, cpu: u32) -> bool {
         self.alive(now).all(|heartbeat| heartbeat.cpu <= cpu)
     }
--- a/crates/core/src/membership/watchers.rs
+++ b/crates/core/src/membership/watchers.rs
@@ -6,7 +6,7 @@
 
 /// Number of members that watch the store in a large data centre; one of them is redundant.
 const WATCHERS: usize = 2;
-/// With fewer other members in its data centre, each member watches the store.
+/// Number of other live members in a data centre below which each of its members watches the store.
 const SMALL_DATA_CENTER: usize = 4;
 /// Delay until a member replaces a missing watcher, for each member that comes before it in the order of replacement.
 const TAKE_OVER_STEP: time::Duration = time::Duration::from_millis(120);
