--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -15,11 +15,12 @@
 
 use crate::{ids, request_digest, units};
 
-/// Crashes in sequence after which a request is quarantined. Among many unrelated crashes, two in sequence may break
-/// a harmless request.
+/// Crashes in sequence after which a request is quarantined. Among many unrelated crashes, two may by chance end runs
+/// of the same harmless request in sequence.
 const SEQUENCE: usize = 3;
-/// Divisor of a run's length for its tolerated overlap with the previous crash. Members exchange ages, which are off by
-/// the delay of a message, and a second attempt starts right after the first breaks.
+/// Divisor of a run's length that gives the tolerated overlap: how long before the previous counted crash the run may
+/// have begun. A second attempt starts right after the first one breaks, and members exchange the times as ages, which
+/// are off by the delay of a message.
 const OVERLAP_DIVISOR: u32 = 4;
 /// Longest tolerated overlap of a run with the previous crash.
 const MAX_OVERLAP: time::Duration = time::Duration::from_millis(25);
@@ -60,10 +61,10 @@
     }
 }
 
-/// How crashes are counted. All except the default are for comparison.
+/// How crashes are counted. Modes other than the default are baselines for tests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum CrashCountMode {
-    /// The rules of this module.
+    /// By the sequence, answer and known-cause rules of this module.
     #[default]
     Sequence,
     /// Every crash counts, also simultaneous ones, and answers clear nothing.
@@ -75,7 +76,7 @@
 pub struct QuarantineVerdict {
     /// Upstreams that crashed, oldest crash first.
     pub upstreams: Vec<ids::UpstreamId>,
-    /// End of the quarantine.
+    /// End of the quarantine, counted from the last crash.
     pub until: units::MonoTime,
 }
 
--- a/crates/core/src/quota_ledger.rs
+++ b/crates/core/src/quota_ledger.rs
@@ -9,12 +9,13 @@
 
 use crate::{quota_permit, send_pace, units};
 
-/// Time for which permits are granted ahead, at rates so high that members send several within it.
+/// Time for which permits are granted ahead, if the rate is so high that each requester can use more than one permit in
+/// this time.
 const PREFETCH_TIME: time::Duration = time::Duration::from_millis(100);
 /// Time for which a member counts as a requester after its latest request; requesters share what is granted ahead.
 const REQUESTER_TTL: time::Duration = time::Duration::from_secs(1);
-/// Longest backoff of a member that was refused. It bounds the capacity reserved for members that have nothing left to
-/// send, and the time for which an increased rate stays unused.
+/// Longest backoff of a member that was refused. It bounds the capacity that is reserved for members which have nothing
+/// left to send when they are invited, and the time for which an increased rate stays unused.
 const MAX_BACKOFF: time::Duration = time::Duration::from_secs(2);
 /// Number of refused members that are invited to request again for each permit. Some of them have no request left by
 /// then, and a permit that no member requests is lost.
--- a/crates/core/src/quota_permit.rs
+++ b/crates/core/src/quota_permit.rs
@@ -7,8 +7,8 @@
 
 use crate::{ids, retry_need, units};
 
-/// How long a permit stays valid after the time it was granted for. Connecting and repeating a lost message fit
-/// within it; a later send could fall into another window than the one that its coordinator counted it in.
+/// How long a permit stays valid after the time it was granted for. Connecting and repeating a lost message fit within
+/// it. A later send could fall into another rate window than the one in which the coordinator counted the permit.
 pub const PERMIT_TTL: time::Duration = time::Duration::from_millis(500);
 
 /// What a shared quota limits.
@@ -26,7 +26,8 @@
         Self::Retries(service, retry_need::RetryNeed::Begun)
     }
 
-    /// The quota that this one is part of, by which the coordinator counts permits.
+    /// The quota whose permits the coordinator counts for this subject: retries of all priorities to a service count
+    /// together.
     pub fn shared_quota(&self) -> Self {
         match self {
             Self::Upstream(upstream) => Self::Upstream(upstream.clone()),
--- a/crates/core/src/send_gate.rs
+++ b/crates/core/src/send_gate.rs
@@ -9,8 +9,8 @@
 pub enum ProbePermission {
     /// The request has another attempt left if the upstream refuses it.
     Yes,
-    /// The request has no further attempt left, or has already made one. With two upstreams that refuse everything, a
-    /// request could otherwise probe both and fail.
+    /// The request has no further attempt left, or has already made an attempt. With two upstreams that refuse
+    /// everything, a request could otherwise probe both and fail.
     No,
 }
 
@@ -24,7 +24,7 @@
 /// Purpose of a send to an upstream, which determines the reasons for which it may be denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendKind {
-    /// A request that the upstream runs, or a part of whose prompt it prefills as a helper.
+    /// A request for the upstream to run, or to prefill part of a prompt for another engine.
     Request,
     /// A request to reserve memory on an engine.
     Hold,
--- a/crates/core/src/send_pace.rs
+++ b/crates/core/src/send_pace.rs
@@ -4,8 +4,8 @@
 
 use crate::units;
 
-/// Burst allowance of an upstream's limit. It lets sends catch up after a short gap between requests, whose tokens would
-/// otherwise be lost.
+/// Burst allowance of an upstream's limit. Without it, the tokens of a short gap between requests would be lost; with
+/// it, later sends catch up.
 pub const CATCH_UP: time::Duration = time::Duration::from_millis(200);
 /// Lowest rate in force, in sends per second. Only an answer ends a limit, so an upstream whose limit is zero must still
 /// be sent a request now and then.
@@ -24,7 +24,8 @@
 }
 
 impl PaceBound {
-    /// The bound for an upstream's limit.
+    /// The bound for an upstream's limit: a burst allowance of [`CATCH_UP`], none of which is available to a new
+    /// bucket.
     pub fn of_limit(rate: units::RequestRate) -> Self {
         Self { rate, catch_up: CATCH_UP, credit: time::Duration::ZERO }
     }
