--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -132,8 +132,8 @@
     pub group_wait: units::TimeSpan,
     /// Retries allowed as a share of recent requests.
     pub retry_share: units::ShareRatio,
-    /// How long an engine may hold an attempt that belongs to no live lease. A lease that its entry does not renew ends
-    /// after the same time.
+    /// How long an engine may hold memory for an attempt without a live lease, the scheduler's grant of capacity for
+    /// one attempt. A lease that its entry does not renew ends after the same time.
     pub orphan_grace: units::TimeSpan,
     /// How long instances remember an idempotency key, so that no other request with it runs.
     pub key_retention: units::TimeSpan,
@@ -197,7 +197,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CustomerNode {
-    /// Keys of the customer's callers.
+    /// Keys of the customer's callers, each for one of its applications.
     pub keys: Vec<CallerKey>,
     /// Options that the customer overrides.
     pub options: NodeOptions,
@@ -247,7 +247,7 @@
 pub struct SettingsTree {
     /// The document's version; a document with a lower one is never accepted again.
     pub version: SettingsVersion,
-    /// Options for the whole fleet.
+    /// Options for the whole fleet; an option that the document omits has its built-in default.
     pub fleet: FleetOptions,
     /// Defaults that the customers inherit.
     pub defaults: NodeOptions,
@@ -326,7 +326,7 @@
         let valid = !fleet.key_retention.0.is_zero();
         check_range("fleet.key_retention", &fleet.key_retention, valid, "more than 0s")?;
         for (id, service) in &self.services {
-            // A key must be remembered at least until the first call with it has ended.
+            // An idempotency key must be remembered at least until the first call with it has ended.
             let path = format!("services.{id}.time_limit");
             let valid = service.time_limit <= fleet.key_retention;
             check_range(&path, &service.time_limit, valid, "at most fleet.key_retention")?;
--- a/crates/core/src/settings_resolve.rs
+++ b/crates/core/src/settings_resolve.rs
@@ -66,9 +66,9 @@
 pub struct ResolvedSettings {
     /// Version of the settings tree that the values come from.
     pub version: settings::SettingsVersion,
-    /// Customer that makes the request.
+    /// Customer that the caller's key identifies.
     pub customer: ids::CustomerId,
-    /// Application that makes the request.
+    /// Application that the caller's key selects.
     pub application: ids::ApplicationId,
     /// Request class; `None` if no class of the application fits the prompt.
     pub class: Option<ids::ClassId>,
--- a/crates/core/src/start_record.rs
+++ b/crates/core/src/start_record.rs
@@ -22,7 +22,8 @@
 pub(crate) struct StartRecord {
     /// When the present start became known, or when the last one was removed from the list.
     pub(crate) known_since: units::MonoTime,
-    /// The start that was listed last, while none is listed.
+    /// The start that was present when the upstream was last removed from the list; `None` while the upstream is
+    /// listed.
     last: Option<ids::UpstreamStart>,
     /// Ended starts, oldest first, at most [`MAX_ENDED`]; never contains the present one.
     ended: collections::VecDeque<ids::UpstreamStart>,
@@ -70,7 +71,8 @@
         self.relisted = Some((entry, same.map_or(now, |(_, since)| since)));
     }
 
-    /// Records that the list does not keep naming an ended start, or that the present start has reported itself.
+    /// Discards the entry of an ended start, as the list no longer names that start, or the present start has
+    /// reported itself.
     pub(crate) fn clear_relisted(&mut self) {
         self.relisted = None;
     }
--- a/crates/core/src/start_wait.rs
+++ b/crates/core/src/start_wait.rs
@@ -2,8 +2,8 @@
 
 use std::time;
 
-/// Process age up to which requests wait while the process has no contact. A partitioned process can only send its
-/// callers to other instances.
+/// Process age up to which requests wait while the process has no contact. A partitioned process cannot serve its
+/// callers, so it soon sends them to other instances.
 const NO_CONTACT_AGE: time::Duration = time::Duration::from_millis(350);
 /// Process age up to which requests wait while the process is only in contact with members without routes.
 const MEMBER_CONTACT_AGE: time::Duration = time::Duration::from_millis(700);
