--- a/crates/core/src/upstream_health.rs
+++ b/crates/core/src/upstream_health.rs
@@ -28,7 +28,8 @@
 const GONE_REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 /// Weight of the newest call in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// Time constant with which the failure rate decays: an upstream that is avoided for it gets no calls that could lower it.
+/// Time constant with which the failure rate decays. Without the decay, an upstream that is avoided because of its
+/// failure rate would keep that rate, as it gets no calls.
 const FAILURE_RATE_DECAY: time::Duration = time::Duration::from_secs(2);
 /// Time after a pause within which only repeatable calls are probes: any other call is lost if the upstream fails again.
 const REPEATABLE_ONLY_TIME: time::Duration = time::Duration::from_secs(2);
--- a/crates/core/src/upstream_limit.rs
+++ b/crates/core/src/upstream_limit.rs
@@ -45,7 +45,7 @@
 /// The limit in force for an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitNotice {
-    /// The reading that holds among all received ones; see [`LimitReading::or`].
+    /// The reading that holds among all readings received for the upstream, as chosen by [`LimitReading::or`].
     pub reading: LimitReading,
     /// Since when the upstream has had a limit or, if `reading` has none, since when it has had none.
     pub since: units::MonoTime,
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -10,10 +10,11 @@
 
 /// How long upstreams that are dropped from the list right after an outage of its source may still return.
 ///
-/// Leases may expire during the outage; their holders rewrite them about two seconds after its end.
+/// The source deletes the entry of an upstream whose lease expires during the outage; the upstream rewrites its entry
+/// about two seconds after the outage ends.
 pub(crate) const RETURN_TIME: time::Duration = time::Duration::from_millis(1_900);
-/// Share of a service's upstreams beyond which doubtful ones are still used: an outage of the source is more likely than
-/// the simultaneous leaving of that many upstreams.
+/// Fraction of a service's upstreams beyond which doubtful ones (dropped from the list after an outage, but not removed
+/// yet) are still used: an outage of the source is more likely than the simultaneous leaving of that many upstreams.
 const OUTAGE_SHARE: f64 = 0.5;
 /// How long the starts of an unlisted upstream are remembered: writes of an ended start may arrive seconds late, even after
 /// the entry was deleted.
@@ -69,13 +70,14 @@
 pub struct UpstreamList {
     /// Entries of the present starts, by identifier of the upstream.
     pub(crate) entries: collections::BTreeMap<sync::Arc<str>, UpstreamEntry>,
-    /// Starts of upstreams that have restarted or were removed, by identifier; dropped after [`START_RETENTION`] unlisted.
+    /// Starts of upstreams that have restarted or were removed, by identifier; kept for [`START_RETENTION`] after an
+    /// upstream was removed from the list.
     pub(crate) starts: collections::BTreeMap<sync::Arc<str>, start_record::StartRecord>,
     /// Upstreams that were dropped from the list and may return, with the time at which they are removed.
     pub(crate) doubtful: collections::BTreeMap<sync::Arc<str>, units::MonoTime>,
-    /// Notices of upstreams, and leaving notices of the list.
+    /// Notices that upstreams sent, and leaving notices taken from the list.
     pub(crate) notices: upstream_notice::NoticeTable,
-    /// State of a recovery, which stays in force after the source was restored from an older copy.
+    /// State of the recovery that begins when the list's source is restored from an older copy.
     pub(crate) recovery: list_recovery::ListRecovery,
     /// Cold phases, in which upstreams that have just started may have a limit.
     pub(crate) cold: cold_start::ColdTable,
@@ -102,8 +104,8 @@
         self.changes
     }
 
-    /// Records that the source answers again after an outage. Upstreams that it drops soon after become doubtful at
-    /// first.
+    /// Records that the source answers again after an outage. Upstreams that it drops within `RETURN_TIME` become
+    /// doubtful: they are removed only at the end of that time, unless they return.
     pub fn source_returned(&mut self, now: units::MonoTime) {
         self.doubt_until = Some(now + RETURN_TIME);
     }
@@ -115,8 +117,8 @@
         self.entries.values().filter(|entry| entry.service == *service).count()
     }
 
-    /// Removes doubtful upstreams that are due, drops expired state of a recovery, and makes ended starts the present ones
-    /// where the list has kept naming them; returns whether the list changed.
+    /// Removes doubtful upstreams whose time to return is over, drops expired state of a recovery, and makes ended
+    /// starts that the list has named for long enough the present ones; returns whether the list changed.
     pub fn tick(&mut self, now: units::MonoTime) -> bool {
         // Goes first, because removing an upstream also discards the ended start that the list names for it.
         let recovered = self.tick_recovery(now);
@@ -244,10 +246,10 @@
     /// Records the start that an upstream reported itself in answer to a query sent at `queried_at`; returns whether it
     /// replaces the present one.
     ///
-    /// Two starts can be distinguished but not ordered, as clocks may be wrong. So the origin and its time decide. A report
-    /// of the upstream itself that was requested after the present start became known takes precedence over the list; one
-    /// requested earlier may come from the previous start. A later entry of the list replaces the present start; if it
-    /// names an ended start, only after some seconds, as it may be a late write.
+    /// Two starts can be distinguished but not ordered, as clocks may be wrong, so the source and time of the
+    /// information decide. A report that was requested after the present start became known takes precedence over the
+    /// list; one requested earlier may come from the previous start. A later entry of the list replaces the present
+    /// start; an entry that names an ended start does so only after some seconds, as it may be a late write.
     pub fn update_start(
         &mut self,
         now: units::MonoTime,
@@ -260,7 +262,7 @@
         };
         let before = entry.name.start();
         let since = self.starts.get(name.identifier()).map(|record| record.known_since);
-        // A list without starts gives nothing to compare with.
+        // If the list's entry has no start, there is nothing to compare the reported start with.
         if before.is_none() || since.is_some_and(|since| queried_at < since) {
             return false;
         }
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -55,7 +55,7 @@
 /// A notice that a start of an upstream is leaving, and so takes no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeavingNotice {
-    /// Origin of the notice.
+    /// Origin of the notice. An origin in the present list is replaced by that of a later notice.
     pub source: NoticeSource,
     /// When an instance first received the notice.
     pub since: units::MonoTime,
@@ -178,7 +178,8 @@
     /// Whether something may be sent to a start now.
     ///
     /// Renewals and releases always may: they serve requests in progress. A leaving upstream may also be asked for its
-    /// report, but not be checked, as a check would take a planned end for a crash. One in backoff may be sent nothing else.
+    /// report, but not be checked, as a check would take a planned end for a crash. An upstream in backoff may be sent
+    /// only renewals and releases.
     pub fn permits(
         &self,
         now: units::MonoTime,
@@ -249,7 +250,7 @@
         has_ended
     }
 
-    /// Records a backoff. A shorter one within a longer one changes nothing.
+    /// Records a backoff. A backoff that ends no later than the one in force changes nothing.
     pub fn receive_backoff(
         &mut self,
         now: units::MonoTime,
