--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -171,7 +171,7 @@
         true
     }
 
-    /// Tokens to draw for a request: its own, and those of the requests expected next.
+    /// Tokens to draw for a request that needs `want`: these, and as many as the customer spent recently.
     pub fn draw_size(
         &self,
         now: units::MonoTime,
--- a/crates/core/src/fleet_budget.rs
+++ b/crates/core/src/fleet_budget.rs
@@ -82,8 +82,8 @@
 
     /// Takes one retry from the share and returns whether there was one left.
     ///
-    /// While the number of `members` is unknown, the share is only what this member's requests add, as all members may
-    /// be in the same state.
+    /// While the number of `members` is unknown, the share is only what this member's requests add. All members may lack
+    /// the number at once, so none of them uses the fixed quota then.
     pub fn take(&mut self, now: units::MonoTime, members: Option<usize>) -> bool {
         self.prune(now);
         let split = members.map_or(0.0, |members| self.bound.split(members));
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Whether to request the state of a newly met member, after `requested` such requests within the current second: after
-/// a start or a network partition all members are met at once.
+/// Whether to request the state of a member that has just joined, after `requested` such requests within the current
+/// second. After a start of this process or a network partition, all members join its view at once.
 pub fn may_request_state(requested: usize) -> bool {
     requested < REQUESTED_MEMBERS
 }
--- a/crates/core/src/member_heartbeat.rs
+++ b/crates/core/src/member_heartbeat.rs
@@ -36,7 +36,7 @@
     pub list: store_revision::StoreRevision,
     /// Whether the member watches the platform's store and other members may rely on that.
     pub watches: bool,
-    /// Addresses of some other members, from which receivers learn of members that they have not met.
+    /// Addresses of some other members, from which receivers learn of members unknown to them.
     pub others: Vec<net::SocketAddrV4>,
 }
 
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -30,7 +30,7 @@
         self.by_boot.get(&boot)
     }
 
-    /// Records an unanswered call to a member. `MAX_UNANSWERED` in a row exclude it from planning until a sign of life.
+    /// Records an unanswered call to a member. After `MAX_UNANSWERED` in a row it cannot be a planner until a sign of life.
     pub fn note_unanswered(&mut self, name: &ids::InstanceId) {
         if let Some(member) = self.members.get_mut(name) {
             member.unanswered += 1;
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -27,7 +27,7 @@
 /// Most addresses kept of members from which no heartbeat has arrived yet: twice the largest planned fleet, some 40
 /// bytes each.
 const MAX_LEARNED_ADDRESSES: usize = 2_400;
-/// Unanswered calls in a row that exclude a member from planning.
+/// Unanswered calls in a row after which a member cannot be a planner until it shows a sign of life.
 const MAX_UNANSWERED: u32 = 2;
 /// Minimum age of a planner, a process that assigns requests of other members to engines: a younger one does not know
 /// the load of the engines yet.
@@ -44,7 +44,7 @@
     /// The last full heartbeat, with later short ones merged in.
     heartbeat: member_heartbeat::MemberHeartbeat,
     /// Hash of the name: the member's position on the failure detector's ring. It also decides which of equally suitable
-    /// members plans for a cell, which is a group of a service's engines.
+    /// members is the planner of a cell (a group of a service's engines).
     hash: u64,
     /// Time of the last sign of life.
     last_alive: units::MonoTime,
@@ -393,7 +393,7 @@
         nearest(self.alive(now).filter(|heartbeat| version(heartbeat) == newest).collect(), near)
     }
 
-    /// Whether a process of this age may plan for others; a younger one does not know the load of the engines yet.
+    /// Whether a process of this age may be a planner; a younger one does not know the load of the engines yet.
     pub fn is_old_enough_to_plan(age: time::Duration) -> bool {
         age >= PLANNER_AGE
     }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -49,7 +49,8 @@
 }
 
 impl CrashedRun {
-    /// Merges two reports of one run: a delayed message makes its times appear later than they are.
+    /// Merges two reports of one run. The earlier times are kept, as a delayed message makes times appear later than
+    /// they are.
     fn merge(self, other: Self) -> Self {
         let (sent, ended) = (self.sent.min(other.sent), self.ended.min(other.ended));
         Self { sent, ended, ..self }
