--- a/crates/core/src/connection_silence.rs
+++ b/crates/core/src/connection_silence.rs
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Whether other connections to the upstream may be dead as well, except those that have received
-    /// data since.
+    /// Whether other connections to the upstream may be dead as well, except those that are
+    /// [trusted](ConnectionAges::trusted) after the wait.
     pub fn may_affect_others(self) -> bool {
         matches!(self, Self::ReusedConnection | Self::OpenConnection)
     }
--- a/crates/core/src/member_heartbeat.rs
+++ b/crates/core/src/member_heartbeat.rs
@@ -21,7 +21,7 @@
     /// Address for heartbeats and for messages to and from planners, the members that assign requests to engines and
     /// coordinate quotas.
     pub address: net::SocketAddrV4,
-    /// Data centre in which the member runs.
+    /// Data centre in which the member runs; other members there prefer it as a source of documents.
     pub data_center: ids::DataCenterId,
     /// CPU that the member may use, in thousandths of a core.
     pub cpu: u32,
--- a/crates/core/src/request_limits.rs
+++ b/crates/core/src/request_limits.rs
@@ -45,7 +45,7 @@
         names.filter_map(|name| Some((name, self.limit(name)?.reading.rate?))).collect()
     }
 
-    /// Number of changes so far to announced limits and to those after cold starts.
+    /// Number of changes so far to the announced limits and the cold start limits of all upstreams.
     pub fn limit_changes(&self) -> u64 {
         self.notices().limit_changes() + self.cold.changes()
     }
--- a/crates/core/src/upstream_limit.rs
+++ b/crates/core/src/upstream_limit.rs
@@ -22,7 +22,7 @@
 }
 
 impl LimitReading {
-    /// Returns the one of two readings that holds. Both must be of the same start of an upstream.
+    /// Returns the reading that is in force, of two readings of the same start of an upstream.
     pub fn or(self, other: Self) -> Self {
         if other.requested >= self.received {
             other
@@ -45,7 +45,7 @@
 /// The limit in force for an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitNotice {
-    /// The reading that holds among all readings received for the upstream, as chosen by [`LimitReading::or`].
+    /// The reading that [`LimitReading::or`] selects among all readings received for the upstream.
     pub reading: LimitReading,
     /// Since when the upstream has had a limit or, if `reading` has none, since when it has had none.
     pub since: units::MonoTime,
--- a/crates/core/src/upstream_list.rs
+++ b/crates/core/src/upstream_list.rs
@@ -27,7 +27,7 @@
     pub name: ids::UpstreamId,
     /// Service that the upstream belongs to.
     pub service: ids::ServiceId,
-    /// Data centre in which the upstream runs.
+    /// Data centre in which the upstream runs; while it is evacuated, the upstream takes no new work.
     pub data_center: ids::DataCenterId,
     /// Address for requests.
     pub address: net::SocketAddrV4,
--- a/crates/core/src/upstream_notice.rs
+++ b/crates/core/src/upstream_notice.rs
@@ -289,19 +289,19 @@
         change
     }
 
-    /// Number of changes of any start's limit by readings so far.
+    /// Number of readings so far that changed the limit of a start.
     pub fn limit_changes(&self) -> u64 {
         self.limit_changes
     }
 
-    /// Readings of limits, also of those that ended recently.
+    /// Starts that have announced a limit, and the reading in force for each; it has no rate if the limit ended recently.
     pub fn limit_readings(
         &self,
     ) -> impl Iterator<Item = (&ids::UpstreamId, upstream_limit::LimitReading)> {
         self.notices.iter().filter_map(|(name, notice)| Some((name, notice.limit?.reading)))
     }
 
-    /// The reading of a start's limit, also of one that ended recently.
+    /// The reading in force for a start that has announced a limit; it has no rate if the limit ended recently.
     pub fn limit_reading(&self, name: &ids::UpstreamId) -> Option<upstream_limit::LimitReading> {
         Some(self.notices.get(name)?.limit?.reading)
     }
