--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -10,9 +10,9 @@
 
 /// Interval between two periodic rounds of a member.
 pub const REPEAT_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Number of members whose state is requested by one that may have missed something.
+/// Number of members that are asked for their state by a member that may have missed a change.
 const REQUESTED_MEMBERS: usize = 3;
-/// Number of members to which a periodic round repeats the state. With a smaller one, the last member of a large fleet
+/// Number of members to which a periodic round repeats the state. With fewer members, the last member of a large fleet
 /// learns that an upstream is leaving only after the upstream has exited.
 const REPEATED_MEMBERS: usize = 3;
 
@@ -40,8 +40,8 @@
     }
 }
 
-/// Whether to request the state of a newly met member, after `requested` such requests within the current second: after
-/// a start or a network partition all members are met at once.
+/// Whether to request the state of a member that has just joined, after `requested` such requests within the current
+/// second. After a start of this process or a network partition, all members join its view at once.
 pub fn may_request_state(requested: usize) -> bool {
     requested < REQUESTED_MEMBERS
 }
--- a/crates/core/src/member_heartbeat.rs
+++ b/crates/core/src/member_heartbeat.rs
@@ -18,13 +18,15 @@
     pub boot: u64,
     /// Incremented with each heartbeat of a start.
     pub sequence: u64,
-    /// Address for heartbeats and planner messages.
+    /// Address for heartbeats and for messages to and from planners, the members that assign requests to engines and
+    /// coordinate quotas.
     pub address: net::SocketAddrV4,
-    /// Data centre in which the member runs.
+    /// Data centre in which the member runs; other members there prefer it as a source of documents.
     pub data_center: ids::DataCenterId,
     /// CPU that the member may use, in thousandths of a core.
     pub cpu: u32,
-    /// Whether the member may plan for others: it is old enough, was not paused lately, and has routes and upstreams.
+    /// Whether the member may be a planner, which assigns requests of other members to engines and coordinates quotas:
+    /// it is old enough, was not paused lately, and has routes and upstreams.
     pub plans: bool,
     /// Whether the member is leaving by plan.
     pub leaving: bool,
@@ -34,7 +36,7 @@
     pub list: store_revision::StoreRevision,
     /// Whether the member watches the platform's store and other members may rely on that.
     pub watches: bool,
-    /// Addresses of some other members, from which receivers learn of members that they have not met.
+    /// Addresses of some other members, from which receivers learn of members unknown to them.
     pub others: Vec<net::SocketAddrV4>,
 }
 
@@ -60,7 +62,7 @@
 
 impl MemberHeartbeat {
     /// The short form of this heartbeat, for members that know this start of its sender.
-    pub fn alive(&self) -> ShortHeartbeat {
+    pub fn to_short(&self) -> ShortHeartbeat {
         ShortHeartbeat {
             boot: self.boot,
             sequence: self.sequence,
